--- a/internal/dispatch/allowance_test.go
+++ b/internal/dispatch/allowance_test.go
@@ -14,8 +14,8 @@
 func TestNoLeaseIsRenewedForCancelledTasks(t *testing.T) {
 	for _, leads := range []bool{true, false} {
 		d, j, m, box := one(t)
-		keep := d.set.Deployment.Workers.KeepAlive()
-		d.noteCancelled(j, box.Now)
+		keep := d.settings.Deployment.Workers.KeepAlive()
+		d.jobs.noteCancelled(j, box.Now)
 		say := func(counter int64, tasks ...protocol.TaskReport) (status int, orders []protocol.Order) {
 			d.term.RenewedAt, d.freshAt = box.Now, box.Now
 			if d.term.ValidUntil = box.Now; leads {
@@ -51,23 +51,23 @@
 // it as well; clocks of day may be off either way.
 func TestCancellationsCountFromTheRecord(t *testing.T) {
 	d, j, _, box := one(t)
-	d.set.Deployment.ClockErrorMs = 250
+	d.settings.Deployment.ClockErrorMs = 250
 	j.Status, j.CancelledAt = protocol.StatusCancelled, int64(box.Now-110*clock.Second)
-	d.adopt(ledger.Key("job-1"), j.Encode(), 6)
+	d.reader.adopt(ledger.Key("job-1"), j.Encode(), 6)
 	if !j.cancelled || j.cancelledAt != -10*clock.Second-500*clock.Millisecond {
 		t.Fatalf("cancelled %v at %.3f s", j.cancelled, j.cancelledAt.Seconds())
 	}
 	d.begunAt = box.Now
-	if at := d.returnAt(j); at >= box.Now {
+	if at := d.cancellations.returnAt(j); at >= box.Now {
 		t.Fatalf("the machine is returned at %.3f s", at.Seconds())
 	}
 	// A new leader lets machines speak first, as long as there is time.
 	j.cancelledAt = box.Now - 16*clock.Second // lease_s + 4 s
-	if at := d.returnAt(j); at != box.Now+heedTime {
+	if at := d.cancellations.returnAt(j); at != box.Now+heedTime {
 		t.Fatalf("the machine is returned %.3f s after the election", (at - box.Now).Seconds())
 	}
 	j.cancelledAt -= 4 * clock.Second
-	if at := d.returnAt(j); at != j.cancelledAt+23*clock.Second { // cancel_s - 7 s
+	if at := d.cancellations.returnAt(j); at != j.cancelledAt+23*clock.Second { // cancel_s - 7 s
 		t.Fatalf("the machine is returned %.3f s after the cancellation", (at - j.cancelledAt).Seconds())
 	}
 }
--- a/internal/dispatch/catalogue.go
+++ b/internal/dispatch/catalogue.go
@@ -2,16 +2,34 @@
 
 import (
 	"log/slog"
+	"math"
 	"net/http"
 	"slices"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/cloud"
 	"postpoint/internal/leadership"
 	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
 	"postpoint/internal/statestore"
 )
 
+// machineCatalogue keeps the cloud's machine types and prices, on every node and across terms.
+type machineCatalogue struct {
+	*leaderTerm
+	cloud    cloud.API
+	store    statestore.Store
+	machines *machineTable
+	// published is told of each new catalogue.
+	published func([]protocol.MachineType)
+
+	list   []protocol.MachineType
+	byName map[string]protocol.MachineType
+	// fromCloud reports that the list is the cloud's own, not one that a leader has stored.
+	fromCloud      bool
+	sharedThisTerm bool
+}
+
 // catalogueKey is where the leader leaves the catalogue for nodes that start
 // while the cloud doesn't answer: without the machine types they could neither
 // judge submissions nor place anything.
@@ -20,21 +38,21 @@
 const catalogueTime = 30 * clock.Second
 
 // readCatalogue keeps the catalogue and its prices, on every node.
-func (d *Dispatch) readCatalogue() {
-	d.cloud.Catalogue(func(status int, c protocol.Catalogue) {
+func (mc *machineCatalogue) read() {
+	mc.cloud.Catalogue(func(status int, c protocol.Catalogue) {
 		again := catalogueTime
 		types := slices.DeleteFunc(c.Types, unusable)
 		if len(types) < len(c.Types) {
 			slog.Error("the catalogue has types that make no sense", "types", len(c.Types), "usable", len(types))
 		}
 		if status == http.StatusOK && len(types) > 0 {
-			d.takeCatalogue(types)
-			d.ownCatalogue = true
-		} else if len(d.catalogue) == 0 {
+			mc.replace(types)
+			mc.fromCloud = true
+		} else if len(mc.list) == 0 {
 			again = clock.Second
-			d.readShared()
+			mc.readShared()
 		}
-		d.mailbox.After(again, d.readCatalogue)
+		mc.mailbox.After(again, mc.read)
 	})
 }
 
@@ -48,52 +66,52 @@
 	return t.Name == "" || len(t.Zones) == 0 || t.Price == 0 || t.SpotPrice == 0
 }
 
-func (d *Dispatch) takeCatalogue(types []protocol.MachineType) {
-	d.catalogue = types
-	clear(d.types)
+func (mc *machineCatalogue) replace(types []protocol.MachineType) {
+	mc.list = types
+	clear(mc.byName)
 	for _, t := range types {
-		d.types[t.Name] = t
+		mc.byName[t.Name] = t
 	}
-	for _, m := range d.roster {
+	for _, m := range mc.machines.ordered {
 		m.viewStale = true // prices
 	}
-	d.onTypes(types)
+	mc.published(types)
 }
 
 // readShared takes what a leader left.
-func (d *Dispatch) readShared() {
-	d.store.Get(catalogueKey, func(r statestore.Reply[protocol.Item]) {
+func (mc *machineCatalogue) readShared() {
+	mc.store.Get(catalogueKey, func(r statestore.Reply[protocol.Item]) {
 		var c protocol.Catalogue
-		if r.Status != http.StatusOK || len(d.catalogue) > 0 || protocol.Decode(r.Value.Value, &c) != nil || len(c.Types) == 0 {
+		if r.Status != http.StatusOK || len(mc.list) > 0 || protocol.Decode(r.Value.Value, &c) != nil || len(c.Types) == 0 {
 			return
 		}
 		slog.Info("the cloud doesn't answer, using the catalogue that a leader left", "types", len(c.Types))
-		d.takeCatalogue(c.Types)
+		mc.replace(c.Types)
 	})
 }
 
 // shareCatalogue leaves the catalogue for others, once in a term and only if
 // it is news: prices alone aren't.
-func (d *Dispatch) shareCatalogue() {
-	if d.shared || !d.ownCatalogue {
+func (mc *machineCatalogue) share() {
+	if mc.sharedThisTerm || !mc.fromCloud {
 		return
 	}
-	d.shared = true // unless it fails
-	epoch := d.term.Epoch
-	d.store.Get(catalogueKey, func(r statestore.Reply[protocol.Item]) {
-		if d.term.Epoch != epoch {
+	mc.sharedThisTerm = true // unless it fails
+	epoch := mc.term.Epoch
+	mc.store.Get(catalogueKey, func(r statestore.Reply[protocol.Item]) {
+		if mc.term.Epoch != epoch {
 			return
 		}
 		var c protocol.Catalogue
-		if r.Status == http.StatusOK && protocol.Decode(r.Value.Value, &c) == nil && slices.EqualFunc(c.Types, d.catalogue, sameType) {
+		if r.Status == http.StatusOK && protocol.Decode(r.Value.Value, &c) == nil && slices.EqualFunc(c.Types, mc.list, sameType) {
 			return
 		}
 		if r.Status != http.StatusOK && r.Status != http.StatusNotFound {
-			d.shared = false
+			mc.sharedThisTerm = false
 			return
 		}
-		value := protocol.Encode(protocol.Catalogue{Types: d.catalogue})
-		if size, limit := protocol.JSONSize(value), ledger.Usable(d.set.Deployment.State.Tightest().ValueBytes()); size > limit {
+		value := protocol.Encode(protocol.Catalogue{Types: mc.list})
+		if size, limit := protocol.JSONSize(value), ledger.Usable(mc.settings.Deployment.State.Tightest().ValueBytes()); size > limit {
 			slog.Info("the catalogue is too large to be left for others", "bytes", size, "limit", limit)
 			return
 		}
@@ -101,9 +119,9 @@
 			Guards:  []protocol.Guard{{Key: leadership.Key, Version: epoch}, {Key: catalogueKey, Version: r.Value.Version}},
 			Changes: []protocol.Change{{Put: catalogueKey, Value: value}},
 		}
-		d.store.Commit(statestore.ForLeader, t, func(r statestore.Reply[protocol.TxnAnswer]) {
-			if d.term.Epoch == epoch && r.Status != http.StatusOK {
-				d.shared = false
+		mc.store.Commit(statestore.ForLeader, t, func(r statestore.Reply[protocol.TxnAnswer]) {
+			if mc.term.Epoch == epoch && r.Status != http.StatusOK {
+				mc.sharedThisTerm = false
 			}
 		})
 	})
@@ -114,3 +132,33 @@
 	return a.Name == b.Name && a.Cpus == b.Cpus && a.Gpus == b.Gpus && a.MemoryGB == b.MemoryGB &&
 		a.CacheGB == b.CacheGB && a.FetchGBPerS == b.FetchGBPerS && a.BootS == b.BootS && slices.Equal(a.Zones, b.Zones)
 }
+
+// slowestFetchS is how long a GB of image takes on the slowest type that the job
+// may use, in seconds.
+func (mc *machineCatalogue) slowestFetchS(s *protocol.JobSpec) float64 {
+	slowest := 0.0
+	for _, t := range mc.list {
+		if t.FetchGBPerS > 0 && typeHolds(t, s) {
+			slowest = max(slowest, 1/t.FetchGBPerS)
+		}
+	}
+	return slowest
+}
+
+// replicaTypes are the machine types that replicas of a job are to have for long: a replica
+// keeps its whole machine, so that only those count which cost about as little as any.
+func (mc *machineCatalogue) replicaTypes(s *protocol.JobSpec) []string {
+	cheapest := math.MaxFloat64
+	for _, t := range mc.list {
+		if typeHolds(t, s) {
+			cheapest = min(cheapest, t.Price)
+		}
+	}
+	var names []string
+	for _, t := range mc.list {
+		if typeHolds(t, s) && t.Price <= replicaPriceTimes*cheapest {
+			names = append(names, t.Name)
+		}
+	}
+	return names
+}
--- a/internal/dispatch/cells_test.go
+++ b/internal/dispatch/cells_test.go
@@ -35,24 +35,26 @@
 `
 
 // cellLeader is a leader of alpha, which runs work for beta and has beta run its own.
-func cellLeader(t *testing.T) (*Dispatch, *commits, *actortest.Still) {
+func cellLeader(t *testing.T) (*Leader, *commits, *actortest.Still) {
 	t.Helper()
 	d, box := leader()
-	d.set.Node = "worker-0"
-	directory, err := cells.Parse([]byte(twoCells), d.set)
+	d.settings.Node = "worker-0"
+	directory, err := cells.Parse([]byte(twoCells), d.settings)
 	if err != nil {
 		t.Fatal(err)
 	}
 	store := &commits{}
-	d.store, d.format.Open, d.format.Cells = store, true, true
+	useStore(d, store)
+	d.format.Open, d.format.Cells = true, true
 	d.JoinCells(directory, nil)
-	d.beginCells()
+	d.cells.begin()
+	d.origin.begin()
 	return d, store, box
 }
 
 // hosting is a leader of alpha with a guest of one task on m-1, committed and permitted until
 // ten seconds from now.
-func hosting(t *testing.T) (*Dispatch, *job, *machine, *actortest.Still) {
+func hosting(t *testing.T) (*Leader, *job, *machine, *actortest.Still) {
 	t.Helper()
 	d, _, box := cellLeader(t)
 	id := ledger.GuestID("beta", "job-1", 7)
@@ -60,14 +62,14 @@
 	content.Guest = &ledger.Guest{Home: "beta", Number: 7}
 	content.NextAttempt = 2
 	content.Placed[0] = ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1}
-	d.adopt(ledger.Key(id), content.Encode(), 5)
-	j := d.jobs[id]
+	d.reader.adopt(ledger.Key(id), content.Encode(), 5)
+	j := d.jobs.byID[id]
 	j.permit.Take(delegation.Ruling{Number: 7, Verdict: delegation.Continue, For: 10 * clock.Second}, box.Now, box.Now)
-	return d, j, d.machines["m-1"], box
+	return d, j, d.machines.byName["m-1"], box
 }
 
 // beat has the machine report, and gives the status and the orders of the answer.
-func beat(d *Dispatch, box *actortest.Still, counter int64, tasks ...protocol.TaskReport) (status int, orders []protocol.Order) {
+func beat(d *Leader, box *actortest.Still, counter int64, tasks ...protocol.TaskReport) (status int, orders []protocol.Order) {
 	d.term.RenewedAt, d.term.ValidUntil, d.freshAt = box.Now, box.Now+4*clock.Second, box.Now
 	d.Heartbeat(report(1, counter, tasks...), func(s int, body any) {
 		status = s
@@ -100,7 +102,7 @@
 // asked home, or has had the time to.
 func TestNewHostWaitsForItsHomesWord(t *testing.T) {
 	d, j, _, box := hosting(t)
-	d.welcome(j)
+	d.host.welcome(j)
 	task := protocol.TaskReport{Task: protocol.TaskName(j.Spec.ID, 0), Attempt: 1, Status: protocol.TaskRunning}
 	if status, _ := beat(d, box, 1, task); status != 503 {
 		t.Fatalf("answered %d before home was heard of", status)
@@ -115,18 +117,18 @@
 // its reports, whoever leads.
 func TestHungMachinesWithGuestsAreReturnedInTime(t *testing.T) {
 	d, j, _, box := hosting(t)
-	workers := d.set.Deployment.Workers
+	workers := d.settings.Deployment.Workers
 	latest := j.permit.Until() + cells.ClearTime(workers.Lease()) - returnTime
-	if at := d.returnAt(j); at > latest {
+	if at := d.cancellations.returnAt(j); at > latest {
 		t.Errorf("returned %.1f s too late", (at - latest).Seconds())
 	}
-	d.welcome(j) // a new leader, and the last permission ended just before its predecessor's lease did
+	d.host.welcome(j) // a new leader, and the last permission ended just before its predecessor's lease did
 	ended := d.begunAt - 5*clock.Second
-	if at := d.returnAt(j); at > ended+cells.ClearTime(workers.Lease())-returnTime {
+	if at := d.cancellations.returnAt(j); at > ended+cells.ClearTime(workers.Lease())-returnTime {
 		t.Errorf("returned %.1f s after the new leader's election", (at - d.begunAt).Seconds())
 	}
 	j.Guest.Closed = true // by its predecessor, long ago perhaps
-	if at := d.returnAt(j); at != d.begunAt+heedTime {
+	if at := d.cancellations.returnAt(j); at != d.begunAt+heedTime {
 		t.Errorf("returned %.1f s after the new leader's election though it was closed before", (at - d.begunAt).Seconds())
 	}
 	_ = box
@@ -136,15 +138,15 @@
 func TestCommandsKeepToPermissions(t *testing.T) {
 	d, j, m, box := hosting(t)
 	worker := &commandsUntil{}
-	d.agent = worker
+	d.commands.agent = worker
 	d.term.ValidUntil = box.Now + 60*clock.Second
 	start := protocol.Order{Verb: protocol.VerbStart, Task: protocol.TaskName(j.Spec.ID, 0), Attempt: 1}
-	d.command(m, 1, []protocol.Order{start}, nil)
+	d.commands.send(m, 1, []protocol.Order{start}, nil)
 	if worker.until != j.permit.Until() {
 		t.Errorf("until %.1f s, permitted until %.1f s", worker.until.Seconds(), j.permit.Until().Seconds())
 	}
 	start.Verb = protocol.VerbStop
-	d.command(m, 1, []protocol.Order{start}, nil)
+	d.commands.send(m, 1, []protocol.Order{start}, nil)
 	if worker.until != d.term.ValidUntil {
 		t.Error("what ends the task is held back as well")
 	}
@@ -163,8 +165,8 @@
 	for _, oneZone := range []bool{false, true} {
 		d, j, _, box := delegating(t)
 		j.Spec.OneZone = oneZone
-		d.unplace(j, j.Placed[0])
-		if pj := d.plannedJob(j, box.Now, false); (len(pj.Pending) == 0) != oneZone {
+		d.jobs.unplace(j, j.Placed[0])
+		if pj := d.snapshots.plannedJob(j, box.Now, false); (len(pj.Pending) == 0) != oneZone {
 			t.Errorf("one zone %v: pending %v", oneZone, pj.Pending)
 		}
 	}
@@ -174,33 +176,33 @@
 func TestStatusIsWhatIsStored(t *testing.T) {
 	d, j, m, _ := hosting(t)
 	j.Guest.Closed = true
-	d.touchHead(j)
+	d.jobs.touchHead(j)
 	j.closedAt = j.changed
-	d.observe(m, report(1, 1, protocol.TaskReport{Task: protocol.TaskName(j.Spec.ID, 0), Attempt: 1, Status: protocol.TaskExited, Cause: protocol.CauseDone}))
-	if s, _ := d.statusOf(j); s.Closed || s.Done.Len() > 0 || s.Held.Len() > 0 {
+	d.reconciler.observe(m, report(1, 1, protocol.TaskReport{Task: protocol.TaskName(j.Spec.ID, 0), Attempt: 1, Status: protocol.TaskExited, Cause: protocol.CauseDone}))
+	if s, _ := d.host.statusOf(j); s.Closed || s.Done.Len() > 0 || s.Held.Len() > 0 {
 		t.Fatalf("told before it is stored: %+v", s)
 	}
 	j.inFlight = true
-	d.committed([]write{{j: j, v: &j.storedValue, part: head, changed: j.changed}}, statestore.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 6}})
-	if s, _ := d.statusOf(j); !s.Closed || s.Done.Len() != 1 {
+	d.writer.committed([]write{{j: j, v: &j.storedValue, part: head, changed: j.changed}}, statestore.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 6}})
+	if s, _ := d.host.statusOf(j); !s.Closed || s.Done.Len() != 1 {
 		t.Fatalf("not told though it is stored: %+v", s)
 	}
 }
 
 // delegating is a leader of alpha whose job's task is with beta, offered and accepted.
-func delegating(t *testing.T) (*Dispatch, *job, *commits, *actortest.Still) {
+func delegating(t *testing.T) (*Leader, *job, *commits, *actortest.Still) {
 	t.Helper()
 	d, store, box := cellLeader(t)
 	content := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 2, Cpus: 1}, 1)
-	d.adopt(ledger.Key("job-1"), content.Encode(), 5)
-	j := d.jobs["job-1"]
-	d.numbers = numberBlock{next: 7, end: 1000}
-	d.delegate(j, "beta", []int{0, 1})
+	d.reader.adopt(ledger.Key("job-1"), content.Encode(), 5)
+	j := d.jobs.byID["job-1"]
+	d.origin.numbers = numberBlock{next: 7, end: 1000}
+	d.origin.delegate(j, "beta", []int{0, 1})
 	return d, j, store, box
 }
 
 // tell is a report of beta on delegation 7.
-func tell(d *Dispatch, s delegation.Status) delegation.Answer {
+func tell(d *Leader, s delegation.Status) delegation.Answer {
 	s.Number, s.Job = 7, "job-1"
 	r := delegation.Report{Host: "beta", Home: "alpha", Epoch: 3, Clear: cells.ClearTime(12 * clock.Second), Tasks: []delegation.Status{s}}
 	var answer delegation.Answer
@@ -212,20 +214,20 @@
 // creation that is carried out after they were freed makes nothing. It is offered after that.
 func TestDelegationsAreRecordedBeforeTheyAreOffered(t *testing.T) {
 	d, j, store, _ := delegating(t)
-	d.saveDelegations()
+	d.origin.saveDelegations()
 	if len(store.txns) != 0 {
 		t.Fatal("recorded before its places")
 	}
 	j.storedValue.durable, j.storedValue.version = j.changed, 6
-	if offers := d.offers("beta", nil); len(offers) != 0 {
+	if offers := d.origin.offers("beta", nil); len(offers) != 0 {
 		t.Fatal("offered before it is recorded")
 	}
-	d.saveDelegations()
+	d.origin.saveDelegations()
 	if len(store.txns) != 1 || !guards(store.txns[0], ledger.Key("job-1"), 6) || !guards(store.txns[0], delegation.Key(7), 0) {
 		t.Fatalf("%+v", store.txns)
 	}
 	store.answer(statestore.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 8}})
-	if offers := d.offers("beta", nil); len(offers) != 1 || offers[0].Tasks.Len() != 2 {
+	if offers := d.origin.offers("beta", nil); len(offers) != 1 || offers[0].Tasks.Len() != 2 {
 		t.Fatalf("offers %v", offers)
 	}
 }
@@ -245,15 +247,15 @@
 	d, j, _, box := delegating(t)
 	box.Now += 2 * clock.Second // the records were fresh and the lease renewed before
 	d.term.ValidUntil = box.Now + clock.Second
-	want := cells.LongestPermission(d.set.Deployment.Workers, cells.ClearTime(12*clock.Second)) - 2*clock.Second
+	want := cells.LongestPermission(d.settings.Deployment.Workers, cells.ClearTime(12*clock.Second)) - 2*clock.Second
 	if a := tell(d, delegation.Status{}); len(a.Rulings) != 1 || a.Rulings[0].Verdict != delegation.Continue || a.Rulings[0].For != want {
 		t.Fatalf("%+v, %.1f s expected", a.Rulings, want.Seconds())
 	}
-	d.noteCancelled(j, box.Now)
+	d.jobs.noteCancelled(j, box.Now)
 	if a := tell(d, delegation.Status{}); a.Rulings[0].Verdict != delegation.Cancel || a.Rulings[0].For != 0 {
 		t.Fatalf("%+v for a cancelled job", a.Rulings)
 	}
-	delete(d.delegations, 7)
+	delete(d.origin.delegations, 7)
 	if a := tell(d, delegation.Status{}); len(a.Rulings) != 1 || a.Rulings[0].Verdict != delegation.Forget {
 		t.Fatalf("%+v for a delegation that there isn't", a.Rulings)
 	}
@@ -262,7 +264,7 @@
 		t.Fatalf("%+v from a node without the lease", a.Rulings)
 	}
 	d.term.ValidUntil = box.Now + clock.Second
-	d.delegationUnreadable = true
+	d.origin.delegationUnreadable = true
 	if a := tell(d, delegation.Status{}); len(a.Rulings) != 0 {
 		t.Fatalf("%+v though a delegation's record makes no sense", a.Rulings)
 	}
@@ -286,8 +288,8 @@
 	}
 	tell(d, delegation.Status{Held: both}) // an old one
 	tell(d, delegation.Status{Closed: true, Done: first})
-	if len(j.Placed) != 0 || j.Returned != 1 || !d.delegations[7].Over() {
-		t.Fatalf("placed %v, returned %d, %+v", j.Placed, j.Returned, d.delegations[7].Delegation)
+	if len(j.Placed) != 0 || j.Returned != 1 || !d.origin.delegations[7].Over() {
+		t.Fatalf("placed %v, returned %d, %+v", j.Placed, j.Returned, d.origin.delegations[7].Delegation)
 	}
 }
 
@@ -295,14 +297,14 @@
 func TestNumbersAreReserved(t *testing.T) {
 	d, store, _ := cellLeader(t)
 	found := protocol.Item{Value: protocol.Encode(int64(4001)), Version: 9}
-	d.store = &oneKey{store, found, 200}
-	d.takeNumbers()
-	if d.numbers.next != 0 || len(store.txns) != 1 || !guards(store.txns[0], delegation.NumbersKey, 9) {
-		t.Fatalf("%+v, %+v", d.numbers, store.txns)
+	useStore(d, &oneKey{store, found, 200})
+	d.origin.takeNumbers()
+	if d.origin.numbers.next != 0 || len(store.txns) != 1 || !guards(store.txns[0], delegation.NumbersKey, 9) {
+		t.Fatalf("%+v, %+v", d.origin.numbers, store.txns)
 	}
 	store.answer(statestore.Reply[protocol.TxnAnswer]{Status: 200})
-	if d.numbers.next != 4001 || d.numbers.end != 5001 {
-		t.Fatalf("%+v", d.numbers)
+	if d.origin.numbers.next != 4001 || d.origin.numbers.end != 5001 {
+		t.Fatalf("%+v", d.origin.numbers)
 	}
 }
 
@@ -323,27 +325,27 @@
 	var one ledger.Ranges
 	one.Add(0)
 	good := protocol.JobSpec{ID: "job-1", Class: "c", Team: "t", Shape: protocol.ShapeArray, Rank: "normal", Tasks: 1, Cpus: 1, MemoryGB: 1, Image: "i"}
-	for name, change := range map[string]func(d *Dispatch, o *delegation.Offer){
-		"":                       func(*Dispatch, *delegation.Offer) {},
-		"being drained":          func(d *Dispatch, _ *delegation.Offer) { d.directory.Own.Draining = true },
-		"services":               func(_ *Dispatch, o *delegation.Offer) { o.Spec.Shape = protocol.ShapeService },
-		"not tasks":              func(_ *Dispatch, o *delegation.Offer) { o.Tasks.Add(3) },
-		"no allowed machine":     func(_ *Dispatch, o *delegation.Offer) { o.Spec.Cpus = 64 },
-		"guests have no more":    func(d *Dispatch, _ *delegation.Offer) { d.directory.Own.Guests.Cpus = 0 },
-		"both spread and in one": func(_ *Dispatch, o *delegation.Offer) { o.Spec.Tasks, o.Spec.Spread, o.Spec.Zone = 2, true, "a" },
+	for name, change := range map[string]func(d *Leader, o *delegation.Offer){
+		"":                       func(*Leader, *delegation.Offer) {},
+		"being drained":          func(d *Leader, _ *delegation.Offer) { d.cells.directory.Own.Draining = true },
+		"services":               func(_ *Leader, o *delegation.Offer) { o.Spec.Shape = protocol.ShapeService },
+		"not tasks":              func(_ *Leader, o *delegation.Offer) { o.Tasks.Add(3) },
+		"no allowed machine":     func(_ *Leader, o *delegation.Offer) { o.Spec.Cpus = 64 },
+		"guests have no more":    func(d *Leader, _ *delegation.Offer) { d.cells.directory.Own.Guests.Cpus = 0 },
+		"both spread and in one": func(_ *Leader, o *delegation.Offer) { o.Spec.Tasks, o.Spec.Spread, o.Spec.Zone = 2, true, "a" },
 	} {
 		d, store, _ := cellLeader(t)
-		d.catalogue = []protocol.MachineType{{Name: "small", Cpus: 8, MemoryGB: 32, Price: 1, Zones: []string{"a"}}}
+		d.catalogue.list = []protocol.MachineType{{Name: "small", Cpus: 8, MemoryGB: 32, Price: 1, Zones: []string{"a"}}}
 		o := delegation.Offer{Number: 7, Spec: good, Tasks: one}
 		change(d, &o)
-		d.takeOffer(d.links["beta"], o)
+		d.host.takeOffer(d.cells.links["beta"], o)
 		store.answer(statestore.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 8}})
-		j := d.jobs[ledger.GuestID("beta", "job-1", 7)]
+		j := d.jobs.byID[ledger.GuestID("beta", "job-1", 7)]
 		if j == nil || j.Final() != (name != "") || !strings.Contains(j.Cause, name) {
 			t.Errorf("%s: %+v", name, j)
 			continue
 		}
-		d.takeOffer(d.links["beta"], o)
+		d.host.takeOffer(d.cells.links["beta"], o)
 		if len(store.txns) != 1 {
 			t.Errorf("%s: taken again", name)
 		}
@@ -354,29 +356,31 @@
 // leaders: making it, its form, taking it, and the answer.
 func BenchmarkExchange(b *testing.B) {
 	d, box := leader()
-	d.set.Node = "worker-0"
-	directory, err := cells.Parse([]byte(twoCells), d.set)
+	d.settings.Node = "worker-0"
+	directory, err := cells.Parse([]byte(twoCells), d.settings)
 	if err != nil {
 		b.Fatal(err)
 	}
-	d.store, d.format.Open, d.format.Cells = &commits{}, true, true
+	useStore(d, &commits{})
+	d.format.Open, d.format.Cells = true, true
 	d.JoinCells(directory, nil)
-	d.beginCells()
-	d.numbers = numberBlock{next: 1, end: 1000}
+	d.cells.begin()
+	d.origin.begin()
+	d.origin.numbers = numberBlock{next: 1, end: 1000}
 	var tasks []int
 	for task := range 100 {
 		tasks = append(tasks, task)
 	}
 	r := delegation.Report{Host: "beta", Home: "alpha", Epoch: 3, Clear: cells.ClearTime(12 * clock.Second)}
 	for range delegation.MaxPerHost {
-		id := fmt.Sprintf("job-%d", d.numbers.next)
-		d.adopt(ledger.Key(id), ledger.New(protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Tasks: 100, Cpus: 1}, 1).Encode(), 5)
-		s := delegation.Status{Number: d.numbers.next, Job: id}
+		id := fmt.Sprintf("job-%d", d.origin.numbers.next)
+		d.reader.adopt(ledger.Key(id), ledger.New(protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Tasks: 100, Cpus: 1}, 1).Encode(), 5)
+		s := delegation.Status{Number: d.origin.numbers.next, Job: id}
 		for task := range 100 {
 			s.Held.Add(task)
 		}
 		r.Tasks = append(r.Tasks, s)
-		d.delegate(d.jobs[id], "beta", tasks)
+		d.origin.delegate(d.jobs.byID[id], "beta", tasks)
 	}
 	for b.Loop() {
 		d.freshAt, d.term.RenewedAt, d.term.ValidUntil = box.Now, box.Now, box.Now+clock.Second
@@ -399,26 +403,26 @@
 // record is read, and removed at the version that it has; once it isn't there it is forgotten.
 func TestTombstonesAreRemovedWhateverTheirVersion(t *testing.T) {
 	d, j, _, _ := hosting(t)
-	store := d.store.(*commits)
-	d.unplace(j, j.Placed[0])
+	store := d.writer.store.(*commits)
+	d.jobs.unplace(j, j.Placed[0])
 	j.Guest.Closed, j.Status, j.permit.Forgotten = true, protocol.StatusCancelled, true
 	stored := protocol.Item{Value: j.Encode(), Version: 9}
 	j.storedValue.replaced(5)
-	d.checkGuest(j)
+	d.host.checkGuest(j)
 	store.answer(statestore.Reply[protocol.TxnAnswer]{Status: 409, Value: protocol.TxnAnswer{Failed: []string{ledger.Key(j.Spec.ID)}}})
-	if d.jobs[j.Spec.ID] == nil {
+	if d.jobs.byID[j.Spec.ID] == nil {
 		t.Fatal("forgotten though the record is there")
 	}
-	d.store = &oneKey{store, stored, 200}
-	d.dirtyUnits()
-	d.checkGuest(j)
+	useStore(d, &oneKey{store, stored, 200})
+	d.writer.dirtyUnits()
+	d.host.checkGuest(j)
 	if last := store.txns[len(store.txns)-1]; !guards(last, ledger.Key(j.Spec.ID), 9) {
 		t.Fatalf("%+v", last)
 	}
 	store.answer(statestore.Reply[protocol.TxnAnswer]{Status: 409, Value: protocol.TxnAnswer{Failed: []string{ledger.Key(j.Spec.ID)}}})
-	d.store = &oneKey{store, protocol.Item{}, 404}
-	d.dirtyUnits()
-	if d.jobs[j.Spec.ID] != nil {
+	useStore(d, &oneKey{store, protocol.Item{}, 404})
+	d.writer.dirtyUnits()
+	if d.jobs.byID[j.Spec.ID] != nil {
 		t.Fatal("it is kept though its record is gone")
 	}
 }
@@ -427,29 +431,29 @@
 // often enough, it can't go as a whole.
 func TestWorkThatMayNotSpill(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(d *Dispatch, j *job)
+		change func(d *Leader, j *job)
 		tasks  int
 	}{
-		"waits":               {func(*Dispatch, *job) {}, 2},
-		"wants nothing":       {func(_ *Dispatch, j *job) { j.wantedAt = 0 }, 0},
-		"waits a little":      {func(d *Dispatch, j *job) { j.wantedFrom = d.now() - shortTime + 1 }, 0},
-		"came back":           {func(d *Dispatch, j *job) { j.backAt = d.now() - settleTime + 1 }, 0},
-		"came back too often": {func(_ *Dispatch, j *job) { j.Returned = maxReturned }, 0},
-		"a service":           {func(_ *Dispatch, j *job) { j.Spec.Shape = protocol.ShapeService }, 0},
-		"a whole gang":        {func(_ *Dispatch, j *job) { j.Spec.Shape = protocol.ShapeGang }, 4},
-		"a broken gang":       {func(_ *Dispatch, j *job) { j.Spec.Shape = protocol.ShapeGang; j.Done.Add(0) }, 0},
-		"one zone, running": {func(d *Dispatch, j *job) {
+		"waits":               {func(*Leader, *job) {}, 2},
+		"wants nothing":       {func(_ *Leader, j *job) { j.wantedAt = 0 }, 0},
+		"waits a little":      {func(d *Leader, j *job) { j.wantedFrom = d.now() - shortTime + 1 }, 0},
+		"came back":           {func(d *Leader, j *job) { j.backAt = d.now() - settleTime + 1 }, 0},
+		"came back too often": {func(_ *Leader, j *job) { j.Returned = maxReturned }, 0},
+		"a service":           {func(_ *Leader, j *job) { j.Spec.Shape = protocol.ShapeService }, 0},
+		"a whole gang":        {func(_ *Leader, j *job) { j.Spec.Shape = protocol.ShapeGang }, 4},
+		"a broken gang":       {func(_ *Leader, j *job) { j.Spec.Shape = protocol.ShapeGang; j.Done.Add(0) }, 0},
+		"one zone, running": {func(d *Leader, j *job) {
 			j.Spec.OneZone = true
-			d.place(j, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1})
+			d.jobs.place(j, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1})
 		}, 0},
-		"over": {func(d *Dispatch, j *job) { d.noteCancelled(j, d.now()) }, 0},
+		"over": {func(d *Leader, j *job) { d.jobs.noteCancelled(j, d.now()) }, 0},
 	} {
 		d, _, box := cellLeader(t)
-		d.adopt(ledger.Key("job-1"), ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 4, Cpus: 1}, 1).Encode(), 5)
-		j := d.jobs["job-1"]
+		d.reader.adopt(ledger.Key("job-1"), ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 4, Cpus: 1}, 1).Encode(), 5)
+		j := d.jobs.byID["job-1"]
 		j.wantedFrom, j.wantedAt, j.wantedTasks = box.Now-10*clock.Second, box.Now, 2
 		c.change(d, j)
-		if n, _ := d.spillTasks(j); n != c.tasks {
+		if n, _ := d.origin.spillTasks(j); n != c.tasks {
 			t.Errorf("%s: %d tasks may go", name, n)
 		}
 	}
@@ -459,11 +463,11 @@
 // stopped while there is permission: else its place would be kept for ever.
 func TestUncertainStartsOfClosedGuestsEnd(t *testing.T) {
 	d, j, m, box := hosting(t)
-	d.agent = &calls{}
+	d.commands.agent = &calls{}
 	beat(d, box, 1)
 	m.sent[taskRef{j.Spec.ID, 0, 1}] = &sent{uncertain: true}
 	j.permit.Take(delegation.Ruling{Number: 7, Verdict: delegation.Close, For: 10 * clock.Second}, box.Now, box.Now)
-	d.checkGuest(j)
+	d.host.checkGuest(j)
 	box.Now += 2 * repeatTime
 	status, orders := beat(d, box, 2)
 	if status != 200 || len(orders) != 2 || orders[0].Verb != protocol.VerbStart || orders[1].Verb != protocol.VerbStop {
--- a/internal/dispatch/cordon.go
+++ b/internal/dispatch/cordon.go
@@ -12,11 +12,11 @@
 
 // uncordon gives the planner back some of what was to be spared and is needed after
 // all, the cheapest kinds first.
-func (d *Dispatch) uncordon(wants []planner.Want, n int) bool {
-	market := d.market()
+func (sc *autoscaler) uncordon(wants []planner.Want, n int) bool {
+	market := sc.market()
 	needed := map[fleet.Kind]bool{}
 	var spared []*machine
-	for _, m := range d.roster {
+	for _, m := range sc.machines.ordered {
 		if !m.cordoned || m.releasing {
 			continue
 		}
@@ -38,14 +38,14 @@
 // cordon spares machines of which there are too many, and empties those that have
 // been spared for a while. Each look costs a plan, so that their number depends on
 // what a plan costs.
-func (d *Dispatch) cordon() {
-	if len(d.catalogue) == 0 {
+func (sc *autoscaler) cordon() {
+	if len(sc.catalogue.list) == 0 {
 		return
 	}
-	tries := max(cordonTries, min(len(d.roster)/8, int(cordonCost/max(d.stepCost(), 1))))
-	s := d.snapshot()
-	for _, m := range d.roster {
-		if !m.cordoned || m.releasing || d.now() <= m.cordonedAt+cordonTime || !d.movable(m) || tries == 0 {
+	tries := max(cordonTries, min(len(sc.machines.ordered)/8, int(cordonCost/max(sc.scheduler.stepCost(), 1))))
+	s := sc.snapshots.snapshot()
+	for _, m := range sc.machines.ordered {
+		if !m.cordoned || m.releasing || sc.now() <= m.cordonedAt+cordonTime || !sc.movable(m) || tries == 0 {
 			continue
 		}
 		tries--
@@ -57,16 +57,16 @@
 		slog.Info("moving tasks off a machine that can be spared", "machine", m.name, "type", m.typ, "spot", m.spot)
 		for id, tasks := range inOrder(m.placed) {
 			for task := range inOrder(tasks) {
-				d.stop(d.jobs[id], task, "spared", "")
+				sc.commands.stop(sc.jobs.byID[id], task, "spared", "")
 			}
-			d.jobs[id].moved = true
+			sc.jobs.byID[id].moved = true
 		}
 	}
 	var names []string
-	names, d.spareBatch = fleet.Cordon(s, tries, d.spareBatch)
+	names, sc.spareBatch = fleet.Cordon(s, tries, sc.spareBatch)
 	for _, name := range names {
-		m := d.machines[name]
-		m.cordoned, m.cordonedAt = true, d.now()
+		m := sc.machines.byName[name]
+		m.cordoned, m.cordonedAt = true, sc.now()
 		slog.Debug("machine can be spared", "machine", name, "type", m.typ)
 	}
 }
@@ -81,15 +81,15 @@
 // progress, have run for so long that their starts count, and are not likely to
 // end by themselves soon. A gang goes as a whole, and once: it stands on many
 // machines, of which each could ask for it.
-func (d *Dispatch) movable(m *machine) bool {
+func (sc *autoscaler) movable(m *machine) bool {
 	worth := false
 	for id, tasks := range m.placed {
-		j := d.jobs[id]
-		if j.over() || j.Spec.CheckpointS == 0 || j.Spec.Gang() && j.Spec.Tasks > 1 && (j.moved || !d.settled(j)) {
+		j := sc.jobs.byID[id]
+		if j.over() || j.Spec.CheckpointS == 0 || j.Spec.Gang() && j.Spec.Tasks > 1 && (j.moved || !sc.steady(j)) {
 			return false
 		}
 		for _, p := range tasks {
-			ran := d.ran(m, taskRef{id, p.Task, p.Attempt})
+			ran := sc.machines.ran(m, taskRef{id, p.Task, p.Attempt})
 			if ran < settledTime || j.stops[p.Task].why != "" {
 				return false
 			}
@@ -101,13 +101,13 @@
 }
 
 // settled tells that all tasks of a gang have run for so long that their starts count.
-func (d *Dispatch) settled(j *job) bool {
+func (sc *autoscaler) steady(j *job) bool {
 	for _, p := range j.Placed {
-		m := d.machines[p.Machine]
+		m := sc.machines.byName[p.Machine]
 		if m == nil {
 			return false
 		}
-		if d.ran(m, taskRef{j.Spec.ID, p.Task, p.Attempt}) < settledTime {
+		if sc.machines.ran(m, taskRef{j.Spec.ID, p.Task, p.Attempt}) < settledTime {
 			return false
 		}
 	}
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -8,31 +8,42 @@
 	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
 	"postpoint/internal/settings"
+	"postpoint/internal/statestore"
 )
 
 // leader is one that has read its records, in epoch 7.
-func leader() (*Dispatch, *actortest.Still) {
+func leader() (*Leader, *actortest.Still) {
 	box := &actortest.Still{Now: 100 * clock.Second}
 	set := &settings.Settings{}
 	set.Deployment.Workers = settings.Workers{ReportS: 2, LeaseS: 12, GangPeerS: 4, CancelS: 30}
 	set.Deployment.State = settings.State{Rps: 100, WriteRps: 40, ValueKb: 8, TxnOps: 5}
 	d := New(box, nil, nil, nil, set, func(int64) {}, func() {}, nil, nil)
 	d.term.Epoch, d.begunAt, d.term.RenewedAt, d.term.ValidUntil = 7, box.Now, box.Now, box.Now+4*clock.Second
-	d.jobs, d.machines, d.released, d.unreadable = map[string]*job{}, map[string]*machine{}, map[string]clock.Micros{}, map[string]bool{}
-	d.retired, d.orphans, d.random = map[string]int64{}, map[string]int64{}, newRandom(7)
-	d.loaded, d.freshAt, d.waking = true, box.Now, true
+	d.jobs.byID, d.machines.byName, d.machines.released, d.jobs.malformed = map[string]*job{}, map[string]*machine{}, map[string]clock.Micros{}, map[string]bool{}
+	d.jobs.finalVersions, d.jobs.strayShards, d.random = map[string]int64{}, map[string]int64{}, newRandom(7)
+	d.loaded, d.freshAt, d.steps.pending = true, box.Now, true
 	return d, box
 }
 
+// useStore gives all components another key-value store.
+func useStore(l *Leader, store statestore.Store) {
+	l.catalogue.store = store
+	l.reader.store = store
+	l.writer.store = store
+	l.origin.store = store
+	l.host.store = store
+	l.zones.store = store
+}
+
 // one is a leader that has committed one task to machine m-1 in its session 1.
-func one(t *testing.T) (*Dispatch, *job, *machine, *actortest.Still) {
+func one(t *testing.T) (*Leader, *job, *machine, *actortest.Still) {
 	t.Helper()
 	d, box := leader()
 	content := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 1}, 1)
 	content.NextAttempt = 2
 	content.Placed[0] = ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1}
-	d.adopt(ledger.Key("job-1"), content.Encode(), 5)
-	return d, d.jobs["job-1"], d.machines["m-1"], box
+	d.reader.adopt(ledger.Key("job-1"), content.Encode(), 5)
+	return d, d.jobs.byID["job-1"], d.machines.byName["m-1"], box
 }
 
 func report(session, counter int64, tasks ...protocol.TaskReport) protocol.Report {
@@ -42,7 +53,7 @@
 // BenchmarkHeartbeat is a report of eight running tasks that brings no news.
 // eightRunning is a leader that has heard of a job's eight tasks where they are placed,
 // and the report that said so.
-func eightRunning() (*Dispatch, *job, protocol.Report) {
+func eightRunning() (*Leader, *job, protocol.Report) {
 	d, _ := leader()
 	content := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 8}, 1)
 	r := report(1, 0)
@@ -50,10 +61,10 @@
 		content.Placed[task] = ledger.Placement{Task: task, Attempt: 1, Machine: "m-1", Session: 1}
 		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: protocol.TaskName("job-1", task), Attempt: 1, Status: protocol.TaskRunning})
 	}
-	d.adopt(ledger.Key("job-1"), content.Encode(), 5)
+	d.reader.adopt(ledger.Key("job-1"), content.Encode(), 5)
 	for range 2 {
 		r.Counter++
 		d.Heartbeat(r, func(int, any) {})
 	}
-	return d, d.jobs["job-1"], r
+	return d, d.jobs.byID["job-1"], r
 }
--- a/internal/dispatch/divide_test.go
+++ b/internal/dispatch/divide_test.go
@@ -15,14 +15,14 @@
 
 // tightLeader is one whose state service may come to take values of 2 KiB and four changes
 // at a time, and keeps its transactions until the test answers.
-func tightLeader(open bool) (*Dispatch, *commits) {
+func tightLeader(open bool) (*Leader, *commits) {
 	d, _ := leader()
 	valueKb, txnOps := 2.0, 4
-	d.set.Deployment.State = settings.State{Rps: 100, WriteRps: 40, ValueKb: 32, TxnOps: 12,
+	d.settings.Deployment.State = settings.State{Rps: 100, WriteRps: 40, ValueKb: 32, TxnOps: 12,
 		Next: &settings.NextState{ValueKb: &valueKb, TxnOps: &txnOps}}
 	d.format = rollout.Status{Open: open}
 	store := &commits{}
-	d.store = store
+	useStore(d, store)
 	return d, store
 }
 
@@ -45,18 +45,18 @@
 // of them beyond the limits.
 func TestLargeRecordsAreDivided(t *testing.T) {
 	d, store := tightLeader(true)
-	d.adopt(ledger.Key("job-1"), wideArray().Encode(), 5)
-	j := d.jobs["job-1"]
-	d.unplace(j, j.Placed[0])
+	d.reader.adopt(ledger.Key("job-1"), wideArray().Encode(), 5)
+	j := d.jobs.byID["job-1"]
+	d.jobs.unplace(j, j.Placed[0])
 	j.dirtyAt = 0 // long enough ago
-	d.commit()
+	d.writer.commit()
 	if len(store.txns) != 0 || !j.dividing {
 		t.Fatalf("%d transactions, dividing %v", len(store.txns), j.dividing)
 	}
 	headWritten := false
 	for revision := int64(11); j.dividing; revision++ {
-		d.commit()
-		if !d.committing {
+		d.writer.commit()
+		if !d.writer.committing {
 			t.Fatal("nothing is written, yet the record is not divided")
 		}
 		mustFit(t, store.txns[len(store.txns)-1])
@@ -97,51 +97,51 @@
 // is too large waits, and other jobs' changes go out without it.
 func TestNothingIsDividedForTheVersionBefore(t *testing.T) {
 	d, store := tightLeader(false)
-	d.adopt(ledger.Key("job-1"), wideArray().Encode(), 5)
+	d.reader.adopt(ledger.Key("job-1"), wideArray().Encode(), 5)
 	small := ledger.New(protocol.JobSpec{ID: "job-2", Shape: protocol.ShapeArray, Rank: "normal", Tasks: 1}, 1)
-	d.adopt(ledger.Key("job-2"), small.Encode(), 6)
-	j := d.jobs["job-1"]
-	d.unplace(j, j.Placed[0])
+	d.reader.adopt(ledger.Key("job-2"), small.Encode(), 6)
+	j := d.jobs.byID["job-1"]
+	d.jobs.unplace(j, j.Placed[0])
 	j.dirtyAt = 0
-	d.place(d.jobs["job-2"], ledger.Placement{Task: 0, Attempt: 1, Machine: "m-z", Session: 1})
-	d.commit()
+	d.jobs.place(d.jobs.byID["job-2"], ledger.Placement{Task: 0, Attempt: 1, Machine: "m-z", Session: 1})
+	d.writer.commit()
 	if len(store.txns) != 1 || len(store.txns[0].Changes) != 2 {
 		t.Fatalf("%d transactions", len(store.txns))
 	}
 	// The limits have come: the same changes are refused, and go again without the large one.
 	store.answer(statestore.Reply[protocol.TxnAnswer]{Status: http.StatusBadRequest})
-	d.pauseUntil = 0
-	d.commit()
+	d.writer.pauseUntil = 0
+	d.writer.commit()
 	last := store.txns[len(store.txns)-1]
 	if len(store.txns) != 2 || len(last.Changes) != 1 || last.Changes[0].Put != ledger.Key("job-2") {
 		t.Fatalf("%d transactions, the last with %d changes", len(store.txns), len(last.Changes))
 	}
 	store.answer(ok(9))
-	d.pauseUntil = 0
-	d.commit()
+	d.writer.pauseUntil = 0
+	d.writer.commit()
 	if len(store.txns) != 2 || j.reread || len(j.Placed) != 299 || j.PartSize != 0 {
 		t.Fatalf("%d transactions, read again %v, placed %d", len(store.txns), j.reread, len(j.Placed))
 	}
 	// Once the last controller is new, it is divided and written.
-	d.Format(rollout.Status{Open: true})
+	d.SetFormat(rollout.Status{Open: true})
 	j.dirtyAt = 0
-	d.commit()
-	d.commit()
+	d.writer.commit()
+	d.writer.commit()
 	if !j.dividing || len(store.txns) != 3 {
 		t.Fatalf("dividing %v, %d transactions", j.dividing, len(store.txns))
 	}
 }
 
 // divided is a leader with an array in parts, its first task placed on m-1.
-func divided(t *testing.T) (*Dispatch, *commits, *job) {
+func divided(t *testing.T) (*Leader, *commits, *job) {
 	t.Helper()
 	d, store := tightLeader(true)
 	content := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Rank: "normal", Tasks: 250}, 1)
 	content.PartSize, content.Marked = 100, true
-	d.adopt(ledger.Key("job-1"), content.Encode(), 5)
-	j := d.jobs["job-1"]
-	d.place(j, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1})
-	d.commit()
+	d.reader.adopt(ledger.Key("job-1"), content.Encode(), 5)
+	j := d.jobs.byID["job-1"]
+	d.jobs.place(j, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1})
+	d.writer.commit()
 	return d, store, j
 }
 
@@ -157,7 +157,7 @@
 		t.Fatalf("%+v", txn)
 	}
 	store.answer(ok(9))
-	if !j.committed(j.Placed[0]) || j.version != 5 || j.parts[0].version != 9 || d.jobs["job-1"] != j {
+	if !j.committed(j.Placed[0]) || j.version != 5 || j.parts[0].version != 9 || d.jobs.byID["job-1"] != j {
 		t.Fatalf("versions %d and %d", j.version, j.parts[0].version)
 	}
 }
@@ -168,7 +168,7 @@
 	d, store, j := divided(t)
 	cancelled := *j.Job
 	cancelled.Status, cancelled.CancelledAt = protocol.StatusCancelled, int64(d.now())
-	d.adopt(ledger.Key("job-1"), cancelled.Encode(), 8)
+	d.reader.adopt(ledger.Key("job-1"), cancelled.Encode(), 8)
 	store.answer(statestore.Reply[protocol.TxnAnswer]{Status: http.StatusConflict,
 		Value: protocol.TxnAnswer{Failed: []string{ledger.Key("job-1")}}})
 	if !j.over() || j.committed(j.Placed[0]) || j.reread || len(j.Placed) != 1 {
@@ -181,25 +181,25 @@
 func TestUnknownLimitsAreLearned(t *testing.T) {
 	d, store := tightLeader(true)
 	for _, id := range []string{"job-1", "job-2", "job-3"} {
-		d.adopt(ledger.Key(id), ledger.New(protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Rank: "normal", Tasks: 1}, 1).Encode(), 5)
-		d.place(d.jobs[id], ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1})
+		d.reader.adopt(ledger.Key(id), ledger.New(protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Rank: "normal", Tasks: 1}, 1).Encode(), 5)
+		d.jobs.place(d.jobs.byID[id], ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1})
 	}
 	refuse := statestore.Reply[protocol.TxnAnswer]{Status: http.StatusBadRequest}
 	for i, want := range []int{3, 3, 1} {
-		d.pauseUntil = 0
-		d.commit()
+		d.writer.pauseUntil = 0
+		d.writer.commit()
 		if n := len(store.txns[i].Changes); n != want {
 			t.Fatalf("transaction %d has %d changes", i, n)
 		}
 		store.answer(refuse)
 	}
 	refused := store.txns[2].Changes[0].Put
-	d.pauseUntil = 0
-	d.commit()
+	d.writer.pauseUntil = 0
+	d.writer.commit()
 	if next := store.txns[3].Changes; len(next) != 1 || next[0].Put == refused {
 		t.Fatalf("%s is sent again unchanged", refused)
 	}
-	if len(d.jobs) != 3 {
+	if len(d.jobs.byID) != 3 {
 		t.Fatal("a job was dropped")
 	}
 }
@@ -208,20 +208,20 @@
 // undivided record is what counts.
 func TestOrphanedPartsAreSwept(t *testing.T) {
 	d, store := tightLeader(true)
-	d.adopt(ledger.Key("job-1"), ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 300}, 1).Encode(), 5)
-	d.adoptPart(protocol.Item{Key: ledger.PartKey("job-1", 0), Version: 4})
-	d.adoptPart(protocol.Item{Key: ledger.PartKey("job-9", 2), Version: 3})
-	d.divideLarge()
-	if d.jobs["job-1"].dividing {
+	d.reader.adopt(ledger.Key("job-1"), ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 300}, 1).Encode(), 5)
+	d.reader.adoptPart(protocol.Item{Key: ledger.PartKey("job-1", 0), Version: 4})
+	d.reader.adoptPart(protocol.Item{Key: ledger.PartKey("job-9", 2), Version: 3})
+	d.writer.divideLarge()
+	if d.jobs.byID["job-1"].dividing {
 		t.Fatal("divided over parts that are there")
 	}
-	d.commit()
+	d.writer.commit()
 	if len(store.txns) != 1 || len(store.txns[0].Changes) != 2 || store.txns[0].Changes[0].Delete == "" {
 		t.Fatalf("%+v", store.txns)
 	}
 	store.answer(ok(9))
-	if len(d.orphans) != 0 {
-		t.Fatalf("%v are left", d.orphans)
+	if len(d.jobs.strayShards) != 0 {
+		t.Fatalf("%v are left", d.jobs.strayShards)
 	}
 }
 
@@ -231,9 +231,9 @@
 	d, j, _, box := one(t)
 	cancelled := *j.Job
 	cancelled.Status, cancelled.CancelledAt, cancelled.Truncated = protocol.StatusCancelled, int64(box.Now), true
-	d.adopt(ledger.Key("job-1"), cancelled.Encode(), 8)
-	j = d.jobs["job-1"]
-	if j == nil || !j.over() || len(j.Placed) != 1 || d.machines["m-1"].placed["job-1"] == nil {
+	d.reader.adopt(ledger.Key("job-1"), cancelled.Encode(), 8)
+	j = d.jobs.byID["job-1"]
+	if j == nil || !j.over() || len(j.Placed) != 1 || d.machines.byName["m-1"].placed["job-1"] == nil {
 		t.Fatalf("%+v", j)
 	}
 }
@@ -266,42 +266,42 @@
 func TestUnknownPartsDontStopADivision(t *testing.T) {
 	d, _ := tightLeader(true)
 	store := &lister{}
-	d.store = store
+	useStore(d, store)
 	content := wideArray()
-	d.adopt(ledger.Key("job-1"), content.Encode(), 5)
-	j := d.jobs["job-1"]
-	d.divide(j)
-	d.commit()
+	d.reader.adopt(ledger.Key("job-1"), content.Encode(), 5)
+	j := d.jobs.byID["job-1"]
+	d.writer.divide(j)
+	d.writer.commit()
 	first := store.txns[0].Changes[0].Put
 	store.answer(statestore.Reply[protocol.TxnAnswer]{}) // carried out, as it turns out
-	d.pauseUntil = 0
-	d.commit()
+	d.writer.pauseUntil = 0
+	d.writer.commit()
 	store.down = true
 	store.answer(statestore.Reply[protocol.TxnAnswer]{Status: http.StatusConflict, Value: protocol.TxnAnswer{Failed: []string{first}}})
-	d.pauseUntil = 0
-	d.commit() // nobody lists its parts
+	d.writer.pauseUntil = 0
+	d.writer.commit() // nobody lists its parts
 	if len(j.Placed) != 300 || j.reread {
 		t.Fatalf("%d placed, read again %v: the undivided record is what counts", len(j.Placed), j.reread)
 	}
 	if j.dividing || !j.strayParts {
 		t.Fatalf("dividing %v, stray parts %v", j.dividing, j.strayParts)
 	}
-	d.divide(j)
+	d.writer.divide(j)
 	if j.dividing {
 		t.Fatal("divided over a part that may be there")
 	}
 	store.down = false
 	store.items = []protocol.Item{{Key: first, Version: 7}}
-	d.pauseUntil = 0
-	d.commit()
-	d.pauseUntil = 0
-	d.commit()
+	d.writer.pauseUntil = 0
+	d.writer.commit()
+	d.writer.pauseUntil = 0
+	d.writer.commit()
 	sweep := store.txns[len(store.txns)-1]
 	if len(sweep.Changes) != 1 || sweep.Changes[0].Delete != first {
 		t.Fatalf("%+v", sweep.Changes)
 	}
 	store.answer(ok(9))
-	d.divide(j)
+	d.writer.divide(j)
 	if !j.dividing {
 		t.Fatal("not divided again")
 	}
@@ -320,14 +320,14 @@
 	t.Helper()
 	d, store, j := divided(t)
 	reads := &lister{commits: *store}
-	d.store = reads
+	useStore(d, reads)
 	reads.commits.answer(statestore.Reply[protocol.TxnAnswer]{}) // of part 0: it may still be carried out
-	d.place(j, ledger.Placement{Task: 150, Attempt: 1, Machine: "m-2", Session: 1})
-	d.pauseUntil = 0
-	d.commit()
+	d.jobs.place(j, ledger.Placement{Task: 150, Attempt: 1, Machine: "m-2", Session: 1})
+	d.writer.pauseUntil = 0
+	d.writer.commit()
 	reads.answer(statestore.Reply[protocol.TxnAnswer]{Status: http.StatusConflict, Value: protocol.TxnAnswer{Failed: []string{ledger.PartKey("job-1", 1)}}})
-	d.pauseUntil = 0
-	d.commit()
+	d.writer.pauseUntil = 0
+	d.writer.commit()
 	last := reads.txns[len(reads.txns)-1]
 	if len(last.Changes) != 1 || last.Changes[0].Put != ledger.Key("job-1") || reads.reads != 0 {
 		t.Fatalf("%+v is written, %d reads", last.Changes, reads.reads)
@@ -340,8 +340,8 @@
 	} else { // an earlier copy of it has done so
 		reads.answer(statestore.Reply[protocol.TxnAnswer]{Status: http.StatusConflict, Value: protocol.TxnAnswer{Failed: []string{ledger.Key("job-1")}}})
 	}
-	d.pauseUntil = 0
-	d.commit()
+	d.writer.pauseUntil = 0
+	d.writer.commit()
 	if reads.reads != 1 || j.reread || j.version != 9 || len(j.Placed) != 0 {
 		t.Fatalf("%d reads, to be read again %v, version %d, placed %v", reads.reads, j.reread, j.version, j.Placed)
 	}
--- a/internal/dispatch/heartbeat_test.go
+++ b/internal/dispatch/heartbeat_test.go
@@ -42,10 +42,10 @@
 		q.waiting = nil
 		return got
 	}
-	if got := heartbeat(1, 3500*clock.Millisecond); got != 503 || d.machines["m-1"] != nil {
-		t.Fatalf("a late report is answered %d, the machine is %v", got, d.machines["m-1"])
+	if got := heartbeat(1, 3500*clock.Millisecond); got != 503 || d.machines.byName["m-1"] != nil {
+		t.Fatalf("a late report is answered %d, the machine is %v", got, d.machines.byName["m-1"])
 	}
-	if got := heartbeat(2, 500*clock.Millisecond); got != 200 || d.machines["m-1"] == nil {
+	if got := heartbeat(2, 500*clock.Millisecond); got != 200 || d.machines.byName["m-1"] == nil {
 		t.Fatalf("one in time is answered %d", got)
 	}
 }
@@ -58,11 +58,11 @@
 		box.Now = now
 		d.begunAt, d.freshAt, d.loaded = now, 0, false
 		d.term.RenewedAt, d.term.ValidUntil = now, now+4*clock.Second
-		if d.keeps() || d.leads() {
+		if d.mayAnswer() || d.leads() {
 			t.Fatalf("at %.0f s it keeps tasks alive without records", now.Seconds())
 		}
 		d.freshAt, d.loaded = now, true
-		if !d.keeps() || !d.leads() {
+		if !d.mayAnswer() || !d.leads() {
 			t.Fatalf("at %.0f s it doesn't keep them with records", now.Seconds())
 		}
 	}
@@ -87,8 +87,9 @@
 	for _, read := range []bool{true, false} {
 		d, box := leader()
 		store := &lists{}
-		d.store, d.loaded, d.freshAt, d.deferring = store, false, 0, true
-		d.load(7, "", 0, box.Now)
+		useStore(d, store)
+		d.loaded, d.freshAt, d.heartbeats.deferring = false, 0, true
+		d.reader.load(7, "", 0, box.Now)
 		status := 0
 		d.Heartbeat(report(1, 1), func(s int, _ any) { status = s })
 		if status != 0 {
@@ -103,7 +104,7 @@
 			store.answer()
 			want = 200
 		} else {
-			d.answerDeferred() // after earlyTime
+			d.heartbeats.answerDeferred() // after earlyTime
 		}
 		if status != want {
 			t.Fatalf("records read %v: answered %d", read, status)
--- a/internal/dispatch/cells.go
+++ b/internal/dispatch/hostreports.go
@@ -7,6 +7,7 @@
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
 	"postpoint/internal/fleet"
+	"postpoint/internal/ledger"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
 )
@@ -20,14 +21,6 @@
 	Exchange(address string, r delegation.Report, done func(a delegation.Answer, ok bool))
 }
 
-// JoinCells switches cells on. It is called before Start.
-func (d *Dispatch) JoinCells(directory *cells.Directory, exchange Exchanger) {
-	d.directory, d.exchange = directory, exchange
-}
-
-// cellsOn tells that this cell's controllers all know of cells.
-func (d *Dispatch) cellsOn() bool { return d.directory != nil && d.format.Cells }
-
 // cellLink is the exchange with one other cell.
 type cellLink struct {
 	name string
@@ -46,17 +39,6 @@
 	epoch, counter int64
 }
 
-func (d *Dispatch) beginCells() {
-	d.delegations, d.numbers, d.saving, d.delegationUnreadable = map[int64]*delegated{}, numberBlock{}, false, false
-	d.links = map[string]*cellLink{}
-	if d.directory == nil {
-		return
-	}
-	for _, c := range d.directory.Others() {
-		d.links[c.Name] = &cellLink{name: c.Name}
-	}
-}
-
 const (
 	// Hosts report this often to cells whose work they have, and to others.
 	busyReportTime = clock.Second
@@ -70,75 +52,121 @@
 	backoffJitter = 0.25
 )
 
+// circuitFailures in a row mean that a cell is asked only now and then.
+const circuitFailures = 5
+
+// allRefused tells that the cloud has run out of a type, as far as is known.
+func allRefused(t protocol.MachineType, refused map[fleet.Kind]bool) bool {
+	for _, zone := range t.Zones {
+		if !refused[fleet.Kind{Type: t.Name, Zone: zone}] && !refused[fleet.Kind{Type: t.Name, Zone: zone, Spot: true}] {
+			return false
+		}
+	}
+	return true
+}
+
+// beyond is what is left of free amounts beyond a reserve.
+func beyond(free, reserve planner.Amounts) planner.Amounts {
+	left := free.Minus(reserve)
+	return planner.Amounts{Cpus: max(0, left.Cpus), Gpus: max(0, left.Gpus), MemoryGB: max(0, left.MemoryGB)}
+}
+
+// shortTime is what waiting for a plan or two and an answer of the cloud takes.
+const shortTime = 5 * clock.Second
+
+// freeRoom is what machines have left, those that boot included.
+func freeRoom(machines []planner.Machine) planner.Amounts {
+	var free planner.Amounts
+	for i := range machines {
+		free = free.Plus(machines[i].Free)
+	}
+	return free
+}
+
+// CellOverview is what the leader knows of another cell.
+type CellOverview struct {
+	Cell string `json:"cell"`
+	// Reachable tells that it answers this cell's reports, if it is sent any, and reports itself,
+	// if it may take work.
+	Reachable bool `json:"reachable"`
+	// Lent counts this cell's tasks that are there, Borrowed that cell's tasks that are here.
+	Lent     int `json:"lent_tasks"`
+	Borrowed int `json:"borrowed_tasks"`
+	// Recalled counts delegations that are wanted back.
+	Recalled int `json:"recalled"`
+	// OldestUnansweredS is how long ago that cell last said something of the delegation that it
+	// has been silent about for longest.
+	OldestUnansweredS float64 `json:"oldest_unanswered_s"`
+	// ShortS is for how long its own work has been waiting for room, by its last report.
+	ShortS float64 `json:"short_s,omitempty"`
+}
+
 // reportToCells sends the reports that are due. It needs no lease: a leader that may still
 // answer workers may also ask what it may keep.
-func (d *Dispatch) reportToCells() {
-	if !d.cellsOn() || !d.loaded || !d.leads() && !d.keeps() {
+func (hc *hostCell) reportToCells() {
+	if !hc.cells.enabled() || !hc.loaded || !hc.leads() && !hc.mayAnswer() {
 		return
 	}
-	now := d.now()
+	now := hc.now()
 	var guests map[string][]*job
-	for _, link := range inOrder(d.links) {
+	for _, link := range inOrder(hc.cells.links) {
 		if link.inFlight || now < link.nextAt {
 			continue
 		}
 		if guests == nil {
-			guests = d.guestsByHome()
+			guests = hc.jobs.hostedByOrigin()
 		}
-		if own := guests[link.name]; len(own) > 0 || d.directory.TakesFrom(link.name) {
-			d.report(link, own)
+		if own := guests[link.name]; len(own) > 0 || hc.cells.directory.TakesFrom(link.name) {
+			hc.report(link, own)
 		}
 	}
 }
 
 // report sends one report and takes its answer.
-func (d *Dispatch) report(link *cellLink, guests []*job) {
-	home := d.directory.Cell(link.name)
+func (hc *hostCell) report(link *cellLink, guests []*job) {
+	home := hc.cells.directory.Cell(link.name)
 	address := link.leader
 	if address == "" {
 		address = home.Controllers[link.turn%len(home.Controllers)].Address
 	}
-	sentAt, epoch := d.now(), d.term.Epoch
+	sentAt, epoch := hc.now(), hc.term.Epoch
 	link.inFlight = true
 	link.reports++
-	r := delegation.Report{Host: d.directory.Own.Name, Home: link.name, Epoch: epoch, Counter: link.reports,
-		Clear: cells.ClearTime(d.set.Deployment.Workers.Lease()), Load: d.ownLoad()}
+	r := delegation.Report{Host: hc.cells.directory.Own.Name, Home: link.name, Epoch: epoch, Counter: link.reports,
+		Clear: cells.ClearTime(hc.settings.Deployment.Workers.Lease()), Load: hc.ownLoad()}
 	for _, j := range guests {
-		if s, known := d.statusOf(j); known && len(r.Tasks) < delegation.MaxReported {
+		if s, known := hc.statusOf(j); known && len(r.Tasks) < delegation.MaxReported {
 			r.Tasks = append(r.Tasks, s)
 		}
 	}
-	d.exchange.Exchange(address, r, func(a delegation.Answer, ok bool) {
-		if d.term.Epoch != epoch {
+	hc.cells.exchange.Exchange(address, r, func(a delegation.Answer, ok bool) {
+		if hc.term.Epoch != epoch {
 			return
 		}
 		link.inFlight = false
 		if !ok || a.Result != delegation.Taken {
-			d.reportFailed(link, home, address, a, ok)
+			hc.reportFailed(link, home, address, a, ok)
 			return
 		}
 		if link.failures > circuitFailures {
 			slog.Info("cell answers again", "cell", link.name)
 		}
-		link.leader, link.failures, link.answeredAt = address, 0, d.now()
+		link.leader, link.failures, link.answeredAt = address, 0, hc.now()
 		link.nextAt = sentAt + idleReportTime
 		if len(guests) > 0 {
 			link.nextAt = sentAt + busyReportTime
 		}
-		d.takeRulings(guests, a.Rulings, sentAt)
+		hc.takeRulings(guests, a.Rulings, sentAt)
 		for _, o := range a.Offers {
-			d.takeOffer(link, o)
+			hc.takeOffer(link, o)
 		}
-		d.checkGuests()
-		d.wake()
+		hc.checkGuests()
+		hc.steps.wake()
 	})
 }
 
-// circuitFailures in a row mean that a cell is asked only now and then.
-const circuitFailures = 5
-
 // reportFailed goes on with another controller of the cell, and after a pause if none helps.
-func (d *Dispatch) reportFailed(link *cellLink, home *cells.Cell, asked string, a delegation.Answer, ok bool) {
+func (hc *hostCell) reportFailed(link *cellLink, home *cells.Cell, asked string, a delegation.Answer, ok bool) {
 	link.leader = ""
 	link.turn++
 	if ok && a.Leader != asked && home.Has(a.Leader) {
@@ -146,69 +174,53 @@
 	}
 	link.failures++
 	if link.failures == circuitFailures+1 {
-		slog.Info("cell does not answer", "cell", link.name, "silent_s", (d.now() - link.answeredAt).Seconds())
+		slog.Info("cell does not answer", "cell", link.name, "silent_s", (hc.now() - link.answeredAt).Seconds())
 	}
 	pause := firstBackoff << min(max(link.failures-len(home.Controllers), 0), backoffDouble)
-	spread := 1 - backoffJitter + 2*backoffJitter*d.random.Float64()
-	link.nextAt = d.now() + min(clock.Micros(float64(pause)*spread), longestPause)
+	spread := 1 - backoffJitter + 2*backoffJitter*hc.random.Float64()
+	link.nextAt = hc.now() + min(clock.Micros(float64(pause)*spread), longestPause)
 }
 
 // reportSoon tells a cell of news about its work.
-func (d *Dispatch) reportSoon(home string) {
-	link := d.links[home]
+func (hc *hostCell) reportSoon(home string) {
+	link := hc.cells.links[home]
 	if link == nil || link.failures > circuitFailures {
 		return
 	}
-	if soon := d.now() + soonTime; link.nextAt > soon {
+	if soon := hc.now() + soonTime; link.nextAt > soon {
 		link.nextAt = soon
-		d.inTerm(soonTime, d.reportToCells)
+		hc.inTerm(soonTime, hc.reportToCells)
 	}
 }
 
 // ownLoad is what this cell could take, for other cells to choose by.
-func (d *Dispatch) ownLoad() delegation.Load {
-	own := d.directory.Own
-	l := delegation.Load{Room: own.Guests.Minus(d.guestAmounts()), Short: d.shortFor(false)}
-	if own.Draining || d.shortFor(true) > 0 {
+func (hc *hostCell) ownLoad() delegation.Load {
+	own := hc.cells.directory.Own
+	l := delegation.Load{Room: own.Guests.Minus(hc.jobs.hostedAmounts()), Short: hc.shortFor(false)}
+	if own.Draining || hc.shortFor(true) > 0 {
 		l.Room = planner.Amounts{}
 	}
-	limit, _ := d.recordLimits()
+	limit, _ := hc.writer.recordLimits()
 	l.MaxTasks = guestTasksWithin(limit)
 	free := map[string]planner.Amounts{}
-	for i := range d.views {
-		if m := &d.views[i]; !m.Booting {
+	for i := range hc.snapshots.views {
+		if m := &hc.snapshots.views[i]; !m.Booting {
 			free[m.Type] = free[m.Type].Plus(m.Free)
 		}
 	}
-	refused := d.market().Refused
-	for _, t := range d.catalogue {
+	refused := hc.autoscaler.market().Refused
+	for _, t := range hc.catalogue.list {
 		l.Types = append(l.Types, delegation.TypeLoad{Type: t, Free: beyond(free[t.Name], own.Reserve), Refused: allRefused(t, refused)})
 	}
 	return l
 }
 
-// allRefused tells that the cloud has run out of a type, as far as is known.
-func allRefused(t protocol.MachineType, refused map[fleet.Kind]bool) bool {
-	for _, zone := range t.Zones {
-		if !refused[fleet.Kind{Type: t.Name, Zone: zone}] && !refused[fleet.Kind{Type: t.Name, Zone: zone, Spot: true}] {
-			return false
-		}
-	}
-	return true
-}
-
-// beyond is what is left of free amounts beyond a reserve.
-func beyond(free, reserve planner.Amounts) planner.Amounts {
-	left := free.Minus(reserve)
-	return planner.Amounts{Cpus: max(0, left.Cpus), Gpus: max(0, left.Gpus), MemoryGB: max(0, left.MemoryGB)}
-}
-
 // shortFor is for how long work of this cell's own, or of guests, has been waiting for machines
 // that don't come, 0 if none has for long.
-func (d *Dispatch) shortFor(guests bool) clock.Micros {
-	now := d.now()
+func (hc *hostCell) shortFor(guests bool) clock.Micros {
+	now := hc.now()
 	longest := clock.Micros(0)
-	for _, j := range d.jobs {
+	for _, j := range hc.jobs.byID {
 		if (j.Guest != nil) == guests && !j.over() && j.wantedAt != 0 && now <= j.wantedAt+wantedGap {
 			longest = max(longest, now-j.wantedFrom)
 		}
@@ -219,59 +231,20 @@
 	return longest
 }
 
-// shortTime is what waiting for a plan or two and an answer of the cloud takes.
-const shortTime = 5 * clock.Second
-
-// freeRoom is what machines have left, those that boot included.
-func freeRoom(machines []planner.Machine) planner.Amounts {
-	var free planner.Amounts
-	for i := range machines {
-		free = free.Plus(machines[i].Free)
-	}
-	return free
-}
-
-// CellOverview is what the leader knows of another cell.
-type CellOverview struct {
-	Cell string `json:"cell"`
-	// Reachable tells that it answers this cell's reports, if it is sent any, and reports itself,
-	// if it may take work.
-	Reachable bool `json:"reachable"`
-	// Lent counts this cell's tasks that are there, Borrowed that cell's tasks that are here.
-	Lent     int `json:"lent_tasks"`
-	Borrowed int `json:"borrowed_tasks"`
-	// Recalled counts delegations that are wanted back.
-	Recalled int `json:"recalled"`
-	// OldestUnansweredS is how long ago that cell last said something of the delegation that it
-	// has been silent about for longest.
-	OldestUnansweredS float64 `json:"oldest_unanswered_s"`
-	// ShortS is for how long its own work has been waiting for room, by its last report.
-	ShortS float64 `json:"short_s,omitempty"`
-}
-
-// cellsOverview is empty on nodes that don't lead.
-func (d *Dispatch) cellsOverview() []CellOverview {
-	now := d.now()
-	var all []CellOverview
-	for name, link := range inOrder(d.links) {
-		o := CellOverview{Cell: name, Reachable: link.failures <= circuitFailures && (link.loadAt == 0 || now <= link.loadAt+loadTime),
-			ShortS: link.load.Short.Seconds()}
-		for _, del := range d.delegations {
-			if del.Host != name {
-				continue
-			}
-			o.Lent += del.Left.Len()
-			o.OldestUnansweredS = max(o.OldestUnansweredS, (now - del.HeardAt).Seconds())
-			if del.State == delegation.Recalled {
-				o.Recalled++
-			}
-		}
-		for _, j := range d.jobs {
-			if j.Guest != nil && j.Guest.Home == name && !j.Final() {
-				o.Borrowed += len(j.Placed) + j.PendingCount()
-			}
+// statusOf is what home is told of a guest. known is false while its record is in doubt.
+func (hc *hostCell) statusOf(j *job) (s delegation.Status, known bool) {
+	_, id, number, ok := ledger.ParseGuestID(j.Spec.ID)
+	if !ok || j.reread || j.reading {
+		return s, false
+	}
+	s = delegation.Status{Number: number, Job: id, Done: j.storedDone, Reason: j.Cause,
+		Closed: j.Guest.Closed && j.durable >= j.closedAt || j.Final() && j.isStored()}
+	for task, p := range inOrder(j.Placed) {
+		s.Held.Add(task)
+		if m := hc.machines.byName[p.Machine]; m != nil && m.since[taskRef{j.Spec.ID, task, p.Attempt}] != 0 {
+			s.Running++
 		}
-		all = append(all, o)
 	}
-	return all
+	s.Waiting = max(0, j.PendingCount()) // a gang whose tasks are done may still be held
+	return s, true
 }
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -1,8 +1,6 @@
 package dispatch
 
 import (
-	"log/slog"
-
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
 	"postpoint/internal/ledger"
@@ -100,79 +98,6 @@
 	return rank
 }
 
-// touch notes a change of what a task's value says.
-func (d *Dispatch) touch(j *job, task int) {
-	j.valueOf(task).touch(d.now())
-	if j.dividing {
-		j.partOf(task).touch(d.now())
-	}
-	j.runningStale = true
-}
-
-// touchHead notes a change of what concerns the job as a whole.
-func (d *Dispatch) touchHead(j *job) {
-	j.storedValue.touch(d.now())
-}
-
-// place decides a placement; it counts from now and acts once it is durable.
-func (d *Dispatch) place(j *job, p ledger.Placement) {
-	j.Placed[p.Task] = p
-	d.index(j, p)
-	d.touch(j, p.Task)
-	v := j.valueOf(p.Task)
-	j.proposed[p.Task] = v.changed
-	v.fresh = append(v.fresh, p.Task)
-}
-
-// unplace frees a place, which only proof allows: see docs/rules.md.
-func (d *Dispatch) unplace(j *job, p ledger.Placement) {
-	delete(j.Placed, p.Task)
-	delete(j.stops, p.Task)
-	delete(j.proposed, p.Task)
-	if v := j.valueOf(p.Task); v.inFlight || v.uncertain {
-		v.doubtful = append(v.doubtful, p)
-	}
-	d.unindex(j, p)
-	d.touch(j, p.Task)
-	if !j.Done.Has(p.Task) {
-		d.displace(j, p.Machine)
-		// It is to run again, under another attempt than any before.
-		j.NextAttempt = max(j.NextAttempt, p.Attempt+1)
-	}
-	d.wake()
-}
-
-func (d *Dispatch) unplaceAll(j *job) {
-	for _, p := range inOrder(j.Placed) {
-		d.unindex(j, p)
-	}
-}
-
-// retire drops a job that is over and nowhere any more.
-func (d *Dispatch) retire(j *job) {
-	if j.Final() && len(j.Placed) == 0 && j.clean() && !j.strayParts && j.permit == nil {
-		d.retired[j.Spec.ID] = j.version
-		delete(d.jobs, j.Spec.ID)
-	}
-}
-
-// startFailed notes the cause for the user and the operator, and holds a job
-// that fails again and again back for longer each time.
-func (d *Dispatch) startFailed(m *machine, j *job, p ledger.Placement, cause string, pause clock.Micros) {
-	if j.failures == 0 || j.Cause == "" {
-		slog.Info("start failed", "job", j.Spec.ID, "task", p.Task, "machine", m.name, "cause", cause)
-	}
-	j.Cause = cause + " on " + m.name
-	if pause == 0 {
-		return
-	}
-	j.failures++
-	if j.failures > 3 {
-		pause *= clock.Micros(1) << min(j.failures-3, 6)
-	}
-	j.notBefore = max(j.notBefore, d.now()+min(pause, 60*clock.Second))
-}
-
 // maxAvoided is how many machines a job fails on before they are taken to be good.
 const maxAvoided = 8
 
@@ -185,15 +110,6 @@
 	}
 }
 
-// returnRoom lets those who made room for a job have it back first.
-func (d *Dispatch) returnRoom(j *job) {
-	for _, id := range j.Lenders {
-		if l := d.jobs[id]; l != nil {
-			l.returning = true
-		}
-	}
-}
-
 // currentAttempt is the attempt for tasks placed now: none of them ever had it, since the
 // next attempt rises above that of each task that has to run again. A gang that is to
 // be completed goes on with the attempt of its other tasks.
--- a/internal/dispatch/machine.go
+++ b/internal/dispatch/machine.go
@@ -96,77 +96,8 @@
 	gb   float64
 }
 
-// index notes a placement at its machine, nil if another cell runs the task.
-func (d *Dispatch) index(j *job, p ledger.Placement) *machine {
-	if p.Host() != "" {
-		return nil
-	}
-	m := d.machine(p.Machine)
-	m.viewStale, m.settled = true, false
-	if m.placed[j.Spec.ID] == nil {
-		m.placed[j.Spec.ID] = map[int]ledger.Placement{}
-	}
-	m.placed[j.Spec.ID][p.Task] = p
-	return m
-}
-
-func (d *Dispatch) unindex(j *job, p ledger.Placement) {
-	m := d.machines[p.Machine]
-	if m == nil {
-		return
-	}
-	m.viewStale = true
-	delete(m.placed[j.Spec.ID], p.Task)
-	if len(m.placed[j.Spec.ID]) == 0 {
-		delete(m.placed, j.Spec.ID)
-	}
-	if len(m.placed) == 0 {
-		m.idleSince = d.now()
-	}
-}
-
-func (d *Dispatch) machine(name string) *machine {
-	m := d.machines[name]
-	if m == nil {
-		m = &machine{name: name, addr: d.addresses[name], firstSeen: d.now(), idleSince: d.now(),
-			tasks: map[taskRef]protocol.TaskReport{}, since: map[taskRef]clock.Micros{},
-			placed: map[string]map[int]ledger.Placement{}, sent: map[taskRef]*sent{}, faults: map[string]bool{}, viewStale: true}
-		d.machines[name] = m
-		at, _ := slices.BinarySearchFunc(d.roster, name, func(x *machine, name string) int { return cmp.Compare(x.name, name) })
-		d.roster = slices.Insert(slices.Clone(d.roster), at, m)
-	}
-	return m
-}
-
 func (m *machine) kind() fleet.Kind { return fleet.Kind{Type: m.typ, Zone: m.zone, Spot: m.spot} }
 
-// busy tells that something runs there, whether or not a record knows it.
-func (d *Dispatch) busy(m *machine) bool {
-	for _, t := range m.tasks {
-		if t.Status != protocol.TaskExited {
-			return true
-		}
-	}
-	return false
-}
-
-// renewed tells that the machine's lease is being renewed: one that only answers
-// direct commands loses whatever it is given when its lease ends.
-func (d *Dispatch) renewed(m *machine) bool {
-	return m.answeredAt != 0 && d.withinTwoReports(m.answeredAt)
-}
-
-// heardRecently tells that a machine was heard of about as often as it should be.
-func (d *Dispatch) heardRecently(m *machine) bool {
-	return m.seen && d.withinTwoReports(m.heardAt)
-}
-
-// withinTwoReports tells that something that every report repeats was no longer ago than two of
-// them may take.
-func (d *Dispatch) withinTwoReports(at clock.Micros) bool {
-	return d.now() < at+2*d.set.Deployment.Workers.Report()+2*clock.Second
-}
-
 // sameTasks tells that a report brings no news of the machine's tasks.
 func (m *machine) sameTasks(tasks []protocol.TaskReport) bool {
 	if len(tasks) != len(m.tasks) {
@@ -187,18 +118,6 @@
 	return true
 }
 
-// synced tells that the worker obeys nobody older any more: what its reports
-// lack is not there, and what an older leader sent can't arrive.
-func (d *Dispatch) synced(m *machine) bool { return m.seen && !m.expired && m.epoch == d.term.Epoch }
-
-// ran is how long an attempt has been seen running on a machine.
-func (d *Dispatch) ran(m *machine, ref taskRef) clock.Micros {
-	if since := m.since[ref]; since != 0 {
-		return d.now() - since
-	}
-	return 0
-}
-
 func (m *machine) hasImage(name string) bool {
 	return slices.ContainsFunc(m.images, func(i image) bool { return i.name == name })
 }
--- a/internal/dispatch/aims.go
+++ b/internal/dispatch/objectives.go
@@ -9,11 +9,81 @@
 	"postpoint/internal/protocol"
 )
 
+// objectives judges jobs by the service-level objectives of their classes, and keeps what was
+// seen of each class across terms.
+type objectives struct {
+	*leaderTerm
+	catalogue *machineCatalogue
+
+	classSeen map[string]classUse
+}
+
+// beginS is four minutes.
+const beginS = 240
+
+// soonBoots allows for boots that take longer than usual.
+const soonBoots = 1.5
+
+// slackTier is the tier of a job with sorted due times that would end in so many seconds
+// from its submission, and how long it can wait for the next of them.
+func slackTier(tier planner.Tier, due []float64, ends float64) (planner.Tier, float64) {
+	for _, at := range due {
+		if at >= ends {
+			return min(tier, planner.EndsInTime), at - ends
+		}
+	}
+	latest := due[len(due)-1]
+	if ends-latest > latest {
+		tier = min(tier, planner.EndsInTime) // it has given way for long enough
+	}
+	return tier, latest - ends
+}
+
+// typeHolds tells that a job may use a machine type and a task of it fits when it is empty.
+func typeHolds(t protocol.MachineType, s *protocol.JobSpec) bool {
+	return planner.Needs(s).Fits(fleet.Whole(t)) && (len(s.Types) == 0 || slices.Contains(s.Types, t.Name))
+}
+
+const (
+	// defaultSlackS is for jobs of whose end nothing is expected.
+	defaultSlackS = 120
+	// longWaitS is when a job that hasn't begun goes first, its image's fetch
+	// included: users count on every job to begin within four minutes.
+	longWaitS = 150
+)
+
+const (
+	classWeight   = 0.1 // of one run in the average of its class
+	machineWeight = 0.3 // of one run in the average of its machine
+	// Estimates are often wrong by half: a few runs say nothing of a machine,
+	// and neither does a moderate excess.
+	pacedEnough = 4
+	slowPace    = 1.6
+)
+
+// slowness is by how much longer tasks take on a machine than on others, 0 if
+// that isn't clear. Slow machines are used last; they aren't returned for it,
+// since most recover.
+func (m *machine) slowness() float64 {
+	if m.paced < pacedEnough || m.pace < slowPace {
+		return 0
+	}
+	return m.pace - 1
+}
+
+// noteClass keeps what is needed to expect more jobs of a class.
+func (ob *objectives) noteClass(s *protocol.JobSpec) {
+	u := ob.classSeen[s.Class]
+	u.spec, u.at = *s, ob.now()
+	u.arrivals = append(slices.DeleteFunc(u.arrivals, func(a arrival) bool { return a.at < u.at-rateTime }), arrival{u.at, s.Tasks})
+	ob.classSeen[s.Class] = u
+}
+
 // startAim is the shortest time in which a class is expected to start, 0 if there
 // is no aim for its starts.
-func (d *Dispatch) startAim(class string) float64 {
+func (ob *objectives) startAim(class string) float64 {
 	shortest := 0.0
-	for _, o := range d.set.Deployment.Objectives {
+	for _, o := range ob.settings.Deployment.Objectives {
 		if o.Kind == "wait" && o.Class == class && (shortest == 0 || o.WithinS < shortest) {
 			shortest = o.WithinS
 		}
@@ -26,13 +96,13 @@
 // image's fetch included: one of 20 GB takes a third of them. What
 // can't wait for a machine to boot is served in its order: between aims of seconds,
 // putting those off that have missed one only makes them miss the next.
-func (d *Dispatch) startLeft(j *job) float64 {
-	age := (d.mailbox.OfDay() - clock.Micros(j.SubmittedAt)).Seconds()
-	left := beginS - age - j.Spec.ImageGB*d.slowestFetchS(&j.Spec)
-	if d.startsSoon(j.Spec.Class) {
+func (ob *objectives) startLeft(j *job) float64 {
+	age := (ob.mailbox.OfDay() - clock.Micros(j.SubmittedAt)).Seconds()
+	left := beginS - age - j.Spec.ImageGB*ob.catalogue.slowestFetchS(&j.Spec)
+	if ob.startsSoon(j.Spec.Class) {
 		return left
 	}
-	for _, o := range d.set.Deployment.Objectives {
+	for _, o := range ob.settings.Deployment.Objectives {
 		if o.Kind == "wait" && o.Class == j.Spec.Class && o.WithinS > age {
 			left = min(left, o.WithinS-age)
 		}
@@ -40,37 +110,31 @@
 	return left
 }
 
-// beginS is four minutes.
-const beginS = 240
-
 // startsSoon tells that a class is to start sooner than a machine boots: only
 // places that are there already can do that.
-func (d *Dispatch) startsSoon(class string) bool {
-	if u := d.classSeen[class]; u.spec.Service() {
+func (ob *objectives) startsSoon(class string) bool {
+	if u := ob.classSeen[class]; u.spec.Service() {
 		return true // each second until its replicas run is missed by its users
 	}
 	boot := 0.0
-	for _, t := range d.catalogue {
+	for _, t := range ob.catalogue.list {
 		boot = max(boot, t.BootS)
 	}
-	aim := d.startAim(class)
+	aim := ob.startAim(class)
 	return aim > 0 && aim < soonBoots*boot
 }
 
-// soonBoots allows for boots that take longer than usual.
-const soonBoots = 1.5
-
 // aims says which aims for a job can still be met, and how long, in seconds, it
 // can still wait before its tasks must run. Clocks of day differ by little
 // against the times at hand.
-func (d *Dispatch) aims(j *job) (planner.Tier, float64) {
+func (ob *objectives) aims(j *job) (planner.Tier, float64) {
 	if j.Spec.Service() {
 		return planner.StartsInTime, 0 // its users wait for whatever doesn't run
 	}
-	age := (d.mailbox.OfDay() - clock.Micros(j.SubmittedAt)).Seconds()
+	age := (ob.mailbox.OfDay() - clock.Micros(j.SubmittedAt)).Seconds()
 	begun := len(j.Placed)+j.Done.Len() > 0
-	tier := d.startTier(j, age, begun)
-	due := d.dueTimes(j)
+	tier := ob.startTier(j, age, begun)
+	due := ob.dueTimes(j)
 	// A class of whose end nothing is expected is never too late for it either,
 	// and would give way for ever.
 	if len(due) == 0 || due[len(due)-1] == 0 {
@@ -80,15 +144,15 @@
 			tier = planner.StartsInTime
 		}
 	}
-	if !begun && age+j.Spec.ImageGB*d.slowestFetchS(&j.Spec) > longWaitS {
+	if !begun && age+j.Spec.ImageGB*ob.catalogue.slowestFetchS(&j.Spec) > longWaitS {
 		tier = planner.StartsInTime
 	}
 	return slackTier(tier, due, j.Spec.EstimateS+age)
 }
 
 // startTier is StartsInTime if an aim for the job's start can still be met, else TooLate.
-func (d *Dispatch) startTier(j *job, age float64, begun bool) planner.Tier {
-	for _, o := range d.set.Deployment.Objectives {
+func (ob *objectives) startTier(j *job, age float64, begun bool) planner.Tier {
+	for _, o := range ob.settings.Deployment.Objectives {
 		if o.Class == j.Spec.Class && o.Kind == "wait" && !begun && age < o.WithinS {
 			return planner.StartsInTime
 		}
@@ -97,12 +161,12 @@
 }
 
 // dueTimes are when the aims want the job to be done, in seconds from its submission.
-func (d *Dispatch) dueTimes(j *job) []float64 {
+func (ob *objectives) dueTimes(j *job) []float64 {
 	var due []float64
 	if j.Spec.DeadlineS != nil {
 		due = append(due, *j.Spec.DeadlineS)
 	}
-	for _, o := range d.set.Deployment.Objectives {
+	for _, o := range ob.settings.Deployment.Objectives {
 		switch {
 		case o.Class != j.Spec.Class:
 		case o.Kind == "finished":
@@ -115,42 +179,25 @@
 	return due
 }
 
-// slackTier is the tier of a job with sorted due times that would end in so many seconds
-// from its submission, and how long it can wait for the next of them.
-func slackTier(tier planner.Tier, due []float64, ends float64) (planner.Tier, float64) {
-	for _, at := range due {
-		if at >= ends {
-			return min(tier, planner.EndsInTime), at - ends
-		}
+// notePace learns from a completed run how a machine does beside others. The
+// owners' estimates are only used to compare like with like: what all of them
+// get wrong is in the average of the class.
+func (ob *objectives) notePace(m *machine, s *protocol.JobSpec, ran clock.Micros) {
+	u, known := ob.classSeen[s.Class]
+	if !known || s.EstimateS <= 0 || ran <= 0 {
+		return
 	}
-	latest := due[len(due)-1]
-	if ends-latest > latest {
-		tier = min(tier, planner.EndsInTime) // it has given way for long enough
+	ratio := ran.Seconds() / s.EstimateS
+	if u.pace == 0 {
+		u.pace = ratio
 	}
-	return tier, latest - ends
-}
-
-// typeHolds tells that a job may use a machine type and a task of it fits when it is empty.
-func typeHolds(t protocol.MachineType, s *protocol.JobSpec) bool {
-	return planner.Needs(s).Fits(fleet.Whole(t)) && (len(s.Types) == 0 || slices.Contains(s.Types, t.Name))
-}
-
-// slowestFetchS is how long a GB of image takes on the slowest type that the job
-// may use, in seconds.
-func (d *Dispatch) slowestFetchS(s *protocol.JobSpec) float64 {
-	slowest := 0.0
-	for _, t := range d.catalogue {
-		if t.FetchGBPerS > 0 && typeHolds(t, s) {
-			slowest = max(slowest, 1/t.FetchGBPerS)
-		}
+	against := ratio / u.pace
+	u.pace += classWeight * (ratio - u.pace)
+	ob.classSeen[s.Class] = u
+	if m.paced == 0 {
+		m.pace = 1
 	}
-	return slowest
+	m.paced++
+	m.viewStale = true
+	m.pace += machineWeight * (against - m.pace)
 }
-
-const (
-	// defaultSlackS is for jobs of whose end nothing is expected.
-	defaultSlackS = 120
-	// longWaitS is when a job that hasn't begun goes first, its image's fetch
-	// included: users count on every job to begin within four minutes.
-	longWaitS = 150
-)
--- a/internal/dispatch/spill.go
+++ b/internal/dispatch/offload.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"maps"
-	"math"
 	"slices"
 
 	"postpoint/internal/clock"
@@ -29,45 +28,61 @@
 	noRoomS = 600
 )
 
+// inQueue orders jobs about as the planner does.
+func inQueue(a, b *job) int {
+	return cmp.Or(cmp.Compare(a.rank(), b.rank()), cmp.Compare(a.SubmittedAt, b.SubmittedAt), cmp.Compare(a.Spec.ID, b.Spec.ID))
+}
+
+// lastPending are the last n tasks that are neither done nor placed: home starts the first.
+func (j *job) lastPending(n int) []int {
+	tasks := make([]int, 0, n)
+	for task := j.Spec.Tasks - 1; task >= 0 && len(tasks) < n; task-- {
+		if _, placed := j.Placed[task]; !placed && !j.Done.Has(task) {
+			tasks = append(tasks, task)
+		}
+	}
+	return tasks
+}
+
 // spill has work that can't start here in time run by other cells.
-func (d *Dispatch) spill() {
-	if !d.cellsOn() || d.now() < d.spillAt || d.directory.Own.Draining {
+func (oc *originCell) spill() {
+	if !oc.cells.enabled() || oc.now() < oc.spillAt || oc.cells.directory.Own.Draining {
 		return
 	}
-	d.spillAt = d.now() + spillTime
-	hosts := d.hosts()
+	oc.spillAt = oc.now() + spillTime
+	hosts := oc.hosts()
 	if len(hosts) == 0 {
 		return
 	}
-	work := d.spillable()
+	work := oc.spillable()
 	if len(work) == 0 {
 		return
 	}
-	if d.numbers.next == d.numbers.end {
-		d.takeNumbers()
+	if oc.numbers.next == oc.numbers.end {
+		oc.takeNumbers()
 		return
 	}
 	for _, c := range spill.Plan(work, hosts) {
-		d.sendTo(c)
+		oc.sendTo(c)
 	}
 }
 
 // hosts are the cells that can be asked, less what they have been offered since they told their
 // load.
-func (d *Dispatch) hosts() []spill.Host {
+func (oc *originCell) hosts() []spill.Host {
 	var hosts []spill.Host
-	for name, link := range inOrder(d.links) {
-		if link.loadAt == 0 || d.now() > link.loadAt+loadTime || d.drained(name) {
+	for name, link := range inOrder(oc.cells.links) {
+		if link.loadAt == 0 || oc.now() > link.loadAt+loadTime || oc.cells.drained(name) {
 			continue
 		}
 		h := spill.Host{Name: name, Load: link.load}
 		open := 0
-		for _, del := range d.delegations {
+		for _, del := range oc.delegations {
 			if del.Host != name {
 				continue
 			}
 			open++
-			if j := d.jobs[del.Job]; j != nil && del.State == delegation.Offered {
+			if j := oc.jobs.byID[del.Job]; j != nil && del.State == delegation.Offered {
 				h.Load.Room = h.Load.Room.Minus(planner.Needs(&j.Spec).Times(float64(del.Tasks.Len())))
 			}
 		}
@@ -79,39 +94,34 @@
 }
 
 // spillable is the work that has waited for long enough, the most urgent first.
-func (d *Dispatch) spillable() []spill.Work {
+func (oc *originCell) spillable() []spill.Work {
 	var waiting []*job
-	for _, j := range d.jobs {
-		if n, _ := d.spillTasks(j); n > 0 {
+	for _, j := range oc.jobs.byID {
+		if n, _ := oc.spillTasks(j); n > 0 {
 			waiting = append(waiting, j)
 		}
 	}
 	slices.SortFunc(waiting, inQueue)
-	waits := d.waits()
+	waits := oc.waits()
 	var work []spill.Work
 	for _, j := range waiting {
-		rule, _ := d.directory.Rule(j.Spec.Class, j.Spec.Team)
-		tasks, whole := d.spillTasks(j)
+		rule, _ := oc.cells.directory.Rule(j.Spec.Class, j.Spec.Team)
+		tasks, whole := oc.spillTasks(j)
 		work = append(work, spill.Work{Job: j.Spec.ID, Spec: &j.Spec, Tasks: tasks, Whole: whole, HomeS: waits[j.Spec.ID], To: rule.To})
 	}
 	return work
 }
 
-// inQueue orders jobs about as the planner does.
-func inQueue(a, b *job) int {
-	return cmp.Or(cmp.Compare(a.rank(), b.rank()), cmp.Compare(a.SubmittedAt, b.SubmittedAt), cmp.Compare(a.Spec.ID, b.Spec.ID))
-}
-
 // spillTasks is how many tasks of a job may go to another cell now. whole tells that they go
 // together: gangs, and jobs whose tasks' zones depend on each other.
-func (d *Dispatch) spillTasks(j *job) (tasks int, whole bool) {
-	now := d.now()
+func (oc *originCell) spillTasks(j *job) (tasks int, whole bool) {
+	now := oc.now()
 	if j.over() || j.Guest != nil || j.Spec.Service() || j.reread || j.reading || j.partsUnread || j.dividing ||
 		j.wantedAt == 0 || now > j.wantedAt+wantedGap || now < j.notBefore || j.Returned >= maxReturned ||
 		j.backAt != 0 && now < j.backAt+settleTime {
 		return 0, false
 	}
-	rule, ok := d.directory.Rule(j.Spec.Class, j.Spec.Team)
+	rule, ok := oc.cells.directory.Rule(j.Spec.Class, j.Spec.Team)
 	if !ok || now < j.wantedFrom+max(rule.After, shortTime) {
 		return 0, false
 	}
@@ -127,12 +137,12 @@
 
 // waits is how long, in seconds, jobs are expected to wait for room here: for what stands
 // before them and half of what runs.
-func (d *Dispatch) waits() map[string]float64 {
+func (oc *originCell) waits() map[string]float64 {
 	var whole planner.Amounts
-	for i := range d.views {
-		whole = whole.Plus(d.views[i].Whole)
+	for i := range oc.snapshots.views {
+		whole = whole.Plus(oc.snapshots.views[i].Whole)
 	}
-	queue := slices.SortedFunc(maps.Values(d.jobs), inQueue)
+	queue := slices.SortedFunc(maps.Values(oc.jobs.byID), inQueue)
 	running := 0.0
 	for _, j := range queue {
 		running += j.Spec.EstimateS * planner.Needs(&j.Spec).Times(float64(len(j.Placed))).Share(whole)
@@ -145,7 +155,7 @@
 		}
 		own := j.Spec.EstimateS * planner.Needs(&j.Spec).Times(float64(j.PendingCount())).Share(whole)
 		waits[j.Spec.ID] = ahead + own/2
-		if !d.heldByAny(j) {
+		if !oc.heldByAny(j) {
 			waits[j.Spec.ID] = noRoomS
 		}
 		ahead += own
@@ -154,9 +164,9 @@
 }
 
 // heldByAny tells that some machine there is, or that boots, would hold a task if it were empty.
-func (d *Dispatch) heldByAny(j *job) bool {
-	for i := range d.views {
-		m := &d.views[i]
+func (oc *originCell) heldByAny(j *job) bool {
+	for i := range oc.snapshots.views {
+		m := &oc.snapshots.views[i]
 		if planner.Needs(&j.Spec).Fits(m.Whole) && planner.Allowed(&j.Spec, m.Type, m.Zone, m.Spot) {
 			return true
 		}
@@ -166,43 +176,25 @@
 
 // sendTo carries out a choice: the job's last pending tasks go, as many to a delegation as a
 // host's record has room for.
-func (d *Dispatch) sendTo(c spill.Choice) {
-	j := d.jobs[c.Job]
-	most := min(delegation.MaxTasks, max(1, d.links[c.Cell].load.MaxTasks))
-	tasks := min(c.Tasks, d.underLimit(j))
-	if _, whole := d.spillTasks(j); whole {
+func (oc *originCell) sendTo(c spill.Choice) {
+	j := oc.jobs.byID[c.Job]
+	most := min(delegation.MaxTasks, max(1, oc.cells.links[c.Cell].load.MaxTasks))
+	tasks := min(c.Tasks, oc.jobs.underLimit(j))
+	if _, whole := oc.spillTasks(j); whole {
 		most = c.Tasks
 		if tasks < c.Tasks {
 			return
 		}
 	}
-	for left := tasks; left > 0 && d.numbers.next < d.numbers.end && d.openWith(c.Cell) < delegation.MaxPerHost; left -= most {
-		d.delegate(j, c.Cell, j.lastPending(min(most, left)))
-	}
-}
-
-// underLimit is how many more tasks of a job its team's limit allows, over all cells.
-func (d *Dispatch) underLimit(j *job) int {
-	team, _ := d.set.Deployment.Team(j.Spec.Team)
-	room := planner.Amounts{Cpus: team.CpusMax, Gpus: team.GpusMax, MemoryGB: planner.PlentyGB}
-	for _, o := range d.jobs {
-		if o.Spec.Team == j.Spec.Team {
-			room = room.Minus(planner.Needs(&o.Spec).Times(float64(o.taken())))
-		}
-	}
-	if team.CpusMax == 0 { // none
-		room.Cpus = math.MaxInt32
-	}
-	if team.GpusMax == 0 {
-		room.Gpus = math.MaxInt32
+	for left := tasks; left > 0 && oc.numbers.next < oc.numbers.end && oc.openWith(c.Cell) < delegation.MaxPerHost; left -= most {
+		oc.delegate(j, c.Cell, j.lastPending(min(most, left)))
 	}
-	return planner.Needs(&j.Spec).Count(room)
 }
 
 // openWith counts the delegations that a cell has.
-func (d *Dispatch) openWith(host string) int {
+func (oc *originCell) openWith(host string) int {
 	n := 0
-	for _, del := range d.delegations {
+	for _, del := range oc.delegations {
 		if del.Host == host {
 			n++
 		}
@@ -210,37 +202,26 @@
 	return n
 }
 
-// lastPending are the last n tasks that are neither done nor placed: home starts the first.
-func (j *job) lastPending(n int) []int {
-	tasks := make([]int, 0, n)
-	for task := j.Spec.Tasks - 1; task >= 0 && len(tasks) < n; task-- {
-		if _, placed := j.Placed[task]; !placed && !j.Done.Has(task) {
-			tasks = append(tasks, task)
-		}
-	}
-	return tasks
-}
-
 // recall wants work back that waits elsewhere while there is room here, and all of it from cells
 // that are to be drained.
-func (d *Dispatch) recall() {
-	if len(d.delegations) == 0 {
+func (oc *originCell) recall() {
+	if len(oc.delegations) == 0 {
 		return
 	}
-	now := d.now()
+	now := oc.now()
 	wanted := clock.Micros(0)
-	for _, j := range d.jobs {
+	for _, j := range oc.jobs.byID {
 		if j.Guest == nil && !j.over() {
 			wanted = max(wanted, j.wantedAt)
 		}
 	}
-	free := now > max(wanted, d.begunAt)+homeFreeTime
-	for _, del := range inOrder(d.delegations) {
-		j := d.jobs[del.Job]
+	free := now > max(wanted, oc.begunAt)+homeFreeTime
+	for _, del := range inOrder(oc.delegations) {
+		j := oc.jobs.byID[del.Job]
 		if j == nil {
 			continue
 		}
-		if d.drained(del.Host) || free && del.State == delegation.Accepted && del.Reported.Waiting > 0 && d.roomHere(j, del.Reported.Waiting) {
+		if oc.cells.drained(del.Host) || free && del.State == delegation.Accepted && del.Reported.Waiting > 0 && oc.roomHere(j, del.Reported.Waiting) {
 			del.Recall()
 		}
 	}
@@ -248,10 +229,10 @@
 
 // roomHere tells that n tasks of a job would find room here: half of them on the machines that
 // are up, or one where more of them can be rented as far as is known.
-func (d *Dispatch) roomHere(j *job, n int) bool {
+func (oc *originCell) roomHere(j *job, n int) bool {
 	fit := 0
-	for i := range d.views {
-		m := &d.views[i]
+	for i := range oc.snapshots.views {
+		m := &oc.snapshots.views[i]
 		if !m.Booting && planner.Allowed(&j.Spec, m.Type, m.Zone, m.Spot) {
 			fit += planner.Needs(&j.Spec).Count(m.Free)
 		}
@@ -259,7 +240,7 @@
 	if 2*fit >= n {
 		return true
 	}
-	refused := d.market().Refused
+	refused := oc.autoscaler.market().Refused
 	rentable := func(t protocol.MachineType) bool { return typeHolds(t, &j.Spec) && !allRefused(t, refused) }
-	return fit > 0 && slices.ContainsFunc(d.catalogue, rentable)
+	return fit > 0 && slices.ContainsFunc(oc.catalogue.list, rentable)
 }
--- a/internal/dispatch/orders_test.go
+++ b/internal/dispatch/orders_test.go
@@ -22,12 +22,12 @@
 	if d.leads() {
 		t.Fatal("it leads with stale records")
 	}
-	if !d.keeps() {
+	if !d.mayAnswer() {
 		t.Fatal("it lets the workers go too soon")
 	}
-	box.Now += d.set.Deployment.Workers.KeepAlive()
+	box.Now += d.settings.Deployment.Workers.KeepAlive()
 	d.term.RenewedAt = box.Now
-	if d.keeps() {
+	if d.mayAnswer() {
 		t.Fatal("it keeps tasks alive that may be cancelled")
 	}
 }
@@ -43,15 +43,15 @@
 	if n > 4 {
 		t.Errorf("%v allocations", n)
 	}
-	for name, change := range map[string]func(d *Dispatch, j *job, r *protocol.Report){
-		"a task is to stop":     func(_ *Dispatch, j *job, _ *protocol.Report) { j.stops[3] = stop{why: "room"} },
-		"the job is cancelled":  func(d *Dispatch, j *job, _ *protocol.Report) { d.noteCancelled(j, d.now()) },
-		"a task has gone":       func(_ *Dispatch, _ *job, r *protocol.Report) { r.Tasks = r.Tasks[1:] },
-		"a task isn't in place": func(d *Dispatch, j *job, _ *protocol.Report) { d.unplace(j, j.Placed[5]) },
-		"a task has been added": func(_ *Dispatch, _ *job, r *protocol.Report) {
+	for name, change := range map[string]func(d *Leader, j *job, r *protocol.Report){
+		"a task is to stop":     func(_ *Leader, j *job, _ *protocol.Report) { j.stops[3] = stop{why: "room"} },
+		"the job is cancelled":  func(d *Leader, j *job, _ *protocol.Report) { d.jobs.noteCancelled(j, d.now()) },
+		"a task has gone":       func(_ *Leader, _ *job, r *protocol.Report) { r.Tasks = r.Tasks[1:] },
+		"a task isn't in place": func(d *Leader, j *job, _ *protocol.Report) { d.jobs.unplace(j, j.Placed[5]) },
+		"a task has been added": func(_ *Leader, _ *job, r *protocol.Report) {
 			r.Tasks = append(slices.Clone(r.Tasks), protocol.TaskReport{Task: "job-2/0", Attempt: 1, Status: protocol.TaskRunning})
 		},
-		"a gang is incomplete": func(_ *Dispatch, j *job, _ *protocol.Report) {
+		"a gang is incomplete": func(_ *Leader, j *job, _ *protocol.Report) {
 			j.Spec.Shape, j.Spec.Tasks, j.brokenAttempt = protocol.ShapeGang, 9, 1
 		},
 	} {
@@ -147,20 +147,20 @@
 	for _, late := range []clock.Micros{0, clock.Second} {
 		d, j, m, box := one(t)
 		out := &calls{}
-		d.agent, m.addr = out, "m-1:1"
-		d.observe(m, report(1, 1))
-		d.tickedAt = box.Now
+		d.commands.agent, m.addr = out, "m-1:1"
+		d.reconciler.observe(m, report(1, 1))
+		d.steps.tickedAt = box.Now
 		box.Now += tickTime + late
 		d.freshAt, d.term.ValidUntil = box.Now, box.Now+4*clock.Second
 		d.term.Epoch = 0 // the tick only looks at the clock
 		d.tick()
 		d.term.Epoch = 7
 		j.fresh = []int{0}
-		d.committed([]write{{j: j, v: &j.storedValue, part: head, changed: j.changed}}, statestore.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 9}})
+		d.writer.committed([]write{{j: j, v: &j.storedValue, part: head, changed: j.changed}}, statestore.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 9}})
 		if direct := out.n > 0; direct != (late == 0) {
 			t.Errorf("late by %v: %d direct commands", late, out.n)
 		}
-		if orders := d.orders(m, true); late > 0 && (len(orders) != 1 || orders[0].Verb != protocol.VerbStart) {
+		if orders := d.commands.commandsFor(m, true); late > 0 && (len(orders) != 1 || orders[0].Verb != protocol.VerbStart) {
 			t.Errorf("late by %v: the report is answered by %v", late, orders)
 		}
 	}
--- a/internal/dispatch/overview.go
+++ b/internal/dispatch/overview.go
@@ -1,9 +1,30 @@
 package dispatch
 
 import (
+	"fmt"
+	"log/slog"
+
+	"postpoint/internal/clock"
+	"postpoint/internal/delegation"
 	"postpoint/internal/protocol"
 )
 
+// overviewReader reads the other components for operators; it changes nothing.
+type overviewReader struct {
+	*leaderTerm
+	jobs       *jobTable
+	machines   *machineTable
+	catalogue  *machineCatalogue
+	autoscaler *autoscaler
+	scheduler  *taskScheduler
+	writer     *recordWriter
+	cells      *cellLinks
+	origin     *originCell
+	zones      *zoneRecovery
+
+	loggedAt clock.Micros
+}
+
 // Overview is what an operator on call wants to see first. Only the leader
 // knows jobs and machines.
 type Overview struct {
@@ -60,21 +81,18 @@
 
 const maxFailing = 20
 
-// Overview answers from the actor.
-func (d *Dispatch) Overview(reply func(any)) { d.mailbox.Post(func() { reply(d.overview()) }) }
-
-func (d *Dispatch) overview() Overview {
-	o := Overview{Node: d.set.Node, Leader: d.leader, Leads: d.leads(), Epoch: d.term.Epoch, Plans: d.plans,
-		PresentFormats: d.format.Open, Missing: d.format.Missing, TightLimits: d.tightened, Zones: d.zonesOverview()}
-	if d.directory != nil {
-		o.Cell, o.Cells = d.directory.Own.Name, d.cellsOverview()
+func (ov *overviewReader) build() Overview {
+	o := Overview{Node: ov.settings.Node, Leader: ov.knownLeader, Leads: ov.leads(), Epoch: ov.term.Epoch, Plans: ov.scheduler.plans,
+		PresentFormats: ov.format.Open, Missing: ov.format.Missing, TightLimits: ov.writer.tightened, Zones: ov.zonesOverview()}
+	if ov.cells.directory != nil {
+		o.Cell, o.Cells = ov.cells.directory.Own.Name, ov.cellsOverview()
 	}
 	classes := map[string]ClassOverview{}
-	for _, j := range inOrder(d.jobs) {
+	for _, j := range inOrder(ov.jobs.byID) {
 		c := classes[j.Spec.Class]
 		c.Class = j.Spec.Class
 		c.Placed += len(j.Placed)
-		c.Restarting += j.waitingRestarts(d.now())
+		c.Restarting += j.waitingRestarts(ov.now())
 		if !j.Final() {
 			c.Jobs++
 			c.Pending += j.PendingCount()
@@ -88,8 +106,8 @@
 		o.Classes = append(o.Classes, c)
 	}
 	kinds := map[string]*KindOverview{}
-	refused := d.market().Refused
-	for _, m := range d.roster {
+	refused := ov.autoscaler.market().Refused
+	for _, m := range ov.machines.ordered {
 		key := m.typ + " " + m.zone
 		if m.spot {
 			key += " spot"
@@ -103,7 +121,7 @@
 		switch {
 		case !m.seen && m.status == protocol.MachineStarting:
 			k.Booting++
-		case !d.heardRecently(m):
+		case !ov.machines.heardRecently(m):
 			k.Silent++
 		case len(m.placed) == 0:
 			k.Idle++
@@ -114,3 +132,54 @@
 	}
 	return o
 }
+
+// cellsOverview is empty on nodes that don't lead.
+func (ov *overviewReader) cellsOverview() []CellOverview {
+	now := ov.now()
+	var all []CellOverview
+	for name, link := range inOrder(ov.cells.links) {
+		o := CellOverview{Cell: name, Reachable: link.failures <= circuitFailures && (link.loadAt == 0 || now <= link.loadAt+loadTime),
+			ShortS: link.load.Short.Seconds()}
+		for _, del := range ov.origin.delegations {
+			if del.Host != name {
+				continue
+			}
+			o.Lent += del.Left.Len()
+			o.OldestUnansweredS = max(o.OldestUnansweredS, (now - del.HeardAt).Seconds())
+			if del.State == delegation.Recalled {
+				o.Recalled++
+			}
+		}
+		for _, j := range ov.jobs.byID {
+			if j.Guest != nil && j.Guest.Home == name && !j.Final() {
+				o.Borrowed += len(j.Placed) + j.PendingCount()
+			}
+		}
+		all = append(all, o)
+	}
+	return all
+}
+
+// logState tells an operator once in a while what is queued and where.
+func (ov *overviewReader) logState() {
+	if ov.now() < ov.loggedAt+15*clock.Second {
+		return
+	}
+	ov.loggedAt = ov.now()
+	pending, placed, kinds := 0, 0, map[string]int{}
+	for _, j := range inOrder(ov.jobs.byID) {
+		if !j.Final() {
+			pending += j.PendingCount()
+		}
+		placed += len(j.Placed)
+	}
+	idle := 0
+	for _, m := range ov.machines.ordered {
+		kinds[m.typ]++
+		if len(m.placed) == 0 {
+			idle++
+		}
+	}
+	slog.Info("state", "epoch", ov.term.Epoch, "open_jobs", len(ov.jobs.byID), "pending_tasks", pending, "placed_tasks", placed,
+		"machines", fmt.Sprint(kinds), "idle", idle)
+}
--- a/internal/dispatch/reconcile_test.go
+++ b/internal/dispatch/reconcile_test.go
@@ -12,8 +12,8 @@
 // it arrives.
 func TestOldReportsAreIgnored(t *testing.T) {
 	d, j, m, _ := one(t)
-	d.observe(m, report(1, 9, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskRunning}))
-	d.observe(m, report(1, 4, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskExited, Cause: protocol.CauseError}))
+	d.reconciler.observe(m, report(1, 9, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskRunning}))
+	d.reconciler.observe(m, report(1, 4, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskExited, Cause: protocol.CauseError}))
 	if len(j.Placed) != 1 || m.counter != 9 {
 		t.Fatalf("placed %v after an old report", j.Placed)
 	}
@@ -25,24 +25,24 @@
 func TestAbsenceProvesNothingWhileAStartMayArrive(t *testing.T) {
 	d, j, m, _ := one(t)
 	ref := taskRef{"job-1", 0, 1}
-	d.observe(m, report(1, 1))
+	d.reconciler.observe(m, report(1, 1))
 	m.sent[ref] = &sent{uncertain: true}
 	j.stops[0] = stop{why: "room"}
-	d.observe(m, report(1, 2))
+	d.reconciler.observe(m, report(1, 2))
 	if len(j.Placed) != 1 {
 		t.Fatal("the place was freed")
 	}
-	orders := d.orders(m, true)
+	orders := d.commands.commandsFor(m, true)
 	if len(orders) != 2 || orders[0].Verb != protocol.VerbStart || orders[1].Verb != protocol.VerbStop {
 		t.Fatalf("orders %v", orders)
 	}
 	m.sent[ref] = &sent{uncertain: true}
 	j.Status = protocol.StatusCancelled
-	if orders := d.orders(m, true); len(orders) != 0 || len(j.Placed) != 1 {
+	if orders := d.commands.commandsFor(m, true); len(orders) != 0 || len(j.Placed) != 1 {
 		t.Fatalf("orders %v for a cancelled job, placed %v", orders, j.Placed)
 	}
 	m.sent[ref] = &sent{}
-	d.observe(m, report(1, 3))
+	d.reconciler.observe(m, report(1, 3))
 	if len(j.Placed) != 0 {
 		t.Fatal("the place was kept without reason")
 	}
@@ -52,18 +52,18 @@
 // somewhere, don't bring it back; the next session does.
 func TestExpiredSessionsDontComeBack(t *testing.T) {
 	d, j, m, box := one(t)
-	d.observe(m, report(1, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskRunning}))
+	d.reconciler.observe(m, report(1, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskRunning}))
 	box.Now += 60 * clock.Second
-	d.expire()
+	d.health.expire()
 	if !m.expired || len(j.Placed) != 0 {
 		t.Fatalf("expired %v, placed %v", m.expired, j.Placed)
 	}
-	d.observe(m, report(1, 8))
-	if !m.expired || d.synced(m) {
+	d.reconciler.observe(m, report(1, 8))
+	if !m.expired || d.machines.synced(m) {
 		t.Fatal("an old session came back")
 	}
-	d.observe(m, report(2, 9))
-	if m.expired || !d.synced(m) {
+	d.reconciler.observe(m, report(2, 9))
+	if m.expired || !d.machines.synced(m) {
 		t.Fatal("the new session isn't taken")
 	}
 }
@@ -73,8 +73,8 @@
 func TestASessionBeginsWithALease(t *testing.T) {
 	d, j, m, box := one(t)
 	box.Now += 60 * clock.Second
-	d.observe(m, report(1, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskRunning}))
-	d.expire()
+	d.reconciler.observe(m, report(1, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskRunning}))
+	d.health.expire()
 	if m.expired || len(j.Placed) != 1 {
 		t.Fatal("the lease it began with was not counted")
 	}
@@ -85,9 +85,9 @@
 func TestSlowMachinesAreNoticed(t *testing.T) {
 	d, j, slow, _ := one(t)
 	j.Spec.EstimateS, j.Spec.Class = 10, "c"
-	d.noteClass(&j.Spec)
-	other := d.machine("m-2")
-	run := func(m *machine, s int) { d.notePace(m, &j.Spec, clock.Micros(s)*clock.Second) }
+	d.objectives.noteClass(&j.Spec)
+	other := d.machines.get("m-2")
+	run := func(m *machine, s int) { d.objectives.notePace(m, &j.Spec, clock.Micros(s)*clock.Second) }
 	for range 10 {
 		run(other, 30) // three times the estimate, as everywhere
 	}
@@ -114,28 +114,28 @@
 func TestPlacesOnReleasedMachinesAreFree(t *testing.T) {
 	d, j, _, box := one(t)
 	old := j.Encode()
-	d.released["m-1"] = box.Now
-	delete(d.machines, "m-1")
-	d.roster = nil
+	d.machines.released["m-1"] = box.Now
+	delete(d.machines.byName, "m-1")
+	d.machines.ordered = nil
 	j.reread = true
-	d.adopt(ledger.Key("job-1"), old, 6)
+	d.reader.adopt(ledger.Key("job-1"), old, 6)
 	if len(j.Placed) != 0 || j.NextAttempt < 2 {
 		t.Fatalf("placed %v, next try %d", j.Placed, j.NextAttempt)
 	}
 	// What is still heard of it is old, and brings nothing back.
 	status := 0
 	d.Heartbeat(report(1, 7), func(s int, _ any) { status = s })
-	if status != 421 || d.machines["m-1"] != nil {
-		t.Fatalf("answered %d, known %v", status, d.machines["m-1"] != nil)
+	if status != 421 || d.machines.byName["m-1"] != nil {
+		t.Fatalf("answered %d, known %v", status, d.machines.byName["m-1"] != nil)
 	}
 	// A term of months doesn't remember all that it returned.
 	box.Now += releasedTime
-	if d.forgetReleased(); !d.wasReleased("m-1") {
+	if d.machines.forgetReleased(); !d.machines.wasReleased("m-1") {
 		t.Error("forgotten too early")
 	}
 	box.Now++
-	if d.forgetReleased(); len(d.released) > 0 {
-		t.Errorf("%d released machines are kept", len(d.released))
+	if d.machines.forgetReleased(); len(d.machines.released) > 0 {
+		t.Errorf("%d released machines are kept", len(d.machines.released))
 	}
 }
 
@@ -143,8 +143,8 @@
 // no more work until a session outlasts its first lease, and goes the second time.
 func TestUnheedingMachinesGetNoWork(t *testing.T) {
 	d, _, m, box := one(t)
-	d.types["t"] = protocol.MachineType{Name: "t", Cpus: 8}
-	usable := func() bool { _, ok := d.planned(m, box.Now); return ok }
+	d.catalogue.byName["t"] = protocol.MachineType{Name: "t", Cpus: 8}
+	usable := func() bool { _, ok := d.snapshots.planned(m, box.Now); return ok }
 	say := func(session, counter int64) {
 		r := report(session, counter)
 		r.Type = "t"
@@ -182,7 +182,7 @@
 // that carries the leader's epoch is known to be of its time.
 func TestReportsOfOlderEpochsProveNoAbsence(t *testing.T) {
 	d, j, m, box := one(t)
-	d.types["t"] = protocol.MachineType{Name: "t", Cpus: 8}
+	d.catalogue.byName["t"] = protocol.MachineType{Name: "t", Cpus: 8}
 	old := report(1, 5)
 	old.Epoch, old.Type = 6, "t"
 	j.Status = protocol.StatusCancelled
@@ -190,7 +190,7 @@
 	if len(j.Placed) != 1 {
 		t.Fatal("the place was freed")
 	}
-	if _, ok := d.planned(m, box.Now); ok {
+	if _, ok := d.snapshots.planned(m, box.Now); ok {
 		t.Fatal("the machine is used")
 	}
 }
--- a/internal/dispatch/records_test.go
+++ b/internal/dispatch/records_test.go
@@ -14,10 +14,10 @@
 func TestLateReadsDontBringPlacesBack(t *testing.T) {
 	d, j, m, _ := one(t)
 	old := j.Encode()
-	d.observe(m, report(1, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskExited, Cause: protocol.CauseStopped}))
-	d.adopt(ledger.Key("job-1"), j.Encode(), 6)
+	d.reconciler.observe(m, report(1, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskExited, Cause: protocol.CauseStopped}))
+	d.reader.adopt(ledger.Key("job-1"), j.Encode(), 6)
 	j.reread = true
-	d.adopt(ledger.Key("job-1"), old, 5)
+	d.reader.adopt(ledger.Key("job-1"), old, 5)
 	if len(j.Placed) != 0 || j.version != 6 {
 		t.Fatalf("placed %v at version %d", j.Placed, j.version)
 	}
@@ -28,14 +28,14 @@
 func TestOldEventsDontBringJobsBack(t *testing.T) {
 	d, j, m, _ := one(t)
 	old := j.Encode()
-	d.observe(m, report(1, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskExited, Cause: protocol.CauseDone}))
+	d.reconciler.observe(m, report(1, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskExited, Cause: protocol.CauseDone}))
 	j.inFlight = true
-	d.committed([]write{{j: j, v: &j.storedValue, part: head, changed: j.changed}}, statestore.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 6}})
-	if len(d.jobs) != 0 {
+	d.writer.committed([]write{{j: j, v: &j.storedValue, part: head, changed: j.changed}}, statestore.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 6}})
+	if len(d.jobs.byID) != 0 {
 		t.Fatal("the job isn't over")
 	}
-	d.adopt(ledger.Key("job-1"), old, 5)
-	if len(d.jobs) != 0 {
+	d.reader.adopt(ledger.Key("job-1"), old, 5)
+	if len(d.jobs.byID) != 0 {
 		t.Fatal("an old event brought the job back")
 	}
 }
@@ -56,18 +56,18 @@
 func TestUnansweredChangesGoAgain(t *testing.T) {
 	d, box := leader()
 	store := &commits{}
-	d.store = store
+	useStore(d, store)
 	content := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 2}, 1)
-	d.adopt(ledger.Key("job-1"), content.Encode(), 5)
-	j := d.jobs["job-1"]
-	d.place(j, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1})
-	d.commit()
+	d.reader.adopt(ledger.Key("job-1"), content.Encode(), 5)
+	j := d.jobs.byID["job-1"]
+	d.jobs.place(j, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1})
+	d.writer.commit()
 	store.answer(statestore.Reply[protocol.TxnAnswer]{})
 	if len(j.Placed) != 1 || j.reread || j.committed(j.Placed[0]) {
 		t.Fatalf("placed %v, to be read again %v", j.Placed, j.reread)
 	}
 	box.Now += retryDelay
-	d.commit()
+	d.writer.commit()
 	if len(store.txns) != 2 || fmt.Sprint(store.txns[0]) != fmt.Sprint(store.txns[1]) {
 		t.Fatalf("transactions %v", store.txns)
 	}
@@ -82,12 +82,12 @@
 // final, whatever becomes of the change: the job's tasks needn't wait for its answer.
 func TestCancellationsDontWaitForChanges(t *testing.T) {
 	d, j, m, box := one(t)
-	d.observe(m, report(1, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskRunning}))
+	d.reconciler.observe(m, report(1, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskRunning}))
 	j.inFlight = true
 	cancelled := *j.Job
 	cancelled.Status, cancelled.CancelledAt = protocol.StatusCancelled, int64(box.Now)
-	d.adopt(ledger.Key("job-1"), cancelled.Encode(), 6)
-	if orders := d.orders(m, true); len(orders) != 1 || orders[0].Verb != protocol.VerbStop {
+	d.reader.adopt(ledger.Key("job-1"), cancelled.Encode(), 6)
+	if orders := d.commands.commandsFor(m, true); len(orders) != 1 || orders[0].Verb != protocol.VerbStop {
 		t.Fatalf("orders %v", orders)
 	}
 }
@@ -112,11 +112,11 @@
 		d, j, m, _ := one(t)
 		d.deposed = func(int64) {}
 		j.inFlight = true
-		d.observe(m, report(1, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskExited, Cause: protocol.CauseStopped}))
+		d.reconciler.observe(m, report(1, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskExited, Cause: protocol.CauseStopped}))
 		for i, answer := range c.answers {
 			j.inFlight = true
-			d.committed([]write{{j: j, v: &j.storedValue, part: head, changed: j.changed - 1}}, answer)
-			if used := d.snapshot().Teams[""].Used; i == len(c.answers)-1 && (j.taken() != c.taken || used.Cpus != float64(c.taken)*j.Spec.Cpus) {
+			d.writer.committed([]write{{j: j, v: &j.storedValue, part: head, changed: j.changed - 1}}, answer)
+			if used := d.snapshots.snapshot().Teams[""].Used; i == len(c.answers)-1 && (j.taken() != c.taken || used.Cpus != float64(c.taken)*j.Spec.Cpus) {
 				t.Errorf("%s: %d places count, %v are used", name, j.taken(), used)
 			}
 		}
--- a/internal/dispatch/writes.go
+++ b/internal/dispatch/recordunits.go
@@ -1,8 +1,6 @@
 package dispatch
 
 import (
-	"slices"
-
 	"postpoint/internal/clock"
 	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
@@ -56,94 +54,6 @@
 	dirtyAt clock.Micros
 }
 
-// dirtyUnits are the changes that are due, and reads those records again that must be.
-func (d *Dispatch) dirtyUnits() []unit {
-	var units []unit
-	for _, j := range inOrder(d.jobs) {
-		switch {
-		case j.reread && j.fence:
-			units = append(units, d.fenceUnit(j)...)
-		case j.reread:
-			d.readAgain(j)
-		case j.partsUnread:
-		default:
-			if j.strayParts {
-				d.findStrayParts(j)
-			}
-			units = append(units, d.unitsOf(j)...)
-		}
-	}
-	return units
-}
-
-// fenceUnit writes the head of a divided record anew before its parts are read. Changes of
-// parts that had no answer depend on the head's version: they can't be carried out any more
-// after it, while a read before it may not show them yet.
-func (d *Dispatch) fenceUnit(j *job) []unit {
-	v := &j.storedValue
-	if v.inFlight {
-		return nil
-	}
-	v.touch(d.now())
-	return []unit{{[]write{{j: j, v: v, part: head, changed: v.changed}}, j.rank(), urgentWhole, v.dirtyAt}}
-}
-
-// unitsOf are the changes of one job that are due.
-func (d *Dispatch) unitsOf(j *job) []unit {
-	var units []unit
-	rank := j.rank()
-	if v := &j.storedValue; !v.inFlight && v.changed != v.durable && (!j.dividing || j.partsStored()) {
-		urgency := headUrgency(j)
-		if d.now() >= v.dirtyAt+commitDelay(urgency, j) {
-			units = append(units, unit{[]write{{j: j, v: v, part: head, changed: v.changed}}, rank, urgency, v.dirtyAt})
-		}
-	}
-	if j.Final() {
-		d.findParts(j)
-		return append(units, removals(j, rank)...)
-	}
-	_, txnOps := d.recordLimits()
-	parts := unit{rank: rank, urgency: urgentWhole} // of a gang, which starts whole
-	for i, v := range j.parts {
-		if v.isStored() || v.inFlight {
-			continue
-		}
-		w := write{j: j, v: v, part: i, changed: v.changed, guard: j.version}
-		urgency := partUrgency(j, v)
-		switch {
-		case j.Spec.Gang() && !j.dividing && len(j.parts) <= txnOps:
-			parts.writes = append(parts.writes, w)
-			parts.dirtyAt = max(parts.dirtyAt, v.dirtyAt)
-		case d.now() >= v.dirtyAt+commitDelay(urgency, j):
-			units = append(units, unit{[]write{w}, rank, urgency, v.dirtyAt})
-		}
-	}
-	if len(parts.writes) > 0 {
-		units = append(units, parts)
-	}
-	return units
-}
-
-// findParts looks for parts of a job that is over whose changes had no answer. Its head has
-// changed since, so that none of those changes can be carried out any more.
-func (d *Dispatch) findParts(j *job) {
-	uncertain := func(v *storedValue) bool { return v.uncertain }
-	if j.reading || !j.isStored() || !slices.ContainsFunc(j.parts, uncertain) {
-		return
-	}
-	j.reading = true
-	d.listParts(j, reading{}, func(r reading) {
-		for _, v := range j.parts {
-			v.version, v.uncertain = 0, false
-		}
-		for _, item := range r.parts {
-			if _, part, ok := ledger.ParsePartKey(item.Key); ok && part < len(j.parts) {
-				j.parts[part].version = item.Version
-			}
-		}
-	})
-}
-
 // removals are the parts of a job that is over which hold nothing that may still run.
 func removals(j *job, rank int) []unit {
 	if !j.isStored() {
@@ -203,3 +113,71 @@
 	endsTime     = 700 * clock.Millisecond
 	partEndsTime = 4 * clock.Second
 )
+
+// dirtyUnits are the changes that are due, and reads those records again that must be.
+func (rw *recordWriter) dirtyUnits() []unit {
+	var units []unit
+	for _, j := range inOrder(rw.jobs.byID) {
+		switch {
+		case j.reread && j.fence:
+			units = append(units, rw.fenceUnit(j)...)
+		case j.reread:
+			rw.reader.readAgain(j)
+		case j.partsUnread:
+		default:
+			if j.strayParts {
+				rw.reader.findStrayParts(j)
+			}
+			units = append(units, rw.unitsOf(j)...)
+		}
+	}
+	return units
+}
+
+// fenceUnit writes the head of a divided record anew before its parts are read. Changes of
+// parts that had no answer depend on the head's version: they can't be carried out any more
+// after it, while a read before it may not show them yet.
+func (rw *recordWriter) fenceUnit(j *job) []unit {
+	v := &j.storedValue
+	if v.inFlight {
+		return nil
+	}
+	v.touch(rw.now())
+	return []unit{{[]write{{j: j, v: v, part: head, changed: v.changed}}, j.rank(), urgentWhole, v.dirtyAt}}
+}
+
+// unitsOf are the changes of one job that are due.
+func (rw *recordWriter) unitsOf(j *job) []unit {
+	var units []unit
+	rank := j.rank()
+	if v := &j.storedValue; !v.inFlight && v.changed != v.durable && (!j.dividing || j.partsStored()) {
+		urgency := headUrgency(j)
+		if rw.now() >= v.dirtyAt+commitDelay(urgency, j) {
+			units = append(units, unit{[]write{{j: j, v: v, part: head, changed: v.changed}}, rank, urgency, v.dirtyAt})
+		}
+	}
+	if j.Final() {
+		rw.reader.findParts(j)
+		return append(units, removals(j, rank)...)
+	}
+	_, txnOps := rw.recordLimits()
+	parts := unit{rank: rank, urgency: urgentWhole} // of a gang, which starts whole
+	for i, v := range j.parts {
+		if v.isStored() || v.inFlight {
+			continue
+		}
+		w := write{j: j, v: v, part: i, changed: v.changed, guard: j.version}
+		urgency := partUrgency(j, v)
+		switch {
+		case j.Spec.Gang() && !j.dividing && len(j.parts) <= txnOps:
+			parts.writes = append(parts.writes, w)
+			parts.dirtyAt = max(parts.dirtyAt, v.dirtyAt)
+		case rw.now() >= v.dirtyAt+commitDelay(urgency, j):
+			units = append(units, unit{[]write{w}, rank, urgency, v.dirtyAt})
+		}
+	}
+	if len(parts.writes) > 0 {
+		units = append(units, parts)
+	}
+	return units
+}
--- a/internal/dispatch/commit.go
+++ b/internal/dispatch/recordwriter.go
@@ -6,58 +6,79 @@
 	"net/http"
 	"slices"
 
+	"postpoint/internal/clock"
 	"postpoint/internal/leadership"
 	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
 	"postpoint/internal/statestore"
 )
 
+// recordWriter commits changed job records, within the limits of the key-value store.
+type recordWriter struct {
+	*leaderTerm
+	store    statestore.Store
+	jobs     *jobTable
+	machines *machineTable
+	reader   *recordReader
+	commands *commandSender
+	host     *hostCell
+	steps    *stepTimer
+
+	committing bool
+	// pauseUntil is set after the store has refused a request.
+	pauseUntil clock.Micros
+	// tightened reports that the store was seen to refuse what its first limits allow.
+	tightened bool
+	// learnedOps is how many changes a transaction may have as far as is known, 0: as set.
+	learnedOps int
+}
+
 // txnBytes is how much of the 64 KiB that a transaction may have is used:
 // sizes are counted as JSON, which is a little longer than what is measured.
 const txnBytes = 40 << 10
 
+// transaction is a transaction in the making.
+type transaction struct {
+	protocol.Txn
+	writes []write
+	size   int
+}
+
+// guard adds a condition once.
+func (t *transaction) guard(key string, version int64) {
+	g := protocol.Guard{Key: key, Version: version}
+	if !slices.Contains(t.Guards, g) {
+		t.Guards = append(t.Guards, g)
+	}
+}
+
 // commit writes changed records, many in one transaction, each guarded by its
 // own version and all by the leader's key: a deposed leader changes nothing.
-func (d *Dispatch) commit() {
-	if d.committing || d.now() < d.pauseUntil {
+func (rw *recordWriter) commit() {
+	if rw.committing || rw.now() < rw.pauseUntil {
 		return
 	}
-	units := d.dirtyUnits()
+	units := rw.dirtyUnits()
 	if len(units) == 0 {
-		d.sweepOrphans()
+		rw.sweepOrphans()
 		return
 	}
 	slices.SortFunc(units, func(a, b unit) int {
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.urgency, b.urgency), cmp.Compare(a.dirtyAt, b.dirtyAt),
 			cmp.Compare(a.writes[0].j.Spec.ID, b.writes[0].j.Spec.ID), cmp.Compare(a.writes[0].part, b.writes[0].part))
 	})
-	t := transaction{Txn: protocol.Txn{Guards: []protocol.Guard{{Key: leadership.Key, Version: d.term.Epoch}}}}
+	t := transaction{Txn: protocol.Txn{Guards: []protocol.Guard{{Key: leadership.Key, Version: rw.term.Epoch}}}}
 	for _, u := range units {
-		d.add(&t, u)
+		rw.add(&t, u)
 	}
 	if len(t.writes) > 0 {
-		d.send(t.Txn, func(r statestore.Reply[protocol.TxnAnswer]) { d.committed(t.writes, r) })
-	}
-}
-
-// transaction is a transaction in the making.
-type transaction struct {
-	protocol.Txn
-	writes []write
-	size   int
-}
-
-// guard adds a condition once.
-func (t *transaction) guard(key string, version int64) {
-	g := protocol.Guard{Key: key, Version: version}
-	if !slices.Contains(t.Guards, g) {
-		t.Guards = append(t.Guards, g)
+		rw.send(t.Txn, func(r statestore.Reply[protocol.TxnAnswer]) { rw.committed(t.writes, r) })
 	}
 }
 
 // add takes a unit into the transaction if there is room for all of it.
-func (d *Dispatch) add(t *transaction, u unit) {
-	limit, txnOps := d.recordLimits()
+func (rw *recordWriter) add(t *transaction, u unit) {
+	limit, txnOps := rw.recordLimits()
 	if len(t.writes)+len(u.writes) > txnOps {
 		return
 	}
@@ -67,7 +88,7 @@
 		w := &u.writes[i]
 		changes[i] = w.change()
 		size += len(changes[i].Value)
-		if d.tooLarge(w, changes[i].Value, limit) {
+		if rw.tooLarge(w, changes[i].Value, limit) {
 			return
 		}
 	}
@@ -82,13 +103,13 @@
 		t.guard(w.key(), w.v.version)
 		t.Changes = append(t.Changes, changes[i])
 		t.writes = append(t.writes, w)
-		w.v.inFlight, w.v.dirtyAt = true, d.now()
+		w.v.inFlight, w.v.dirtyAt = true, rw.now()
 	}
 }
 
 // tooLarge tells that a value can't be stored as it is. An undivided record is divided if
 // it may be; until then its job goes on with what is stored, and other changes go out.
-func (d *Dispatch) tooLarge(w *write, value []byte, limit int) bool {
+func (rw *recordWriter) tooLarge(w *write, value []byte, limit int) bool {
 	if len(value) < limit/2 && w.v.refusedBytes == 0 {
 		return false
 	}
@@ -96,61 +117,61 @@
 	if size <= ledger.Usable(limit) && (w.v.refusedBytes == 0 || size < w.v.refusedBytes) {
 		return false
 	}
-	if w.part == head && w.j.PartSize == 0 && d.format.Open {
-		d.divide(w.j)
-		d.wake()
+	if w.part == head && w.j.PartSize == 0 && rw.format.Open {
+		rw.divide(w.j)
+		rw.steps.wake()
 	}
 	return true
 }
 
 // send commits a transaction, one at a time.
-func (d *Dispatch) send(t protocol.Txn, answered func(statestore.Reply[protocol.TxnAnswer])) {
-	d.committing = true
-	epoch := d.term.Epoch
-	d.store.Commit(statestore.ForLeader, t, func(r statestore.Reply[protocol.TxnAnswer]) {
-		if d.term.Epoch != epoch {
+func (rw *recordWriter) send(t protocol.Txn, answered func(statestore.Reply[protocol.TxnAnswer])) {
+	rw.committing = true
+	epoch := rw.term.Epoch
+	rw.store.Commit(statestore.ForLeader, t, func(r statestore.Reply[protocol.TxnAnswer]) {
+		if rw.term.Epoch != epoch {
 			return
 		}
-		d.committing = false
+		rw.committing = false
 		answered(r)
-		d.wake()
+		rw.steps.wake()
 	})
 }
 
 // sweepOrphans removes parts that belong to no divided record: a leader ended while it
 // divided one.
-func (d *Dispatch) sweepOrphans() {
-	if len(d.orphans) == 0 {
+func (rw *recordWriter) sweepOrphans() {
+	if len(rw.jobs.strayShards) == 0 {
 		return
 	}
-	_, txnOps := d.recordLimits()
-	t := protocol.Txn{Guards: []protocol.Guard{{Key: leadership.Key, Version: d.term.Epoch}}}
-	for key, version := range inOrder(d.orphans) {
+	_, txnOps := rw.recordLimits()
+	t := protocol.Txn{Guards: []protocol.Guard{{Key: leadership.Key, Version: rw.term.Epoch}}}
+	for key, version := range inOrder(rw.jobs.strayShards) {
 		if len(t.Changes) == txnOps {
 			break
 		}
 		t.Guards = append(t.Guards, protocol.Guard{Key: key, Version: version})
 		t.Changes = append(t.Changes, protocol.Change{Delete: key})
 	}
-	d.send(t, func(r statestore.Reply[protocol.TxnAnswer]) {
+	rw.send(t, func(r statestore.Reply[protocol.TxnAnswer]) {
 		switch r.Status {
 		case http.StatusOK:
 			for _, c := range t.Changes {
-				delete(d.orphans, c.Delete)
+				delete(rw.jobs.strayShards, c.Delete)
 			}
 		case http.StatusConflict:
 			// Another request has changed them, an earlier copy of this one most likely.
 			for _, key := range r.Value.Failed {
-				delete(d.orphans, key)
+				delete(rw.jobs.strayShards, key)
 			}
 		default:
-			d.pauseUntil = d.now() + retryDelay
+			rw.pauseUntil = rw.now() + retryDelay
 		}
 	})
 }
 
 // committed handles the answer to a transaction.
-func (d *Dispatch) committed(writes []write, r statestore.Reply[protocol.TxnAnswer]) {
+func (rw *recordWriter) committed(writes []write, r statestore.Reply[protocol.TxnAnswer]) {
 	for _, w := range writes {
 		w.v.inFlight = false
 		if !w.v.uncertain && !r.Unknown() && r.Status < http.StatusInternalServerError {
@@ -159,19 +180,19 @@
 	}
 	switch {
 	case r.Status == http.StatusOK:
-		d.noteDurable(writes, r.Value.Revision)
+		rw.noteDurable(writes, r.Value.Revision)
 	case r.Status == http.StatusConflict && slices.Contains(r.Value.Failed, leadership.Key):
-		slog.Info("the leader's key changed hands", "epoch", d.term.Epoch)
-		d.term.ValidUntil = 0
-		d.deposed(d.term.Epoch + 1)
+		slog.Info("the leader's key changed hands", "epoch", rw.term.Epoch)
+		rw.term.ValidUntil = 0
+		rw.deposed(rw.term.Epoch + 1)
 		return
 	case r.Status == http.StatusConflict:
-		d.noteConflicts(writes, r.Value.Failed)
+		rw.noteConflicts(writes, r.Value.Failed)
 	case r.Status == http.StatusBadRequest:
-		d.noteRefused(writes, r.Value.Error)
+		rw.noteRefused(writes, r.Value.Error)
 	case r.Status == http.StatusTooManyRequests || r.Status == http.StatusServiceUnavailable:
 		// Not executed: the same changes go again after a pause.
-		d.pauseUntil = d.now() + retryDelay
+		rw.pauseUntil = rw.now() + retryDelay
 	case r.Unknown() || r.Status >= http.StatusInternalServerError:
 		// It may have been carried out, or may be seconds from now. Until something
 		// else is written at these versions nothing that it says may be forgotten: a
@@ -179,13 +200,13 @@
 		// the same. So it goes again as it stands by then; only one of the two can apply,
 		// and if it was the first, the second is refused and the records are read.
 		slog.Info("a change has no answer, it goes again", "status", r.Status, "reason", r.Value.Error, "records", len(writes))
-		d.pauseUntil = d.now() + retryDelay
+		rw.pauseUntil = rw.now() + retryDelay
 		for _, w := range writes {
 			w.v.uncertain = true
 		}
 	default:
 		slog.Error("a change is refused, reading the records", "status", r.Status, "reason", r.Value.Error, "records", len(writes))
-		d.pauseUntil = d.now() + retryDelay
+		rw.pauseUntil = rw.now() + retryDelay
 		for _, w := range writes {
 			w.j.reread, w.j.fence = true, w.part != head && !w.j.dividing
 		}
@@ -193,14 +214,14 @@
 	for _, w := range writes {
 		if e := w.j.followedEvent; e != nil && !w.j.inFlight && !w.j.reading {
 			w.j.followedEvent = nil
-			d.adopt(e.Put, e.Value, e.Version)
+			rw.reader.adopt(e.Put, e.Value, e.Version)
 		}
-		d.retire(w.j)
+		rw.jobs.retire(w.j)
 	}
 }
 
 // noteConflicts has the records read that somebody else has changed: only they tell.
-func (d *Dispatch) noteConflicts(writes []write, failed []string) {
+func (rw *recordWriter) noteConflicts(writes []write, failed []string) {
 	for _, w := range writes {
 		j := w.j
 		headChanged := slices.Contains(failed, ledger.Key(j.Spec.ID))
@@ -217,7 +238,7 @@
 		case j.Final():
 			w.v.uncertain = true // it is looked for, to be removed
 		case j.dividing:
-			d.abandonDivision(j)
+			rw.jobs.abandonDivision(j)
 		default:
 			j.reread, j.fence = true, true
 		}
@@ -227,14 +248,14 @@
 // noteRefused learns from a change that the state service takes for malformed: its limits
 // have become tighter. The change goes again within tighter ones, first those that were
 // announced, then whatever is found by halves.
-func (d *Dispatch) noteRefused(writes []write, reason string) {
-	slog.Error("a change is too large for the state service", "reason", reason, "values", len(writes), "known", d.tightened)
-	d.pauseUntil = d.now() + retryDelay
+func (rw *recordWriter) noteRefused(writes []write, reason string) {
+	slog.Error("a change is too large for the state service", "reason", reason, "values", len(writes), "known", rw.tightened)
+	rw.pauseUntil = rw.now() + retryDelay
 	switch {
-	case !d.tightened:
-		d.tightened = true
+	case !rw.tightened:
+		rw.tightened = true
 	case len(writes) > 1:
-		d.learnedOps = len(writes) / 2
+		rw.learnedOps = len(writes) / 2
 	default:
 		w := &writes[0]
 		w.v.refusedBytes = protocol.JSONSize(w.change().Value)
@@ -242,7 +263,7 @@
 }
 
 // noteDurable marks what a transaction has written, and tells the machines concerned.
-func (d *Dispatch) noteDurable(writes []write, revision int64) {
+func (rw *recordWriter) noteDurable(writes []write, revision int64) {
 	touched := map[string]*machine{}
 	for _, w := range writes {
 		w.v.version, w.v.durable, w.v.refusedBytes = revision, w.changed, 0
@@ -255,22 +276,22 @@
 		}
 		if w.part == head {
 			w.j.fence = false
-			d.noteGuestStored(w.j)
+			rw.host.noteGuestStored(w.j)
 		}
 		w.v.fresh = slices.DeleteFunc(w.v.fresh, func(task int) bool {
 			p, placed := w.j.Placed[task]
 			if placed && !w.j.committed(p) {
 				return false
 			}
-			if m := d.machines[p.Machine]; placed && m != nil {
+			if m := rw.machines.byName[p.Machine]; placed && m != nil {
 				touched[m.name] = m
 			}
 			return true
 		})
 	}
-	if !d.strained() {
+	if !rw.steps.overloaded() {
 		for _, m := range inOrder(touched) {
-			d.pushOrders(m)
+			rw.commands.push(m)
 		}
 	}
 }
--- /dev/null
+++ b/internal/dispatch/replicas.go
@@ -0,0 +1,71 @@
+package dispatch
+
+import (
+	"math/rand/v2"
+
+	"postpoint/internal/clock"
+)
+
+// restart is a replica's wait for its next start.
+type restart struct {
+	failures int // short runs in a row
+	until    clock.Micros
+}
+
+const (
+	// goodRun is how long a replica has to run for its earlier failures to be forgotten.
+	goodRun = 30 * clock.Second
+	// The first restart is immediate; each short run after it doubles the wait.
+	firstRestartPause = clock.Second
+	maxRestartPause   = 30 * clock.Second
+	maxRestartDoubled = 5
+	restartJitter     = 0.25
+)
+
+// newRandom is a source of jitter that the same events draw the same numbers from.
+func newRandom(epoch int64) *rand.Rand { return rand.New(rand.NewPCG(uint64(epoch), 0)) }
+
+// restartable are those of a service's pending replicas that needn't wait.
+func (j *job) restartable(pending []int, now clock.Micros) []int {
+	if len(j.restarts) == 0 {
+		return pending
+	}
+	var due []int
+	for _, task := range pending {
+		if now >= j.restarts[task].until {
+			due = append(due, task)
+		}
+	}
+	return due
+}
+
+// waitingRestarts counts the replicas that wait for their next start.
+func (j *job) waitingRestarts(now clock.Micros) int {
+	n := 0
+	for task, r := range j.restarts {
+		if _, placed := j.Placed[task]; !placed && now < r.until {
+			n++
+		}
+	}
+	return n
+}
+
+// heardCount is how many machines are heard of as they should be.
+type heardCount struct{ heard, expected int }
+
+func (c heardCount) most() bool { return 2*c.heard >= c.expected }
+
+const (
+	// replicaPriceTimes the cheapest machine's price is about as little.
+	replicaPriceTimes = 2.5
+	// maxSpareForLoss bounds the places kept for the loss of a machine.
+	maxSpareForLoss = 8
+)
+
+const (
+	// takeoverTime is what workers take to find a new leader.
+	takeoverTime = 8 * clock.Second
+	missedMargin = 750 * clock.Millisecond
+	// probeTime is longer than a worker that isn't silent takes to answer.
+	probeTime = 1500 * clock.Millisecond
+)
--- a/internal/dispatch/reserve.go
+++ b/internal/dispatch/reserve.go
@@ -6,6 +6,7 @@
 
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
+	"postpoint/internal/recovery"
 )
 
 // reservePrefix marks room that is kept for the loss of a zone.
@@ -13,16 +14,16 @@
 
 // reserved are places that other zones have for a share of what each zone runs, if the settings
 // of recoveries ask for it. They come after everything that waits.
-func (d *Dispatch) reserved() []planner.Job {
-	if d.recovery.settings == nil || d.recovery.settings.Reserve.Share == 0 || d.anyAvoided() {
+func (sb *snapshotBuilder) reserved() []planner.Job {
+	if sb.zones.options == nil || sb.zones.options.Reserve.Share == 0 || sb.zones.anyAvoided() {
 		return nil // a zone that isn't well is what the room is for
 	}
-	part := d.recovery.settings.Reserve
+	part := sb.zones.options.Reserve
 	most := map[string]map[string]int{} // tasks by class and zone
 	specs := map[string]*protocol.JobSpec{}
-	for _, m := range d.roster {
+	for _, m := range sb.machines.ordered {
 		for id, tasks := range m.placed {
-			j := d.jobs[id]
+			j := sb.jobs.byID[id]
 			if j == nil || j.over() || j.Spec.Zone != "" || len(part.Classes) > 0 && !slices.Contains(part.Classes, j.Spec.Class) {
 				continue
 			}
@@ -36,16 +37,16 @@
 	var jobs []planner.Job
 	for class, zones := range inOrder(most) {
 		for lost, running := range inOrder(zones) {
-			jobs = append(jobs, d.reserveFor(specs[class], lost, int(math.Ceil(part.Share*float64(running))))...)
+			jobs = append(jobs, sb.reserveFor(specs[class], lost, int(math.Ceil(part.Share*float64(running))))...)
 		}
 	}
 	return jobs
 }
 
 // reserveFor keeps n places for tasks like one of a spec in the zones but one, evenly.
-func (d *Dispatch) reserveFor(like *protocol.JobSpec, lost string, n int) []planner.Job {
+func (sb *snapshotBuilder) reserveFor(like *protocol.JobSpec, lost string, n int) []planner.Job {
 	var others []string
-	for name := range inOrder(d.recovery.zones) {
+	for name := range inOrder(sb.zones.zones) {
 		if name != lost {
 			others = append(others, name)
 		}
@@ -67,3 +68,67 @@
 	}
 	return jobs
 }
+
+// expectedBack are the tasks of lost zones that will have to start elsewhere, once each.
+func (sb *snapshotBuilder) expectedBack() []planner.Job {
+	if sb.zones.options == nil || !sb.zones.anyLost() {
+		return nil
+	}
+	lost := map[string]int{} // by job
+	for _, m := range sb.machines.ordered {
+		if z := sb.zones.zones[m.zone]; z == nil || z.Phase != recovery.Lost || !sb.machines.late(m) {
+			continue
+		}
+		for id, tasks := range m.placed {
+			lost[id] += len(tasks)
+		}
+	}
+	var jobs []planner.Job
+	for id, n := range inOrder(lost) {
+		j := sb.jobs.byID[id]
+		if j == nil || j.over() || j.Spec.Zone != "" && sb.zones.avoided(j.Spec.Zone) {
+			continue
+		}
+		spec := j.Spec
+		spec.Shape, spec.Tasks = protocol.ShapeArray, n
+		tier, slack := sb.objectives.aims(j)
+		pj := planner.Job{ID: lostPrefix + id, Spec: &spec, Rank: j.rank(), SubmittedAt: j.SubmittedAt, Tier: tier, SlackS: slack,
+			StartS: sb.objectives.startLeft(j), Limit: n, Avoid: j.avoid}
+		if spec.OneZone || spec.Spread {
+			spec.OneZone, spec.Tasks = false, j.Spec.Tasks
+			pj.Zones = sb.zonesLeft(j)
+		}
+		for task := range n {
+			pj.Pending = append(pj.Pending, task)
+		}
+		jobs = append(jobs, pj)
+	}
+	return jobs
+}
+
+// zonesLeft counts a job's tasks by zone, those in lost zones left out: theirs will be gone.
+func (sb *snapshotBuilder) zonesLeft(j *job) map[string]int {
+	zones := map[string]int{}
+	for _, p := range j.Placed {
+		if m := sb.machines.byName[p.Machine]; m != nil && !sb.zones.lost(m.zone) {
+			zones[m.zone]++
+		}
+	}
+	return zones
+}
+
+// spareReplicas is how many places are kept for replicas of a class: for one more job, for
+// those that come while a machine boots, and for the loss of the machine with most replicas.
+func (sb *snapshotBuilder) spareReplicas(u classUse) int {
+	recent, largest := 0, 0
+	for _, a := range u.arrivals {
+		recent += a.tasks
+		largest = max(largest, a.tasks)
+	}
+	boot := 0.0
+	for _, name := range sb.catalogue.replicaTypes(&u.spec) {
+		boot = max(boot, sb.catalogue.byName[name].BootS)
+	}
+	coming := int(math.Ceil(float64(recent) * boot * soonBoots / rateTime.Seconds()))
+	return max(coming, largest) + sb.machines.mostReplicas()
+}
--- a/internal/dispatch/schedule.go
+++ b/internal/dispatch/scheduler.go
@@ -13,31 +13,58 @@
 	"postpoint/internal/planner"
 )
 
+// taskScheduler makes plans and turns them into placements, preemptions and rentals.
+type taskScheduler struct {
+	*leaderTerm
+	jobs       *jobTable
+	machines   *machineTable
+	catalogue  *machineCatalogue
+	writer     *recordWriter
+	commands   *commandSender
+	autoscaler *autoscaler
+	snapshots  *snapshotBuilder
+	host       *hostCell
+	zones      *zoneRecovery
+
+	plans int // made in this term
+}
+
 // planTasks bounds how many tasks of one job a single plan starts.
 const planTasks = 2000
 
+const (
+	// unmetTime is after which machines that were wanted and haven't come are taken
+	// not to: longer than any boots, and less than the 90 s that users give other jobs.
+	unmetTime = 60 * clock.Second
+	// wantedGap is longer than it takes from one plan to the next.
+	wantedGap = 10 * clock.Second
+)
+
+// debugging spares the cost of what would be thrown away.
+func debugging() bool { return slog.Default().Enabled(context.Background(), slog.LevelDebug) }
+
 // schedule plans from what is known now and turns the plan into proposals.
-func (d *Dispatch) schedule() {
-	if len(d.catalogue) == 0 {
+func (ts *taskScheduler) schedule() {
+	if len(ts.catalogue.list) == 0 {
 		return
 	}
-	d.divideLarge()
-	snapshot, plan := d.makePlan()
-	d.carryOutPlaces(plan.Places)
-	d.carryOutStops(plan.Stops)
-	d.noteWants(plan.Wants)
-	d.rent(slices.Concat(plan.Wants, d.cheaper(plan, snapshot), d.beyondReserve(&snapshot)))
+	ts.writer.divideLarge()
+	snapshot, plan := ts.makePlan()
+	ts.carryOutPlaces(plan.Places)
+	ts.carryOutStops(plan.Stops)
+	ts.noteWants(plan.Wants)
+	ts.autoscaler.rent(slices.Concat(plan.Wants, ts.cheaper(plan, snapshot), ts.host.beyondReserve(&snapshot)))
 }
 
 // makePlan plans, and takes cordoned machines back if there is need of them.
-func (d *Dispatch) makePlan() (planner.Snapshot, planner.Plan) {
-	d.plans++
-	snapshot := d.snapshot()
+func (ts *taskScheduler) makePlan() (planner.Snapshot, planner.Plan) {
+	ts.plans++
+	snapshot := ts.snapshots.snapshot()
 	plan := planner.Make(snapshot)
 	// Each look costs a plan, and hundreds may have been spared.
-	for n := 1; len(plan.Wants) > 0 && d.uncordon(plan.Wants, n); n *= 2 {
-		d.plans++
-		snapshot = d.snapshot()
+	for n := 1; len(plan.Wants) > 0 && ts.autoscaler.uncordon(plan.Wants, n); n *= 2 {
+		ts.plans++
+		snapshot = ts.snapshots.snapshot()
 		plan = planner.Make(snapshot)
 	}
 	return snapshot, plan
@@ -46,76 +73,65 @@
 // carryOutPlaces proposes placements. A gang of which a part would boot yet stays whole:
 // placed in part it would hold its places, fail for want of the rest and start over. The
 // plan has kept the room for it.
-func (d *Dispatch) carryOutPlaces(places []planner.Place) {
+func (ts *taskScheduler) carryOutPlaces(places []planner.Place) {
 	booting := map[string]bool{}
 	for _, p := range places {
-		if p.Booting && !strings.HasPrefix(p.Job, sparePrefix) && d.jobs[p.Job].Spec.Gang() {
+		if p.Booting && !strings.HasPrefix(p.Job, sparePrefix) && ts.jobs.byID[p.Job].Spec.Gang() {
 			booting[p.Job] = true
 		}
 	}
 	for _, p := range places {
 		if strings.HasPrefix(p.Job, sparePrefix) {
-			d.machines[p.Machine].spareAt = d.now()
+			ts.machines.byName[p.Machine].spareAt = ts.now()
 			continue
 		}
 		if p.Booting || booting[p.Job] {
 			continue
 		}
-		j, m := d.jobs[p.Job], d.machines[p.Machine]
+		j, m := ts.jobs.byID[p.Job], ts.machines.byName[p.Machine]
 		if debugging() {
 			slog.Debug("placing task", "job", p.Job, "class", j.Spec.Class, "task", p.Task, "machine", m.name, "type", m.typ,
-				"image_there", m.hasImage(j.Spec.Image), "since_submission_s", (d.mailbox.OfDay() - clock.Micros(j.SubmittedAt)).Seconds())
+				"image_there", m.hasImage(j.Spec.Image), "since_submission_s", (ts.mailbox.OfDay() - clock.Micros(j.SubmittedAt)).Seconds())
 		}
-		d.place(j, ledger.Placement{Task: p.Task, Attempt: j.currentAttempt(), Machine: m.name, Session: m.session})
+		ts.jobs.place(j, ledger.Placement{Task: p.Task, Attempt: j.currentAttempt(), Machine: m.name, Session: m.session})
 		if j.Displaced != "" && j.PendingCount() == 0 {
-			d.settle(j) // all that a lost zone took has places again
+			ts.zones.settle(j) // all that a lost zone took has places again
 		}
 	}
 }
 
 // carryOutStops makes room for the jobs that it is planned for, which owe it.
-func (d *Dispatch) carryOutStops(stops []planner.Stop) {
+func (ts *taskScheduler) carryOutStops(stops []planner.Stop) {
 	for _, s := range stops {
-		j, winner := d.jobs[s.Job], d.jobs[s.For]
+		j, winner := ts.jobs.byID[s.Job], ts.jobs.byID[s.For]
 		slog.Info("making room", "from", s.Job, "task", s.Task, "for", s.For)
-		d.stop(j, s.Task, "room", s.For)
+		ts.commands.stop(j, s.Task, "room", s.For)
 		if winner.Lend(s.Job) {
-			d.touchHead(winner)
+			ts.jobs.touchHead(winner)
 		}
 	}
 }
 
 // noteWants keeps since when machines have been wanted for a job.
-func (d *Dispatch) noteWants(wants []planner.Want) {
+func (ts *taskScheduler) noteWants(wants []planner.Want) {
 	for _, w := range wants {
-		if j := d.jobs[w.Job.ID]; j != nil {
-			if j.wantedAt == 0 || d.now() > j.wantedAt+wantedGap {
-				j.wantedFrom = d.now()
+		if j := ts.jobs.byID[w.Job.ID]; j != nil {
+			if j.wantedAt == 0 || ts.now() > j.wantedAt+wantedGap {
+				j.wantedFrom = ts.now()
 			}
-			j.wantedAt, j.wantedTasks = d.now(), w.Tasks
+			j.wantedAt, j.wantedTasks = ts.now(), w.Tasks
 		}
 	}
 }
 
-const (
-	// unmetTime is after which machines that were wanted and haven't come are taken
-	// not to: longer than any boots, and less than the 90 s that users give other jobs.
-	unmetTime = 60 * clock.Second
-	// wantedGap is longer than it takes from one plan to the next.
-	wantedGap = 10 * clock.Second
-)
-
-// debugging spares the cost of what would be thrown away.
-func debugging() bool { return slog.Default().Enabled(context.Background(), slog.LevelDebug) }
-
 // cheaper are the tasks that wait for costly machines to boot: a cheaper place
 // is rented if there is any, and leaves the costly one to those who need it.
-func (d *Dispatch) cheaper(plan planner.Plan, s planner.Snapshot) []planner.Want {
-	market := d.market()
+func (ts *taskScheduler) cheaper(plan planner.Plan, s planner.Snapshot) []planner.Want {
+	market := ts.autoscaler.market()
 	waiting := map[string][]fleet.Kind{} // by job, the kinds that its tasks wait for
 	for _, p := range plan.Places {
 		if p.Booting {
-			waiting[p.Job] = append(waiting[p.Job], d.machines[p.Machine].kind())
+			waiting[p.Job] = append(waiting[p.Job], ts.machines.byName[p.Machine].kind())
 		}
 	}
 	var wants []planner.Want
@@ -135,3 +151,15 @@
 	}
 	return wants
 }
+
+// stepCost is what a step is taken to cost, for a pause after it that leaves the
+// processor to heartbeats, renewals and users: a leader that plans without a break at
+// a tenth of a core is late for everything else. Each part is counted rather
+// than timed, so that the same events always lead to the same decisions.
+func (ts *taskScheduler) stepCost() clock.Micros {
+	placed := 0
+	for _, j := range ts.jobs.byID {
+		placed += len(j.Placed)
+	}
+	return clock.Micros(len(ts.machines.ordered)*machineCost + len(ts.jobs.byID)*jobCost + placed*placedCost)
+}
--- a/internal/dispatch/service_test.go
+++ b/internal/dispatch/service_test.go
@@ -10,14 +10,14 @@
 )
 
 // service is a leader with a service of three replicas, the first of which runs on m-1.
-func service(t *testing.T) (*Dispatch, *job, *machine) {
+func service(t *testing.T) (*Leader, *job, *machine) {
 	t.Helper()
 	d, _ := leader()
 	content := ledger.New(protocol.JobSpec{ID: "job-1", Class: "portal", Shape: protocol.ShapeService, Rank: "prod", Tasks: 3}, 1)
 	content.Placed[0] = ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1}
-	d.adopt(ledger.Key("job-1"), content.Encode(), 5)
-	d.observe(d.machines["m-1"], report(1, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskRunning}))
-	return d, d.jobs["job-1"], d.machines["m-1"]
+	d.reader.adopt(ledger.Key("job-1"), content.Encode(), 5)
+	d.reconciler.observe(d.machines.byName["m-1"], report(1, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskRunning}))
+	return d, d.jobs.byID["job-1"], d.machines.byName["m-1"]
 }
 
 // Whatever a replica ends with, it is to run again under another attempt, and the service
@@ -25,7 +25,7 @@
 func TestReplicasRunAgainWhateverTheirEnd(t *testing.T) {
 	for _, cause := range []string{protocol.CauseDone, protocol.CauseError, protocol.CausePeers, protocol.CauseStopped, "unheard of"} {
 		d, j, m := service(t)
-		d.observe(m, report(1, 2, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskExited, Cause: cause}))
+		d.reconciler.observe(m, report(1, 2, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskExited, Cause: cause}))
 		if j.Final() || j.Done.Len() > 0 || len(j.Placed) > 0 || j.NextAttempt < 2 {
 			t.Errorf("%s: final %v, done %v, placed %v, next try %d", cause, j.Final(), j.Done.String(), j.Placed, j.NextAttempt)
 		}
@@ -45,7 +45,7 @@
 	d, j, m := service(t)
 	p := ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1}
 	end := func(ran clock.Micros) clock.Micros {
-		d.replicaEnded(m, j, p, protocol.CauseError, ran)
+		d.reconciler.replicaEnded(m, j, p, protocol.CauseError, ran)
 		return j.restarts[0].until - d.now()
 	}
 	if first := end(clock.Second); first != 0 {
@@ -82,12 +82,12 @@
 // the service is over: a late copy of the start would run it again.
 func TestEndsOfReplicasAreRemembered(t *testing.T) {
 	d, j, m := service(t)
-	d.place(j, ledger.Placement{Task: 1, Attempt: 1, Machine: "m-1", Session: 1})
+	d.jobs.place(j, ledger.Placement{Task: 1, Attempt: 1, Machine: "m-1", Session: 1})
 	j.durable = j.changed
 	m.settled = false
-	d.orders(m, true)
+	d.commands.commandsFor(m, true)
 	ref := taskRef{"job-1", 1, 1}
-	delete(d.jobs, "job-1")
+	delete(d.jobs.byID, "job-1")
 	if !mayRepeat(m, ref, protocol.TaskReport{Cause: protocol.CauseDone}) {
 		t.Error("a replica that ended as done counts as one that doesn't run again")
 	}
@@ -99,8 +99,8 @@
 	raw := protocol.Encode(map[string]any{
 		"spec": protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeService, Tasks: 2}, "at": 1, "done": "0", "try": 4,
 	})
-	d.adopt(ledger.Key("job-1"), raw, 5)
-	j := d.jobs["job-1"]
+	d.reader.adopt(ledger.Key("job-1"), raw, 5)
+	j := d.jobs.byID["job-1"]
 	if j.Done.Len() != 0 || j.PendingCount() != 2 || j.NextAttempt != 4 {
 		t.Fatalf("done %v, pending %d, next try %d", j.Done.String(), j.PendingCount(), j.NextAttempt)
 	}
@@ -109,7 +109,7 @@
 // Replicas aren't taken for borrowed work of their team, which others' guarantees end.
 func TestReplicasArentBorrowed(t *testing.T) {
 	d, _, _ := service(t)
-	s := d.snapshot()
+	s := d.snapshots.snapshot()
 	markBorrowed(&s)
 	for _, j := range s.Jobs {
 		for _, r := range j.Running {
@@ -125,22 +125,22 @@
 func TestReplicasMoveOneAtATime(t *testing.T) {
 	d, j, m := service(t)
 	for task := 1; task < 3; task++ {
-		d.place(j, ledger.Placement{Task: task, Attempt: 1, Machine: "m-1", Session: 1})
+		d.jobs.place(j, ledger.Placement{Task: task, Attempt: 1, Machine: "m-1", Session: 1})
 	}
 	m.addr = "" // nothing is sent
 	m.recallAt = d.now() + 20*clock.Second
-	d.drain()
-	d.drain()
+	d.health.drain()
+	d.health.drain()
 	if len(j.stops) != 1 {
 		t.Fatalf("%d replicas are stopped at once", len(j.stops))
 	}
-	d.unplace(j, j.Placed[0])
-	d.drain()
+	d.jobs.unplace(j, j.Placed[0])
+	d.health.drain()
 	if len(j.stops) != 0 {
 		t.Fatal("the next is stopped before the first is placed again")
 	}
-	d.place(j, ledger.Placement{Task: 0, Attempt: 2, Machine: "m-2", Session: 1})
-	d.drain()
+	d.jobs.place(j, ledger.Placement{Task: 0, Attempt: 2, Machine: "m-2", Session: 1})
+	d.health.drain()
 	if len(j.stops) != 1 {
 		t.Fatal("the next isn't stopped")
 	}
@@ -150,35 +150,35 @@
 // come while one boots and for the machine with most replicas.
 func TestSpareReplicas(t *testing.T) {
 	d, _, m := service(t)
-	d.onTypes = func([]protocol.MachineType) {}
-	d.takeCatalogue([]protocol.MachineType{
+	d.catalogue.published = func([]protocol.MachineType) {}
+	d.catalogue.replace([]protocol.MachineType{
 		{Name: "small", Cpus: 8, MemoryGB: 16, Price: 0.5, SpotPrice: 0.2, BootS: 20, Zones: []string{"a"}},
 		{Name: "middle", Cpus: 16, MemoryGB: 64, Price: 1.2, SpotPrice: 0.5, BootS: 40, Zones: []string{"a"}},
 		{Name: "large", Cpus: 64, MemoryGB: 256, Price: 5, SpotPrice: 2, BootS: 30, Zones: []string{"a"}},
 	})
 	spec := protocol.JobSpec{Class: "portal", Shape: protocol.ShapeService, Tasks: 4, Cpus: 1}
-	if types := d.replicaTypes(&spec); len(types) != 2 || types[0] != "small" || types[1] != "middle" {
+	if types := d.catalogue.replicaTypes(&spec); len(types) != 2 || types[0] != "small" || types[1] != "middle" {
 		t.Fatalf("types %v", types)
 	}
 	spec.Cpus = 12
-	if types := d.replicaTypes(&spec); len(types) != 1 || types[0] != "middle" {
+	if types := d.catalogue.replicaTypes(&spec); len(types) != 1 || types[0] != "middle" {
 		t.Fatalf("types %v", types)
 	}
 	spec.Cpus = 1
 	m.view.Replicas = 3
 	one := classUse{spec: spec, arrivals: []arrival{{d.now(), 4}}}
-	if n := d.spareReplicas(one); n != 4+3 {
+	if n := d.snapshots.spareReplicas(one); n != 4+3 {
 		t.Errorf("after one job %d places", n)
 	}
 	many := classUse{spec: spec}
 	for range 6 {
 		many.arrivals = append(many.arrivals, arrival{d.now(), 4})
 	}
-	if n := d.spareReplicas(many); n != 24+3 { // six jobs a minute, a minute to boot at worst
+	if n := d.snapshots.spareReplicas(many); n != 24+3 { // six jobs a minute, a minute to boot at worst
 		t.Errorf("after six jobs in a minute %d places", n)
 	}
 	m.view.Replicas = 100
-	if n := d.spareReplicas(one); n != 4+maxSpareForLoss {
+	if n := d.snapshots.spareReplicas(one); n != 4+maxSpareForLoss {
 		t.Errorf("with a crowded machine %d places", n)
 	}
 }
@@ -192,19 +192,19 @@
 		for task := range 4 {
 			content.Placed[task] = ledger.Placement{Task: task, Attempt: 1, Machine: "m-" + string(rune('1'+task)), Session: 1}
 		}
-		d.adopt(ledger.Key("job-1"), content.Encode(), 5)
+		d.reader.adopt(ledger.Key("job-1"), content.Encode(), 5)
 		for i := range others {
-			m := d.machine("m-9" + string(rune('0'+i)))
+			m := d.machines.get("m-9" + string(rune('0'+i)))
 			m.seen, m.zone, m.heardAt = true, "a", box.Now+takeoverTime
 		}
 		box.Now += takeoverTime + clock.Millisecond
-		d.replaceSilent()
-		if d.machines["m-1"].releasing {
+		d.health.replaceSilent()
+		if d.machines.byName["m-1"].releasing {
 			t.Fatal("returned unasked")
 		}
 		box.Now += probeTime + clock.Millisecond
-		d.replaceSilent()
-		if returned := d.machines["m-1"].releasing; returned != (others > 0) {
+		d.health.replaceSilent()
+		if returned := d.machines.byName["m-1"].releasing; returned != (others > 0) {
 			t.Errorf("with %d others heard of: returned %v", others, returned)
 		}
 	}
@@ -214,9 +214,9 @@
 // service: work of lower ranks was left waiting beside empty machines that were kept.
 func TestSpareReplicasComeLast(t *testing.T) {
 	d, _, _ := service(t)
-	d.adopt(ledger.Key("job-2"), ledger.New(protocol.JobSpec{ID: "job-2", Shape: protocol.ShapeArray, Rank: "idle", Tasks: 3}, 1).Encode(), 6)
+	d.reader.adopt(ledger.Key("job-2"), ledger.New(protocol.JobSpec{ID: "job-2", Shape: protocol.ShapeArray, Rank: "idle", Tasks: 3}, 1).Encode(), 6)
 	spares, lowest := 0, 0
-	for _, j := range d.snapshot().Jobs {
+	for _, j := range d.snapshots.snapshot().Jobs {
 		if strings.HasPrefix(j.ID, sparePrefix) {
 			spares++
 			if j.Rank <= lowest {
@@ -240,19 +240,19 @@
 		for task, machine := range []string{"m-1", "m-2", "m-3", "m-4"} {
 			content.Placed[task] = ledger.Placement{Task: task, Attempt: 1, Machine: machine, Session: 1}
 		}
-		d.adopt(ledger.Key("job-1"), content.Encode(), 5)
+		d.reader.adopt(ledger.Key("job-1"), content.Encode(), 5)
 		for name, zone := range map[string]string{"m-1": "a", "m-2": "a", "m-3": "b", "m-4": "b", "m-5": "a"} {
-			m := d.machine(name)
+			m := d.machines.get(name)
 			m.seen, m.zone, m.heardAt = true, zone, box.Now
 		}
 		box.Now += 30 * clock.Second
 		for _, name := range []string{"m-1", "m-2", "m-5"} {
-			d.machines[name].heardAt = box.Now
+			d.machines.byName[name].heardAt = box.Now
 		}
-		d.replaceSilent()
+		d.health.replaceSilent()
 		box.Now += probeTime + clock.Millisecond
-		d.replaceSilent()
-		if returned := d.machines["m-3"].releasing; returned == spread {
+		d.health.replaceSilent()
+		if returned := d.machines.byName["m-3"].releasing; returned == spread {
 			t.Errorf("spread %v: returned %v", spread, returned)
 		}
 	}
--- a/internal/dispatch/snapshot.go
+++ b/internal/dispatch/snapshot.go
@@ -12,28 +12,45 @@
 	"postpoint/internal/protocol"
 )
 
-func (d *Dispatch) snapshot() planner.Snapshot {
-	now := d.now()
+// snapshotBuilder shows the planner what is known of jobs, machines and teams.
+type snapshotBuilder struct {
+	*leaderTerm
+	jobs       *jobTable
+	machines   *machineTable
+	catalogue  *machineCatalogue
+	objectives *objectives
+	writer     *recordWriter
+	commands   *commandSender
+	autoscaler *autoscaler
+	cells      *cellLinks
+	host       *hostCell
+	zones      *zoneRecovery
+
+	views []planner.Machine // of the last snapshot
+}
+
+func (sb *snapshotBuilder) snapshot() planner.Snapshot {
+	now := sb.now()
 	s := planner.Snapshot{Teams: map[string]planner.Team{}}
-	for _, t := range d.set.Deployment.Teams {
+	for _, t := range sb.settings.Deployment.Teams {
 		s.Teams[t.Name] = planner.Team{
 			Limit:     planner.Amounts{Cpus: t.CpusMax, Gpus: t.GpusMax},
 			Guarantee: planner.Amounts{Cpus: t.Cpus, Gpus: t.Gpus},
 		}
 	}
 	// One snapshot is done with before the next is taken.
-	s.Machines = slices.Grow(d.views[:0], len(d.roster))
-	for _, m := range d.roster {
-		if pm, ok := d.planned(m, now); ok {
+	s.Machines = slices.Grow(sb.views[:0], len(sb.machines.ordered))
+	for _, m := range sb.machines.ordered {
+		if pm, ok := sb.planned(m, now); ok {
 			s.Machines = append(s.Machines, pm)
 		}
 	}
-	d.views = s.Machines
-	evictions := d.evictionsPossible(s.Teams)
-	if d.directory != nil {
-		d.renting.free = freeRoom(s.Machines)
+	sb.views = s.Machines
+	evictions := sb.evictionsPossible(s.Teams)
+	if sb.cells.directory != nil {
+		sb.autoscaler.free = freeRoom(s.Machines)
 	}
-	for _, j := range inOrder(d.jobs) {
+	for _, j := range inOrder(sb.jobs.byID) {
 		team := s.Teams[j.Spec.Team]
 		needs := planner.Needs(&j.Spec)
 		// A place counts from its proposal until it is proven empty.
@@ -46,13 +63,13 @@
 		if j.over() || j.reread || j.partsUnread || j.permit != nil && !j.permit.MayStart(now) && len(j.Placed) == 0 {
 			continue
 		}
-		s.Jobs = append(s.Jobs, d.plannedJob(j, now, evictions))
+		s.Jobs = append(s.Jobs, sb.plannedJob(j, now, evictions))
 	}
-	d.markWithin(&s)
+	sb.markWithin(&s)
 	hurry(&s)
-	s.Jobs = append(s.Jobs, d.expected()...)
-	s.Jobs = append(s.Jobs, d.expectedBack()...)
-	s.Jobs = append(s.Jobs, d.reserved()...)
+	s.Jobs = append(s.Jobs, sb.expected()...)
+	s.Jobs = append(s.Jobs, sb.expectedBack()...)
+	s.Jobs = append(s.Jobs, sb.reserved()...)
 	markBorrowed(&s)
 	return s
 }
@@ -63,17 +80,17 @@
 // expected are places to keep free for jobs that are about to come and are to
 // start sooner than a machine boots. They stand in the queue behind the jobs
 // that can still start in time and before all others.
-func (d *Dispatch) expected() []planner.Job {
+func (sb *snapshotBuilder) expected() []planner.Job {
 	var jobs []planner.Job
-	for class, u := range inOrder(d.classSeen) {
-		if !d.startsSoon(class) || d.now() > u.at+2*rateTime {
+	for class, u := range inOrder(sb.objectives.classSeen) {
+		if !sb.objectives.startsSoon(class) || sb.now() > u.at+2*rateTime {
 			continue
 		}
 		spec := u.spec
 		spec.Shape, spec.Tasks = protocol.ShapeArray, u.spec.Tasks*(1+int(float64(len(u.arrivals))*spareS/rateTime.Seconds()))
 		rank := protocol.RankOf(spec.Rank)
 		if u.spec.Service() {
-			spec.Tasks, spec.Types = d.spareReplicas(u), d.replicaTypes(&u.spec)
+			spec.Tasks, spec.Types = sb.spareReplicas(u), sb.catalogue.replicaTypes(&u.spec)
 			// Whatever waits goes first: a replica can make room where none is kept.
 			rank = len(protocol.Ranks)
 		}
@@ -110,22 +127,22 @@
 }
 
 // plannedJob is a job as the planner is shown it.
-func (d *Dispatch) plannedJob(j *job, now clock.Micros, evictions bool) planner.Job {
-	limit, _ := d.recordLimits()
+func (sb *snapshotBuilder) plannedJob(j *job, now clock.Micros, evictions bool) planner.Job {
+	limit, _ := sb.writer.recordLimits()
 	pj := planner.Job{ID: j.Spec.ID, Spec: &j.Spec, Rank: j.rank(), SubmittedAt: j.SubmittedAt,
-		Returning: j.returning, Waiting: now < j.notBefore || d.awaitsTurn(j), MayEvict: j.failures < 3, Avoid: j.avoid}
-	pj.Tier, pj.SlackS = d.aims(j)
-	pj.StartAim = j.Spec.Service() || d.startAim(j.Spec.Class) > 0
-	pj.StartS = d.startLeft(j)
+		Returning: j.returning, Waiting: now < j.notBefore || sb.zones.awaitsTurn(j), MayEvict: j.failures < 3, Avoid: j.avoid}
+	pj.Tier, pj.SlackS = sb.objectives.aims(j)
+	pj.StartAim = j.Spec.Service() || sb.objectives.startAim(j.Spec.Class) > 0
+	pj.StartS = sb.objectives.startLeft(j)
 	pj.Unmet = j.wantedAt != 0 && now > j.wantedFrom+unmetTime && now <= j.wantedAt+wantedGap
-	pj.Running = d.runningTasks(j, now, evictions)
+	pj.Running = sb.runningTasks(j, now, evictions)
 	// Zones that tasks' places depend on are known only once none is with another cell.
 	zonesKnown := j.elsewhere == 0 || !j.Spec.OneZone && !j.Spec.Spread
-	if missing := j.PendingCount() > 0; missing && zonesKnown && !j.dividing && (!j.Spec.Gang() || len(j.Placed) == 0 || d.completable(j)) {
+	if missing := j.PendingCount() > 0; missing && zonesKnown && !j.dividing && (!j.Spec.Gang() || len(j.Placed) == 0 || sb.commands.completable(j)) {
 		if j.Spec.Gang() {
 			pj.Pending = j.Pending(j.Spec.Tasks)
 			pj.Limit = len(j.Startable(limit, j.Spec.Tasks))
-			pj.Avoid = d.leftOn(j)
+			pj.Avoid = sb.leftOn(j)
 		} else {
 			pj.Pending = j.restartable(j.Startable(limit, planTasks), now)
 			pj.Limit = len(pj.Pending)
@@ -135,7 +152,7 @@
 		j.returning = false
 	}
 	if j.permit != nil {
-		d.planGuest(j, &pj, now)
+		sb.host.planGuest(j, &pj, now)
 	}
 	return pj
 }
@@ -143,12 +160,12 @@
 // leftOn adds to the machines that a gang avoids those that still report an
 // ended task of the attempt that it may be completed with: a start of the same
 // task and attempt has no effect there.
-func (d *Dispatch) leftOn(j *job) map[string]bool {
+func (sb *snapshotBuilder) leftOn(j *job) map[string]bool {
 	if len(j.Placed) == 0 {
 		return j.avoid
 	}
 	avoid := maps.Clone(j.avoid)
-	for _, m := range d.roster {
+	for _, m := range sb.machines.ordered {
 		name := m.name
 		for ref, t := range m.tasks {
 			if ref.job == j.Spec.ID && t.Status == protocol.TaskExited {
@@ -162,7 +179,7 @@
 // runningTasks shows the planner what a job has placed. What stopping a task
 // loses is the time since the last checkpoint that its interval implies, or all
 // of it where it declares none.
-func (d *Dispatch) runningTasks(j *job, now clock.Micros, evictions bool) []planner.Running {
+func (sb *snapshotBuilder) runningTasks(j *job, now clock.Micros, evictions bool) []planner.Running {
 	if j.runningStale {
 		j.runningStale = false
 		j.running, j.runningSince, j.elsewhere = j.running[:0], j.runningSince[:0], 0
@@ -175,7 +192,7 @@
 			r := planner.Running{Task: task, Machine: p.Machine}
 			_, r.Stopping = j.stops[task]
 			since := clock.Micros(0)
-			if m := d.machines[p.Machine]; m != nil {
+			if m := sb.machines.byName[p.Machine]; m != nil {
 				r.Zone = m.zone
 				since = m.since[taskRef{j.Spec.ID, task, p.Attempt}]
 			}
@@ -200,14 +217,14 @@
 
 // evictionsPossible tells that some job could make another yield: what stopping tasks
 // would lose is worth computing only then, thousands of times in each plan.
-func (d *Dispatch) evictionsPossible(teams map[string]planner.Team) bool {
+func (sb *snapshotBuilder) evictionsPossible(teams map[string]planner.Team) bool {
 	for _, t := range teams {
 		if t.Guaranteed() {
 			return true
 		}
 	}
 	ranks := map[int]bool{}
-	for _, j := range d.jobs {
+	for _, j := range sb.jobs.byID {
 		ranks[j.rank()] = true
 	}
 	return len(ranks) > 1
@@ -215,7 +232,7 @@
 
 // markWithin marks the jobs that fit into their teams' guarantees together with
 // the teams' earlier ones.
-func (d *Dispatch) markWithin(s *planner.Snapshot) {
+func (sb *snapshotBuilder) markWithin(s *planner.Snapshot) {
 	left := map[string]planner.Amounts{}
 	for name, t := range s.Teams {
 		if t.Guaranteed() {
@@ -230,7 +247,7 @@
 		if !guaranteed {
 			continue
 		}
-		all := planner.Needs(j.Spec).Times(float64(j.Spec.Tasks - d.jobs[j.ID].Done.Len()))
+		all := planner.Needs(j.Spec).Times(float64(j.Spec.Tasks - sb.jobs.byID[j.ID].Done.Len()))
 		g := s.Teams[j.Spec.Team].Guarantee
 		j.Within = (g.Cpus == 0 || all.Cpus <= room.Cpus+1e-6) && (g.Gpus == 0 || all.Gpus <= room.Gpus+1e-6)
 		left[j.Spec.Team] = room.Minus(all)
@@ -277,16 +294,16 @@
 }
 
 // planned is the machine as the planner may use it, if at all.
-func (d *Dispatch) planned(m *machine, now clock.Micros) (planner.Machine, bool) {
-	t, known := d.types[m.typ]
-	if !known || m.releasing || m.quarantine || m.recallAt != 0 || now < m.fullUntil || d.zoneLost(m.zone) ||
-		m.seen && (m.cordoned || m.answersLost || !d.synced(m) || !d.renewed(m)) {
+func (sb *snapshotBuilder) planned(m *machine, now clock.Micros) (planner.Machine, bool) {
+	t, known := sb.catalogue.byName[m.typ]
+	if !known || m.releasing || m.quarantine || m.recallAt != 0 || now < m.fullUntil || sb.zones.lost(m.zone) ||
+		m.seen && (m.cordoned || m.answersLost || !sb.machines.synced(m) || !sb.machines.renewed(m)) {
 		return planner.Machine{}, false
 	}
 	if m.viewStale {
-		d.look(m, t)
+		sb.look(m, t)
 	}
-	m.view.Doubtful = d.zoneReturning(m.zone)
+	m.view.Doubtful = sb.zones.returning(m.zone)
 	if !m.seen {
 		boot := clock.FromSeconds(t.BootS)
 		m.view.Booting = m.status == protocol.MachineStarting && now < m.firstSeen+2*boot+5*clock.Second ||
@@ -298,7 +315,7 @@
 	}
 	m.pull(now, t)
 	m.view.PullS = m.pullGB * m.view.FetchS
-	m.view.Late = d.late(m)
+	m.view.Late = sb.machines.late(m)
 	return m.view, !m.strange
 }
 
@@ -312,9 +329,9 @@
 }
 
 // look makes the planner's view of a machine anew.
-func (d *Dispatch) look(m *machine, t protocol.MachineType) {
+func (sb *snapshotBuilder) look(m *machine, t protocol.MachineType) {
 	m.viewStale, m.strange = false, false
-	m.pull(d.now(), t)
+	m.pull(sb.now(), t)
 	before := m.view.Pulling
 	m.view = planner.Machine{Name: m.name, Type: m.typ, Zone: m.zone, Spot: m.spot, Whole: fleet.Whole(t),
 		Free: fleet.Whole(t), Price: fleet.Price(t, m.spot), Slow: m.slowness()}
@@ -325,7 +342,7 @@
 		m.view.Images = append(m.view.Images, i.name)
 	}
 	for id, tasks := range inOrder(m.placed) {
-		j := d.jobs[id]
+		j := sb.jobs.byID[id]
 		m.view.Free = m.view.Free.Minus(planner.Needs(&j.Spec).Times(float64(len(tasks))))
 		if j.Spec.Service() {
 			m.view.Replicas += len(tasks)
--- a/internal/dispatch/recoveryview.go
+++ b/internal/dispatch/zoneoverview.go
@@ -1,8 +1,6 @@
 package dispatch
 
 import (
-	"log/slog"
-
 	"postpoint/internal/fleet"
 	"postpoint/internal/planner"
 	"postpoint/internal/recovery"
@@ -39,17 +37,17 @@
 const maxWaiting = 20
 
 // zonesOverview is empty unless recoveries are switched on.
-func (d *Dispatch) zonesOverview() []ZoneOverview {
-	if d.recovery.settings == nil {
+func (ov *overviewReader) zonesOverview() []ZoneOverview {
+	if ov.zones.options == nil {
 		return nil
 	}
 	var all []ZoneOverview
-	for name, z := range inOrder(d.recovery.zones) {
-		o := ZoneOverview{Zone: name, Phase: z.Phase, Number: z.Number, SinceS: (d.now() - z.Since).Seconds(), Reading: z.Reading, Flaps: z.Flaps,
+	for name, z := range inOrder(ov.zones.zones) {
+		o := ZoneOverview{Zone: name, Phase: z.Phase, Number: z.Number, SinceS: (ov.now() - z.Since).Seconds(), Reading: z.Reading, Flaps: z.Flaps,
 			Machines: z.evidence.Machines, Heard: z.evidence.Heard, Controllers: z.evidence.Controllers, Reached: z.evidence.Reached,
 			Elsewhere: z.evidence.Elsewhere}
-		for _, m := range d.roster {
-			if m.zone != name || !d.late(m) {
+		for _, m := range ov.machines.ordered {
+			if m.zone != name || !ov.machines.late(m) {
 				continue
 			}
 			for _, tasks := range m.placed {
@@ -57,15 +55,15 @@
 			}
 		}
 		var waiting []recovery.Displaced
-		for _, j := range inOrder(d.jobs) {
+		for _, j := range inOrder(ov.jobs.byID) {
 			if j.Displaced == name && !j.over() && j.PendingCount() > 0 {
 				o.Displaced += j.PendingCount()
-				waiting = append(waiting, d.displacedWork(j))
+				waiting = append(waiting, ov.zones.displacedWork(j))
 			}
 		}
-		recovery.Sort(waiting, d.recovery.settings.Order)
+		recovery.Sort(waiting, ov.zones.options.Order)
 		for _, w := range waiting[:min(len(waiting), maxWaiting)] {
-			o.Waiting = append(o.Waiting, WaitingJob{w.Job, w.Kind, w.Tasks, d.whyWaiting(d.jobs[w.Job])})
+			o.Waiting = append(o.Waiting, WaitingJob{w.Job, w.Kind, w.Tasks, ov.whyWaiting(ov.jobs.byID[w.Job])})
 		}
 		all = append(all, o)
 	}
@@ -73,24 +71,24 @@
 }
 
 // whyWaiting says what a displaced job waits for.
-func (d *Dispatch) whyWaiting(j *job) string {
+func (ov *overviewReader) whyWaiting(j *job) string {
 	s := &j.Spec
 	switch {
-	case d.awaitsTurn(j):
+	case ov.zones.awaitsTurn(j):
 		return "its turn"
-	case s.Zone != "" && d.zoneAvoided(s.Zone):
+	case s.Zone != "" && ov.zones.avoided(s.Zone):
 		return "its zone"
-	case d.underLimit(j) == 0:
+	case ov.jobs.underLimit(j) == 0:
 		return "its team's limit"
 	case s.Gang() && len(j.Placed) > 0:
 		return "the rest of the gang to end"
-	case s.Spread && !d.zoneLeft(j):
+	case s.Spread && !ov.zoneLeft(j):
 		return "a zone that spreading allows"
-	case d.now() < j.notBefore:
+	case ov.now() < j.notBefore:
 		return "a pause after failed starts"
 	}
-	refused, rentable := d.market().Refused, false
-	for _, t := range d.catalogue {
+	refused, rentable := ov.autoscaler.market().Refused, false
+	for _, t := range ov.catalogue.list {
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{false, true} {
 				k := fleet.Kind{Type: t.Name, Zone: zone, Spot: spot}
@@ -105,33 +103,14 @@
 }
 
 // zoneLeft tells that some zone that isn't avoided would take a task of a job.
-func (d *Dispatch) zoneLeft(j *job) bool {
-	zones := d.zonesOf(j)
-	for _, t := range d.catalogue {
+func (ov *overviewReader) zoneLeft(j *job) bool {
+	zones := ov.jobs.zonesOf(j)
+	for _, t := range ov.catalogue.list {
 		for _, zone := range t.Zones {
-			if !d.zoneAvoided(zone) && planner.ZoneAllowed(&j.Spec, zones, zone) {
+			if !ov.zones.avoided(zone) && planner.ZoneAllowed(&j.Spec, zones, zone) {
 				return true
 			}
 		}
 	}
 	return false
 }
-
-// logRecovery tells an operator now and then how recoveries stand.
-func (d *Dispatch) logRecovery() {
-	if d.now() < d.recovery.logAt+recoveryLogTime || !d.anyAvoided() {
-		return
-	}
-	d.recovery.logAt = d.now()
-	for _, o := range d.zonesOverview() {
-		if o.Phase == recovery.Healthy {
-			continue
-		}
-		why := map[string]int{}
-		for _, w := range o.Waiting {
-			why[w.Why] += w.Tasks
-		}
-		slog.Info("recovery", "zone", o.Zone, "phase", o.Phase, "number", o.Number, "reading", o.Reading, "machines", o.Machines, "heard", o.Heard,
-			"held_tasks", o.Held, "displaced_tasks", o.Displaced, "waiting_for", why)
-	}
-}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -46,7 +46,7 @@
 
 // Node has the actors of one controller.
 type Node struct {
-	Dispatch   *dispatch.Dispatch
+	Dispatch   *dispatch.Leader
 	Leadership *leadership.Leadership
 	Intake     *intake.Intake
 	Rollout    *rollout.Rollout
@@ -69,8 +69,8 @@
 	n.Leadership = leadership.New(boxes.Leadership, e.Store(boxes.Leadership), e.Leadership,
 		func(t leadership.Term) {
 			n.Intake.Elected(t.Epoch) // first: nothing is vouched for after the term has begun
-			n.Dispatch.Term(t)
-		}, n.Dispatch.Leader)
+			n.Dispatch.SetTerm(t)
+		}, n.Dispatch.SetLeader)
 	n.Intake.ZoneReportsFrom(n.Dispatch.ZoneReports)
 	if e.Recovery != nil {
 		n.Dispatch.Recover(e.Recovery, func(done func([]intake.ZoneReports)) {
@@ -87,7 +87,7 @@
 	n.Rollout = rollout.New(boxes.Rollout, e.Store(boxes.Rollout), e.Settings.Node, e.Settings.Nodes(), format,
 		n.Leadership.Start, // what this node writes comes after the format that it reads
 		func(s rollout.Status) {
-			n.Dispatch.Format(s)
+			n.Dispatch.SetFormat(s)
 			n.Intake.Format(s)
 		})
 	return n
--- a/internal/testkit/deployment.go
+++ b/internal/testkit/deployment.go
@@ -31,7 +31,7 @@
 	Unanswered bool
 	// WithoutCells processes are started without a cells file.
 	WithoutCells bool
-	Dispatch     *dispatch.Dispatch
+	Dispatch     *dispatch.Leader
 	Intake       *intake.Intake
 	// reports and requests are the node as workers and users reach it.
 	reports  reportHandler
