--- a/internal/dispatch/autoscaler.go
+++ b/internal/dispatch/autoscaler.go
@@ -24,7 +24,6 @@
 	catalogue  *machineCatalogue
 	objectives *objectives
 	commands   *commandSender
-	scheduler  *taskScheduler
 	snapshots  *snapshotBuilder
 	zones      *zoneRecovery
 	steps      *stepTimer
@@ -34,6 +33,34 @@
 	spareBatch int // see fleet.Cordon; kept across terms
 }
 
+// cordonTime is from one look for machines that aren't needed to the next.
+const cordonTime = 3 * clock.Second
+
+func newAutoscaler(term *leaderTerm, cl cloud.API, jobs *jobTable, machines *machineTable,
+	catalogue *machineCatalogue, objectives *objectives, commands *commandSender, snapshots *snapshotBuilder,
+	zones *zoneRecovery, steps *stepTimer) *autoscaler {
+	return &autoscaler{
+		leaderTerm: term,
+		cloud:      cl,
+		jobs:       jobs,
+		machines:   machines,
+		catalogue:  catalogue,
+		objectives: objectives,
+		commands:   commands,
+		snapshots:  snapshots,
+		zones:      zones,
+		steps:      steps,
+	}
+}
+
+// cordonNowAndThen looks for machines that aren't needed, once in cordonTime.
+func (sc *autoscaler) cordonNowAndThen() {
+	if sc.now() > sc.cordonAt+cordonTime {
+		sc.cordonAt = sc.now()
+		sc.cordon()
+	}
+}
+
 type fleetState struct {
 	bookings  int
 	waiting   int // rentals without an answer yet
@@ -43,8 +70,6 @@
 	refused   map[fleet.Kind]refusal
 	pace      *rate.Limiter // of bookings
 	downUntil clock.Micros
-	// free is what the machines of the last snapshot had left.
-	free planner.Amounts
 }
 
 // bookingShare of the cloud's limit leaves room for releases and lists.
--- a/internal/dispatch/cancellations.go
+++ b/internal/dispatch/cancellations.go
@@ -3,6 +3,7 @@
 import (
 	"log/slog"
 
+	"postpoint/internal/cells"
 	"postpoint/internal/clock"
 	"postpoint/internal/intake"
 )
@@ -11,17 +12,36 @@
 // serve this node.
 type cancellations struct {
 	*leaderTerm
-	jobs       *jobTable
-	machines   *machineTable
-	commands   *commandSender
-	autoscaler *autoscaler
-	host       *hostCell
+	jobs     *jobTable
+	machines *machineTable
+	commands *commandSender
+	// machineReleases returns machines to the cloud.
+	machineReleases releaseSender
 	// attest asks all nodes what they have told users.
 	attest Attester
 
 	attesting bool
 }
 
+func newCancellations(term *leaderTerm, jobs *jobTable, machines *machineTable, commands *commandSender,
+	attest Attester) *cancellations {
+	return &cancellations{
+		leaderTerm: term,
+		jobs:       jobs,
+		machines:   machines,
+		commands:   commands,
+		attest:     attest,
+	}
+}
+
+// begin forgets a question that was asked in an earlier term.
+func (cn *cancellations) begin() { cn.attesting = false }
+
+// releaseSender returns the machines to the cloud that are scheduled for it.
+type releaseSender interface {
+	sendReleases()
+}
+
 // What a leader may still do without its lease, when a cancelled task's machine
 // has to go and when silence proves a machine empty are one piece of reasoning:
 // "The arithmetic of cancellations" in docs/rules.md.
@@ -47,7 +67,7 @@
 // themselves, as long as the return can still be in time.
 func (cn *cancellations) returnAt(j *job) clock.Micros {
 	if j.permit != nil {
-		return cn.host.returnGuestAt(j)
+		return cn.returnGuestAt(j)
 	}
 	w := cn.settings.Deployment.Workers
 	latest := clock.FromSeconds(w.CancelS) - returnTime
@@ -115,5 +135,19 @@
 			}
 		}
 	}
-	cn.autoscaler.sendReleases()
+	cn.machineReleases.sendReleases()
+}
+
+// returnGuestAt is when a machine is returned on which tasks of a guest are left that has to
+// end. A leader that never had a permission doesn't know when the last one ended: if the
+// record is closed that may have been long ago, else it was hardly before its term.
+func (cn *cancellations) returnGuestAt(j *job) clock.Micros {
+	silence := cells.SilenceTime(cn.settings.Deployment.Workers.Lease())
+	switch {
+	case j.permit.Until() > 0:
+		return j.permit.Until() + silence
+	case j.Guest.Closed && j.closedAt == 0:
+		return cn.begunAt + heedTime
+	}
+	return cn.begunAt + silence - takeoverTime
 }
--- a/internal/dispatch/catalogue.go
+++ b/internal/dispatch/catalogue.go
@@ -17,11 +17,11 @@
 // machineCatalogue keeps the cloud's machine types and prices, on every node and across terms.
 type machineCatalogue struct {
 	*leaderTerm
-	cloud    cloud.API
-	store    statestore.Store
-	machines *machineTable
-	// published is told of each new catalogue.
+	cloud cloud.API
+	store statestore.Store
+	// published is told of each new catalogue, changed that prices have changed.
 	published func([]protocol.MachineType)
+	changed   func()
 
 	list   []protocol.MachineType
 	byName map[string]protocol.MachineType
@@ -30,6 +30,20 @@
 	sharedThisTerm bool
 }
 
+func newMachineCatalogue(term *leaderTerm, cl cloud.API, store statestore.Store,
+	published func([]protocol.MachineType)) *machineCatalogue {
+	return &machineCatalogue{
+		leaderTerm: term,
+		cloud:      cl,
+		store:      store,
+		published:  published,
+		byName:     map[string]protocol.MachineType{},
+	}
+}
+
+// begin forgets that the catalogue was shared in an earlier term.
+func (mc *machineCatalogue) begin() { mc.sharedThisTerm = false }
+
 // catalogueKey is where the leader leaves the catalogue for nodes that start
 // while the cloud doesn't answer: without the machine types they could neither
 // judge submissions nor place anything.
@@ -72,9 +86,7 @@
 	for _, t := range types {
 		mc.byName[t.Name] = t
 	}
-	for _, m := range mc.machines.ordered {
-		m.viewStale = true // prices
-	}
+	mc.changed()
 	mc.published(types)
 }
 
--- a/internal/dispatch/celllinks.go
+++ b/internal/dispatch/celllinks.go
@@ -12,6 +12,13 @@
 	links map[string]*cellLink // by the cells' names
 }
 
+func newCellLinks(term *leaderTerm) *cellLinks { return &cellLinks{leaderTerm: term} }
+
+// connect switches cells on.
+func (cl *cellLinks) connect(directory *cells.Directory, exchange Exchanger) {
+	cl.directory, cl.exchange = directory, exchange
+}
+
 // cellsOn tells that this cell's controllers all know of cells.
 func (cl *cellLinks) enabled() bool { return cl.directory != nil && cl.format.Cells }
 
--- a/internal/dispatch/cells_test.go
+++ b/internal/dispatch/cells_test.go
@@ -102,7 +102,7 @@
 // asked home, or has had the time to.
 func TestNewHostWaitsForItsHomesWord(t *testing.T) {
 	d, j, _, box := hosting(t)
-	d.host.welcome(j)
+	d.jobs.awaitPermission(j)
 	task := protocol.TaskReport{Task: protocol.TaskName(j.Spec.ID, 0), Attempt: 1, Status: protocol.TaskRunning}
 	if status, _ := beat(d, box, 1, task); status != 503 {
 		t.Fatalf("answered %d before home was heard of", status)
@@ -122,7 +122,7 @@
 	if at := d.cancellations.returnAt(j); at > latest {
 		t.Errorf("returned %.1f s too late", (at - latest).Seconds())
 	}
-	d.host.welcome(j) // a new leader, and the last permission ended just before its predecessor's lease did
+	d.jobs.awaitPermission(j) // a new leader, and the last permission ended just before its predecessor's lease did
 	ended := d.begunAt - 5*clock.Second
 	if at := d.cancellations.returnAt(j); at > ended+cells.ClearTime(workers.Lease())-returnTime {
 		t.Errorf("returned %.1f s after the new leader's election", (at - d.begunAt).Seconds())
--- a/internal/dispatch/commands.go
+++ b/internal/dispatch/commands.go
@@ -22,6 +22,10 @@
 	reconciler *reconciler
 }
 
+func newCommandSender(term *leaderTerm, api agent.API, jobs *jobTable, machines *machineTable) *commandSender {
+	return &commandSender{leaderTerm: term, agent: api, jobs: jobs, machines: machines}
+}
+
 // permitted tells that a start of the job's task may be sent: of this cell's own always, of a guest
 // while its home permits it. What has to be stopped as it starts is no new work.
 func (j *job) permitted(st *stop, now clock.Micros) bool {
--- a/internal/dispatch/cordon.go
+++ b/internal/dispatch/cordon.go
@@ -42,7 +42,7 @@
 	if len(sc.catalogue.list) == 0 {
 		return
 	}
-	tries := max(cordonTries, min(len(sc.machines.ordered)/8, int(cordonCost/max(sc.scheduler.stepCost(), 1))))
+	tries := max(cordonTries, min(len(sc.machines.ordered)/8, int(cordonCost/max(sc.snapshots.planningCost(), 1))))
 	s := sc.snapshots.snapshot()
 	for _, m := range sc.machines.ordered {
 		if !m.cordoned || m.releasing || sc.now() <= m.cordonedAt+cordonTime || !sc.movable(m) || tries == 0 {
--- a/internal/dispatch/delegationstore.go
+++ b/internal/dispatch/delegationstore.go
@@ -71,7 +71,7 @@
 // saveDelegations writes what has changed of the delegations' records, and removes those that
 // are over once their jobs' records say so.
 func (oc *originCell) saveDelegations() {
-	if oc.saving || oc.now() < oc.writer.pauseUntil {
+	if oc.saving || oc.writer.paused() {
 		return
 	}
 	_, txnOps := oc.writer.recordLimits()
@@ -143,13 +143,13 @@
 	case r.Status == http.StatusConflict && slices.Contains(r.Value.Failed, leadership.Key):
 		oc.deposed(oc.term.Epoch + 1)
 	case r.Status == http.StatusTooManyRequests || r.Status == http.StatusServiceUnavailable:
-		oc.writer.pauseUntil = oc.now() + retryDelay
+		oc.writer.pause()
 	case r.Status == http.StatusConflict:
 		for _, s := range saved {
 			s.del.uncertain = s.del.uncertain || slices.Contains(r.Value.Failed, delegation.Key(s.del.Number))
 		}
 	default:
-		oc.writer.pauseUntil = oc.now() + retryDelay
+		oc.writer.pause()
 		for _, s := range saved {
 			s.del.uncertain = true
 		}
--- a/internal/dispatch/displaced.go
+++ b/internal/dispatch/displaced.go
@@ -7,9 +7,9 @@
 	"postpoint/internal/recovery"
 )
 
-// displace marks a job whose task loses its place to the loss of a zone: the rest of it waits for
+// placementLost marks a job whose task loses its place to the loss of a zone: the rest of it waits for
 // its turn.
-func (zr *zoneRecovery) displace(j *job, machineName string) {
+func (zr *zoneRecovery) placementLost(j *job, machineName string) {
 	if zr.options == nil || j.over() {
 		return
 	}
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -18,6 +18,17 @@
 	commands  *commandSender
 }
 
+func newHealthMonitor(term *leaderTerm, jobs *jobTable, machines *machineTable, catalogue *machineCatalogue,
+	commands *commandSender) *healthMonitor {
+	return &healthMonitor{
+		leaderTerm: term,
+		jobs:       jobs,
+		machines:   machines,
+		catalogue:  catalogue,
+		commands:   commands,
+	}
+}
+
 const (
 	listTime    = 4 * clock.Second
 	refusedTime = 8 * clock.Second
--- a/internal/dispatch/heartbeats.go
+++ b/internal/dispatch/heartbeats.go
@@ -14,14 +14,32 @@
 	reconciler *reconciler
 	commands   *commandSender
 	health     *healthMonitor
-	host       *hostCell
-	zones      *zoneRecovery
+	jobs       *jobTable
+	// zones is told of heartbeats that this node doesn't answer as leader.
+	zones heartbeatWatcher
 
 	// deferring reports that heartbeats wait until the records are read.
 	deferring bool
 	deferred  []func()
 }
 
+func newHeartbeatHandler(term *leaderTerm, jobs *jobTable, machines *machineTable, reconciler *reconciler,
+	commands *commandSender, health *healthMonitor) *heartbeatHandler {
+	return &heartbeatHandler{
+		leaderTerm: term,
+		jobs:       jobs,
+		machines:   machines,
+		reconciler: reconciler,
+		commands:   commands,
+		health:     health,
+	}
+}
+
+// heartbeatWatcher is told of heartbeats that reach a node which doesn't lead.
+type heartbeatWatcher interface {
+	noteZoneReport(r *protocol.Report)
+}
+
 // earlyTime is less than workers wait by far.
 const earlyTime = clock.Second
 
@@ -94,7 +112,7 @@
 		reply(http.StatusMisdirectedRequest, protocol.Redirect{})
 		return
 	}
-	hb.host.checkGuestsOn(m)
+	hb.checkGuestsOn(m)
 	if !hb.commands.mayRenew(m) {
 		reply(http.StatusServiceUnavailable, protocol.Redirect{})
 		return
@@ -109,3 +127,13 @@
 	m.answeredAt = hb.now()
 	reply(http.StatusOK, answer)
 }
+
+// checkGuestsOn looks at the permissions of the hosted jobs on a machine whose heartbeat is about to
+// be answered.
+func (hb *heartbeatHandler) checkGuestsOn(m *machine) {
+	for id := range m.placed {
+		if j := hb.jobs.byID[id]; j != nil && j.Guest != nil {
+			j.permit.Check(hb.now())
+		}
+	}
+}
--- a/internal/dispatch/host.go
+++ b/internal/dispatch/host.go
@@ -5,12 +5,10 @@
 	"math"
 	"net/http"
 
-	"postpoint/internal/cells"
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
 	"postpoint/internal/leadership"
 	"postpoint/internal/ledger"
-	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
 	"postpoint/internal/statestore"
 )
@@ -32,6 +30,27 @@
 	steps      *stepTimer
 }
 
+func newHostCell(term *leaderTerm, store statestore.Store, jobs *jobTable, machines *machineTable,
+	catalogue *machineCatalogue, reader *recordReader, writer *recordWriter, reconciler *reconciler,
+	commands *commandSender, autoscaler *autoscaler, snapshots *snapshotBuilder, links *cellLinks,
+	steps *stepTimer) *hostCell {
+	return &hostCell{
+		leaderTerm: term,
+		store:      store,
+		jobs:       jobs,
+		machines:   machines,
+		catalogue:  catalogue,
+		reader:     reader,
+		writer:     writer,
+		reconciler: reconciler,
+		commands:   commands,
+		autoscaler: autoscaler,
+		snapshots:  snapshots,
+		cells:      links,
+		steps:      steps,
+	}
+}
+
 // A guest is a job that another cell has delegated to this one. It stands in a record like
 // any job, under an id of its own, and goes the ordinary path, after all of this cell's own
 // work. What it may do follows from its home's permission, which has to be renewed.
@@ -63,12 +82,6 @@
 // startMargin is what a start needs of a permission at least: less would be in vain.
 const startMargin = 2 * clock.Second
 
-// welcome prepares what is known of a guest beyond its record. Whatever an earlier leader was
-// permitted, this one has to ask for itself.
-func (hc *hostCell) welcome(j *job) {
-	j.permit = delegation.Patient(hc.now() + heedTime)
-}
-
 // noteGuestStored follows what is stored of a guest. Its home is told at once.
 func (hc *hostCell) noteGuestStored(j *job) {
 	if j.Guest == nil {
@@ -111,15 +124,6 @@
 	}
 }
 
-// checkGuestsOn does so for those of one machine, whose report is about to be answered.
-func (hc *hostCell) checkGuestsOn(m *machine) {
-	for id := range m.placed {
-		if j := hc.jobs.byID[id]; j != nil && j.Guest != nil {
-			j.permit.Check(hc.now())
-		}
-	}
-}
-
 func (hc *hostCell) checkGuest(j *job) {
 	j.permit.Check(hc.now())
 	if j.reread || j.reading || j.Final() {
@@ -204,61 +208,10 @@
 		j.inFlight = false
 		switch r.Status {
 		case http.StatusOK:
-			hc.forgetGuest(j)
+			hc.jobs.forget(j)
 		case http.StatusConflict:
 			// An earlier copy of this has removed it, or a change without an answer was carried out.
 			j.reread = true
 		}
 	})
 }
-
-// forgetGuest drops a guest whose record is gone.
-func (hc *hostCell) forgetGuest(j *job) {
-	hc.jobs.finalVersions[j.Spec.ID] = j.version
-	delete(hc.jobs.byID, j.Spec.ID)
-}
-
-// planGuest shows a guest to the planner: it never presses, and takes only room beyond the
-// reserve.
-func (hc *hostCell) planGuest(j *job, pj *planner.Job, now clock.Micros) {
-	pj.MayEvict, pj.StartAim, pj.Returning = false, false, false
-	pj.Tier, pj.SlackS, pj.StartS = planner.EndsInTime, math.MaxFloat64, math.MaxFloat64
-	pj.Waiting = pj.Waiting || !j.permit.MayStart(now+startMargin) || j.Guest.Closed
-	if hc.cells.directory == nil || hc.cells.directory.Own.Reserve == (planner.Amounts{}) {
-		return
-	}
-	room := hc.autoscaler.free.Minus(hc.cells.directory.Own.Reserve)
-	room.MemoryGB = planner.PlentyGB
-	if fits := planner.Needs(&j.Spec).Count(room); fits < len(pj.Pending) {
-		pj.Limit = min(pj.Limit, fits)
-	}
-}
-
-// beyondReserve are the tasks of guests that the reserve keeps off the machines that are up:
-// others are rented for them.
-func (hc *hostCell) beyondReserve(s *planner.Snapshot) []planner.Want {
-	var wants []planner.Want
-	for i := range s.Jobs {
-		j := &s.Jobs[i]
-		if rest := len(j.Pending) - j.Limit; rest > 0 && hc.jobs.isHosted(j.ID) && !j.Waiting && !j.Spec.Gang() {
-			wants = append(wants, planner.Want{Job: j, Tasks: rest})
-		} else if rest > 0 && hc.jobs.isHosted(j.ID) && !j.Waiting {
-			wants = append(wants, planner.Want{Job: j, Tasks: len(j.Pending)})
-		}
-	}
-	return wants
-}
-
-// returnGuestAt is when a machine is returned on which tasks of a guest are left that has to
-// end. A leader that never had a permission doesn't know when the last one ended: if the
-// record is closed that may have been long ago, else it was hardly before its term.
-func (hc *hostCell) returnGuestAt(j *job) clock.Micros {
-	silence := cells.SilenceTime(hc.settings.Deployment.Workers.Lease())
-	switch {
-	case j.permit.Until() > 0:
-		return j.permit.Until() + silence
-	case j.Guest.Closed && j.closedAt == 0:
-		return hc.begunAt + heedTime
-	}
-	return hc.begunAt + silence - takeoverTime
-}
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -60,7 +60,7 @@
 	// are the tasks that are done by the stored record.
 	closedAt   int
 	storedDone ledger.Ranges
-	// displacedAt is when it lost tasks with a zone, turn that the rest may start: see displace.
+	// displacedAt is when it lost tasks with a zone, turn that the rest may start: see zoneRecovery.placementLost.
 	displacedAt clock.Micros
 	turn        bool
 	// backAt is when another cell last gave tasks of the job back unfinished.
--- a/internal/dispatch/jobtable.go
+++ b/internal/dispatch/jobtable.go
@@ -5,6 +5,7 @@
 	"math"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/delegation"
 	"postpoint/internal/ledger"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
@@ -15,7 +16,8 @@
 	*leaderTerm
 	machines *machineTable
 	steps    *stepTimer
-	zones    *zoneRecovery
+	// losses is told of placements that are lost before their tasks are done.
+	losses lossObserver
 
 	byID map[string]*job
 	// finalVersions are the last versions of jobs that are over, until following the records has
@@ -27,6 +29,18 @@
 	strayShards map[string]int64
 }
 
+func newJobTable(term *leaderTerm, machines *machineTable, steps *stepTimer) *jobTable {
+	return &jobTable{leaderTerm: term, machines: machines, steps: steps}
+}
+
+// end forgets the jobs when the term is over.
+func (jt *jobTable) end() { jt.byID = nil }
+
+// lossObserver is told of placements that are lost before their tasks are done.
+type lossObserver interface {
+	placementLost(j *job, machineName string)
+}
+
 // begin forgets what was known in earlier terms.
 func (jt *jobTable) begin() {
 	jt.byID = map[string]*job{}
@@ -77,7 +91,7 @@
 	jt.machines.unindex(j, p)
 	jt.touch(j, p.Task)
 	if !j.Done.Has(p.Task) {
-		jt.zones.displace(j, p.Machine)
+		jt.losses.placementLost(j, p.Machine)
 		// It is to run again, under another attempt than any before.
 		j.NextAttempt = max(j.NextAttempt, p.Attempt+1)
 	}
@@ -207,3 +221,15 @@
 	}
 	j.cancelledAt = min(j.cancelledAt, at)
 }
+
+// awaitPermission prepares what is known of a guest beyond its record. Whatever an earlier leader was
+// permitted, this one has to ask for itself.
+func (jt *jobTable) awaitPermission(j *job) {
+	j.permit = delegation.Patient(jt.now() + heedTime)
+}
+
+// forget drops a job whose record is gone.
+func (jt *jobTable) forget(j *job) {
+	jt.finalVersions[j.Spec.ID] = j.version
+	delete(jt.byID, j.Spec.ID)
+}
--- a/internal/dispatch/leader.go
+++ b/internal/dispatch/leader.go
@@ -31,11 +31,7 @@
 package dispatch
 
 import (
-	"cmp"
-	"iter"
 	"log/slog"
-	"maps"
-	"slices"
 
 	"postpoint/internal/actor"
 	"postpoint/internal/agent"
@@ -88,213 +84,72 @@
 // new catalogue.
 func New(m actor.Mailbox, st statestore.Store, cl cloud.API, ag agent.API, set *settings.Settings,
 	deposed func(int64), resign func(), attest Attester, onTypes func([]protocol.MachineType)) *Leader {
-	term := &leaderTerm{mailbox: m, settings: set, deposed: deposed}
-	l := &Leader{
-		leaderTerm:    term,
-		resign:        resign,
-		steps:         &stepTimer{leaderTerm: term},
-		machines:      &machineTable{leaderTerm: term, addresses: map[string]string{}},
-		catalogue:     &machineCatalogue{leaderTerm: term, cloud: cl, store: st, published: onTypes, byName: map[string]protocol.MachineType{}},
-		jobs:          &jobTable{leaderTerm: term},
-		reader:        &recordReader{leaderTerm: term, store: st},
-		writer:        &recordWriter{leaderTerm: term, store: st},
-		reconciler:    &reconciler{leaderTerm: term},
-		commands:      &commandSender{leaderTerm: term, agent: ag},
-		cancellations: &cancellations{leaderTerm: term, attest: attest},
-		health:        &healthMonitor{leaderTerm: term},
-		heartbeats:    &heartbeatHandler{leaderTerm: term},
-		autoscaler:    &autoscaler{leaderTerm: term, cloud: cl},
-		scheduler:     &taskScheduler{leaderTerm: term},
-		snapshots:     &snapshotBuilder{leaderTerm: term},
-		objectives:    &objectives{leaderTerm: term, classSeen: map[string]classUse{}},
-		cells:         &cellLinks{leaderTerm: term},
-		origin:        &originCell{leaderTerm: term, store: st},
-		host:          &hostCell{leaderTerm: term, store: st},
-		zones:         &zoneRecovery{leaderTerm: term, store: st},
-		overview:      &overviewReader{leaderTerm: term},
-	}
-	l.connect()
+	term := newLeaderTerm(m, set, deposed)
+	l := &Leader{leaderTerm: term, resign: resign}
+	l.steps = newStepTimer(term)
+	l.catalogue = newMachineCatalogue(term, cl, st, onTypes)
+	l.machines = newMachineTable(term, l.catalogue)
+	l.jobs = newJobTable(term, l.machines, l.steps)
+	l.objectives = newObjectives(term, l.catalogue)
+	l.commands = newCommandSender(term, ag, l.jobs, l.machines)
+	l.reconciler = newReconciler(term, l.jobs, l.machines, l.commands, l.objectives, l.steps)
+	l.health = newHealthMonitor(term, l.jobs, l.machines, l.catalogue, l.commands)
+	l.heartbeats = newHeartbeatHandler(term, l.jobs, l.machines, l.reconciler, l.commands, l.health)
+	l.cancellations = newCancellations(term, l.jobs, l.machines, l.commands, attest)
+	l.writer = newRecordWriter(term, st, l.jobs, l.machines, l.commands, l.steps)
+	l.reader = newRecordReader(term, st, l.jobs, l.machines, l.writer, l.reconciler, l.commands, l.heartbeats,
+		l.objectives, l.steps)
+	l.zones = newZoneRecovery(term, st, l.jobs, l.machines, l.catalogue, l.objectives, l.reader, l.writer,
+		l.commands, l.steps)
+	l.snapshots = newSnapshotBuilder(term, l.jobs, l.machines, l.catalogue, l.objectives, l.writer, l.commands,
+		l.zones)
+	l.autoscaler = newAutoscaler(term, cl, l.jobs, l.machines, l.catalogue, l.objectives, l.commands, l.snapshots,
+		l.zones, l.steps)
+	l.scheduler = newTaskScheduler(term, l.jobs, l.machines, l.catalogue, l.writer, l.commands, l.autoscaler,
+		l.snapshots, l.zones)
+	l.cells = newCellLinks(term)
+	l.origin = newOriginCell(term, st, l.jobs, l.catalogue, l.reader, l.writer, l.autoscaler, l.snapshots,
+		l.cells, l.steps)
+	l.host = newHostCell(term, st, l.jobs, l.machines, l.catalogue, l.reader, l.writer, l.reconciler, l.commands,
+		l.autoscaler, l.snapshots, l.cells, l.steps)
+	l.overview = newOverviewReader(term, l.jobs, l.machines, l.catalogue, l.autoscaler, l.scheduler, l.writer,
+		l.cells, l.origin, l.zones)
+	l.subscribe()
 	return l
 }
 
-// connect tells each component of those that it uses.
-func (l *Leader) connect() {
+// subscribe tells the components of those that are made after them.
+func (l *Leader) subscribe() {
 	l.steps.step = l.step
-	l.machines.catalogue = l.catalogue
-	l.catalogue.machines = l.machines
-	l.jobs.machines = l.machines
-	l.jobs.steps = l.steps
-	l.jobs.zones = l.zones
-	l.reader.jobs = l.jobs
-	l.reader.machines = l.machines
-	l.reader.writer = l.writer
-	l.reader.reconciler = l.reconciler
-	l.reader.commands = l.commands
-	l.reader.heartbeats = l.heartbeats
-	l.reader.objectives = l.objectives
-	l.reader.origin = l.origin
-	l.reader.host = l.host
-	l.reader.zones = l.zones
-	l.reader.steps = l.steps
-	l.writer.jobs = l.jobs
-	l.writer.machines = l.machines
-	l.writer.reader = l.reader
-	l.writer.commands = l.commands
-	l.writer.host = l.host
-	l.writer.steps = l.steps
-	l.reconciler.jobs = l.jobs
-	l.reconciler.machines = l.machines
-	l.reconciler.commands = l.commands
-	l.reconciler.objectives = l.objectives
-	l.reconciler.steps = l.steps
-	l.commands.jobs = l.jobs
-	l.commands.machines = l.machines
-	l.commands.reconciler = l.reconciler
-	l.cancellations.jobs = l.jobs
-	l.cancellations.machines = l.machines
-	l.cancellations.commands = l.commands
-	l.cancellations.autoscaler = l.autoscaler
-	l.cancellations.host = l.host
-	l.health.jobs = l.jobs
-	l.health.machines = l.machines
-	l.health.catalogue = l.catalogue
-	l.health.commands = l.commands
-	l.heartbeats.machines = l.machines
-	l.heartbeats.reconciler = l.reconciler
-	l.heartbeats.commands = l.commands
-	l.heartbeats.health = l.health
-	l.heartbeats.host = l.host
+	l.jobs.losses = l.zones
 	l.heartbeats.zones = l.zones
-	l.autoscaler.jobs = l.jobs
-	l.autoscaler.machines = l.machines
-	l.autoscaler.catalogue = l.catalogue
-	l.autoscaler.objectives = l.objectives
-	l.autoscaler.commands = l.commands
-	l.autoscaler.scheduler = l.scheduler
-	l.autoscaler.snapshots = l.snapshots
-	l.autoscaler.zones = l.zones
-	l.autoscaler.steps = l.steps
-	l.scheduler.jobs = l.jobs
-	l.scheduler.machines = l.machines
-	l.scheduler.catalogue = l.catalogue
-	l.scheduler.writer = l.writer
-	l.scheduler.commands = l.commands
-	l.scheduler.autoscaler = l.autoscaler
-	l.scheduler.snapshots = l.snapshots
-	l.scheduler.host = l.host
-	l.scheduler.zones = l.zones
-	l.snapshots.jobs = l.jobs
-	l.snapshots.machines = l.machines
-	l.snapshots.catalogue = l.catalogue
-	l.snapshots.objectives = l.objectives
-	l.snapshots.writer = l.writer
-	l.snapshots.commands = l.commands
-	l.snapshots.autoscaler = l.autoscaler
-	l.snapshots.cells = l.cells
-	l.snapshots.host = l.host
-	l.snapshots.zones = l.zones
-	l.objectives.catalogue = l.catalogue
-	l.origin.jobs = l.jobs
-	l.origin.catalogue = l.catalogue
-	l.origin.reader = l.reader
-	l.origin.writer = l.writer
-	l.origin.autoscaler = l.autoscaler
-	l.origin.snapshots = l.snapshots
-	l.origin.cells = l.cells
-	l.origin.steps = l.steps
-	l.host.jobs = l.jobs
-	l.host.machines = l.machines
-	l.host.catalogue = l.catalogue
-	l.host.reader = l.reader
-	l.host.writer = l.writer
-	l.host.reconciler = l.reconciler
-	l.host.commands = l.commands
-	l.host.autoscaler = l.autoscaler
-	l.host.snapshots = l.snapshots
-	l.host.cells = l.cells
-	l.host.steps = l.steps
-	l.zones.jobs = l.jobs
-	l.zones.machines = l.machines
-	l.zones.catalogue = l.catalogue
-	l.zones.objectives = l.objectives
-	l.zones.reader = l.reader
-	l.zones.writer = l.writer
-	l.zones.commands = l.commands
-	l.zones.overview = l.overview
-	l.zones.steps = l.steps
-	l.overview.jobs = l.jobs
-	l.overview.machines = l.machines
-	l.overview.catalogue = l.catalogue
-	l.overview.autoscaler = l.autoscaler
-	l.overview.scheduler = l.scheduler
-	l.overview.writer = l.writer
-	l.overview.cells = l.cells
-	l.overview.origin = l.origin
-	l.overview.zones = l.zones
+	l.cancellations.machineReleases = l.autoscaler
+	l.reader.delegations = l.origin
+	l.reader.zones = l.zones
+	l.writer.hosted = l.host
 }
 
-const (
-	staleAfter = 6 * clock.Second
-	rateTime   = 60 * clock.Second
-	followTime = 2 * clock.Second
-	cordonTime = 3 * clock.Second
-	// resignAgain leaves a leader the time to prove silent machines empty: if it
-	// is the workers that are gone, no other node hears them either.
-	resignAgain = 60 * clock.Second
-	tickTime    = 500 * clock.Millisecond
-	lateTick    = 2 * clock.Second
-	wakeDelay   = 15 * clock.Millisecond
-	retryDelay  = 300 * clock.Millisecond
-)
-
-// What one of each adds to a step, in microseconds, and the part of the
-// processor that steps may take.
-const (
-	machineCost = 1
-	jobCost     = 5
-	placedCost  = 1
-	stepShare   = 0.25
-)
-
-const strainedLag = 300 * clock.Millisecond
-
-// inOrder goes through a map by its keys, so that the same state always leads
-// to the same decisions.
-func inOrder[K cmp.Ordered, V any](m map[K]V) iter.Seq2[K, V] {
-	return func(yield func(K, V) bool) {
-		for _, k := range slices.Sorted(maps.Keys(m)) {
-			if v, ok := m[k]; ok && !yield(k, v) {
-				return
-			}
-		}
-	}
-}
+// resignAgain leaves a leader the time to prove silent machines empty: if it is the workers that
+// are gone, no other node hears them either.
+const resignAgain = 60 * clock.Second
 
 // Recover switches recoveries on. It is called before Start; ask asks all controllers which zones'
 // machines they hear of.
 func (l *Leader) Recover(s *recovery.Settings, ask func(done func([]intake.ZoneReports))) {
-	l.zones.options, l.zones.ask = s, ask
-	l.zones.heardOf = map[string]zoneReport{}
+	l.zones.enable(s, ask)
 }
 
 // ZoneReports answers another controller's question.
 func (l *Leader) ZoneReports(reply func(intake.ZoneReports)) {
 	l.mailbox.Post(func() {
-		z := intake.ZoneReports{Node: l.settings.Node, Machines: map[string]int{}}
-		for name, r := range l.zones.heardOf {
-			if l.now() > r.at+heardTime {
-				delete(l.zones.heardOf, name)
-				continue
-			}
-			z.Machines[r.zone]++
-		}
-		reply(z)
+		reply(intake.ZoneReports{Node: l.settings.Node, Machines: l.zones.heardByZone()})
 	})
 }
 
 // JoinCells switches cells on. It is called before Start.
 func (l *Leader) JoinCells(directory *cells.Directory, exchange Exchanger) {
-	l.cells.directory, l.cells.exchange = directory, exchange
+	l.cells.connect(directory, exchange)
+	l.snapshots.directory = directory
 }
 
 // Overview answers from the actor.
@@ -358,30 +213,24 @@
 	l.heartbeats.begin()
 	l.leaderTerm.begin()
 	l.autoscaler.begin()
-	l.catalogue.sharedThisTerm = false
-	l.writer.committing = false
-	l.steps.pending = false
-	l.cancellations.attesting = false
-	l.scheduler.plans = 0
+	l.catalogue.begin()
+	l.writer.begin()
+	l.steps.begin()
+	l.cancellations.begin()
+	l.scheduler.begin()
 	l.reader.load(l.term.Epoch, "", 0, l.now())
 }
 
 // end forgets what was known in a term that is over.
 func (l *Leader) end() {
 	l.loaded = false
-	l.jobs.byID = nil
-	l.machines.byName, l.machines.ordered = nil, nil
+	l.jobs.end()
+	l.machines.end()
 	l.heartbeats.answerDeferred()
 }
 
 func (l *Leader) tick() {
-	if late := l.now() - l.steps.tickedAt - tickTime; l.steps.tickedAt != 0 {
-		if late > lateTick {
-			slog.Info("the process stood still or had no processor", "for_s", late.Seconds(), "epoch", l.term.Epoch)
-		}
-		l.steps.lag = (l.steps.lag + max(late, 0)) / 2
-	}
-	l.steps.tickedAt = l.now()
+	l.steps.noteTick()
 	l.mailbox.After(tickTime, l.tick)
 	if l.term.Epoch == 0 {
 		return
@@ -395,14 +244,13 @@
 		l.health.drain()
 		l.health.replaceSilent()
 		l.health.remind()
-		l.zones.advance()
+		if l.zones.advance() {
+			l.overview.logRecovery()
+		}
 		l.autoscaler.manage()
 		l.catalogue.share()
 		l.origin.manageCells()
-		if l.now() > l.autoscaler.cordonAt+cordonTime {
-			l.autoscaler.cordonAt = l.now()
-			l.autoscaler.cordon()
-		}
+		l.autoscaler.cordonNowAndThen()
 		l.overview.logState()
 		if l.machines.hearsNoMachine() && !l.zones.nobodyHears() && (l.resignedAt == 0 || l.now() > l.resignedAt+resignAgain) {
 			l.resignedAt = l.now()
@@ -418,9 +266,7 @@
 	}
 	l.scheduler.schedule()
 	l.writer.commit()
-	if cpu := l.settings.Deployment.MachineLimits.CPU; cpu > 0 {
-		l.steps.notBefore = l.now() + clock.Micros(float64(l.scheduler.stepCost())/(min(cpu, 1)*stepShare))
-	}
+	l.steps.pauseAfter(l.snapshots.planningCost())
 }
 
 // Exchange answers a report of another cell. ok tells that it is one that this cell knows.
--- a/internal/dispatch/machinetable.go
+++ b/internal/dispatch/machinetable.go
@@ -27,6 +27,34 @@
 	addresses map[string]string
 }
 
+func newMachineTable(term *leaderTerm, catalogue *machineCatalogue) *machineTable {
+	mt := &machineTable{leaderTerm: term, catalogue: catalogue, addresses: map[string]string{}}
+	catalogue.changed = mt.markViewsStale
+	return mt
+}
+
+// markViewsStale has the planner's views of all machines made anew.
+func (mt *machineTable) markViewsStale() {
+	for _, m := range mt.ordered {
+		m.viewStale = true
+	}
+}
+
+// end forgets the machines when the term is over.
+func (mt *machineTable) end() { mt.byName, mt.ordered = nil, nil }
+
+// remove forgets a machine that is proven gone.
+func (mt *machineTable) remove(m *machine) {
+	delete(mt.byName, m.name)
+	delete(mt.addresses, m.name)
+	mt.released[m.name] = mt.now()
+}
+
+// dropRemoved drops the machines from the order that were removed.
+func (mt *machineTable) dropRemoved() {
+	mt.ordered = slices.DeleteFunc(slices.Clone(mt.ordered), func(m *machine) bool { return mt.byName[m.name] != m })
+}
+
 // begin forgets what was known in earlier terms.
 func (mt *machineTable) begin() {
 	mt.byName = map[string]*machine{}
--- a/internal/dispatch/objectives.go
+++ b/internal/dispatch/objectives.go
@@ -18,6 +18,13 @@
 	classSeen map[string]classUse
 }
 
+// rateTime is the time over which the arrivals of a class are counted.
+const rateTime = 60 * clock.Second
+
+func newObjectives(term *leaderTerm, catalogue *machineCatalogue) *objectives {
+	return &objectives{leaderTerm: term, catalogue: catalogue, classSeen: map[string]classUse{}}
+}
+
 // beginS is four minutes.
 const beginS = 240
 
--- /dev/null
+++ b/internal/dispatch/order.go
@@ -0,0 +1,20 @@
+package dispatch
+
+import (
+	"cmp"
+	"iter"
+	"maps"
+	"slices"
+)
+
+// inOrder goes through a map by its keys, so that the same state always leads
+// to the same decisions.
+func inOrder[K cmp.Ordered, V any](m map[K]V) iter.Seq2[K, V] {
+	return func(yield func(K, V) bool) {
+		for _, k := range slices.Sorted(maps.Keys(m)) {
+			if v, ok := m[k]; ok && !yield(k, v) {
+				return
+			}
+		}
+	}
+}
--- a/internal/dispatch/origin.go
+++ b/internal/dispatch/origin.go
@@ -34,6 +34,23 @@
 	spillAt              clock.Micros
 }
 
+func newOriginCell(term *leaderTerm, store statestore.Store, jobs *jobTable, catalogue *machineCatalogue,
+	reader *recordReader, writer *recordWriter, autoscaler *autoscaler, snapshots *snapshotBuilder,
+	links *cellLinks, steps *stepTimer) *originCell {
+	return &originCell{
+		leaderTerm: term,
+		store:      store,
+		jobs:       jobs,
+		catalogue:  catalogue,
+		reader:     reader,
+		writer:     writer,
+		autoscaler: autoscaler,
+		snapshots:  snapshots,
+		cells:      links,
+		steps:      steps,
+	}
+}
+
 // begin forgets what was known in earlier terms.
 func (oc *originCell) begin() {
 	oc.delegations = map[int64]*delegated{}
--- a/internal/dispatch/overview.go
+++ b/internal/dispatch/overview.go
@@ -22,7 +22,25 @@
 	origin     *originCell
 	zones      *zoneRecovery
 
-	loggedAt clock.Micros
+	loggedAt         clock.Micros
+	recoveryLoggedAt clock.Micros
+}
+
+func newOverviewReader(term *leaderTerm, jobs *jobTable, machines *machineTable, catalogue *machineCatalogue,
+	autoscaler *autoscaler, scheduler *taskScheduler, writer *recordWriter, links *cellLinks, origin *originCell,
+	zones *zoneRecovery) *overviewReader {
+	return &overviewReader{
+		leaderTerm: term,
+		jobs:       jobs,
+		machines:   machines,
+		catalogue:  catalogue,
+		autoscaler: autoscaler,
+		scheduler:  scheduler,
+		writer:     writer,
+		cells:      links,
+		origin:     origin,
+		zones:      zones,
+	}
 }
 
 // Overview is what an operator on call wants to see first. Only the leader
--- a/internal/dispatch/reconciler.go
+++ b/internal/dispatch/reconciler.go
@@ -18,6 +18,21 @@
 	steps      *stepTimer
 }
 
+// newReconciler makes a reconciler that is told of the answers to direct commands, too.
+func newReconciler(term *leaderTerm, jobs *jobTable, machines *machineTable, commands *commandSender,
+	objectives *objectives, steps *stepTimer) *reconciler {
+	rc := &reconciler{
+		leaderTerm: term,
+		jobs:       jobs,
+		machines:   machines,
+		commands:   commands,
+		objectives: objectives,
+		steps:      steps,
+	}
+	commands.reconciler = rc
+	return rc
+}
+
 // mayRepeat tells that a late copy of a start that was carried out could do
 // harm: the task is to run again, and a worker that has forgotten this attempt would
 // start it where nobody expects it. What was started in earlier terms is safe,
--- a/internal/dispatch/recordreader.go
+++ b/internal/dispatch/recordreader.go
@@ -23,14 +23,49 @@
 	commands   *commandSender
 	heartbeats *heartbeatHandler
 	objectives *objectives
-	origin     *originCell
-	host       *hostCell
-	zones      *zoneRecovery
-	steps      *stepTimer
+	// delegations and zones are read after the job records.
+	delegations delegationRecords
+	zones       zoneRecords
+	steps       *stepTimer
 
 	loading bool
 }
 
+// followTime is after how long a watch of the records answers without any change.
+const followTime = 2 * clock.Second
+
+// newRecordReader makes a reader that the writer calls for records which have to be read again.
+func newRecordReader(term *leaderTerm, store statestore.Store, jobs *jobTable, machines *machineTable,
+	writer *recordWriter, reconciler *reconciler, commands *commandSender, heartbeats *heartbeatHandler,
+	objectives *objectives, steps *stepTimer) *recordReader {
+	rr := &recordReader{
+		leaderTerm: term,
+		store:      store,
+		jobs:       jobs,
+		machines:   machines,
+		writer:     writer,
+		reconciler: reconciler,
+		commands:   commands,
+		heartbeats: heartbeats,
+		objectives: objectives,
+		steps:      steps,
+	}
+	writer.reader = rr
+	return rr
+}
+
+// delegationRecords reads the delegations to other cells, and squares them with the job records.
+type delegationRecords interface {
+	loadDelegations(epoch int64, done func())
+	matchDelegations()
+	matchDelegation(j *job)
+}
+
+// zoneRecords reads the state of zone recoveries.
+type zoneRecords interface {
+	loadZones(epoch int64, done func())
+}
+
 // classUse is what a class of jobs was last seen to need.
 type classUse struct {
 	spec     protocol.JobSpec
@@ -75,7 +110,7 @@
 		default:
 			// After the heads: only the leader writes parts, so that none is missed.
 			rr.loadAll(epoch, ledger.PartsPrefix, "", rr.adoptPart, func() {
-				rr.origin.loadDelegations(epoch, func() {
+				rr.delegations.loadDelegations(epoch, func() {
 					rr.zones.loadZones(epoch, func() { rr.recordsRead(epoch, revision, began) })
 				})
 			})
@@ -131,7 +166,7 @@
 	}
 	first := !rr.loaded
 	rr.loaded, rr.loading = true, false
-	rr.origin.matchDelegations()
+	rr.delegations.matchDelegations()
 	rr.freshAt = began
 	if first {
 		rr.heartbeats.answerDeferred()
@@ -221,7 +256,7 @@
 	j := newJob()
 	j.partsUnread = unread
 	if content.Guest != nil {
-		rr.host.welcome(j)
+		rr.jobs.awaitPermission(j)
 	}
 	rr.jobs.byID[id] = j
 	rr.replaceContent(j, content, version)
@@ -284,7 +319,7 @@
 			on[p.Machine] = m
 		}
 	}
-	rr.origin.matchDelegation(j)
+	rr.delegations.matchDelegation(j)
 	// What the machines last said still counts for what the record just said.
 	for _, m := range inOrder(on) {
 		if m.seen {
@@ -322,9 +357,9 @@
 		case r.Status == http.StatusOK:
 			rr.adopt(key, r.Value.Value, r.Value.Version)
 		case r.Status == http.StatusNotFound && j.Guest != nil:
-			rr.host.forgetGuest(j) // only this leader removes it
+			rr.jobs.forget(j) // only this leader removes it
 		default:
-			rr.writer.pauseUntil = rr.now() + retryDelay
+			rr.writer.pause()
 		}
 		rr.steps.wake()
 	})
@@ -342,7 +377,7 @@
 			return
 		case status != http.StatusOK:
 			j.reading = false // and all of it again, after a pause
-			rr.writer.pauseUntil = rr.now() + retryDelay
+			rr.writer.pause()
 		default:
 			if rr.jobs.byID[j.Spec.ID] == j {
 				done(r)
--- a/internal/dispatch/recordwriter.go
+++ b/internal/dispatch/recordwriter.go
@@ -21,8 +21,9 @@
 	machines *machineTable
 	reader   *recordReader
 	commands *commandSender
-	host     *hostCell
-	steps    *stepTimer
+	// hosted is told of stored changes of jobs that another cell has delegated to this one.
+	hosted hostedObserver
+	steps  *stepTimer
 
 	committing bool
 	// pauseUntil is set after the store has refused a request.
@@ -33,6 +34,32 @@
 	learnedOps int
 }
 
+func newRecordWriter(term *leaderTerm, store statestore.Store, jobs *jobTable, machines *machineTable,
+	commands *commandSender, steps *stepTimer) *recordWriter {
+	return &recordWriter{
+		leaderTerm: term,
+		store:      store,
+		jobs:       jobs,
+		machines:   machines,
+		commands:   commands,
+		steps:      steps,
+	}
+}
+
+// begin forgets a transaction that was sent in an earlier term.
+func (rw *recordWriter) begin() { rw.committing = false }
+
+// pause puts the next transaction off: the key-value store doesn't serve this node.
+func (rw *recordWriter) pause() { rw.pauseUntil = rw.now() + retryDelay }
+
+// paused reports whether the key-value store refused a request a moment ago.
+func (rw *recordWriter) paused() bool { return rw.now() < rw.pauseUntil }
+
+// hostedObserver is told of stored changes of jobs that another cell has delegated to this one.
+type hostedObserver interface {
+	noteGuestStored(j *job)
+}
+
 // txnBytes is how much of the 64 KiB that a transaction may have is used:
 // sizes are counted as JSON, which is a little longer than what is measured.
 const txnBytes = 40 << 10
@@ -55,7 +82,7 @@
 // commit writes changed records, many in one transaction, each guarded by its
 // own version and all by the leader's key: a deposed leader changes nothing.
 func (rw *recordWriter) commit() {
-	if rw.committing || rw.now() < rw.pauseUntil {
+	if rw.committing || rw.paused() {
 		return
 	}
 	units := rw.dirtyUnits()
@@ -165,7 +192,7 @@
 				delete(rw.jobs.strayShards, key)
 			}
 		default:
-			rw.pauseUntil = rw.now() + retryDelay
+			rw.pause()
 		}
 	})
 }
@@ -192,7 +219,7 @@
 		rw.noteRefused(writes, r.Value.Error)
 	case r.Status == http.StatusTooManyRequests || r.Status == http.StatusServiceUnavailable:
 		// Not executed: the same changes go again after a pause.
-		rw.pauseUntil = rw.now() + retryDelay
+		rw.pause()
 	case r.Unknown() || r.Status >= http.StatusInternalServerError:
 		// It may have been carried out, or may be seconds from now. Until something
 		// else is written at these versions nothing that it says may be forgotten: a
@@ -200,13 +227,13 @@
 		// the same. So it goes again as it stands by then; only one of the two can apply,
 		// and if it was the first, the second is refused and the records are read.
 		slog.Info("a change has no answer, it goes again", "status", r.Status, "reason", r.Value.Error, "records", len(writes))
-		rw.pauseUntil = rw.now() + retryDelay
+		rw.pause()
 		for _, w := range writes {
 			w.v.uncertain = true
 		}
 	default:
 		slog.Error("a change is refused, reading the records", "status", r.Status, "reason", r.Value.Error, "records", len(writes))
-		rw.pauseUntil = rw.now() + retryDelay
+		rw.pause()
 		for _, w := range writes {
 			w.j.reread, w.j.fence = true, w.part != head && !w.j.dividing
 		}
@@ -250,7 +277,7 @@
 // announced, then whatever is found by halves.
 func (rw *recordWriter) noteRefused(writes []write, reason string) {
 	slog.Error("a change is too large for the state service", "reason", reason, "values", len(writes), "known", rw.tightened)
-	rw.pauseUntil = rw.now() + retryDelay
+	rw.pause()
 	switch {
 	case !rw.tightened:
 		rw.tightened = true
@@ -276,7 +303,7 @@
 		}
 		if w.part == head {
 			w.j.fence = false
-			rw.host.noteGuestStored(w.j)
+			rw.hosted.noteGuestStored(w.j)
 		}
 		w.v.fresh = slices.DeleteFunc(w.v.fresh, func(task int) bool {
 			p, placed := w.j.Placed[task]
--- a/internal/dispatch/release.go
+++ b/internal/dispatch/release.go
@@ -2,7 +2,6 @@
 
 import (
 	"net/http"
-	"slices"
 
 	"postpoint/internal/clock"
 	"postpoint/internal/cloud"
@@ -39,7 +38,7 @@
 			sc.forgetMachine(sc.machines.byName[name])
 		}
 		sc.machines.forgetReleased()
-		sc.machines.ordered = slices.DeleteFunc(slices.Clone(sc.machines.ordered), func(m *machine) bool { return sc.machines.byName[m.name] != m })
+		sc.machines.dropRemoved()
 		sc.steps.wake()
 	})
 }
@@ -63,10 +62,8 @@
 			}
 		}
 	}
-	delete(sc.machines.byName, m.name)
-	delete(sc.machines.addresses, m.name)
+	sc.machines.remove(m)
 	delete(sc.refused, m.kind()) // there is one to be had again
-	sc.machines.released[m.name] = sc.now()
 }
 
 // releasedTime is far beyond any delay of a report or a list. A machine of which still
--- a/internal/dispatch/reserve.go
+++ b/internal/dispatch/reserve.go
@@ -4,6 +4,7 @@
 	"math"
 	"slices"
 
+	"postpoint/internal/clock"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
 	"postpoint/internal/recovery"
@@ -132,3 +133,19 @@
 	coming := int(math.Ceil(float64(recent) * boot * soonBoots / rateTime.Seconds()))
 	return max(coming, largest) + sb.machines.mostReplicas()
 }
+
+// planGuest shows a guest to the planner: it never presses, and takes only room beyond the
+// reserve.
+func (sb *snapshotBuilder) planGuest(j *job, pj *planner.Job, now clock.Micros) {
+	pj.MayEvict, pj.StartAim, pj.Returning = false, false, false
+	pj.Tier, pj.SlackS, pj.StartS = planner.EndsInTime, math.MaxFloat64, math.MaxFloat64
+	pj.Waiting = pj.Waiting || !j.permit.MayStart(now+startMargin) || j.Guest.Closed
+	if sb.directory == nil || sb.directory.Own.Reserve == (planner.Amounts{}) {
+		return
+	}
+	room := sb.free.Minus(sb.directory.Own.Reserve)
+	room.MemoryGB = planner.PlentyGB
+	if fits := planner.Needs(&j.Spec).Count(room); fits < len(pj.Pending) {
+		pj.Limit = min(pj.Limit, fits)
+	}
+}
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -23,12 +23,30 @@
 	commands   *commandSender
 	autoscaler *autoscaler
 	snapshots  *snapshotBuilder
-	host       *hostCell
 	zones      *zoneRecovery
 
 	plans int // made in this term
 }
 
+func newTaskScheduler(term *leaderTerm, jobs *jobTable, machines *machineTable, catalogue *machineCatalogue,
+	writer *recordWriter, commands *commandSender, autoscaler *autoscaler, snapshots *snapshotBuilder,
+	zones *zoneRecovery) *taskScheduler {
+	return &taskScheduler{
+		leaderTerm: term,
+		jobs:       jobs,
+		machines:   machines,
+		catalogue:  catalogue,
+		writer:     writer,
+		commands:   commands,
+		autoscaler: autoscaler,
+		snapshots:  snapshots,
+		zones:      zones,
+	}
+}
+
+// begin counts the plans of a new term.
+func (ts *taskScheduler) begin() { ts.plans = 0 }
+
 // planTasks bounds how many tasks of one job a single plan starts.
 const planTasks = 2000
 
@@ -53,7 +71,7 @@
 	ts.carryOutPlaces(plan.Places)
 	ts.carryOutStops(plan.Stops)
 	ts.noteWants(plan.Wants)
-	ts.autoscaler.rent(slices.Concat(plan.Wants, ts.cheaper(plan, snapshot), ts.host.beyondReserve(&snapshot)))
+	ts.autoscaler.rent(slices.Concat(plan.Wants, ts.cheaper(plan, snapshot), ts.beyondReserve(&snapshot)))
 }
 
 // makePlan plans, and takes cordoned machines back if there is need of them.
@@ -152,14 +170,17 @@
 	return wants
 }
 
-// stepCost is what a step is taken to cost, for a pause after it that leaves the
-// processor to heartbeats, renewals and users: a leader that plans without a break at
-// a tenth of a core is late for everything else. Each part is counted rather
-// than timed, so that the same events always lead to the same decisions.
-func (ts *taskScheduler) stepCost() clock.Micros {
-	placed := 0
-	for _, j := range ts.jobs.byID {
-		placed += len(j.Placed)
+// beyondReserve are the tasks of guests that the reserve keeps off the machines that are up:
+// others are rented for them.
+func (ts *taskScheduler) beyondReserve(s *planner.Snapshot) []planner.Want {
+	var wants []planner.Want
+	for i := range s.Jobs {
+		j := &s.Jobs[i]
+		if rest := len(j.Pending) - j.Limit; rest > 0 && ts.jobs.isHosted(j.ID) && !j.Waiting && !j.Spec.Gang() {
+			wants = append(wants, planner.Want{Job: j, Tasks: rest})
+		} else if rest > 0 && ts.jobs.isHosted(j.ID) && !j.Waiting {
+			wants = append(wants, planner.Want{Job: j, Tasks: len(j.Pending)})
+		}
 	}
-	return clock.Micros(len(ts.machines.ordered)*machineCost + len(ts.jobs.byID)*jobCost + placed*placedCost)
+	return wants
 }
--- a/internal/dispatch/snapshot.go
+++ b/internal/dispatch/snapshot.go
@@ -6,6 +6,7 @@
 	"math"
 	"slices"
 
+	"postpoint/internal/cells"
 	"postpoint/internal/clock"
 	"postpoint/internal/fleet"
 	"postpoint/internal/planner"
@@ -21,12 +22,27 @@
 	objectives *objectives
 	writer     *recordWriter
 	commands   *commandSender
-	autoscaler *autoscaler
-	cells      *cellLinks
-	host       *hostCell
 	zones      *zoneRecovery
+	// directory lists the cells, nil if they are switched off.
+	directory *cells.Directory
 
 	views []planner.Machine // of the last snapshot
+	// free is what the machines of the last snapshot had left.
+	free planner.Amounts
+}
+
+func newSnapshotBuilder(term *leaderTerm, jobs *jobTable, machines *machineTable, catalogue *machineCatalogue,
+	objectives *objectives, writer *recordWriter, commands *commandSender, zones *zoneRecovery) *snapshotBuilder {
+	return &snapshotBuilder{
+		leaderTerm: term,
+		jobs:       jobs,
+		machines:   machines,
+		catalogue:  catalogue,
+		objectives: objectives,
+		writer:     writer,
+		commands:   commands,
+		zones:      zones,
+	}
 }
 
 func (sb *snapshotBuilder) snapshot() planner.Snapshot {
@@ -47,8 +63,8 @@
 	}
 	sb.views = s.Machines
 	evictions := sb.evictionsPossible(s.Teams)
-	if sb.cells.directory != nil {
-		sb.autoscaler.free = freeRoom(s.Machines)
+	if sb.directory != nil {
+		sb.free = freeRoom(s.Machines)
 	}
 	for _, j := range inOrder(sb.jobs.byID) {
 		team := s.Teams[j.Spec.Team]
@@ -152,7 +168,7 @@
 		j.returning = false
 	}
 	if j.permit != nil {
-		sb.host.planGuest(j, &pj, now)
+		sb.planGuest(j, &pj, now)
 	}
 	return pj
 }
@@ -358,3 +374,22 @@
 		}
 	}
 }
+
+// planningCost is what a step is taken to cost, for a pause after it that leaves the
+// processor to heartbeats, renewals and users: a leader that plans without a break at
+// a tenth of a core is late for everything else. Each part is counted rather
+// than timed, so that the same events always lead to the same decisions.
+func (sb *snapshotBuilder) planningCost() clock.Micros {
+	placed := 0
+	for _, j := range sb.jobs.byID {
+		placed += len(j.Placed)
+	}
+	return clock.Micros(len(sb.machines.ordered)*machineCost + len(sb.jobs.byID)*jobCost + placed*placedCost)
+}
+
+// What one of each adds to a step, in microseconds.
+const (
+	machineCost = 1
+	jobCost     = 5
+	placedCost  = 1
+)
--- a/internal/dispatch/term.go
+++ b/internal/dispatch/term.go
@@ -37,6 +37,17 @@
 	random *rand.Rand
 }
 
+const (
+	// staleAfter is how old the records' last confirmation may be for a leader to act on them.
+	staleAfter = 6 * clock.Second
+	// retryDelay is the pause after the key-value store has refused a request.
+	retryDelay = 300 * clock.Millisecond
+)
+
+func newLeaderTerm(mailbox actor.Mailbox, set *settings.Settings, deposed func(epoch int64)) *leaderTerm {
+	return &leaderTerm{mailbox: mailbox, settings: set, deposed: deposed}
+}
+
 // begin forgets what was known in earlier terms.
 func (lt *leaderTerm) begin() {
 	lt.loaded = false
--- a/internal/dispatch/zoneoverview.go
+++ b/internal/dispatch/zoneoverview.go
@@ -1,6 +1,8 @@
 package dispatch
 
 import (
+	"log/slog"
+
 	"postpoint/internal/fleet"
 	"postpoint/internal/planner"
 	"postpoint/internal/recovery"
@@ -114,3 +116,22 @@
 	}
 	return false
 }
+
+// logRecovery tells an operator now and then how recoveries stand.
+func (ov *overviewReader) logRecovery() {
+	if ov.now() < ov.recoveryLoggedAt+recoveryLogTime || !ov.zones.anyAvoided() {
+		return
+	}
+	ov.recoveryLoggedAt = ov.now()
+	for _, o := range ov.zonesOverview() {
+		if o.Phase == recovery.Healthy {
+			continue
+		}
+		why := map[string]int{}
+		for _, w := range o.Waiting {
+			why[w.Why] += w.Tasks
+		}
+		slog.Info("recovery", "zone", o.Zone, "phase", o.Phase, "number", o.Number, "reading", o.Reading, "machines", o.Machines, "heard", o.Heard,
+			"held_tasks", o.Held, "displaced_tasks", o.Displaced, "waiting_for", why)
+	}
+}
--- a/internal/dispatch/zonerecovery.go
+++ b/internal/dispatch/zonerecovery.go
@@ -22,7 +22,6 @@
 	reader     *recordReader
 	writer     *recordWriter
 	commands   *commandSender
-	overview   *overviewReader
 	steps      *stepTimer
 
 	options *recovery.Settings
@@ -38,11 +37,46 @@
 	probedAt clock.Micros
 	// heardOf are machines whose heartbeats this node has had without leading.
 	heardOf map[string]zoneReport
-	logAt   clock.Micros
 	// someWell reports that some zone in which machines can be rented is healthy, as of the last look.
 	someWell bool
 }
 
+func newZoneRecovery(term *leaderTerm, store statestore.Store, jobs *jobTable, machines *machineTable,
+	catalogue *machineCatalogue, objectives *objectives, reader *recordReader, writer *recordWriter,
+	commands *commandSender, steps *stepTimer) *zoneRecovery {
+	return &zoneRecovery{
+		leaderTerm: term,
+		store:      store,
+		jobs:       jobs,
+		machines:   machines,
+		catalogue:  catalogue,
+		objectives: objectives,
+		reader:     reader,
+		writer:     writer,
+		commands:   commands,
+		steps:      steps,
+	}
+}
+
+// enable switches zone recovery on. ask asks all controllers which zones' machines they hear of.
+func (zr *zoneRecovery) enable(options *recovery.Settings, ask func(done func([]intake.ZoneReports))) {
+	zr.options, zr.ask = options, ask
+	zr.heardOf = map[string]zoneReport{}
+}
+
+// heardByZone counts, by zone, the machines whose heartbeats this node has had lately without leading.
+func (zr *zoneRecovery) heardByZone() map[string]int {
+	counts := map[string]int{}
+	for name, r := range zr.heardOf {
+		if zr.now() > r.at+heardTime {
+			delete(zr.heardOf, name)
+			continue
+		}
+		counts[r.zone]++
+	}
+	return counts
+}
+
 // The loss of a zone is one event: internal/recovery decides when a zone counts as lost and as
 // returned, and in which order its work starts elsewhere. Here the evidence is gathered, the
 // zones' state is kept in the state service, and the decisions are carried out. Each task's place
@@ -104,9 +138,9 @@
 }
 
 // recover follows the zones and carries recoveries on, twice a second.
-func (zr *zoneRecovery) advance() {
+func (zr *zoneRecovery) advance() bool {
 	if zr.options == nil || zr.now() <= zr.begunAt+takeoverTime {
-		return // workers take so long to find a new leader
+		return false // workers take so long to find a new leader
 	}
 	total := zr.gatherEvidence()
 	for name, z := range inOrder(zr.zones) {
@@ -123,14 +157,12 @@
 	zr.probeZones()
 	zr.releaseDisplaced()
 	zr.saveZones()
-	zr.logRecovery()
+	return true
 }
 
 // phaseChanged lets plans follow.
 func (zr *zoneRecovery) phaseChanged() {
-	for _, m := range zr.machines.ordered {
-		m.viewStale = true
-	}
+	zr.machines.markViewsStale()
 	zr.steps.wake()
 }
 
@@ -301,22 +333,3 @@
 	}
 	return false
 }
-
-// logRecovery tells an operator now and then how recoveries stand.
-func (zr *zoneRecovery) logRecovery() {
-	if zr.now() < zr.logAt+recoveryLogTime || !zr.anyAvoided() {
-		return
-	}
-	zr.logAt = zr.now()
-	for _, o := range zr.overview.zonesOverview() {
-		if o.Phase == recovery.Healthy {
-			continue
-		}
-		why := map[string]int{}
-		for _, w := range o.Waiting {
-			why[w.Why] += w.Tasks
-		}
-		slog.Info("recovery", "zone", o.Zone, "phase", o.Phase, "number", o.Number, "reading", o.Reading, "machines", o.Machines, "heard", o.Heard,
-			"held_tasks", o.Held, "displaced_tasks", o.Displaced, "waiting_for", why)
-	}
-}
--- a/internal/dispatch/zonestore.go
+++ b/internal/dispatch/zonestore.go
@@ -37,7 +37,7 @@
 
 // saveZones keeps the zones' phases for the next leader, one change at a time.
 func (zr *zoneRecovery) saveZones() {
-	if zr.saving || zr.now() < zr.writer.pauseUntil {
+	if zr.saving || zr.writer.paused() {
 		return
 	}
 	for name, z := range inOrder(zr.zones) {
@@ -72,7 +72,7 @@
 		case answer.Status == http.StatusConflict && slices.Contains(answer.Value.Failed, leadership.Key):
 			zr.deposed(zr.term.Epoch + 1)
 		default:
-			zr.writer.pauseUntil = zr.now() + retryDelay
+			zr.writer.pause()
 			z.uncertain = answer.Status != http.StatusTooManyRequests && answer.Status != http.StatusServiceUnavailable
 		}
 	})
