--- a/internal/dispatch/cancellations.go
+++ b/internal/dispatch/cancellations.go
@@ -50,11 +50,8 @@
 // cancellations in the time back from now. ok means that all have answered.
 type Attester func(back clock.Micros, done func(all []intake.Attestation, ok bool))
 
-const (
-	// returnTime is left for the cloud to carry a return out, refusals included.
-	returnTime = 7 * clock.Second
-	heedTime   = 4 * clock.Second
-)
+// returnTime is left for the cloud to carry a return out, refusals included.
+const returnTime = 7 * clock.Second
 
 const (
 	attestAfter  = 2*followTime + clock.Second // more than following takes
--- a/internal/dispatch/catalogue.go
+++ b/internal/dispatch/catalogue.go
@@ -8,8 +8,10 @@
 
 	"postpoint/internal/clock"
 	"postpoint/internal/cloud"
+	"postpoint/internal/fleet"
 	"postpoint/internal/leadership"
 	"postpoint/internal/ledger"
+	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
 	"postpoint/internal/statestore"
 )
@@ -174,3 +176,11 @@
 	}
 	return names
 }
+
+// typeHolds tells that a job may use a machine type and a task of it fits when it is empty.
+func typeHolds(t protocol.MachineType, s *protocol.JobSpec) bool {
+	return planner.Needs(s).Fits(fleet.Whole(t)) && (len(s.Types) == 0 || slices.Contains(s.Types, t.Name))
+}
+
+// replicaPriceTimes is how many times the cheapest suitable type's price a machine for replicas may cost.
+const replicaPriceTimes = 2.5
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -35,7 +35,6 @@
 	refusedMost = 32 * clock.Second
 	downTime    = 2 * clock.Second
 	unheardTime = 9 * clock.Second
-	leaseMargin = clock.Second
 )
 
 // saveMargin is the time, in seconds, that an order to save may take to arrive.
@@ -212,3 +211,6 @@
 		}
 	}
 }
+
+// probeTime is longer than a worker that isn't silent takes to answer.
+const probeTime = 1500 * clock.Millisecond
--- a/internal/dispatch/heartbeats.go
+++ b/internal/dispatch/heartbeats.go
@@ -43,9 +43,6 @@
 // earlyTime is less than workers wait by far.
 const earlyTime = clock.Second
 
-// maxAddresses is beyond the machines of any deployment and a day's replacements.
-const maxAddresses = 32 << 10
-
 const (
 	challengeTime = 5 * clock.Second
 	// reportTimeout is less than the four seconds that a worker waits.
--- a/internal/dispatch/host.go
+++ b/internal/dispatch/host.go
@@ -79,9 +79,6 @@
 	return min(delegation.MaxTasks, ledger.New(ordinary, 0).Room(limit))
 }
 
-// startMargin is what a start needs of a permission at least: less would be in vain.
-const startMargin = 2 * clock.Second
-
 // noteGuestStored follows what is stored of a guest. Its home is told at once.
 func (hc *hostCell) noteGuestStored(j *job) {
 	if j.Guest == nil {
--- a/internal/dispatch/hostreports.go
+++ b/internal/dispatch/hostreports.go
@@ -74,15 +74,6 @@
 // shortTime is what waiting for a plan or two and an answer of the cloud takes.
 const shortTime = 5 * clock.Second
 
-// freeRoom is what machines have left, those that boot included.
-func freeRoom(machines []planner.Machine) planner.Amounts {
-	var free planner.Amounts
-	for i := range machines {
-		free = free.Plus(machines[i].Free)
-	}
-	return free
-}
-
 // CellOverview is what the leader knows of another cell.
 type CellOverview struct {
 	Cell string `json:"cell"`
--- a/internal/dispatch/jobtable.go
+++ b/internal/dispatch/jobtable.go
@@ -73,7 +73,7 @@
 // place decides a placement; it counts from now and acts once it is durable.
 func (jt *jobTable) place(j *job, p ledger.Placement) {
 	j.Placed[p.Task] = p
-	jt.machines.index(j, p)
+	jt.machines.index(j.Spec.ID, p)
 	jt.touch(j, p.Task)
 	v := j.valueOf(p.Task)
 	j.proposed[p.Task] = v.changed
@@ -88,7 +88,7 @@
 	if v := j.valueOf(p.Task); v.inFlight || v.uncertain {
 		v.doubtful = append(v.doubtful, p)
 	}
-	jt.machines.unindex(j, p)
+	jt.machines.unindex(j.Spec.ID, p)
 	jt.touch(j, p.Task)
 	if !j.Done.Has(p.Task) {
 		jt.losses.placementLost(j, p.Machine)
@@ -100,7 +100,7 @@
 
 func (jt *jobTable) unplaceAll(j *job) {
 	for _, p := range inOrder(j.Placed) {
-		jt.machines.unindex(j, p)
+		jt.machines.unindex(j.Spec.ID, p)
 	}
 }
 
@@ -233,3 +233,10 @@
 	jt.finalVersions[j.Spec.ID] = j.version
 	delete(jt.byID, j.Spec.ID)
 }
+
+const (
+	// wantedGap is longer than it takes from one plan to the next.
+	wantedGap = 10 * clock.Second
+	// heedTime is given to machines to speak for themselves at the beginning of a term.
+	heedTime = 4 * clock.Second
+)
--- a/internal/dispatch/machinetable.go
+++ b/internal/dispatch/machinetable.go
@@ -149,28 +149,28 @@
 }
 
 // index notes a placement at its machine, nil if another cell runs the task.
-func (mt *machineTable) index(j *job, p ledger.Placement) *machine {
+func (mt *machineTable) index(jobID string, p ledger.Placement) *machine {
 	if p.Host() != "" {
 		return nil
 	}
 	m := mt.get(p.Machine)
 	m.viewStale, m.settled = true, false
-	if m.placed[j.Spec.ID] == nil {
-		m.placed[j.Spec.ID] = map[int]ledger.Placement{}
+	if m.placed[jobID] == nil {
+		m.placed[jobID] = map[int]ledger.Placement{}
 	}
-	m.placed[j.Spec.ID][p.Task] = p
+	m.placed[jobID][p.Task] = p
 	return m
 }
 
-func (mt *machineTable) unindex(j *job, p ledger.Placement) {
+func (mt *machineTable) unindex(jobID string, p ledger.Placement) {
 	m := mt.byName[p.Machine]
 	if m == nil {
 		return
 	}
 	m.viewStale = true
-	delete(m.placed[j.Spec.ID], p.Task)
-	if len(m.placed[j.Spec.ID]) == 0 {
-		delete(m.placed, j.Spec.ID)
+	delete(m.placed[jobID], p.Task)
+	if len(m.placed[jobID]) == 0 {
+		delete(m.placed, jobID)
 	}
 	if len(m.placed) == 0 {
 		m.idleSince = mt.now()
@@ -270,3 +270,31 @@
 	last := max(m.answeredAt, m.sessionAt, mt.begunAt+w.KeepAlive())
 	return last + w.Lease() + w.Lease()/1000 + leaseMargin
 }
+
+// heardCount is how many machines are heard of as they should be.
+type heardCount struct{ heard, expected int }
+
+func (c heardCount) most() bool { return 2*c.heard >= c.expected }
+
+const (
+	// takeoverTime is what workers take to find a new leader.
+	takeoverTime = 8 * clock.Second
+	// missedMargin is added to a heartbeat interval before a heartbeat counts as missed.
+	missedMargin = 750 * clock.Millisecond
+	// leaseMargin covers the time from a check to its effect.
+	leaseMargin = clock.Second
+	// overdueBoots is after how many usual boot times a machine that never reported counts as silent.
+	overdueBoots = 2
+	// maxAddresses is beyond the machines of any deployment and a day's replacements.
+	maxAddresses = 32 << 10
+	// maxSpareForLoss bounds the places kept for the loss of a machine.
+	maxSpareForLoss = 8
+	// Estimates are often wrong by half: a few runs say nothing of a machine,
+	// and neither does a moderate excess.
+	pacedEnough = 4
+	slowPace    = 1.6
+)
+
+// releasedTime is far beyond any delay of a report or a list. A machine of which still
+// older word came would be taken for an unexpected one, and be returned once more.
+const releasedTime = 15 * 60 * clock.Second
--- a/internal/dispatch/objectives.go
+++ b/internal/dispatch/objectives.go
@@ -4,7 +4,6 @@
 	"slices"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/fleet"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
 )
@@ -46,11 +45,6 @@
 	return tier, latest - ends
 }
 
-// typeHolds tells that a job may use a machine type and a task of it fits when it is empty.
-func typeHolds(t protocol.MachineType, s *protocol.JobSpec) bool {
-	return planner.Needs(s).Fits(fleet.Whole(t)) && (len(s.Types) == 0 || slices.Contains(s.Types, t.Name))
-}
-
 const (
 	// defaultSlackS is for jobs of whose end nothing is expected.
 	defaultSlackS = 120
@@ -62,10 +56,6 @@
 const (
 	classWeight   = 0.1 // of one run in the average of its class
 	machineWeight = 0.3 // of one run in the average of its machine
-	// Estimates are often wrong by half: a few runs say nothing of a machine,
-	// and neither does a moderate excess.
-	pacedEnough = 4
-	slowPace    = 1.6
 )
 
 // slowness is by how much longer tasks take on a machine than on others, 0 if
@@ -208,3 +198,17 @@
 	m.viewStale = true
 	m.pace += machineWeight * (against - m.pace)
 }
+
+// classUse is what a class of jobs was last seen to need.
+type classUse struct {
+	spec     protocol.JobSpec
+	at       clock.Micros
+	arrivals []arrival // of the last rateTime
+	pace     float64   // run times against the owners' estimates, on average
+}
+
+// arrival is a job that came.
+type arrival struct {
+	at    clock.Micros
+	tasks int
+}
--- a/internal/dispatch/recordreader.go
+++ b/internal/dispatch/recordreader.go
@@ -31,9 +31,6 @@
 	loading bool
 }
 
-// followTime is after how long a watch of the records answers without any change.
-const followTime = 2 * clock.Second
-
 // newRecordReader makes a reader that the writer calls for records which have to be read again.
 func newRecordReader(term *leaderTerm, store statestore.Store, jobs *jobTable, machines *machineTable,
 	writer *recordWriter, reconciler *reconciler, commands *commandSender, heartbeats *heartbeatHandler,
@@ -66,20 +63,6 @@
 	loadZones(epoch int64, done func())
 }
 
-// classUse is what a class of jobs was last seen to need.
-type classUse struct {
-	spec     protocol.JobSpec
-	at       clock.Micros
-	arrivals []arrival // of the last rateTime
-	pace     float64   // run times against the owners' estimates, on average
-}
-
-// arrival is a job that came.
-type arrival struct {
-	at    clock.Micros
-	tasks int
-}
-
 // reading is a divided record that is being read.
 type reading struct {
 	content *ledger.Job
@@ -315,7 +298,7 @@
 			rr.jobs.unplace(j, p)
 			continue
 		}
-		if m := rr.machines.index(j, p); m != nil {
+		if m := rr.machines.index(j.Spec.ID, p); m != nil {
 			on[p.Machine] = m
 		}
 	}
--- a/internal/dispatch/release.go
+++ b/internal/dispatch/release.go
@@ -3,7 +3,6 @@
 import (
 	"net/http"
 
-	"postpoint/internal/clock"
 	"postpoint/internal/cloud"
 )
 
@@ -65,7 +64,3 @@
 	sc.machines.remove(m)
 	delete(sc.refused, m.kind()) // there is one to be had again
 }
-
-// releasedTime is far beyond any delay of a report or a list. A machine of which still
-// older word came would be taken for an unexpected one, and be returned once more.
-const releasedTime = 15 * 60 * clock.Second
--- a/internal/dispatch/replicas.go
+++ b/internal/dispatch/replicas.go
@@ -1,10 +1,6 @@
 package dispatch
 
-import (
-	"math/rand/v2"
-
-	"postpoint/internal/clock"
-)
+import "postpoint/internal/clock"
 
 // restart is a replica's wait for its next start.
 type restart struct {
@@ -22,9 +18,6 @@
 	restartJitter     = 0.25
 )
 
-// newRandom is a source of jitter that the same events draw the same numbers from.
-func newRandom(epoch int64) *rand.Rand { return rand.New(rand.NewPCG(uint64(epoch), 0)) }
-
 // restartable are those of a service's pending replicas that needn't wait.
 func (j *job) restartable(pending []int, now clock.Micros) []int {
 	if len(j.restarts) == 0 {
@@ -49,23 +42,3 @@
 	}
 	return n
 }
-
-// heardCount is how many machines are heard of as they should be.
-type heardCount struct{ heard, expected int }
-
-func (c heardCount) most() bool { return 2*c.heard >= c.expected }
-
-const (
-	// replicaPriceTimes the cheapest machine's price is about as little.
-	replicaPriceTimes = 2.5
-	// maxSpareForLoss bounds the places kept for the loss of a machine.
-	maxSpareForLoss = 8
-)
-
-const (
-	// takeoverTime is what workers take to find a new leader.
-	takeoverTime = 8 * clock.Second
-	missedMargin = 750 * clock.Millisecond
-	// probeTime is longer than a worker that isn't silent takes to answer.
-	probeTime = 1500 * clock.Millisecond
-)
--- a/internal/dispatch/reserve.go
+++ b/internal/dispatch/reserve.go
@@ -149,3 +149,10 @@
 		pj.Limit = min(pj.Limit, fits)
 	}
 }
+
+// startMargin is what a start needs of a permission at least: less would be in vain.
+const startMargin = 2 * clock.Second
+
+// lostPrefix marks room that is kept for tasks which are with a lost zone and not proven gone yet:
+// machines for them boot meanwhile.
+const lostPrefix = sparePrefix + "lost/"
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -1,7 +1,6 @@
 package dispatch
 
 import (
-	"context"
 	"log/slog"
 	"math"
 	"slices"
@@ -47,20 +46,6 @@
 // begin counts the plans of a new term.
 func (ts *taskScheduler) begin() { ts.plans = 0 }
 
-// planTasks bounds how many tasks of one job a single plan starts.
-const planTasks = 2000
-
-const (
-	// unmetTime is after which machines that were wanted and haven't come are taken
-	// not to: longer than any boots, and less than the 90 s that users give other jobs.
-	unmetTime = 60 * clock.Second
-	// wantedGap is longer than it takes from one plan to the next.
-	wantedGap = 10 * clock.Second
-)
-
-// debugging spares the cost of what would be thrown away.
-func debugging() bool { return slog.Default().Enabled(context.Background(), slog.LevelDebug) }
-
 // schedule plans from what is known now and turns the plan into proposals.
 func (ts *taskScheduler) schedule() {
 	if len(ts.catalogue.list) == 0 {
--- a/internal/dispatch/snapshot.go
+++ b/internal/dispatch/snapshot.go
@@ -393,3 +393,19 @@
 	jobCost     = 5
 	placedCost  = 1
 )
+
+// unmetTime is after which machines that were wanted and haven't come are taken
+// not to: longer than any boots, and less than the 90 s that users give other jobs.
+const unmetTime = 60 * clock.Second
+
+// planTasks bounds how many tasks of one job a single plan starts.
+const planTasks = 2000
+
+// freeRoom is what machines have left, those that boot included.
+func freeRoom(machines []planner.Machine) planner.Amounts {
+	var free planner.Amounts
+	for i := range machines {
+		free = free.Plus(machines[i].Free)
+	}
+	return free
+}
--- a/internal/dispatch/term.go
+++ b/internal/dispatch/term.go
@@ -1,6 +1,8 @@
 package dispatch
 
 import (
+	"context"
+	"log/slog"
 	"math/rand/v2"
 
 	"postpoint/internal/actor"
@@ -42,6 +44,8 @@
 	staleAfter = 6 * clock.Second
 	// retryDelay is the pause after the key-value store has refused a request.
 	retryDelay = 300 * clock.Millisecond
+	// followTime is after how long a watch of the records answers without any change.
+	followTime = 2 * clock.Second
 )
 
 func newLeaderTerm(mailbox actor.Mailbox, set *settings.Settings, deposed func(epoch int64)) *leaderTerm {
@@ -116,3 +120,9 @@
 	}
 	return lt.answersUntil()
 }
+
+// newRandom is a source of jitter that the same events draw the same numbers from.
+func newRandom(epoch int64) *rand.Rand { return rand.New(rand.NewPCG(uint64(epoch), 0)) }
+
+// debugging spares the cost of what would be thrown away.
+func debugging() bool { return slog.Default().Enabled(context.Background(), slog.LevelDebug) }
--- a/internal/dispatch/zonerecovery.go
+++ b/internal/dispatch/zonerecovery.go
@@ -108,8 +108,6 @@
 	probesAtOnce   = 2
 	// longestTurn is how long work of a lost zone waits for its turn at most.
 	longestTurn = 60 * clock.Second
-	// overdueBoots is after how many usual boot times a machine that never reported counts as silent.
-	overdueBoots = 2
 	// recoveryLogTime is from one line on a recovery to the next.
 	recoveryLogTime = 15 * clock.Second
 )
@@ -117,10 +115,6 @@
 // lostListing is beyond the delay of the cloud's list.
 const lostListing = 60 * clock.Second
 
-// lostPrefix marks room that is kept for tasks which are with a lost zone and not proven gone yet:
-// machines for them boot meanwhile.
-const lostPrefix = sparePrefix + "lost/"
-
 func (zr *zoneRecovery) begin() {
 	zr.zones, zr.pace = map[string]*zone{}, recovery.Pace{}
 	zr.saving, zr.asking, zr.reports = false, false, nil
