--- a/internal/dispatch/allowance_test.go
+++ b/internal/dispatch/allowance_test.go
@@ -14,12 +14,12 @@
 func TestNoLeaseIsRenewedForCancelledTasks(t *testing.T) {
 	for _, leads := range []bool{true, false} {
 		d, j, m, box := one(t)
-		keep := d.settings.Deployment.Workers.KeepAlive()
+		keep := d.state.settings.Deployment.Workers.KeepAlive()
 		d.jobs.noteCancelled(j, box.Now)
 		say := func(counter int64, tasks ...protocol.TaskReport) (status int, orders []protocol.Order) {
-			d.term.RenewedAt, d.freshAt = box.Now, box.Now
-			if d.term.ValidUntil = box.Now; leads {
-				d.term.ValidUntil += clock.Second
+			d.state.term.RenewedAt, d.state.freshAt = box.Now, box.Now
+			if d.state.term.ValidUntil = box.Now; leads {
+				d.state.term.ValidUntil += clock.Second
 			}
 			d.Heartbeat(report(1, counter, tasks...), func(s int, body any) {
 				status = s
@@ -51,13 +51,13 @@
 // it as well; clocks of day may be off either way.
 func TestCancellationsCountFromTheRecord(t *testing.T) {
 	d, j, _, box := one(t)
-	d.settings.Deployment.ClockErrorMs = 250
+	d.state.settings.Deployment.ClockErrorMs = 250
 	j.Status, j.CancelledAt = protocol.StatusCancelled, int64(box.Now-110*clock.Second)
 	d.reader.adopt(ledger.Key("job-1"), j.Encode(), 6)
 	if !j.cancelled || j.cancelledAt != -10*clock.Second-500*clock.Millisecond {
 		t.Fatalf("cancelled %v at %.3f s", j.cancelled, j.cancelledAt.Seconds())
 	}
-	d.begunAt = box.Now
+	d.state.begunAt = box.Now
 	if at := d.cancellations.returnAt(j); at >= box.Now {
 		t.Fatalf("the machine is returned at %.3f s", at.Seconds())
 	}
--- a/internal/dispatch/autoscaler.go
+++ b/internal/dispatch/autoscaler.go
@@ -33,6 +33,19 @@
 	spareBatch int // see fleet.Cordon; kept across terms
 }
 
+const (
+	// listTime is from one look at the cloud's list of machines to the next.
+	listTime = 4 * clock.Second
+	// A kind of machine that the cloud has run out of is asked for again after refusedTime, which
+	// doubles up to refusedMost.
+	refusedTime = 8 * clock.Second
+	refusedMost = 32 * clock.Second
+	// downTime is the pause after the cloud has refused a request.
+	downTime = 2 * clock.Second
+	// unheardTime is given to machines that ran tasks before this term to be listed or heard of.
+	unheardTime = 9 * clock.Second
+)
+
 // cordonTime is from one look for machines that aren't needed to the next.
 const cordonTime = 3 * clock.Second
 
--- a/internal/dispatch/cells_test.go
+++ b/internal/dispatch/cells_test.go
@@ -38,14 +38,14 @@
 func cellLeader(t *testing.T) (*Leader, *commits, *actortest.Still) {
 	t.Helper()
 	d, box := leader()
-	d.settings.Node = "worker-0"
-	directory, err := cells.Parse([]byte(twoCells), d.settings)
+	d.state.settings.Node = "worker-0"
+	directory, err := cells.Parse([]byte(twoCells), d.state.settings)
 	if err != nil {
 		t.Fatal(err)
 	}
 	store := &commits{}
 	useStore(d, store)
-	d.format.Open, d.format.Cells = true, true
+	d.state.format.Open, d.state.format.Cells = true, true
 	d.JoinCells(directory, nil)
 	d.cells.begin()
 	d.origin.begin()
@@ -70,7 +70,7 @@
 
 // beat has the machine report, and gives the status and the orders of the answer.
 func beat(d *Leader, box *actortest.Still, counter int64, tasks ...protocol.TaskReport) (status int, orders []protocol.Order) {
-	d.term.RenewedAt, d.term.ValidUntil, d.freshAt = box.Now, box.Now+4*clock.Second, box.Now
+	d.state.term.RenewedAt, d.state.term.ValidUntil, d.state.freshAt = box.Now, box.Now+4*clock.Second, box.Now
 	d.Heartbeat(report(1, counter, tasks...), func(s int, body any) {
 		status = s
 		if a, ok := body.(protocol.HeartbeatAnswer); ok {
@@ -117,19 +117,19 @@
 // its reports, whoever leads.
 func TestHungMachinesWithGuestsAreReturnedInTime(t *testing.T) {
 	d, j, _, box := hosting(t)
-	workers := d.settings.Deployment.Workers
+	workers := d.state.settings.Deployment.Workers
 	latest := j.permit.Until() + cells.ClearTime(workers.Lease()) - returnTime
 	if at := d.cancellations.returnAt(j); at > latest {
 		t.Errorf("returned %.1f s too late", (at - latest).Seconds())
 	}
 	d.jobs.awaitPermission(j) // a new leader, and the last permission ended just before its predecessor's lease did
-	ended := d.begunAt - 5*clock.Second
+	ended := d.state.begunAt - 5*clock.Second
 	if at := d.cancellations.returnAt(j); at > ended+cells.ClearTime(workers.Lease())-returnTime {
-		t.Errorf("returned %.1f s after the new leader's election", (at - d.begunAt).Seconds())
+		t.Errorf("returned %.1f s after the new leader's election", (at - d.state.begunAt).Seconds())
 	}
 	j.Guest.Closed = true // by its predecessor, long ago perhaps
-	if at := d.cancellations.returnAt(j); at != d.begunAt+heedTime {
-		t.Errorf("returned %.1f s after the new leader's election though it was closed before", (at - d.begunAt).Seconds())
+	if at := d.cancellations.returnAt(j); at != d.state.begunAt+heedTime {
+		t.Errorf("returned %.1f s after the new leader's election though it was closed before", (at - d.state.begunAt).Seconds())
 	}
 	_ = box
 }
@@ -139,7 +139,7 @@
 	d, j, m, box := hosting(t)
 	worker := &commandsUntil{}
 	d.commands.agent = worker
-	d.term.ValidUntil = box.Now + 60*clock.Second
+	d.state.term.ValidUntil = box.Now + 60*clock.Second
 	start := protocol.Order{Verb: protocol.VerbStart, Task: protocol.TaskName(j.Spec.ID, 0), Attempt: 1}
 	d.commands.send(m, 1, []protocol.Order{start}, nil)
 	if worker.until != j.permit.Until() {
@@ -147,7 +147,7 @@
 	}
 	start.Verb = protocol.VerbStop
 	d.commands.send(m, 1, []protocol.Order{start}, nil)
-	if worker.until != d.term.ValidUntil {
+	if worker.until != d.state.term.ValidUntil {
 		t.Error("what ends the task is held back as well")
 	}
 }
@@ -246,8 +246,8 @@
 func TestPermissionsFollowWhatIsKnown(t *testing.T) {
 	d, j, _, box := delegating(t)
 	box.Now += 2 * clock.Second // the records were fresh and the lease renewed before
-	d.term.ValidUntil = box.Now + clock.Second
-	want := cells.LongestPermission(d.settings.Deployment.Workers, cells.ClearTime(12*clock.Second)) - 2*clock.Second
+	d.state.term.ValidUntil = box.Now + clock.Second
+	want := cells.LongestPermission(d.state.settings.Deployment.Workers, cells.ClearTime(12*clock.Second)) - 2*clock.Second
 	if a := tell(d, delegation.Status{}); len(a.Rulings) != 1 || a.Rulings[0].Verdict != delegation.Continue || a.Rulings[0].For != want {
 		t.Fatalf("%+v, %.1f s expected", a.Rulings, want.Seconds())
 	}
@@ -259,11 +259,11 @@
 	if a := tell(d, delegation.Status{}); len(a.Rulings) != 1 || a.Rulings[0].Verdict != delegation.Forget {
 		t.Fatalf("%+v for a delegation that there isn't", a.Rulings)
 	}
-	d.term.ValidUntil = box.Now
+	d.state.term.ValidUntil = box.Now
 	if a := tell(d, delegation.Status{}); len(a.Rulings) != 0 {
 		t.Fatalf("%+v from a node without the lease", a.Rulings)
 	}
-	d.term.ValidUntil = box.Now + clock.Second
+	d.state.term.ValidUntil = box.Now + clock.Second
 	d.origin.delegationUnreadable = true
 	if a := tell(d, delegation.Status{}); len(a.Rulings) != 0 {
 		t.Fatalf("%+v though a delegation's record makes no sense", a.Rulings)
@@ -356,13 +356,13 @@
 // leaders: making it, its form, taking it, and the answer.
 func BenchmarkExchange(b *testing.B) {
 	d, box := leader()
-	d.settings.Node = "worker-0"
-	directory, err := cells.Parse([]byte(twoCells), d.settings)
+	d.state.settings.Node = "worker-0"
+	directory, err := cells.Parse([]byte(twoCells), d.state.settings)
 	if err != nil {
 		b.Fatal(err)
 	}
 	useStore(d, &commits{})
-	d.format.Open, d.format.Cells = true, true
+	d.state.format.Open, d.state.format.Cells = true, true
 	d.JoinCells(directory, nil)
 	d.cells.begin()
 	d.origin.begin()
@@ -383,7 +383,7 @@
 		d.origin.delegate(d.jobs.byID[id], "beta", tasks)
 	}
 	for b.Loop() {
-		d.freshAt, d.term.RenewedAt, d.term.ValidUntil = box.Now, box.Now, box.Now+clock.Second
+		d.state.freshAt, d.state.term.RenewedAt, d.state.term.ValidUntil = box.Now, box.Now, box.Now+clock.Second
 		report, err := delegation.DecodeReport(r.Encode())
 		if err != nil {
 			b.Fatal(err)
@@ -436,8 +436,8 @@
 	}{
 		"waits":               {func(*Leader, *job) {}, 2},
 		"wants nothing":       {func(_ *Leader, j *job) { j.wantedAt = 0 }, 0},
-		"waits a little":      {func(d *Leader, j *job) { j.wantedFrom = d.now() - shortTime + 1 }, 0},
-		"came back":           {func(d *Leader, j *job) { j.backAt = d.now() - settleTime + 1 }, 0},
+		"waits a little":      {func(d *Leader, j *job) { j.wantedFrom = d.state.now() - shortTime + 1 }, 0},
+		"came back":           {func(d *Leader, j *job) { j.backAt = d.state.now() - settleTime + 1 }, 0},
 		"came back too often": {func(_ *Leader, j *job) { j.Returned = maxReturned }, 0},
 		"a service":           {func(_ *Leader, j *job) { j.Spec.Shape = protocol.ShapeService }, 0},
 		"a whole gang":        {func(_ *Leader, j *job) { j.Spec.Shape = protocol.ShapeGang }, 4},
@@ -446,7 +446,7 @@
 			j.Spec.OneZone = true
 			d.jobs.place(j, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1})
 		}, 0},
-		"over": {func(d *Leader, j *job) { d.jobs.noteCancelled(j, d.now()) }, 0},
+		"over": {func(d *Leader, j *job) { d.jobs.noteCancelled(j, d.state.now()) }, 0},
 	} {
 		d, _, box := cellLeader(t)
 		d.reader.adopt(ledger.Key("job-1"), ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 4, Cpus: 1}, 1).Encode(), 5)
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -18,10 +18,10 @@
 	set.Deployment.Workers = settings.Workers{ReportS: 2, LeaseS: 12, GangPeerS: 4, CancelS: 30}
 	set.Deployment.State = settings.State{Rps: 100, WriteRps: 40, ValueKb: 8, TxnOps: 5}
 	d := New(box, nil, nil, nil, set, func(int64) {}, func() {}, nil, nil)
-	d.term.Epoch, d.begunAt, d.term.RenewedAt, d.term.ValidUntil = 7, box.Now, box.Now, box.Now+4*clock.Second
+	d.state.term.Epoch, d.state.begunAt, d.state.term.RenewedAt, d.state.term.ValidUntil = 7, box.Now, box.Now, box.Now+4*clock.Second
 	d.jobs.byID, d.machines.byName, d.machines.released, d.jobs.malformed = map[string]*job{}, map[string]*machine{}, map[string]clock.Micros{}, map[string]bool{}
-	d.jobs.finalVersions, d.jobs.strayShards, d.random = map[string]int64{}, map[string]int64{}, newRandom(7)
-	d.loaded, d.freshAt, d.steps.pending = true, box.Now, true
+	d.jobs.finalVersions, d.jobs.strayShards, d.state.random = map[string]int64{}, map[string]int64{}, newRandom(7)
+	d.state.loaded, d.state.freshAt, d.steps.pending = true, box.Now, true
 	return d, box
 }
 
--- a/internal/dispatch/divide_test.go
+++ b/internal/dispatch/divide_test.go
@@ -18,9 +18,9 @@
 func tightLeader(open bool) (*Leader, *commits) {
 	d, _ := leader()
 	valueKb, txnOps := 2.0, 4
-	d.settings.Deployment.State = settings.State{Rps: 100, WriteRps: 40, ValueKb: 32, TxnOps: 12,
+	d.state.settings.Deployment.State = settings.State{Rps: 100, WriteRps: 40, ValueKb: 32, TxnOps: 12,
 		Next: &settings.NextState{ValueKb: &valueKb, TxnOps: &txnOps}}
-	d.format = rollout.Status{Open: open}
+	d.state.format = rollout.Status{Open: open}
 	store := &commits{}
 	useStore(d, store)
 	return d, store
@@ -167,7 +167,7 @@
 func TestCancellationWinsOverParts(t *testing.T) {
 	d, store, j := divided(t)
 	cancelled := *j.Job
-	cancelled.Status, cancelled.CancelledAt = protocol.StatusCancelled, int64(d.now())
+	cancelled.Status, cancelled.CancelledAt = protocol.StatusCancelled, int64(d.state.now())
 	d.reader.adopt(ledger.Key("job-1"), cancelled.Encode(), 8)
 	store.answer(statestore.Reply[protocol.TxnAnswer]{Status: http.StatusConflict,
 		Value: protocol.TxnAnswer{Failed: []string{ledger.Key("job-1")}}})
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -29,14 +29,6 @@
 	}
 }
 
-const (
-	listTime    = 4 * clock.Second
-	refusedTime = 8 * clock.Second
-	refusedMost = 32 * clock.Second
-	downTime    = 2 * clock.Second
-	unheardTime = 9 * clock.Second
-)
-
 // saveMargin is the time, in seconds, that an order to save may take to arrive.
 const saveMargin = 4.0
 
--- a/internal/dispatch/heartbeat_test.go
+++ b/internal/dispatch/heartbeat_test.go
@@ -30,12 +30,12 @@
 func TestReportsThatWaitedTooLongAreRefused(t *testing.T) {
 	d, box := leader()
 	q := &queued{Still: *box}
-	d.mailbox = q
+	d.state.mailbox = q
 	heartbeat := func(counter int64, wait clock.Micros) int {
 		got := 0
 		d.Heartbeat(report(1, counter), func(status int, _ any) { got = status })
 		q.Now += wait
-		d.freshAt, d.term.ValidUntil = q.Now, q.Now+4*clock.Second
+		d.state.freshAt, d.state.term.ValidUntil = q.Now, q.Now+4*clock.Second
 		for _, message := range q.waiting {
 			message()
 		}
@@ -56,13 +56,13 @@
 	d, box := leader()
 	for _, now := range []clock.Micros{clock.Second, 100 * clock.Second} {
 		box.Now = now
-		d.begunAt, d.freshAt, d.loaded = now, 0, false
-		d.term.RenewedAt, d.term.ValidUntil = now, now+4*clock.Second
-		if d.mayAnswer() || d.leads() {
+		d.state.begunAt, d.state.freshAt, d.state.loaded = now, 0, false
+		d.state.term.RenewedAt, d.state.term.ValidUntil = now, now+4*clock.Second
+		if d.state.mayAnswer() || d.state.leads() {
 			t.Fatalf("at %.0f s it keeps tasks alive without records", now.Seconds())
 		}
-		d.freshAt, d.loaded = now, true
-		if !d.mayAnswer() || !d.leads() {
+		d.state.freshAt, d.state.loaded = now, true
+		if !d.state.mayAnswer() || !d.state.leads() {
 			t.Fatalf("at %.0f s it doesn't keep them with records", now.Seconds())
 		}
 	}
@@ -88,7 +88,7 @@
 		d, box := leader()
 		store := &lists{}
 		useStore(d, store)
-		d.loaded, d.freshAt, d.heartbeats.deferring = false, 0, true
+		d.state.loaded, d.state.freshAt, d.heartbeats.deferring = false, 0, true
 		d.reader.load(7, "", 0, box.Now)
 		status := 0
 		d.Heartbeat(report(1, 1), func(s int, _ any) { status = s })
--- a/internal/dispatch/leader.go
+++ b/internal/dispatch/leader.go
@@ -52,7 +52,7 @@
 // anew at each election. It owns the order in which things happen, and each of its components
 // the state that its type says.
 type Leader struct {
-	*leaderTerm
+	state         *leaderTerm
 	steps         *stepTimer
 	machines      *machineTable
 	catalogue     *machineCatalogue
@@ -84,35 +84,35 @@
 // new catalogue.
 func New(m actor.Mailbox, st statestore.Store, cl cloud.API, ag agent.API, set *settings.Settings,
 	deposed func(int64), resign func(), attest Attester, onTypes func([]protocol.MachineType)) *Leader {
-	term := newLeaderTerm(m, set, deposed)
-	l := &Leader{leaderTerm: term, resign: resign}
-	l.steps = newStepTimer(term)
-	l.catalogue = newMachineCatalogue(term, cl, st, onTypes)
-	l.machines = newMachineTable(term, l.catalogue)
-	l.jobs = newJobTable(term, l.machines, l.steps)
-	l.objectives = newObjectives(term, l.catalogue)
-	l.commands = newCommandSender(term, ag, l.jobs, l.machines)
-	l.reconciler = newReconciler(term, l.jobs, l.machines, l.commands, l.objectives, l.steps)
-	l.health = newHealthMonitor(term, l.jobs, l.machines, l.catalogue, l.commands)
-	l.heartbeats = newHeartbeatHandler(term, l.jobs, l.machines, l.reconciler, l.commands, l.health)
-	l.cancellations = newCancellations(term, l.jobs, l.machines, l.commands, attest)
-	l.writer = newRecordWriter(term, st, l.jobs, l.machines, l.commands, l.steps)
-	l.reader = newRecordReader(term, st, l.jobs, l.machines, l.writer, l.reconciler, l.commands, l.heartbeats,
+	state := newLeaderTerm(m, set, deposed)
+	l := &Leader{state: state, resign: resign}
+	l.steps = newStepTimer(state)
+	l.catalogue = newMachineCatalogue(state, cl, st, onTypes)
+	l.machines = newMachineTable(state, l.catalogue)
+	l.jobs = newJobTable(state, l.machines, l.steps)
+	l.objectives = newObjectives(state, l.catalogue)
+	l.commands = newCommandSender(state, ag, l.jobs, l.machines)
+	l.reconciler = newReconciler(state, l.jobs, l.machines, l.commands, l.objectives, l.steps)
+	l.health = newHealthMonitor(state, l.jobs, l.machines, l.catalogue, l.commands)
+	l.heartbeats = newHeartbeatHandler(state, l.jobs, l.machines, l.reconciler, l.commands, l.health)
+	l.cancellations = newCancellations(state, l.jobs, l.machines, l.commands, attest)
+	l.writer = newRecordWriter(state, st, l.jobs, l.machines, l.commands, l.steps)
+	l.reader = newRecordReader(state, st, l.jobs, l.machines, l.writer, l.reconciler, l.commands, l.heartbeats,
 		l.objectives, l.steps)
-	l.zones = newZoneRecovery(term, st, l.jobs, l.machines, l.catalogue, l.objectives, l.reader, l.writer,
+	l.zones = newZoneRecovery(state, st, l.jobs, l.machines, l.catalogue, l.objectives, l.reader, l.writer,
 		l.commands, l.steps)
-	l.snapshots = newSnapshotBuilder(term, l.jobs, l.machines, l.catalogue, l.objectives, l.writer, l.commands,
+	l.snapshots = newSnapshotBuilder(state, l.jobs, l.machines, l.catalogue, l.objectives, l.writer, l.commands,
 		l.zones)
-	l.autoscaler = newAutoscaler(term, cl, l.jobs, l.machines, l.catalogue, l.objectives, l.commands, l.snapshots,
+	l.autoscaler = newAutoscaler(state, cl, l.jobs, l.machines, l.catalogue, l.objectives, l.commands, l.snapshots,
 		l.zones, l.steps)
-	l.scheduler = newTaskScheduler(term, l.jobs, l.machines, l.catalogue, l.writer, l.commands, l.autoscaler,
+	l.scheduler = newTaskScheduler(state, l.jobs, l.machines, l.catalogue, l.writer, l.commands, l.autoscaler,
 		l.snapshots, l.zones)
-	l.cells = newCellLinks(term)
-	l.origin = newOriginCell(term, st, l.jobs, l.catalogue, l.reader, l.writer, l.autoscaler, l.snapshots,
+	l.cells = newCellLinks(state)
+	l.origin = newOriginCell(state, st, l.jobs, l.catalogue, l.reader, l.writer, l.autoscaler, l.snapshots,
 		l.cells, l.steps)
-	l.host = newHostCell(term, st, l.jobs, l.machines, l.catalogue, l.reader, l.writer, l.reconciler, l.commands,
+	l.host = newHostCell(state, st, l.jobs, l.machines, l.catalogue, l.reader, l.writer, l.reconciler, l.commands,
 		l.autoscaler, l.snapshots, l.cells, l.steps)
-	l.overview = newOverviewReader(term, l.jobs, l.machines, l.catalogue, l.autoscaler, l.scheduler, l.writer,
+	l.overview = newOverviewReader(state, l.jobs, l.machines, l.catalogue, l.autoscaler, l.scheduler, l.writer,
 		l.cells, l.origin, l.zones)
 	l.subscribe()
 	return l
@@ -141,8 +141,8 @@
 
 // ZoneReports answers another controller's question.
 func (l *Leader) ZoneReports(reply func(intake.ZoneReports)) {
-	l.mailbox.Post(func() {
-		reply(intake.ZoneReports{Node: l.settings.Node, Machines: l.zones.heardByZone()})
+	l.state.mailbox.Post(func() {
+		reply(intake.ZoneReports{Node: l.state.settings.Node, Machines: l.zones.heardByZone()})
 	})
 }
 
@@ -153,30 +153,32 @@
 }
 
 // Overview answers from the actor.
-func (l *Leader) Overview(reply func(any)) { l.mailbox.Post(func() { reply(l.overview.build()) }) }
+func (l *Leader) Overview(reply func(any)) {
+	l.state.mailbox.Post(func() { reply(l.overview.build()) })
+}
 
 // Heartbeat handles a worker's report. The reply is called from the actor.
 func (l *Leader) Heartbeat(r protocol.Report, reply func(status int, body any)) {
-	arrived := l.now()
-	l.mailbox.Post(func() { l.heartbeats.handle(r, arrived, reply) })
+	arrived := l.state.now()
+	l.state.mailbox.Post(func() { l.heartbeats.handle(r, arrived, reply) })
 }
 
 // Start begins the clockwork.
 func (l *Leader) Start() {
-	l.mailbox.Post(func() {
+	l.state.mailbox.Post(func() {
 		l.catalogue.read()
 		l.tick()
 	})
 }
 
 // SetLeader is told whom workers should report to.
-func (l *Leader) SetLeader(node string) { l.mailbox.Post(func() { l.knownLeader = node }) }
+func (l *Leader) SetLeader(node string) { l.state.mailbox.Post(func() { l.state.knownLeader = node }) }
 
 // SetTerm is told of every election, renewal and loss.
 func (l *Leader) SetTerm(t leadership.Term) {
-	l.mailbox.Post(func() {
-		before := l.term.Epoch
-		l.term = t
+	l.state.mailbox.Post(func() {
+		before := l.state.term.Epoch
+		l.state.term = t
 		switch {
 		case t.Epoch == before:
 		case t.Epoch == 0:
@@ -189,41 +191,41 @@
 
 // SetFormat is told how far the controllers' upgrade is.
 func (l *Leader) SetFormat(s rollout.Status) {
-	l.mailbox.Post(func() {
-		l.format = s
+	l.state.mailbox.Post(func() {
+		l.state.format = s
 		l.steps.wake()
 	})
 }
 
 // Leads asks, from the actor's own mailbox or a stopped world, whether this node
 // may act as leader now.
-func (l *Leader) Leads() bool { return l.leads() }
+func (l *Leader) Leads() bool { return l.state.leads() }
 
 // Knows tells, likewise, that a machine is in this leader's books.
 func (l *Leader) Knows(machine string) bool { return l.machines.byName[machine] != nil }
 
 // begin begins a term: the records are read first, then every machine speaks for itself.
 func (l *Leader) begin() {
-	slog.Info("taking over", "epoch", l.term.Epoch)
+	slog.Info("taking over", "epoch", l.state.term.Epoch)
 	l.jobs.begin()
 	l.machines.begin()
 	l.cells.begin()
 	l.origin.begin()
 	l.zones.begin()
 	l.heartbeats.begin()
-	l.leaderTerm.begin()
+	l.state.begin()
 	l.autoscaler.begin()
 	l.catalogue.begin()
 	l.writer.begin()
 	l.steps.begin()
 	l.cancellations.begin()
 	l.scheduler.begin()
-	l.reader.load(l.term.Epoch, "", 0, l.now())
+	l.reader.load(l.state.term.Epoch, "", 0, l.state.now())
 }
 
 // end forgets what was known in a term that is over.
 func (l *Leader) end() {
-	l.loaded = false
+	l.state.loaded = false
 	l.jobs.end()
 	l.machines.end()
 	l.heartbeats.answerDeferred()
@@ -231,15 +233,15 @@
 
 func (l *Leader) tick() {
 	l.steps.noteTick()
-	l.mailbox.After(tickTime, l.tick)
-	if l.term.Epoch == 0 {
+	l.state.mailbox.After(tickTime, l.tick)
+	if l.state.term.Epoch == 0 {
 		return
 	}
 	l.host.checkGuests()
 	l.cancellations.endCancelled()
 	l.cancellations.seekAttestation()
 	l.host.reportToCells()
-	if l.leads() {
+	if l.state.leads() {
 		l.health.expire()
 		l.health.drain()
 		l.health.replaceSilent()
@@ -252,8 +254,8 @@
 		l.origin.manageCells()
 		l.autoscaler.cordonNowAndThen()
 		l.overview.logState()
-		if l.machines.hearsNoMachine() && !l.zones.nobodyHears() && (l.resignedAt == 0 || l.now() > l.resignedAt+resignAgain) {
-			l.resignedAt = l.now()
+		if l.machines.hearsNoMachine() && !l.zones.nobodyHears() && (l.resignedAt == 0 || l.state.now() > l.resignedAt+resignAgain) {
+			l.resignedAt = l.state.now()
 			l.resign()
 		}
 	}
@@ -261,7 +263,7 @@
 }
 
 func (l *Leader) step() {
-	if !l.leads() {
+	if !l.state.leads() {
 		return
 	}
 	l.scheduler.schedule()
@@ -271,16 +273,16 @@
 
 // Exchange answers a report of another cell. ok tells that it is one that this cell knows.
 func (l *Leader) Exchange(r delegation.Report, reply func(a delegation.Answer, ok bool)) {
-	arrived := l.now()
-	l.mailbox.Post(func() {
+	arrived := l.state.now()
+	l.state.mailbox.Post(func() {
 		// Behind a stand of the process nobody waits for the answer any more.
 		if !l.cells.enabled() || r.Home != l.cells.directory.Own.Name || l.cells.directory.Cell(r.Host) == nil || r.Host == r.Home ||
-			l.now() > arrived+exchangeTimeout {
+			l.state.now() > arrived+exchangeTimeout {
 			reply(delegation.Answer{}, false)
 			return
 		}
-		if !l.leads() && !l.mayAnswer() {
-			reply(delegation.Answer{Result: delegation.NotLeader, Leader: l.cells.directory.Own.Address(l.knownLeader)}, true)
+		if !l.state.leads() && !l.state.mayAnswer() {
+			reply(delegation.Answer{Result: delegation.NotLeader, Leader: l.cells.directory.Own.Address(l.state.knownLeader)}, true)
 			return
 		}
 		reply(l.origin.answerReport(&r), true)
--- a/internal/dispatch/orders_test.go
+++ b/internal/dispatch/orders_test.go
@@ -14,20 +14,20 @@
 // its lease is good: cancelled work must not be started again.
 func TestStaleRecordsStopOrders(t *testing.T) {
 	d, _, _, box := one(t)
-	if !d.leads() {
+	if !d.state.leads() {
 		t.Fatal("it doesn't lead")
 	}
 	box.Now += staleAfter + clock.Second
-	d.term.RenewedAt, d.term.ValidUntil = box.Now, box.Now+4*clock.Second
-	if d.leads() {
+	d.state.term.RenewedAt, d.state.term.ValidUntil = box.Now, box.Now+4*clock.Second
+	if d.state.leads() {
 		t.Fatal("it leads with stale records")
 	}
-	if !d.mayAnswer() {
+	if !d.state.mayAnswer() {
 		t.Fatal("it lets the workers go too soon")
 	}
-	box.Now += d.settings.Deployment.Workers.KeepAlive()
-	d.term.RenewedAt = box.Now
-	if d.mayAnswer() {
+	box.Now += d.state.settings.Deployment.Workers.KeepAlive()
+	d.state.term.RenewedAt = box.Now
+	if d.state.mayAnswer() {
 		t.Fatal("it keeps tasks alive that may be cancelled")
 	}
 }
@@ -45,7 +45,7 @@
 	}
 	for name, change := range map[string]func(d *Leader, j *job, r *protocol.Report){
 		"a task is to stop":     func(_ *Leader, j *job, _ *protocol.Report) { j.stops[3] = stop{why: "room"} },
-		"the job is cancelled":  func(d *Leader, j *job, _ *protocol.Report) { d.jobs.noteCancelled(j, d.now()) },
+		"the job is cancelled":  func(d *Leader, j *job, _ *protocol.Report) { d.jobs.noteCancelled(j, d.state.now()) },
 		"a task has gone":       func(_ *Leader, _ *job, r *protocol.Report) { r.Tasks = r.Tasks[1:] },
 		"a task isn't in place": func(d *Leader, j *job, _ *protocol.Report) { d.jobs.unplace(j, j.Placed[5]) },
 		"a task has been added": func(_ *Leader, _ *job, r *protocol.Report) {
@@ -82,7 +82,7 @@
 		{"a batch", forgetBatch, false, 0, forgetBatch},
 	} {
 		d, j, r := eightRunning()
-		box := d.mailbox.(*actortest.Still)
+		box := d.state.mailbox.(*actortest.Still)
 		heartbeat := func() (forgotten int) {
 			r.Counter++
 			r.Tasks = slices.Clone(r.Tasks)
@@ -110,7 +110,7 @@
 				t.Errorf("%s: %d forgotten after %v s", c.name, n, waited.Seconds())
 			}
 			box.Now += clock.Second
-			d.freshAt, d.term.ValidUntil = box.Now, box.Now+clock.Second
+			d.state.freshAt, d.state.term.ValidUntil = box.Now, box.Now+clock.Second
 		}
 		if n := heartbeat(); n != c.forgotten {
 			t.Errorf("%s: %d forgotten, not %d", c.name, n, c.forgotten)
@@ -151,10 +151,10 @@
 		d.reconciler.observe(m, report(1, 1))
 		d.steps.tickedAt = box.Now
 		box.Now += tickTime + late
-		d.freshAt, d.term.ValidUntil = box.Now, box.Now+4*clock.Second
-		d.term.Epoch = 0 // the tick only looks at the clock
+		d.state.freshAt, d.state.term.ValidUntil = box.Now, box.Now+4*clock.Second
+		d.state.term.Epoch = 0 // the tick only looks at the clock
 		d.tick()
-		d.term.Epoch = 7
+		d.state.term.Epoch = 7
 		j.fresh = []int{0}
 		d.writer.committed([]write{{j: j, v: &j.storedValue, part: head, changed: j.changed}}, statestore.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 9}})
 		if direct := out.n > 0; direct != (late == 0) {
--- a/internal/dispatch/reconcile_test.go
+++ b/internal/dispatch/reconcile_test.go
@@ -155,7 +155,7 @@
 		t.Fatal("it can't be used to begin with")
 	}
 	box.Now += 11 * clock.Second
-	d.term.ValidUntil, d.freshAt = box.Now+4*clock.Second, box.Now
+	d.state.term.ValidUntil, d.state.freshAt = box.Now+4*clock.Second, box.Now
 	say(1, 2)
 	box.Now += 2 * clock.Second
 	say(2, 3) // its lease counts from a report that was answered before
@@ -163,7 +163,7 @@
 		t.Fatalf("usable %v, releasing %v after one lost session", usable(), m.releasing)
 	}
 	box.Now += 14 * clock.Second
-	d.term.RenewedAt, d.term.ValidUntil, d.freshAt = box.Now, box.Now+4*clock.Second, box.Now
+	d.state.term.RenewedAt, d.state.term.ValidUntil, d.state.freshAt = box.Now, box.Now+4*clock.Second, box.Now
 	say(2, 4)
 	if !usable() {
 		t.Fatal("it isn't used again though its session lasts")
--- a/internal/dispatch/records_test.go
+++ b/internal/dispatch/records_test.go
@@ -110,7 +110,7 @@
 		"unanswered, then another": {[]statestore.Reply[protocol.TxnAnswer]{unanswered, carriedOut}, 0},
 	} {
 		d, j, m, _ := one(t)
-		d.deposed = func(int64) {}
+		d.state.deposed = func(int64) {}
 		j.inFlight = true
 		d.reconciler.observe(m, report(1, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskExited, Cause: protocol.CauseStopped}))
 		for i, answer := range c.answers {
--- a/internal/dispatch/service_test.go
+++ b/internal/dispatch/service_test.go
@@ -29,7 +29,7 @@
 		if j.Final() || j.Done.Len() > 0 || len(j.Placed) > 0 || j.NextAttempt < 2 {
 			t.Errorf("%s: final %v, done %v, placed %v, next try %d", cause, j.Final(), j.Done.String(), j.Placed, j.NextAttempt)
 		}
-		pending := j.restartable(j.Startable(8<<10, 10), d.now())
+		pending := j.restartable(j.Startable(8<<10, 10), d.state.now())
 		if len(pending) != 3 {
 			t.Errorf("%s: %v may start", cause, pending)
 		}
@@ -46,7 +46,7 @@
 	p := ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1}
 	end := func(ran clock.Micros) clock.Micros {
 		d.reconciler.replicaEnded(m, j, p, protocol.CauseError, ran)
-		return j.restarts[0].until - d.now()
+		return j.restarts[0].until - d.state.now()
 	}
 	if first := end(clock.Second); first != 0 {
 		t.Fatalf("the first restart waits %v s", first.Seconds())
@@ -62,15 +62,15 @@
 	if total < 3*60*clock.Second {
 		t.Errorf("twelve restarts wait %v s altogether", total.Seconds())
 	}
-	pending := j.restartable([]int{0, 1, 2}, d.now())
+	pending := j.restartable([]int{0, 1, 2}, d.state.now())
 	if len(pending) != 2 || pending[0] != 1 {
 		t.Errorf("%v may start", pending)
 	}
-	if n := j.waitingRestarts(d.now()); n != 0 {
+	if n := j.waitingRestarts(d.state.now()); n != 0 {
 		t.Errorf("%d replicas wait while the first is placed", n)
 	}
 	delete(j.Placed, 0)
-	if n := j.waitingRestarts(d.now()); n != 1 {
+	if n := j.waitingRestarts(d.state.now()); n != 1 {
 		t.Errorf("%d replicas wait", n)
 	}
 	if again := end(goodRun); again != 0 {
@@ -128,7 +128,7 @@
 		d.jobs.place(j, ledger.Placement{Task: task, Attempt: 1, Machine: "m-1", Session: 1})
 	}
 	m.addr = "" // nothing is sent
-	m.recallAt = d.now() + 20*clock.Second
+	m.recallAt = d.state.now() + 20*clock.Second
 	d.health.drain()
 	d.health.drain()
 	if len(j.stops) != 1 {
@@ -166,13 +166,13 @@
 	}
 	spec.Cpus = 1
 	m.view.Replicas = 3
-	one := classUse{spec: spec, arrivals: []arrival{{d.now(), 4}}}
+	one := classUse{spec: spec, arrivals: []arrival{{d.state.now(), 4}}}
 	if n := d.snapshots.spareReplicas(one); n != 4+3 {
 		t.Errorf("after one job %d places", n)
 	}
 	many := classUse{spec: spec}
 	for range 6 {
-		many.arrivals = append(many.arrivals, arrival{d.now(), 4})
+		many.arrivals = append(many.arrivals, arrival{d.state.now(), 4})
 	}
 	if n := d.snapshots.spareReplicas(many); n != 24+3 { // six jobs a minute, a minute to boot at worst
 		t.Errorf("after six jobs in a minute %d places", n)
--- a/internal/dispatch/snapshot_test.go
+++ b/internal/dispatch/snapshot_test.go
@@ -20,11 +20,11 @@
 			urgent := ledger.New(protocol.JobSpec{ID: "job-2", Shape: protocol.ShapeArray, Rank: "urgent", Tasks: 1}, 1)
 			d.reader.adopt(ledger.Key("job-2"), urgent.Encode(), 6)
 		},
-		"a guarantee": func(d *Leader) { d.settings.Deployment.Teams = []settings.Team{{Name: "a", Cpus: 1}} },
+		"a guarantee": func(d *Leader) { d.state.settings.Deployment.Teams = []settings.Team{{Name: "a", Cpus: 1}} },
 	} {
 		d, _, _ := eightRunning()
 		change(d)
-		d.mailbox.(*actortest.Still).Now += 20 * clock.Second
+		d.state.mailbox.(*actortest.Still).Now += 20 * clock.Second
 		for _, j := range d.snapshots.snapshot().Jobs {
 			for _, r := range j.Running {
 				if known := r.Overhead == 20; known != (name != "alike") {
@@ -42,7 +42,7 @@
 	d, j, _, box := one(t)
 	box.Now = 1000 * clock.Second
 	d.catalogue.list = []protocol.MachineType{{Name: "t", BootS: 30}}
-	d.settings.Deployment.Objectives = []settings.Objective{{Kind: "wait", Class: "late", WithinS: 120},
+	d.state.settings.Deployment.Objectives = []settings.Objective{{Kind: "wait", Class: "late", WithinS: 120},
 		{Kind: "wait", Class: "late", WithinS: 300}, {Kind: "wait", Class: "soon", WithinS: 5}}
 	d.catalogue.list[0].FetchGBPerS = 0.25
 	for _, c := range []struct {
@@ -69,7 +69,7 @@
 		m.typ, m.zone, m.seen, m.epoch, m.heardAt, m.answeredAt, m.cordoned = "t", "a", true, 7, box.Now, box.Now, true
 	}
 	content := ledger.New(protocol.JobSpec{ID: "job-1", Team: "x", Shape: protocol.ShapeArray, Tasks: spared, Cpus: 8, MemoryGB: 1, EstimateS: 60}, 1)
-	d.settings.Deployment.State.ValueKb = 64
+	d.state.settings.Deployment.State.ValueKb = 64
 	d.reader.adopt(ledger.Key("job-1"), content.Encode(), 5)
 	d.autoscaler.downUntil = box.Now + clock.Second
 	d.scheduler.schedule()
