--- /dev/null
+++ b/internal/ledger/golden_test.go
@@ -0,0 +1,500 @@
+package ledger
+
+import (
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"postpoint/internal/goldentest"
+	"postpoint/internal/protocol"
+)
+
+// goldenSpec has all fields of a submission set.
+func goldenSpec() protocol.JobSpec {
+	deadline := 900.0
+	return protocol.JobSpec{
+		ID:          "job-000412",
+		Class:       "train",
+		Team:        "vision",
+		Shape:       protocol.ShapeArray,
+		Rank:        "urgent",
+		Tasks:       12,
+		Cpus:        8,
+		Gpus:        1,
+		MemoryGB:    64,
+		Image:       "img-07",
+		ImageGB:     6.25,
+		Types:       []string{"g8"},
+		Zone:        "a",
+		OneZone:     true,
+		Spread:      true,
+		Spot:        true,
+		EstimateS:   240,
+		CheckpointS: 30,
+		SaveS:       4,
+		DeadlineS:   &deadline,
+	}
+}
+
+// smallSpec has hardly any.
+func smallSpec(shape string, tasks int) protocol.JobSpec {
+	return protocol.JobSpec{ID: "job-1", Shape: shape, Tasks: tasks}
+}
+
+func goldenRanges(spans ...span) Ranges {
+	r := Ranges{spans: spans}
+	for _, s := range spans {
+		r.count += s.hi - s.lo + 1
+	}
+	return r
+}
+
+// goldenPlaces are on machines and with another cell.
+func goldenPlaces() map[int]Placement {
+	return map[int]Placement{
+		5:  {Task: 5, Attempt: 2, Machine: "m-000001", Session: 3},
+		6:  {Task: 6, Attempt: 2, Machine: "m-000001", Session: 3},
+		8:  {Task: 8, Attempt: 2, Machine: "m-000001", Session: 3},
+		9:  {Task: 9, Attempt: 1, Machine: "m-000001", Session: 3},
+		10: {Task: 10, Attempt: 4, Machine: DelegatedTo("beta"), Session: 7},
+		11: {Task: 11, Attempt: 1, Machine: "m-000002", Session: 70_000},
+	}
+}
+
+type goldenRecord struct {
+	name string
+	job  Job
+	head string
+	// parts are those of a divided record.
+	parts []string
+}
+
+var goldenRecords = []goldenRecord{
+	{
+		name: "a new job",
+		job: Job{
+			Spec:        smallSpec(protocol.ShapeArray, 3),
+			SubmittedAt: 1764668400000000,
+			NextAttempt: 1,
+			Placed:      map[int]Placement{},
+		},
+		head: "\x83\xa4spec\xde\x00\x13\xa3Uid\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa5batch\xa4Ra" +
+			"nk\xa0\xa4Legs\x03\xa5Vcpus\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00\x00\x00" +
+			"\x00\x00\x00\x00\x00\xa5MemGb\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6Bundle\xa0\xa6PullG" +
+			"b\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6Fleets\xc0\xa9SamePlace\xc2\xa6Spread\xc2\xa7Lo" +
+			"aners\xc2\xa9ExpectedS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa9SnapshotS\xcb\x00\x00\x00" +
+			"\x00\x00\x00\x00\x00\xa6FlushS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4DueS\xc0\xa2at\xcf" +
+			"\x00\x06D\xf4\xe1 \xdc\x00\xa3try\x01",
+	},
+	{
+		name: "a whole record with all that it may have",
+		job: Job{
+			Spec:        goldenSpec(),
+			Status:      protocol.StatusCancelled,
+			SubmittedAt: 1764668400000000,
+			CancelledAt: 1764668460000000,
+			Done:        goldenRanges(span{0, 3}, span{7, 7}),
+			NextAttempt: 5,
+			Placed:      goldenPlaces(),
+			Lenders:     []string{"job-000001", "job-000002"},
+			Cause:       "error on m-000001",
+			Guest:       &Guest{Home: "gamma", Number: 9, Closed: true},
+			Returned:    2,
+			Displaced:   "b",
+		},
+		head: "\x8b\xa4spec\xde\x00\x14\xa3Uid\xaajob-000412\xa4Lane\xa5train\xa4Desk\xa6vision\xa5Shap" +
+			"e\xa5batch\xa4Rank\xa6urgent\xa4Legs\x0c\xa5Vcpus\xcb@ \x00\x00\x00\x00\x00\x00\xa4Gpus" +
+			"\xcb?\xf0\x00\x00\x00\x00\x00\x00\xa5MemGb\xcb@P\x00\x00\x00\x00\x00\x00\xa6Bundle\xa6im" +
+			"g-07\xa6PullGb\xcb@\x19\x00\x00\x00\x00\x00\x00\xa6Fleets\x91\xa2g8\xa4Hall\xa1a\xa9Same" +
+			"Place\xc3\xa6Spread\xc3\xa7Loaners\xc3\xa9ExpectedS\xcb@n\x00\x00\x00\x00\x00\x00\xa9Sna" +
+			"pshotS\xcb@>\x00\x00\x00\x00\x00\x00\xa6FlushS\xcb@\x10\x00\x00\x00\x00\x00\x00\xa4DueS" +
+			"\xcb@\x8c \x00\x00\x00\x00\x00\xa6status\xa7aborted\xa2at\xcf\x00\x06D\xf4\xe1 \xdc\x00" +
+			"\xa9cancelled\xcf\x00\x06D\xf4\xe4\xb4c\x00\xa4done\xa50-3,7\xa3try\x05\xa6placed\x95" +
+			"\xb4guest gamma 9 closed\xb0cell beta 7 4 10\xaem-000001 3 1 9\xb2m-000001 3 2 5-6,8\xb3" +
+			"m-000002 70000 1 11\xa7lenders\x92\xaajob-000001\xaajob-000002\xa5cause\xb1error on m-00" +
+			"0001\xa8returned\x02\xa9displaced\xa1b",
+	},
+	{
+		name: "a truncated record",
+		job: Job{
+			Spec:        smallSpec(protocol.ShapeGang, 3),
+			Status:      protocol.StatusCancelled,
+			SubmittedAt: 1764668400000000,
+			CancelledAt: 1764668460000000,
+			NextAttempt: 5,
+			Placed:      map[int]Placement{},
+			Truncated:   true,
+		},
+		head: "\x86\xa4spec\xde\x00\x13\xa3Uid\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa8ensemble" +
+			"\xa4Rank\xa0\xa4Legs\x03\xa5Vcpus\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00" +
+			"\x00\x00\x00\x00\x00\x00\x00\xa5MemGb\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6Bundle\xa0" +
+			"\xa6PullGb\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6Fleets\xc0\xa9SamePlace\xc2\xa6Spread" +
+			"\xc2\xa7Loaners\xc2\xa9ExpectedS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa9SnapshotS\xcb" +
+			"\x00\x00\x00\x00\x00\x00\x00\x00\xa6FlushS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4DueS" +
+			"\xc0\xa6status\xa7aborted\xa2at\xcf\x00\x06D\xf4\xe1 \xdc\x00\xa9cancelled\xcf\x00\x06D" +
+			"\xf4\xe4\xb4c\x00\xa3try\x05\xa9truncated\xc3",
+	},
+	{
+		name: "a job that is done",
+		job: Job{
+			Spec:        smallSpec(protocol.ShapeArray, 3),
+			Status:      protocol.StatusDone,
+			SubmittedAt: 1764668400000000,
+			Done:        goldenRanges(span{0, 2}),
+			NextAttempt: 2,
+			Placed:      map[int]Placement{},
+		},
+		head: "\x85\xa4spec\xde\x00\x13\xa3Uid\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa5batch\xa4Ra" +
+			"nk\xa0\xa4Legs\x03\xa5Vcpus\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00\x00\x00" +
+			"\x00\x00\x00\x00\x00\xa5MemGb\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6Bundle\xa0\xa6PullG" +
+			"b\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6Fleets\xc0\xa9SamePlace\xc2\xa6Spread\xc2\xa7Lo" +
+			"aners\xc2\xa9ExpectedS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa9SnapshotS\xcb\x00\x00\x00" +
+			"\x00\x00\x00\x00\x00\xa6FlushS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4DueS\xc0\xa6status" +
+			"\xa4done\xa2at\xcf\x00\x06D\xf4\xe1 \xdc\x00\xa4done\xa30-2\xa3try\x02",
+	},
+	{
+		name: "a service, not marked",
+		job: Job{
+			Spec:        smallSpec(protocol.ShapeService, 3),
+			SubmittedAt: 1764668400000000,
+			NextAttempt: 2,
+			Placed:      map[int]Placement{1: {Task: 1, Attempt: 1, Machine: "m-000005", Session: 1}},
+		},
+		head: "\x84\xa4spec\xde\x00\x13\xa3Uid\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa6daemon\xa4R" +
+			"ank\xa0\xa4Legs\x03\xa5Vcpus\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00\x00\x00" +
+			"\x00\x00\x00\x00\x00\xa5MemGb\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6Bundle\xa0\xa6PullG" +
+			"b\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6Fleets\xc0\xa9SamePlace\xc2\xa6Spread\xc2\xa7Lo" +
+			"aners\xc2\xa9ExpectedS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa9SnapshotS\xcb\x00\x00\x00" +
+			"\x00\x00\x00\x00\x00\xa6FlushS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4DueS\xc0\xa2at\xcf" +
+			"\x00\x06D\xf4\xe1 \xdc\x00\xa3try\x02\xa6placed\x91\xaem-000005 1 1 1",
+	},
+	{
+		name: "a service",
+		job: Job{
+			Spec:        smallSpec(protocol.ShapeService, 3),
+			SubmittedAt: 1764668400000000,
+			NextAttempt: 2,
+			Placed:      map[int]Placement{1: {Task: 1, Attempt: 1, Machine: "m-000005", Session: 1}},
+			Marked:      true,
+		},
+		head: "\x84\xa4spec\xde\x00\x13\xa3Uid\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa6daemon\xa4R" +
+			"ank\xa0\xa4Legs\x03\xa5Vcpus\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00\x00\x00" +
+			"\x00\x00\x00\x00\x00\xa5MemGb\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6Bundle\xa0\xa6PullG" +
+			"b\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6Fleets\xc0\xa9SamePlace\xc2\xa6Spread\xc2\xa7Lo" +
+			"aners\xc2\xa9ExpectedS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa9SnapshotS\xcb\x00\x00\x00" +
+			"\x00\x00\x00\x00\x00\xa6FlushS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4DueS\xc0\xa2at\xcf" +
+			"\x00\x06D\xf4\xe1 \xdc\x00\xa3try\x02\xa6placed\x92\xa7service\xaem-000005 1 1 1",
+	},
+	{
+		name: "a guest",
+		job: Job{
+			Spec:        smallSpec(protocol.ShapeGang, 2),
+			SubmittedAt: 1764668400000000,
+			NextAttempt: 2,
+			Placed:      map[int]Placement{1: {Task: 1, Attempt: 1, Machine: "m-000005", Session: 1}},
+			Guest:       &Guest{Home: "gamma", Number: 9},
+		},
+		head: "\x84\xa4spec\xde\x00\x13\xa3Uid\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa8ensemble" +
+			"\xa4Rank\xa0\xa4Legs\x02\xa5Vcpus\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00" +
+			"\x00\x00\x00\x00\x00\x00\x00\xa5MemGb\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6Bundle\xa0" +
+			"\xa6PullGb\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6Fleets\xc0\xa9SamePlace\xc2\xa6Spread" +
+			"\xc2\xa7Loaners\xc2\xa9ExpectedS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa9SnapshotS\xcb" +
+			"\x00\x00\x00\x00\x00\x00\x00\x00\xa6FlushS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4DueS" +
+			"\xc0\xa2at\xcf\x00\x06D\xf4\xe1 \xdc\x00\xa3try\x02\xa6placed\x92\xadguest gamma 9\xaem-" +
+			"000005 1 1 1",
+	},
+	{
+		name: "a guest that is a marked service",
+		job: Job{
+			Spec:        smallSpec(protocol.ShapeService, 2),
+			SubmittedAt: 1764668400000000,
+			NextAttempt: 2,
+			Placed:      map[int]Placement{},
+			Marked:      true,
+			Guest:       &Guest{Home: "gamma", Number: 9},
+		},
+		head: "\x84\xa4spec\xde\x00\x13\xa3Uid\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa6daemon\xa4R" +
+			"ank\xa0\xa4Legs\x02\xa5Vcpus\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00\x00\x00" +
+			"\x00\x00\x00\x00\x00\xa5MemGb\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6Bundle\xa0\xa6PullG" +
+			"b\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6Fleets\xc0\xa9SamePlace\xc2\xa6Spread\xc2\xa7Lo" +
+			"aners\xc2\xa9ExpectedS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa9SnapshotS\xcb\x00\x00\x00" +
+			"\x00\x00\x00\x00\x00\xa6FlushS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4DueS\xc0\xa2at\xcf" +
+			"\x00\x06D\xf4\xe1 \xdc\x00\xa3try\x02\xa6placed\x92\xadguest gamma 9\xa7service",
+	},
+	{
+		name: "a divided record",
+		job: Job{
+			Spec:        goldenSpec(),
+			SubmittedAt: 1764668400000000,
+			Done:        goldenRanges(span{0, 3}, span{7, 7}),
+			NextAttempt: 5,
+			Placed:      goldenPlaces(),
+			Lenders:     []string{"job-000001"},
+			Cause:       "error on m-000001",
+			PartSize:    5,
+			Marked:      true,
+			Returned:    1,
+			Displaced:   "b",
+		},
+		head: "\x88\xa4spec\xde\x00\x14\xa3Uid\xaajob-000412\xa4Lane\xa5train\xa4Desk\xa6vision\xa5Shap" +
+			"e\xa5batch\xa4Rank\xa6urgent\xa4Legs\x0c\xa5Vcpus\xcb@ \x00\x00\x00\x00\x00\x00\xa4Gpus" +
+			"\xcb?\xf0\x00\x00\x00\x00\x00\x00\xa5MemGb\xcb@P\x00\x00\x00\x00\x00\x00\xa6Bundle\xa6im" +
+			"g-07\xa6PullGb\xcb@\x19\x00\x00\x00\x00\x00\x00\xa6Fleets\x91\xa2g8\xa4Hall\xa1a\xa9Same" +
+			"Place\xc3\xa6Spread\xc3\xa7Loaners\xc3\xa9ExpectedS\xcb@n\x00\x00\x00\x00\x00\x00\xa9Sna" +
+			"pshotS\xcb@>\x00\x00\x00\x00\x00\x00\xa6FlushS\xcb@\x10\x00\x00\x00\x00\x00\x00\xa4DueS" +
+			"\xcb@\x8c \x00\x00\x00\x00\x00\xa2at\xcf\x00\x06D\xf4\xe1 \xdc\x00\xa3try\x05\xa6placed" +
+			"\x91\xa7parts 5\xa7lenders\x91\xaajob-000001\xa5cause\xb1error on m-000001\xa8returned" +
+			"\x01\xa9displaced\xa1b",
+		parts: []string{"\x82\xa4done\xa20f\xa4next\x05",
+			"\x85\xa4done\xa204\xa4next\x05\xa5shift\x03\xa3try\x02\xa6placed\xbdm-000001 0-1,3;m-000" +
+				"001 4 3 1",
+			"\x84\xa4next\x05\xa5shift\x07\xa3try\x04\xa6placed\xbecell beta 0;m-000002 1 70000 1"},
+	},
+	{
+		name: "a divided service of a guest",
+		job: Job{
+			Spec:        smallSpec(protocol.ShapeService, 3),
+			SubmittedAt: 1764668400000000,
+			NextAttempt: 2,
+			Placed:      map[int]Placement{2: {Task: 2, Attempt: 1, Machine: "m-000005", Session: 1}},
+			PartSize:    2,
+			Marked:      true,
+			Guest:       &Guest{Home: "gamma", Number: 9},
+		},
+		head: "\x84\xa4spec\xde\x00\x13\xa3Uid\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa6daemon\xa4R" +
+			"ank\xa0\xa4Legs\x03\xa5Vcpus\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00\x00\x00" +
+			"\x00\x00\x00\x00\x00\xa5MemGb\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6Bundle\xa0\xa6PullG" +
+			"b\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6Fleets\xc0\xa9SamePlace\xc2\xa6Spread\xc2\xa7Lo" +
+			"aners\xc2\xa9ExpectedS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa9SnapshotS\xcb\x00\x00\x00" +
+			"\x00\x00\x00\x00\x00\xa6FlushS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4DueS\xc0\xa2at\xcf" +
+			"\x00\x06D\xf4\xe1 \xdc\x00\xa3try\x02\xa6placed\x93\xadguest gamma 9\xa7service\xa7parts" +
+			" 2",
+		parts: []string{"\x81\xa4next\x02",
+			"\x84\xa4next\x02\xa5shift\x01\xa3try\x01\xa6placed\xaam-000005 0"},
+	},
+}
+
+// Each kind of record is stored as the recorded bytes, and read from them.
+func TestGoldenRecords(t *testing.T) {
+	for _, record := range goldenRecords {
+		goldentest.Equal(t, record.name, record.job.Encode(), record.head)
+		if record.job.Parts() != len(record.parts) {
+			t.Errorf("%s: %d parts", record.name, record.job.Parts())
+			continue
+		}
+		job, err := Decode([]byte(record.head))
+		if err != nil {
+			t.Errorf("%s: %v", record.name, err)
+			continue
+		}
+		for i, part := range record.parts {
+			goldentest.Equal(t, record.name, record.job.EncodePart(i), part)
+			if err := job.ApplyPart(i, []byte(part)); err != nil {
+				t.Errorf("%s: part %d: %v", record.name, i, err)
+			}
+		}
+		if d := cmp.Diff(&record.job, job, cmp.AllowUnexported(Ranges{}, span{})); d != "" {
+			t.Errorf("%s: read with a difference: %s", record.name, d)
+		}
+	}
+}
+
+// The stored forms have all of their fields in the records above, and each its name in a tag.
+func TestRecordsHaveTags(t *testing.T) {
+	goldentest.RequireTags(t, "msgpack", record{}, partRecord{})
+}
+
+// The stored forms with every field set at once, which no job has.
+func TestGoldenStoredForms(t *testing.T) {
+	whole := record{
+		Spec:        goldenSpec(),
+		Status:      protocol.StatusCancelled,
+		SubmittedAt: 1764668400000000,
+		CancelledAt: 1764668460000000,
+		Done:        "0-3,7",
+		NextAttempt: 5,
+		Placed:      []string{"m-000001 3 2 5-6"},
+		Lenders:     []string{"job-000001"},
+		Cause:       "error on m-000001",
+		Truncated:   true,
+		Returned:    2,
+		Displaced:   "b",
+	}
+	goldentest.RequireFieldsSet(t, "record", whole)
+	const wholeBytes = "" +
+		"\x8c\xa4spec\xde\x00\x14\xa3Uid\xaajob-000412\xa4Lane\xa5train\xa4Desk\xa6vision\xa5Shape" +
+		"\xa5batch\xa4Rank\xa6urgent\xa4Legs\x0c\xa5Vcpus\xcb@ \x00\x00\x00\x00\x00\x00\xa4Gpus\xcb?" +
+		"\xf0\x00\x00\x00\x00\x00\x00\xa5MemGb\xcb@P\x00\x00\x00\x00\x00\x00\xa6Bundle\xa6img-07\xa6P" +
+		"ullGb\xcb@\x19\x00\x00\x00\x00\x00\x00\xa6Fleets\x91\xa2g8\xa4Hall\xa1a\xa9SamePlace\xc3\xa6" +
+		"Spread\xc3\xa7Loaners\xc3\xa9ExpectedS\xcb@n\x00\x00\x00\x00\x00\x00\xa9SnapshotS\xcb@>\x00" +
+		"\x00\x00\x00\x00\x00\xa6FlushS\xcb@\x10\x00\x00\x00\x00\x00\x00\xa4DueS\xcb@\x8c \x00\x00" +
+		"\x00\x00\x00\xa6status\xa7aborted\xa2at\xcf\x00\x06D\xf4\xe1 \xdc\x00\xa9cancelled\xcf\x00" +
+		"\x06D\xf4\xe4\xb4c\x00\xa4done\xa50-3,7\xa3try\x05\xa6placed\x91\xb0m-000001 3 2 5-6\xa7lend" +
+		"ers\x91\xaajob-000001\xa5cause\xb1error on m-000001\xa9truncated\xc3\xa8returned\x02\xa9disp" +
+		"laced\xa1b"
+	goldentest.Equal(t, "record", protocol.Encode(whole), wholeBytes)
+	var wholeAgain record
+	if err := protocol.Decode([]byte(wholeBytes), &wholeAgain); err != nil {
+		t.Fatal(err)
+	}
+	if d := cmp.Diff(whole, wholeAgain); d != "" {
+		t.Error(d)
+	}
+	part := partRecord{
+		Done:        "8f00",
+		NextAttempt: 5,
+		Session:     3,
+		Attempt:     2,
+		Placed:      "m-000001 0-2,4;m-000002 3 1 4",
+	}
+	goldentest.RequireFieldsSet(t, "part", part)
+	const partBytes = "" +
+		"\x85\xa4done\xa48f00\xa4next\x05\xa5shift\x03\xa3try\x02\xa6placed\xbdm-000001 0-2,4;m-00000" +
+		"2 3 1 4"
+	goldentest.Equal(t, "part", protocol.Encode(part), partBytes)
+	var partAgain partRecord
+	if err := protocol.Decode([]byte(partBytes), &partAgain); err != nil {
+		t.Fatal(err)
+	}
+	if d := cmp.Diff(part, partAgain); d != "" {
+		t.Error(d)
+	}
+}
+
+// Where records and parts stand, and what stands in them in place of machines.
+func TestGoldenKeys(t *testing.T) {
+	for _, c := range []struct{ name, got, want string }{
+		{"prefix of records", Prefix, "jobs/"},
+		{"key of a record", Key("job-000412"), "jobs/job-000412"},
+		{"prefix of parts", PartsPrefix, "parts/"},
+		{"prefix of a job's parts", PartsOf("job-000412"), "parts/job-000412/"},
+		{"key of a part", PartKey("job-000412", 12), "parts/job-000412/12"},
+		{"a delegated place", DelegatedTo("beta"), "cell beta"},
+		{"id of a guest", GuestID("alpha", "job-1", 7), "alpha.job-1.7"},
+		{"marker of a service", markService, "service"},
+		{"marker of a divided record", markParts, "parts"},
+		{"marker of a guest", markGuest, "guest"},
+		{"a guest", (&Guest{Home: "beta", Number: 7}).text(), "beta 7"},
+		{"a closed guest", (&Guest{Home: "beta", Number: 7, Closed: true}).text(), "beta 7 closed"},
+		{"the host of a place", Placement{Machine: "cell beta"}.Host(), "beta"},
+		{"the host of a place here", Placement{Machine: "m-000001"}.Host(), ""},
+	} {
+		goldentest.Equal(t, c.name, []byte(c.got), c.want)
+	}
+	if job, part, ok := ParsePartKey("parts/job-000412/12"); job != "job-000412" || part != 12 || !ok {
+		t.Errorf("a part's key is read as %q %d %v", job, part, ok)
+	}
+	home, job, number, ok := ParseGuestID("alpha.job-1.7")
+	if home != "alpha" || job != "job-1" || number != 7 || !ok {
+		t.Errorf("a guest's id is read as %q %q %d %v", home, job, number, ok)
+	}
+	if _, _, _, ok := ParseGuestID("job-000412"); ok {
+		t.Error("a job of this cell is taken for a guest")
+	}
+}
+
+// Sets of tasks as they are stored.
+func TestGoldenRanges(t *testing.T) {
+	for text, r := range map[string]Ranges{
+		"":             {},
+		"0":            goldenRanges(span{0, 0}),
+		"0-5,7,9-10":   goldenRanges(span{0, 5}, span{7, 7}, span{9, 10}),
+		"3,1073741824": goldenRanges(span{3, 3}, span{1 << 30, 1 << 30}),
+	} {
+		goldentest.Equal(t, "ranges", []byte(r.String()), text)
+		got, err := ParseRanges(text)
+		if d := cmp.Diff(r, got, cmp.AllowUnexported(Ranges{}, span{})); err != nil || d != "" {
+			t.Errorf("%q: %v %s", text, err, d)
+		}
+	}
+	for _, text := range []string{"0-", "-1", "1,2", "2-1", "a", "0-1073741825", "1,,3"} {
+		if _, err := ParseRanges(text); err == nil {
+			t.Errorf("%q is taken", text)
+		}
+	}
+}
+
+// What earlier versions wrote, and this one doesn't, is read all the same: records without the
+// fields that came later, and placements in an order and with spaces of their own.
+func TestGoldenRecordsOfOtherForms(t *testing.T) {
+	type stored struct {
+		Spec   map[string]any `msgpack:"spec"`
+		Placed []string       `msgpack:"placed"`
+	}
+	spec := map[string]any{"Uid": "job-1", "Shape": "batch", "Legs": 5}
+	for _, c := range []struct {
+		placed []string
+		want   Job
+	}{
+		{nil, Job{}},
+		{[]string{"m-2 1 3 1", "m-1 1 2 0,4-9"}, Job{Placed: map[int]Placement{
+			0: {Task: 0, Attempt: 2, Machine: "m-1", Session: 1},
+			1: {Task: 1, Attempt: 3, Machine: "m-2", Session: 1},
+			4: {Task: 4, Attempt: 2, Machine: "m-1", Session: 1},
+		}}},
+		{[]string{"cell beta 7 2 1"}, Job{Placed: map[int]Placement{
+			1: {Task: 1, Attempt: 2, Machine: "cell beta", Session: 7},
+		}}},
+		{[]string{"service"}, Job{Marked: true}},
+		{[]string{"parts 3"}, Job{Marked: true, PartSize: 3}},
+		{[]string{"guest beta 7"}, Job{Guest: &Guest{Home: "beta", Number: 7}}},
+		{
+			[]string{"guest beta 7 closed", "service"},
+			Job{Guest: &Guest{Home: "beta", Number: 7, Closed: true}, Marked: true},
+		},
+	} {
+		c.want.Spec = smallSpec(protocol.ShapeArray, 5)
+		if c.want.Placed == nil {
+			c.want.Placed = map[int]Placement{}
+		}
+		got, err := Decode(protocol.Encode(stored{spec, c.placed}))
+		if err != nil {
+			t.Errorf("%v: %v", c.placed, err)
+			continue
+		}
+		if d := cmp.Diff(&c.want, got, cmp.AllowUnexported(Ranges{}, span{})); d != "" {
+			t.Errorf("%v: %s", c.placed, d)
+		}
+	}
+	for _, placed := range []string{"m-1 1 2", "parts 0", "parts 100001", "parts x", "guest beta",
+		"guest beta x", "guest beta 7 open", "", "m-1 1 2 3 4", "services"} {
+		if job, err := Decode(protocol.Encode(stored{spec, []string{placed}})); err == nil {
+			t.Errorf("%q is read as %+v", placed, job)
+		}
+	}
+}
+
+// The answer to users.
+func TestGoldenUserStatus(t *testing.T) {
+	for _, c := range []struct {
+		job  Job
+		want protocol.JobStatus
+	}{
+		{Job{Spec: smallSpec(protocol.ShapeArray, 3)}, protocol.JobStatus{ID: "job-1", Status: "pending"}},
+		{
+			Job{
+				Spec:   smallSpec(protocol.ShapeArray, 3),
+				Done:   goldenRanges(span{0, 0}),
+				Placed: map[int]Placement{1: {Task: 1, Attempt: 1, Machine: "m-1", Session: 1}},
+				Cause:  "error on m-1",
+			},
+			protocol.JobStatus{ID: "job-1", Status: "running", Done: 1, Running: 1, Cause: "error on m-1"},
+		},
+		{
+			Job{
+				Spec:   smallSpec(protocol.ShapeArray, 3),
+				Status: protocol.StatusCancelled,
+				Placed: map[int]Placement{1: {Task: 1, Attempt: 1, Machine: "m-1", Session: 1}},
+			},
+			protocol.JobStatus{ID: "job-1", Status: "aborted"},
+		},
+		{
+			Job{Spec: smallSpec(protocol.ShapeArray, 3), Status: protocol.StatusDone, PartSize: 2},
+			protocol.JobStatus{ID: "job-1", Status: "done", Done: 3},
+		},
+	} {
+		if d := cmp.Diff(c.want, c.job.UserStatus()); d != "" {
+			t.Error(d)
+		}
+	}
+}
