--- /dev/null
+++ b/internal/rollout/golden_test.go
@@ -0,0 +1,58 @@
+package rollout
+
+import (
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"postpoint/internal/actor/actortest"
+	"postpoint/internal/goldentest"
+	"postpoint/internal/protocol"
+)
+
+// The keys and values that controllers publish, by the format that they read, are the recorded
+// ones, in their order.
+func TestGoldenPublishedFormats(t *testing.T) {
+	for format, want := range map[int]map[string]string{
+		Present: {
+			"rollout/node/a": "\x81\xa6format\x02",
+			"rollout/node/b": "\x81\xa6format\x02",
+			"rollout/gate":   "\x81\xa6format\x02",
+		},
+		WithCells: {
+			"rollout/node/a": "\x81\xa6format\x03",
+			"rollout/node/b": "\x81\xa6format\x03",
+			"rollout/gate":   "\x81\xa6format\x03",
+		},
+	} {
+		store := &keys{values: map[string][]byte{}}
+		var status Status
+		for _, name := range []string{"a", "b"} {
+			changed := func(s Status) { status = s }
+			New(&actortest.Still{}, store, name, []string{"a", "b"}, format, func() {}, changed).look()
+		}
+		if d := cmp.Diff([]string{"rollout/node/a", "rollout/node/b", "rollout/gate"}, store.puts); d != "" {
+			t.Errorf("format %d: %s", format, d)
+		}
+		for key, value := range want {
+			goldentest.Equal(t, key, store.values[key], value)
+		}
+		if !status.Open || status.Cells != (format == WithCells) {
+			t.Errorf("format %d: %+v", format, status)
+		}
+	}
+}
+
+// Formats that others published are read from the recorded bytes.
+func TestGoldenFormatsAreRead(t *testing.T) {
+	if Present != 2 || WithCells != 3 {
+		t.Errorf("formats %d and %d", Present, WithCells)
+	}
+	goldentest.RequireTags(t, "msgpack", published{})
+	for value, want := range map[string]int{"\x81\xa6format\x02": 2, "\x81\xa6format\x03": 3} {
+		var p published
+		if err := protocol.Decode([]byte(value), &p); err != nil || p.Format != want {
+			t.Errorf("%q is read as %d, %v", value, p.Format, err)
+		}
+	}
+}
