--- /dev/null
+++ b/internal/dispatch/golden_test.go
@@ -0,0 +1,455 @@
+package dispatch
+
+import (
+	"encoding/json"
+	"slices"
+	"testing"
+
+	"postpoint/internal/clock"
+	"postpoint/internal/cloud"
+	"postpoint/internal/delegation"
+	"postpoint/internal/goldentest"
+	"postpoint/internal/ledger"
+	"postpoint/internal/planner"
+	"postpoint/internal/protocol"
+	"postpoint/internal/recovery"
+	"postpoint/internal/rollout"
+	"postpoint/internal/settings"
+	"postpoint/internal/statestore"
+)
+
+func goldenTypes() []protocol.MachineType {
+	return []protocol.MachineType{{
+		Name:        "g8",
+		Cpus:        96,
+		Gpus:        8,
+		MemoryGB:    768,
+		CacheGB:     900,
+		FetchGBPerS: 0.5,
+		Price:       24.5,
+		SpotPrice:   7.25,
+		BootS:       90,
+		Zones:       []string{"a", "b"},
+	}}
+}
+
+// onlyTxn is the single transaction that was written, as it is sent.
+func onlyTxn(t *testing.T, store *commits) []byte {
+	t.Helper()
+	if len(store.txns) != 1 {
+		t.Fatalf("%d transactions", len(store.txns))
+	}
+	return protocol.Encode(store.txns[0])
+}
+
+// The catalogue is left for others under the recorded key in the recorded bytes, and taken from
+// there.
+func TestGoldenCatalogue(t *testing.T) {
+	d, _ := leader()
+	store := &commits{}
+	d.store = &oneKey{store, protocol.Item{}, 404}
+	d.onTypes = func([]protocol.MachineType) {}
+	d.takeCatalogue(goldenTypes())
+	d.ownCatalogue = true
+	d.shareCatalogue()
+	goldentest.Equal(t, "catalogue", onlyTxn(t, store),
+		"\x82\xa6Guards\x92\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xa9catalogue\xa5S"+
+			"tamp\x00\xa6Writes\x91\x82\xa5Write\xa9catalogue\xa4Data\x81\xa6Fleets\x91\x8a\xa3Sku\xa2g8"+
+			"\xa5Vcpus\xcb@X\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb@ \x00\x00\x00\x00\x00\x00\xa5MemGb\xcb@"+
+			"\x88\x00\x00\x00\x00\x00\x00\xa7LocalGb\xcb@\x8c \x00\x00\x00\x00\x00\xabFetchGbPerS\xcb?"+
+			"\xe0\x00\x00\x00\x00\x00\x00\xa6Hourly\xcb@8\x80\x00\x00\x00\x00\x00\xa9SpotPrice\xcb@\x1d"+
+			"\x00\x00\x00\x00\x00\x00\xa8StartupS\xcb@V\x80\x00\x00\x00\x00\x00\xa5Halls\x92\xa1a\xa1b")
+
+	next, _ := leader()
+	left := protocol.Item{Key: "catalogue", Value: store.txns[0].Changes[0].Value, Version: 9}
+	next.store = &oneKey{store, left, 200}
+	next.onTypes = func([]protocol.MachineType) {}
+	next.readShared()
+	if len(next.catalogue) != 1 || !sameType(next.catalogue[0], goldenTypes()[0]) {
+		t.Errorf("%+v", next.catalogue)
+	}
+}
+
+// Blocks of delegations' numbers.
+func TestGoldenNumbers(t *testing.T) {
+	d, store, _ := cellLeader(t)
+	taken := protocol.Item{Key: "delegation-numbers", Value: []byte("\xcd\x0f\xa1"), Version: 9}
+	d.store = &oneKey{store, taken, 200}
+	d.takeNumbers()
+	goldentest.Equal(t, "numbers", onlyTxn(t, store),
+		"\x82\xa6Guards\x92\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xb2delegation-num"+
+			"bers\xa5Stamp\x09\xa6Writes\x91\x82\xa5Write\xb2delegation-numbers\xa4Data\xcd\x13\x89")
+
+	first, firstStore, _ := cellLeader(t)
+	first.store = &oneKey{firstStore, protocol.Item{}, 404}
+	first.takeNumbers()
+	goldentest.Equal(t, "first numbers", onlyTxn(t, firstStore),
+		"\x82\xa6Guards\x92\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xb2delegation-num"+
+			"bers\xa5Stamp\x00\xa6Writes\x91\x82\xa5Write\xb2delegation-numbers\xa4Data\xcd\x03\xe9")
+}
+
+// A delegation's record, and its job's, whose places are the other cell's.
+func TestGoldenDelegation(t *testing.T) {
+	d, j, store, _ := delegating(t)
+	goldentest.Equal(t, "job", j.Encode(),
+		"\x84\xa4spec\xde\x00\x13\xa3Uid\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa5batch\xa4Rank"+
+			"\xa0\xa4Legs\x02\xa5Vcpus\xcb?\xf0\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00\x00\x00\x00\x00"+
+			"\x00\x00\x00\xa5MemGb\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6Bundle\xa0\xa6PullGb\xcb\x00"+
+			"\x00\x00\x00\x00\x00\x00\x00\xa6Fleets\xc0\xa9SamePlace\xc2\xa6Spread\xc2\xa7Loaners\xc2\xa9"+
+			"ExpectedS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa9SnapshotS\xcb\x00\x00\x00\x00\x00\x00\x00"+
+			"\x00\xa6FlushS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4DueS\xc0\xa2at\x01\xa3try\x01\xa6place"+
+			"d\x91\xb1cell beta 7 1 0-1")
+	j.storedValue.durable, j.storedValue.version = j.changed, 6
+	d.saveDelegations()
+	goldentest.Equal(t, "delegation", onlyTxn(t, store),
+		"\x82\xa6Guards\x93\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xaddelegations/7"+
+			"\xa5Stamp\x00\x82\xa4Path\xaajobs/job-1\xa5Stamp\x06\xa6Writes\x91\x82\xa5Write\xaddelegatio"+
+			"ns/7\xa4Data\x85\xa4host\xa4beta\xa3job\xa5job-1\xa5tasks\xa30-1\xa5state\xa7offered\xa2at"+
+			"\xce\x05\xf5\xe1\x00")
+	store.answer(statestore.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 8}})
+	offers := d.offers("beta", nil)
+	if len(offers) != 1 {
+		t.Fatalf("offers %v", offers)
+	}
+	answer := delegation.Answer{Result: delegation.Taken, Offers: offers}
+	goldentest.Equal(t, "offer", answer.Encode(),
+		"\x01\x01\x00\x00\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00\x00\x07\x00\xd5\xde\x00\x13\xa3Uid"+
+			"\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa5batch\xa4Rank\xa0\xa4Legs\x02\xa5Vcpus\xcb?"+
+			"\xf0\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa5MemGb\xcb\x00"+
+			"\x00\x00\x00\x00\x00\x00\x00\xa6Bundle\xa0\xa6PullGb\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6"+
+			"Fleets\xc0\xa9SamePlace\xc2\xa6Spread\xc2\xa7Loaners\xc2\xa9ExpectedS\xcb\x00\x00\x00\x00"+
+			"\x00\x00\x00\x00\xa9SnapshotS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6FlushS\xcb\x00\x00\x00"+
+			"\x00\x00\x00\x00\x00\xa4DueS\xc0\x00\x030-1\x00\x00\x00\x00\x05\xf5\xe0\xff")
+}
+
+// The record of a guest that is taken, and that of one that is refused.
+func TestGoldenGuests(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		draining bool
+		want     string
+	}{
+		{"taken", false,
+			"\x82\xa6Guards\x92\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xb1jobs/beta." +
+				"job-1.7\xa5Stamp\x00\xa6Writes\x91\x82\xa5Write\xb1jobs/beta.job-1.7\xa4Data\x85\xa4spec" +
+				"\xde\x00\x13\xa3Uid\xacbeta.job-1.7\xa4Lane\xa6beta.c\xa4Desk\xa6beta.t\xa5Shape\xa5batc" +
+				"h\xa4Rank\xa6normal\xa4Legs\x03\xa5Vcpus\xcb?\xf0\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb" +
+				"\x00\x00\x00\x00\x00\x00\x00\x00\xa5MemGb\xcb?\xf0\x00\x00\x00\x00\x00\x00\xa6Bundle\xa1" +
+				"i\xa6PullGb\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6Fleets\xc0\xa9SamePlace\xc2\xa6Spread" +
+				"\xc2\xa7Loaners\xc2\xa9ExpectedS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa9SnapshotS\xcb" +
+				"\x00\x00\x00\x00\x00\x00\x00\x00\xa6FlushS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4DueS" +
+				"\xc0\xa2at\xce\x00\x98\x96\x80\xa4done\xa30,2\xa3try\x01\xa6placed\x91\xacguest beta 7"},
+		{"refused", true,
+			"\x82\xa6Guards\x92\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xb1jobs/beta." +
+				"job-1.7\xa5Stamp\x00\xa6Writes\x91\x82\xa5Write\xb1jobs/beta.job-1.7\xa4Data\x87\xa4spec" +
+				"\xde\x00\x13\xa3Uid\xacbeta.job-1.7\xa4Lane\xa6beta.c\xa4Desk\xa6beta.t\xa5Shape\xa5batc" +
+				"h\xa4Rank\xa6normal\xa4Legs\x03\xa5Vcpus\xcb?\xf0\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb" +
+				"\x00\x00\x00\x00\x00\x00\x00\x00\xa5MemGb\xcb?\xf0\x00\x00\x00\x00\x00\x00\xa6Bundle\xa1" +
+				"i\xa6PullGb\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6Fleets\xc0\xa9SamePlace\xc2\xa6Spread" +
+				"\xc2\xa7Loaners\xc2\xa9ExpectedS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa9SnapshotS\xcb" +
+				"\x00\x00\x00\x00\x00\x00\x00\x00\xa6FlushS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4DueS" +
+				"\xc0\xa6status\xa7aborted\xa2at\xce\x00\x98\x96\x80\xa4done\xa30,2\xa3try\x01\xa6placed" +
+				"\x91\xb3guest beta 7 closed\xa5cause\xb9the cell is being drained"},
+	} {
+		d, store, _ := cellLeader(t)
+		d.catalogue = goldenTypes()
+		d.directory.Own.Draining = c.draining
+		var tasks ledger.Ranges
+		tasks.Add(1)
+		spec := protocol.JobSpec{
+			ID:       "job-1",
+			Class:    "c",
+			Team:     "t",
+			Shape:    protocol.ShapeArray,
+			Rank:     "normal",
+			Tasks:    3,
+			Cpus:     1,
+			MemoryGB: 1,
+			Image:    "i",
+		}
+		d.takeOffer(d.links["beta"], delegation.Offer{Number: 7, Spec: spec, Tasks: tasks, Age: 90 * clock.Second})
+		goldentest.Equal(t, c.name, onlyTxn(t, store), c.want)
+	}
+}
+
+// A zone's record as the leader writes it.
+func TestGoldenZone(t *testing.T) {
+	d, _ := leader()
+	store := &commits{}
+	d.store = store
+	lost := &recovery.Zone{Name: "somes", Phase: recovery.Lost, Number: 3, Since: 90 * clock.Second, Flaps: 2}
+	d.recovery.zones = map[string]*zone{"somes": {Zone: lost, version: 9}}
+	d.saveZones()
+	goldentest.Equal(t, "zone", onlyTxn(t, store),
+		"\x82\xa6Guards\x92\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xaerecovery/somes"+
+			"\xa5Stamp\x09\xa6Writes\x91\x82\xa5Write\xaerecovery/somes\xa4Data\x84\xa6number\x03\xa5phas"+
+			"e\xa4lost\xa5since\xce\x05]J\x80\xa5flaps\x02")
+}
+
+// A job's changes as the leader writes them: its record, or a part of a divided one.
+func TestGoldenCommits(t *testing.T) {
+	d, j, _, _ := one(t)
+	store := &commits{}
+	d.store = store
+	j.noteDone(0)
+	d.unplace(j, j.Placed[0])
+	d.touchHead(j)
+	j.storedValue.dirtyAt = 0
+	d.commit()
+	goldentest.Equal(t, "record", onlyTxn(t, store),
+		"\x82\xa6Guards\x92\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xaajobs/job-1\xa5"+
+			"Stamp\x05\xa6Writes\x91\x82\xa5Write\xaajobs/job-1\xa4Data\x84\xa4spec\xde\x00\x13\xa3Uid"+
+			"\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa5batch\xa4Rank\xa0\xa4Legs\x01\xa5Vcpus\xcb\x00"+
+			"\x00\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa5MemGb\xcb\x00"+
+			"\x00\x00\x00\x00\x00\x00\x00\xa6Bundle\xa0\xa6PullGb\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6"+
+			"Fleets\xc0\xa9SamePlace\xc2\xa6Spread\xc2\xa7Loaners\xc2\xa9ExpectedS\xcb\x00\x00\x00\x00"+
+			"\x00\x00\x00\x00\xa9SnapshotS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6FlushS\xcb\x00\x00\x00"+
+			"\x00\x00\x00\x00\x00\xa4DueS\xc0\xa2at\x01\xa4done\xa10\xa3try\x02")
+
+	_, parts, _ := divided(t)
+	goldentest.Equal(t, "part", onlyTxn(t, parts),
+		"\x82\xa6Guards\x93\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xaajobs/job-1\xa5"+
+			"Stamp\x05\x82\xa4Path\xadparts/job-1/0\xa5Stamp\x00\xa6Writes\x91\x82\xa5Write\xadparts/job-"+
+			"1/0\xa4Data\x84\xa4next\x01\xa5shift\x01\xa3try\x01\xa6placed\xa5m-1 0")
+}
+
+func goldenOverview() Overview {
+	return Overview{
+		Node:    "worker-0",
+		Leader:  "worker-0",
+		Leads:   true,
+		Epoch:   41,
+		Plans:   7,
+		Classes: []ClassOverview{{Class: "train", Jobs: 2, Pending: 3, Placed: 4, Restarting: 1}},
+		Machines: []KindOverview{{
+			Type:       "g8",
+			Zone:       "a",
+			Spot:       true,
+			Machines:   5,
+			Booting:    1,
+			Idle:       2,
+			Silent:     1,
+			NoCapacity: true,
+		}},
+		Failing:        []FailingJob{{Job: "job-1", Cause: "error on m-1"}},
+		PresentFormats: true,
+		Missing:        []string{"worker-1"},
+		TightLimits:    true,
+		Cell:           "alpha",
+		Cells: []CellOverview{{
+			Cell:              "beta",
+			Reachable:         true,
+			Lent:              3,
+			Borrowed:          4,
+			Recalled:          1,
+			OldestUnansweredS: 2.5,
+			ShortS:            7.5,
+		}},
+		Zones: []ZoneOverview{{
+			Zone:        "somes",
+			Phase:       recovery.Lost,
+			Number:      3,
+			SinceS:      10.5,
+			Reading:     recovery.Dark,
+			Flaps:       2,
+			Machines:    9,
+			Heard:       1,
+			Controllers: 1,
+			Reached:     1,
+			Elsewhere:   4,
+			Held:        6,
+			Displaced:   8,
+			Waiting:     []WaitingJob{{Job: "job-1", Kind: recovery.Gangs, Tasks: 2, Why: "its turn"}},
+		}},
+	}
+}
+
+// The overview's keys, with all of them and with those that are always there.
+func TestGoldenOverview(t *testing.T) {
+	full := goldenOverview()
+	goldentest.RequireFieldsSet(t, "overview", full)
+	goldentest.RequireTags(t, "json", full)
+	for _, c := range []struct {
+		name  string
+		value Overview
+		want  string
+	}{
+		{"full", full,
+			`{"node":"worker-0","leader":"worker-0","leads":true,"epoch":41,"plans":7,` +
+				`"classes":[{"class":"train","jobs":2,"pending_tasks":3,"placed_tasks":4,"restarting":1}],` +
+				`"machines":[{"type":"g8","zone":"a","spot":true,"machines":5,"booting":1,"idle":2,` +
+				`"silent":1,"no_capacity":true}],"failing":[{"job":"job-1","cause":"error on m-1"}],` +
+				`"present_formats":true,"missing":["worker-1"],"tight_limits":true,"cell":"alpha",` +
+				`"cells":[{"cell":"beta","reachable":true,"lent_tasks":3,"borrowed_tasks":4,"recalled":1,` +
+				`"oldest_unanswered_s":2.5,"short_s":7.5}],"zones":[{"zone":"somes","phase":"lost",` +
+				`"losses":3,"since_s":10.5,"reading":"it is dark","flaps":2,"machines":9,"heard":1,` +
+				`"controllers":1,"controllers_reached":1,"heard_elsewhere":4,"held_tasks":6,` +
+				`"displaced_tasks":8,"waiting":[{"job":"job-1","kind":"gangs","tasks":2,"why":"its turn"}]}]}`},
+		{"empty", Overview{}, `{"node":"","leader":"","leads":false,"present_formats":false}`},
+		{"empty lists", Overview{
+			Classes:  []ClassOverview{{}},
+			Machines: []KindOverview{{}},
+			Failing:  []FailingJob{{}},
+			Cells:    []CellOverview{{}},
+			Zones:    []ZoneOverview{{Waiting: []WaitingJob{{}}}},
+		},
+			`{"node":"","leader":"","leads":false,"classes":[{"class":"","jobs":0,"pending_tasks":0,` +
+				`"placed_tasks":0}],"machines":[{"type":"","zone":"","spot":false,"machines":0,"booting":0,` +
+				`"idle":0,"silent":0,"no_capacity":false}],"failing":[{"job":"","cause":""}],` +
+				`"present_formats":false,"cells":[{"cell":"","reachable":false,"lent_tasks":0,` +
+				`"borrowed_tasks":0,"recalled":0,"oldest_unanswered_s":0}],"zones":[{"zone":"","phase":"",` +
+				`"since_s":0,"machines":0,"heard":0,"waiting":[{"job":"","kind":"","tasks":0,"why":""}]}]}`},
+	} {
+		got, err := json.Marshal(c.value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		goldentest.Equal(t, c.name, got, c.want)
+	}
+}
+
+// The overview of a leader with a job, a machine, cells and zones.
+func TestGoldenOverviewOfALeader(t *testing.T) {
+	d, _, _, _ := hosting(t)
+	d.leader, d.plans, d.tightened = "worker-0", 7, true
+	d.format = rollout.Status{Open: true, Cells: true, Missing: []string{"worker-1"}}
+	s := recovery.Defaults()
+	d.recovery.settings = &s
+	d.recovery.zones = map[string]*zone{"somes": {
+		Zone: &recovery.Zone{
+			Name:    "somes",
+			Phase:   recovery.Lost,
+			Number:  3,
+			Since:   90 * clock.Second,
+			Reading: recovery.Dark,
+		},
+		evidence: recovery.Evidence{Machines: 4, Heard: 1, Controllers: 1, Reached: 1, Elsewhere: 2},
+	}}
+	var got []byte
+	d.Overview(func(o any) {
+		var err error
+		if got, err = json.Marshal(o); err != nil {
+			t.Fatal(err)
+		}
+	})
+	goldentest.Equal(t, "overview", got,
+		`{"node":"worker-0","leader":"worker-0","leads":true,"epoch":7,"plans":7,`+
+			`"classes":[{"class":"","jobs":1,"pending_tasks":0,"placed_tasks":1}],"machines":[{"type":"",`+
+			`"zone":"","spot":false,"machines":1,"booting":0,"idle":0,"silent":1,"no_capacity":false}],`+
+			`"present_formats":true,"missing":["worker-1"],"tight_limits":true,"cell":"alpha",`+
+			`"cells":[{"cell":"beta","reachable":true,"lent_tasks":0,"borrowed_tasks":1,"recalled":0,`+
+			`"oldest_unanswered_s":0}],"zones":[{"zone":"somes","phase":"lost","losses":3,"since_s":10,`+
+			`"reading":"it is dark","machines":4,"heard":1,"controllers":1,"controllers_reached":1,`+
+			`"heard_elsewhere":2}]}`)
+}
+
+// Rentals are named after the epoch and a count.
+func TestGoldenBookings(t *testing.T) {
+	d, _ := leader()
+	rented := &rentals{}
+	d.cloud = rented
+	d.onTypes = func([]protocol.MachineType) {}
+	d.takeCatalogue(goldenTypes())
+	d.renting = newFleetState(100)
+	spec := &protocol.JobSpec{
+		ID:        "job-1",
+		Shape:     protocol.ShapeArray,
+		Tasks:     1,
+		Cpus:      1,
+		MemoryGB:  1,
+		Spot:      true,
+		EstimateS: 600,
+	}
+	job := &planner.Job{ID: "job-1", Spec: spec, Pending: []int{0}, Limit: 1}
+	d.rent([]planner.Want{{Job: job, Tasks: 1}})
+	if len(rented.asked) != 1 {
+		t.Fatalf("%+v", rented.asked)
+	}
+	goldentest.Equal(t, "rental", protocol.Encode(rented.asked[0]),
+		"\x85\xa7Booking\xa4e7-1\xa5Fleet\xa2g8\xa4Hall\xa1a\xa7Loaners\xc3\xa7HowMany\x01")
+}
+
+// rentals is a cloud that keeps what it is asked for.
+type rentals struct {
+	cloud.API
+	asked []protocol.Rental
+}
+
+func (r *rentals) Rent(x protocol.Rental, _ clock.Micros, _ func(int, protocol.RentalAnswer)) {
+	r.asked = append(r.asked, x)
+}
+
+// Answers to reports: orders of every verb, redirects and refusals.
+func TestGoldenHeartbeatAnswers(t *testing.T) {
+	answered := func(d *Dispatch, r protocol.Report) (int, []byte) {
+		status, body := 0, []byte(nil)
+		d.Heartbeat(r, func(s int, b any) { status, body = s, protocol.Encode(b) })
+		return status, body
+	}
+	start, _, _, _ := one(t)
+	status, body := answered(start, report(1, 1))
+	goldentest.Equal(t, "start", body,
+		"\x82\xa5Epoch\x07\xa6Orders\x91\x84\xa4Verb\xa5start\xa3Leg\xa7job-1/0\xa3Try\x01\xa6LeaveS"+
+			"\xcb\x00\x00\x00\x00\x00\x00\x00\x00")
+	if status != 200 {
+		t.Errorf("start: %d", status)
+	}
+	stray := protocol.TaskReport{Task: "job-9/0", Attempt: 1, Status: protocol.TaskRunning}
+	stop, _, _, _ := one(t)
+	status, body = answered(stop, report(1, 1, stray))
+	goldentest.Equal(t, "stop", body,
+		"\x82\xa5Epoch\x07\xa6Orders\x92\x84\xa4Verb\xa5start\xa3Leg\xa7job-1/0\xa3Try\x01\xa6LeaveS"+
+			"\xcb\x00\x00\x00\x00\x00\x00\x00\x00\x84\xa4Verb\xa4kill\xa3Leg\xa7job-9/0\xa3Try\x01\xa6Lea"+
+			"veS\xcb\x00\x00\x00\x00\x00\x00\x00\x00")
+	if status != 200 {
+		t.Errorf("stop: %d", status)
+	}
+	ended := protocol.TaskReport{
+		Task:    "job-9/0",
+		Attempt: 1,
+		Status:  protocol.TaskExited,
+		Cause:   protocol.CauseDone,
+	}
+	forget, _, _, _ := one(t)
+	status, body = answered(forget, report(1, 1, ended))
+	goldentest.Equal(t, "forget", body,
+		"\x82\xa5Epoch\x07\xa6Orders\x92\x84\xa4Verb\xa5start\xa3Leg\xa7job-1/0\xa3Try\x01\xa6LeaveS"+
+			"\xcb\x00\x00\x00\x00\x00\x00\x00\x00\x84\xa4Verb\xa6forget\xa3Leg\xa7job-9/0\xa3Try\x01\xa6L"+
+			"eaveS\xcb\x00\x00\x00\x00\x00\x00\x00\x00")
+	if status != 200 {
+		t.Errorf("forget: %d", status)
+	}
+	other, _, _, _ := one(t)
+	other.term.Epoch, other.leader = 0, "worker-1"
+	status, body = answered(other, report(1, 1))
+	goldentest.Equal(t, "another node leads", body, "\x81\xaaDispatcher\xa8worker-1")
+	if status != 421 {
+		t.Errorf("another node leads: %d", status)
+	}
+	released, _, _, box := one(t)
+	released.released["m-1"] = box.Now
+	status, body = answered(released, report(1, 1))
+	goldentest.Equal(t, "released", body, "\x80")
+	if status != 421 {
+		t.Errorf("released: %d", status)
+	}
+}
+
+// The kinds of aims that the settings name.
+func TestGoldenAims(t *testing.T) {
+	d, _ := leader()
+	d.set.Deployment.Objectives = []settings.Objective{
+		{Kind: "wait", Class: "c", WithinS: 5},
+		{Kind: "finished", Class: "c", WithinS: 300},
+		{Kind: "deadline", Class: "c", Times: 1.5},
+	}
+	if s := d.startAim("c"); s != 5 {
+		t.Errorf("a start within %v s", s)
+	}
+	due := 100.0
+	j := newJob()
+	j.Job = ledger.New(protocol.JobSpec{ID: "job-1", Class: "c", DeadlineS: &due}, 1)
+	if times := d.dueTimes(j); !slices.Equal(times, []float64{100, 150, 300}) {
+		t.Errorf("due after %v s", times)
+	}
+}
