--- a/cmd/loadtool/main.go
+++ b/cmd/loadtool/main.go
@@ -9,7 +9,7 @@
 )
 
 type commandLine struct {
-	Cells cellsCommand `cmd:"" help:"Three cells of which one is filled, with and without spilling."`
+	Cells cellsCommand `cmd:"" name:"cells" help:"Three cells of which one is filled, with and without spilling."`
 }
 
 func main() {
@@ -21,6 +21,6 @@
 
 // outputFlags are those of every command.
 type outputFlags struct {
-	Report string `help:"File to write the report to (HTML)." default:"report.html" placeholder:"FILE"`
-	Seeds  uint64 `help:"How many days of each kind are played." default:"8"`
+	Report string `name:"report" help:"File to write the report to (HTML)." default:"report.html" placeholder:"FILE"`
+	Seeds  uint64 `name:"seeds" help:"How many days of each kind are played." default:"8"`
 }
--- a/cmd/postpoint/golden_test.go
+++ b/cmd/postpoint/golden_test.go
@@ -7,6 +7,8 @@
 
 	"github.com/alecthomas/kong"
 	"github.com/google/go-cmp/cmp"
+
+	"postpoint/internal/goldentest"
 )
 
 // newParser is one whose help and errors don't end the process.
@@ -148,3 +150,8 @@
 		})
 	}
 }
+
+// A command's and a flag's name is in its tag: else renaming its field would rename it.
+func TestFlagsHaveTags(t *testing.T) {
+	goldentest.RequireTags(t, "name", commandLine{})
+}
--- a/cmd/postpoint/main.go
+++ b/cmd/postpoint/main.go
@@ -22,11 +22,11 @@
 const defaultLeaseTTL = 4 * clock.Second
 
 type commandLine struct {
-	LogLevel string           `help:"Amount of logging: error, info or debug." enum:"error,info,debug" default:"info" env:"LOG_LEVEL"`
-	Version  kong.VersionFlag `help:"Print the version."`
+	LogLevel string           `help:"Amount of logging: error, info or debug." enum:"error,info,debug" default:"info" env:"LOG_LEVEL" name:"log-level"`
+	Version  kong.VersionFlag `help:"Print the version." name:"version"`
 
-	Serve serveCommand `cmd:"" default:"withargs" help:"Run a controller until killed (the default)."`
-	Check checkCommand `cmd:"" help:"Check a settings file and say what is wrong with it."`
+	Serve serveCommand `cmd:"" name:"serve" default:"withargs" help:"Run a controller until killed (the default)."`
+	Check checkCommand `cmd:"" name:"check" help:"Check a settings file and say what is wrong with it."`
 }
 
 type serveCommand struct {
@@ -40,9 +40,9 @@
 
 // filesFlags name the files that a controller reads.
 type filesFlags struct {
-	Config   string `help:"Settings file of the platform (JSON)." required:"" placeholder:"FILE"`
-	Recovery string `help:"File of the settings of recoveries from the loss of a zone (TOML); none: machines are met one by one." env:"POSTPOINT_RECOVERY" placeholder:"FILE"`
-	Cells    string `help:"File that lists the cells which run work for each other (TOML); none: a cell on its own." env:"POSTPOINT_CELLS" placeholder:"FILE"`
+	Config   string `name:"config" help:"Settings file of the platform (JSON)." required:"" placeholder:"FILE"`
+	Recovery string `name:"recovery" help:"File of the settings of recoveries from the loss of a zone (TOML); none: machines are met one by one." env:"POSTPOINT_RECOVERY" placeholder:"FILE"`
+	Cells    string `name:"cells" help:"File that lists the cells which run work for each other (TOML); none: a cell on its own." env:"POSTPOINT_CELLS" placeholder:"FILE"`
 }
 
 func main() {
