--- a/internal/delegation/golden_test.go
+++ b/internal/delegation/golden_test.go
@@ -172,7 +172,7 @@
 	goldentest.RequireFieldsSet(t, "load of a type", load)
 }
 
-// A reason is cut to its length, and so are the lists of a load.
+// The numbers and words of the messages; a reason that is too long is cut.
 func TestGoldenBounds(t *testing.T) {
 	for _, c := range []struct{ constant, want int }{
 		{Version, 1},
