--- a/internal/dispatch/golden_test.go
+++ b/internal/dispatch/golden_test.go
@@ -47,11 +47,11 @@
 func TestGoldenCatalogue(t *testing.T) {
 	d, _ := leader()
 	store := &commits{}
-	d.store = &oneKey{store, protocol.Item{}, 404}
-	d.onTypes = func([]protocol.MachineType) {}
-	d.takeCatalogue(goldenTypes())
-	d.ownCatalogue = true
-	d.shareCatalogue()
+	useStore(d, &oneKey{store, protocol.Item{}, 404})
+	d.catalogue.published = func([]protocol.MachineType) {}
+	d.catalogue.replace(goldenTypes())
+	d.catalogue.fromCloud = true
+	d.catalogue.share()
 	goldentest.Equal(t, "catalogue", onlyTxn(t, store),
 		"\x82\xa6Guards\x92\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xa9catalogue\xa5S"+
 			"tamp\x00\xa6Writes\x91\x82\xa5Write\xa9catalogue\xa4Data\x81\xa6Fleets\x91\x8a\xa3Sku\xa2g8"+
@@ -62,11 +62,11 @@
 
 	next, _ := leader()
 	left := protocol.Item{Key: "catalogue", Value: store.txns[0].Changes[0].Value, Version: 9}
-	next.store = &oneKey{store, left, 200}
-	next.onTypes = func([]protocol.MachineType) {}
-	next.readShared()
-	if len(next.catalogue) != 1 || !sameType(next.catalogue[0], goldenTypes()[0]) {
-		t.Errorf("%+v", next.catalogue)
+	useStore(next, &oneKey{store, left, 200})
+	next.catalogue.published = func([]protocol.MachineType) {}
+	next.catalogue.readShared()
+	if len(next.catalogue.list) != 1 || !sameType(next.catalogue.list[0], goldenTypes()[0]) {
+		t.Errorf("%+v", next.catalogue.list)
 	}
 }
 
@@ -74,15 +74,15 @@
 func TestGoldenNumbers(t *testing.T) {
 	d, store, _ := cellLeader(t)
 	taken := protocol.Item{Key: "delegation-numbers", Value: []byte("\xcd\x0f\xa1"), Version: 9}
-	d.store = &oneKey{store, taken, 200}
-	d.takeNumbers()
+	useStore(d, &oneKey{store, taken, 200})
+	d.origin.takeNumbers()
 	goldentest.Equal(t, "numbers", onlyTxn(t, store),
 		"\x82\xa6Guards\x92\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xb2delegation-num"+
 			"bers\xa5Stamp\x09\xa6Writes\x91\x82\xa5Write\xb2delegation-numbers\xa4Data\xcd\x13\x89")
 
 	first, firstStore, _ := cellLeader(t)
-	first.store = &oneKey{firstStore, protocol.Item{}, 404}
-	first.takeNumbers()
+	useStore(first, &oneKey{firstStore, protocol.Item{}, 404})
+	first.origin.takeNumbers()
 	goldentest.Equal(t, "first numbers", onlyTxn(t, firstStore),
 		"\x82\xa6Guards\x92\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xb2delegation-num"+
 			"bers\xa5Stamp\x00\xa6Writes\x91\x82\xa5Write\xb2delegation-numbers\xa4Data\xcd\x03\xe9")
@@ -100,14 +100,14 @@
 			"\x00\xa6FlushS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4DueS\xc0\xa2at\x01\xa3try\x01\xa6place"+
 			"d\x91\xb1cell beta 7 1 0-1")
 	j.storedValue.durable, j.storedValue.version = j.changed, 6
-	d.saveDelegations()
+	d.origin.saveDelegations()
 	goldentest.Equal(t, "delegation", onlyTxn(t, store),
 		"\x82\xa6Guards\x93\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xaddelegations/7"+
 			"\xa5Stamp\x00\x82\xa4Path\xaajobs/job-1\xa5Stamp\x06\xa6Writes\x91\x82\xa5Write\xaddelegatio"+
 			"ns/7\xa4Data\x85\xa4host\xa4beta\xa3job\xa5job-1\xa5tasks\xa30-1\xa5state\xa7offered\xa2at"+
 			"\xce\x05\xf5\xe1\x00")
 	store.answer(statestore.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 8}})
-	offers := d.offers("beta", nil)
+	offers := d.origin.offers("beta", nil)
 	if len(offers) != 1 {
 		t.Fatalf("offers %v", offers)
 	}
@@ -152,8 +152,8 @@
 				"\x91\xb3guest beta 7 closed\xa5cause\xb9the cell is being drained"},
 	} {
 		d, store, _ := cellLeader(t)
-		d.catalogue = goldenTypes()
-		d.directory.Own.Draining = c.draining
+		d.catalogue.list = goldenTypes()
+		d.cells.directory.Own.Draining = c.draining
 		var tasks ledger.Ranges
 		tasks.Add(1)
 		spec := protocol.JobSpec{
@@ -167,7 +167,7 @@
 			MemoryGB: 1,
 			Image:    "i",
 		}
-		d.takeOffer(d.links["beta"], delegation.Offer{Number: 7, Spec: spec, Tasks: tasks, Age: 90 * clock.Second})
+		d.host.takeOffer(d.cells.links["beta"], delegation.Offer{Number: 7, Spec: spec, Tasks: tasks, Age: 90 * clock.Second})
 		goldentest.Equal(t, c.name, onlyTxn(t, store), c.want)
 	}
 }
@@ -176,10 +176,10 @@
 func TestGoldenZone(t *testing.T) {
 	d, _ := leader()
 	store := &commits{}
-	d.store = store
+	useStore(d, store)
 	lost := &recovery.Zone{Name: "somes", Phase: recovery.Lost, Number: 3, Since: 90 * clock.Second, Flaps: 2}
-	d.recovery.zones = map[string]*zone{"somes": {Zone: lost, version: 9}}
-	d.saveZones()
+	d.zones.zones = map[string]*zone{"somes": {Zone: lost, version: 9}}
+	d.zones.saveZones()
 	goldentest.Equal(t, "zone", onlyTxn(t, store),
 		"\x82\xa6Guards\x92\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xaerecovery/somes"+
 			"\xa5Stamp\x09\xa6Writes\x91\x82\xa5Write\xaerecovery/somes\xa4Data\x84\xa6number\x03\xa5phas"+
@@ -190,12 +190,12 @@
 func TestGoldenCommits(t *testing.T) {
 	d, j, _, _ := one(t)
 	store := &commits{}
-	d.store = store
+	useStore(d, store)
 	j.noteDone(0)
-	d.unplace(j, j.Placed[0])
-	d.touchHead(j)
+	d.jobs.unplace(j, j.Placed[0])
+	d.jobs.touchHead(j)
 	j.storedValue.dirtyAt = 0
-	d.commit()
+	d.writer.commit()
 	goldentest.Equal(t, "record", onlyTxn(t, store),
 		"\x82\xa6Guards\x92\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xaajobs/job-1\xa5"+
 			"Stamp\x05\xa6Writes\x91\x82\xa5Write\xaajobs/job-1\xa4Data\x84\xa4spec\xde\x00\x13\xa3Uid"+
@@ -311,11 +311,11 @@
 // The overview of a leader with a job, a machine, cells and zones.
 func TestGoldenOverviewOfALeader(t *testing.T) {
 	d, _, _, _ := hosting(t)
-	d.leader, d.plans, d.tightened = "worker-0", 7, true
-	d.format = rollout.Status{Open: true, Cells: true, Missing: []string{"worker-1"}}
+	d.state.knownLeader, d.scheduler.plans, d.writer.tightened = "worker-0", 7, true
+	d.state.format = rollout.Status{Open: true, Cells: true, Missing: []string{"worker-1"}}
 	s := recovery.Defaults()
-	d.recovery.settings = &s
-	d.recovery.zones = map[string]*zone{"somes": {
+	d.zones.options = &s
+	d.zones.zones = map[string]*zone{"somes": {
 		Zone: &recovery.Zone{
 			Name:    "somes",
 			Phase:   recovery.Lost,
@@ -347,10 +347,10 @@
 func TestGoldenBookings(t *testing.T) {
 	d, _ := leader()
 	rented := &rentals{}
-	d.cloud = rented
-	d.onTypes = func([]protocol.MachineType) {}
-	d.takeCatalogue(goldenTypes())
-	d.renting = newFleetState(100)
+	d.autoscaler.cloud = rented
+	d.catalogue.published = func([]protocol.MachineType) {}
+	d.catalogue.replace(goldenTypes())
+	d.autoscaler.fleetState = newFleetState(100)
 	spec := &protocol.JobSpec{
 		ID:        "job-1",
 		Shape:     protocol.ShapeArray,
@@ -361,7 +361,7 @@
 		EstimateS: 600,
 	}
 	job := &planner.Job{ID: "job-1", Spec: spec, Pending: []int{0}, Limit: 1}
-	d.rent([]planner.Want{{Job: job, Tasks: 1}})
+	d.autoscaler.rent([]planner.Want{{Job: job, Tasks: 1}})
 	if len(rented.asked) != 1 {
 		t.Fatalf("%+v", rented.asked)
 	}
@@ -381,7 +381,7 @@
 
 // Answers to reports: orders of every verb, redirects and refusals.
 func TestGoldenHeartbeatAnswers(t *testing.T) {
-	answered := func(d *Dispatch, r protocol.Report) (int, []byte) {
+	answered := func(d *Leader, r protocol.Report) (int, []byte) {
 		status, body := 0, []byte(nil)
 		d.Heartbeat(r, func(s int, b any) { status, body = s, protocol.Encode(b) })
 		return status, body
@@ -420,14 +420,14 @@
 		t.Errorf("forget: %d", status)
 	}
 	other, _, _, _ := one(t)
-	other.term.Epoch, other.leader = 0, "worker-1"
+	other.state.term.Epoch, other.state.knownLeader = 0, "worker-1"
 	status, body = answered(other, report(1, 1))
 	goldentest.Equal(t, "another node leads", body, "\x81\xaaDispatcher\xa8worker-1")
 	if status != 421 {
 		t.Errorf("another node leads: %d", status)
 	}
 	released, _, _, box := one(t)
-	released.released["m-1"] = box.Now
+	released.machines.released["m-1"] = box.Now
 	status, body = answered(released, report(1, 1))
 	goldentest.Equal(t, "released", body, "\x80")
 	if status != 421 {
@@ -438,18 +438,18 @@
 // The kinds of aims that the settings name.
 func TestGoldenAims(t *testing.T) {
 	d, _ := leader()
-	d.set.Deployment.Objectives = []settings.Objective{
+	d.state.settings.Deployment.Objectives = []settings.Objective{
 		{Kind: "wait", Class: "c", WithinS: 5},
 		{Kind: "finished", Class: "c", WithinS: 300},
 		{Kind: "deadline", Class: "c", Times: 1.5},
 	}
-	if s := d.startAim("c"); s != 5 {
+	if s := d.objectives.startAim("c"); s != 5 {
 		t.Errorf("a start within %v s", s)
 	}
 	due := 100.0
 	j := newJob()
 	j.Job = ledger.New(protocol.JobSpec{ID: "job-1", Class: "c", DeadlineS: &due}, 1)
-	if times := d.dueTimes(j); !slices.Equal(times, []float64{100, 150, 300}) {
+	if times := d.objectives.dueTimes(j); !slices.Equal(times, []float64{100, 150, 300}) {
 		t.Errorf("due after %v s", times)
 	}
 }
