--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/dispatch"
 	"postpoint/internal/fleet"
+	"postpoint/internal/leader/overview"
 	"postpoint/internal/protocol"
 	"postpoint/internal/settings"
 	"postpoint/internal/testkit"
@@ -115,14 +115,14 @@
 }
 
 // overview asks a controller, nil if it doesn't answer.
-func (c *realCell) overview(i int) *dispatch.Overview {
+func (c *realCell) overview(i int) *overview.Overview {
 	client := http.Client{Timeout: 2 * time.Second}
 	answer, err := client.Get("http://" + c.settings[i].Bind + "/overview")
 	if err != nil {
 		return nil
 	}
 	defer answer.Body.Close()
-	var o dispatch.Overview
+	var o overview.Overview
 	if json.NewDecoder(answer.Body).Decode(&o) != nil {
 		return nil
 	}
--- a/internal/dispatch/allowance_test.go
+++ b/internal/leader/allowance_test.go
@@ -1,9 +1,11 @@
-package dispatch
+package leader
 
 import (
 	"testing"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/leader/jobtable"
+	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
 )
@@ -14,12 +16,12 @@
 func TestNoLeaseIsRenewedForCancelledTasks(t *testing.T) {
 	for _, leads := range []bool{true, false} {
 		d, j, m, box := one(t)
-		keep := d.state.settings.Deployment.Workers.KeepAlive()
-		d.jobs.noteCancelled(j, box.Now)
+		keep := d.state.Settings.Deployment.Workers.KeepAlive()
+		d.jobs.NoteCancelled(j, box.Now)
 		say := func(counter int64, tasks ...protocol.TaskReport) (status int, orders []protocol.Order) {
-			d.state.term.RenewedAt, d.state.freshAt = box.Now, box.Now
-			if d.state.term.ValidUntil = box.Now; leads {
-				d.state.term.ValidUntil += clock.Second
+			d.state.Term.RenewedAt, d.state.FreshAt = box.Now, box.Now
+			if d.state.Term.ValidUntil = box.Now; leads {
+				d.state.Term.ValidUntil += clock.Second
 			}
 			d.Heartbeat(report(1, counter, tasks...), func(s int, body any) {
 				status = s
@@ -29,8 +31,8 @@
 			})
 			return status, orders
 		}
-		m.session = 1 // its session is known
-		m.sent[taskRef{"job-1", 0, 1}] = &sent{uncertain: true}
+		m.Incarnation = 1 // its session is known
+		m.Deliveries[machinetable.AttemptRef{Job: "job-1", Task: 0, Attempt: 1}] = &machinetable.StartDelivery{OutcomeUnknown: true}
 		if status, orders := say(1); status != 200 || len(orders) != 0 {
 			t.Fatalf("leads %v: answered %d with %v while there is time", leads, status, orders)
 		}
@@ -51,23 +53,23 @@
 // it as well; clocks of day may be off either way.
 func TestCancellationsCountFromTheRecord(t *testing.T) {
 	d, j, _, box := one(t)
-	d.state.settings.Deployment.ClockErrorMs = 250
+	d.state.Settings.Deployment.ClockErrorMs = 250
 	j.Status, j.CancelledAt = protocol.StatusCancelled, int64(box.Now-110*clock.Second)
-	d.reader.adopt(ledger.Key("job-1"), j.Encode(), 6)
-	if !j.cancelled || j.cancelledAt != -10*clock.Second-500*clock.Millisecond {
-		t.Fatalf("cancelled %v at %.3f s", j.cancelled, j.cancelledAt.Seconds())
+	d.reader.Adopt(ledger.Key("job-1"), j.Encode(), 6)
+	if !j.Cancelled || j.CancelConfirmedAt != -10*clock.Second-500*clock.Millisecond {
+		t.Fatalf("cancelled %v at %.3f s", j.Cancelled, j.CancelConfirmedAt.Seconds())
 	}
-	d.state.begunAt = box.Now
-	if at := d.cancellations.returnAt(j); at >= box.Now {
+	d.state.BegunAt = box.Now
+	if at := d.cancellations.ReleaseAt(j); at >= box.Now {
 		t.Fatalf("the machine is returned at %.3f s", at.Seconds())
 	}
 	// A new leader lets machines speak first, as long as there is time.
-	j.cancelledAt = box.Now - 16*clock.Second // lease_s + 4 s
-	if at := d.cancellations.returnAt(j); at != box.Now+heedTime {
+	j.CancelConfirmedAt = box.Now - 16*clock.Second // lease_s + 4 s
+	if at := d.cancellations.ReleaseAt(j); at != box.Now+jobtable.AnnounceTime {
 		t.Fatalf("the machine is returned %.3f s after the election", (at - box.Now).Seconds())
 	}
-	j.cancelledAt -= 4 * clock.Second
-	if at := d.cancellations.returnAt(j); at != j.cancelledAt+23*clock.Second { // cancel_s - 7 s
-		t.Fatalf("the machine is returned %.3f s after the cancellation", (at - j.cancelledAt).Seconds())
+	j.CancelConfirmedAt -= 4 * clock.Second
+	if at := d.cancellations.ReleaseAt(j); at != j.CancelConfirmedAt+23*clock.Second { // cancel_s - 7 s
+		t.Fatalf("the machine is returned %.3f s after the cancellation", (at - j.CancelConfirmedAt).Seconds())
 	}
 }
--- a/internal/dispatch/cells_test.go
+++ b/internal/leader/cells_test.go
@@ -1,4 +1,4 @@
-package dispatch
+package leader
 
 import (
 	"fmt"
@@ -9,6 +9,11 @@
 	"postpoint/internal/cells"
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
+	"postpoint/internal/leader/federation"
+	"postpoint/internal/leader/jobtable"
+	"postpoint/internal/leader/machinetable"
+	"postpoint/internal/leader/reconciler"
+	"postpoint/internal/leader/recordstore"
 	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
 	"postpoint/internal/statestore"
@@ -38,23 +43,23 @@
 func cellLeader(t *testing.T) (*Leader, *commits, *actortest.Still) {
 	t.Helper()
 	d, box := leader()
-	d.state.settings.Node = "worker-0"
-	directory, err := cells.Parse([]byte(twoCells), d.state.settings)
+	d.state.Settings.Node = "worker-0"
+	directory, err := cells.Parse([]byte(twoCells), d.state.Settings)
 	if err != nil {
 		t.Fatal(err)
 	}
 	store := &commits{}
 	useStore(d, store)
-	d.state.format.Open, d.state.format.Cells = true, true
+	d.state.Format.Open, d.state.Format.Cells = true, true
 	d.JoinCells(directory, nil)
-	d.cells.begin()
-	d.origin.begin()
+	d.cells.Begin()
+	d.origin.Begin()
 	return d, store, box
 }
 
 // hosting is a leader of alpha with a guest of one task on m-1, committed and permitted until
 // ten seconds from now.
-func hosting(t *testing.T) (*Leader, *job, *machine, *actortest.Still) {
+func hosting(t *testing.T) (*Leader, *jobtable.Job, *machinetable.Machine, *actortest.Still) {
 	t.Helper()
 	d, _, box := cellLeader(t)
 	id := ledger.GuestID("beta", "job-1", 7)
@@ -62,15 +67,15 @@
 	content.Guest = &ledger.Guest{Home: "beta", Number: 7}
 	content.NextAttempt = 2
 	content.Placed[0] = ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1}
-	d.reader.adopt(ledger.Key(id), content.Encode(), 5)
-	j := d.jobs.byID[id]
-	j.permit.Take(delegation.Ruling{Number: 7, Verdict: delegation.Continue, For: 10 * clock.Second}, box.Now, box.Now)
-	return d, j, d.machines.byName["m-1"], box
+	d.reader.Adopt(ledger.Key(id), content.Encode(), 5)
+	j := d.jobs.ByID[id]
+	j.Permission.Take(delegation.Ruling{Number: 7, Verdict: delegation.Continue, For: 10 * clock.Second}, box.Now, box.Now)
+	return d, j, d.machines.ByName["m-1"], box
 }
 
 // beat has the machine report, and gives the status and the orders of the answer.
 func beat(d *Leader, box *actortest.Still, counter int64, tasks ...protocol.TaskReport) (status int, orders []protocol.Order) {
-	d.state.term.RenewedAt, d.state.term.ValidUntil, d.state.freshAt = box.Now, box.Now+4*clock.Second, box.Now
+	d.state.Term.RenewedAt, d.state.Term.ValidUntil, d.state.FreshAt = box.Now, box.Now+4*clock.Second, box.Now
 	d.Heartbeat(report(1, counter, tasks...), func(s int, body any) {
 		status = s
 		if a, ok := body.(protocol.HeartbeatAnswer); ok {
@@ -92,7 +97,7 @@
 	if status, orders := beat(d, box, 2, task); status != 200 || len(orders) != 1 || orders[0].Verb != protocol.VerbStop {
 		t.Fatalf("answered %d with %v at the permission's end", status, orders)
 	}
-	m.sent[taskRef{j.Spec.ID, 0, 1}] = &sent{uncertain: true}
+	m.Deliveries[machinetable.AttemptRef{Job: j.Spec.ID, Task: 0, Attempt: 1}] = &machinetable.StartDelivery{OutcomeUnknown: true}
 	if status, _ := beat(d, box, 3); status != 503 {
 		t.Fatalf("answered %d though a start may still arrive", status)
 	}
@@ -102,12 +107,12 @@
 // asked home, or has had the time to.
 func TestNewHostWaitsForItsHomesWord(t *testing.T) {
 	d, j, _, box := hosting(t)
-	d.jobs.awaitPermission(j)
+	d.jobs.AwaitPermission(j)
 	task := protocol.TaskReport{Task: protocol.TaskName(j.Spec.ID, 0), Attempt: 1, Status: protocol.TaskRunning}
 	if status, _ := beat(d, box, 1, task); status != 503 {
 		t.Fatalf("answered %d before home was heard of", status)
 	}
-	box.Now += heedTime
+	box.Now += jobtable.AnnounceTime
 	if status, orders := beat(d, box, 2, task); status != 200 || len(orders) != 1 || orders[0].Verb != protocol.VerbStop {
 		t.Fatalf("answered %d with %v after four seconds", status, orders)
 	}
@@ -117,19 +122,19 @@
 // its reports, whoever leads.
 func TestHungMachinesWithGuestsAreReturnedInTime(t *testing.T) {
 	d, j, _, box := hosting(t)
-	workers := d.state.settings.Deployment.Workers
-	latest := j.permit.Until() + cells.ClearTime(workers.Lease()) - returnTime
-	if at := d.cancellations.returnAt(j); at > latest {
+	workers := d.state.Settings.Deployment.Workers
+	latest := j.Permission.Until() + cells.ClearTime(workers.Lease()) - reconciler.ReturnTime
+	if at := d.cancellations.ReleaseAt(j); at > latest {
 		t.Errorf("returned %.1f s too late", (at - latest).Seconds())
 	}
-	d.jobs.awaitPermission(j) // a new leader, and the last permission ended just before its predecessor's lease did
-	ended := d.state.begunAt - 5*clock.Second
-	if at := d.cancellations.returnAt(j); at > ended+cells.ClearTime(workers.Lease())-returnTime {
-		t.Errorf("returned %.1f s after the new leader's election", (at - d.state.begunAt).Seconds())
+	d.jobs.AwaitPermission(j) // a new leader, and the last permission ended just before its predecessor's lease did
+	ended := d.state.BegunAt - 5*clock.Second
+	if at := d.cancellations.ReleaseAt(j); at > ended+cells.ClearTime(workers.Lease())-reconciler.ReturnTime {
+		t.Errorf("returned %.1f s after the new leader's election", (at - d.state.BegunAt).Seconds())
 	}
 	j.Guest.Closed = true // by its predecessor, long ago perhaps
-	if at := d.cancellations.returnAt(j); at != d.state.begunAt+heedTime {
-		t.Errorf("returned %.1f s after the new leader's election though it was closed before", (at - d.state.begunAt).Seconds())
+	if at := d.cancellations.ReleaseAt(j); at != d.state.BegunAt+jobtable.AnnounceTime {
+		t.Errorf("returned %.1f s after the new leader's election though it was closed before", (at - d.state.BegunAt).Seconds())
 	}
 	_ = box
 }
@@ -138,16 +143,16 @@
 func TestCommandsKeepToPermissions(t *testing.T) {
 	d, j, m, box := hosting(t)
 	worker := &commandsUntil{}
-	d.commands.agent = worker
-	d.state.term.ValidUntil = box.Now + 60*clock.Second
+	d.commands.Agent = worker
+	d.state.Term.ValidUntil = box.Now + 60*clock.Second
 	start := protocol.Order{Verb: protocol.VerbStart, Task: protocol.TaskName(j.Spec.ID, 0), Attempt: 1}
-	d.commands.send(m, 1, []protocol.Order{start}, nil)
-	if worker.until != j.permit.Until() {
-		t.Errorf("until %.1f s, permitted until %.1f s", worker.until.Seconds(), j.permit.Until().Seconds())
+	d.commands.Send(m, 1, []protocol.Order{start}, nil)
+	if worker.until != j.Permission.Until() {
+		t.Errorf("until %.1f s, permitted until %.1f s", worker.until.Seconds(), j.Permission.Until().Seconds())
 	}
 	start.Verb = protocol.VerbStop
-	d.commands.send(m, 1, []protocol.Order{start}, nil)
-	if worker.until != d.state.term.ValidUntil {
+	d.commands.Send(m, 1, []protocol.Order{start}, nil)
+	if worker.until != d.state.Term.ValidUntil {
 		t.Error("what ends the task is held back as well")
 	}
 }
@@ -165,8 +170,8 @@
 	for _, oneZone := range []bool{false, true} {
 		d, j, _, box := delegating(t)
 		j.Spec.OneZone = oneZone
-		d.jobs.unplace(j, j.Placed[0])
-		if pj := d.snapshots.plannedJob(j, box.Now, false); (len(pj.Pending) == 0) != oneZone {
+		d.jobs.ReleasePlacement(j, j.Placed[0])
+		if pj := d.snapshots.PlannedJob(j, box.Now, false); (len(pj.Pending) == 0) != oneZone {
 			t.Errorf("one zone %v: pending %v", oneZone, pj.Pending)
 		}
 	}
@@ -176,28 +181,28 @@
 func TestStatusIsWhatIsStored(t *testing.T) {
 	d, j, m, _ := hosting(t)
 	j.Guest.Closed = true
-	d.jobs.touchHead(j)
-	j.closedAt = j.changed
-	d.reconciler.observe(m, report(1, 1, protocol.TaskReport{Task: protocol.TaskName(j.Spec.ID, 0), Attempt: 1, Status: protocol.TaskExited, Cause: protocol.CauseDone}))
-	if s, _ := d.host.statusOf(j); s.Closed || s.Done.Len() > 0 || s.Held.Len() > 0 {
+	d.jobs.NoteHeadChange(j)
+	j.ClosedAtChange = j.ChangeCount
+	d.reconciler.Observe(m, report(1, 1, protocol.TaskReport{Task: protocol.TaskName(j.Spec.ID, 0), Attempt: 1, Status: protocol.TaskExited, Cause: protocol.CauseDone}))
+	if s, _ := d.host.StatusOf(j); s.Closed || s.Done.Len() > 0 || s.Held.Len() > 0 {
 		t.Fatalf("told before it is stored: %+v", s)
 	}
-	j.inFlight = true
-	d.writer.committed([]write{{j: j, v: &j.storedValue, part: head, changed: j.changed}}, statestore.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 6}})
-	if s, _ := d.host.statusOf(j); !s.Closed || s.Done.Len() != 1 {
+	j.InFlight = true
+	d.writer.HandleResult([]recordstore.Write{{J: j, V: &j.StoredValue, Part: recordstore.HeadIndex, Changed: j.ChangeCount}}, statestore.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 6}})
+	if s, _ := d.host.StatusOf(j); !s.Closed || s.Done.Len() != 1 {
 		t.Fatalf("not told though it is stored: %+v", s)
 	}
 }
 
 // delegating is a leader of alpha whose job's task is with beta, offered and accepted.
-func delegating(t *testing.T) (*Leader, *job, *commits, *actortest.Still) {
+func delegating(t *testing.T) (*Leader, *jobtable.Job, *commits, *actortest.Still) {
 	t.Helper()
 	d, store, box := cellLeader(t)
 	content := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 2, Cpus: 1}, 1)
-	d.reader.adopt(ledger.Key("job-1"), content.Encode(), 5)
-	j := d.jobs.byID["job-1"]
-	d.origin.numbers = numberBlock{next: 7, end: 1000}
-	d.origin.delegate(j, "beta", []int{0, 1})
+	d.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
+	j := d.jobs.ByID["job-1"]
+	d.origin.Numbers = federation.NumberBlock{Next: 7, End: 1000}
+	d.origin.Delegate(j, "beta", []int{0, 1})
 	return d, j, store, box
 }
 
@@ -214,20 +219,20 @@
 // creation that is carried out after they were freed makes nothing. It is offered after that.
 func TestDelegationsAreRecordedBeforeTheyAreOffered(t *testing.T) {
 	d, j, store, _ := delegating(t)
-	d.origin.saveDelegations()
+	d.origin.SaveDelegations()
 	if len(store.txns) != 0 {
 		t.Fatal("recorded before its places")
 	}
-	j.storedValue.durable, j.storedValue.version = j.changed, 6
-	if offers := d.origin.offers("beta", nil); len(offers) != 0 {
+	j.StoredValue.StoredCount, j.StoredValue.Version = j.ChangeCount, 6
+	if offers := d.origin.Offers("beta", nil); len(offers) != 0 {
 		t.Fatal("offered before it is recorded")
 	}
-	d.origin.saveDelegations()
+	d.origin.SaveDelegations()
 	if len(store.txns) != 1 || !guards(store.txns[0], ledger.Key("job-1"), 6) || !guards(store.txns[0], delegation.Key(7), 0) {
 		t.Fatalf("%+v", store.txns)
 	}
 	store.answer(statestore.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 8}})
-	if offers := d.origin.offers("beta", nil); len(offers) != 1 || offers[0].Tasks.Len() != 2 {
+	if offers := d.origin.Offers("beta", nil); len(offers) != 1 || offers[0].Tasks.Len() != 2 {
 		t.Fatalf("offers %v", offers)
 	}
 }
@@ -246,25 +251,25 @@
 func TestPermissionsFollowWhatIsKnown(t *testing.T) {
 	d, j, _, box := delegating(t)
 	box.Now += 2 * clock.Second // the records were fresh and the lease renewed before
-	d.state.term.ValidUntil = box.Now + clock.Second
-	want := cells.LongestPermission(d.state.settings.Deployment.Workers, cells.ClearTime(12*clock.Second)) - 2*clock.Second
+	d.state.Term.ValidUntil = box.Now + clock.Second
+	want := cells.LongestPermission(d.state.Settings.Deployment.Workers, cells.ClearTime(12*clock.Second)) - 2*clock.Second
 	if a := tell(d, delegation.Status{}); len(a.Rulings) != 1 || a.Rulings[0].Verdict != delegation.Continue || a.Rulings[0].For != want {
 		t.Fatalf("%+v, %.1f s expected", a.Rulings, want.Seconds())
 	}
-	d.jobs.noteCancelled(j, box.Now)
+	d.jobs.NoteCancelled(j, box.Now)
 	if a := tell(d, delegation.Status{}); a.Rulings[0].Verdict != delegation.Cancel || a.Rulings[0].For != 0 {
 		t.Fatalf("%+v for a cancelled job", a.Rulings)
 	}
-	delete(d.origin.delegations, 7)
+	delete(d.origin.Delegations, 7)
 	if a := tell(d, delegation.Status{}); len(a.Rulings) != 1 || a.Rulings[0].Verdict != delegation.Forget {
 		t.Fatalf("%+v for a delegation that there isn't", a.Rulings)
 	}
-	d.state.term.ValidUntil = box.Now
+	d.state.Term.ValidUntil = box.Now
 	if a := tell(d, delegation.Status{}); len(a.Rulings) != 0 {
 		t.Fatalf("%+v from a node without the lease", a.Rulings)
 	}
-	d.state.term.ValidUntil = box.Now + clock.Second
-	d.origin.delegationUnreadable = true
+	d.state.Term.ValidUntil = box.Now + clock.Second
+	d.origin.HasMalformed = true
 	if a := tell(d, delegation.Status{}); len(a.Rulings) != 0 {
 		t.Fatalf("%+v though a delegation's record makes no sense", a.Rulings)
 	}
@@ -288,8 +293,8 @@
 	}
 	tell(d, delegation.Status{Held: both}) // an old one
 	tell(d, delegation.Status{Closed: true, Done: first})
-	if len(j.Placed) != 0 || j.Returned != 1 || !d.origin.delegations[7].Over() {
-		t.Fatalf("placed %v, returned %d, %+v", j.Placed, j.Returned, d.origin.delegations[7].Delegation)
+	if len(j.Placed) != 0 || j.Returned != 1 || !d.origin.Delegations[7].Over() {
+		t.Fatalf("placed %v, returned %d, %+v", j.Placed, j.Returned, d.origin.Delegations[7].Delegation)
 	}
 }
 
@@ -298,13 +303,13 @@
 	d, store, _ := cellLeader(t)
 	found := protocol.Item{Value: protocol.Encode(int64(4001)), Version: 9}
 	useStore(d, &oneKey{store, found, 200})
-	d.origin.takeNumbers()
-	if d.origin.numbers.next != 0 || len(store.txns) != 1 || !guards(store.txns[0], delegation.NumbersKey, 9) {
-		t.Fatalf("%+v, %+v", d.origin.numbers, store.txns)
+	d.origin.ReserveNumbers()
+	if d.origin.Numbers.Next != 0 || len(store.txns) != 1 || !guards(store.txns[0], delegation.NumbersKey, 9) {
+		t.Fatalf("%+v, %+v", d.origin.Numbers, store.txns)
 	}
 	store.answer(statestore.Reply[protocol.TxnAnswer]{Status: 200})
-	if d.origin.numbers.next != 4001 || d.origin.numbers.end != 5001 {
-		t.Fatalf("%+v", d.origin.numbers)
+	if d.origin.Numbers.Next != 4001 || d.origin.Numbers.End != 5001 {
+		t.Fatalf("%+v", d.origin.Numbers)
 	}
 }
 
@@ -327,25 +332,25 @@
 	good := protocol.JobSpec{ID: "job-1", Class: "c", Team: "t", Shape: protocol.ShapeArray, Rank: "normal", Tasks: 1, Cpus: 1, MemoryGB: 1, Image: "i"}
 	for name, change := range map[string]func(d *Leader, o *delegation.Offer){
 		"":                       func(*Leader, *delegation.Offer) {},
-		"being drained":          func(d *Leader, _ *delegation.Offer) { d.cells.directory.Own.Draining = true },
+		"being drained":          func(d *Leader, _ *delegation.Offer) { d.cells.Directory.Own.Draining = true },
 		"services":               func(_ *Leader, o *delegation.Offer) { o.Spec.Shape = protocol.ShapeService },
 		"not tasks":              func(_ *Leader, o *delegation.Offer) { o.Tasks.Add(3) },
 		"no allowed machine":     func(_ *Leader, o *delegation.Offer) { o.Spec.Cpus = 64 },
-		"guests have no more":    func(d *Leader, _ *delegation.Offer) { d.cells.directory.Own.Guests.Cpus = 0 },
+		"guests have no more":    func(d *Leader, _ *delegation.Offer) { d.cells.Directory.Own.Guests.Cpus = 0 },
 		"both spread and in one": func(_ *Leader, o *delegation.Offer) { o.Spec.Tasks, o.Spec.Spread, o.Spec.Zone = 2, true, "a" },
 	} {
 		d, store, _ := cellLeader(t)
-		d.catalogue.list = []protocol.MachineType{{Name: "small", Cpus: 8, MemoryGB: 32, Price: 1, Zones: []string{"a"}}}
+		d.catalogue.Types = []protocol.MachineType{{Name: "small", Cpus: 8, MemoryGB: 32, Price: 1, Zones: []string{"a"}}}
 		o := delegation.Offer{Number: 7, Spec: good, Tasks: one}
 		change(d, &o)
-		d.host.takeOffer(d.cells.links["beta"], o)
+		d.host.TakeOffer(d.cells.ByCell["beta"], o)
 		store.answer(statestore.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 8}})
-		j := d.jobs.byID[ledger.GuestID("beta", "job-1", 7)]
+		j := d.jobs.ByID[ledger.GuestID("beta", "job-1", 7)]
 		if j == nil || j.Final() != (name != "") || !strings.Contains(j.Cause, name) {
 			t.Errorf("%s: %+v", name, j)
 			continue
 		}
-		d.host.takeOffer(d.cells.links["beta"], o)
+		d.host.TakeOffer(d.cells.ByCell["beta"], o)
 		if len(store.txns) != 1 {
 			t.Errorf("%s: taken again", name)
 		}
@@ -356,34 +361,34 @@
 // leaders: making it, its form, taking it, and the answer.
 func BenchmarkExchange(b *testing.B) {
 	d, box := leader()
-	d.state.settings.Node = "worker-0"
-	directory, err := cells.Parse([]byte(twoCells), d.state.settings)
+	d.state.Settings.Node = "worker-0"
+	directory, err := cells.Parse([]byte(twoCells), d.state.Settings)
 	if err != nil {
 		b.Fatal(err)
 	}
 	useStore(d, &commits{})
-	d.state.format.Open, d.state.format.Cells = true, true
+	d.state.Format.Open, d.state.Format.Cells = true, true
 	d.JoinCells(directory, nil)
-	d.cells.begin()
-	d.origin.begin()
-	d.origin.numbers = numberBlock{next: 1, end: 1000}
+	d.cells.Begin()
+	d.origin.Begin()
+	d.origin.Numbers = federation.NumberBlock{Next: 1, End: 1000}
 	var tasks []int
 	for task := range 100 {
 		tasks = append(tasks, task)
 	}
 	r := delegation.Report{Host: "beta", Home: "alpha", Epoch: 3, Clear: cells.ClearTime(12 * clock.Second)}
 	for range delegation.MaxPerHost {
-		id := fmt.Sprintf("job-%d", d.origin.numbers.next)
-		d.reader.adopt(ledger.Key(id), ledger.New(protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Tasks: 100, Cpus: 1}, 1).Encode(), 5)
-		s := delegation.Status{Number: d.origin.numbers.next, Job: id}
+		id := fmt.Sprintf("job-%d", d.origin.Numbers.Next)
+		d.reader.Adopt(ledger.Key(id), ledger.New(protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Tasks: 100, Cpus: 1}, 1).Encode(), 5)
+		s := delegation.Status{Number: d.origin.Numbers.Next, Job: id}
 		for task := range 100 {
 			s.Held.Add(task)
 		}
 		r.Tasks = append(r.Tasks, s)
-		d.origin.delegate(d.jobs.byID[id], "beta", tasks)
+		d.origin.Delegate(d.jobs.ByID[id], "beta", tasks)
 	}
 	for b.Loop() {
-		d.state.freshAt, d.state.term.RenewedAt, d.state.term.ValidUntil = box.Now, box.Now, box.Now+clock.Second
+		d.state.FreshAt, d.state.Term.RenewedAt, d.state.Term.ValidUntil = box.Now, box.Now, box.Now+clock.Second
 		report, err := delegation.DecodeReport(r.Encode())
 		if err != nil {
 			b.Fatal(err)
@@ -403,26 +408,26 @@
 // record is read, and removed at the version that it has; once it isn't there it is forgotten.
 func TestTombstonesAreRemovedWhateverTheirVersion(t *testing.T) {
 	d, j, _, _ := hosting(t)
-	store := d.writer.store.(*commits)
-	d.jobs.unplace(j, j.Placed[0])
-	j.Guest.Closed, j.Status, j.permit.Forgotten = true, protocol.StatusCancelled, true
+	store := d.writer.Store.(*commits)
+	d.jobs.ReleasePlacement(j, j.Placed[0])
+	j.Guest.Closed, j.Status, j.Permission.Forgotten = true, protocol.StatusCancelled, true
 	stored := protocol.Item{Value: j.Encode(), Version: 9}
-	j.storedValue.replaced(5)
-	d.host.checkGuest(j)
+	j.StoredValue.Replace(5)
+	d.host.CheckJob(j)
 	store.answer(statestore.Reply[protocol.TxnAnswer]{Status: 409, Value: protocol.TxnAnswer{Failed: []string{ledger.Key(j.Spec.ID)}}})
-	if d.jobs.byID[j.Spec.ID] == nil {
+	if d.jobs.ByID[j.Spec.ID] == nil {
 		t.Fatal("forgotten though the record is there")
 	}
 	useStore(d, &oneKey{store, stored, 200})
-	d.writer.dirtyUnits()
-	d.host.checkGuest(j)
+	d.writer.PendingUnits()
+	d.host.CheckJob(j)
 	if last := store.txns[len(store.txns)-1]; !guards(last, ledger.Key(j.Spec.ID), 9) {
 		t.Fatalf("%+v", last)
 	}
 	store.answer(statestore.Reply[protocol.TxnAnswer]{Status: 409, Value: protocol.TxnAnswer{Failed: []string{ledger.Key(j.Spec.ID)}}})
 	useStore(d, &oneKey{store, protocol.Item{}, 404})
-	d.writer.dirtyUnits()
-	if d.jobs.byID[j.Spec.ID] != nil {
+	d.writer.PendingUnits()
+	if d.jobs.ByID[j.Spec.ID] != nil {
 		t.Fatal("it is kept though its record is gone")
 	}
 }
@@ -431,29 +436,29 @@
 // often enough, it can't go as a whole.
 func TestWorkThatMayNotSpill(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(d *Leader, j *job)
+		change func(d *Leader, j *jobtable.Job)
 		tasks  int
 	}{
-		"waits":               {func(*Leader, *job) {}, 2},
-		"wants nothing":       {func(_ *Leader, j *job) { j.wantedAt = 0 }, 0},
-		"waits a little":      {func(d *Leader, j *job) { j.wantedFrom = d.state.now() - shortTime + 1 }, 0},
-		"came back":           {func(d *Leader, j *job) { j.backAt = d.state.now() - settleTime + 1 }, 0},
-		"came back too often": {func(_ *Leader, j *job) { j.Returned = maxReturned }, 0},
-		"a service":           {func(_ *Leader, j *job) { j.Spec.Shape = protocol.ShapeService }, 0},
-		"a whole gang":        {func(_ *Leader, j *job) { j.Spec.Shape = protocol.ShapeGang }, 4},
-		"a broken gang":       {func(_ *Leader, j *job) { j.Spec.Shape = protocol.ShapeGang; j.Done.Add(0) }, 0},
-		"one zone, running": {func(d *Leader, j *job) {
+		"waits":               {func(*Leader, *jobtable.Job) {}, 2},
+		"wants nothing":       {func(_ *Leader, j *jobtable.Job) { j.UnmetAt = 0 }, 0},
+		"waits a little":      {func(d *Leader, j *jobtable.Job) { j.UnmetSince = d.state.Now() - federation.ShortageTime + 1 }, 0},
+		"came back":           {func(d *Leader, j *jobtable.Job) { j.GivenBackAt = d.state.Now() - federation.MinStayTime + 1 }, 0},
+		"came back too often": {func(_ *Leader, j *jobtable.Job) { j.Returned = federation.MaxReturned }, 0},
+		"a service":           {func(_ *Leader, j *jobtable.Job) { j.Spec.Shape = protocol.ShapeService }, 0},
+		"a whole gang":        {func(_ *Leader, j *jobtable.Job) { j.Spec.Shape = protocol.ShapeGang }, 4},
+		"a broken gang":       {func(_ *Leader, j *jobtable.Job) { j.Spec.Shape = protocol.ShapeGang; j.Done.Add(0) }, 0},
+		"one zone, running": {func(d *Leader, j *jobtable.Job) {
 			j.Spec.OneZone = true
-			d.jobs.place(j, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1})
+			d.jobs.AddPlacement(j, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1})
 		}, 0},
-		"over": {func(d *Leader, j *job) { d.jobs.noteCancelled(j, d.state.now()) }, 0},
+		"over": {func(d *Leader, j *jobtable.Job) { d.jobs.NoteCancelled(j, d.state.Now()) }, 0},
 	} {
 		d, _, box := cellLeader(t)
-		d.reader.adopt(ledger.Key("job-1"), ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 4, Cpus: 1}, 1).Encode(), 5)
-		j := d.jobs.byID["job-1"]
-		j.wantedFrom, j.wantedAt, j.wantedTasks = box.Now-10*clock.Second, box.Now, 2
+		d.reader.Adopt(ledger.Key("job-1"), ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 4, Cpus: 1}, 1).Encode(), 5)
+		j := d.jobs.ByID["job-1"]
+		j.UnmetSince, j.UnmetAt, j.UnmetTasks = box.Now-10*clock.Second, box.Now, 2
 		c.change(d, j)
-		if n, _ := d.origin.spillTasks(j); n != c.tasks {
+		if n, _ := d.origin.OffloadableTasks(j); n != c.tasks {
 			t.Errorf("%s: %d tasks may go", name, n)
 		}
 	}
@@ -463,12 +468,12 @@
 // stopped while there is permission: else its place would be kept for ever.
 func TestUncertainStartsOfClosedGuestsEnd(t *testing.T) {
 	d, j, m, box := hosting(t)
-	d.commands.agent = &calls{}
+	d.commands.Agent = &calls{}
 	beat(d, box, 1)
-	m.sent[taskRef{j.Spec.ID, 0, 1}] = &sent{uncertain: true}
-	j.permit.Take(delegation.Ruling{Number: 7, Verdict: delegation.Close, For: 10 * clock.Second}, box.Now, box.Now)
-	d.host.checkGuest(j)
-	box.Now += 2 * repeatTime
+	m.Deliveries[machinetable.AttemptRef{Job: j.Spec.ID, Task: 0, Attempt: 1}] = &machinetable.StartDelivery{OutcomeUnknown: true}
+	j.Permission.Take(delegation.Ruling{Number: 7, Verdict: delegation.Close, For: 10 * clock.Second}, box.Now, box.Now)
+	d.host.CheckJob(j)
+	box.Now += 2 * reconciler.CommandRepeatDelay
 	status, orders := beat(d, box, 2)
 	if status != 200 || len(orders) != 2 || orders[0].Verb != protocol.VerbStart || orders[1].Verb != protocol.VerbStop {
 		t.Fatalf("answered %d with %v", status, orders)
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/leader/dispatch_test.go
@@ -1,10 +1,13 @@
-package dispatch
+package leader
 
 import (
 	"testing"
 
 	"postpoint/internal/actor/actortest"
 	"postpoint/internal/clock"
+	"postpoint/internal/leader/jobtable"
+	"postpoint/internal/leader/machinetable"
+	"postpoint/internal/leader/term"
 	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
 	"postpoint/internal/settings"
@@ -18,32 +21,32 @@
 	set.Deployment.Workers = settings.Workers{ReportS: 2, LeaseS: 12, GangPeerS: 4, CancelS: 30}
 	set.Deployment.State = settings.State{Rps: 100, WriteRps: 40, ValueKb: 8, TxnOps: 5}
 	d := New(box, nil, nil, nil, set, func(int64) {}, func() {}, nil, nil)
-	d.state.term.Epoch, d.state.begunAt, d.state.term.RenewedAt, d.state.term.ValidUntil = 7, box.Now, box.Now, box.Now+4*clock.Second
-	d.jobs.byID, d.machines.byName, d.machines.released, d.jobs.malformed = map[string]*job{}, map[string]*machine{}, map[string]clock.Micros{}, map[string]bool{}
-	d.jobs.finalVersions, d.jobs.strayShards, d.state.random = map[string]int64{}, map[string]int64{}, newRandom(7)
-	d.state.loaded, d.state.freshAt, d.steps.pending = true, box.Now, true
+	d.state.Term.Epoch, d.state.BegunAt, d.state.Term.RenewedAt, d.state.Term.ValidUntil = 7, box.Now, box.Now, box.Now+4*clock.Second
+	d.jobs.ByID, d.machines.ByName, d.machines.Released, d.jobs.Malformed = map[string]*jobtable.Job{}, map[string]*machinetable.Machine{}, map[string]clock.Micros{}, map[string]bool{}
+	d.jobs.FinalVersions, d.jobs.StrayShards, d.state.Random = map[string]int64{}, map[string]int64{}, term.NewRandom(7)
+	d.state.Loaded, d.state.FreshAt, d.steps.Pending = true, box.Now, true
 	return d, box
 }
 
 // useStore gives all components another key-value store.
 func useStore(l *Leader, store statestore.Store) {
-	l.catalogue.store = store
-	l.reader.store = store
-	l.writer.store = store
-	l.origin.store = store
-	l.host.store = store
-	l.zones.store = store
+	l.catalogue.Store = store
+	l.reader.Store = store
+	l.writer.Store = store
+	l.origin.Store = store
+	l.host.Store = store
+	l.zones.Store = store
 }
 
 // one is a leader that has committed one task to machine m-1 in its session 1.
-func one(t *testing.T) (*Leader, *job, *machine, *actortest.Still) {
+func one(t *testing.T) (*Leader, *jobtable.Job, *machinetable.Machine, *actortest.Still) {
 	t.Helper()
 	d, box := leader()
 	content := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 1}, 1)
 	content.NextAttempt = 2
 	content.Placed[0] = ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1}
-	d.reader.adopt(ledger.Key("job-1"), content.Encode(), 5)
-	return d, d.jobs.byID["job-1"], d.machines.byName["m-1"], box
+	d.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
+	return d, d.jobs.ByID["job-1"], d.machines.ByName["m-1"], box
 }
 
 func report(session, counter int64, tasks ...protocol.TaskReport) protocol.Report {
@@ -53,7 +56,7 @@
 // BenchmarkHeartbeat is a report of eight running tasks that brings no news.
 // eightRunning is a leader that has heard of a job's eight tasks where they are placed,
 // and the report that said so.
-func eightRunning() (*Leader, *job, protocol.Report) {
+func eightRunning() (*Leader, *jobtable.Job, protocol.Report) {
 	d, _ := leader()
 	content := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 8}, 1)
 	r := report(1, 0)
@@ -61,10 +64,10 @@
 		content.Placed[task] = ledger.Placement{Task: task, Attempt: 1, Machine: "m-1", Session: 1}
 		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: protocol.TaskName("job-1", task), Attempt: 1, Status: protocol.TaskRunning})
 	}
-	d.reader.adopt(ledger.Key("job-1"), content.Encode(), 5)
+	d.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
 	for range 2 {
 		r.Counter++
 		d.Heartbeat(r, func(int, any) {})
 	}
-	return d, d.jobs.byID["job-1"], r
+	return d, d.jobs.ByID["job-1"], r
 }
--- a/internal/dispatch/divide_test.go
+++ b/internal/leader/divide_test.go
@@ -1,4 +1,4 @@
-package dispatch
+package leader
 
 import (
 	"fmt"
@@ -6,6 +6,7 @@
 	"slices"
 	"testing"
 
+	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
 	"postpoint/internal/rollout"
@@ -18,9 +19,9 @@
 func tightLeader(open bool) (*Leader, *commits) {
 	d, _ := leader()
 	valueKb, txnOps := 2.0, 4
-	d.state.settings.Deployment.State = settings.State{Rps: 100, WriteRps: 40, ValueKb: 32, TxnOps: 12,
+	d.state.Settings.Deployment.State = settings.State{Rps: 100, WriteRps: 40, ValueKb: 32, TxnOps: 12,
 		Next: &settings.NextState{ValueKb: &valueKb, TxnOps: &txnOps}}
-	d.state.format = rollout.Status{Open: open}
+	d.state.Format = rollout.Status{Open: open}
 	store := &commits{}
 	useStore(d, store)
 	return d, store
@@ -45,18 +46,18 @@
 // of them beyond the limits.
 func TestLargeRecordsAreDivided(t *testing.T) {
 	d, store := tightLeader(true)
-	d.reader.adopt(ledger.Key("job-1"), wideArray().Encode(), 5)
-	j := d.jobs.byID["job-1"]
-	d.jobs.unplace(j, j.Placed[0])
-	j.dirtyAt = 0 // long enough ago
-	d.writer.commit()
-	if len(store.txns) != 0 || !j.dividing {
-		t.Fatalf("%d transactions, dividing %v", len(store.txns), j.dividing)
+	d.reader.Adopt(ledger.Key("job-1"), wideArray().Encode(), 5)
+	j := d.jobs.ByID["job-1"]
+	d.jobs.ReleasePlacement(j, j.Placed[0])
+	j.ChangedAt = 0 // long enough ago
+	d.writer.Commit()
+	if len(store.txns) != 0 || !j.Sharding {
+		t.Fatalf("%d transactions, dividing %v", len(store.txns), j.Sharding)
 	}
 	headWritten := false
-	for revision := int64(11); j.dividing; revision++ {
-		d.writer.commit()
-		if !d.writer.committing {
+	for revision := int64(11); j.Sharding; revision++ {
+		d.writer.Commit()
+		if !d.writer.Committing {
 			t.Fatal("nothing is written, yet the record is not divided")
 		}
 		mustFit(t, store.txns[len(store.txns)-1])
@@ -68,11 +69,11 @@
 		}
 		store.answer(ok(revision))
 	}
-	if !headWritten || j.dividing || len(j.parts) < 3 {
-		t.Fatalf("head written %v, dividing %v, %d parts", headWritten, j.dividing, len(j.parts))
+	if !headWritten || j.Sharding || len(j.Shards) < 3 {
+		t.Fatalf("head written %v, dividing %v, %d parts", headWritten, j.Sharding, len(j.Shards))
 	}
-	if len(j.Placed) != 299 || !j.committed(j.Placed[7]) {
-		t.Fatalf("%d placed, committed %v", len(j.Placed), j.committed(j.Placed[7]))
+	if len(j.Placed) != 299 || !j.Committed(j.Placed[7]) {
+		t.Fatalf("%d placed, committed %v", len(j.Placed), j.Committed(j.Placed[7]))
 	}
 }
 
@@ -97,51 +98,51 @@
 // is too large waits, and other jobs' changes go out without it.
 func TestNothingIsDividedForTheVersionBefore(t *testing.T) {
 	d, store := tightLeader(false)
-	d.reader.adopt(ledger.Key("job-1"), wideArray().Encode(), 5)
+	d.reader.Adopt(ledger.Key("job-1"), wideArray().Encode(), 5)
 	small := ledger.New(protocol.JobSpec{ID: "job-2", Shape: protocol.ShapeArray, Rank: "normal", Tasks: 1}, 1)
-	d.reader.adopt(ledger.Key("job-2"), small.Encode(), 6)
-	j := d.jobs.byID["job-1"]
-	d.jobs.unplace(j, j.Placed[0])
-	j.dirtyAt = 0
-	d.jobs.place(d.jobs.byID["job-2"], ledger.Placement{Task: 0, Attempt: 1, Machine: "m-z", Session: 1})
-	d.writer.commit()
+	d.reader.Adopt(ledger.Key("job-2"), small.Encode(), 6)
+	j := d.jobs.ByID["job-1"]
+	d.jobs.ReleasePlacement(j, j.Placed[0])
+	j.ChangedAt = 0
+	d.jobs.AddPlacement(d.jobs.ByID["job-2"], ledger.Placement{Task: 0, Attempt: 1, Machine: "m-z", Session: 1})
+	d.writer.Commit()
 	if len(store.txns) != 1 || len(store.txns[0].Changes) != 2 {
 		t.Fatalf("%d transactions", len(store.txns))
 	}
 	// The limits have come: the same changes are refused, and go again without the large one.
 	store.answer(statestore.Reply[protocol.TxnAnswer]{Status: http.StatusBadRequest})
-	d.writer.pauseUntil = 0
-	d.writer.commit()
+	d.writer.PauseUntil = 0
+	d.writer.Commit()
 	last := store.txns[len(store.txns)-1]
 	if len(store.txns) != 2 || len(last.Changes) != 1 || last.Changes[0].Put != ledger.Key("job-2") {
 		t.Fatalf("%d transactions, the last with %d changes", len(store.txns), len(last.Changes))
 	}
 	store.answer(ok(9))
-	d.writer.pauseUntil = 0
-	d.writer.commit()
-	if len(store.txns) != 2 || j.reread || len(j.Placed) != 299 || j.PartSize != 0 {
-		t.Fatalf("%d transactions, read again %v, placed %d", len(store.txns), j.reread, len(j.Placed))
+	d.writer.PauseUntil = 0
+	d.writer.Commit()
+	if len(store.txns) != 2 || j.MustReload || len(j.Placed) != 299 || j.PartSize != 0 {
+		t.Fatalf("%d transactions, read again %v, placed %d", len(store.txns), j.MustReload, len(j.Placed))
 	}
 	// Once the last controller is new, it is divided and written.
 	d.SetFormat(rollout.Status{Open: true})
-	j.dirtyAt = 0
-	d.writer.commit()
-	d.writer.commit()
-	if !j.dividing || len(store.txns) != 3 {
-		t.Fatalf("dividing %v, %d transactions", j.dividing, len(store.txns))
+	j.ChangedAt = 0
+	d.writer.Commit()
+	d.writer.Commit()
+	if !j.Sharding || len(store.txns) != 3 {
+		t.Fatalf("dividing %v, %d transactions", j.Sharding, len(store.txns))
 	}
 }
 
 // divided is a leader with an array in parts, its first task placed on m-1.
-func divided(t *testing.T) (*Leader, *commits, *job) {
+func divided(t *testing.T) (*Leader, *commits, *jobtable.Job) {
 	t.Helper()
 	d, store := tightLeader(true)
 	content := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Rank: "normal", Tasks: 250}, 1)
 	content.PartSize, content.Marked = 100, true
-	d.reader.adopt(ledger.Key("job-1"), content.Encode(), 5)
-	j := d.jobs.byID["job-1"]
-	d.jobs.place(j, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1})
-	d.writer.commit()
+	d.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
+	j := d.jobs.ByID["job-1"]
+	d.jobs.AddPlacement(j, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1})
+	d.writer.Commit()
 	return d, store, j
 }
 
@@ -149,7 +150,7 @@
 // for it; what it depends on is that the head hasn't.
 func TestPartsAreCommittedAlone(t *testing.T) {
 	d, store, j := divided(t)
-	if j.committed(j.Placed[0]) {
+	if j.Committed(j.Placed[0]) {
 		t.Fatal("acted on before it is stored")
 	}
 	txn := store.txns[0]
@@ -157,8 +158,8 @@
 		t.Fatalf("%+v", txn)
 	}
 	store.answer(ok(9))
-	if !j.committed(j.Placed[0]) || j.version != 5 || j.parts[0].version != 9 || d.jobs.byID["job-1"] != j {
-		t.Fatalf("versions %d and %d", j.version, j.parts[0].version)
+	if !j.Committed(j.Placed[0]) || j.Version != 5 || j.Shards[0].Version != 9 || d.jobs.ByID["job-1"] != j {
+		t.Fatalf("versions %d and %d", j.Version, j.Shards[0].Version)
 	}
 }
 
@@ -167,12 +168,12 @@
 func TestCancellationWinsOverParts(t *testing.T) {
 	d, store, j := divided(t)
 	cancelled := *j.Job
-	cancelled.Status, cancelled.CancelledAt = protocol.StatusCancelled, int64(d.state.now())
-	d.reader.adopt(ledger.Key("job-1"), cancelled.Encode(), 8)
+	cancelled.Status, cancelled.CancelledAt = protocol.StatusCancelled, int64(d.state.Now())
+	d.reader.Adopt(ledger.Key("job-1"), cancelled.Encode(), 8)
 	store.answer(statestore.Reply[protocol.TxnAnswer]{Status: http.StatusConflict,
 		Value: protocol.TxnAnswer{Failed: []string{ledger.Key("job-1")}}})
-	if !j.over() || j.committed(j.Placed[0]) || j.reread || len(j.Placed) != 1 {
-		t.Fatalf("over %v, committed %v, read again %v, placed %v", j.over(), j.committed(j.Placed[0]), j.reread, j.Placed)
+	if !j.Over() || j.Committed(j.Placed[0]) || j.MustReload || len(j.Placed) != 1 {
+		t.Fatalf("over %v, committed %v, read again %v, placed %v", j.Over(), j.Committed(j.Placed[0]), j.MustReload, j.Placed)
 	}
 }
 
@@ -181,25 +182,25 @@
 func TestUnknownLimitsAreLearned(t *testing.T) {
 	d, store := tightLeader(true)
 	for _, id := range []string{"job-1", "job-2", "job-3"} {
-		d.reader.adopt(ledger.Key(id), ledger.New(protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Rank: "normal", Tasks: 1}, 1).Encode(), 5)
-		d.jobs.place(d.jobs.byID[id], ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1})
+		d.reader.Adopt(ledger.Key(id), ledger.New(protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Rank: "normal", Tasks: 1}, 1).Encode(), 5)
+		d.jobs.AddPlacement(d.jobs.ByID[id], ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1})
 	}
 	refuse := statestore.Reply[protocol.TxnAnswer]{Status: http.StatusBadRequest}
 	for i, want := range []int{3, 3, 1} {
-		d.writer.pauseUntil = 0
-		d.writer.commit()
+		d.writer.PauseUntil = 0
+		d.writer.Commit()
 		if n := len(store.txns[i].Changes); n != want {
 			t.Fatalf("transaction %d has %d changes", i, n)
 		}
 		store.answer(refuse)
 	}
 	refused := store.txns[2].Changes[0].Put
-	d.writer.pauseUntil = 0
-	d.writer.commit()
+	d.writer.PauseUntil = 0
+	d.writer.Commit()
 	if next := store.txns[3].Changes; len(next) != 1 || next[0].Put == refused {
 		t.Fatalf("%s is sent again unchanged", refused)
 	}
-	if len(d.jobs.byID) != 3 {
+	if len(d.jobs.ByID) != 3 {
 		t.Fatal("a job was dropped")
 	}
 }
@@ -208,20 +209,20 @@
 // undivided record is what counts.
 func TestOrphanedPartsAreSwept(t *testing.T) {
 	d, store := tightLeader(true)
-	d.reader.adopt(ledger.Key("job-1"), ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 300}, 1).Encode(), 5)
-	d.reader.adoptPart(protocol.Item{Key: ledger.PartKey("job-1", 0), Version: 4})
-	d.reader.adoptPart(protocol.Item{Key: ledger.PartKey("job-9", 2), Version: 3})
-	d.writer.divideLarge()
-	if d.jobs.byID["job-1"].dividing {
+	d.reader.Adopt(ledger.Key("job-1"), ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 300}, 1).Encode(), 5)
+	d.reader.AdoptShard(protocol.Item{Key: ledger.PartKey("job-1", 0), Version: 4})
+	d.reader.AdoptShard(protocol.Item{Key: ledger.PartKey("job-9", 2), Version: 3})
+	d.writer.ShardLargeRecords()
+	if d.jobs.ByID["job-1"].Sharding {
 		t.Fatal("divided over parts that are there")
 	}
-	d.writer.commit()
+	d.writer.Commit()
 	if len(store.txns) != 1 || len(store.txns[0].Changes) != 2 || store.txns[0].Changes[0].Delete == "" {
 		t.Fatalf("%+v", store.txns)
 	}
 	store.answer(ok(9))
-	if len(d.jobs.strayShards) != 0 {
-		t.Fatalf("%v are left", d.jobs.strayShards)
+	if len(d.jobs.StrayShards) != 0 {
+		t.Fatalf("%v are left", d.jobs.StrayShards)
 	}
 }
 
@@ -231,9 +232,9 @@
 	d, j, _, box := one(t)
 	cancelled := *j.Job
 	cancelled.Status, cancelled.CancelledAt, cancelled.Truncated = protocol.StatusCancelled, int64(box.Now), true
-	d.reader.adopt(ledger.Key("job-1"), cancelled.Encode(), 8)
-	j = d.jobs.byID["job-1"]
-	if j == nil || !j.over() || len(j.Placed) != 1 || d.machines.byName["m-1"].placed["job-1"] == nil {
+	d.reader.Adopt(ledger.Key("job-1"), cancelled.Encode(), 8)
+	j = d.jobs.ByID["job-1"]
+	if j == nil || !j.Over() || len(j.Placed) != 1 || d.machines.ByName["m-1"].Placements["job-1"] == nil {
 		t.Fatalf("%+v", j)
 	}
 }
@@ -268,41 +269,41 @@
 	store := &lister{}
 	useStore(d, store)
 	content := wideArray()
-	d.reader.adopt(ledger.Key("job-1"), content.Encode(), 5)
-	j := d.jobs.byID["job-1"]
-	d.writer.divide(j)
-	d.writer.commit()
+	d.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
+	j := d.jobs.ByID["job-1"]
+	d.writer.Shard(j)
+	d.writer.Commit()
 	first := store.txns[0].Changes[0].Put
 	store.answer(statestore.Reply[protocol.TxnAnswer]{}) // carried out, as it turns out
-	d.writer.pauseUntil = 0
-	d.writer.commit()
+	d.writer.PauseUntil = 0
+	d.writer.Commit()
 	store.down = true
 	store.answer(statestore.Reply[protocol.TxnAnswer]{Status: http.StatusConflict, Value: protocol.TxnAnswer{Failed: []string{first}}})
-	d.writer.pauseUntil = 0
-	d.writer.commit() // nobody lists its parts
-	if len(j.Placed) != 300 || j.reread {
-		t.Fatalf("%d placed, read again %v: the undivided record is what counts", len(j.Placed), j.reread)
+	d.writer.PauseUntil = 0
+	d.writer.Commit() // nobody lists its parts
+	if len(j.Placed) != 300 || j.MustReload {
+		t.Fatalf("%d placed, read again %v: the undivided record is what counts", len(j.Placed), j.MustReload)
 	}
-	if j.dividing || !j.strayParts {
-		t.Fatalf("dividing %v, stray parts %v", j.dividing, j.strayParts)
+	if j.Sharding || !j.HasStrayShards {
+		t.Fatalf("dividing %v, stray parts %v", j.Sharding, j.HasStrayShards)
 	}
-	d.writer.divide(j)
-	if j.dividing {
+	d.writer.Shard(j)
+	if j.Sharding {
 		t.Fatal("divided over a part that may be there")
 	}
 	store.down = false
 	store.items = []protocol.Item{{Key: first, Version: 7}}
-	d.writer.pauseUntil = 0
-	d.writer.commit()
-	d.writer.pauseUntil = 0
-	d.writer.commit()
+	d.writer.PauseUntil = 0
+	d.writer.Commit()
+	d.writer.PauseUntil = 0
+	d.writer.Commit()
 	sweep := store.txns[len(store.txns)-1]
 	if len(sweep.Changes) != 1 || sweep.Changes[0].Delete != first {
 		t.Fatalf("%+v", sweep.Changes)
 	}
 	store.answer(ok(9))
-	d.writer.divide(j)
-	if !j.dividing {
+	d.writer.Shard(j)
+	if !j.Sharding {
 		t.Fatal("not divided again")
 	}
 }
@@ -322,12 +323,12 @@
 	reads := &lister{commits: *store}
 	useStore(d, reads)
 	reads.commits.answer(statestore.Reply[protocol.TxnAnswer]{}) // of part 0: it may still be carried out
-	d.jobs.place(j, ledger.Placement{Task: 150, Attempt: 1, Machine: "m-2", Session: 1})
-	d.writer.pauseUntil = 0
-	d.writer.commit()
+	d.jobs.AddPlacement(j, ledger.Placement{Task: 150, Attempt: 1, Machine: "m-2", Session: 1})
+	d.writer.PauseUntil = 0
+	d.writer.Commit()
 	reads.answer(statestore.Reply[protocol.TxnAnswer]{Status: http.StatusConflict, Value: protocol.TxnAnswer{Failed: []string{ledger.PartKey("job-1", 1)}}})
-	d.writer.pauseUntil = 0
-	d.writer.commit()
+	d.writer.PauseUntil = 0
+	d.writer.Commit()
 	last := reads.txns[len(reads.txns)-1]
 	if len(last.Changes) != 1 || last.Changes[0].Put != ledger.Key("job-1") || reads.reads != 0 {
 		t.Fatalf("%+v is written, %d reads", last.Changes, reads.reads)
@@ -340,9 +341,9 @@
 	} else { // an earlier copy of it has done so
 		reads.answer(statestore.Reply[protocol.TxnAnswer]{Status: http.StatusConflict, Value: protocol.TxnAnswer{Failed: []string{ledger.Key("job-1")}}})
 	}
-	d.writer.pauseUntil = 0
-	d.writer.commit()
-	if reads.reads != 1 || j.reread || j.version != 9 || len(j.Placed) != 0 {
-		t.Fatalf("%d reads, to be read again %v, version %d, placed %v", reads.reads, j.reread, j.version, j.Placed)
+	d.writer.PauseUntil = 0
+	d.writer.Commit()
+	if reads.reads != 1 || j.MustReload || j.Version != 9 || len(j.Placed) != 0 {
+		t.Fatalf("%d reads, to be read again %v, version %d, placed %v", reads.reads, j.MustReload, j.Version, j.Placed)
 	}
 }
--- a/internal/dispatch/delegationstore.go
+++ b/internal/leader/federation/delegationstore.go
@@ -1,4 +1,4 @@
-package dispatch
+package federation
 
 import (
 	"log/slog"
@@ -9,75 +9,76 @@
 	"postpoint/internal/delegation"
 	"postpoint/internal/leadership"
 	"postpoint/internal/ledger"
+	"postpoint/internal/ordered"
 	"postpoint/internal/protocol"
 	"postpoint/internal/statestore"
 )
 
-// takeNumbers reserves numbers for this term.
-func (oc *originCell) takeNumbers() {
-	if oc.numbers.asking || oc.numbers.next < oc.numbers.end {
+// ReserveNumbers reserves numbers for this term.
+func (oc *Origin) ReserveNumbers() {
+	if oc.Numbers.asking || oc.Numbers.Next < oc.Numbers.End {
 		return
 	}
-	oc.numbers.asking = true
-	epoch := oc.term.Epoch
-	oc.store.Get(delegation.NumbersKey, func(r statestore.Reply[protocol.Item]) {
-		if oc.term.Epoch != epoch {
+	oc.Numbers.asking = true
+	epoch := oc.Term.Epoch
+	oc.Store.Get(delegation.NumbersKey, func(r statestore.Reply[protocol.Item]) {
+		if oc.Term.Epoch != epoch {
 			return
 		}
 		first := int64(1)
 		if r.Status == http.StatusOK && protocol.Decode(r.Value.Value, &first) != nil || r.Status != http.StatusOK && r.Status != http.StatusNotFound {
-			oc.numbers.asking = false
+			oc.Numbers.asking = false
 			return
 		}
 		t := protocol.Txn{
 			Guards:  []protocol.Guard{{Key: leadership.Key, Version: epoch}, {Key: delegation.NumbersKey, Version: r.Value.Version}},
-			Changes: []protocol.Change{{Put: delegation.NumbersKey, Value: protocol.Encode(first + numbersAtOnce)}},
+			Changes: []protocol.Change{{Put: delegation.NumbersKey, Value: protocol.Encode(first + numberBlockSize)}},
 		}
-		oc.store.Commit(statestore.ForLeader, t, func(r statestore.Reply[protocol.TxnAnswer]) {
-			if oc.term.Epoch != epoch {
+		oc.Store.Commit(statestore.ForLeader, t, func(r statestore.Reply[protocol.TxnAnswer]) {
+			if oc.Term.Epoch != epoch {
 				return
 			}
-			oc.numbers.asking = false
+			oc.Numbers.asking = false
 			if r.Status == http.StatusOK {
-				oc.numbers.next, oc.numbers.end = first, first+numbersAtOnce
+				oc.Numbers.Next, oc.Numbers.End = first, first+numberBlockSize
 			}
 		})
 	})
 }
 
-// loadDelegations reads the records of what other cells run.
-func (oc *originCell) loadDelegations(epoch int64, done func()) {
-	if !oc.format.Cells {
+// LoadDelegations reads the records of what other cells run.
+func (oc *Origin) LoadDelegations(epoch int64, done func()) {
+	if !oc.Format.Cells {
 		done()
 		return
 	}
-	oc.reader.loadAll(epoch, delegation.Prefix, "", func(item protocol.Item) {
+	oc.reader.LoadAll(epoch, delegation.Prefix, "", func(item protocol.Item) {
 		r, err := delegation.DecodeRecord(item.Key, item.Value)
 		if err != nil {
 			// Never guess at what may be running elsewhere: nothing is freed on its account.
 			slog.Error("malformed delegation", "key", item.Key, "error", err)
-			oc.delegationUnreadable = true
+			oc.HasMalformed = true
 			return
 		}
-		if known := oc.delegations[r.Number]; known != nil {
+		if known := oc.Delegations[r.Number]; known != nil {
 			known.version = item.Version // read again within a term
 			return
 		}
-		resumed := delegation.Resumed(r, oc.begunAt, cells.ProofTime(oc.settings.Deployment.Workers))
-		oc.delegations[r.Number] = &delegated{Delegation: resumed, version: item.Version, stored: r.State}
+		resumed := delegation.Resumed(r, oc.BegunAt, cells.ProofTime(oc.Settings.Deployment.Workers))
+		oc.Delegations[r.Number] = &trackedDelegation{Delegation: resumed, version: item.Version, stored: r.State}
 	}, done)
 }
 
-// saveDelegations writes what has changed of the delegations' records, and removes those that
+// SaveDelegations writes what has changed of the delegations' records, and removes those that
 // are over once their jobs' records say so.
-func (oc *originCell) saveDelegations() {
-	if oc.saving || oc.writer.paused() {
+func (oc *Origin) SaveDelegations() {
+	if oc.saving || oc.writer.Paused() {
 		return
 	}
-	_, txnOps := oc.writer.recordLimits()
-	t := protocol.Txn{Guards: []protocol.Guard{{Key: leadership.Key, Version: oc.term.Epoch}}}
+	_, txnOps := oc.writer.Limits()
+	t := protocol.Txn{Guards: []protocol.Guard{{Key: leadership.Key, Version: oc.Term.Epoch}}}
 	var saved []savedDelegation
-	for _, del := range inOrder(oc.delegations) {
+	for _, del := range ordered.ByKey(oc.Delegations) {
 		s, due := oc.dueChange(del)
 		if !due || len(saved) == txnOps {
 			continue
@@ -90,9 +91,9 @@
 		return
 	}
 	oc.saving = true
-	epoch := oc.term.Epoch
-	oc.store.Commit(statestore.ForLeader, t, func(r statestore.Reply[protocol.TxnAnswer]) {
-		if oc.term.Epoch != epoch {
+	epoch := oc.Term.Epoch
+	oc.Store.Commit(statestore.ForLeader, t, func(r statestore.Reply[protocol.TxnAnswer]) {
+		if oc.Term.Epoch != epoch {
 			return
 		}
 		oc.saving = false
@@ -101,7 +102,7 @@
 }
 
 // dueChange is what has to be written of a delegation, if anything.
-func (oc *originCell) dueChange(del *delegated) (s savedDelegation, due bool) {
+func (oc *Origin) dueChange(del *trackedDelegation) (s savedDelegation, due bool) {
 	key := delegation.Key(del.Number)
 	s = savedDelegation{del: del, state: del.State}
 	switch {
@@ -110,7 +111,7 @@
 		return s, false
 	case del.version == 0 && (del.Over() || del.State == delegation.Recalled):
 		if oc.placesGone(del) {
-			delete(oc.delegations, del.Number) // it was never stored, nor offered
+			delete(oc.Delegations, del.Number) // it was never stored, nor offered
 		}
 		return s, false
 	case del.version == 0:
@@ -130,26 +131,26 @@
 }
 
 // delegationsSaved handles the answer to a change of delegations' records.
-func (oc *originCell) delegationsSaved(saved []savedDelegation, r statestore.Reply[protocol.TxnAnswer]) {
+func (oc *Origin) delegationsSaved(saved []savedDelegation, r statestore.Reply[protocol.TxnAnswer]) {
 	switch {
 	case r.Status == http.StatusOK:
 		for _, s := range saved {
 			if s.change.Delete != "" {
-				delete(oc.delegations, s.del.Number)
+				delete(oc.Delegations, s.del.Number)
 				continue
 			}
 			s.del.version, s.del.stored, s.del.Offerable = r.Value.Revision, s.state, true
 		}
 	case r.Status == http.StatusConflict && slices.Contains(r.Value.Failed, leadership.Key):
-		oc.deposed(oc.term.Epoch + 1)
+		oc.Deposed(oc.Term.Epoch + 1)
 	case r.Status == http.StatusTooManyRequests || r.Status == http.StatusServiceUnavailable:
-		oc.writer.pause()
+		oc.writer.Pause()
 	case r.Status == http.StatusConflict:
 		for _, s := range saved {
 			s.del.uncertain = s.del.uncertain || slices.Contains(r.Value.Failed, delegation.Key(s.del.Number))
 		}
 	default:
-		oc.writer.pause()
+		oc.writer.Pause()
 		for _, s := range saved {
 			s.del.uncertain = true
 		}
@@ -157,22 +158,22 @@
 }
 
 // placeGuard is the version of a stored value that says that the host has the delegation's tasks.
-func (oc *originCell) placeGuard(del *delegated) protocol.Guard {
-	j := oc.jobs.byID[del.Job]
+func (oc *Origin) placeGuard(del *trackedDelegation) protocol.Guard {
+	j := oc.jobs.ByID[del.Job]
 	task := del.Left.NextIn(0)
-	if j.PartSize == 0 || j.dividing {
-		return protocol.Guard{Key: ledger.Key(j.Spec.ID), Version: j.version}
+	if j.PartSize == 0 || j.Sharding {
+		return protocol.Guard{Key: ledger.Key(j.Spec.ID), Version: j.Version}
 	}
-	return protocol.Guard{Key: ledger.PartKey(j.Spec.ID, j.PartOf(task)), Version: j.partOf(task).version}
+	return protocol.Guard{Key: ledger.PartKey(j.Spec.ID, j.PartOf(task)), Version: j.ShardOf(task).Version}
 }
 
 // readDelegation finds out what became of a change that had no answer. One that is carried out
 // even later conflicts with whatever is written at the version that was read.
-func (oc *originCell) readDelegation(del *delegated) {
+func (oc *Origin) readDelegation(del *trackedDelegation) {
 	oc.saving = true
-	epoch := oc.term.Epoch
-	oc.store.Get(delegation.Key(del.Number), func(r statestore.Reply[protocol.Item]) {
-		if oc.term.Epoch != epoch {
+	epoch := oc.Term.Epoch
+	oc.Store.Get(delegation.Key(del.Number), func(r statestore.Reply[protocol.Item]) {
+		if oc.Term.Epoch != epoch {
 			return
 		}
 		oc.saving = false
@@ -180,7 +181,7 @@
 		case http.StatusNotFound:
 			del.uncertain = false
 			if del.version != 0 {
-				delete(oc.delegations, del.Number) // the removal was carried out
+				delete(oc.Delegations, del.Number) // the removal was carried out
 			}
 		case http.StatusOK:
 			if stored, err := delegation.DecodeRecord(delegation.Key(del.Number), r.Value.Value); err == nil {
--- a/internal/dispatch/hostreports.go
+++ b/internal/leader/federation/hostreports.go
@@ -1,4 +1,4 @@
-package dispatch
+package federation
 
 import (
 	"log/slog"
@@ -7,7 +7,10 @@
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
 	"postpoint/internal/fleet"
+	"postpoint/internal/leader/jobtable"
+	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/ledger"
+	"postpoint/internal/ordered"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
 )
@@ -21,21 +24,21 @@
 	Exchange(address string, r delegation.Report, done func(a delegation.Answer, ok bool))
 }
 
-// cellLink is the exchange with one other cell.
-type cellLink struct {
+// Link is the exchange with one other cell.
+type Link struct {
 	name string
 	// As host, to that cell as home.
 	inFlight bool
 	nextAt   clock.Micros
-	failures int
+	Failures int
 	// leader is the address of the controller to ask, else turn chooses one.
 	leader     string
 	turn       int
 	answeredAt clock.Micros
 	reports    int64 // sent in this term
 	// As home, of that cell as host: its last report.
-	load           delegation.Load
-	loadAt         clock.Micros
+	Load           delegation.Load
+	LoadAt         clock.Micros
 	epoch, counter int64
 }
 
@@ -43,8 +46,8 @@
 	// Hosts report this often to cells whose work they have, and to others.
 	busyReportTime = clock.Second
 	idleReportTime = 2 * clock.Second
-	// soonTime lets what happens at about the same time share a report.
-	soonTime = 100 * clock.Millisecond
+	// reportCoalesceTime lets what happens at about the same time share a report.
+	reportCoalesceTime = 100 * clock.Millisecond
 	// A cell that doesn't answer is asked less and less often, the jitter apart.
 	firstBackoff  = 500 * clock.Millisecond
 	longestPause  = 15 * clock.Second
@@ -52,8 +55,8 @@
 	backoffJitter = 0.25
 )
 
-// circuitFailures in a row mean that a cell is asked only now and then.
-const circuitFailures = 5
+// CircuitFailures in a row mean that a cell is asked only now and then.
+const CircuitFailures = 5
 
 // allRefused tells that the cloud has run out of a type, as far as is known.
 func allRefused(t protocol.MachineType, refused map[fleet.Kind]bool) bool {
@@ -71,8 +74,8 @@
 	return planner.Amounts{Cpus: max(0, left.Cpus), Gpus: max(0, left.Gpus), MemoryGB: max(0, left.MemoryGB)}
 }
 
-// shortTime is what waiting for a plan or two and an answer of the cloud takes.
-const shortTime = 5 * clock.Second
+// ShortageTime is what waiting for a plan or two and an answer of the cloud takes.
+const ShortageTime = 5 * clock.Second
 
 // CellOverview is what the leader knows of another cell.
 type CellOverview struct {
@@ -92,46 +95,46 @@
 	ShortS float64 `json:"short_s,omitempty"`
 }
 
-// reportToCells sends the reports that are due. It needs no lease: a leader that may still
+// ReportToOrigins sends the reports that are due. It needs no lease: a leader that may still
 // answer workers may also ask what it may keep.
-func (hc *hostCell) reportToCells() {
-	if !hc.cells.enabled() || !hc.loaded || !hc.leads() && !hc.mayAnswer() {
+func (hc *Host) ReportToOrigins() {
+	if !hc.cells.Enabled() || !hc.Loaded || !hc.Leads() && !hc.MayAnswer() {
 		return
 	}
-	now := hc.now()
-	var guests map[string][]*job
-	for _, link := range inOrder(hc.cells.links) {
+	now := hc.Now()
+	var guests map[string][]*jobtable.Job
+	for _, link := range ordered.ByKey(hc.cells.ByCell) {
 		if link.inFlight || now < link.nextAt {
 			continue
 		}
 		if guests == nil {
-			guests = hc.jobs.hostedByOrigin()
+			guests = hc.jobs.HostedByOrigin()
 		}
-		if own := guests[link.name]; len(own) > 0 || hc.cells.directory.TakesFrom(link.name) {
+		if own := guests[link.name]; len(own) > 0 || hc.cells.Directory.TakesFrom(link.name) {
 			hc.report(link, own)
 		}
 	}
 }
 
 // report sends one report and takes its answer.
-func (hc *hostCell) report(link *cellLink, guests []*job) {
-	home := hc.cells.directory.Cell(link.name)
+func (hc *Host) report(link *Link, guests []*jobtable.Job) {
+	home := hc.cells.Directory.Cell(link.name)
 	address := link.leader
 	if address == "" {
 		address = home.Controllers[link.turn%len(home.Controllers)].Address
 	}
-	sentAt, epoch := hc.now(), hc.term.Epoch
+	sentAt, epoch := hc.Now(), hc.Term.Epoch
 	link.inFlight = true
 	link.reports++
-	r := delegation.Report{Host: hc.cells.directory.Own.Name, Home: link.name, Epoch: epoch, Counter: link.reports,
-		Clear: cells.ClearTime(hc.settings.Deployment.Workers.Lease()), Load: hc.ownLoad()}
+	r := delegation.Report{Host: hc.cells.Directory.Own.Name, Home: link.name, Epoch: epoch, Counter: link.reports,
+		Clear: cells.ClearTime(hc.Settings.Deployment.Workers.Lease()), Load: hc.ownLoad()}
 	for _, j := range guests {
-		if s, known := hc.statusOf(j); known && len(r.Tasks) < delegation.MaxReported {
+		if s, known := hc.StatusOf(j); known && len(r.Tasks) < delegation.MaxReported {
 			r.Tasks = append(r.Tasks, s)
 		}
 	}
 	hc.cells.exchange.Exchange(address, r, func(a delegation.Answer, ok bool) {
-		if hc.term.Epoch != epoch {
+		if hc.Term.Epoch != epoch {
 			return
 		}
 		link.inFlight = false
@@ -139,100 +142,100 @@
 			hc.reportFailed(link, home, address, a, ok)
 			return
 		}
-		if link.failures > circuitFailures {
+		if link.Failures > CircuitFailures {
 			slog.Info("cell answers again", "cell", link.name)
 		}
-		link.leader, link.failures, link.answeredAt = address, 0, hc.now()
+		link.leader, link.Failures, link.answeredAt = address, 0, hc.Now()
 		link.nextAt = sentAt + idleReportTime
 		if len(guests) > 0 {
 			link.nextAt = sentAt + busyReportTime
 		}
-		hc.takeRulings(guests, a.Rulings, sentAt)
+		hc.applyRulings(guests, a.Rulings, sentAt)
 		for _, o := range a.Offers {
-			hc.takeOffer(link, o)
+			hc.TakeOffer(link, o)
 		}
-		hc.checkGuests()
-		hc.steps.wake()
+		hc.CheckHosted()
+		hc.steps.Wake()
 	})
 }
 
 // reportFailed goes on with another controller of the cell, and after a pause if none helps.
-func (hc *hostCell) reportFailed(link *cellLink, home *cells.Cell, asked string, a delegation.Answer, ok bool) {
+func (hc *Host) reportFailed(link *Link, home *cells.Cell, asked string, a delegation.Answer, ok bool) {
 	link.leader = ""
 	link.turn++
 	if ok && a.Leader != asked && home.Has(a.Leader) {
 		link.leader = a.Leader
 	}
-	link.failures++
-	if link.failures == circuitFailures+1 {
-		slog.Info("cell does not answer", "cell", link.name, "silent_s", (hc.now() - link.answeredAt).Seconds())
+	link.Failures++
+	if link.Failures == CircuitFailures+1 {
+		slog.Info("cell does not answer", "cell", link.name, "silent_s", (hc.Now() - link.answeredAt).Seconds())
 	}
-	pause := firstBackoff << min(max(link.failures-len(home.Controllers), 0), backoffDouble)
-	spread := 1 - backoffJitter + 2*backoffJitter*hc.random.Float64()
-	link.nextAt = hc.now() + min(clock.Micros(float64(pause)*spread), longestPause)
+	pause := firstBackoff << min(max(link.Failures-len(home.Controllers), 0), backoffDouble)
+	spread := 1 - backoffJitter + 2*backoffJitter*hc.Random.Float64()
+	link.nextAt = hc.Now() + min(clock.Micros(float64(pause)*spread), longestPause)
 }
 
 // reportSoon tells a cell of news about its work.
-func (hc *hostCell) reportSoon(home string) {
-	link := hc.cells.links[home]
-	if link == nil || link.failures > circuitFailures {
+func (hc *Host) reportSoon(home string) {
+	link := hc.cells.ByCell[home]
+	if link == nil || link.Failures > CircuitFailures {
 		return
 	}
-	if soon := hc.now() + soonTime; link.nextAt > soon {
+	if soon := hc.Now() + reportCoalesceTime; link.nextAt > soon {
 		link.nextAt = soon
-		hc.inTerm(soonTime, hc.reportToCells)
+		hc.AfterInTerm(reportCoalesceTime, hc.ReportToOrigins)
 	}
 }
 
 // ownLoad is what this cell could take, for other cells to choose by.
-func (hc *hostCell) ownLoad() delegation.Load {
-	own := hc.cells.directory.Own
-	l := delegation.Load{Room: own.Guests.Minus(hc.jobs.hostedAmounts()), Short: hc.shortFor(false)}
-	if own.Draining || hc.shortFor(true) > 0 {
+func (hc *Host) ownLoad() delegation.Load {
+	own := hc.cells.Directory.Own
+	l := delegation.Load{Room: own.Guests.Minus(hc.jobs.HostedAmounts()), Short: hc.unmetFor(false)}
+	if own.Draining || hc.unmetFor(true) > 0 {
 		l.Room = planner.Amounts{}
 	}
-	limit, _ := hc.writer.recordLimits()
-	l.MaxTasks = guestTasksWithin(limit)
+	limit, _ := hc.writer.Limits()
+	l.MaxTasks = hostedTasksWithin(limit)
 	free := map[string]planner.Amounts{}
-	for i := range hc.snapshots.views {
-		if m := &hc.snapshots.views[i]; !m.Booting {
+	for i := range hc.snapshots.Views {
+		if m := &hc.snapshots.Views[i]; !m.Booting {
 			free[m.Type] = free[m.Type].Plus(m.Free)
 		}
 	}
-	refused := hc.autoscaler.market().Refused
-	for _, t := range hc.catalogue.list {
+	refused := hc.autoscaler.Market().Refused
+	for _, t := range hc.catalogue.Types {
 		l.Types = append(l.Types, delegation.TypeLoad{Type: t, Free: beyond(free[t.Name], own.Reserve), Refused: allRefused(t, refused)})
 	}
 	return l
 }
 
-// shortFor is for how long work of this cell's own, or of guests, has been waiting for machines
+// unmetFor is for how long work of this cell's own, or of guests, has been waiting for machines
 // that don't come, 0 if none has for long.
-func (hc *hostCell) shortFor(guests bool) clock.Micros {
-	now := hc.now()
+func (hc *Host) unmetFor(guests bool) clock.Micros {
+	now := hc.Now()
 	longest := clock.Micros(0)
-	for _, j := range hc.jobs.byID {
-		if (j.Guest != nil) == guests && !j.over() && j.wantedAt != 0 && now <= j.wantedAt+wantedGap {
-			longest = max(longest, now-j.wantedFrom)
+	for _, j := range hc.jobs.ByID {
+		if (j.Guest != nil) == guests && !j.Over() && j.UnmetAt != 0 && now <= j.UnmetAt+jobtable.UnmetDemandGap {
+			longest = max(longest, now-j.UnmetSince)
 		}
 	}
-	if longest < shortTime {
+	if longest < ShortageTime {
 		return 0
 	}
 	return longest
 }
 
-// statusOf is what home is told of a guest. known is false while its record is in doubt.
-func (hc *hostCell) statusOf(j *job) (s delegation.Status, known bool) {
+// StatusOf is what home is told of a guest. known is false while its record is in doubt.
+func (hc *Host) StatusOf(j *jobtable.Job) (s delegation.Status, known bool) {
 	_, id, number, ok := ledger.ParseGuestID(j.Spec.ID)
-	if !ok || j.reread || j.reading {
+	if !ok || j.MustReload || j.Loading {
 		return s, false
 	}
-	s = delegation.Status{Number: number, Job: id, Done: j.storedDone, Reason: j.Cause,
-		Closed: j.Guest.Closed && j.durable >= j.closedAt || j.Final() && j.isStored()}
-	for task, p := range inOrder(j.Placed) {
+	s = delegation.Status{Number: number, Job: id, Done: j.StoredDone, Reason: j.Cause,
+		Closed: j.Guest.Closed && j.StoredCount >= j.ClosedAtChange || j.Final() && j.IsStored()}
+	for task, p := range ordered.ByKey(j.Placed) {
 		s.Held.Add(task)
-		if m := hc.machines.byName[p.Machine]; m != nil && m.since[taskRef{j.Spec.ID, task, p.Attempt}] != 0 {
+		if m := hc.machines.ByName[p.Machine]; m != nil && m.RunningSince[machinetable.AttemptRef{Job: j.Spec.ID, Task: task, Attempt: p.Attempt}] != 0 {
 			s.Running++
 		}
 	}
--- a/internal/dispatch/golden_test.go
+++ b/internal/leader/golden_test.go
@@ -1,4 +1,4 @@
-package dispatch
+package leader
 
 import (
 	"encoding/json"
@@ -9,6 +9,11 @@
 	"postpoint/internal/cloud"
 	"postpoint/internal/delegation"
 	"postpoint/internal/goldentest"
+	"postpoint/internal/leader/federation"
+	"postpoint/internal/leader/jobtable"
+	"postpoint/internal/leader/machinetable"
+	"postpoint/internal/leader/overview"
+	"postpoint/internal/leader/zonetracker"
 	"postpoint/internal/ledger"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
@@ -48,10 +53,10 @@
 	d, _ := leader()
 	store := &commits{}
 	useStore(d, &oneKey{store, protocol.Item{}, 404})
-	d.catalogue.published = func([]protocol.MachineType) {}
-	d.catalogue.replace(goldenTypes())
-	d.catalogue.fromCloud = true
-	d.catalogue.share()
+	d.catalogue.Published = func([]protocol.MachineType) {}
+	d.catalogue.Replace(goldenTypes())
+	d.catalogue.FromCloud = true
+	d.catalogue.Share()
 	goldentest.Equal(t, "catalogue", onlyTxn(t, store),
 		"\x82\xa6Guards\x92\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xa9catalogue\xa5S"+
 			"tamp\x00\xa6Writes\x91\x82\xa5Write\xa9catalogue\xa4Data\x81\xa6Fleets\x91\x8a\xa3Sku\xa2g8"+
@@ -63,10 +68,10 @@
 	next, _ := leader()
 	left := protocol.Item{Key: "catalogue", Value: store.txns[0].Changes[0].Value, Version: 9}
 	useStore(next, &oneKey{store, left, 200})
-	next.catalogue.published = func([]protocol.MachineType) {}
-	next.catalogue.readShared()
-	if len(next.catalogue.list) != 1 || !sameType(next.catalogue.list[0], goldenTypes()[0]) {
-		t.Errorf("%+v", next.catalogue.list)
+	next.catalogue.Published = func([]protocol.MachineType) {}
+	next.catalogue.ReadShared()
+	if len(next.catalogue.Types) != 1 || !machinetable.SameType(next.catalogue.Types[0], goldenTypes()[0]) {
+		t.Errorf("%+v", next.catalogue.Types)
 	}
 }
 
@@ -75,14 +80,14 @@
 	d, store, _ := cellLeader(t)
 	taken := protocol.Item{Key: "delegation-numbers", Value: []byte("\xcd\x0f\xa1"), Version: 9}
 	useStore(d, &oneKey{store, taken, 200})
-	d.origin.takeNumbers()
+	d.origin.ReserveNumbers()
 	goldentest.Equal(t, "numbers", onlyTxn(t, store),
 		"\x82\xa6Guards\x92\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xb2delegation-num"+
 			"bers\xa5Stamp\x09\xa6Writes\x91\x82\xa5Write\xb2delegation-numbers\xa4Data\xcd\x13\x89")
 
 	first, firstStore, _ := cellLeader(t)
 	useStore(first, &oneKey{firstStore, protocol.Item{}, 404})
-	first.origin.takeNumbers()
+	first.origin.ReserveNumbers()
 	goldentest.Equal(t, "first numbers", onlyTxn(t, firstStore),
 		"\x82\xa6Guards\x92\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xb2delegation-num"+
 			"bers\xa5Stamp\x00\xa6Writes\x91\x82\xa5Write\xb2delegation-numbers\xa4Data\xcd\x03\xe9")
@@ -99,15 +104,15 @@
 			"ExpectedS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa9SnapshotS\xcb\x00\x00\x00\x00\x00\x00\x00"+
 			"\x00\xa6FlushS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4DueS\xc0\xa2at\x01\xa3try\x01\xa6place"+
 			"d\x91\xb1cell beta 7 1 0-1")
-	j.storedValue.durable, j.storedValue.version = j.changed, 6
-	d.origin.saveDelegations()
+	j.StoredValue.StoredCount, j.StoredValue.Version = j.ChangeCount, 6
+	d.origin.SaveDelegations()
 	goldentest.Equal(t, "delegation", onlyTxn(t, store),
 		"\x82\xa6Guards\x93\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xaddelegations/7"+
 			"\xa5Stamp\x00\x82\xa4Path\xaajobs/job-1\xa5Stamp\x06\xa6Writes\x91\x82\xa5Write\xaddelegatio"+
 			"ns/7\xa4Data\x85\xa4host\xa4beta\xa3job\xa5job-1\xa5tasks\xa30-1\xa5state\xa7offered\xa2at"+
 			"\xce\x05\xf5\xe1\x00")
 	store.answer(statestore.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 8}})
-	offers := d.origin.offers("beta", nil)
+	offers := d.origin.Offers("beta", nil)
 	if len(offers) != 1 {
 		t.Fatalf("offers %v", offers)
 	}
@@ -152,8 +157,8 @@
 				"\x91\xb3guest beta 7 closed\xa5cause\xb9the cell is being drained"},
 	} {
 		d, store, _ := cellLeader(t)
-		d.catalogue.list = goldenTypes()
-		d.cells.directory.Own.Draining = c.draining
+		d.catalogue.Types = goldenTypes()
+		d.cells.Directory.Own.Draining = c.draining
 		var tasks ledger.Ranges
 		tasks.Add(1)
 		spec := protocol.JobSpec{
@@ -167,7 +172,7 @@
 			MemoryGB: 1,
 			Image:    "i",
 		}
-		d.host.takeOffer(d.cells.links["beta"], delegation.Offer{Number: 7, Spec: spec, Tasks: tasks, Age: 90 * clock.Second})
+		d.host.TakeOffer(d.cells.ByCell["beta"], delegation.Offer{Number: 7, Spec: spec, Tasks: tasks, Age: 90 * clock.Second})
 		goldentest.Equal(t, c.name, onlyTxn(t, store), c.want)
 	}
 }
@@ -178,8 +183,8 @@
 	store := &commits{}
 	useStore(d, store)
 	lost := &recovery.Zone{Name: "somes", Phase: recovery.Lost, Number: 3, Since: 90 * clock.Second, Flaps: 2}
-	d.zones.zones = map[string]*zone{"somes": {Zone: lost, version: 9}}
-	d.zones.saveZones()
+	d.zones.Zones = map[string]*zonetracker.Zone{"somes": {Zone: lost, Version: 9}}
+	d.zones.SaveZones()
 	goldentest.Equal(t, "zone", onlyTxn(t, store),
 		"\x82\xa6Guards\x92\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xaerecovery/somes"+
 			"\xa5Stamp\x09\xa6Writes\x91\x82\xa5Write\xaerecovery/somes\xa4Data\x84\xa6number\x03\xa5phas"+
@@ -191,11 +196,11 @@
 	d, j, _, _ := one(t)
 	store := &commits{}
 	useStore(d, store)
-	j.noteDone(0)
-	d.jobs.unplace(j, j.Placed[0])
-	d.jobs.touchHead(j)
-	j.storedValue.dirtyAt = 0
-	d.writer.commit()
+	j.RecordDone(0)
+	d.jobs.ReleasePlacement(j, j.Placed[0])
+	d.jobs.NoteHeadChange(j)
+	j.StoredValue.ChangedAt = 0
+	d.writer.Commit()
 	goldentest.Equal(t, "record", onlyTxn(t, store),
 		"\x82\xa6Guards\x92\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xaajobs/job-1\xa5"+
 			"Stamp\x05\xa6Writes\x91\x82\xa5Write\xaajobs/job-1\xa4Data\x84\xa4spec\xde\x00\x13\xa3Uid"+
@@ -213,15 +218,15 @@
 			"1/0\xa4Data\x84\xa4next\x01\xa5shift\x01\xa3try\x01\xa6placed\xa5m-1 0")
 }
 
-func goldenOverview() Overview {
-	return Overview{
+func goldenOverview() overview.Overview {
+	return overview.Overview{
 		Node:    "worker-0",
 		Leader:  "worker-0",
 		Leads:   true,
 		Epoch:   41,
 		Plans:   7,
-		Classes: []ClassOverview{{Class: "train", Jobs: 2, Pending: 3, Placed: 4, Restarting: 1}},
-		Machines: []KindOverview{{
+		Classes: []overview.ClassOverview{{Class: "train", Jobs: 2, Pending: 3, Placed: 4, Restarting: 1}},
+		Machines: []overview.KindOverview{{
 			Type:       "g8",
 			Zone:       "a",
 			Spot:       true,
@@ -231,12 +236,12 @@
 			Silent:     1,
 			NoCapacity: true,
 		}},
-		Failing:        []FailingJob{{Job: "job-1", Cause: "error on m-1"}},
+		Failing:        []overview.FailingJob{{Job: "job-1", Cause: "error on m-1"}},
 		PresentFormats: true,
 		Missing:        []string{"worker-1"},
 		TightLimits:    true,
 		Cell:           "alpha",
-		Cells: []CellOverview{{
+		Cells: []federation.CellOverview{{
 			Cell:              "beta",
 			Reachable:         true,
 			Lent:              3,
@@ -245,7 +250,7 @@
 			OldestUnansweredS: 2.5,
 			ShortS:            7.5,
 		}},
-		Zones: []ZoneOverview{{
+		Zones: []overview.ZoneOverview{{
 			Zone:        "somes",
 			Phase:       recovery.Lost,
 			Number:      3,
@@ -259,7 +264,7 @@
 			Elsewhere:   4,
 			Held:        6,
 			Displaced:   8,
-			Waiting:     []WaitingJob{{Job: "job-1", Kind: recovery.Gangs, Tasks: 2, Why: "its turn"}},
+			Waiting:     []overview.WaitingJob{{Job: "job-1", Kind: recovery.Gangs, Tasks: 2, Why: "its turn"}},
 		}},
 	}
 }
@@ -271,7 +276,7 @@
 	goldentest.RequireTags(t, "json", full)
 	for _, c := range []struct {
 		name  string
-		value Overview
+		value overview.Overview
 		want  string
 	}{
 		{"full", full,
@@ -285,13 +290,13 @@
 				`"losses":3,"since_s":10.5,"reading":"it is dark","flaps":2,"machines":9,"heard":1,` +
 				`"controllers":1,"controllers_reached":1,"heard_elsewhere":4,"held_tasks":6,` +
 				`"displaced_tasks":8,"waiting":[{"job":"job-1","kind":"gangs","tasks":2,"why":"its turn"}]}]}`},
-		{"empty", Overview{}, `{"node":"","leader":"","leads":false,"present_formats":false}`},
-		{"empty lists", Overview{
-			Classes:  []ClassOverview{{}},
-			Machines: []KindOverview{{}},
-			Failing:  []FailingJob{{}},
-			Cells:    []CellOverview{{}},
-			Zones:    []ZoneOverview{{Waiting: []WaitingJob{{}}}},
+		{"empty", overview.Overview{}, `{"node":"","leader":"","leads":false,"present_formats":false}`},
+		{"empty lists", overview.Overview{
+			Classes:  []overview.ClassOverview{{}},
+			Machines: []overview.KindOverview{{}},
+			Failing:  []overview.FailingJob{{}},
+			Cells:    []federation.CellOverview{{}},
+			Zones:    []overview.ZoneOverview{{Waiting: []overview.WaitingJob{{}}}},
 		},
 			`{"node":"","leader":"","leads":false,"classes":[{"class":"","jobs":0,"pending_tasks":0,` +
 				`"placed_tasks":0}],"machines":[{"type":"","zone":"","spot":false,"machines":0,"booting":0,` +
@@ -311,11 +316,11 @@
 // The overview of a leader with a job, a machine, cells and zones.
 func TestGoldenOverviewOfALeader(t *testing.T) {
 	d, _, _, _ := hosting(t)
-	d.state.knownLeader, d.scheduler.plans, d.writer.tightened = "worker-0", 7, true
-	d.state.format = rollout.Status{Open: true, Cells: true, Missing: []string{"worker-1"}}
+	d.state.KnownLeader, d.scheduler.Plans, d.writer.LimitsTightened = "worker-0", 7, true
+	d.state.Format = rollout.Status{Open: true, Cells: true, Missing: []string{"worker-1"}}
 	s := recovery.Defaults()
-	d.zones.options = &s
-	d.zones.zones = map[string]*zone{"somes": {
+	d.zones.Options = &s
+	d.zones.Zones = map[string]*zonetracker.Zone{"somes": {
 		Zone: &recovery.Zone{
 			Name:    "somes",
 			Phase:   recovery.Lost,
@@ -323,7 +328,7 @@
 			Since:   90 * clock.Second,
 			Reading: recovery.Dark,
 		},
-		evidence: recovery.Evidence{Machines: 4, Heard: 1, Controllers: 1, Reached: 1, Elsewhere: 2},
+		Evidence: recovery.Evidence{Machines: 4, Heard: 1, Controllers: 1, Reached: 1, Elsewhere: 2},
 	}}
 	var got []byte
 	d.Overview(func(o any) {
@@ -347,10 +352,11 @@
 func TestGoldenBookings(t *testing.T) {
 	d, _ := leader()
 	rented := &rentals{}
-	d.autoscaler.cloud = rented
-	d.catalogue.published = func([]protocol.MachineType) {}
-	d.catalogue.replace(goldenTypes())
-	d.autoscaler.fleetState = newFleetState(100)
+	d.autoscaler.Cloud = rented
+	d.catalogue.Published = func([]protocol.MachineType) {}
+	d.catalogue.Replace(goldenTypes())
+	d.state.Settings.Deployment.Cloud.Rps = 100
+	d.autoscaler.Begin()
 	spec := &protocol.JobSpec{
 		ID:        "job-1",
 		Shape:     protocol.ShapeArray,
@@ -361,7 +367,7 @@
 		EstimateS: 600,
 	}
 	job := &planner.Job{ID: "job-1", Spec: spec, Pending: []int{0}, Limit: 1}
-	d.autoscaler.rent([]planner.Want{{Job: job, Tasks: 1}})
+	d.autoscaler.ScaleOut([]planner.Want{{Job: job, Tasks: 1}})
 	if len(rented.asked) != 1 {
 		t.Fatalf("%+v", rented.asked)
 	}
@@ -420,14 +426,14 @@
 		t.Errorf("forget: %d", status)
 	}
 	other, _, _, _ := one(t)
-	other.state.term.Epoch, other.state.knownLeader = 0, "worker-1"
+	other.state.Term.Epoch, other.state.KnownLeader = 0, "worker-1"
 	status, body = answered(other, report(1, 1))
 	goldentest.Equal(t, "another node leads", body, "\x81\xaaDispatcher\xa8worker-1")
 	if status != 421 {
 		t.Errorf("another node leads: %d", status)
 	}
 	released, _, _, box := one(t)
-	released.machines.released["m-1"] = box.Now
+	released.machines.Released["m-1"] = box.Now
 	status, body = answered(released, report(1, 1))
 	goldentest.Equal(t, "released", body, "\x80")
 	if status != 421 {
@@ -438,18 +444,18 @@
 // The kinds of aims that the settings name.
 func TestGoldenAims(t *testing.T) {
 	d, _ := leader()
-	d.state.settings.Deployment.Objectives = []settings.Objective{
+	d.state.Settings.Deployment.Objectives = []settings.Objective{
 		{Kind: "wait", Class: "c", WithinS: 5},
 		{Kind: "finished", Class: "c", WithinS: 300},
 		{Kind: "deadline", Class: "c", Times: 1.5},
 	}
-	if s := d.objectives.startAim("c"); s != 5 {
+	if s := d.objectives.StartObjectiveS("c"); s != 5 {
 		t.Errorf("a start within %v s", s)
 	}
 	due := 100.0
-	j := newJob()
+	j := jobtable.NewJob()
 	j.Job = ledger.New(protocol.JobSpec{ID: "job-1", Class: "c", DeadlineS: &due}, 1)
-	if times := d.objectives.dueTimes(j); !slices.Equal(times, []float64{100, 150, 300}) {
+	if times := d.objectives.DueTimes(j); !slices.Equal(times, []float64{100, 150, 300}) {
 		t.Errorf("due after %v s", times)
 	}
 }
--- a/internal/dispatch/heartbeat_test.go
+++ b/internal/leader/heartbeat_test.go
@@ -1,4 +1,4 @@
-package dispatch
+package leader
 
 import (
 	"testing"
@@ -30,22 +30,22 @@
 func TestReportsThatWaitedTooLongAreRefused(t *testing.T) {
 	d, box := leader()
 	q := &queued{Still: *box}
-	d.state.mailbox = q
+	d.state.Mailbox = q
 	heartbeat := func(counter int64, wait clock.Micros) int {
 		got := 0
 		d.Heartbeat(report(1, counter), func(status int, _ any) { got = status })
 		q.Now += wait
-		d.state.freshAt, d.state.term.ValidUntil = q.Now, q.Now+4*clock.Second
+		d.state.FreshAt, d.state.Term.ValidUntil = q.Now, q.Now+4*clock.Second
 		for _, message := range q.waiting {
 			message()
 		}
 		q.waiting = nil
 		return got
 	}
-	if got := heartbeat(1, 3500*clock.Millisecond); got != 503 || d.machines.byName["m-1"] != nil {
-		t.Fatalf("a late report is answered %d, the machine is %v", got, d.machines.byName["m-1"])
+	if got := heartbeat(1, 3500*clock.Millisecond); got != 503 || d.machines.ByName["m-1"] != nil {
+		t.Fatalf("a late report is answered %d, the machine is %v", got, d.machines.ByName["m-1"])
 	}
-	if got := heartbeat(2, 500*clock.Millisecond); got != 200 || d.machines.byName["m-1"] == nil {
+	if got := heartbeat(2, 500*clock.Millisecond); got != 200 || d.machines.ByName["m-1"] == nil {
 		t.Fatalf("one in time is answered %d", got)
 	}
 }
@@ -56,13 +56,13 @@
 	d, box := leader()
 	for _, now := range []clock.Micros{clock.Second, 100 * clock.Second} {
 		box.Now = now
-		d.state.begunAt, d.state.freshAt, d.state.loaded = now, 0, false
-		d.state.term.RenewedAt, d.state.term.ValidUntil = now, now+4*clock.Second
-		if d.state.mayAnswer() || d.state.leads() {
+		d.state.BegunAt, d.state.FreshAt, d.state.Loaded = now, 0, false
+		d.state.Term.RenewedAt, d.state.Term.ValidUntil = now, now+4*clock.Second
+		if d.state.MayAnswer() || d.state.Leads() {
 			t.Fatalf("at %.0f s it keeps tasks alive without records", now.Seconds())
 		}
-		d.state.freshAt, d.state.loaded = now, true
-		if !d.state.mayAnswer() || !d.state.leads() {
+		d.state.FreshAt, d.state.Loaded = now, true
+		if !d.state.MayAnswer() || !d.state.Leads() {
 			t.Fatalf("at %.0f s it doesn't keep them with records", now.Seconds())
 		}
 	}
@@ -88,8 +88,8 @@
 		d, box := leader()
 		store := &lists{}
 		useStore(d, store)
-		d.state.loaded, d.state.freshAt, d.heartbeats.deferring = false, 0, true
-		d.reader.load(7, "", 0, box.Now)
+		d.state.Loaded, d.state.FreshAt, d.heartbeats.Deferring = false, 0, true
+		d.reader.Load(7, "", 0, box.Now)
 		status := 0
 		d.Heartbeat(report(1, 1), func(s int, _ any) { status = s })
 		if status != 0 {
@@ -104,7 +104,7 @@
 			store.answer()
 			want = 200
 		} else {
-			d.heartbeats.answerDeferred() // after earlyTime
+			d.heartbeats.AnswerDeferred() // after deferredTime
 		}
 		if status != want {
 			t.Fatalf("records read %v: answered %d", read, status)
--- a/internal/dispatch/objectives.go
+++ b/internal/leader/objectives/objectives.go
@@ -1,34 +1,41 @@
-package dispatch
+// Package objectives judges jobs by the service-level objectives of their classes, and keeps what was
+// seen of each class: arrivals and run times. The snapshot that the planner is shown takes its tiers
+// and slacks from here.
+package objectives
 
 import (
 	"slices"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/leader/jobtable"
+	"postpoint/internal/leader/machinetable"
+	"postpoint/internal/leader/term"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
 )
 
-// objectives judges jobs by the service-level objectives of their classes, and keeps what was
+// Tracker judges jobs by the service-level objectives of their classes, and keeps what was
 // seen of each class across terms.
-type objectives struct {
-	*leaderTerm
-	catalogue *machineCatalogue
+type Tracker struct {
+	*term.State
+	catalogue *machinetable.Catalogue
 
-	classSeen map[string]classUse
+	Classes map[string]ClassHistory
 }
 
-// rateTime is the time over which the arrivals of a class are counted.
-const rateTime = 60 * clock.Second
+// ArrivalWindow is the time over which the arrivals of a class are counted.
+const ArrivalWindow = 60 * clock.Second
 
-func newObjectives(term *leaderTerm, catalogue *machineCatalogue) *objectives {
-	return &objectives{leaderTerm: term, catalogue: catalogue, classSeen: map[string]classUse{}}
+// New makes a tracker that has seen no classes.
+func New(term *term.State, catalogue *machinetable.Catalogue) *Tracker {
+	return &Tracker{State: term, catalogue: catalogue, Classes: map[string]ClassHistory{}}
 }
 
-// beginS is four minutes.
-const beginS = 240
+// startWithinS is four minutes.
+const startWithinS = 240
 
-// soonBoots allows for boots that take longer than usual.
-const soonBoots = 1.5
+// BootAllowance allows for boots that take longer than usual.
+const BootAllowance = 1.5
 
 // slackTier is the tier of a job with sorted due times that would end in so many seconds
 // from its submission, and how long it can wait for the next of them.
@@ -58,29 +65,19 @@
 	machineWeight = 0.3 // of one run in the average of its machine
 )
 
-// slowness is by how much longer tasks take on a machine than on others, 0 if
-// that isn't clear. Slow machines are used last; they aren't returned for it,
-// since most recover.
-func (m *machine) slowness() float64 {
-	if m.paced < pacedEnough || m.pace < slowPace {
-		return 0
-	}
-	return m.pace - 1
-}
-
-// noteClass keeps what is needed to expect more jobs of a class.
-func (ob *objectives) noteClass(s *protocol.JobSpec) {
-	u := ob.classSeen[s.Class]
-	u.spec, u.at = *s, ob.now()
-	u.arrivals = append(slices.DeleteFunc(u.arrivals, func(a arrival) bool { return a.at < u.at-rateTime }), arrival{u.at, s.Tasks})
-	ob.classSeen[s.Class] = u
+// NoteArrival keeps what is needed to expect more jobs of a class.
+func (ob *Tracker) NoteArrival(s *protocol.JobSpec) {
+	u := ob.Classes[s.Class]
+	u.Spec, u.LastAt = *s, ob.Now()
+	u.Arrivals = append(slices.DeleteFunc(u.Arrivals, func(a Arrival) bool { return a.At < u.LastAt-ArrivalWindow }), Arrival{u.LastAt, s.Tasks})
+	ob.Classes[s.Class] = u
 }
 
-// startAim is the shortest time in which a class is expected to start, 0 if there
+// StartObjectiveS is the shortest time in which a class is expected to start, 0 if there
 // is no aim for its starts.
-func (ob *objectives) startAim(class string) float64 {
+func (ob *Tracker) StartObjectiveS(class string) float64 {
 	shortest := 0.0
-	for _, o := range ob.settings.Deployment.Objectives {
+	for _, o := range ob.Settings.Deployment.Objectives {
 		if o.Kind == "wait" && o.Class == class && (shortest == 0 || o.WithinS < shortest) {
 			shortest = o.WithinS
 		}
@@ -88,18 +85,18 @@
 	return shortest
 }
 
-// startLeft is how many seconds are left for the next aim for a job's start, the
+// StartSlackS is how many seconds are left for the next aim for a job's start, the
 // last of which is the four minutes in which users count on every job to begin, its
 // image's fetch included: one of 20 GB takes a third of them. What
 // can't wait for a machine to boot is served in its order: between aims of seconds,
 // putting those off that have missed one only makes them miss the next.
-func (ob *objectives) startLeft(j *job) float64 {
-	age := (ob.mailbox.OfDay() - clock.Micros(j.SubmittedAt)).Seconds()
-	left := beginS - age - j.Spec.ImageGB*ob.catalogue.slowestFetchS(&j.Spec)
-	if ob.startsSoon(j.Spec.Class) {
+func (ob *Tracker) StartSlackS(j *jobtable.Job) float64 {
+	age := (ob.Mailbox.OfDay() - clock.Micros(j.SubmittedAt)).Seconds()
+	left := startWithinS - age - j.Spec.ImageGB*ob.catalogue.SlowestFetchS(&j.Spec)
+	if ob.StartsBeforeBoot(j.Spec.Class) {
 		return left
 	}
-	for _, o := range ob.settings.Deployment.Objectives {
+	for _, o := range ob.Settings.Deployment.Objectives {
 		if o.Kind == "wait" && o.Class == j.Spec.Class && o.WithinS > age {
 			left = min(left, o.WithinS-age)
 		}
@@ -107,31 +104,31 @@
 	return left
 }
 
-// startsSoon tells that a class is to start sooner than a machine boots: only
+// StartsBeforeBoot tells that a class is to start sooner than a machine boots: only
 // places that are there already can do that.
-func (ob *objectives) startsSoon(class string) bool {
-	if u := ob.classSeen[class]; u.spec.Service() {
+func (ob *Tracker) StartsBeforeBoot(class string) bool {
+	if u := ob.Classes[class]; u.Spec.Service() {
 		return true // each second until its replicas run is missed by its users
 	}
 	boot := 0.0
-	for _, t := range ob.catalogue.list {
+	for _, t := range ob.catalogue.Types {
 		boot = max(boot, t.BootS)
 	}
-	aim := ob.startAim(class)
-	return aim > 0 && aim < soonBoots*boot
+	aim := ob.StartObjectiveS(class)
+	return aim > 0 && aim < BootAllowance*boot
 }
 
-// aims says which aims for a job can still be met, and how long, in seconds, it
+// TierAndSlack says which aims for a job can still be met, and how long, in seconds, it
 // can still wait before its tasks must run. Clocks of day differ by little
 // against the times at hand.
-func (ob *objectives) aims(j *job) (planner.Tier, float64) {
+func (ob *Tracker) TierAndSlack(j *jobtable.Job) (planner.Tier, float64) {
 	if j.Spec.Service() {
 		return planner.StartsInTime, 0 // its users wait for whatever doesn't run
 	}
-	age := (ob.mailbox.OfDay() - clock.Micros(j.SubmittedAt)).Seconds()
+	age := (ob.Mailbox.OfDay() - clock.Micros(j.SubmittedAt)).Seconds()
 	begun := len(j.Placed)+j.Done.Len() > 0
 	tier := ob.startTier(j, age, begun)
-	due := ob.dueTimes(j)
+	due := ob.DueTimes(j)
 	// A class of whose end nothing is expected is never too late for it either,
 	// and would give way for ever.
 	if len(due) == 0 || due[len(due)-1] == 0 {
@@ -141,15 +138,15 @@
 			tier = planner.StartsInTime
 		}
 	}
-	if !begun && age+j.Spec.ImageGB*ob.catalogue.slowestFetchS(&j.Spec) > longWaitS {
+	if !begun && age+j.Spec.ImageGB*ob.catalogue.SlowestFetchS(&j.Spec) > longWaitS {
 		tier = planner.StartsInTime
 	}
 	return slackTier(tier, due, j.Spec.EstimateS+age)
 }
 
 // startTier is StartsInTime if an aim for the job's start can still be met, else TooLate.
-func (ob *objectives) startTier(j *job, age float64, begun bool) planner.Tier {
-	for _, o := range ob.settings.Deployment.Objectives {
+func (ob *Tracker) startTier(j *jobtable.Job, age float64, begun bool) planner.Tier {
+	for _, o := range ob.Settings.Deployment.Objectives {
 		if o.Class == j.Spec.Class && o.Kind == "wait" && !begun && age < o.WithinS {
 			return planner.StartsInTime
 		}
@@ -157,13 +154,13 @@
 	return planner.TooLate
 }
 
-// dueTimes are when the aims want the job to be done, in seconds from its submission.
-func (ob *objectives) dueTimes(j *job) []float64 {
+// DueTimes are when the aims want the job to be done, in seconds from its submission.
+func (ob *Tracker) DueTimes(j *jobtable.Job) []float64 {
 	var due []float64
 	if j.Spec.DeadlineS != nil {
 		due = append(due, *j.Spec.DeadlineS)
 	}
-	for _, o := range ob.settings.Deployment.Objectives {
+	for _, o := range ob.Settings.Deployment.Objectives {
 		switch {
 		case o.Class != j.Spec.Class:
 		case o.Kind == "finished":
@@ -176,11 +173,11 @@
 	return due
 }
 
-// notePace learns from a completed run how a machine does beside others. The
+// NotePace learns from a completed run how a machine does beside others. The
 // owners' estimates are only used to compare like with like: what all of them
 // get wrong is in the average of the class.
-func (ob *objectives) notePace(m *machine, s *protocol.JobSpec, ran clock.Micros) {
-	u, known := ob.classSeen[s.Class]
+func (ob *Tracker) NotePace(m *machinetable.Machine, s *protocol.JobSpec, ran clock.Micros) {
+	u, known := ob.Classes[s.Class]
 	if !known || s.EstimateS <= 0 || ran <= 0 {
 		return
 	}
@@ -190,25 +187,25 @@
 	}
 	against := ratio / u.pace
 	u.pace += classWeight * (ratio - u.pace)
-	ob.classSeen[s.Class] = u
-	if m.paced == 0 {
-		m.pace = 1
+	ob.Classes[s.Class] = u
+	if m.PaceRuns == 0 {
+		m.Pace = 1
 	}
-	m.paced++
-	m.viewStale = true
-	m.pace += machineWeight * (against - m.pace)
+	m.PaceRuns++
+	m.ViewStale = true
+	m.Pace += machineWeight * (against - m.Pace)
 }
 
-// classUse is what a class of jobs was last seen to need.
-type classUse struct {
-	spec     protocol.JobSpec
-	at       clock.Micros
-	arrivals []arrival // of the last rateTime
+// ClassHistory is what a class of jobs was last seen to need.
+type ClassHistory struct {
+	Spec     protocol.JobSpec
+	LastAt   clock.Micros
+	Arrivals []Arrival // of the last ArrivalWindow
 	pace     float64   // run times against the owners' estimates, on average
 }
 
-// arrival is a job that came.
-type arrival struct {
-	at    clock.Micros
-	tasks int
+// Arrival is a job that came.
+type Arrival struct {
+	At    clock.Micros
+	Tasks int
 }
--- a/internal/dispatch/orders_test.go
+++ b/internal/leader/orders_test.go
@@ -1,4 +1,4 @@
-package dispatch
+package leader
 
 import (
 	"slices"
@@ -6,6 +6,10 @@
 
 	"postpoint/internal/actor/actortest"
 	"postpoint/internal/clock"
+	"postpoint/internal/leader/jobtable"
+	"postpoint/internal/leader/reconciler"
+	"postpoint/internal/leader/recordstore"
+	"postpoint/internal/leader/term"
 	"postpoint/internal/protocol"
 	"postpoint/internal/statestore"
 )
@@ -14,20 +18,20 @@
 // its lease is good: cancelled work must not be started again.
 func TestStaleRecordsStopOrders(t *testing.T) {
 	d, _, _, box := one(t)
-	if !d.state.leads() {
+	if !d.state.Leads() {
 		t.Fatal("it doesn't lead")
 	}
-	box.Now += staleAfter + clock.Second
-	d.state.term.RenewedAt, d.state.term.ValidUntil = box.Now, box.Now+4*clock.Second
-	if d.state.leads() {
+	box.Now += term.StaleAfter + clock.Second
+	d.state.Term.RenewedAt, d.state.Term.ValidUntil = box.Now, box.Now+4*clock.Second
+	if d.state.Leads() {
 		t.Fatal("it leads with stale records")
 	}
-	if !d.state.mayAnswer() {
+	if !d.state.MayAnswer() {
 		t.Fatal("it lets the workers go too soon")
 	}
-	box.Now += d.state.settings.Deployment.Workers.KeepAlive()
-	d.state.term.RenewedAt = box.Now
-	if d.state.mayAnswer() {
+	box.Now += d.state.Settings.Deployment.Workers.KeepAlive()
+	d.state.Term.RenewedAt = box.Now
+	if d.state.MayAnswer() {
 		t.Fatal("it keeps tasks alive that may be cancelled")
 	}
 }
@@ -43,16 +47,18 @@
 	if n > 4 {
 		t.Errorf("%v allocations", n)
 	}
-	for name, change := range map[string]func(d *Leader, j *job, r *protocol.Report){
-		"a task is to stop":     func(_ *Leader, j *job, _ *protocol.Report) { j.stops[3] = stop{why: "room"} },
-		"the job is cancelled":  func(d *Leader, j *job, _ *protocol.Report) { d.jobs.noteCancelled(j, d.state.now()) },
-		"a task has gone":       func(_ *Leader, _ *job, r *protocol.Report) { r.Tasks = r.Tasks[1:] },
-		"a task isn't in place": func(d *Leader, j *job, _ *protocol.Report) { d.jobs.unplace(j, j.Placed[5]) },
-		"a task has been added": func(_ *Leader, _ *job, r *protocol.Report) {
+	for name, change := range map[string]func(d *Leader, j *jobtable.Job, r *protocol.Report){
+		"a task is to stop": func(_ *Leader, j *jobtable.Job, _ *protocol.Report) {
+			j.Stops[3] = jobtable.StopRequest{Reason: "room"}
+		},
+		"the job is cancelled":  func(d *Leader, j *jobtable.Job, _ *protocol.Report) { d.jobs.NoteCancelled(j, d.state.Now()) },
+		"a task has gone":       func(_ *Leader, _ *jobtable.Job, r *protocol.Report) { r.Tasks = r.Tasks[1:] },
+		"a task isn't in place": func(d *Leader, j *jobtable.Job, _ *protocol.Report) { d.jobs.ReleasePlacement(j, j.Placed[5]) },
+		"a task has been added": func(_ *Leader, _ *jobtable.Job, r *protocol.Report) {
 			r.Tasks = append(slices.Clone(r.Tasks), protocol.TaskReport{Task: "job-2/0", Attempt: 1, Status: protocol.TaskRunning})
 		},
-		"a gang is incomplete": func(_ *Leader, j *job, _ *protocol.Report) {
-			j.Spec.Shape, j.Spec.Tasks, j.brokenAttempt = protocol.ShapeGang, 9, 1
+		"a gang is incomplete": func(_ *Leader, j *jobtable.Job, _ *protocol.Report) {
+			j.Spec.Shape, j.Spec.Tasks, j.BrokenAttempt = protocol.ShapeGang, 9, 1
 		},
 	} {
 		d, j, r := eightRunning()
@@ -78,11 +84,11 @@
 	}{
 		{"one", 1, false, 0, 0},
 		{"one, with another order", 1, true, 0, 1},
-		{"one, after a while", 1, false, forgetDelay, 1},
-		{"a batch", forgetBatch, false, 0, forgetBatch},
+		{"one, after a while", 1, false, reconciler.ForgetDelay, 1},
+		{"a batch", reconciler.ForgetBatch, false, 0, reconciler.ForgetBatch},
 	} {
 		d, j, r := eightRunning()
-		box := d.state.mailbox.(*actortest.Still)
+		box := d.state.Mailbox.(*actortest.Still)
 		heartbeat := func() (forgotten int) {
 			r.Counter++
 			r.Tasks = slices.Clone(r.Tasks)
@@ -101,16 +107,16 @@
 		if n := heartbeat(); n > 0 {
 			t.Errorf("%s: %d forgotten before their ends are durable", c.name, n)
 		}
-		j.durable = j.changed
+		j.StoredCount = j.ChangeCount
 		if c.other {
-			j.stops[7] = stop{why: "room"}
+			j.Stops[7] = jobtable.StopRequest{Reason: "room"}
 		}
 		for waited := clock.Micros(0); waited < c.after; waited += clock.Second {
 			if n := heartbeat(); n > 0 {
 				t.Errorf("%s: %d forgotten after %v s", c.name, n, waited.Seconds())
 			}
 			box.Now += clock.Second
-			d.state.freshAt, d.state.term.ValidUntil = box.Now, box.Now+clock.Second
+			d.state.FreshAt, d.state.Term.ValidUntil = box.Now, box.Now+clock.Second
 		}
 		if n := heartbeat(); n != c.forgotten {
 			t.Errorf("%s: %d forgotten, not %d", c.name, n, c.forgotten)
@@ -129,7 +135,7 @@
 	r.Tasks = slices.Clone(r.Tasks)
 	r.Tasks[0].Status, r.Tasks[0].Cause = protocol.TaskExited, protocol.CauseDone
 	beat()
-	j.durable = j.changed
+	j.StoredCount = j.ChangeCount
 	r.Tasks = append(slices.Clone(r.Tasks[1:]), protocol.TaskReport{Task: "job-2/0", Attempt: 1, Status: protocol.TaskRunning})
 	if orders := beat(); len(orders) != 1 || orders[0].Verb != protocol.VerbStop || orders[0].Task != "job-2/0" {
 		t.Errorf("ordered %v", orders)
@@ -147,20 +153,20 @@
 	for _, late := range []clock.Micros{0, clock.Second} {
 		d, j, m, box := one(t)
 		out := &calls{}
-		d.commands.agent, m.addr = out, "m-1:1"
-		d.reconciler.observe(m, report(1, 1))
-		d.steps.tickedAt = box.Now
-		box.Now += tickTime + late
-		d.state.freshAt, d.state.term.ValidUntil = box.Now, box.Now+4*clock.Second
-		d.state.term.Epoch = 0 // the tick only looks at the clock
+		d.commands.Agent, m.Address = out, "m-1:1"
+		d.reconciler.Observe(m, report(1, 1))
+		d.steps.TickedAt = box.Now
+		box.Now += term.TickInterval + late
+		d.state.FreshAt, d.state.Term.ValidUntil = box.Now, box.Now+4*clock.Second
+		d.state.Term.Epoch = 0 // the tick only looks at the clock
 		d.tick()
-		d.state.term.Epoch = 7
-		j.fresh = []int{0}
-		d.writer.committed([]write{{j: j, v: &j.storedValue, part: head, changed: j.changed}}, statestore.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 9}})
+		d.state.Term.Epoch = 7
+		j.Uncommitted = []int{0}
+		d.writer.HandleResult([]recordstore.Write{{J: j, V: &j.StoredValue, Part: recordstore.HeadIndex, Changed: j.ChangeCount}}, statestore.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 9}})
 		if direct := out.n > 0; direct != (late == 0) {
 			t.Errorf("late by %v: %d direct commands", late, out.n)
 		}
-		if orders := d.commands.commandsFor(m, true); late > 0 && (len(orders) != 1 || orders[0].Verb != protocol.VerbStart) {
+		if orders := d.commands.CommandsFor(m, true); late > 0 && (len(orders) != 1 || orders[0].Verb != protocol.VerbStart) {
 			t.Errorf("late by %v: the report is answered by %v", late, orders)
 		}
 	}
--- a/internal/dispatch/overview.go
+++ b/internal/leader/overview/overview.go
@@ -1,4 +1,6 @@
-package dispatch
+// Package overview reads the leader's components for operators: the overview that is served as JSON,
+// and the periodic log lines. It changes nothing.
+package overview
 
 import (
 	"fmt"
@@ -6,31 +8,41 @@
 
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
+	"postpoint/internal/leader/autoscaler"
+	"postpoint/internal/leader/federation"
+	"postpoint/internal/leader/jobtable"
+	"postpoint/internal/leader/machinetable"
+	"postpoint/internal/leader/recordstore"
+	"postpoint/internal/leader/scheduler"
+	"postpoint/internal/leader/term"
+	"postpoint/internal/leader/zonetracker"
+	"postpoint/internal/ordered"
 	"postpoint/internal/protocol"
 )
 
-// overviewReader reads the other components for operators; it changes nothing.
-type overviewReader struct {
-	*leaderTerm
-	jobs       *jobTable
-	machines   *machineTable
-	catalogue  *machineCatalogue
-	autoscaler *autoscaler
-	scheduler  *taskScheduler
-	writer     *recordWriter
-	cells      *cellLinks
-	origin     *originCell
-	zones      *zoneRecovery
+// Reader reads the other components for operators; it changes nothing.
+type Reader struct {
+	*term.State
+	jobs       *jobtable.Table
+	machines   *machinetable.Table
+	catalogue  *machinetable.Catalogue
+	autoscaler *autoscaler.Autoscaler
+	scheduler  *scheduler.Scheduler
+	writer     *recordstore.Writer
+	cells      *federation.Links
+	origin     *federation.Origin
+	zones      *zonetracker.Tracker
 
 	loggedAt         clock.Micros
 	recoveryLoggedAt clock.Micros
 }
 
-func newOverviewReader(term *leaderTerm, jobs *jobTable, machines *machineTable, catalogue *machineCatalogue,
-	autoscaler *autoscaler, scheduler *taskScheduler, writer *recordWriter, links *cellLinks, origin *originCell,
-	zones *zoneRecovery) *overviewReader {
-	return &overviewReader{
-		leaderTerm: term,
+// NewReader makes a reader of the given components.
+func NewReader(term *term.State, jobs *jobtable.Table, machines *machinetable.Table, catalogue *machinetable.Catalogue,
+	autoscaler *autoscaler.Autoscaler, scheduler *scheduler.Scheduler, writer *recordstore.Writer, links *federation.Links, origin *federation.Origin,
+	zones *zonetracker.Tracker) *Reader {
+	return &Reader{
+		State:      term,
 		jobs:       jobs,
 		machines:   machines,
 		catalogue:  catalogue,
@@ -61,8 +73,8 @@
 	// TightLimits tells that the state service refuses what its first limits allow.
 	TightLimits bool `json:"tight_limits,omitempty"`
 	// Cell is this node's own, Cells are the others, if cells are switched on.
-	Cell  string         `json:"cell,omitempty"`
-	Cells []CellOverview `json:"cells,omitempty"`
+	Cell  string                    `json:"cell,omitempty"`
+	Cells []federation.CellOverview `json:"cells,omitempty"`
 	// Zones are listed if recoveries from the loss of a zone are switched on.
 	Zones []ZoneOverview `json:"zones,omitempty"`
 }
@@ -99,18 +111,19 @@
 
 const maxFailing = 20
 
-func (ov *overviewReader) build() Overview {
-	o := Overview{Node: ov.settings.Node, Leader: ov.knownLeader, Leads: ov.leads(), Epoch: ov.term.Epoch, Plans: ov.scheduler.plans,
-		PresentFormats: ov.format.Open, Missing: ov.format.Missing, TightLimits: ov.writer.tightened, Zones: ov.zonesOverview()}
-	if ov.cells.directory != nil {
-		o.Cell, o.Cells = ov.cells.directory.Own.Name, ov.cellsOverview()
+// Build makes the overview.
+func (ov *Reader) Build() Overview {
+	o := Overview{Node: ov.Settings.Node, Leader: ov.KnownLeader, Leads: ov.Leads(), Epoch: ov.Term.Epoch, Plans: ov.scheduler.Plans,
+		PresentFormats: ov.Format.Open, Missing: ov.Format.Missing, TightLimits: ov.writer.LimitsTightened, Zones: ov.zonesOverview()}
+	if ov.cells.Directory != nil {
+		o.Cell, o.Cells = ov.cells.Directory.Own.Name, ov.cellsOverview()
 	}
 	classes := map[string]ClassOverview{}
-	for _, j := range inOrder(ov.jobs.byID) {
+	for _, j := range ordered.ByKey(ov.jobs.ByID) {
 		c := classes[j.Spec.Class]
 		c.Class = j.Spec.Class
 		c.Placed += len(j.Placed)
-		c.Restarting += j.waitingRestarts(ov.now())
+		c.Restarting += j.WaitingRestarts(ov.Now())
 		if !j.Final() {
 			c.Jobs++
 			c.Pending += j.PendingCount()
@@ -120,45 +133,45 @@
 		}
 		classes[c.Class] = c
 	}
-	for _, c := range inOrder(classes) {
+	for _, c := range ordered.ByKey(classes) {
 		o.Classes = append(o.Classes, c)
 	}
 	kinds := map[string]*KindOverview{}
-	refused := ov.autoscaler.market().Refused
-	for _, m := range ov.machines.ordered {
-		key := m.typ + " " + m.zone
-		if m.spot {
+	refused := ov.autoscaler.Market().Refused
+	for _, m := range ov.machines.Ordered {
+		key := m.Type + " " + m.Zone
+		if m.Spot {
 			key += " spot"
 		}
 		k := kinds[key]
 		if k == nil {
-			k = &KindOverview{Type: m.typ, Zone: m.zone, Spot: m.spot, NoCapacity: refused[m.kind()]}
+			k = &KindOverview{Type: m.Type, Zone: m.Zone, Spot: m.Spot, NoCapacity: refused[m.Kind()]}
 			kinds[key] = k
 		}
 		k.Machines++
 		switch {
-		case !m.seen && m.status == protocol.MachineStarting:
+		case !m.Seen && m.CloudStatus == protocol.MachineStarting:
 			k.Booting++
-		case !ov.machines.heardRecently(m):
+		case !ov.machines.HeardRecently(m):
 			k.Silent++
-		case len(m.placed) == 0:
+		case len(m.Placements) == 0:
 			k.Idle++
 		}
 	}
-	for _, k := range inOrder(kinds) {
+	for _, k := range ordered.ByKey(kinds) {
 		o.Machines = append(o.Machines, *k)
 	}
 	return o
 }
 
 // cellsOverview is empty on nodes that don't lead.
-func (ov *overviewReader) cellsOverview() []CellOverview {
-	now := ov.now()
-	var all []CellOverview
-	for name, link := range inOrder(ov.cells.links) {
-		o := CellOverview{Cell: name, Reachable: link.failures <= circuitFailures && (link.loadAt == 0 || now <= link.loadAt+loadTime),
-			ShortS: link.load.Short.Seconds()}
-		for _, del := range ov.origin.delegations {
+func (ov *Reader) cellsOverview() []federation.CellOverview {
+	now := ov.Now()
+	var all []federation.CellOverview
+	for name, link := range ordered.ByKey(ov.cells.ByCell) {
+		o := federation.CellOverview{Cell: name, Reachable: link.Failures <= federation.CircuitFailures && (link.LoadAt == 0 || now <= link.LoadAt+federation.LoadLifetime),
+			ShortS: link.Load.Short.Seconds()}
+		for _, del := range ov.origin.Delegations {
 			if del.Host != name {
 				continue
 			}
@@ -168,7 +181,7 @@
 				o.Recalled++
 			}
 		}
-		for _, j := range ov.jobs.byID {
+		for _, j := range ov.jobs.ByID {
 			if j.Guest != nil && j.Guest.Home == name && !j.Final() {
 				o.Borrowed += len(j.Placed) + j.PendingCount()
 			}
@@ -178,26 +191,26 @@
 	return all
 }
 
-// logState tells an operator once in a while what is queued and where.
-func (ov *overviewReader) logState() {
-	if ov.now() < ov.loggedAt+15*clock.Second {
+// LogState tells an operator once in a while what is queued and where.
+func (ov *Reader) LogState() {
+	if ov.Now() < ov.loggedAt+15*clock.Second {
 		return
 	}
-	ov.loggedAt = ov.now()
+	ov.loggedAt = ov.Now()
 	pending, placed, kinds := 0, 0, map[string]int{}
-	for _, j := range inOrder(ov.jobs.byID) {
+	for _, j := range ordered.ByKey(ov.jobs.ByID) {
 		if !j.Final() {
 			pending += j.PendingCount()
 		}
 		placed += len(j.Placed)
 	}
 	idle := 0
-	for _, m := range ov.machines.ordered {
-		kinds[m.typ]++
-		if len(m.placed) == 0 {
+	for _, m := range ov.machines.Ordered {
+		kinds[m.Type]++
+		if len(m.Placements) == 0 {
 			idle++
 		}
 	}
-	slog.Info("state", "epoch", ov.term.Epoch, "open_jobs", len(ov.jobs.byID), "pending_tasks", pending, "placed_tasks", placed,
+	slog.Info("state", "epoch", ov.Term.Epoch, "open_jobs", len(ov.jobs.ByID), "pending_tasks", pending, "placed_tasks", placed,
 		"machines", fmt.Sprint(kinds), "idle", idle)
 }
--- a/internal/dispatch/zoneoverview.go
+++ b/internal/leader/overview/zoneoverview.go
@@ -1,9 +1,13 @@
-package dispatch
+package overview
 
 import (
 	"log/slog"
 
 	"postpoint/internal/fleet"
+	"postpoint/internal/leader/jobtable"
+	"postpoint/internal/leader/machinetable"
+	"postpoint/internal/leader/zonetracker"
+	"postpoint/internal/ordered"
 	"postpoint/internal/planner"
 	"postpoint/internal/recovery"
 )
@@ -39,33 +43,33 @@
 const maxWaiting = 20
 
 // zonesOverview is empty unless recoveries are switched on.
-func (ov *overviewReader) zonesOverview() []ZoneOverview {
-	if ov.zones.options == nil {
+func (ov *Reader) zonesOverview() []ZoneOverview {
+	if ov.zones.Options == nil {
 		return nil
 	}
 	var all []ZoneOverview
-	for name, z := range inOrder(ov.zones.zones) {
-		o := ZoneOverview{Zone: name, Phase: z.Phase, Number: z.Number, SinceS: (ov.now() - z.Since).Seconds(), Reading: z.Reading, Flaps: z.Flaps,
-			Machines: z.evidence.Machines, Heard: z.evidence.Heard, Controllers: z.evidence.Controllers, Reached: z.evidence.Reached,
-			Elsewhere: z.evidence.Elsewhere}
-		for _, m := range ov.machines.ordered {
-			if m.zone != name || !ov.machines.late(m) {
+	for name, z := range ordered.ByKey(ov.zones.Zones) {
+		o := ZoneOverview{Zone: name, Phase: z.Phase, Number: z.Number, SinceS: (ov.Now() - z.Since).Seconds(), Reading: z.Reading, Flaps: z.Flaps,
+			Machines: z.Evidence.Machines, Heard: z.Evidence.Heard, Controllers: z.Evidence.Controllers, Reached: z.Evidence.Reached,
+			Elsewhere: z.Evidence.Elsewhere}
+		for _, m := range ov.machines.Ordered {
+			if m.Zone != name || !ov.machines.Late(m) {
 				continue
 			}
-			for _, tasks := range m.placed {
+			for _, tasks := range m.Placements {
 				o.Held += len(tasks)
 			}
 		}
 		var waiting []recovery.Displaced
-		for _, j := range inOrder(ov.jobs.byID) {
-			if j.Displaced == name && !j.over() && j.PendingCount() > 0 {
+		for _, j := range ordered.ByKey(ov.jobs.ByID) {
+			if j.Displaced == name && !j.Over() && j.PendingCount() > 0 {
 				o.Displaced += j.PendingCount()
-				waiting = append(waiting, ov.zones.displacedWork(j))
+				waiting = append(waiting, ov.zones.DisplacedWork(j))
 			}
 		}
-		recovery.Sort(waiting, ov.zones.options.Order)
+		recovery.Sort(waiting, ov.zones.Options.Order)
 		for _, w := range waiting[:min(len(waiting), maxWaiting)] {
-			o.Waiting = append(o.Waiting, WaitingJob{w.Job, w.Kind, w.Tasks, ov.whyWaiting(ov.jobs.byID[w.Job])})
+			o.Waiting = append(o.Waiting, WaitingJob{w.Job, w.Kind, w.Tasks, ov.whyWaiting(ov.jobs.ByID[w.Job])})
 		}
 		all = append(all, o)
 	}
@@ -73,28 +77,28 @@
 }
 
 // whyWaiting says what a displaced job waits for.
-func (ov *overviewReader) whyWaiting(j *job) string {
+func (ov *Reader) whyWaiting(j *jobtable.Job) string {
 	s := &j.Spec
 	switch {
-	case ov.zones.awaitsTurn(j):
+	case ov.zones.AwaitsClearance(j):
 		return "its turn"
-	case s.Zone != "" && ov.zones.avoided(s.Zone):
+	case s.Zone != "" && ov.zones.Avoided(s.Zone):
 		return "its zone"
-	case ov.jobs.underLimit(j) == 0:
+	case ov.jobs.TasksWithinQuota(j) == 0:
 		return "its team's limit"
 	case s.Gang() && len(j.Placed) > 0:
 		return "the rest of the gang to end"
 	case s.Spread && !ov.zoneLeft(j):
 		return "a zone that spreading allows"
-	case ov.now() < j.notBefore:
+	case ov.Now() < j.NotBefore:
 		return "a pause after failed starts"
 	}
-	refused, rentable := ov.autoscaler.market().Refused, false
-	for _, t := range ov.catalogue.list {
+	refused, rentable := ov.autoscaler.Market().Refused, false
+	for _, t := range ov.catalogue.Types {
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{false, true} {
 				k := fleet.Kind{Type: t.Name, Zone: zone, Spot: spot}
-				rentable = rentable || !refused[k] && typeHolds(t, s) && planner.Allowed(s, t.Name, zone, spot)
+				rentable = rentable || !refused[k] && machinetable.TypeHolds(t, s) && planner.Allowed(s, t.Name, zone, spot)
 			}
 		}
 	}
@@ -105,11 +109,11 @@
 }
 
 // zoneLeft tells that some zone that isn't avoided would take a task of a job.
-func (ov *overviewReader) zoneLeft(j *job) bool {
-	zones := ov.jobs.zonesOf(j)
-	for _, t := range ov.catalogue.list {
+func (ov *Reader) zoneLeft(j *jobtable.Job) bool {
+	zones := ov.jobs.ZonesOf(j)
+	for _, t := range ov.catalogue.Types {
 		for _, zone := range t.Zones {
-			if !ov.zones.avoided(zone) && planner.ZoneAllowed(&j.Spec, zones, zone) {
+			if !ov.zones.Avoided(zone) && planner.ZoneAllowed(&j.Spec, zones, zone) {
 				return true
 			}
 		}
@@ -117,12 +121,12 @@
 	return false
 }
 
-// logRecovery tells an operator now and then how recoveries stand.
-func (ov *overviewReader) logRecovery() {
-	if ov.now() < ov.recoveryLoggedAt+recoveryLogTime || !ov.zones.anyAvoided() {
+// LogRecovery tells an operator now and then how recoveries stand.
+func (ov *Reader) LogRecovery() {
+	if ov.Now() < ov.recoveryLoggedAt+zonetracker.RecoveryLogTime || !ov.zones.AnyAvoided() {
 		return
 	}
-	ov.recoveryLoggedAt = ov.now()
+	ov.recoveryLoggedAt = ov.Now()
 	for _, o := range ov.zonesOverview() {
 		if o.Phase == recovery.Healthy {
 			continue
--- a/internal/dispatch/records_test.go
+++ b/internal/leader/records_test.go
@@ -1,9 +1,11 @@
-package dispatch
+package leader
 
 import (
 	"fmt"
 	"testing"
 
+	"postpoint/internal/leader/recordstore"
+	"postpoint/internal/leader/term"
 	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
 	"postpoint/internal/statestore"
@@ -14,12 +16,12 @@
 func TestLateReadsDontBringPlacesBack(t *testing.T) {
 	d, j, m, _ := one(t)
 	old := j.Encode()
-	d.reconciler.observe(m, report(1, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskExited, Cause: protocol.CauseStopped}))
-	d.reader.adopt(ledger.Key("job-1"), j.Encode(), 6)
-	j.reread = true
-	d.reader.adopt(ledger.Key("job-1"), old, 5)
-	if len(j.Placed) != 0 || j.version != 6 {
-		t.Fatalf("placed %v at version %d", j.Placed, j.version)
+	d.reconciler.Observe(m, report(1, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskExited, Cause: protocol.CauseStopped}))
+	d.reader.Adopt(ledger.Key("job-1"), j.Encode(), 6)
+	j.MustReload = true
+	d.reader.Adopt(ledger.Key("job-1"), old, 5)
+	if len(j.Placed) != 0 || j.Version != 6 {
+		t.Fatalf("placed %v at version %d", j.Placed, j.Version)
 	}
 }
 
@@ -28,14 +30,14 @@
 func TestOldEventsDontBringJobsBack(t *testing.T) {
 	d, j, m, _ := one(t)
 	old := j.Encode()
-	d.reconciler.observe(m, report(1, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskExited, Cause: protocol.CauseDone}))
-	j.inFlight = true
-	d.writer.committed([]write{{j: j, v: &j.storedValue, part: head, changed: j.changed}}, statestore.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 6}})
-	if len(d.jobs.byID) != 0 {
+	d.reconciler.Observe(m, report(1, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskExited, Cause: protocol.CauseDone}))
+	j.InFlight = true
+	d.writer.HandleResult([]recordstore.Write{{J: j, V: &j.StoredValue, Part: recordstore.HeadIndex, Changed: j.ChangeCount}}, statestore.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 6}})
+	if len(d.jobs.ByID) != 0 {
 		t.Fatal("the job isn't over")
 	}
-	d.reader.adopt(ledger.Key("job-1"), old, 5)
-	if len(d.jobs.byID) != 0 {
+	d.reader.Adopt(ledger.Key("job-1"), old, 5)
+	if len(d.jobs.ByID) != 0 {
 		t.Fatal("an old event brought the job back")
 	}
 }
@@ -58,22 +60,22 @@
 	store := &commits{}
 	useStore(d, store)
 	content := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 2}, 1)
-	d.reader.adopt(ledger.Key("job-1"), content.Encode(), 5)
-	j := d.jobs.byID["job-1"]
-	d.jobs.place(j, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1})
-	d.writer.commit()
+	d.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
+	j := d.jobs.ByID["job-1"]
+	d.jobs.AddPlacement(j, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1})
+	d.writer.Commit()
 	store.answer(statestore.Reply[protocol.TxnAnswer]{})
-	if len(j.Placed) != 1 || j.reread || j.committed(j.Placed[0]) {
-		t.Fatalf("placed %v, to be read again %v", j.Placed, j.reread)
+	if len(j.Placed) != 1 || j.MustReload || j.Committed(j.Placed[0]) {
+		t.Fatalf("placed %v, to be read again %v", j.Placed, j.MustReload)
 	}
-	box.Now += retryDelay
-	d.writer.commit()
+	box.Now += term.RetryDelay
+	d.writer.Commit()
 	if len(store.txns) != 2 || fmt.Sprint(store.txns[0]) != fmt.Sprint(store.txns[1]) {
 		t.Fatalf("transactions %v", store.txns)
 	}
 	// The first has applied meanwhile: the record tells.
 	store.answer(statestore.Reply[protocol.TxnAnswer]{Status: 409, Value: protocol.TxnAnswer{Failed: []string{ledger.Key("job-1")}}})
-	if !j.reread {
+	if !j.MustReload {
 		t.Fatal("the record isn't read")
 	}
 }
@@ -82,12 +84,12 @@
 // final, whatever becomes of the change: the job's tasks needn't wait for its answer.
 func TestCancellationsDontWaitForChanges(t *testing.T) {
 	d, j, m, box := one(t)
-	d.reconciler.observe(m, report(1, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskRunning}))
-	j.inFlight = true
+	d.reconciler.Observe(m, report(1, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskRunning}))
+	j.InFlight = true
 	cancelled := *j.Job
 	cancelled.Status, cancelled.CancelledAt = protocol.StatusCancelled, int64(box.Now)
-	d.reader.adopt(ledger.Key("job-1"), cancelled.Encode(), 6)
-	if orders := d.commands.commandsFor(m, true); len(orders) != 1 || orders[0].Verb != protocol.VerbStop {
+	d.reader.Adopt(ledger.Key("job-1"), cancelled.Encode(), 6)
+	if orders := d.commands.CommandsFor(m, true); len(orders) != 1 || orders[0].Verb != protocol.VerbStop {
 		t.Fatalf("orders %v", orders)
 	}
 }
@@ -110,14 +112,14 @@
 		"unanswered, then another": {[]statestore.Reply[protocol.TxnAnswer]{unanswered, carriedOut}, 0},
 	} {
 		d, j, m, _ := one(t)
-		d.state.deposed = func(int64) {}
-		j.inFlight = true
-		d.reconciler.observe(m, report(1, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskExited, Cause: protocol.CauseStopped}))
+		d.state.Deposed = func(int64) {}
+		j.InFlight = true
+		d.reconciler.Observe(m, report(1, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskExited, Cause: protocol.CauseStopped}))
 		for i, answer := range c.answers {
-			j.inFlight = true
-			d.writer.committed([]write{{j: j, v: &j.storedValue, part: head, changed: j.changed - 1}}, answer)
-			if used := d.snapshots.snapshot().Teams[""].Used; i == len(c.answers)-1 && (j.taken() != c.taken || used.Cpus != float64(c.taken)*j.Spec.Cpus) {
-				t.Errorf("%s: %d places count, %v are used", name, j.taken(), used)
+			j.InFlight = true
+			d.writer.HandleResult([]recordstore.Write{{J: j, V: &j.StoredValue, Part: recordstore.HeadIndex, Changed: j.ChangeCount - 1}}, answer)
+			if used := d.snapshots.Snapshot().Teams[""].Used; i == len(c.answers)-1 && (j.PlacesTaken() != c.taken || used.Cpus != float64(c.taken)*j.Spec.Cpus) {
+				t.Errorf("%s: %d places count, %v are used", name, j.PlacesTaken(), used)
 			}
 		}
 	}
--- a/internal/dispatch/snapshot_test.go
+++ b/internal/leader/snapshot_test.go
@@ -1,4 +1,4 @@
-package dispatch
+package leader
 
 import (
 	"fmt"
@@ -18,14 +18,14 @@
 		"alike": func(*Leader) {},
 		"two ranks": func(d *Leader) {
 			urgent := ledger.New(protocol.JobSpec{ID: "job-2", Shape: protocol.ShapeArray, Rank: "urgent", Tasks: 1}, 1)
-			d.reader.adopt(ledger.Key("job-2"), urgent.Encode(), 6)
+			d.reader.Adopt(ledger.Key("job-2"), urgent.Encode(), 6)
 		},
-		"a guarantee": func(d *Leader) { d.state.settings.Deployment.Teams = []settings.Team{{Name: "a", Cpus: 1}} },
+		"a guarantee": func(d *Leader) { d.state.Settings.Deployment.Teams = []settings.Team{{Name: "a", Cpus: 1}} },
 	} {
 		d, _, _ := eightRunning()
 		change(d)
-		d.state.mailbox.(*actortest.Still).Now += 20 * clock.Second
-		for _, j := range d.snapshots.snapshot().Jobs {
+		d.state.Mailbox.(*actortest.Still).Now += 20 * clock.Second
+		for _, j := range d.snapshots.Snapshot().Jobs {
 			for _, r := range j.Running {
 				if known := r.Overhead == 20; known != (name != "alike") {
 					t.Errorf("%s: task %d loses %v s", name, r.Task, r.Overhead)
@@ -41,17 +41,17 @@
 func TestTheNextStartAimCounts(t *testing.T) {
 	d, j, _, box := one(t)
 	box.Now = 1000 * clock.Second
-	d.catalogue.list = []protocol.MachineType{{Name: "t", BootS: 30}}
-	d.state.settings.Deployment.Objectives = []settings.Objective{{Kind: "wait", Class: "late", WithinS: 120},
+	d.catalogue.Types = []protocol.MachineType{{Name: "t", BootS: 30}}
+	d.state.Settings.Deployment.Objectives = []settings.Objective{{Kind: "wait", Class: "late", WithinS: 120},
 		{Kind: "wait", Class: "late", WithinS: 300}, {Kind: "wait", Class: "soon", WithinS: 5}}
-	d.catalogue.list[0].FetchGBPerS = 0.25
+	d.catalogue.Types[0].FetchGBPerS = 0.25
 	for _, c := range []struct {
 		class         string
 		age, gb, left float64
 	}{{"late", 50, 0, 70}, {"late", 130, 0, 110}, {"late", 250, 0, -10}, {"none", 100, 0, 140}, {"soon", 1, 0, 239},
 		{"none", 100, 20, 60}} { // its image takes 80 s
 		j.Spec.Class, j.Spec.ImageGB, j.SubmittedAt = c.class, c.gb, int64(box.Now-clock.FromSeconds(c.age))
-		if left := d.objectives.startLeft(j); left != c.left {
+		if left := d.objectives.StartSlackS(j); left != c.left {
 			t.Errorf("%s at %v s has %v s left, not %v", c.class, c.age, left, c.left)
 		}
 	}
@@ -61,19 +61,19 @@
 // within a few plans, not by a plan for each machine.
 func TestSparedMachinesComeBackInFewPlans(t *testing.T) {
 	d, box := leader()
-	d.catalogue.byName = map[string]protocol.MachineType{"t": {Name: "t", Cpus: 8, MemoryGB: 32, Price: 1, SpotPrice: 1, Zones: []string{"a"}}}
-	d.catalogue.list = []protocol.MachineType{d.catalogue.byName["t"]}
+	d.catalogue.ByName = map[string]protocol.MachineType{"t": {Name: "t", Cpus: 8, MemoryGB: 32, Price: 1, SpotPrice: 1, Zones: []string{"a"}}}
+	d.catalogue.Types = []protocol.MachineType{d.catalogue.ByName["t"]}
 	const spared = 300
 	for i := range spared {
-		m := d.machines.get(fmt.Sprintf("m-%03d", i))
-		m.typ, m.zone, m.seen, m.epoch, m.heardAt, m.answeredAt, m.cordoned = "t", "a", true, 7, box.Now, box.Now, true
+		m := d.machines.GetOrAdd(fmt.Sprintf("m-%03d", i))
+		m.Type, m.Zone, m.Seen, m.Epoch, m.HeardAt, m.RespondedAt, m.Cordoned = "t", "a", true, 7, box.Now, box.Now, true
 	}
 	content := ledger.New(protocol.JobSpec{ID: "job-1", Team: "x", Shape: protocol.ShapeArray, Tasks: spared, Cpus: 8, MemoryGB: 1, EstimateS: 60}, 1)
-	d.state.settings.Deployment.State.ValueKb = 64
-	d.reader.adopt(ledger.Key("job-1"), content.Encode(), 5)
-	d.autoscaler.downUntil = box.Now + clock.Second
-	d.scheduler.schedule()
-	if placed := len(d.jobs.byID["job-1"].Placed); placed != spared || d.scheduler.plans > 12 {
-		t.Fatalf("%d of %d placed after %d plans", placed, spared, d.scheduler.plans)
+	d.state.Settings.Deployment.State.ValueKb = 64
+	d.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
+	d.autoscaler.DownUntil = box.Now + clock.Second
+	d.scheduler.Schedule()
+	if placed := len(d.jobs.ByID["job-1"].Placed); placed != spared || d.scheduler.Plans > 12 {
+		t.Fatalf("%d of %d placed after %d plans", placed, spared, d.scheduler.Plans)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -8,8 +8,9 @@
 	"postpoint/internal/cells"
 	"postpoint/internal/clock"
 	"postpoint/internal/cloud"
-	"postpoint/internal/dispatch"
 	"postpoint/internal/intake"
+	"postpoint/internal/leader"
+	"postpoint/internal/leader/federation"
 	"postpoint/internal/leadership"
 	"postpoint/internal/protocol"
 	"postpoint/internal/recovery"
@@ -37,7 +38,7 @@
 	// Cells lists the cells, nil if they are switched off; Exchange reaches them and answers into
 	// the mailbox of Dispatch.
 	Cells    *cells.Directory
-	Exchange dispatch.Exchanger
+	Exchange federation.Exchanger
 	// Recovery has the settings of recoveries from the loss of a zone, nil if they are switched off.
 	Recovery *recovery.Settings
 	// Everyone asks all nodes, given this one's own actor; ok tells that all have answered.
@@ -46,7 +47,7 @@
 
 // Node has the actors of one controller.
 type Node struct {
-	Dispatch   *dispatch.Leader
+	Dispatch   *leader.Leader
 	Leadership *leadership.Leadership
 	Intake     *intake.Intake
 	Rollout    *rollout.Rollout
@@ -57,7 +58,7 @@
 	n := &Node{}
 	boxes := e.Mailboxes
 	n.Intake = intake.New(boxes.Intake, e.Store(boxes.Intake), e.Settings, e.Forward)
-	n.Dispatch = dispatch.New(boxes.Dispatch, e.Store(boxes.Dispatch), e.Cloud, e.Agent, e.Settings,
+	n.Dispatch = leader.New(boxes.Dispatch, e.Store(boxes.Dispatch), e.Cloud, e.Agent, e.Settings,
 		func(epoch int64) { n.Leadership.Deposed(epoch) },
 		func() { n.Leadership.Resign() },
 		func(back clock.Micros, done func([]intake.Attestation, bool)) {
--- a/internal/testkit/deployment.go
+++ b/internal/testkit/deployment.go
@@ -8,8 +8,8 @@
 
 	"postpoint/internal/actor"
 	"postpoint/internal/clock"
-	"postpoint/internal/dispatch"
 	"postpoint/internal/intake"
+	"postpoint/internal/leader"
 	"postpoint/internal/leadership"
 	"postpoint/internal/node"
 	"postpoint/internal/planner"
@@ -31,7 +31,7 @@
 	Unanswered bool
 	// WithoutCells processes are started without a cells file.
 	WithoutCells bool
-	Dispatch     *dispatch.Leader
+	Dispatch     *leader.Leader
 	Intake       *intake.Intake
 	// reports and requests are the node as workers and users reach it.
 	reports  reportHandler
--- a/internal/testkit/recovery_test.go
+++ b/internal/testkit/recovery_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/dispatch"
 	"postpoint/internal/fleet"
+	"postpoint/internal/leader/overview"
 	"postpoint/internal/protocol"
 	"postpoint/internal/recovery"
 	"postpoint/internal/settings"
@@ -40,11 +40,11 @@
 }
 
 // zones is what the leader says of them, by name.
-func (d *Deployment) zones() map[string]dispatch.ZoneOverview {
-	all := map[string]dispatch.ZoneOverview{}
+func (d *Deployment) zones() map[string]overview.ZoneOverview {
+	all := map[string]overview.ZoneOverview{}
 	if n := d.Leader(); n != nil {
 		n.Dispatch.Overview(func(o any) {
-			for _, z := range o.(dispatch.Overview).Zones {
+			for _, z := range o.(overview.Overview).Zones {
 				all[z.Zone] = z
 			}
 		})
--- a/internal/testkit/scale_test.go
+++ b/internal/testkit/scale_test.go
@@ -5,8 +5,8 @@
 	"testing"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/dispatch"
 	"postpoint/internal/fleet"
+	"postpoint/internal/leader/overview"
 	"postpoint/internal/protocol"
 	"postpoint/internal/settings"
 )
@@ -86,7 +86,7 @@
 func (d *Deployment) mustHaveUsed(t *testing.T, most used) {
 	t.Helper()
 	plans := 0
-	d.Nodes[leading(t, d)].Dispatch.Overview(func(o any) { plans = o.(dispatch.Overview).Plans })
+	d.Nodes[leading(t, d)].Dispatch.Overview(func(o any) { plans = o.(overview.Overview).Plans })
 	d.World.Run(d.World.Now() + clock.Millisecond)
 	for _, x := range []struct {
 		what    string
--- a/internal/testkit/upgrade_test.go
+++ b/internal/testkit/upgrade_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/dispatch"
+	"postpoint/internal/leader/overview"
 	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
 	"postpoint/internal/settings"
@@ -110,7 +110,7 @@
 		t.Fatal("a service is accepted while a controller would take it for an array")
 	}
 	missing := []string{}
-	d.Nodes[0].Dispatch.Overview(func(o any) { missing = o.(dispatch.Overview).Missing })
+	d.Nodes[0].Dispatch.Overview(func(o any) { missing = o.(overview.Overview).Missing })
 	w.Run(w.Now() + clock.Second)
 	if !slices.Equal(missing, []string{behind.Name}) {
 		t.Errorf("missing: %v", missing)
