--- a/internal/dispatch/recoveryview.go
+++ b/internal/leader/overview/zoneoverview.go
@@ -1,9 +1,13 @@
-package dispatch
+package overview
 
 import (
 	"log/slog"
 
 	"postpoint/internal/fleet"
+	"postpoint/internal/leader/jobtable"
+	"postpoint/internal/leader/machinetable"
+	"postpoint/internal/leader/zonetracker"
+	"postpoint/internal/ordered"
 	"postpoint/internal/planner"
 	"postpoint/internal/recovery"
 )
@@ -39,33 +43,33 @@
 const maxWaiting = 20
 
 // zonesOverview is empty unless recoveries are switched on.
-func (d *Dispatch) zonesOverview() []ZoneOverview {
-	if d.recovery.settings == nil {
+func (ov *Reader) zonesOverview() []ZoneOverview {
+	if ov.zones.Options == nil {
 		return nil
 	}
 	var all []ZoneOverview
-	for name, z := range inOrder(d.recovery.zones) {
-		o := ZoneOverview{Zone: name, Phase: z.Phase, Number: z.Number, SinceS: (d.now() - z.Since).Seconds(), Reading: z.Reading, Flaps: z.Flaps,
-			Machines: z.evidence.Machines, Heard: z.evidence.Heard, Controllers: z.evidence.Controllers, Reached: z.evidence.Reached,
-			Elsewhere: z.evidence.Elsewhere}
-		for _, m := range d.roster {
-			if m.zone != name || !d.late(m) {
+	for name, z := range ordered.ByKey(ov.zones.Zones) {
+		o := ZoneOverview{Zone: name, Phase: z.Phase, Number: z.Number, SinceS: (ov.Now() - z.Since).Seconds(), Reading: z.Reading, Flaps: z.Flaps,
+			Machines: z.Evidence.Machines, Heard: z.Evidence.Heard, Controllers: z.Evidence.Controllers, Reached: z.Evidence.Reached,
+			Elsewhere: z.Evidence.Elsewhere}
+		for _, m := range ov.machines.Ordered {
+			if m.Zone != name || !ov.machines.Late(m) {
 				continue
 			}
-			for _, tasks := range m.placed {
+			for _, tasks := range m.Placements {
 				o.Held += len(tasks)
 			}
 		}
 		var waiting []recovery.Displaced
-		for _, j := range inOrder(d.jobs) {
-			if j.Displaced == name && !j.over() && j.PendingCount() > 0 {
+		for _, j := range ordered.ByKey(ov.jobs.ByID) {
+			if j.Displaced == name && !j.Over() && j.PendingCount() > 0 {
 				o.Displaced += j.PendingCount()
-				waiting = append(waiting, d.displacedWork(j))
+				waiting = append(waiting, ov.zones.DisplacedWork(j))
 			}
 		}
-		recovery.Sort(waiting, d.recovery.settings.Order)
+		recovery.Sort(waiting, ov.zones.Options.Order)
 		for _, w := range waiting[:min(len(waiting), maxWaiting)] {
-			o.Waiting = append(o.Waiting, WaitingJob{w.Job, w.Kind, w.Tasks, d.whyWaiting(d.jobs[w.Job])})
+			o.Waiting = append(o.Waiting, WaitingJob{w.Job, w.Kind, w.Tasks, ov.whyWaiting(ov.jobs.ByID[w.Job])})
 		}
 		all = append(all, o)
 	}
@@ -73,28 +77,28 @@
 }
 
 // whyWaiting says what a displaced job waits for.
-func (d *Dispatch) whyWaiting(j *job) string {
+func (ov *Reader) whyWaiting(j *jobtable.Job) string {
 	s := &j.Spec
 	switch {
-	case d.awaitsTurn(j):
+	case ov.zones.AwaitsClearance(j):
 		return "its turn"
-	case s.Zone != "" && d.zoneAvoided(s.Zone):
+	case s.Zone != "" && ov.zones.Avoided(s.Zone):
 		return "its zone"
-	case d.underLimit(j) == 0:
+	case ov.jobs.TasksWithinQuota(j) == 0:
 		return "its team's limit"
 	case s.Gang() && len(j.Placed) > 0:
 		return "the rest of the gang to end"
-	case s.Spread && !d.zoneLeft(j):
+	case s.Spread && !ov.zoneLeft(j):
 		return "a zone that spreading allows"
-	case d.now() < j.notBefore:
+	case ov.Now() < j.NotBefore:
 		return "a pause after failed starts"
 	}
-	refused, rentable := d.market().Refused, false
-	for _, t := range d.catalogue {
+	refused, rentable := ov.autoscaler.Market().Refused, false
+	for _, t := range ov.catalogue.Types {
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{false, true} {
 				k := fleet.Kind{Type: t.Name, Zone: zone, Spot: spot}
-				rentable = rentable || !refused[k] && typeHolds(t, s) && planner.Allowed(s, t.Name, zone, spot)
+				rentable = rentable || !refused[k] && machinetable.TypeHolds(t, s) && planner.Allowed(s, t.Name, zone, spot)
 			}
 		}
 	}
@@ -105,11 +109,11 @@
 }
 
 // zoneLeft tells that some zone that isn't avoided would take a task of a job.
-func (d *Dispatch) zoneLeft(j *job) bool {
-	zones := d.zonesOf(j)
-	for _, t := range d.catalogue {
+func (ov *Reader) zoneLeft(j *jobtable.Job) bool {
+	zones := ov.jobs.ZonesOf(j)
+	for _, t := range ov.catalogue.Types {
 		for _, zone := range t.Zones {
-			if !d.zoneAvoided(zone) && planner.ZoneAllowed(&j.Spec, zones, zone) {
+			if !ov.zones.Avoided(zone) && planner.ZoneAllowed(&j.Spec, zones, zone) {
 				return true
 			}
 		}
@@ -117,13 +121,13 @@
 	return false
 }
 
-// logRecovery tells an operator now and then how recoveries stand.
-func (d *Dispatch) logRecovery() {
-	if d.now() < d.recovery.logAt+recoveryLogTime || !d.anyAvoided() {
+// LogRecovery tells an operator now and then how recoveries stand.
+func (ov *Reader) LogRecovery() {
+	if ov.Now() < ov.recoveryLoggedAt+zonetracker.RecoveryLogTime || !ov.zones.AnyAvoided() {
 		return
 	}
-	d.recovery.logAt = d.now()
-	for _, o := range d.zonesOverview() {
+	ov.recoveryLoggedAt = ov.Now()
+	for _, o := range ov.zonesOverview() {
 		if o.Phase == recovery.Healthy {
 			continue
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -8,8 +8,9 @@
 	"postpoint/internal/cells"
 	"postpoint/internal/clock"
 	"postpoint/internal/cloud"
-	"postpoint/internal/dispatch"
 	"postpoint/internal/intake"
+	"postpoint/internal/leader"
+	"postpoint/internal/leader/federation"
 	"postpoint/internal/leadership"
 	"postpoint/internal/protocol"
 	"postpoint/internal/recovery"
@@ -37,7 +38,7 @@
 	// Cells lists the cells, nil if they are switched off; Exchange reaches them and answers into
 	// the mailbox of Dispatch.
 	Cells    *cells.Directory
-	Exchange dispatch.Exchanger
+	Exchange federation.Exchanger
 	// Recovery has the settings of recoveries from the loss of a zone, nil if they are switched off.
 	Recovery *recovery.Settings
 	// Everyone asks all nodes, given this one's own actor; ok tells that all have answered.
@@ -46,7 +47,7 @@
 
 // Node has the actors of one controller.
 type Node struct {
-	Dispatch   *dispatch.Dispatch
+	Dispatch   *leader.Leader
 	Leadership *leadership.Leadership
 	Intake     *intake.Intake
 	Rollout    *rollout.Rollout
@@ -57,7 +58,7 @@
 	n := &Node{}
 	boxes := e.Mailboxes
 	n.Intake = intake.New(boxes.Intake, e.Store(boxes.Intake), e.Settings, e.Forward)
-	n.Dispatch = dispatch.New(boxes.Dispatch, e.Store(boxes.Dispatch), e.Cloud, e.Agent, e.Settings,
+	n.Dispatch = leader.New(boxes.Dispatch, e.Store(boxes.Dispatch), e.Cloud, e.Agent, e.Settings,
 		func(epoch int64) { n.Leadership.Deposed(epoch) },
 		func() { n.Leadership.Resign() },
 		func(back clock.Micros, done func([]intake.Attestation, bool)) {
@@ -69,8 +70,8 @@
 	n.Leadership = leadership.New(boxes.Leadership, e.Store(boxes.Leadership), e.Leadership,
 		func(t leadership.Term) {
 			n.Intake.Elected(t.Epoch) // first: nothing is vouched for after the term has begun
-			n.Dispatch.Term(t)
-		}, n.Dispatch.Leader)
+			n.Dispatch.SetTerm(t)
+		}, n.Dispatch.SetLeader)
 	n.Intake.ZoneReportsFrom(n.Dispatch.ZoneReports)
 	if e.Recovery != nil {
 		n.Dispatch.Recover(e.Recovery, func(done func([]intake.ZoneReports)) {
@@ -87,7 +88,7 @@
 	n.Rollout = rollout.New(boxes.Rollout, e.Store(boxes.Rollout), e.Settings.Node, e.Settings.Nodes(), format,
 		n.Leadership.Start, // what this node writes comes after the format that it reads
 		func(s rollout.Status) {
-			n.Dispatch.Format(s)
+			n.Dispatch.SetFormat(s)
 			n.Intake.Format(s)
 		})
 	return n
