--- /dev/null
+++ b/cmd/loadtool/digest.go
@@ -0,0 +1,76 @@
+package main
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"fmt"
+	"hash"
+
+	"postpoint/internal/clock"
+	"postpoint/internal/testkit"
+)
+
+// digestCommand prints a hash of all that controllers send, store and answer on days of random
+// load and failures. It stays the same as long as they do exactly the same.
+type digestCommand struct {
+	Seeds     uint64 `help:"How many days of each kind are played." default:"8"`
+	FirstSeed uint64 `help:"The first day's seed." default:"1"`
+	Parallel  int    `help:"How many days are played at a time." default:"4"`
+}
+
+// digest hashes the messages of one day in the order in which it is told of them.
+type digest struct {
+	hash     hash.Hash
+	messages int
+}
+
+func newDigest() *digest { return &digest{hash: sha256.New()} }
+
+// Record adds a message.
+func (d *digest) Record(at clock.Micros, controller, kind string, content []byte) {
+	d.messages++
+	d.add(binary.BigEndian.AppendUint64(nil, uint64(at)))
+	d.add([]byte(controller))
+	d.add([]byte(kind))
+	d.add(content)
+}
+
+// add takes a field in after its length, so that no two sequences of fields look alike.
+func (d *digest) add(field []byte) {
+	d.hash.Write(binary.BigEndian.AppendUint32(nil, uint32(len(field))))
+	d.hash.Write(field)
+}
+
+// digestBytes is how much of the hash is printed.
+const digestBytes = 16
+
+// String is the beginning of the hash in hexadecimal digits.
+func (d *digest) String() string { return fmt.Sprintf("%x", d.hash.Sum(nil)[:digestBytes]) }
+
+// digestDay plays a day and describes it in one line.
+func digestDay(kind testkit.Kind, seed uint64) string {
+	d := newDigest()
+	kind.Play(seed, d)
+	return fmt.Sprintf("%s %d %s messages=%d", kind.Name, seed, d, d.messages)
+}
+
+// Run prints a line for each day, in the order of kinds and seeds.
+func (c *digestCommand) Run() error {
+	slots := make(chan struct{}, max(1, c.Parallel))
+	var lines []chan string
+	for _, kind := range testkit.Kinds {
+		for seed := c.FirstSeed; seed < c.FirstSeed+c.Seeds; seed++ {
+			line := make(chan string, 1)
+			lines = append(lines, line)
+			go func() {
+				slots <- struct{}{}
+				defer func() { <-slots }()
+				line <- digestDay(kind, seed)
+			}()
+		}
+	}
+	for _, line := range lines {
+		fmt.Println(<-line)
+	}
+	return nil
+}
--- a/cmd/loadtool/main.go
+++ b/cmd/loadtool/main.go
@@ -1,5 +1,6 @@
 // Command loadtool plays loads and faults on the simulated clock, against this repository's
-// stand-ins, and writes what it measured as a page with plots. Its figures are simulated.
+// stand-ins, and writes what it measured as a page with plots, or a hash of what controllers
+// did. Its figures are simulated.
 package main
 
 import (
@@ -9,7 +10,8 @@
 )
 
 type commandLine struct {
-	Cells cellsCommand `cmd:"" help:"Three cells of which one is filled, with and without spilling."`
+	Cells  cellsCommand  `cmd:"" help:"Three cells of which one is filled, with and without spilling."`
+	Digest digestCommand `cmd:"" help:"A hash of all that controllers do on each of many days."`
 }
 
 func main() {
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -57,6 +57,12 @@
 	return payload, nil
 }
 
+// RequestFrame is what passes to another node for a request.
+func RequestFrame(r intake.Request) []byte { return frame(encodeRequest(r)) }
+
+// AnswerFrame is what passes back for an answer.
+func AnswerFrame(a intake.Answer) []byte { return frame(encodeAnswer(a)) }
+
 func encodeRequest(r intake.Request) []byte {
 	b := []byte{byte(r.Kind)}
 	b = binary.BigEndian.AppendUint16(b, uint16(len(r.ID)))
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -153,6 +153,6 @@
 	}
 	answered := make(chan intake.Answer, 1)
 	in.Handle(r, func(a intake.Answer) { answered <- a })
-	_, err = c.Write(frame(encodeAnswer(<-answered)))
+	_, err = c.Write(AnswerFrame(<-answered))
 	return err
 }
--- a/internal/testkit/cells.go
+++ b/internal/testkit/cells.go
@@ -135,7 +135,7 @@
 			return
 		}
 		target.proc.run(func() {
-			target.Dispatch.Exchange(report, func(a delegation.Answer, ok bool) {
+			target.exchanges.Exchange(report, func(a delegation.Answer, ok bool) {
 				if target.Cells.Cut || x.n.Unanswered {
 					return
 				}
--- a/internal/testkit/cells_test.go
+++ b/internal/testkit/cells_test.go
@@ -9,33 +9,8 @@
 	"postpoint/internal/delegation"
 	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
-	"postpoint/internal/settings"
 )
 
-const (
-	groupGuests = "guests = { cpus = 400.0, gpus = 16.0 }"
-	groupRules  = `
-[[spill]]
-from = "alpha"
-to = ["beta", "gamma"]
-[[spill]]
-from = "beta"
-to = ["alpha", "gamma"]
-[[spill]]
-from = "gamma"
-to = ["alpha", "beta"]
-`
-)
-
-// group is three cells that help each other.
-func group(w *World, loss float64) *Group {
-	var sets []*settings.Settings
-	for range 3 {
-		sets = append(sets, testSettings())
-	}
-	return NewGroup(w, sets, testTypes(), groupGuests, groupRules, loss)
-}
-
 // flood submits n arrays of 20 tasks of 30 s, far more than a cell has machines for, and
 // some gangs among them.
 func flood(d *Deployment, n int) []*Job {
@@ -63,7 +38,7 @@
 func TestWorkSpillsAndCompletesOnce(t *testing.T) {
 	t.Parallel()
 	w := NewWorld(300)
-	g := group(w, 0)
+	g := group(w, groupGuests, 0)
 	h := NewHistory(w, g.Cells...)
 	w.Run(20 * clock.Second)
 	jobs := flood(g.Cells[0], 30)
@@ -77,79 +52,6 @@
 	}
 }
 
-// cellTrouble starts a failure between cells or, mostly, within one, and ends it later.
-func cellTrouble(g *Group) {
-	d := g.Cells[0].World.Rand.IntN(len(g.Cells))
-	cell, w := g.Cells[d], g.Cells[0].World
-	long := w.Between(2*clock.Second, 60*clock.Second)
-	switch w.Rand.IntN(8) {
-	case 0, 1:
-		// A cell is cut off from the others, which may hold what is sent.
-		w.After(long, cell.CutOff(w.chance(0.5)))
-	case 2:
-		for _, n := range cell.Nodes {
-			n.Unanswered = true
-			w.After(long, func() { n.Unanswered = false })
-		}
-	case 3:
-		// All of a cell's controllers are away for a while.
-		for _, n := range cell.Nodes {
-			n.Crash()
-			w.After(long, func() { cell.StartNode(n) })
-		}
-	default:
-		trouble(cell)
-	}
-}
-
-// playGroup runs a day of three cells, of which the first has far too much to do.
-func playGroup(seed uint64) (*Group, *History) {
-	w := NewWorld(seed)
-	const day = 240 * clock.Second
-	g := group(w, 0.01)
-	h := NewHistory(w, g.Cells...)
-	for _, d := range g.Cells {
-		d.WatchService()
-	}
-	for i := range 60 {
-		w.After(w.Between(0, day), func() {
-			d := g.Cells[0]
-			if w.chance(0.3) {
-				d = g.Cells[w.Rand.IntN(3)]
-			}
-			s := randomSpec(w, i%40) // ids are the same in several cells
-			if d.jobs[s.ID] != nil {
-				return
-			}
-			// A large array fills its team's limit for long, which WatchRoom doesn't know of.
-			s.Team = "open"
-			if w.chance(0.3) && s.Tasks < 40 {
-				s.Team = "limited"
-			}
-			j := d.Submit(s, w.Between(5*clock.Second, 60*clock.Second), false)
-			if w.chance(0.25) {
-				w.After(w.Between(0, 90*clock.Second), func() { d.Cancel(j) })
-			}
-		})
-	}
-	for range 12 {
-		w.After(w.Between(20*clock.Second, day), func() {
-			cellTrouble(g)
-			w.After(w.Between(0, 4*clock.Second), func() { cellTrouble(g) })
-		})
-	}
-	w.Run(day + 90*clock.Second)
-	for _, d := range g.Cells {
-		for _, n := range d.Nodes {
-			d.StartNode(n)
-		}
-		d.WatchAnswers()
-		d.WatchRoom()
-	}
-	w.Run(day + 900*clock.Second)
-	return g, h
-}
-
 // Cells keep every rule, each for itself and all together, through random troubles, and
 // complete every job exactly once.
 func TestCellsHoldThroughTroubles(t *testing.T) {
@@ -157,7 +59,9 @@
 	for seed := range seeds(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			g, h := playGroup(1000 + seed)
+			g := group(NewWorld(1000+seed), groupGuests, 0.01)
+			h := NewHistory(g.Cells[0].World, g.Cells...)
+			g.play()
 			var jobs []*Job
 			for _, d := range g.Cells {
 				if left := d.Unfinished(); len(left) > 0 {
--- a/internal/testkit/cellscenes_test.go
+++ b/internal/testkit/cellscenes_test.go
@@ -194,14 +194,6 @@
 	},
 }
 
-// endLeader ends the leader's process; it comes back after a while.
-func (d *Deployment) endLeader(away clock.Micros) {
-	if n := d.Leader(); n != nil {
-		n.Crash()
-		d.World.After(away, func() { d.StartNode(n) })
-	}
-}
-
 func (d *Deployment) restart(away clock.Micros) {
 	for _, n := range d.Nodes {
 		n.Crash()
--- a/internal/testkit/deployment.go
+++ b/internal/testkit/deployment.go
@@ -8,6 +8,7 @@
 
 	"postpoint/internal/actor"
 	"postpoint/internal/clock"
+	"postpoint/internal/delegation"
 	"postpoint/internal/dispatch"
 	"postpoint/internal/intake"
 	"postpoint/internal/leadership"
@@ -36,7 +37,10 @@
 	// reports and requests are the node as workers and users reach it.
 	reports  reportHandler
 	requests requestHandler
-	runs     int
+	// peers is the node as the other nodes reach it, exchanges as other cells do.
+	peers     requestHandler
+	exchanges exchangeHandler
+	runs      int
 	// Old processes publish no format, like those of the version before: the others keep
 	// to the first format for their sake.
 	Old bool
@@ -52,6 +56,11 @@
 	Handle(r intake.Request, reply func(intake.Answer))
 }
 
+// exchangeHandler answers other cells.
+type exchangeHandler interface {
+	Exchange(r delegation.Report, reply func(a delegation.Answer, ok bool))
+}
+
 // Deployment is a whole deployment in a world.
 type Deployment struct {
 	// group has the other cells, nil for a deployment on its own.
@@ -140,7 +149,7 @@
 	n.proc = p
 	n.runs++
 	set := d.settingsOf(n)
-	actors := node.New(node.Environment{
+	environment := node.Environment{
 		Settings:   set,
 		Cells:      d.group.directory(d, n, set),
 		Exchange:   &cellClient{d, n, p},
@@ -152,9 +161,16 @@
 		Forward:    func(r intake.Request, done func(intake.Answer, bool)) { d.forward(n, r, done) },
 		Recovery:   d.Recovery,
 		Everyone:   func(_ *intake.Intake, r intake.Request, done func([]intake.Answer, bool)) { d.everyone(n, r, done) },
-	})
+	}
+	if d.World.Recorder != nil {
+		d.recordingOf(n).requestsOf(&environment)
+	}
+	actors := node.New(environment)
 	n.Dispatch, n.Intake = actors.Dispatch, actors.Intake
-	n.reports, n.requests = n.Dispatch, n.Intake
+	n.reports, n.requests, n.peers, n.exchanges = n.Dispatch, n.Intake, n.Intake, n.Dispatch
+	if d.World.Recorder != nil {
+		d.recordingOf(n).requestsTo(n)
+	}
 	if n.Old {
 		actors.StartUnpublished()
 	} else {
@@ -215,7 +231,7 @@
 func (n *Node) asks(o *Node, r intake.Request, done func(a intake.Answer, ok bool)) {
 	n.Peers.call(n.proc, clock.Second, func(answer func(func())) {
 		if !o.Peers.Cut {
-			o.Intake.Handle(r, func(a intake.Answer) { answer(func() { done(a, true) }) })
+			o.peers.Handle(r, func(a intake.Answer) { answer(func() { done(a, true) }) })
 		}
 	}, func() { done(intake.Answer{}, false) })
 }
--- /dev/null
+++ b/internal/testkit/formatcheck.go
@@ -0,0 +1,64 @@
+package testkit
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+
+	"github.com/vmihailenco/msgpack/v5"
+
+	"postpoint/internal/ledger"
+	"postpoint/internal/protocol"
+)
+
+// checkFormat sees to it that nothing but the first format is stored until all controllers
+// have published that they read the next.
+func (d *Deployment) checkFormat(key string, value []byte) {
+	if _, open := d.State.keys["rollout/gate"]; open {
+		return
+	}
+	if strings.HasPrefix(key, ledger.PartsPrefix) {
+		d.World.Break("old_format", "%s", key)
+	}
+	if strings.HasPrefix(key, ledger.Prefix) {
+		if err := readFirstFormat(value); err != nil {
+			d.World.Break("old_format", "%s: %v", key, err)
+		}
+	}
+}
+
+// firstFormat is a record as the first version reads it.
+type firstFormat struct {
+	Spec struct {
+		Shape string
+		Legs  int
+	} `msgpack:"spec"`
+	Status string   `msgpack:"status"`
+	Done   string   `msgpack:"done"`
+	Placed []string `msgpack:"placed"`
+}
+
+// readFirstFormat reads a record as strictly as the first version does: four fields in
+// each placement.
+func readFirstFormat(value []byte) error {
+	var r firstFormat
+	if err := msgpack.Unmarshal(value, &r); err != nil {
+		return err
+	}
+	if r.Spec.Shape == protocol.ShapeService {
+		return errors.New("a service, which it takes for an array")
+	}
+	for _, text := range r.Placed {
+		fields := strings.Fields(text)
+		if len(fields) != 4 {
+			return fmt.Errorf("placement %q", text)
+		}
+		for _, number := range fields[1:3] {
+			if _, err := strconv.ParseInt(number, 10, 64); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/testkit/kinds.go
@@ -0,0 +1,250 @@
+package testkit
+
+import (
+	"postpoint/internal/clock"
+	"postpoint/internal/intake"
+	"postpoint/internal/protocol"
+	"postpoint/internal/recovery"
+	"postpoint/internal/settings"
+)
+
+// Kind is a kind of days of random load and random failures.
+type Kind struct {
+	Name string
+	// play plays a day, and returns the deployments. Some kinds differ for odd seeds.
+	play func(w *World, odd bool) []*Deployment
+}
+
+// longestTask is what a task runs at most.
+const longestTask = 300 * clock.Second
+
+// Kinds are all kinds of days.
+var Kinds = []Kind{
+	{"plain", playPlain},
+	{"services", playServices},
+	{"divided", playDivided},
+	{"cells", playCells},
+	{"recovery", playRecovery},
+	{"upgrade", playUpgrade},
+}
+
+// Play plays the day with a seed and tells the recorder of all messages, and in the end of all
+// that the state services keep.
+func (k Kind) Play(seed uint64, r Recorder) *World {
+	w := NewWorld(seed)
+	w.Recorder = r
+	for _, d := range k.play(w, seed%2 == 1) {
+		d.recordStored()
+	}
+	return w
+}
+
+// playPlain plays arrays and gangs, with deadlines and objectives.
+func playPlain(w *World, _ bool) []*Deployment {
+	set := testSettings()
+	set.Deployment.Objectives = []settings.Objective{
+		{Kind: "finished", Class: "c", WithinS: 60, Share: 0.9},
+		{Kind: "wait", Class: "c", WithinS: 20, Share: 0.5},
+		{Kind: "deadline", Class: "c", Times: 2, Share: 0.9},
+	}
+	d := NewDeployment(w, set, testTypes(), 0.01)
+	d.State.Limit(set.Deployment.State, true)
+	d.inspect()
+	workload{spec: withDeadlines, longest: longestTask}.play(d)
+	return []*Deployment{d}
+}
+
+// withDeadlines gives some jobs a deadline, which not all of them can keep, and some an estimate
+// that is far too long.
+func withDeadlines(w *World, n int) protocol.JobSpec {
+	s := randomSpec(w, n)
+	if w.chance(0.4) {
+		deadline := w.Between(10*clock.Second, 200*clock.Second).Seconds()
+		s.DeadlineS = &deadline
+	}
+	if w.chance(0.4) {
+		s.EstimateS, s.CheckpointS = 300, 5
+	}
+	return s
+}
+
+// playServices plays mostly services, and has the cloud announce which machines it takes.
+func playServices(w *World, _ bool) []*Deployment {
+	d := NewDeployment(w, testSettings(), testTypes(), 0.01)
+	d.State.Limit(d.Settings.Deployment.State, false)
+	d.inspect()
+	for range 8 {
+		w.After(w.Between(30*clock.Second, dayLength), func() {
+			if up := d.Workers(); len(up) > 0 {
+				d.Recall(up[w.Rand.IntN(len(up))], w.Between(15*clock.Second, 60*clock.Second))
+			}
+		})
+	}
+	workload{services: 0.6, spec: randomSpec, longest: longestTask}.play(d)
+	return []*Deployment{d}
+}
+
+// playDivided plays large jobs whose records have to be divided for the small values that the
+// state service takes. It takes less still some time later, and then less than was announced,
+// and leaders end while they divide records.
+func playDivided(w *World, _ bool) []*Deployment {
+	set := testSettings()
+	set.Deployment.State.ValueKb = 4
+	announceTighterLimits(set)
+	d := NewDeployment(w, set, testTypes(), 0.01)
+	d.State.Limit(set.Deployment.State, false)
+	w.After(w.Between(0, dayLength), func() {
+		d.State.Limit(set.Deployment.State.Tightest(), true)
+		w.After(w.Between(0, 60*clock.Second), func() { d.State.ValueBytes, d.State.TxnOps = 1500, 3 })
+	})
+	d.endLeaders(6)
+	d.inspect()
+	workload{services: 0.05, spec: mostlyLarge, longest: longestTask}.play(d)
+	return []*Deployment{d}
+}
+
+// mostlyLarge makes half of the jobs large arrays of small tasks.
+func mostlyLarge(w *World, n int) protocol.JobSpec {
+	s := randomSpec(w, n)
+	if w.chance(0.5) {
+		s.Shape, s.Team, s.Tasks = protocol.ShapeArray, "open", 60+w.Rand.IntN(300)
+		s.Cpus, s.MemoryGB, s.Gpus = 1, 1, 0
+		s.OneZone, s.Spread, s.Zone = false, false, ""
+	}
+	return s
+}
+
+// tightGuests let cells take little, and keep some room for themselves.
+const tightGuests = "guests = { cpus = 24.0, gpus = 1.0 }\nreserve = { cpus = 6.0 }"
+
+// playCells plays three cells that take work of each other, on odd days little of it.
+func playCells(w *World, odd bool) []*Deployment {
+	guests := groupGuests
+	if odd {
+		guests = tightGuests
+	}
+	g := group(w, guests, 0.01)
+	for _, d := range g.Cells {
+		d.inspect()
+		if odd {
+			d.writeLate(w.Between(20*clock.Second, dayLength))
+		}
+	}
+	g.play()
+	return g.Cells
+}
+
+// recoveryFile keeps some room for the loss of a zone, and lets lost work start slowly.
+const recoveryFile = "tasks_per_s = 4\n[reserve]\nshare = 0.3\n"
+
+// recoveryOn are the settings of recoveries, or those of the file.
+func recoveryOn(set *settings.Settings, fromFile bool) *recovery.Settings {
+	if !fromFile {
+		s := recovery.Defaults()
+		return &s
+	}
+	parsed, err := recovery.Parse([]byte(recoveryFile), set)
+	if err != nil {
+		panic(err)
+	}
+	return parsed
+}
+
+// playRecovery plays zones that are lost and come back, with recoveries switched on, and leaders
+// that end meanwhile.
+func playRecovery(w *World, odd bool) []*Deployment {
+	set := testSettings()
+	set.Deployment.Zones = []string{"a", "b"}
+	d := prepare(w, set, testTypes(), 0.01, false)
+	d.Recovery = recoveryOn(set, odd)
+	for _, n := range d.Nodes {
+		d.StartNode(n)
+	}
+	d.inspect()
+	d.cutZonesSometimes()
+	d.endLeaders(4)
+	if odd {
+		d.writeLate(w.Between(20*clock.Second, dayLength))
+	}
+	workload{services: 0.15, spec: randomSpec, longest: longestTask, ownClasses: true}.play(d)
+	return []*Deployment{d}
+}
+
+// playUpgrade plays a deployment of which controllers of the version before are replaced one
+// after another, with some time on their own in between.
+func playUpgrade(w *World, odd bool) []*Deployment {
+	set := testSettings()
+	announceTighterLimits(set)
+	d := NewOldDeployment(w, set, testTypes(), 0.01)
+	d.State.Limit(set.Deployment.State, false)
+	d.State.CheckPut = d.checkFormat
+	upgrade := w.Between(10*clock.Second, dayLength/2)
+	w.After(upgrade, func() {
+		d.Upgrade(w.Between(5*clock.Second, 40*clock.Second), w.Between(50*clock.Millisecond, 6*clock.Second))
+	})
+	d.endLeaders(4)
+	if odd {
+		d.writeLate(upgrade)
+	}
+	w.After(w.Between(0, dayLength), func() { d.State.Limit(set.Deployment.State.Tightest(), true) })
+	d.inspect()
+	workload{services: 0.15, spec: mostlyLarge, longest: longestTask}.play(d)
+	return []*Deployment{d}
+}
+
+// cutZonesSometimes cuts a zone off three times a day.
+func (d *Deployment) cutZonesSometimes() {
+	w := d.World
+	for range 3 {
+		w.After(w.Between(30*clock.Second, dayLength), func() {
+			long := w.Between(2*clock.Second, 60*clock.Second)
+			w.After(long, d.CutZone([]string{"a", "b"}[w.Rand.IntN(2)], w.chance(0.5)))
+		})
+	}
+}
+
+// endLeaders ends so many leaders at random times.
+func (d *Deployment) endLeaders(n int) {
+	w := d.World
+	for range n {
+		w.After(w.Between(20*clock.Second, dayLength), func() {
+			d.endLeader(w.Between(clock.Second, 8*clock.Second))
+		})
+	}
+}
+
+// writeLate has the state service carry many transactions out late, from a time on for a while.
+func (d *Deployment) writeLate(from clock.Micros) {
+	d.World.After(from, func() { d.State.LateWrites = 0.2 })
+	d.World.After(from+90*clock.Second, func() { d.State.LateWrites = 0 })
+}
+
+// inspect asks every controller now and again what operators, load balancers and users ask.
+func (d *Deployment) inspect() {
+	const period = 10 * clock.Second
+	asked := 0
+	d.World.After(period, func() {
+		d.World.Every(period, func() {
+			for _, n := range d.Nodes {
+				if n.Up() {
+					d.inspectNode(n, asked)
+					asked++
+				}
+			}
+		})
+	})
+}
+
+// inspectNode asks one controller, and about the job whose turn it is or one that doesn't exist.
+func (d *Deployment) inspectNode(n *Node, asked int) {
+	if d.World.Recorder != nil {
+		of := d.recordingOf(n)
+		n.Dispatch.Overview(of.recordOverview)
+		n.Intake.Ready(func(ready bool) { of.record("ready", ready) })
+	}
+	id := "job-none"
+	if jobs := d.Jobs(); asked%5 != 0 && len(jobs) > 0 {
+		id = jobs[asked%len(jobs)].spec.ID
+	}
+	d.askNode(n, intake.Request{Kind: intake.Show, ID: id}, func(int, protocol.JobStatus) {})
+}
--- a/internal/testkit/meetings_test.go
+++ b/internal/testkit/meetings_test.go
@@ -17,12 +17,6 @@
 // These scenes bring about the meetings of two troubles in which rules broke:
 // see the table in docs/rules.md.
 
-// array is a job of independent tasks that nothing is wished for.
-func array(id, team string, tasks int, cpus, seconds float64) protocol.JobSpec {
-	return protocol.JobSpec{ID: id, Class: "c", Team: team, Shape: protocol.ShapeArray, Rank: "normal",
-		Tasks: tasks, Cpus: cpus, MemoryGB: 1, Image: "i", EstimateS: seconds}
-}
-
 // twoJobs is a deployment on which one job to be cancelled and one to go on run for a
 // long time.
 func twoJobs(t *testing.T, seed uint64, run clock.Micros) (w *World, d *Deployment, cancelled, other *Job) {
--- /dev/null
+++ b/internal/testkit/record.go
@@ -0,0 +1,257 @@
+package testkit
+
+import (
+	"encoding/json"
+	"maps"
+	"slices"
+
+	"postpoint/internal/actor"
+	"postpoint/internal/agent"
+	"postpoint/internal/clock"
+	"postpoint/internal/cloud"
+	"postpoint/internal/delegation"
+	"postpoint/internal/dispatch"
+	"postpoint/internal/intake"
+	"postpoint/internal/node"
+	"postpoint/internal/peer"
+	"postpoint/internal/protocol"
+	"postpoint/internal/statestore"
+)
+
+// Recorder is told of every message that a controller sends or gets, and of every answer, at
+// the moment and in the order in which the controller does.
+type Recorder interface {
+	// Record gets the simulated time, the controller's name, the kind of the message, and its
+	// content in wire form.
+	Record(at clock.Micros, controller, kind string, content []byte)
+}
+
+// recording wraps the connections of one controller so that a world's Recorder is told of
+// what passes over them. Without a Recorder nothing is wrapped.
+type recording struct {
+	world      *World
+	controller string
+}
+
+func (d *Deployment) recordingOf(n *Node) *recording {
+	return &recording{d.World, d.name + "/" + n.Name}
+}
+
+// record passes a message on whose parts are encoded here and now, as their owners may change them.
+func (r *recording) record(kind string, parts ...any) {
+	r.world.Recorder.Record(r.world.now, r.controller, kind, protocol.Encode(parts))
+}
+
+// requestsOf records what the controller asks of others.
+func (r *recording) requestsOf(e *node.Environment) {
+	store, forward, everyone := e.Store, e.Forward, e.Everyone
+	e.Store = func(m actor.Mailbox) statestore.Store { return &recordedStore{r, store(m)} }
+	e.Cloud = &recordedCloud{r, e.Cloud}
+	e.Agent = &recordedAgent{r, e.Agent}
+	e.Exchange = &recordedExchanger{r, e.Exchange}
+	e.Forward = func(request intake.Request, done func(intake.Answer, bool)) {
+		r.record("forward", peer.RequestFrame(request))
+		forward(request, func(a intake.Answer, ok bool) {
+			r.record("forward answered", ok, peer.AnswerFrame(a))
+			done(a, ok)
+		})
+	}
+	e.Everyone = func(own *intake.Intake, request intake.Request, done func([]intake.Answer, bool)) {
+		r.record("ask all nodes", peer.RequestFrame(request))
+		everyone(own, request, func(answers []intake.Answer, ok bool) {
+			for _, a := range answers {
+				r.record("a node answered", peer.AnswerFrame(a))
+			}
+			r.record("all nodes answered", ok)
+			done(answers, ok)
+		})
+	}
+}
+
+// requestsTo records what others ask of the controller.
+func (r *recording) requestsTo(n *Node) {
+	n.reports = &recordedReports{r, n.reports}
+	n.requests = &recordedRequests{r, n.requests, "user"}
+	n.peers = &recordedRequests{r, n.peers, "peer"}
+	n.exchanges = &recordedExchanges{r, n.exchanges}
+}
+
+// recordedStore records the requests to the state service and their answers.
+type recordedStore struct {
+	*recording
+	store statestore.Store
+}
+
+// answered records an answer of the state service before it is handled.
+func answered[T any](r *recording, kind string, done func(statestore.Reply[T])) func(statestore.Reply[T]) {
+	return func(reply statestore.Reply[T]) {
+		r.record(kind+" answered", reply.Status, reply.Value)
+		done(reply)
+	}
+}
+
+func (s *recordedStore) Get(key string, done func(statestore.Reply[protocol.Item])) {
+	s.record("get", key)
+	s.store.Get(key, answered(s.recording, "get", done))
+}
+
+func (s *recordedStore) List(prefix, from string, done func(statestore.Reply[protocol.ItemList])) {
+	s.record("list", prefix, from)
+	s.store.List(prefix, from, answered(s.recording, "list", done))
+}
+
+func (s *recordedStore) Commit(
+	use statestore.Use, t protocol.Txn, done func(statestore.Reply[protocol.TxnAnswer]),
+) {
+	s.record("commit", int(use), t)
+	s.store.Commit(use, t, answered(s.recording, "commit", done))
+}
+
+func (s *recordedStore) Follow(
+	prefix string, from int64, block clock.Micros, done func(statestore.Reply[protocol.FollowAnswer]),
+) {
+	s.record("follow", prefix, from, int64(block))
+	s.store.Follow(prefix, from, block, answered(s.recording, "follow", done))
+}
+
+func (s *recordedStore) Grant(ttl clock.Micros, done func(statestore.Reply[protocol.LeaseAnswer])) {
+	s.record("grant", int64(ttl))
+	s.store.Grant(ttl, answered(s.recording, "grant", done))
+}
+
+func (s *recordedStore) Renew(lease int64, done func(statestore.Reply[protocol.LeaseAnswer])) {
+	s.record("renew", lease)
+	s.store.Renew(lease, answered(s.recording, "renew", done))
+}
+
+// recordedCloud records the calls to the cloud and their answers.
+type recordedCloud struct {
+	*recording
+	cloud cloud.API
+}
+
+func (c *recordedCloud) Catalogue(done func(int, protocol.Catalogue)) {
+	c.record("catalogue")
+	c.cloud.Catalogue(func(status int, catalogue protocol.Catalogue) {
+		c.record("catalogue answered", status, catalogue)
+		done(status, catalogue)
+	})
+}
+
+func (c *recordedCloud) Rent(r protocol.Rental, until clock.Micros, done func(int, protocol.RentalAnswer)) {
+	c.record("rent", r, int64(until))
+	c.cloud.Rent(r, until, func(status int, a protocol.RentalAnswer) {
+		c.record("rent answered", status, a)
+		done(status, a)
+	})
+}
+
+func (c *recordedCloud) Release(machines []string, until clock.Micros, done func(int)) {
+	c.record("release", protocol.MachineNames{Machines: machines}, int64(until))
+	c.cloud.Release(machines, until, func(status int) {
+		c.record("release answered", status)
+		done(status)
+	})
+}
+
+func (c *recordedCloud) List(from string, done func(int, protocol.MachineList)) {
+	c.record("list machines", from)
+	c.cloud.List(from, func(status int, l protocol.MachineList) {
+		c.record("list machines answered", status, l)
+		done(status, l)
+	})
+}
+
+// recordedAgent records the commands to workers and their answers.
+type recordedAgent struct {
+	*recording
+	agent agent.API
+}
+
+func (a *recordedAgent) Commands(
+	addr string, c protocol.Commands, until clock.Micros, done func(int, protocol.Report),
+) {
+	a.record("commands", addr, c, int64(until))
+	a.agent.Commands(addr, c, until, func(status int, r protocol.Report) {
+		a.record("commands answered", status, r)
+		done(status, r)
+	})
+}
+
+// recordedExchanger records the reports to other cells and their answers.
+type recordedExchanger struct {
+	*recording
+	exchanger dispatch.Exchanger
+}
+
+func (x *recordedExchanger) Exchange(
+	address string, report delegation.Report, done func(delegation.Answer, bool),
+) {
+	x.record("exchange", address, report.Encode())
+	x.exchanger.Exchange(address, report, func(a delegation.Answer, ok bool) {
+		x.record("exchange answered", ok, a.Encode())
+		done(a, ok)
+	})
+}
+
+// recordedReports records workers' reports and what the controller answers.
+type recordedReports struct {
+	*recording
+	reports reportHandler
+}
+
+func (x *recordedReports) Heartbeat(report protocol.Report, reply func(status int, body any)) {
+	x.record("heartbeat", report)
+	x.reports.Heartbeat(report, func(status int, body any) {
+		x.record("heartbeat answer", status, body)
+		reply(status, body)
+	})
+}
+
+// recordedRequests records the requests of users, or of other nodes, and what the controller
+// answers.
+type recordedRequests struct {
+	*recording
+	requests requestHandler
+	from     string
+}
+
+func (x *recordedRequests) Handle(request intake.Request, reply func(intake.Answer)) {
+	x.record(x.from+" request", peer.RequestFrame(request), request.Forwarded)
+	x.requests.Handle(request, func(a intake.Answer) {
+		x.record(x.from+" answer", peer.AnswerFrame(a))
+		reply(a)
+	})
+}
+
+// recordedExchanges records other cells' reports and what the controller answers.
+type recordedExchanges struct {
+	*recording
+	exchanges exchangeHandler
+}
+
+func (x *recordedExchanges) Exchange(report delegation.Report, reply func(delegation.Answer, bool)) {
+	x.record("cell report", report.Encode())
+	x.exchanges.Exchange(report, func(a delegation.Answer, ok bool) {
+		x.record("cell answer", ok, a.Encode())
+		reply(a, ok)
+	})
+}
+
+// recordOverview records what the controller shows its operators.
+func (r *recording) recordOverview(o any) {
+	text, err := json.Marshal(o)
+	if err != nil {
+		r.world.Break("overview", "%v", err)
+	}
+	r.record("overview", text)
+}
+
+// recordStored records all that a deployment's state service keeps.
+func (d *Deployment) recordStored() {
+	r := &recording{d.World, d.name}
+	for _, key := range slices.Sorted(maps.Keys(d.State.keys)) {
+		e := d.State.keys[key]
+		r.record("stored", key, e.value, e.version, e.lease)
+	}
+}
--- a/internal/testkit/recovery_test.go
+++ b/internal/testkit/recovery_test.go
@@ -64,28 +64,6 @@
 	t.Fatalf("zone %s isn't %s after %.0f s: %+v", zone, p, most.Seconds(), d.zones()[zone])
 }
 
-// watchGangs sees to it that no gang is in pieces for long: placed in part, by its record, for
-// longer than a gang waits for its tasks, a lease and the time to notice; while the nodes or what
-// they need are troubled the record may be behind.
-func (d *Deployment) watchGangs() {
-	workers := d.Settings.Deployment.Workers
-	longest := clock.FromSeconds(workers.GangWaitS+workers.LeaseS+workers.GangPeerS) + workers.KeepAlive() + 10*clock.Second
-	since := map[string]clock.Micros{}
-	d.World.Every(clock.Second, func() {
-		for _, j := range d.order {
-			r := d.State.wholeRecord(j.spec.ID)
-			if r == nil || !j.spec.Gang() || r.Final() || len(r.Placed) == 0 || len(r.Placed) == j.spec.Tasks {
-				delete(since, j.spec.ID)
-			} else if since[j.spec.ID] == 0 {
-				since[j.spec.ID] = d.World.now
-			} else if d.World.now > max(since[j.spec.ID], d.disturbedAt)+longest {
-				d.World.Break("gang_in_pieces", "%s: %d of %d tasks", j.spec.ID, len(r.Placed), j.spec.Tasks)
-				since[j.spec.ID] = d.World.now
-			}
-		}
-	})
-}
-
 func gang(id string, tasks int, seconds float64) protocol.JobSpec {
 	s := array(id, "open", tasks, 4, seconds)
 	s.Shape, s.CheckpointS, s.SaveS = protocol.ShapeGang, 5, 1
@@ -449,7 +427,6 @@
 	for seed := range seeds(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			losses := 0
 			d := play(7000+seed, func(d *Deployment) {
 				s := recovery.Defaults()
 				d.Recovery = &s
@@ -458,13 +435,7 @@
 					d.StartNode(n)
 				}
 				d.watchGangs()
-				w := d.World
-				for range 3 {
-					w.After(w.Between(30*clock.Second, 240*clock.Second), func() {
-						losses++
-						w.After(w.Between(2*clock.Second, 60*clock.Second), d.CutZone([]string{"a", "b"}[w.Rand.IntN(2)], w.chance(0.5)))
-					})
-				}
+				d.cutZonesSometimes()
 			})
 			mustKeepRules(t, d.World)
 			if left := d.Unfinished(); len(left) > 0 {
--- a/internal/testkit/users.go
+++ b/internal/testkit/users.go
@@ -41,6 +41,11 @@
 // ask sends a user's request to any node; no answer within the user's time is
 // status 0.
 func (d *Deployment) ask(r intake.Request, done func(status int, s protocol.JobStatus)) {
+	d.askNode(d.Nodes[d.World.Rand.IntN(len(d.Nodes))], r, done)
+}
+
+// askNode sends a user's request to the node that is chosen.
+func (d *Deployment) askNode(n *Node, r intake.Request, done func(status int, s protocol.JobStatus)) {
 	over := false
 	d.World.After(5*clock.Second, func() {
 		if !over {
@@ -48,7 +53,6 @@
 			done(0, protocol.JobStatus{})
 		}
 	})
-	n := d.Nodes[d.World.Rand.IntN(len(d.Nodes))]
 	if !n.proc.alive || d.cut[n.Zone] != nil {
 		return
 	}
--- /dev/null
+++ b/internal/testkit/workload.go
@@ -0,0 +1,88 @@
+package testkit
+
+import (
+	"fmt"
+
+	"postpoint/internal/clock"
+	"postpoint/internal/protocol"
+	"postpoint/internal/settings"
+)
+
+func testSettings() *settings.Settings {
+	s := &settings.Settings{}
+	s.Deployment = settings.Deployment{
+		Teams: []settings.Team{
+			{Name: "limited", Cpus: 8, CpusMax: 24, Gpus: 2, GpusMax: 4},
+			{Name: "open"},
+		},
+		Workers: settings.Workers{ReportS: 2, LeaseS: 12, GangWaitS: 20, GangPeerS: 4, CancelS: 30},
+		State:   settings.State{Rps: 100, WriteRps: 40, ValueKb: 8, TxnOps: 5},
+		Cloud:   settings.Cloud{Rps: 8, ListLagS: 4},
+		// A tenth of a core: the leader pauses between its steps.
+		MachineLimits: settings.MachineLimits{CPU: 0.1},
+	}
+	return s
+}
+
+func testTypes() []protocol.MachineType {
+	return []protocol.MachineType{
+		{Name: "small", Cpus: 8, MemoryGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 8, Zones: []string{"a", "b"}},
+		{Name: "big", Cpus: 32, Gpus: 4, MemoryGB: 128, CacheGB: 20, FetchGBPerS: 1, Price: 8, SpotPrice: 3, BootS: 8, Zones: []string{"a", "b"}},
+	}
+}
+
+// array is a job of independent tasks that nothing is wished for.
+func array(id, team string, tasks int, cpus, seconds float64) protocol.JobSpec {
+	return protocol.JobSpec{ID: id, Class: "c", Team: team, Shape: protocol.ShapeArray, Rank: "normal",
+		Tasks: tasks, Cpus: cpus, MemoryGB: 1, Image: "i", EstimateS: seconds}
+}
+
+// randomSpec draws jobs of all shapes and ranks, gangs of several tasks,
+// zones, spreading and teams: a mix of neither deployment.
+func randomSpec(w *World, n int) protocol.JobSpec {
+	r := w.Rand
+	s := protocol.JobSpec{
+		ID: fmt.Sprintf("job-%06d", n), Class: "c", Team: []string{"limited", "open"}[r.IntN(2)],
+		Shape: protocol.ShapeArray, Rank: protocol.Ranks[r.IntN(4)], Tasks: 1 + r.IntN(10),
+		Cpus: float64(1 + r.IntN(4)), MemoryGB: float64(1 + r.IntN(8)), Image: fmt.Sprintf("img-%d", r.IntN(3)), ImageGB: 1,
+		Spot: w.chance(0.6), EstimateS: 20, SaveS: 1,
+	}
+	if w.chance(0.4) {
+		s.Shape, s.Tasks = protocol.ShapeGang, 1+r.IntN(4)
+		s.OneZone = w.chance(0.4)
+		s.Spread = !s.OneZone && w.chance(0.4)
+	} else if w.chance(0.3) {
+		s.OneZone = w.chance(0.6)
+		s.Spread = !s.OneZone
+	}
+	if w.chance(0.2) {
+		s.Gpus = 1
+	}
+	if w.chance(0.5) {
+		s.CheckpointS = 5
+	}
+	if w.chance(0.2) && !s.Spread {
+		s.Zone = "b"
+	}
+	if w.chance(0.1) {
+		// More tasks than one value of the tightest limits has room for.
+		s.Shape, s.Team, s.Tasks, s.Cpus, s.MemoryGB, s.Gpus = protocol.ShapeArray, "open", 40+r.IntN(100), 1, 1, 0
+		s.OneZone, s.Spread, s.Zone = false, false, ""
+	}
+	return s
+}
+
+// randomService draws a service whose replicas mostly run until they are stopped.
+func randomService(w *World, n int) (s protocol.JobSpec, run clock.Micros) {
+	s = randomSpec(w, n)
+	s.Shape, s.Team, s.EstimateS, s.CheckpointS = protocol.ShapeService, "open", 0, 0
+	s.Tasks, s.Cpus, s.MemoryGB, s.Gpus = 1+w.Rand.IntN(6), 1, 1, 0
+	s.OneZone, s.Zone, s.Spread = false, "", w.chance(0.5)
+	if w.chance(0.5) {
+		s.Rank = "prod"
+	}
+	if w.chance(0.3) {
+		run = w.Between(clock.Second, 60*clock.Second)
+	}
+	return s, run
+}
--- a/internal/testkit/world.go
+++ b/internal/testkit/world.go
@@ -42,6 +42,8 @@
 	// MessageCost is what a process takes to handle a message, one after another; 0 for
 	// processors that are never short.
 	MessageCost clock.Micros
+	// Recorder is told of all messages of controllers that start afterwards, if it is set.
+	Recorder Recorder
 	// Broken are the broken rules, in the order in which they were seen.
 	Broken []string
 }
