--- a/internal/intake/calls.go
+++ b/internal/intake/calls.go
@@ -207,7 +207,7 @@
 	j := ledger.New(c.spec, int64(c.in.mailbox.OfDay()))
 	if c.in.formatOpen {
 		j.Marked = c.spec.Service()
-		j.PartSize = ledger.PartSizeFor(&c.spec, c.in.set.Deployment.State.Tightest().ValueBytes())
+		j.PartSize = ledger.ShardSizeFor(&c.spec, c.in.set.Deployment.State.Tightest().ValueBytes())
 	}
 	t := protocol.Txn{
 		Guards:  []protocol.Guard{{Key: key}},
--- /dev/null
+++ b/internal/ledger/codec.go
@@ -0,0 +1,79 @@
+package ledger
+
+import (
+	"fmt"
+
+	"postpoint/internal/protocol"
+)
+
+// Encode returns the value to store at the job's key: the whole record, or the head of a
+// sharded one.
+func (j *Job) Encode() []byte {
+	stored := storedRecord{
+		Spec:        j.Spec,
+		Status:      j.Status,
+		SubmittedAt: j.SubmittedAt,
+		CancelledAt: j.CancelledAt,
+		NextAttempt: j.NextAttempt,
+		Placed:      j.markers(),
+		Lenders:     j.Lenders,
+		Cause:       j.Cause,
+		Truncated:   j.Truncated,
+		Returned:    j.Returned,
+		Displaced:   j.Displaced,
+	}
+	if !j.Truncated && j.PartSize == 0 {
+		stored.Done = j.Done.String()
+		stored.Placed = append(stored.Placed, j.encodePlacements()...)
+	}
+	return protocol.Encode(stored)
+}
+
+// Decode reads the value at a job's key, for callers that don't know the key. Its error is a
+// *MalformedError.
+func Decode(value []byte) (*Job, error) { return DecodeAt("", value) }
+
+// DecodeAt reads the value at a job's key. Its error is a *MalformedError with that key.
+func DecodeAt(key string, value []byte) (*Job, error) {
+	record, err := decode(value)
+	if err != nil {
+		return nil, &MalformedError{Key: key, Cause: err}
+	}
+	return record, nil
+}
+
+func decode(value []byte) (*Job, error) {
+	var stored storedRecord
+	if err := protocol.Decode(value, &stored); err != nil {
+		return nil, err
+	}
+	done, err := ParseRanges(stored.Done)
+	if err != nil {
+		return nil, fmt.Errorf("done tasks %q: %w", stored.Done, err)
+	}
+	record := &Job{
+		Spec:        stored.Spec,
+		Status:      stored.Status,
+		SubmittedAt: stored.SubmittedAt,
+		CancelledAt: stored.CancelledAt,
+		NextAttempt: stored.NextAttempt,
+		Placed:      map[int]Placement{},
+		Lenders:     stored.Lenders[:min(len(stored.Lenders), maxLenders)],
+		Cause:       stored.Cause,
+		Truncated:   stored.Truncated,
+		Returned:    stored.Returned,
+		Displaced:   stored.Displaced,
+	}
+	if !record.Spec.Service() {
+		record.Done = done // controllers that take services for arrays record ends of their tasks
+	}
+	for _, text := range stored.Placed {
+		if record.applyMarker(text) {
+			continue
+		}
+		if err := record.applyPlacements(text); err != nil {
+			return nil, fmt.Errorf("placement %q: %w", text, err)
+		}
+	}
+	return record, nil
+}
--- /dev/null
+++ b/internal/ledger/codec_test.go
@@ -0,0 +1,98 @@
+package ledger
+
+import (
+	"errors"
+	"slices"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"pgregory.net/rapid"
+
+	"postpoint/internal/protocol"
+)
+
+func drawRecord(t *rapid.T) *Job {
+	tasks := rapid.IntRange(1, 300).Draw(t, "tasks")
+	record := New(protocol.JobSpec{ID: "job-1", Class: "c", Team: "t", Shape: protocol.ShapeArray,
+		Rank: "normal", Tasks: tasks, Cpus: 1.5, Image: "i", Types: []string{"x"}}, 42)
+	for task := range record.Spec.Tasks {
+		switch rapid.IntRange(0, 3).Draw(t, "state") {
+		case 0:
+			record.Done.Add(task)
+		case 1:
+			record.Placed[task] = Placement{
+				Task:    task,
+				Attempt: int64(rapid.IntRange(1, 3).Draw(t, "attempt")),
+				Machine: rapid.SampledFrom([]string{"m-000001", "m-000002"}).Draw(t, "machine"),
+				Session: 1,
+			}
+		}
+	}
+	record.Lenders = []string{"job-2"}
+	record.Cause = "error on m-000001"
+	return record
+}
+
+// A record comes back from its stored form as it was.
+func TestRecordIsDecodedAsItWasEncoded(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		record := drawRecord(t)
+		again, err := Decode(record.Encode())
+		if err != nil {
+			t.Fatalf("decode what was encoded: %v, want no error", err)
+		}
+		if d := cmp.Diff(record, again, allFields); d != "" {
+			t.Fatalf("decoded record differs (-want +got):\n%s", d)
+		}
+		pending := record.Pending(1000)
+		if len(pending) != record.PendingCount() || !slices.IsSorted(pending) {
+			t.Fatalf("pending tasks %v, want %d in increasing order", pending, record.PendingCount())
+		}
+	})
+}
+
+// Errors about stored values name the key and can be told from others.
+func TestMalformedValuesNameTheirKey(t *testing.T) {
+	record := New(arraySpec(200), 1)
+	record.PartSize = 50
+	_, headError := DecodeAt("jobs/job-000001", []byte{0xc1})
+	shardError := record.ApplyPart(2, protocol.Encode(storedShard{Done: "zz"}))
+	for key, err := range map[string]error{"jobs/job-000001": headError, "parts/job-000001/2": shardError} {
+		var malformed *MalformedError
+		if !errors.As(err, &malformed) || !errors.Is(err, ErrMalformed) || malformed.Key != key {
+			t.Errorf("error %v, want a MalformedError with key %s", err, key)
+		}
+	}
+	if !errors.Is(headError, protocol.ErrMalformed) || !errors.Is(shardError, errInvalidBitmap) {
+		t.Errorf("errors %v and %v, want them to wrap their causes", headError, shardError)
+	}
+}
+
+func BenchmarkEncodeWide(b *testing.B) {
+	record := wideArray()
+	for b.Loop() {
+		record.Encode()
+	}
+}
+
+func BenchmarkDecodeWide(b *testing.B) {
+	value := wideArray().Encode()
+	for b.Loop() {
+		if _, err := Decode(value); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
+
+func BenchmarkEncode(b *testing.B) {
+	record := New(protocol.JobSpec{ID: "job-000001", Tasks: 248}, 1)
+	for task := range 248 {
+		machine := "m-00000" + string(rune('0'+task%10))
+		record.Placed[task] = Placement{Task: task, Attempt: 3, Machine: machine, Session: 1}
+	}
+	for b.Loop() {
+		if _, err := Decode(record.Encode()); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/ledger/delegation.go
@@ -0,0 +1,78 @@
+package ledger
+
+import (
+	"strconv"
+	"strings"
+)
+
+// DelegatedTo returns what a placement has in place of a machine for a task that the given cell
+// runs. The placement's Session is then the number of the delegation. Names of machines have no
+// spaces, so that it can't be taken for one.
+func DelegatedTo(cell string) string { return cellMarker + " " + cell }
+
+// Host returns the cell that runs the placement's task, or "" if it is this one.
+func (p Placement) Host() string {
+	cell, delegated := strings.CutPrefix(p.Machine, cellMarker+" ")
+	if !delegated {
+		return ""
+	}
+	return cell
+}
+
+// splitMachine returns the machine or the cell of a placement's words. The first of the remaining
+// words stands for it, so that what follows has the same index either way: a machine takes one
+// word, and every placement then has an even number of them; a cell takes two.
+func splitMachine(words []string) (machine string, rest []string) {
+	switch {
+	case len(words) == 0:
+		return "", nil
+	case len(words)%2 == 1 && words[0] == cellMarker:
+		return DelegatedTo(words[1]), words[1:]
+	}
+	return words[0], words
+}
+
+// Guest says to which cell and delegation a hosted job belongs.
+type Guest struct {
+	Home   string // the origin cell
+	Number int64  // of the delegation
+	// Closed hosted jobs start no further tasks.
+	Closed bool
+}
+
+// encode returns the text that follows the marker: "cell delegation" or "cell delegation closed".
+func (g *Guest) encode() string {
+	text := g.Home + " " + strconv.FormatInt(g.Number, 10)
+	if g.Closed {
+		text += " " + closedMarker
+	}
+	return text
+}
+
+// parseHostedJob reads what encode wrote, or returns nil.
+func parseHostedJob(text string) *Guest {
+	words := strings.Fields(text)
+	closed := len(words) == 3 && words[2] == closedMarker
+	if len(words) != 2 && !closed {
+		return nil
+	}
+	number, err := strconv.ParseInt(words[1], 10, 64)
+	if err != nil {
+		return nil
+	}
+	return &Guest{Home: words[0], Number: number, Closed: closed}
+}
+
+// GuestID returns the id under which a host cell keeps a hosted job and its workers run it. It has
+// dots, which no id that a user may choose has, so that the two can't clash.
+func GuestID(cell, job string, delegation int64) string {
+	return cell + "." + job + "." + strconv.FormatInt(delegation, 10)
+}
+
+// ParseGuestID splits an id that GuestID made.
+func ParseGuestID(id string) (cell, job string, delegation int64, ok bool) {
+	cell, rest, hasCell := strings.Cut(id, ".")
+	job, number, hasNumber := strings.Cut(rest, ".")
+	delegation, err := strconv.ParseInt(number, 10, 64)
+	return cell, job, delegation, hasCell && hasNumber && err == nil
+}
--- /dev/null
+++ b/internal/ledger/format.go
@@ -0,0 +1,98 @@
+package ledger
+
+import (
+	"strconv"
+	"strings"
+
+	"postpoint/internal/protocol"
+)
+
+// Stored formats
+//
+// A record has no version number. What a controller can't handle stands among the placements, where
+// every controller expects "machine incarnation attempt tasks": one that doesn't know a marker
+// takes the record for malformed and leaves its job alone. The numbers are those of package
+// rollout, which says when all controllers read a format; only then may it be written.
+//
+//	format  adds                  marker among the placements     constant
+//	1       arrays and gangs      none
+//	2       services              "service"                       serviceMarker
+//	        sharded records       "parts <tasks in a shard>"      shardsMarker
+//	3       jobs of other cells   "guest <cell> <delegation>"     hostedMarker
+//	        tasks in other cells  "cell <cell>" for the machine   cellMarker
+//
+// The optional fields truncated, returned and displaced came without a format of their own:
+// controllers that don't know them ignore them.
+//
+// Stored field names don't follow the terms of the code, because stored records outlive it:
+// "try" is an attempt, "shift" an incarnation, "parts" are shards, a "guest" is a hosted job.
+const (
+	serviceMarker = "service"
+	shardsMarker  = "parts"  // followed by the number of tasks in a shard
+	hostedMarker  = "guest"  // followed by what Guest.encode returns
+	closedMarker  = "closed" // last in a closed hosted job's marker
+	cellMarker    = "cell"   // followed by the name of a cell
+)
+
+// storedRecord is the value at a job's key: a whole record or the head of a sharded one. Sets and
+// placements are texts because the store counts sizes as JSON, and texts are short in it.
+type storedRecord struct {
+	Spec        protocol.JobSpec `msgpack:"spec"`
+	Status      string           `msgpack:"status,omitempty"`
+	SubmittedAt int64            `msgpack:"at"`
+	CancelledAt int64            `msgpack:"cancelled,omitempty"`
+	Done        string           `msgpack:"done,omitempty"`
+	NextAttempt int64            `msgpack:"try"`
+	Placed      []string         `msgpack:"placed,omitempty"`
+	Lenders     []string         `msgpack:"lenders,omitempty"`
+	Cause       string           `msgpack:"cause,omitempty"`
+	Truncated   bool             `msgpack:"truncated,omitempty"`
+	Returned    int              `msgpack:"returned,omitempty"`
+	Displaced   string           `msgpack:"displaced,omitempty"`
+}
+
+// storedShard is the value at a shard's key. Tasks are numbered from the shard's first one.
+type storedShard struct {
+	// Done is a bitmap in hexadecimal digits, the lowest task in the lowest bit of the first byte.
+	Done        string `msgpack:"done,omitempty"`
+	NextAttempt int64  `msgpack:"next"`
+	// Incarnation and Attempt are those of every placement that names none of its own.
+	Incarnation int64 `msgpack:"shift,omitempty"`
+	Attempt     int64 `msgpack:"try,omitempty"`
+	// Placed has "machine tasks" or "machine tasks incarnation attempt", separated by semicolons.
+	Placed string `msgpack:"placed,omitempty"`
+}
+
+// markers returns the markers that stand before the record's placements.
+func (j *Job) markers() []string {
+	var markers []string
+	if j.Guest != nil {
+		markers = append(markers, hostedMarker+" "+j.Guest.encode())
+	}
+	if j.Marked && j.Spec.Service() {
+		markers = append(markers, serviceMarker)
+	}
+	if j.PartSize > 0 && !j.Truncated {
+		markers = append(markers, shardsMarker+" "+strconv.Itoa(j.PartSize))
+	}
+	return markers
+}
+
+// applyMarker notes what a marker says; ok reports whether the text is a valid one.
+func (j *Job) applyMarker(text string) (ok bool) {
+	if text == serviceMarker {
+		j.Marked = true
+		return true
+	}
+	if hosted, isHosted := strings.CutPrefix(text, hostedMarker+" "); isHosted {
+		j.Guest = parseHostedJob(hosted)
+		return j.Guest != nil
+	}
+	size, isSharded := strings.CutPrefix(text, shardsMarker+" ")
+	n, err := strconv.Atoi(size)
+	if !isSharded || err != nil || n < 1 || n > maxShardTasks {
+		return false
+	}
+	j.PartSize, j.Marked = n, true
+	return true
+}
--- /dev/null
+++ b/internal/ledger/placement.go
@@ -0,0 +1,103 @@
+package ledger
+
+import (
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// Placement is the assignment of a task to a machine. It stays in the record until it is proven
+// that this attempt no longer is, and never again can be, on that machine. A task that another cell
+// runs has that cell in place of a machine: see DelegatedTo.
+type Placement struct {
+	Task    int
+	Attempt int64
+	Machine string
+	Session int64 // the incarnation of the machine's worker, or the number of the delegation
+}
+
+// placementGroup is what the placements have in common that share one text of the record.
+type placementGroup struct {
+	machine string
+	start   start
+}
+
+// start tells the start of one task from other starts.
+type start struct{ incarnation, attempt int64 }
+
+func (p Placement) start() start { return start{p.Session, p.Attempt} }
+
+func (p Placement) group() placementGroup { return placementGroup{p.Machine, p.start()} }
+
+// appendTo appends the text of a start, " incarnation attempt".
+func (s start) appendTo(text []byte) []byte {
+	text = append(text, ' ')
+	text = strconv.AppendInt(text, s.incarnation, 10)
+	text = append(text, ' ')
+	return strconv.AppendInt(text, s.attempt, 10)
+}
+
+// parseStart reads the two words that appendTo writes.
+func parseStart(incarnation, attempt string) (s start, err error) {
+	if s.incarnation, err = strconv.ParseInt(incarnation, 10, 64); err != nil {
+		return start{}, err
+	}
+	if s.attempt, err = strconv.ParseInt(attempt, 10, 64); err != nil {
+		return start{}, err
+	}
+	return s, nil
+}
+
+// encodePlacements returns the texts of all placements, "machine incarnation attempt tasks".
+func (j *Job) encodePlacements() []string {
+	groups := make(map[placementGroup]*Ranges, len(j.Placed)/4)
+	for _, task := range slices.Sorted(maps.Keys(j.Placed)) { // in order, sets grow at their ends
+		group := j.Placed[task].group()
+		if groups[group] == nil {
+			groups[group] = &Ranges{}
+		}
+		groups[group].Add(task)
+	}
+	texts := make([]string, 0, len(groups))
+	var text []byte
+	for group, tasks := range groups {
+		text = append(text[:0], group.machine...)
+		text = group.start.appendTo(text)
+		text = append(text, ' ')
+		text = tasks.appendTo(text)
+		texts = append(texts, string(text))
+	}
+	slices.Sort(texts)
+	return texts
+}
+
+// applyPlacements adds the placements of one text. Tasks that the job doesn't have are ignored.
+func (j *Job) applyPlacements(text string) error {
+	placement, tasks, err := parsePlacements(text)
+	if err != nil {
+		return err
+	}
+	for _, s := range tasks.spans {
+		for task := s.lo; task <= s.hi && task < j.Spec.Tasks; task++ {
+			placement.Task = task
+			j.Placed[task] = placement
+		}
+	}
+	return nil
+}
+
+// parsePlacements reads "machine incarnation attempt tasks".
+func parsePlacements(text string) (Placement, Ranges, error) {
+	const incarnation, attempt, taskRanges, count = 1, 2, 3, 4
+	machine, words := splitMachine(strings.Fields(text))
+	if len(words) != count {
+		return Placement{}, Ranges{}, errInvalidPlacement
+	}
+	s, err := parseStart(words[incarnation], words[attempt])
+	if err != nil {
+		return Placement{}, Ranges{}, err
+	}
+	tasks, err := ParseRanges(words[taskRanges])
+	return Placement{Machine: machine, Session: s.incarnation, Attempt: s.attempt}, tasks, err
+}
--- a/internal/ledger/ranges.go
+++ b/internal/ledger/ranges.go
@@ -1,49 +1,46 @@
 package ledger
 
 import (
-	"errors"
 	"slices"
 	"sort"
 	"strconv"
 	"strings"
 )
 
-// Ranges is a set of task numbers kept as sorted, separate intervals, so that
-// a job of very many tasks has a short record.
+// maxTask bounds the numbers that a set may hold, far above the tasks of any job.
+const maxTask = 1 << 30
+
+// Ranges is a set of task numbers, kept as sorted ranges that neither touch nor overlap, so that a
+// job of very many tasks has a short record. The zero value is the empty set.
 type Ranges struct {
 	spans []span
 	count int
 }
 
+// span is the range from lo to hi, both included.
 type span struct{ lo, hi int }
 
-// find gives the first span whose end is at least n.
+// find returns the index of the first span whose end is at least n.
 func (r *Ranges) find(n int) int {
 	return sort.Search(len(r.spans), func(i int) bool { return r.spans[i].hi >= n })
 }
 
-// Has tells whether n is in the set.
+// Has reports whether n is in the set.
 func (r *Ranges) Has(n int) bool {
 	i := r.find(n)
 	return i < len(r.spans) && r.spans[i].lo <= n
 }
 
-// Clone is a copy that changes independently.
+// Clone returns a copy that changes independently.
 func (r *Ranges) Clone() Ranges { return Ranges{slices.Clone(r.spans), r.count} }
 
-// Len is how many numbers are in the set.
+// Len returns how many numbers are in the set.
 func (r *Ranges) Len() int { return r.count }
 
-// Add puts n into the set.
+// Add adds n to the set.
 func (r *Ranges) Add(n int) {
-	if k := len(r.spans); k == 0 || n > r.spans[k-1].hi {
-		// The usual case: numbers come in their order.
-		r.count++
-		if k > 0 && r.spans[k-1].hi == n-1 {
-			r.spans[k-1].hi = n
-		} else {
-			r.spans = append(r.spans, span{n, n})
-		}
+	if last := len(r.spans) - 1; last < 0 || n > r.spans[last].hi {
+		r.appendNumber(n) // the usual case: numbers come in increasing order
 		return
 	}
 	i := r.find(n)
@@ -66,7 +63,17 @@
 	}
 }
 
-// NextMissing is the smallest number from n on that is not in the set.
+// appendNumber adds a number above all others.
+func (r *Ranges) appendNumber(n int) {
+	r.count++
+	if last := len(r.spans) - 1; last >= 0 && r.spans[last].hi == n-1 {
+		r.spans[last].hi = n
+		return
+	}
+	r.spans = append(r.spans, span{n, n})
+}
+
+// NextMissing returns the smallest number from n on that is not in the set.
 func (r *Ranges) NextMissing(n int) int {
 	i := r.find(n)
 	if i < len(r.spans) && r.spans[i].lo <= n {
@@ -75,7 +82,7 @@
 	return n
 }
 
-// NextIn is the smallest number from n on that is in the set, a very large one if none is.
+// NextIn returns the smallest number from n on that is in the set, or maxTask if there is none.
 func (r *Ranges) NextIn(n int) int {
 	i := r.find(n)
 	if i == len(r.spans) {
@@ -84,7 +91,7 @@
 	return max(n, r.spans[i].lo)
 }
 
-// Max is the largest number in the set, -1 if it is empty.
+// Max returns the largest number in the set, or -1 if it is empty.
 func (r *Ranges) Max() int {
 	if len(r.spans) == 0 {
 		return -1
@@ -92,50 +99,64 @@
 	return r.spans[len(r.spans)-1].hi
 }
 
+// String returns the set as text: single numbers and ranges in increasing order, as in "0-5,7".
 func (r *Ranges) String() string {
-	var b strings.Builder
+	var buffer [64]byte // enough for most sets, so that they need no other
+	return string(r.appendTo(buffer[:0]))
+}
+
+// appendTo appends what String returns.
+func (r *Ranges) appendTo(text []byte) []byte {
 	for i, s := range r.spans {
 		if i > 0 {
-			b.WriteByte(',')
+			text = append(text, ',')
 		}
-		b.WriteString(strconv.Itoa(s.lo))
+		text = strconv.AppendInt(text, int64(s.lo), 10)
 		if s.hi > s.lo {
-			b.WriteByte('-')
-			b.WriteString(strconv.Itoa(s.hi))
+			text = append(text, '-')
+			text = strconv.AppendInt(text, int64(s.hi), 10)
 		}
 	}
-	return b.String()
+	return text
 }
 
-var errRanges = errors.New("malformed text")
-
 // ParseRanges reads what String wrote.
 func ParseRanges(text string) (Ranges, error) {
 	var r Ranges
 	if text == "" {
 		return r, nil
 	}
-	last := -2
+	last := -2 // so that 0 comes after it with a gap
 	for part := range strings.SplitSeq(text, ",") {
-		from, to, isSpan := strings.Cut(part, "-")
-		lo, err := strconv.Atoi(from)
+		s, err := parseSpan(part)
 		if err != nil {
-			return Ranges{}, errRanges
-		}
-		hi := lo
-		if isSpan {
-			if hi, err = strconv.Atoi(to); err != nil {
-				return Ranges{}, errRanges
-			}
+			return Ranges{}, err
 		}
-		if lo <= last+1 || lo < 0 || hi < lo || hi > maxTask {
-			return Ranges{}, errRanges
+		if s.lo <= last+1 {
+			return Ranges{}, errInvalidRanges
 		}
-		r.spans = append(r.spans, span{lo, hi})
-		r.count += hi - lo + 1
-		last = hi
+		r.spans = append(r.spans, s)
+		r.count += s.hi - s.lo + 1
+		last = s.hi
 	}
 	return r, nil
 }
 
-const maxTask = 1 << 30
+// parseSpan reads a number or a range such as "3-5".
+func parseSpan(text string) (span, error) {
+	from, to, isRange := strings.Cut(text, "-")
+	lo, err := strconv.Atoi(from)
+	if err != nil {
+		return span{}, errInvalidRanges
+	}
+	hi := lo
+	if isRange {
+		if hi, err = strconv.Atoi(to); err != nil {
+			return span{}, errInvalidRanges
+		}
+	}
+	if lo < 0 || hi < lo || hi > maxTask {
+		return span{}, errInvalidRanges
+	}
+	return span{lo, hi}, nil
+}
--- /dev/null
+++ b/internal/ledger/shards.go
@@ -0,0 +1,200 @@
+package ledger
+
+import (
+	"cmp"
+	"encoding/hex"
+	"fmt"
+	"slices"
+	"strings"
+
+	"postpoint/internal/protocol"
+)
+
+// A sharded record keeps what belongs to single tasks in shards, values of their own, each for
+// PartSize consecutive tasks. The head, at the job's key, keeps the rest. The tasks of a shard that
+// doesn't exist are pending.
+
+// maxShardTasks bounds what a malformed shard or marker can make a reader allocate. No job has
+// more tasks.
+const maxShardTasks = 100_000
+
+// Parts returns the number of shards, 0 for a record that isn't sharded.
+func (j *Job) Parts() int {
+	if j.PartSize == 0 {
+		return 0
+	}
+	return (j.Spec.Tasks + j.PartSize - 1) / j.PartSize
+}
+
+// PartOf returns the shard of a task.
+func (j *Job) PartOf(task int) int { return task / j.PartSize }
+
+// shardTasks returns the first task of a shard and the first after it.
+func (j *Job) shardTasks(shard int) (first, end int) {
+	return shard * j.PartSize, min((shard+1)*j.PartSize, j.Spec.Tasks)
+}
+
+// EncodePart returns the value to store at a shard's key.
+func (j *Job) EncodePart(shard int) []byte {
+	first, end := j.shardTasks(shard)
+	groups := map[placementGroup]*Ranges{}
+	counts := map[start]int{}
+	for task := first; task < end; task++ {
+		placement, placed := j.Placed[task]
+		if !placed {
+			continue
+		}
+		group := placement.group()
+		if groups[group] == nil {
+			groups[group] = &Ranges{}
+		}
+		groups[group].Add(task - first)
+		counts[group.start]++
+	}
+	common := mostCommon(counts)
+	return protocol.Encode(storedShard{
+		Done:        j.doneBitmap(first, end),
+		NextAttempt: j.NextAttempt,
+		Incarnation: common.incarnation,
+		Attempt:     common.attempt,
+		Placed:      encodeShardPlacements(groups, common),
+	})
+}
+
+// encodeShardPlacements writes a start only where it differs from the most common one.
+func encodeShardPlacements(groups map[placementGroup]*Ranges, common start) string {
+	texts := make([]string, 0, len(groups))
+	var text []byte
+	for group, tasks := range groups {
+		text = append(text[:0], group.machine...)
+		text = append(text, ' ')
+		text = tasks.appendTo(text)
+		if group.start != common {
+			text = group.start.appendTo(text)
+		}
+		texts = append(texts, string(text))
+	}
+	slices.Sort(texts)
+	return strings.Join(texts, ";")
+}
+
+// mostCommon returns the start with the highest count, of several the smallest.
+func mostCommon(counts map[start]int) start {
+	var best start
+	most := 0
+	for s, count := range counts {
+		if count > most || count == most && s.compare(best) < 0 {
+			best, most = s, count
+		}
+	}
+	return best
+}
+
+// compare orders starts by incarnation and attempt.
+func (s start) compare(other start) int {
+	return cmp.Or(cmp.Compare(s.incarnation, other.incarnation), cmp.Compare(s.attempt, other.attempt))
+}
+
+// doneBitmap returns the completed tasks from first to end, empty if there are none.
+func (j *Job) doneBitmap(first, end int) string {
+	bits := make([]byte, bitmapBytes(end-first))
+	found := false
+	for task := j.Done.NextIn(first); task < end; task = j.Done.NextIn(task + 1) {
+		bits[(task-first)/8] |= 1 << ((task - first) % 8)
+		found = true
+	}
+	if !found {
+		return ""
+	}
+	return hex.EncodeToString(bits)
+}
+
+// bitmapBytes returns how many bytes a bitmap of so many tasks has.
+func bitmapBytes(tasks int) int { return (tasks + 7) / 8 }
+
+// ApplyPart adds what the value at a shard's key says. A malformed value changes nothing; its error
+// is a *MalformedError with the shard's key.
+func (j *Job) ApplyPart(shard int, value []byte) error {
+	if err := j.applyShard(shard, value); err != nil {
+		return &MalformedError{Key: PartKey(j.Spec.ID, shard), Cause: err}
+	}
+	return nil
+}
+
+func (j *Job) applyShard(shard int, value []byte) error {
+	if shard >= j.Parts() {
+		return errNoSuchShard
+	}
+	var stored storedShard
+	if err := protocol.Decode(value, &stored); err != nil {
+		return err
+	}
+	first, end := j.shardTasks(shard)
+	bits, err := hex.DecodeString(stored.Done)
+	if err != nil || len(bits) > bitmapBytes(end-first) {
+		return errInvalidBitmap
+	}
+	placements, err := stored.placements()
+	if err != nil {
+		return err
+	}
+	for task := first; task < end && (task-first)/8 < len(bits); task++ {
+		if bits[(task-first)/8]&(1<<((task-first)%8)) != 0 {
+			j.complete(task)
+		}
+	}
+	for _, placement := range placements {
+		if placement.Task += first; placement.Task < end {
+			j.Placed[placement.Task] = placement
+		}
+	}
+	j.NextAttempt = max(j.NextAttempt, stored.NextAttempt)
+	return nil
+}
+
+// placements returns the placements of a shard, their tasks numbered from its first one.
+func (s *storedShard) placements() ([]Placement, error) {
+	if s.Placed == "" {
+		return nil, nil
+	}
+	var placements []Placement
+	for text := range strings.SplitSeq(s.Placed, ";") {
+		placement, tasks, err := s.parsePlacements(text)
+		if err != nil {
+			return nil, fmt.Errorf("placement %q: %w", text, err)
+		}
+		for _, span := range tasks.spans {
+			for task := span.lo; task <= span.hi; task++ {
+				placement.Task = task
+				placements = append(placements, placement)
+			}
+		}
+	}
+	return placements, nil
+}
+
+// parsePlacements reads "machine tasks" or "machine tasks incarnation attempt".
+func (s *storedShard) parsePlacements(text string) (Placement, Ranges, error) {
+	const taskRanges, incarnation, attempt = 1, 2, 3
+	const countWithoutStart, countWithStart = 2, 4
+	machine, words := splitMachine(strings.Fields(text))
+	from := start{s.Incarnation, s.Attempt}
+	switch len(words) {
+	case countWithoutStart:
+	case countWithStart:
+		var err error
+		if from, err = parseStart(words[incarnation], words[attempt]); err != nil {
+			return Placement{}, Ranges{}, err
+		}
+	default:
+		return Placement{}, Ranges{}, errInvalidPlacement
+	}
+	tasks, err := ParseRanges(words[taskRanges])
+	if err != nil {
+		return Placement{}, Ranges{}, err
+	}
+	if tasks.Max() >= maxShardTasks {
+		return Placement{}, Ranges{}, errInvalidPlacement
+	}
+	return Placement{Machine: machine, Session: from.incarnation, Attempt: from.attempt}, tasks, nil
+}
--- /dev/null
+++ b/internal/ledger/shards_test.go
@@ -0,0 +1,137 @@
+package ledger
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"pgregory.net/rapid"
+
+	"postpoint/internal/protocol"
+)
+
+// The tightest limits of a store that are known of.
+const (
+	tightValueBytes = 2 << 10
+	tightTxnOps     = 4
+)
+
+// However the tasks of a sharded record start, end, fail and start again, on whatever machines:
+// every value stays within the tightest limit, all values together say what the record does,
+// and there is always room for more in the end.
+func TestShardedRecordsStayWithinLimit(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		spec := arraySpec(rapid.SampledFrom([]int{30, 150, 700}).Draw(t, "tasks"))
+		record := New(spec, 42)
+		record.PartSize = ShardSizeFor(&spec, tightValueBytes)
+		record.Marked = true
+		steps := rapid.IntRange(1, 8).Draw(t, "steps")
+		for step := range steps {
+			startTasks(t, record)
+			checkValueSizes(t, record, step)
+			endTasks(t, record, step)
+			checkValueSizes(t, record, step)
+		}
+		if d := cmp.Diff(record, reassembled(t, record), allFields); d != "" {
+			t.Fatalf("read from its values the record differs (-want +got):\n%s", d)
+		}
+		clear(record.Placed)
+		if record.PendingCount() > 0 && len(record.Startable(tightValueBytes, 1)) == 0 {
+			t.Fatal("no task can start though none is placed, want one")
+		}
+	})
+}
+
+// startTasks places what may start on machines that rapid draws.
+func startTasks(t *rapid.T, record *Job) {
+	for _, task := range record.Startable(tightValueBytes, 400) {
+		record.Placed[task] = Placement{
+			Task:    task,
+			Attempt: record.NextAttempt,
+			Session: int64(rapid.SampledFrom([]int{1, 1, 1, 2, 130}).Draw(t, "incarnation")),
+			Machine: fmt.Sprintf("m-%06d", rapid.IntRange(1, 300).Draw(t, "machine")),
+		}
+	}
+}
+
+// endTasks completes a part of the placed tasks and fails another.
+func endTasks(t *rapid.T, record *Job, step int) {
+	done := rapid.IntRange(0, 3).Draw(t, "done")
+	for task, placement := range record.Placed {
+		switch (task + step) % 4 {
+		case done:
+			delete(record.Placed, task)
+			record.Done.Add(task)
+		case 3 - done:
+			delete(record.Placed, task)
+			record.NextAttempt = max(record.NextAttempt, placement.Attempt+1)
+		}
+	}
+}
+
+func checkValueSizes(t *rapid.T, record *Job, step int) {
+	t.Helper()
+	for shard := range record.Parts() {
+		if size := jsonSize(t, record.EncodePart(shard)); size > tightValueBytes {
+			t.Fatalf("step %d: shard %d has %d bytes, want at most %d", step, shard, size, tightValueBytes)
+		}
+	}
+	if size := jsonSize(t, record.Encode()); size > tightValueBytes {
+		t.Fatalf("step %d: the head has %d bytes, want at most %d", step, size, tightValueBytes)
+	}
+}
+
+// The widest array of the deployments runs all at once, a gang as large as a transaction has room
+// for too; a larger gang is refused.
+func TestShardedRecordsHoldTheLargestJobs(t *testing.T) {
+	array := arraySpec(2000)
+	record := New(array, 1)
+	record.PartSize = ShardSizeFor(&array, tightValueBytes)
+	for range 6 {
+		for i, task := range record.Startable(tightValueBytes, 2000) {
+			record.Placed[task] = Placement{Task: task, Attempt: 1, Machine: fmt.Sprintf("m-%06d", i%250), Session: 1}
+		}
+	}
+	if len(record.Placed) != 2000 {
+		t.Fatalf("%d tasks run, want all 2000", len(record.Placed))
+	}
+	gang := array
+	gang.Shape, gang.Tasks = protocol.ShapeGang, tightTxnOps*PartSizeWithin(tightValueBytes)
+	if !Recordable(&gang, tightValueBytes, tightTxnOps) {
+		t.Fatalf("a gang of %d tasks is refused, want it accepted", gang.Tasks)
+	}
+	if gang.Tasks++; Recordable(&gang, tightValueBytes, tightTxnOps) {
+		t.Fatalf("a gang of %d tasks is accepted, want it refused", gang.Tasks)
+	}
+	for tasks := 1; tasks <= 16; tasks++ {
+		if gang.Tasks = tasks; ShardSizeFor(&gang, tightValueBytes) != 0 {
+			t.Fatalf("the record of a gang of %d tasks is sharded, want it whole", tasks)
+		}
+	}
+}
+
+func FuzzApplyPart(f *testing.F) {
+	sharded := func() *Job {
+		record := New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 200}, 1)
+		record.PartSize = 50
+		return record
+	}
+	record := sharded()
+	record.Done.Add(3)
+	record.Placed[7] = Placement{Task: 7, Attempt: 2, Machine: "m-000001", Session: 1}
+	f.Add(record.EncodePart(0))
+	f.Add(protocol.Encode(storedShard{Done: "ffffffffffffffffffffff", Placed: "m 1"}))
+	f.Add(protocol.Encode(storedShard{Placed: "m 0-99999999"}))
+	f.Fuzz(func(t *testing.T, raw []byte) {
+		record := sharded()
+		if err := record.ApplyPart(3, raw); err != nil && len(record.Placed)+record.Done.Len() > 0 {
+			t.Fatalf("a malformed shard (%v) adds %d placed and %d done tasks, want none",
+				err, len(record.Placed), record.Done.Len())
+		}
+		for task := range record.Placed {
+			if task < 150 || task >= 200 {
+				t.Fatalf("task %d is placed, want only tasks of the shard, 150 to 199", task)
+			}
+		}
+	})
+}
