--- a/internal/intake/calls.go
+++ b/internal/intake/calls.go
@@ -24,11 +24,11 @@
 	c.reply(Answer{Status: status, Body: protocol.Encode(body)})
 }
 
-func (c *call) refuse(status int, why string) { c.answer(status, protocol.Refusal{Error: why}) }
+func (c *call) refuse(status int, why string) { c.answer(status, protocol.ErrorResponse{Error: why}) }
 
 // later tells the user at once to come back.
 func (c *call) later(why string) {
-	c.reply(Answer{Status: http.StatusServiceUnavailable, RetryS: 1, Body: protocol.Encode(protocol.Refusal{Error: why})})
+	c.reply(Answer{Status: http.StatusServiceUnavailable, RetryS: 1, Body: protocol.Encode(protocol.ErrorResponse{Error: why})})
 }
 
 // forwardToPeer lets another node answer when the state service doesn't serve this
--- a/internal/intake/connections.go
+++ b/internal/intake/connections.go
@@ -143,7 +143,7 @@
 	// takenOver tells that it isn't the server's any more.
 	takenOver bool
 	// reports belongs to the requests of the connection, which come one by one.
-	reports protocol.ReportDecoder
+	reports protocol.HeartbeatDecoder
 }
 
 func (x *connection) Close() error {
@@ -165,11 +165,11 @@
 }
 
 // reportDecoder is that of the request's connection.
-func reportDecoder(r *http.Request) *protocol.ReportDecoder {
+func reportDecoder(r *http.Request) *protocol.HeartbeatDecoder {
 	if x, ok := r.Context().Value(connectionKey{}).(*connection); ok {
 		return &x.reports
 	}
-	return &protocol.ReportDecoder{}
+	return &protocol.HeartbeatDecoder{}
 }
 
 // reports notes that a worker's report came by the request's connection, and tells
--- a/internal/intake/server.go
+++ b/internal/intake/server.go
@@ -117,7 +117,7 @@
 	}
 	report, err := reportDecoder(r).Decode(body)
 	if err != nil || !validReport(&report) {
-		write(w, http.StatusBadRequest, protocol.Encode(protocol.Refusal{Error: "not a report"}))
+		write(w, http.StatusBadRequest, protocol.Encode(protocol.ErrorResponse{Error: "not a report"}))
 		return
 	}
 	answered := make(chan heartbeatAnswer, 1)
@@ -150,7 +150,7 @@
 		body, err = io.ReadAll(io.LimitReader(r.Body, protocol.MaxBody+1))
 	}
 	if err != nil || len(body) > protocol.MaxBody {
-		write(w, http.StatusBadRequest, protocol.Encode(protocol.Refusal{Error: "the body is too large or incomplete"}))
+		write(w, http.StatusBadRequest, protocol.Encode(protocol.ErrorResponse{Error: "the body is too large or incomplete"}))
 		return nil, false
 	}
 	return body, true
--- a/internal/protocol/check.go
+++ b/internal/protocol/check.go
@@ -1,19 +1,14 @@
 package protocol
 
-import (
-	"errors"
-
-	"github.com/vmihailenco/msgpack/v5/msgpcode"
-)
-
-// ErrMalformed is a body that isn't one whole MessagePack value.
-var ErrMalformed = errors.New("not MessagePack")
+import "github.com/vmihailenco/msgpack/v5/msgpcode"
 
+// maxDepth bounds how deep values may be nested, and with it the recursion of skip. Messages need a
+// handful of levels.
 const maxDepth = 32
 
-// Check walks a body without keeping anything. The decoder allocates what a
-// header announces before it sees that the rest is missing: five bytes that
-// announce a map of four thousand million entries would end the process.
+// Check returns ErrMalformed unless a body is exactly one MessagePack value. It keeps nothing. The
+// decoder allocates what a header announces before it sees that the rest is missing: five bytes
+// that announce a map of four thousand million entries would end the process.
 func Check(raw []byte) error {
 	rest, ok := skip(raw, maxDepth)
 	if !ok || len(rest) > 0 {
@@ -22,7 +17,8 @@
 	return nil
 }
 
-// skip passes over one value.
+// skip returns what follows the first value; ok is false if that value isn't valid, not complete or
+// nested deeper than depth.
 func skip(b []byte, depth int) (rest []byte, ok bool) {
 	if len(b) == 0 || depth == 0 {
 		return nil, false
@@ -33,65 +29,76 @@
 	case msgpcode.IsFixedNum(c), c == msgpcode.Nil, c == msgpcode.False, c == msgpcode.True:
 		return b, true
 	case msgpcode.IsFixedString(c):
-		return after(b, uint64(c&msgpcode.FixedStrMask))
+		return skipBytes(b, uint64(c&msgpcode.FixedStrMask))
 	case msgpcode.IsFixedMap(c):
-		return values(b, 2*uint64(c&msgpcode.FixedMapMask), depth)
+		return skipValues(b, 2*uint64(c&msgpcode.FixedMapMask), depth)
 	case msgpcode.IsFixedArray(c):
-		return values(b, uint64(c&msgpcode.FixedArrayMask), depth)
+		return skipValues(b, uint64(c&msgpcode.FixedArrayMask), depth)
 	}
-	// Binary and extension types are not part of the protocol.
+	return skipSized(c, b, depth)
+}
+
+// skipSized returns what follows a value whose code c says how many bytes its content or its length
+// has. Binary and extension types are not part of the protocol.
+func skipSized(c byte, b []byte, depth int) (rest []byte, ok bool) {
 	switch c {
 	case msgpcode.Uint8, msgpcode.Int8:
-		return after(b, 1)
+		return skipBytes(b, 1)
 	case msgpcode.Uint16, msgpcode.Int16:
-		return after(b, 2)
+		return skipBytes(b, 2)
 	case msgpcode.Uint32, msgpcode.Int32, msgpcode.Float:
-		return after(b, 4)
+		return skipBytes(b, 4)
 	case msgpcode.Uint64, msgpcode.Int64, msgpcode.Double:
-		return after(b, 8)
+		return skipBytes(b, 8)
 	case msgpcode.Str8, msgpcode.Str16, msgpcode.Str32:
-		n, b, ok := length(b, 1<<(c-msgpcode.Str8))
+		count, b, ok := readCount(b, 1<<(c-msgpcode.Str8))
 		if !ok {
 			return nil, false
 		}
-		return after(b, n)
-	case msgpcode.Array16, msgpcode.Map16, msgpcode.Array32, msgpcode.Map32:
-		width, each := 2, uint64(1)
-		if c == msgpcode.Array32 || c == msgpcode.Map32 {
-			width = 4
-		}
-		if c == msgpcode.Map16 || c == msgpcode.Map32 {
-			each = 2
-		}
-		n, b, ok := length(b, width)
-		if !ok {
-			return nil, false
-		}
-		return values(b, each*n, depth)
+		return skipBytes(b, count)
+	case msgpcode.Array16:
+		return skipCounted(b, 2, 1, depth)
+	case msgpcode.Array32:
+		return skipCounted(b, 4, 1, depth)
+	case msgpcode.Map16:
+		return skipCounted(b, 2, 2, depth)
+	case msgpcode.Map32:
+		return skipCounted(b, 4, 2, depth)
 	}
 	return nil, false
 }
 
-// length reads a big-endian count of the given width.
-func length(b []byte, width int) (n uint64, rest []byte, ok bool) {
+// skipCounted skips the elements of an array or a map whose count has the given number of bytes. An
+// element of a map is two values.
+func skipCounted(b []byte, width int, valuesPerElement uint64, depth int) (rest []byte, ok bool) {
+	count, b, ok := readCount(b, width)
+	if !ok {
+		return nil, false
+	}
+	return skipValues(b, valuesPerElement*count, depth)
+}
+
+// readCount reads a big-endian count of the given number of bytes.
+func readCount(b []byte, width int) (count uint64, rest []byte, ok bool) {
 	if len(b) < width {
 		return 0, nil, false
 	}
 	for _, x := range b[:width] {
-		n = n<<8 | uint64(x)
+		count = count<<8 | uint64(x)
 	}
-	return n, b[width:], true
+	return count, b[width:], true
 }
 
-func after(b []byte, n uint64) ([]byte, bool) {
+func skipBytes(b []byte, n uint64) ([]byte, bool) {
 	if uint64(len(b)) < n {
 		return nil, false
 	}
 	return b[n:], true
 }
 
-// values passes over n values; each takes a byte at least.
-func values(b []byte, n uint64, depth int) ([]byte, bool) {
+// skipValues skips n values. Each takes a byte at least, so that a count that can't be true is
+// refused at once.
+func skipValues(b []byte, n uint64, depth int) ([]byte, bool) {
 	ok := uint64(len(b)) >= n
 	for ; ok && n > 0; n-- {
 		b, ok = skip(b, depth-1)
--- /dev/null
+++ b/internal/protocol/cloud.go
@@ -0,0 +1,69 @@
+package protocol
+
+// MachineType is one entry of the cloud's catalogue. Prices are per hour.
+type MachineType struct {
+	Name        string   `msgpack:"Sku"`
+	Cpus        float64  `msgpack:"Vcpus"`
+	Gpus        float64  `msgpack:"Gpus"`
+	MemoryGB    float64  `msgpack:"MemGb"`
+	CacheGB     float64  `msgpack:"LocalGb"` // for images
+	FetchGBPerS float64  `msgpack:"FetchGbPerS"`
+	Price       float64  `msgpack:"Hourly"`
+	SpotPrice   float64  `msgpack:"SpotPrice"`
+	BootS       float64  `msgpack:"StartupS"`
+	Zones       []string `msgpack:"Halls"`
+}
+
+// Catalogue lists the machine types that the cloud offers.
+type Catalogue struct {
+	Types []MachineType `msgpack:"Fleets"`
+}
+
+// Rental is a request to scale out by machines of one kind.
+type Rental struct {
+	// Booking is the idempotency key: a repeated request with the same key starts nothing more.
+	Booking string `msgpack:"Booking"`
+	Type    string `msgpack:"Fleet"`
+	Zone    string `msgpack:"Hall"`
+	Spot    bool   `msgpack:"Loaners"`
+	Count   int    `msgpack:"HowMany"`
+}
+
+// RentalAnswer names the machines of a Rental, or says why there are none.
+type RentalAnswer struct {
+	Machines []string `msgpack:"Hosts"`
+	Error    string   `msgpack:"error"`
+}
+
+// NoCapacity is the error of a response when the cloud has no machine of the kind, as opposed to
+// an outage.
+const NoCapacity = "no capacity"
+
+// MachineNames is a request to scale in by the named machines.
+type MachineNames struct {
+	Machines []string `msgpack:"Hosts"`
+}
+
+// States of a listed machine.
+const (
+	MachineStarting = "starting"
+	MachineRunning  = "running"
+	MachineFailed   = "failed"
+)
+
+// ListedMachine is one entry of the cloud's list of machines.
+type ListedMachine struct {
+	Name    string  `msgpack:"Uid"`
+	Address string  `msgpack:"Address"`
+	Type    string  `msgpack:"Fleet"`
+	Zone    string  `msgpack:"Hall"`
+	Spot    bool    `msgpack:"Loaners"`
+	Status  string  `msgpack:"Status"`
+	AgeS    float64 `msgpack:"HeldS"`
+}
+
+// MachineList is one page of the cloud's list of machines.
+type MachineList struct {
+	Machines []ListedMachine `msgpack:"Hosts"`
+	More     bool            `msgpack:"HasNext"`
+}
--- /dev/null
+++ b/internal/protocol/doc.go
@@ -0,0 +1,47 @@
+// Package protocol defines the messages of all interfaces to the outside: users, workers, the cloud
+// and the key-value store. It owns their names on the wire, their encoding and the validation of
+// submissions, so that no other package knows a wire name. It doesn't send anything and takes no
+// decisions.
+//
+// Every package that talks to the outside calls it: intake for users, dispatch for workers, agent,
+// cloud and statestore as clients, and testkit for the other side of all of them.
+//
+// The names on the wire are themed and fixed. Each is mapped to the term of its field once, by the
+// tag of a struct's field:
+//
+//	interface  on the wire       term
+//	users      Uid               id of a job
+//	           Lane              class of jobs that a service-level objective is for
+//	           Desk              team, which has a guarantee and a limit (quota)
+//	           Shape             array ("batch"), gang ("ensemble") or service ("daemon")
+//	           Rank              priority
+//	           Legs              number of tasks
+//	           Bundle, PullGb    container image and its size
+//	           Fleets, Hall      allowed machine types, allowed zone
+//	           SamePlace         all tasks in one zone
+//	           Loaners           spot machines are allowed
+//	           SnapshotS, FlushS checkpoint interval, time that saving a checkpoint takes
+//	           ExpectedS, DueS   estimated run time, deadline
+//	           withdraw          cancel; the status is then "aborted"
+//	workers    Host, Fleet, Hall name, type and zone of the machine
+//	           Loaners           the machine is a spot machine
+//	           Shift             incarnation of the worker, increased by each lease expiry
+//	           Epoch             fencing token of the leader
+//	           RecallS           notice until a spot machine is preempted
+//	           Legs, Leg, Try    tasks, a task, its attempt
+//	           Orders            commands; the verb "kill" stops a task
+//	           LeaveS            grace period of a stop, in which a checkpoint may be saved
+//	           Dispatcher        leader to which a worker is redirected
+//	cloud      Fleets, Sku       machine types, name of one
+//	           LocalGb           size of a machine's image cache
+//	           Halls             zones
+//	           Booking           idempotency key of a request to scale out
+//	           Hosts             names of machines; in a list, the machines
+//	           HeldS             age of a machine
+//	store      Path, Data        key, value
+//	           Stamp             version of a key, the revision of its last change
+//	           Ledger            revision of the store
+//	           Guards, Writes    conditions and changes of a transaction (compare-and-swap)
+//	           Permit            id of a lease
+//	           Log               events of a watch
+package protocol
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -117,7 +117,7 @@
 		JobStatus{ID: "job-000412", Status: StatusRunning, Done: 3, Running: 130, Cause: "error on m-1"},
 		"\x85\xa3Uid\xaajob-000412\xa6Status\xa7running\xa4done\x03\xa7running\xcc\x82\xa5Cause" +
 			"\xacerror on m-1"},
-	{"refusal", Refusal{Error: "no such job"}, "\x81\xa5error\xabno such job"},
+	{"refusal", ErrorResponse{Error: "no such job"}, "\x81\xa5error\xabno such job"},
 	{"task in a report", goldenTaskReport(),
 		"\x85\xa3Leg\xacjob-000412/3\xa3Try\x02\xa6Status\xa6exited\xa5Cause\xa4done\xa5Saved\xc3"},
 	{"report", goldenReport(),
@@ -203,7 +203,7 @@
 			"\x00\x00\x00\x00\x00\x00\xa9SnapshotS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6FlushS\xcb\x00" +
 			"\x00\x00\x00\x00\x00\x00\x00\xa4DueS\xc0"},
 	{"status of a job", JobStatus{}, "\x84\xa3Uid\xa0\xa6Status\xa0\xa4done\x00\xa7running\x00"},
-	{"refusal", Refusal{}, "\x81\xa5error\xa0"},
+	{"refusal", ErrorResponse{}, "\x81\xa5error\xa0"},
 	{"task in a report", TaskReport{},
 		"\x85\xa3Leg\xa0\xa3Try\x00\xa6Status\xa0\xa5Cause\xa0\xa5Saved\xc2"},
 	{"report", Report{},
@@ -298,7 +298,7 @@
 	if d := cmp.Diff(goldenSpec(), spec); d != "" {
 		t.Error(d)
 	}
-	var decoder ReportDecoder
+	var decoder HeartbeatDecoder
 	for _, counter := range []string{"\x01", "\xce\x00\x01\x11p", "\x02"} {
 		raw := strings.Replace(string(goldenBytes(t, "report")), "\xa7Counter\xce\x00\x01\x11p",
 			"\xa7Counter"+counter, 1)
@@ -314,7 +314,7 @@
 			t.Error(d)
 		}
 	}
-	if l, known := parseLayout(goldenBytes(t, "report")); !known || len(l.entries) != 1 {
+	if l, known := parseLayout(goldenBytes(t, "report")); !known || len(l.tasks) != 1 {
 		t.Error("the counter and the tasks of a report aren't found")
 	}
 }
--- a/internal/protocol/reportdecoder_test.go
+++ b/internal/protocol/heartbeatdecoder_test.go
@@ -10,8 +10,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-func sampleReport(tasks int) Report {
-	r := Report{Machine: "m-000001", Address: "10.1.0.1:9000", Type: "t", Zone: "a", Session: 1, Counter: 1, Epoch: 3}
+func sampleHeartbeat(tasks int) Report {
+	r := Report{Machine: "m-000001", Address: "10.1.0.1:9000", Type: "t", Zone: "a",
+		Session: 1, Counter: 1, Epoch: 3}
 	for i := range tasks {
 		r.Tasks = append(r.Tasks, TaskReport{Task: TaskName("job-000001", i), Attempt: 1, Status: TaskRunning})
 	}
@@ -20,15 +21,15 @@
 
 // Whatever comes by a connection, in whatever order, is decoded as if it came alone,
 // what is malformed or lacks a counter included.
-func TestReportDecoderAgreesWithDecode(t *testing.T) {
+func TestHeartbeatDecoderAgreesWithDecode(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 5))
-		var d ReportDecoder
-		last := sampleReport(3)
+		var d HeartbeatDecoder
+		last := sampleHeartbeat(3)
 		for range 30 {
 			switch r.IntN(8) {
 			case 0:
-				last.Tasks = sampleReport(r.IntN(5)).Tasks
+				last.Tasks = sampleHeartbeat(r.IntN(5)).Tasks
 			case 3, 4:
 				last.Tasks = shuffled(r, last.Tasks)
 			case 1:
@@ -53,7 +54,8 @@
 			var plain Report
 			plainErr := Decode(raw, &plain)
 			if (err == nil) != (plainErr == nil) || err == nil && !cmp.Equal(got, plain) {
-				t.Fatalf("seed %d, % x: %v %v, alone %v %v", seed, raw, got, err, plain, plainErr)
+				t.Fatalf("seed %d: % x is decoded as %v (%v), want %v (%v) as on its own",
+					seed, raw, got, err, plain, plainErr)
 			}
 		}
 	}
@@ -66,7 +68,8 @@
 		at := r.IntN(len(tasks) + 1)
 		switch {
 		case r.IntN(3) == 0:
-			tasks = slices.Insert(tasks, at, TaskReport{Task: TaskName("job-000002", r.IntN(9)), Attempt: 2, Status: TaskFetching})
+			task := TaskReport{Task: TaskName("job-000002", r.IntN(9)), Attempt: 2, Status: TaskFetching}
+			tasks = slices.Insert(tasks, at, task)
 		case at == len(tasks):
 		case r.IntN(2) == 0:
 			tasks = slices.Delete(tasks, at, at+1)
@@ -79,26 +82,44 @@
 	return tasks
 }
 
-// A report without news costs little however many tasks it has.
-func TestReportWithoutNewsAllocatesLittle(t *testing.T) {
+// A heartbeat that differs in its counter only costs little, however many tasks it has.
+func TestUnchangedHeartbeatAllocatesLittle(t *testing.T) {
 	for _, tasks := range []int{0, 8, 60} {
 		t.Run(fmt.Sprint(tasks), func(t *testing.T) {
-			r := sampleReport(tasks)
-			var d ReportDecoder
+			r := sampleHeartbeat(tasks)
+			var d HeartbeatDecoder
 			_, _ = d.Decode(Encode(r))
 			r.Counter++
 			raw := Encode(r)
 			if n := testing.AllocsPerRun(100, func() { _, _ = d.Decode(raw) }); n > 2 {
-				t.Errorf("%v allocations", n)
+				t.Errorf("%v allocations, want at most 2", n)
 			}
 		})
 	}
 }
 
-// One of eight tasks has ended.
-func BenchmarkReportWithNews(b *testing.B) {
-	r := sampleReport(8)
-	var d ReportDecoder
+// BenchmarkDecodeHeartbeat is what every heartbeat costs before it is looked at, without what the
+// decoder keeps.
+func BenchmarkDecodeHeartbeat(b *testing.B) {
+	r := Report{Machine: "m-000231", Address: "10.1.0.232:9000", Type: "g8", Zone: "a",
+		Session: 1, Counter: 88, Epoch: 41}
+	for task := range 8 {
+		name := TaskName("job-000412", task)
+		r.Tasks = append(r.Tasks, TaskReport{Task: name, Attempt: 2, Status: TaskRunning})
+	}
+	raw := Encode(r)
+	for b.Loop() {
+		var again Report
+		if err := Decode(raw, &again); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
+
+// BenchmarkChangedHeartbeat has one of eight tasks ended.
+func BenchmarkChangedHeartbeat(b *testing.B) {
+	r := sampleHeartbeat(8)
+	var d HeartbeatDecoder
 	raws := [][]byte{Encode(r), nil}
 	r.Tasks[3].Status, r.Tasks[3].Cause = TaskExited, CauseDone
 	raws[1] = Encode(r)
@@ -109,9 +130,9 @@
 	}
 }
 
-func BenchmarkReportWithoutNews(b *testing.B) {
-	r := sampleReport(8)
-	var d ReportDecoder
+func BenchmarkUnchangedHeartbeat(b *testing.B) {
+	r := sampleHeartbeat(8)
+	var d HeartbeatDecoder
 	raws := [][]byte{Encode(r), nil}
 	r.Counter++
 	raws[1] = Encode(r)
--- /dev/null
+++ b/internal/protocol/identifiers.go
@@ -0,0 +1,48 @@
+package protocol
+
+import (
+	"strconv"
+	"strings"
+)
+
+const (
+	jobIDPrefix = "job-"
+	// maxJobIDSuffix bounds what follows the prefix, so that the keys made of an id stay far below
+	// the 200 bytes that the key-value store allows.
+	maxJobIDSuffix = 60
+)
+
+// TaskName returns the name of a task on the wire, as in "job-000412/3".
+func TaskName(job string, task int) string { return job + "/" + strconv.Itoa(task) }
+
+// ParseTask splits the name of a task; ok reports whether it is one.
+func ParseTask(name string) (job string, task int, ok bool) {
+	job, number, found := strings.Cut(name, "/")
+	if !found {
+		return "", 0, false
+	}
+	task, err := strconv.Atoi(number)
+	return job, task, err == nil && task >= 0
+}
+
+// ValidJobID reports whether an id has the form in which users choose them.
+func ValidJobID(id string) bool {
+	suffix, ok := strings.CutPrefix(id, jobIDPrefix)
+	if !ok || suffix == "" || len(suffix) > maxJobIDSuffix {
+		return false
+	}
+	for _, c := range []byte(suffix) {
+		if !validInJobID(c) {
+			return false
+		}
+	}
+	return true
+}
+
+func validInJobID(c byte) bool {
+	switch {
+	case c >= '0' && c <= '9', c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z':
+		return true
+	}
+	return c == '-' || c == '_'
+}
--- /dev/null
+++ b/internal/protocol/jobs.go
@@ -0,0 +1,78 @@
+package protocol
+
+import "slices"
+
+// Shapes of a job.
+const (
+	// ShapeArray jobs have independent tasks, each of which runs to completion.
+	ShapeArray = "batch"
+	// ShapeGang jobs have tasks that all run at the same time or not at all.
+	ShapeGang = "ensemble"
+	// ShapeService jobs have replicas that run until the job is cancelled.
+	ShapeService = "daemon"
+)
+
+// States of a job.
+const (
+	StatusPending   = "pending"
+	StatusRunning   = "running"
+	StatusDone      = "done"
+	StatusCancelled = "aborted"
+)
+
+// Ranks lists the priorities from the highest to the lowest.
+var Ranks = []string{"prod", "urgent", "normal", "idle"}
+
+// RankOf returns the index of a priority in Ranks, or -1 if there is no such priority.
+func RankOf(name string) int { return slices.Index(Ranks, name) }
+
+// JobSpec is a submission: the description of a job.
+type JobSpec struct {
+	ID       string  `msgpack:"Uid"`
+	Class    string  `msgpack:"Lane"` // service-level objectives are set for classes
+	Team     string  `msgpack:"Desk"`
+	Shape    string  `msgpack:"Shape"`
+	Rank     string  `msgpack:"Rank"`
+	Tasks    int     `msgpack:"Legs"`
+	Cpus     float64 `msgpack:"Vcpus"` // of each task, as are Gpus and MemoryGB
+	Gpus     float64 `msgpack:"Gpus"`
+	MemoryGB float64 `msgpack:"MemGb"`
+	Image    string  `msgpack:"Bundle"`
+	ImageGB  float64 `msgpack:"PullGb"`
+	// Types are the allowed machine types, nil for any.
+	Types []string `msgpack:"Fleets"`
+	// Zone is the only allowed zone, empty for any.
+	Zone string `msgpack:"Hall,omitempty"`
+	// OneZone jobs have all their tasks in the same zone, Spread ones at most half in each.
+	OneZone bool `msgpack:"SamePlace"`
+	Spread  bool `msgpack:"Spread"`
+	Spot    bool `msgpack:"Loaners"` // spot machines are allowed
+	// EstimateS is the expected run time of a task.
+	EstimateS float64 `msgpack:"ExpectedS"`
+	// CheckpointS is the interval between checkpoints, 0 if the tasks save none.
+	CheckpointS float64 `msgpack:"SnapshotS"`
+	// SaveS is how long a task needs to save a checkpoint when it is stopped.
+	SaveS float64 `msgpack:"FlushS"`
+	// DeadlineS is measured from the submission, nil for none.
+	DeadlineS *float64 `msgpack:"DueS"`
+}
+
+// Gang reports whether all tasks of the job must run at the same time.
+func (s *JobSpec) Gang() bool { return s.Shape == ShapeGang }
+
+// Service reports whether the job's tasks are replicas that run until the job is cancelled.
+func (s *JobSpec) Service() bool { return s.Shape == ShapeService }
+
+// JobStatus is the response to users about a job. Done and Running count tasks.
+type JobStatus struct {
+	ID      string `msgpack:"Uid"`
+	Status  string `msgpack:"Status"`
+	Done    int    `msgpack:"done"`
+	Running int    `msgpack:"running"`
+	Cause   string `msgpack:"Cause,omitempty"` // why the last start failed; users may ignore it
+}
+
+// ErrorResponse is the response to a request that was not carried out.
+type ErrorResponse struct {
+	Error string `msgpack:"error"`
+}
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"errors"
 	"fmt"
 	"math"
 	"slices"
@@ -11,42 +10,95 @@
 )
 
 const (
+	// maxTasks is the largest number of tasks of a job that the interface allows.
 	maxTasks = 100_000
-	// MaxText bounds names of all kinds.
-	MaxText  = 200
+	// MaxText is the limit of names of all kinds, in bytes. Nothing in the interface sets one; this
+	// is far above what is in use.
+	MaxText = 200
+	// maxTypes is the largest number of allowed machine types in a submission.
 	maxTypes = 64
-	// maxAmount keeps sums of amounts exact enough and times in range.
+	// maxAmount bounds amounts and durations, so that their sums stay exact enough and times in range.
 	maxAmount = 1e9
 )
 
-// DecodeSubmission checks a submission field by field. The id comes back whenever it
-// is well formed, so that a repeat of an accepted job can be recognised.
-func DecodeSubmission(raw []byte) (spec JobSpec, err error) {
+// Names of the fields of a submission, those of JobSpec's tags.
+const (
+	fieldID         = "Uid"
+	fieldClass      = "Lane"
+	fieldTeam       = "Desk"
+	fieldShape      = "Shape"
+	fieldPriority   = "Rank"
+	fieldTasks      = "Legs"
+	fieldCpus       = "Vcpus"
+	fieldGpus       = "Gpus"
+	fieldMemory     = "MemGb"
+	fieldImage      = "Bundle"
+	fieldImageSize  = "PullGb"
+	fieldTypes      = "Fleets"
+	fieldZone       = "Hall"
+	fieldOneZone    = "SamePlace"
+	fieldSpread     = "Spread"
+	fieldSpot       = "Loaners"
+	fieldEstimate   = "ExpectedS"
+	fieldCheckpoint = "SnapshotS"
+	fieldSave       = "FlushS"
+	fieldDeadline   = "DueS"
+)
+
+// What fields should be, in the texts of errors.
+const (
+	wantTypes       = "null or a short list of texts"
+	wantJobID       = "a job id"
+	wantFlag        = "true or false"
+	wantWholeNumber = "a whole number"
+	wantNumber      = "a number"
+	wantNonnegative = "a number from 0 up"
+)
+
+// DecodeSubmission reads a submission and validates it field by field. Its error is ErrMalformed,
+// ErrNotMap, a *BodyTooLargeError or a *FieldError. The id is returned whenever it is well formed,
+// also with an error, so that the repeat of an accepted submission can be recognised.
+func DecodeSubmission(raw []byte) (JobSpec, error) {
+	fields, err := decodeFields(raw)
+	if err != nil {
+		return JobSpec{}, err
+	}
+	p := submissionParser{fields: fields}
+	id := p.text(fieldID)
+	if p.err == nil && !ValidJobID(id) {
+		return JobSpec{}, &FieldError{Field: fieldID, Problem: FieldUnacceptable, Want: wantJobID}
+	}
+	spec := p.parse()
+	spec.ID = id
+	p.checkChoices(&spec)
+	if spec.Service() {
+		// Replicas neither end nor save: an estimate, a deadline or a checkpoint interval would
+		// only mislead.
+		spec.EstimateS, spec.CheckpointS, spec.SaveS, spec.DeadlineS = 0, 0, 0, nil
+	}
+	return spec, p.err
+}
+
+// decodeFields reads the map that a submission is.
+func decodeFields(raw []byte) (map[string]any, error) {
 	if len(raw) > MaxBody {
-		return spec, fmt.Errorf("the body is over %d bytes", MaxBody)
+		return nil, &BodyTooLargeError{Limit: MaxBody}
 	}
 	if err := Check(raw); err != nil {
-		return spec, err
+		return nil, err
 	}
 	r := bytes.NewReader(raw)
-	dec := msgpack.NewDecoder(r)
-	dec.UseLooseInterfaceDecoding(true)
-	content, err := dec.DecodeInterface()
+	decoder := msgpack.NewDecoder(r)
+	decoder.UseLooseInterfaceDecoding(true)
+	content, err := decoder.DecodeInterface()
 	if err != nil {
-		return spec, ErrMalformed
+		return nil, ErrMalformed
 	}
 	fields, ok := content.(map[string]any)
 	if !ok || r.Len() > 0 {
-		return spec, errors.New("not a MessagePack map with text keys")
-	}
-	p := submissionParser{fields: fields}
-	spec.ID = p.text("Uid")
-	if p.err == nil && !ValidJobID(spec.ID) {
-		spec.ID = ""
-		return spec, errors.New("field Uid is not a job id")
+		return nil, ErrNotMap
 	}
-	p.fill(&spec)
-	return spec, p.err
+	return fields, nil
 }
 
 // submissionParser reads the fields of a submission and keeps the first error.
@@ -55,68 +107,70 @@
 	err    error
 }
 
-// fill reads all fields but the id.
-func (p *submissionParser) fill(spec *JobSpec) {
-	spec.Class = p.text("Lane")
-	spec.Team = p.text("Desk")
-	spec.Shape = p.text("Shape")
-	spec.Rank = p.text("Rank")
-	spec.Tasks = p.count("Legs")
-	spec.Cpus = p.amount("Vcpus")
-	spec.Gpus = p.amount("Gpus")
-	spec.MemoryGB = p.amount("MemGb")
-	spec.Image = p.text("Bundle")
-	spec.ImageGB = p.amount("PullGb")
-	spec.Types = p.texts("Fleets")
-	if p.fields["Hall"] != nil {
-		spec.Zone = p.text("Hall")
-	}
-	spec.OneZone = p.flag("SamePlace")
-	spec.Spread = p.flag("Spread")
-	spec.Spot = p.flag("Loaners")
-	spec.EstimateS = p.amount("ExpectedS")
-	spec.CheckpointS = p.amount("SnapshotS")
-	spec.SaveS = p.amount("FlushS")
-	if p.fields["DueS"] != nil {
-		due := p.amount("DueS")
-		spec.DeadlineS = &due
-	}
-	p.checkChoices(spec)
-	if spec.Service() {
-		// Its replicas neither end nor save: an estimate, a deadline or a checkpoint interval
-		// would only mislead.
-		spec.EstimateS, spec.CheckpointS, spec.SaveS, spec.DeadlineS = 0, 0, 0, nil
+// parse reads all fields but the id.
+func (p *submissionParser) parse() JobSpec {
+	// The calls stand in the order of the interface, which decides which error comes first.
+	return JobSpec{
+		Class:       p.text(fieldClass),
+		Team:        p.text(fieldTeam),
+		Shape:       p.text(fieldShape),
+		Rank:        p.text(fieldPriority),
+		Tasks:       p.count(fieldTasks),
+		Cpus:        p.amount(fieldCpus),
+		Gpus:        p.amount(fieldGpus),
+		MemoryGB:    p.amount(fieldMemory),
+		Image:       p.text(fieldImage),
+		ImageGB:     p.amount(fieldImageSize),
+		Types:       p.texts(fieldTypes),
+		Zone:        p.optionalText(fieldZone),
+		OneZone:     p.flag(fieldOneZone),
+		Spread:      p.flag(fieldSpread),
+		Spot:        p.flag(fieldSpot),
+		EstimateS:   p.amount(fieldEstimate),
+		CheckpointS: p.amount(fieldCheckpoint),
+		SaveS:       p.amount(fieldSave),
+		DeadlineS:   p.optionalAmount(fieldDeadline),
 	}
 }
 
-// checkChoices looks at the fields of which only some values are known.
+// checkChoices validates the fields of which only some values are allowed.
 func (p *submissionParser) checkChoices(spec *JobSpec) {
 	shapes := []string{ShapeArray, ShapeGang, ShapeService}
-	if p.err == nil && !slices.Contains(shapes, spec.Shape) {
-		p.err = fmt.Errorf("field Shape is none of %v", shapes)
+	if !slices.Contains(shapes, spec.Shape) {
+		p.fail(fieldShape, FieldUnknownChoice, fmt.Sprint(shapes))
 	}
-	if p.err == nil && RankOf(spec.Rank) < 0 {
-		p.err = fmt.Errorf("field Rank is none of %v", Ranks)
+	if RankOf(spec.Rank) < 0 {
+		p.fail(fieldPriority, FieldUnknownChoice, fmt.Sprint(Ranks))
 	}
-	if p.err == nil && (spec.Tasks < 1 || spec.Tasks > maxTasks) {
-		p.err = fmt.Errorf("field Legs is not from 1 to %d", maxTasks)
+	if spec.Tasks < 1 || spec.Tasks > maxTasks {
+		p.fail(fieldTasks, FieldUnacceptable, fmt.Sprintf("from 1 to %d", maxTasks))
 	}
 }
 
-func (p *submissionParser) fail(field, what string) {
+func (p *submissionParser) fail(field string, problem FieldProblem, want string) {
 	if p.err == nil {
-		p.err = fmt.Errorf("%s is not %s", field, what)
+		p.err = &FieldError{Field: field, Problem: problem, Want: want}
 	}
 }
 
 func (p *submissionParser) text(field string) string {
 	s, ok := p.fields[field].(string)
-	if !ok || s == "" || len(s) > MaxText {
-		p.fail(field, fmt.Sprintf("a text of 1 to %d bytes", MaxText))
+	if !ok || !validText(s) {
+		p.fail(field, FieldInvalid, fmt.Sprintf("a text of 1 to %d bytes", MaxText))
 	}
 	return s
 }
 
+func validText(s string) bool { return s != "" && len(s) <= MaxText }
+
+// optionalText returns an empty text for null.
+func (p *submissionParser) optionalText(field string) string {
+	if p.fields[field] == nil {
+		return ""
+	}
+	return p.text(field)
+}
+
 func (p *submissionParser) texts(field string) []string {
 	value := p.fields[field]
 	if value == nil {
@@ -124,14 +178,14 @@
 	}
 	list, ok := value.([]any)
 	if !ok || len(list) > maxTypes {
-		p.fail(field, "null or a short list of texts")
+		p.fail(field, FieldInvalid, wantTypes)
 		return nil
 	}
 	texts := make([]string, 0, len(list))
-	for _, e := range list {
-		s, ok := e.(string)
-		if !ok || s == "" || len(s) > MaxText {
-			p.fail(field, "null or a short list of texts")
+	for _, element := range list {
+		s, ok := element.(string)
+		if !ok || !validText(s) {
+			p.fail(field, FieldInvalid, wantTypes)
 		}
 		texts = append(texts, s)
 	}
@@ -141,7 +195,7 @@
 func (p *submissionParser) flag(field string) bool {
 	b, ok := p.fields[field].(bool)
 	if !ok {
-		p.fail(field, "true or false")
+		p.fail(field, FieldInvalid, wantFlag)
 	}
 	return b
 }
@@ -153,7 +207,7 @@
 	case uint64:
 		return int(min(n, math.MaxInt32))
 	}
-	p.fail(field, "a whole number")
+	p.fail(field, FieldInvalid, wantWholeNumber)
 	return 0
 }
 
@@ -169,12 +223,21 @@
 	case uint64:
 		f = float64(n)
 	default:
-		p.fail(field, "a number")
+		p.fail(field, FieldInvalid, wantNumber)
 		return 0
 	}
 	if !(f >= 0 && f <= maxAmount) { // NaN fails both
-		p.fail(field, "a number from 0 up")
+		p.fail(field, FieldInvalid, wantNonnegative)
 		return 0
 	}
 	return f
 }
+
+// optionalAmount returns nil for null.
+func (p *submissionParser) optionalAmount(field string) *float64 {
+	if p.fields[field] == nil {
+		return nil
+	}
+	amount := p.amount(field)
+	return &amount
+}
--- a/internal/protocol/submission_test.go
+++ b/internal/protocol/submission_test.go
@@ -1,6 +1,7 @@
 package protocol
 
 import (
+	"errors"
 	"math"
 	"strings"
 	"testing"
@@ -10,9 +11,10 @@
 
 func submission() map[string]any {
 	return map[string]any{
-		"Uid": "job-000412", "Lane": "train", "Desk": "vision", "Shape": "ensemble", "Rank": "urgent", "Legs": 4,
-		"Vcpus": 8.0, "Gpus": 1.0, "MemGb": 64.0, "Bundle": "img-07", "PullGb": 6.2, "Fleets": []string{"g8"}, "Hall": nil,
-		"SamePlace": true, "Spread": false, "Loaners": true, "ExpectedS": 240.0, "SnapshotS": 30, "FlushS": 4.0, "DueS": 900.0,
+		"Uid": "job-000412", "Lane": "train", "Desk": "vision", "Shape": "ensemble", "Rank": "urgent",
+		"Legs": 4, "Vcpus": 8.0, "Gpus": 1.0, "MemGb": 64.0, "Bundle": "img-07", "PullGb": 6.2,
+		"Fleets": []string{"g8"}, "Hall": nil, "SamePlace": true, "Spread": false, "Loaners": true,
+		"ExpectedS": 240.0, "SnapshotS": 30, "FlushS": 4.0, "DueS": 900.0,
 		"Unknown": "ignored",
 	}
 }
@@ -25,19 +27,19 @@
 	return DecodeSubmission(raw)
 }
 
-// A submission is taken as described, with null fields left out too, and each
-// bad field is named.
+// A submission is taken as described, with null fields left out too, and each invalid field is named.
 func TestSubmissionsAreCheckedFieldByField(t *testing.T) {
 	spec, err := parse(t, submission())
-	if err != nil || spec.Tasks != 4 || spec.CheckpointS != 30 || *spec.DeadlineS != 900 || !spec.OneZone || spec.Types[0] != "g8" {
-		t.Fatalf("%+v %v", spec, err)
+	if err != nil || spec.Tasks != 4 || spec.CheckpointS != 30 || *spec.DeadlineS != 900 ||
+		!spec.OneZone || spec.Types[0] != "g8" {
+		t.Fatalf("read as %+v (%v), want what was submitted", spec, err)
 	}
 	s := submission()
 	delete(s, "Hall")
 	delete(s, "DueS")
 	s["Fleets"] = nil
 	if spec, err := parse(t, s); err != nil || spec.Zone != "" || spec.DeadlineS != nil || spec.Types != nil {
-		t.Fatalf("%+v %v", spec, err)
+		t.Fatalf("read as %+v (%v), want no zone, no deadline and any type", spec, err)
 	}
 	bad := map[string][]any{
 		"Uid":       {nil, 3, "", "job-", "job 1", "task-1", strings.Repeat("job-1", 50)},
@@ -56,14 +58,17 @@
 		for _, v := range values {
 			s := submission()
 			s[field] = v
-			if _, err := parse(t, s); err == nil || !strings.Contains(err.Error(), field) {
-				t.Errorf("%s = %v: %v", field, v, err)
+			_, err := parse(t, s)
+			var invalid *FieldError
+			if !errors.As(err, &invalid) || invalid.Field != field || !strings.Contains(err.Error(), field) {
+				t.Errorf("%s = %v: %v, want a FieldError of %s", field, v, err, field)
 			}
 		}
 	}
-	for _, raw := range [][]byte{nil, {0xc1}, {0x93, 1, 2, 3}, []byte("hello"), {0x81}, append(Encode(submission()), 0)} {
+	behind := append(Encode(submission()), 0)
+	for _, raw := range [][]byte{nil, {0xc1}, {0x93, 1, 2, 3}, []byte("hello"), {0x81}, behind} {
 		if _, err := DecodeSubmission(raw); err == nil {
-			t.Errorf("%v was taken", raw)
+			t.Errorf("% x was taken, want it refused", raw)
 		}
 	}
 }
@@ -72,8 +77,9 @@
 	f.Add(Encode(submission()))
 	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		if spec, err := DecodeSubmission(raw); err == nil && (spec.Tasks < 1 || !ValidJobID(spec.ID) || !(spec.Cpus >= 0)) {
-			t.Fatalf("%+v", spec)
+		spec, err := DecodeSubmission(raw)
+		if err == nil && (spec.Tasks < 1 || !ValidJobID(spec.ID) || !(spec.Cpus >= 0)) {
+			t.Fatalf("taken: %+v, want only what is valid", spec)
 		}
 	})
 }
@@ -85,12 +91,13 @@
 	for _, estimate := range []float64{0, 240} {
 		s["ExpectedS"] = estimate
 		spec, err := parse(t, s)
-		if err != nil || !spec.Service() || spec.EstimateS != 0 || spec.CheckpointS != 0 || spec.SaveS != 0 || spec.DeadlineS != nil {
-			t.Errorf("%+v %v", spec, err)
+		if err != nil || !spec.Service() || spec.EstimateS != 0 || spec.CheckpointS != 0 ||
+			spec.SaveS != 0 || spec.DeadlineS != nil {
+			t.Errorf("read as %+v (%v), want a service without times", spec, err)
 		}
 	}
 	s["ExpectedS"] = -1.0
 	if _, err := parse(t, s); err == nil || !strings.Contains(err.Error(), "ExpectedS") {
-		t.Errorf("a negative estimate: %v", err)
+		t.Errorf("a negative estimate: %v, want an error of ExpectedS", err)
 	}
 }
