--- a/internal/intake/attestation_test.go
+++ b/internal/intake/attestation_test.go
@@ -11,29 +11,28 @@
 	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
 	"postpoint/internal/settings"
-	"postpoint/internal/statestore"
 )
 
-// records is a state service that holds cancelled jobs and serves nothing else.
-type records struct{ statestore.Store }
-
-func (records) Get(key string, done func(statestore.Reply[protocol.Item])) {
-	j := ledger.New(protocol.JobSpec{ID: key[len(ledger.Prefix):], Tasks: 1}, 1)
-	j.Status = protocol.StatusCancelled
-	done(statestore.Reply[protocol.Item]{Status: http.StatusOK, Value: protocol.Item{Key: key, Value: j.Encode(), Version: 3}})
+// cancelledJobs is a store that holds the records of cancelled jobs.
+func cancelledJobs(ids ...string) *fakeStore {
+	store := &fakeStore{values: map[string][]byte{}}
+	for _, id := range ids {
+		record := ledger.New(protocol.JobSpec{ID: id, Tasks: 1}, 1)
+		record.Status = protocol.StatusCancelled
+		store.values[ledger.Key(id)] = record.Encode()
+	}
+	return store
 }
 
-// A node vouches for what it has told users since its process began, and for its own
-// elections; each cancellation counts from when it was told first, by a question's
-// answer as well, and what is older than what is asked for is left out.
-func TestAttestation(t *testing.T) {
+// A node vouches for what it has told users since its process started, and for its own elections;
+// each cancellation counts from when it was told first, by the answer to a question as well, and
+// what is older than what is asked for is left out.
+func TestNodeVouchesForWhatItHasTold(t *testing.T) {
 	box := &actortest.Still{Now: 5 * clock.Second}
-	in := New(box, records{}, &settings.Settings{}, nil)
-	show := func(id string) { in.Handle(Request{Kind: Show, ID: id}, func(Answer) {}) }
-	ask := func(back clock.Micros) (Attestation, bool) {
-		var told Answer
-		in.Handle(AttestRequest(back), func(a Answer) { told = a })
-		all, ok := Attestations([]Answer{told}, true)
+	in := New(box, cancelledJobs("job-000001", "job-000002"), &settings.Settings{}, nil)
+	show := func(id string) { answerOf(t, in, Request{Kind: Show, ID: id}) }
+	attest := func(back clock.Micros) (Attestation, bool) {
+		all, ok := Attestations([]Answer{answerOf(t, in, AttestRequest(back))}, true)
 		if !ok {
 			return Attestation{}, false
 		}
@@ -47,30 +46,29 @@
 	show("job-000002")
 	box.Now += 5 * clock.Second
 	show("job-000001") // once more
-	got, ok := ask(30 * clock.Second)
+	got, ok := attest(30 * clock.Second)
 	want := Attestation{Age: 35 * clock.Second, Epoch: 9, Cancelled: []CancelledJob{
 		{"job-000001", 25 * clock.Second}, {"job-000002", 5 * clock.Second}}}
 	if d := cmp.Diff(want, got); d != "" || !ok {
-		t.Fatal(ok, d)
+		t.Fatalf("attestation, ok %v, want it as follows (-want +got):\n%s", ok, d)
 	}
-	if got, ok := ask(10 * clock.Second); !ok || len(got.Cancelled) != 1 {
-		t.Fatalf("ok %v, %v", ok, got)
+	if got, ok := attest(10 * clock.Second); !ok || len(got.Cancelled) != 1 {
+		t.Fatalf("of the last ten seconds: ok %v, %v, want one job", ok, got)
 	}
-	if _, ok := ask(toldTime + 1); ok {
-		t.Fatal("it vouches for more than it keeps")
+	if _, ok := attest(cancellationsKept + 1); ok {
+		t.Fatal("it vouches for more than it keeps, want a refusal")
 	}
-	if _, ok := ask(-1); ok {
-		t.Fatal("it vouches for the time to come")
+	if _, ok := attest(-1); ok {
+		t.Fatal("it vouches for the time to come, want a refusal")
 	}
-	var refused Answer
-	in.Handle(Request{Kind: Attest, Body: []byte{1}}, func(a Answer) { refused = a })
+	refused := answerOf(t, in, Request{Kind: Attest, Body: []byte{1}})
 	if refused.Status != http.StatusServiceUnavailable {
-		t.Fatalf("a malformed request is answered %d", refused.Status)
+		t.Fatalf("a malformed request is answered %d, want %d", refused.Status, http.StatusServiceUnavailable)
 	}
 }
 
-// Whatever a node is sent in place of an attestation is refused or reads as what it
-// writes again, and one that doesn't vouch spoils the whole.
+// Whatever a node is sent in place of an attestation is refused or reads as what it writes again,
+// and one that doesn't vouch spoils the whole.
 func FuzzAttestations(f *testing.F) {
 	f.Add(Attestation{Age: 5, Epoch: 7, Cancelled: []CancelledJob{{"job-000412", 3}}}.Encode())
 	f.Add([]byte{1, 2, 3})
@@ -79,14 +77,16 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		a, err := DecodeAttestation(raw)
 		if err == nil && string(a.Encode()) != string(raw) {
-			t.Fatalf("%x reads as %+v", raw, a)
+			t.Fatalf("%x reads as %+v, which is written as %x, want the same", raw, a, a.Encode())
 		}
 		good := Answer{Status: http.StatusOK, Body: Attestation{}.Encode()}
-		if all, ok := Attestations([]Answer{good, {Status: http.StatusOK, Body: raw}}, true); ok != (err == nil) || ok && len(all) != 2 {
-			t.Fatalf("ok %v, %v", ok, all)
+		all, ok := Attestations([]Answer{good, {Status: http.StatusOK, Body: raw}}, true)
+		if ok != (err == nil) || ok && len(all) != 2 {
+			t.Fatalf("ok %v, %v, want ok %v", ok, all, err == nil)
 		}
-		if _, ok := Attestations([]Answer{good, {Status: http.StatusServiceUnavailable, Body: good.Body}}, true); ok {
-			t.Fatal("a refusal vouches")
+		refusal := Answer{Status: http.StatusServiceUnavailable, Body: good.Body}
+		if _, ok := Attestations([]Answer{good, refusal}, true); ok {
+			t.Fatal("a refusal vouches, want it not to")
 		}
 	})
 }
--- /dev/null
+++ b/internal/intake/cancellation_test.go
@@ -0,0 +1,35 @@
+package intake
+
+import (
+	"fmt"
+	"net/http"
+	"testing"
+
+	"postpoint/internal/actor/actortest"
+	"postpoint/internal/clock"
+	"postpoint/internal/ledger"
+	"postpoint/internal/protocol"
+	"postpoint/internal/settings"
+)
+
+// A job whose record was stored under wider limits can be cancelled under tight ones: its user is
+// told at once, and what is stored is final and small.
+func TestLargeRecordsCanBeCancelled(t *testing.T) {
+	spec := submission()
+	spec.Shape, spec.Tasks = protocol.ShapeArray, 400
+	record := ledger.New(spec, 1)
+	for task := range spec.Tasks {
+		machine := fmt.Sprintf("m-%06d", task)
+		record.Placed[task] = ledger.Placement{Task: task, Attempt: 1, Machine: machine, Session: 1}
+	}
+	store := &fakeStore{values: map[string][]byte{ledger.Key(spec.ID): record.Encode()}, maxValue: 2 << 10}
+	in := New(&actortest.Still{Now: clock.Second}, store, &settings.Settings{}, nil)
+	got := answerOf(t, in, Request{Kind: Cancel, ID: spec.ID})
+	if got.Status != http.StatusOK || len(store.puts) != 1 {
+		t.Fatalf("answered %d with %d puts, want %d with 1", got.Status, len(store.puts), http.StatusOK)
+	}
+	stored, err := ledger.Decode(store.puts[0])
+	if err != nil || stored.Status != protocol.StatusCancelled || !stored.Truncated || stored.CancelledAt == 0 {
+		t.Fatalf("stored %+v (%v), want it cancelled and truncated, with its time", stored, err)
+	}
+}
--- /dev/null
+++ b/internal/intake/cancellationlog.go
@@ -0,0 +1,48 @@
+package intake
+
+import (
+	"maps"
+	"slices"
+	"strings"
+
+	"postpoint/internal/clock"
+)
+
+// cancellationsKept is for how long cancellations are kept for attestations: longer than a leader
+// may go on without the store.
+const cancellationsKept = 15 * 60 * clock.Second
+
+// cancellationLog notes when users were first told that a job is cancelled.
+type cancellationLog struct {
+	toldAt    map[string]clock.Micros // by job
+	cleanedAt clock.Micros            // when old ones were last dropped
+}
+
+func newCancellationLog() cancellationLog {
+	return cancellationLog{toldAt: map[string]clock.Micros{}}
+}
+
+// add notes that a user is about to be told.
+func (l *cancellationLog) add(job string, now clock.Micros) {
+	if _, known := l.toldAt[job]; known {
+		return
+	}
+	if now > l.cleanedAt+cancellationsKept {
+		// Seldom enough to go through all of them.
+		l.cleanedAt = now
+		maps.DeleteFunc(l.toldAt, func(_ string, at clock.Micros) bool { return at < now-cancellationsKept })
+	}
+	l.toldAt[job] = now
+}
+
+// since returns the jobs that users were first told of from a time on, ordered by id.
+func (l *cancellationLog) since(from, now clock.Micros) []CancelledJob {
+	var jobs []CancelledJob
+	for job, at := range l.toldAt {
+		if at >= from {
+			jobs = append(jobs, CancelledJob{Job: job, Ago: now - at})
+		}
+	}
+	slices.SortFunc(jobs, func(x, y CancelledJob) int { return strings.Compare(x.Job, y.Job) })
+	return jobs
+}
--- a/internal/intake/golden_test.go
+++ b/internal/intake/golden_test.go
@@ -332,7 +332,7 @@
 	} {
 		spec := submission()
 		c.change(&spec)
-		goldentest.Equal(t, "reason", []byte(neverRuns(&spec, dep, types)), c.want)
+		goldentest.Equal(t, "reason", []byte(checkRunnable(&spec, dep, types).Error()), c.want)
 	}
 }
 
--- /dev/null
+++ b/internal/intake/helpers_test.go
@@ -0,0 +1,137 @@
+package intake
+
+import (
+	"net/http"
+	"sync"
+	"testing"
+
+	"postpoint/internal/actor/actortest"
+	"postpoint/internal/clock"
+	"postpoint/internal/protocol"
+	"postpoint/internal/settings"
+	"postpoint/internal/statestore"
+)
+
+// submission returns a gang that a deployment of gpuTypes and visionDeployment can run.
+func submission() protocol.JobSpec {
+	due := 900.0
+	return protocol.JobSpec{ID: "job-000412", Class: "train", Team: "vision", Shape: protocol.ShapeGang,
+		Rank: "urgent", Tasks: 4, Cpus: 8, Gpus: 1, MemoryGB: 64, Image: "img-07", ImageGB: 6.2,
+		Types: []string{"g8"}, OneZone: true, Spot: true, EstimateS: 240, CheckpointS: 30, SaveS: 4,
+		DeadlineS: &due}
+}
+
+// gpuTypes returns the catalogue of a deployment with one machine type.
+func gpuTypes(zones ...string) []protocol.MachineType {
+	return []protocol.MachineType{{Name: "g8", Cpus: 96, Gpus: 8, MemoryGB: 768, Zones: zones}}
+}
+
+// visionDeployment has one team and tight limits of the store.
+func visionDeployment() settings.Deployment {
+	return settings.Deployment{
+		Teams: []settings.Team{{Name: "vision", GpusMax: 4}},
+		State: settings.State{ValueKb: 8, TxnOps: 5},
+	}
+}
+
+// fakeStore is a key-value store that answers at once. Transactions don't change its values.
+type fakeStore struct {
+	statestore.Store
+	values   map[string][]byte
+	down     bool
+	maxValue int      // bytes of JSON, 0 for no limit
+	puts     [][]byte // values of the transactions that were carried out
+}
+
+func (s *fakeStore) Get(key string, done func(statestore.Reply[protocol.Item])) {
+	value, found := s.values[key]
+	switch {
+	case s.down:
+		done(statestore.Reply[protocol.Item]{Status: http.StatusServiceUnavailable})
+	case !found:
+		done(statestore.Reply[protocol.Item]{Status: http.StatusNotFound})
+	default:
+		item := protocol.Item{Key: key, Value: value, Version: 5}
+		done(statestore.Reply[protocol.Item]{Status: http.StatusOK, Value: item})
+	}
+}
+
+func (s *fakeStore) Commit(
+	_ statestore.Use, txn protocol.Txn, done func(statestore.Reply[protocol.TxnAnswer]),
+) {
+	value := txn.Changes[0].Value
+	switch {
+	case s.down:
+		done(statestore.Reply[protocol.TxnAnswer]{Status: http.StatusServiceUnavailable})
+	case s.maxValue > 0 && protocol.JSONSize(value) > s.maxValue:
+		done(statestore.Reply[protocol.TxnAnswer]{Status: http.StatusBadRequest})
+	default:
+		s.puts = append(s.puts, value)
+		done(statestore.Reply[protocol.TxnAnswer]{
+			Status: http.StatusOK,
+			Value:  protocol.TxnAnswer{Revision: 6},
+		})
+	}
+}
+
+// noPeers forwards to nobody.
+func noPeers(_ Request, done func(Answer, bool)) { done(Answer{}, false) }
+
+// heartbeatRecorder answers heartbeats as a leader does and keeps them.
+type heartbeatRecorder struct{ received []protocol.Report }
+
+func (h *heartbeatRecorder) Heartbeat(r protocol.Report, reply func(int, any)) {
+	h.received = append(h.received, r)
+	leaderAnswers{}.Heartbeat(r, reply)
+}
+
+func (h *heartbeatRecorder) Overview(reply func(any)) { reply(map[string]bool{"leads": true}) }
+
+// leaderAnswers answers heartbeats as a leader does and may be asked by many at once.
+type leaderAnswers struct{}
+
+func (leaderAnswers) Heartbeat(_ protocol.Report, reply func(int, any)) {
+	reply(http.StatusOK, protocol.HeartbeatAnswer{Epoch: 1})
+}
+
+func (leaderAnswers) Overview(func(any)) {}
+
+// lockedMailbox is a mailbox whose messages run alone, at one instant.
+type lockedMailbox struct {
+	*actortest.Still
+	mu *sync.Mutex
+}
+
+func (m lockedMailbox) Post(message func()) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	message()
+}
+
+// concurrentIntake is served by an empty store, knows the machine types and may be asked by many
+// at once.
+func concurrentIntake(heartbeatIntervalS float64) *Intake {
+	set := &settings.Settings{}
+	set.Deployment.Workers.ReportS = heartbeatIntervalS
+	box := lockedMailbox{Still: &actortest.Still{Now: 20 * clock.Second}, mu: &sync.Mutex{}}
+	in := New(box, &fakeStore{}, set, noPeers)
+	in.Types([]protocol.MachineType{{Name: "g8"}})
+	in.availability.storeAnsweredAt = in.mailbox.Steady()
+	return in
+}
+
+// heartbeatBody returns a valid heartbeat.
+func heartbeatBody(machine string, counter int64) []byte {
+	return protocol.Encode(protocol.Report{Machine: machine, Address: "a:1", Session: 1, Counter: counter})
+}
+
+// answerOf returns the answer to a request of an actor that answers in place.
+func answerOf(t *testing.T, in *Intake, r Request) Answer {
+	t.Helper()
+	var got *Answer
+	in.Handle(r, func(a Answer) { got = &a })
+	if got == nil {
+		t.Fatalf("request of kind %d wasn't answered at once", r.Kind)
+	}
+	return *got
+}
--- /dev/null
+++ b/internal/intake/runnable.go
@@ -0,0 +1,55 @@
+package intake
+
+import (
+	"errors"
+
+	"postpoint/internal/fleet"
+	"postpoint/internal/ledger"
+	"postpoint/internal/protocol"
+	"postpoint/internal/settings"
+)
+
+// Why a job can never run, as its user is told.
+var (
+	errUnknownTeam    = errors.New("unknown team")
+	errFitsNoType     = errors.New("a task fits no allowed machine type")
+	errOverTeamLimit  = errors.New("needs more than the team's limit")
+	errSpreadInZone   = errors.New("its tasks can't be both spread and in one zone")
+	errRecordTooLarge = errors.New("too large to be recorded while it runs")
+)
+
+// checkRunnable returns why a job can never run, or nil if it can.
+func checkRunnable(spec *protocol.JobSpec, dep *settings.Deployment, types []protocol.MachineType) error {
+	team, ok := dep.Team(spec.Team)
+	if !ok {
+		return errUnknownTeam
+	}
+	if spec.Types != nil && len(spec.Types) == 0 || !fleet.Fits(types, spec) {
+		return errFitsNoType
+	}
+	if overLimit(spec, team) {
+		return errOverTeamLimit
+	}
+	if runsAtOnce(spec) && spec.Spread && spec.Tasks > 1 && (spec.OneZone || spec.Zone != "") {
+		return errSpreadInZone
+	}
+	// The store may tighten its limits at any time.
+	limits := dep.State.Tightest()
+	if !ledger.Recordable(spec, limits.ValueBytes(), limits.TxnOps) {
+		return errRecordTooLarge
+	}
+	return nil
+}
+
+// runsAtOnce reports whether all tasks of the job must run at the same time.
+func runsAtOnce(spec *protocol.JobSpec) bool { return spec.Gang() || spec.Service() }
+
+// overLimit reports whether the tasks that must run at the same time exceed the team's limit.
+func overLimit(spec *protocol.JobSpec, team settings.Team) bool {
+	atOnce := 1.0
+	if runsAtOnce(spec) {
+		atOnce = float64(spec.Tasks)
+	}
+	return team.CpusMax > 0 && atOnce*spec.Cpus > team.CpusMax ||
+		team.GpusMax > 0 && atOnce*spec.Gpus > team.GpusMax
+}
--- /dev/null
+++ b/internal/intake/status.go
@@ -0,0 +1,45 @@
+package intake
+
+import (
+	"log/slog"
+
+	"postpoint/internal/ledger"
+	"postpoint/internal/protocol"
+	"postpoint/internal/statestore"
+)
+
+// show answers with the state of a job.
+func (c *call) show() {
+	c.findRecord(func(record *ledger.Job, _ int64) {
+		if record.PartSize > 0 && !record.Final() {
+			c.showSharded(record)
+			return
+		}
+		c.finish(knownJob(record.UserStatus()))
+	})
+}
+
+// showSharded reads the shards of a record for what users are shown of its tasks. Without them the
+// answer says what the head does.
+func (c *call) showSharded(record *ledger.Job) {
+	prefix := ledger.PartsOf(record.Spec.ID)
+	apply := func(page protocol.ItemList) (goOn bool) {
+		applyShards(record, page.Items)
+		return true
+	}
+	statestore.Walk(c.in.store, prefix, "", apply, func(int, string) {
+		c.finish(knownJob(record.UserStatus()))
+	})
+}
+
+func applyShards(record *ledger.Job, items []protocol.Item) {
+	for _, item := range items {
+		_, shard, ok := ledger.ParsePartKey(item.Key)
+		if !ok {
+			continue
+		}
+		if err := record.ApplyPart(shard, item.Value); err != nil {
+			slog.Error("malformed shard of a job record", "job", record.Spec.ID, "key", item.Key, "error", err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/intake/zonereports.go
@@ -0,0 +1,74 @@
+package intake
+
+import (
+	"encoding/binary"
+	"errors"
+	"maps"
+	"slices"
+)
+
+// ZoneReports says to the leader from which zones' machines a node receives heartbeats: machines
+// that can't reach the leader try the other nodes in turn.
+type ZoneReports struct {
+	Node string
+	// Machines counts those heard from in the last few seconds, by zone.
+	Machines map[string]int
+}
+
+// ErrZoneReports are zone reports that can't be read.
+var ErrZoneReports = errors.New("malformed zone reports")
+
+// machinesBytes is the size of a number of machines in the binary form.
+const machinesBytes = 4
+
+// Encode returns the binary form, big endian:
+//
+//	length of the node's name (1), name, and for each zone: length (1), name, machines (4)
+func (z ZoneReports) Encode() []byte {
+	b := append([]byte{byte(len(z.Node))}, z.Node...)
+	for _, zone := range slices.Sorted(maps.Keys(z.Machines)) {
+		b = append(b, byte(len(zone)))
+		b = append(b, zone...)
+		b = binary.BigEndian.AppendUint32(b, uint32(z.Machines[zone]))
+	}
+	return b
+}
+
+// DecodeZoneReports reads the binary form. Its error is ErrZoneReports.
+func DecodeZoneReports(b []byte) (ZoneReports, error) {
+	z := ZoneReports{Machines: map[string]int{}}
+	node, b, ok := cutName(b)
+	if !ok {
+		return z, ErrZoneReports
+	}
+	z.Node = node
+	for len(b) > 0 {
+		zone, rest, ok := cutName(b)
+		if !ok || len(rest) < machinesBytes {
+			return z, ErrZoneReports
+		}
+		z.Machines[zone] = int(binary.BigEndian.Uint32(rest))
+		b = rest[machinesBytes:]
+	}
+	return z, nil
+}
+
+// cutName reads a name behind its length of one byte.
+func cutName(b []byte) (name string, rest []byte, ok bool) {
+	if len(b) < 1 || len(b) < 1+int(b[0]) {
+		return "", nil, false
+	}
+	end := 1 + int(b[0])
+	return string(b[1:end]), b[end:], true
+}
+
+// AllZoneReports reads the answers of nodes; those that say something else are left out.
+func AllZoneReports(answers []Answer) []ZoneReports {
+	var all []ZoneReports
+	for _, answer := range answers {
+		if z, err := DecodeZoneReports(answer.Body); err == nil && answer.OK() {
+			all = append(all, z)
+		}
+	}
+	return all
+}
