--- /dev/null
+++ b/internal/peer/forwarder_test.go
@@ -0,0 +1,69 @@
+package peer
+
+import (
+	"net"
+	"testing"
+
+	"postpoint/internal/actor/actortest"
+	"postpoint/internal/clock"
+	"postpoint/internal/intake"
+	"postpoint/internal/settings"
+)
+
+// listen returns a listener that is closed at the end of the test.
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	return l
+}
+
+// serveAll answers the requests of all connections until the listener is closed.
+func serveAll(t *testing.T, l net.Listener, in *intake.Intake) {
+	for {
+		c, err := l.Accept()
+		if err != nil {
+			return
+		}
+		if err := serve(c, in); err != nil {
+			t.Error(err)
+		}
+		c.Close()
+	}
+}
+
+// All nodes are asked for what they vouch for, this one included; one that can't be reached is
+// missed.
+func TestEveryoneIsAsked(t *testing.T) {
+	quiet := actortest.Instant{Now: clock.Second, Messages: make(chan func())}
+	go func() {
+		for message := range quiet.Messages {
+			message()
+		}
+	}()
+	l := listen(t)
+	go serveAll(t, l, intake.New(quiet, nil, &settings.Settings{}, nil))
+	gone := listen(t)
+	gone.Close()
+	for _, allThere := range []bool{true, false} {
+		addresses := []string{l.Addr().String()}
+		if !allThere {
+			addresses = append(addresses, gone.Addr().String())
+		}
+		box := actortest.Instant{Now: clock.Second, Messages: make(chan func())}
+		own := intake.New(quiet, nil, &settings.Settings{}, nil)
+		var all []intake.Attestation
+		vouched := false
+		request := intake.AttestRequest(clock.Second)
+		NewForwarder(addresses, box).Everyone(own, request, func(answers []intake.Answer, ok bool) {
+			all, vouched = intake.Attestations(answers, ok)
+		})
+		(<-box.Messages)()
+		if len(all) != 2 || vouched != allThere {
+			t.Fatalf("all there %v: vouched %v, %v, want that vouched, by two nodes", allThere, vouched, all)
+		}
+	}
+}
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -75,9 +75,9 @@
 // The numbers of the format.
 func TestGoldenConstants(t *testing.T) {
 	for _, c := range []struct{ constant, want int }{
-		{magic, 0x70703031},
-		{header, 8},
-		{maxFrame, 66560},
+		{frameMagic, 0x70703031},
+		{frameHeaderBytes, 8},
+		{maxFrameBytes, 66560},
 		{kindExchange, 16},
 		{int(intake.Submit), 1},
 		{int(intake.Show), 2},
--- /dev/null
+++ b/internal/peer/messages.go
@@ -0,0 +1,78 @@
+package peer
+
+import (
+	"encoding/binary"
+	"fmt"
+
+	"postpoint/internal/intake"
+	"postpoint/internal/protocol"
+)
+
+// Payloads of frames, with the sizes of their fields in bytes:
+//
+//	request:          kind (1), length of the id (2), id, body
+//	answer:           HTTP status (2), seconds to retry after (2), body
+//	exchange request: kind (1), a delegation.Report
+//	exchange answer:  a delegation.Answer
+const (
+	requestHeaderBytes = 3
+	idLengthOffset     = 1
+	answerHeaderBytes  = 4
+	retryOffset        = 2
+	// kindExchange is far from the kinds of package intake, so that neither can be taken for the
+	// other.
+	kindExchange = 16
+)
+
+// The range of HTTP statuses that an answer may have.
+const (
+	minStatus = 200
+	maxStatus = 599
+)
+
+func encodeRequest(r intake.Request) []byte {
+	b := []byte{byte(r.Kind)}
+	b = binary.BigEndian.AppendUint16(b, uint16(len(r.ID)))
+	b = append(b, r.ID...)
+	return append(b, r.Body...)
+}
+
+// decodeRequest reads the request of another node.
+func decodeRequest(b []byte) (intake.Request, error) {
+	if len(b) < requestHeaderBytes {
+		return intake.Request{}, fmt.Errorf("%w: request of %d bytes", ErrMalformed, len(b))
+	}
+	kind := intake.Kind(b[0])
+	if kind < intake.Submit || kind > intake.Zones {
+		return intake.Request{}, fmt.Errorf("%w: request of unknown kind %d", ErrMalformed, kind)
+	}
+	idLength := int(binary.BigEndian.Uint16(b[idLengthOffset:]))
+	rest := b[requestHeaderBytes:]
+	if len(rest) < idLength || len(rest)-idLength > protocol.MaxBody {
+		return intake.Request{}, fmt.Errorf("%w: request of %d bytes, id of %d", ErrMalformed, len(b), idLength)
+	}
+	return intake.Request{Kind: kind, ID: string(rest[:idLength]), Body: rest[idLength:], Forwarded: true}, nil
+}
+
+func encodeAnswer(a intake.Answer) []byte {
+	var b []byte
+	b = binary.BigEndian.AppendUint16(b, uint16(a.Status))
+	b = binary.BigEndian.AppendUint16(b, uint16(a.RetryS))
+	return append(b, a.Body...)
+}
+
+// decodeAnswer reads the answer of another node.
+func decodeAnswer(b []byte) (intake.Answer, error) {
+	if len(b) < answerHeaderBytes {
+		return intake.Answer{}, fmt.Errorf("%w: answer of %d bytes", ErrMalformed, len(b))
+	}
+	a := intake.Answer{
+		Status: int(binary.BigEndian.Uint16(b)),
+		RetryS: int(binary.BigEndian.Uint16(b[retryOffset:])),
+		Body:   b[answerHeaderBytes:],
+	}
+	if a.Status < minStatus || a.Status > maxStatus {
+		return intake.Answer{}, fmt.Errorf("%w: answer of status %d", ErrMalformed, a.Status)
+	}
+	return a, nil
+}
