--- a/internal/intake/handler.go
+++ b/internal/intake/handler.go
@@ -115,7 +115,7 @@
 }
 
 // validHeartbeat reports whether a heartbeat has what every later step relies on. Names of machines
-// stand in records between spaces.
+// are separated by spaces in records.
 func validHeartbeat(r *protocol.Report) bool {
 	validName := r.Machine != "" && len(r.Machine) <= protocol.MaxText &&
 		!strings.ContainsFunc(r.Machine, unicode.IsSpace)
--- a/internal/ledger/placement.go
+++ b/internal/ledger/placement.go
@@ -23,7 +23,7 @@
 	start   start
 }
 
-// start tells the start of one task from other starts.
+// start identifies one start of a task among all others.
 type start struct{ incarnation, attempt int64 }
 
 func (p Placement) start() start { return start{p.Session, p.Attempt} }
--- a/internal/protocol/heartbeatlayout.go
+++ b/internal/protocol/heartbeatlayout.go
@@ -97,7 +97,7 @@
 		string(encoded[1:]) == text
 }
 
-// readHeader reads how many elements a map or an array has, given what tells short ones and the
+// readHeader reads how many elements a map or an array has, given what recognises short ones and the
 // code of those with a count of 16 bits. It refuses longer ones, which no request body can hold.
 func readHeader(
 	raw []byte, isShort func(byte) bool, shortMask, code16 byte,
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -109,7 +109,7 @@
 
 // parse reads all fields but the id.
 func (p *submissionParser) parse() JobSpec {
-	// The calls stand in the order of the interface, which decides which error comes first.
+	// The calls are in the order of the interface, which decides which error comes first.
 	return JobSpec{
 		Class:       p.text(fieldClass),
 		Team:        p.text(fieldTeam),
