--- a/internal/intake/call.go
+++ b/internal/intake/call.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// maxRetries is how often a request is tried again before its user is: about as often as fits
-	// into the two seconds that users wait for a status.
+	// maxRetries is how often a request is tried again before its user is told to: with retryDelay,
+	// within the two seconds that users wait for a status.
 	maxRetries = 6
 	// retryDelay is how long a request waits that was one too many for the store.
 	retryDelay = 150 * clock.Millisecond
--- a/internal/intake/cancellationlog.go
+++ b/internal/intake/cancellationlog.go
@@ -8,8 +8,8 @@
 	"postpoint/internal/clock"
 )
 
-// cancellationsKept is for how long cancellations are kept for attestations: longer than a leader
-// may go on without the store.
+// cancellationsKept is for how long cancellations are kept for attestations. A leader that asks for
+// an older time is refused, so that it bounds how long one may go on without the store.
 const cancellationsKept = 15 * 60 * clock.Second
 
 // cancellationLog notes when users were first told that a job is cancelled.
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -11,7 +11,7 @@
 	"postpoint/internal/statestore"
 )
 
-// maxFinalStates bounds the final states in memory, about 200 bytes each.
+// maxFinalStates bounds the memory that final states take.
 const maxFinalStates = 20_000
 
 // Intake is the actor that answers requests.
--- a/internal/ledger/capacity.go
+++ b/internal/ledger/capacity.go
@@ -90,7 +90,7 @@
 
 // groupCount returns the number of texts that the placements take.
 func (j *Job) groupCount() int {
-	groups := make(map[placementGroup]bool, len(j.Placed)/4)
+	groups := make(map[placementGroup]bool, len(j.Placed)/tasksPerGroup)
 	for _, placement := range j.Placed {
 		groups[placement.group()] = true
 	}
--- a/internal/ledger/placement.go
+++ b/internal/ledger/placement.go
@@ -23,6 +23,9 @@
 	start   start
 }
 
+// tasksPerGroup is about how many tasks share a text, to size maps of groups.
+const tasksPerGroup = 4
+
 // start identifies one start of a task among all others.
 type start struct{ incarnation, attempt int64 }
 
@@ -51,7 +54,7 @@
 
 // encodePlacements returns the texts of all placements, "machine incarnation attempt tasks".
 func (j *Job) encodePlacements() []string {
-	groups := make(map[placementGroup]*Ranges, len(j.Placed)/4)
+	groups := make(map[placementGroup]*Ranges, len(j.Placed)/tasksPerGroup)
 	for _, task := range slices.Sorted(maps.Keys(j.Placed)) { // in order, sets grow at their ends
 		group := j.Placed[task].group()
 		if groups[group] == nil {
--- a/internal/protocol/heartbeatdecoder.go
+++ b/internal/protocol/heartbeatdecoder.go
@@ -7,7 +7,7 @@
 )
 
 // maxComparedHeartbeat bounds what a connection keeps between its requests, in bytes. Heartbeats of
-// about a hundred tasks fit; larger ones are decoded from scratch each time.
+// more than a hundred tasks fit; larger ones are decoded from scratch each time.
 const maxComparedHeartbeat = 8 << 10
 
 // HeartbeatDecoder decodes the heartbeats that come by one connection. Most of them differ from the
