--- a/internal/peer/cellclient.go
+++ b/internal/peer/cellclient.go
@@ -43,7 +43,7 @@
 }
 
 func exchange(address string, r delegation.Report) (delegation.Answer, error) {
-	payload, err := call(address, append([]byte{kindExchange}, r.Encode()...))
+	payload, err := call(address, frame(append([]byte{kindExchange}, r.Encode()...)))
 	if err != nil {
 		return delegation.Answer{}, err
 	}
--- a/internal/peer/forwarder.go
+++ b/internal/peer/forwarder.go
@@ -99,15 +99,15 @@
 }
 
 func askOnce(address string, r intake.Request) (intake.Answer, error) {
-	payload, err := call(address, encodeRequest(r))
+	payload, err := call(address, RequestFrame(r))
 	if err != nil {
 		return intake.Answer{}, err
 	}
 	return decodeAnswer(payload)
 }
 
-// call sends one frame on a connection of its own and reads one.
-func call(address string, payload []byte) ([]byte, error) {
+// call sends one frame on a connection of its own and returns the payload of the one that comes back.
+func call(address string, request []byte) ([]byte, error) {
 	c, err := net.DialTimeout("tcp4", address, dialTimeout)
 	if err != nil {
 		return nil, err
@@ -116,7 +116,7 @@
 	if err := c.SetDeadline(time.Now().Add(callTimeout)); err != nil {
 		return nil, err
 	}
-	if _, err := c.Write(frame(payload)); err != nil {
+	if _, err := c.Write(request); err != nil {
 		return nil, err
 	}
 	return readFrame(c)
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -30,6 +30,12 @@
 	maxStatus = 599
 )
 
+// RequestFrame returns the frame that carries a request to another node.
+func RequestFrame(r intake.Request) []byte { return frame(encodeRequest(r)) }
+
+// AnswerFrame returns the frame that carries the answer back.
+func AnswerFrame(a intake.Answer) []byte { return frame(encodeAnswer(a)) }
+
 func encodeRequest(r intake.Request) []byte {
 	b := []byte{byte(r.Kind)}
 	b = binary.BigEndian.AppendUint16(b, uint16(len(r.ID)))
