--- a/cmd/loadtool/digest.go
+++ b/cmd/loadtool/digest.go
@@ -13,9 +13,9 @@
 // digestCommand prints a hash of all that controllers send, store and answer on days of random
 // load and failures. It stays the same as long as they do exactly the same.
 type digestCommand struct {
-	Seeds     uint64 `help:"How many days of each kind are played." default:"8"`
-	FirstSeed uint64 `help:"The first day's seed." default:"1"`
-	Parallel  int    `help:"How many days are played at a time." default:"4"`
+	Seeds     uint64 `name:"seeds" help:"How many days of each kind are played." default:"8"`
+	FirstSeed uint64 `name:"first-seed" help:"The first day's seed." default:"1"`
+	Parallel  int    `name:"parallel" help:"How many days are played at a time." default:"4"`
 }
 
 // digest hashes the messages of one day in the order in which it is told of them.
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -301,12 +301,12 @@
 
 // The stored forms have all of their fields in the records above, and each its name in a tag.
 func TestRecordsHaveTags(t *testing.T) {
-	goldentest.RequireTags(t, "msgpack", record{}, partRecord{})
+	goldentest.RequireTags(t, "msgpack", storedRecord{}, storedShard{})
 }
 
 // The stored forms with every field set at once, which no job has.
 func TestGoldenStoredForms(t *testing.T) {
-	whole := record{
+	whole := storedRecord{
 		Spec:        goldenSpec(),
 		Status:      protocol.StatusCancelled,
 		SubmittedAt: 1764668400000000,
@@ -333,17 +333,17 @@
 		"ers\x91\xaajob-000001\xa5cause\xb1error on m-000001\xa9truncated\xc3\xa8returned\x02\xa9disp" +
 		"laced\xa1b"
 	goldentest.Equal(t, "record", protocol.Encode(whole), wholeBytes)
-	var wholeAgain record
+	var wholeAgain storedRecord
 	if err := protocol.Decode([]byte(wholeBytes), &wholeAgain); err != nil {
 		t.Fatal(err)
 	}
 	if d := cmp.Diff(whole, wholeAgain); d != "" {
 		t.Error(d)
 	}
-	part := partRecord{
+	part := storedShard{
 		Done:        "8f00",
 		NextAttempt: 5,
-		Session:     3,
+		Incarnation: 3,
 		Attempt:     2,
 		Placed:      "m-000001 0-2,4;m-000002 3 1 4",
 	}
@@ -352,7 +352,7 @@
 		"\x85\xa4done\xa48f00\xa4next\x05\xa5shift\x03\xa3try\x02\xa6placed\xbdm-000001 0-2,4;m-00000" +
 		"2 3 1 4"
 	goldentest.Equal(t, "part", protocol.Encode(part), partBytes)
-	var partAgain partRecord
+	var partAgain storedShard
 	if err := protocol.Decode([]byte(partBytes), &partAgain); err != nil {
 		t.Fatal(err)
 	}
@@ -371,11 +371,11 @@
 		{"key of a part", PartKey("job-000412", 12), "parts/job-000412/12"},
 		{"a delegated place", DelegatedTo("beta"), "cell beta"},
 		{"id of a guest", GuestID("alpha", "job-1", 7), "alpha.job-1.7"},
-		{"marker of a service", markService, "service"},
-		{"marker of a divided record", markParts, "parts"},
-		{"marker of a guest", markGuest, "guest"},
-		{"a guest", (&Guest{Home: "beta", Number: 7}).text(), "beta 7"},
-		{"a closed guest", (&Guest{Home: "beta", Number: 7, Closed: true}).text(), "beta 7 closed"},
+		{"marker of a service", serviceMarker, "service"},
+		{"marker of a divided record", shardsMarker, "parts"},
+		{"marker of a guest", hostedMarker, "guest"},
+		{"a guest", (&Guest{Home: "beta", Number: 7}).encode(), "beta 7"},
+		{"a closed guest", (&Guest{Home: "beta", Number: 7, Closed: true}).encode(), "beta 7 closed"},
 		{"the host of a place", Placement{Machine: "cell beta"}.Host(), "beta"},
 		{"the host of a place here", Placement{Machine: "m-000001"}.Host(), ""},
 	} {
