--- a/internal/fleet/rent.go
+++ b/internal/fleet/rent.go
@@ -94,7 +94,7 @@
 	var best Kind
 	bestCost, found := 0.0, false
 	for k, fits := range m.kinds(j.Spec) {
-		if m.Refused[k] || m.Doubtful[k.Zone] && !planner.DependsOn(j.Spec, k.Zone) || !planner.ZoneAllowed(j.Spec, zones, k.Zone) {
+		if m.Refused[k] || m.Doubtful[k.Zone] && !planner.MayNeedZone(j.Spec, k.Zone) || !planner.ZoneAllowed(j.Spec, zones, k.Zone) {
 			continue
 		}
 		if !m.Fair(k, j) && !m.paid(k, j, pressing, 1) {
--- /dev/null
+++ b/internal/planner/bench_test.go
@@ -0,0 +1,43 @@
+package planner
+
+import (
+	"fmt"
+	"testing"
+)
+
+func BenchmarkMake(b *testing.B) {
+	s := Snapshot{Machines: machinesWith(48, 16, 16)}
+	for i := range 100 {
+		s.Jobs = append(s.Jobs, arrayJob(fmt.Sprint("job-", i), 2, 20, 1))
+	}
+	for b.Loop() {
+		Make(s)
+	}
+}
+
+// grownSnapshot has the size of a grown deployment: hundreds of machines, most of them
+// full, and jobs that wait.
+func grownSnapshot() Snapshot {
+	s := Snapshot{Machines: machinesWith(650, 16, 16)}
+	for i := range s.Machines {
+		s.Machines[i].Name = fmt.Sprintf("m-%06d", i)
+		s.Machines[i].FetchS = 2
+		if i%8 != 0 {
+			s.Machines[i].Free = Amounts{Cpus: 1}
+		}
+	}
+	for i := range 20 {
+		s.Jobs = append(s.Jobs, arrayJob(fmt.Sprint("job-a", i), 2, 400, 1))
+	}
+	for i := range 80 {
+		s.Jobs = append(s.Jobs, gangJob(fmt.Sprint("job-g", i), 2, 2+i%15, 15))
+	}
+	return s
+}
+
+func BenchmarkMakeGrown(b *testing.B) {
+	s := grownSnapshot()
+	for b.Loop() {
+		Make(s)
+	}
+}
--- /dev/null
+++ b/internal/planner/build_test.go
@@ -0,0 +1,63 @@
+package planner
+
+import (
+	"fmt"
+	"slices"
+
+	"postpoint/internal/protocol"
+)
+
+// arrayJob returns an array that may preempt, of which the given tasks run and the rest
+// are pending.
+func arrayJob(id string, rank, tasks int, cpus float64, running ...Running) Job {
+	j := Job{ID: id, Rank: rank, Limit: 100, MayEvict: true, Running: running,
+		Spec: &protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Tasks: tasks, Cpus: cpus}}
+	for task := len(running); task < tasks; task++ {
+		j.Pending = append(j.Pending, task)
+	}
+	return j
+}
+
+// gangJob returns a gang that may preempt, all tasks of which are pending.
+func gangJob(id string, rank, tasks int, cpus float64) Job {
+	j := arrayJob(id, rank, tasks, cpus)
+	j.Spec.Shape = protocol.ShapeGang
+	return j
+}
+
+// machinesWith returns n machines of the given size, named m0 and so on.
+func machinesWith(n int, cpus, free float64) []Machine {
+	var machines []Machine
+	for i := range n {
+		machines = append(machines, Machine{Name: fmt.Sprint("m", i),
+			Whole: Amounts{Cpus: cpus}, Free: Amounts{Cpus: free}})
+	}
+	return machines
+}
+
+// machinesByName points into the given machines.
+func machinesByName(machines []Machine) map[string]*Machine {
+	byName := make(map[string]*Machine, len(machines))
+	for i := range machines {
+		byName[machines[i].Name] = &machines[i]
+	}
+	return byName
+}
+
+// countZones counts running tasks by zone.
+func countZones(running []Running) map[string]int {
+	zones := map[string]int{}
+	for _, r := range running {
+		zones[r.Zone]++
+	}
+	return zones
+}
+
+// hasUnmetGang reports whether a gang of several tasks is among the unmet demand: then
+// room that is free may be kept for it.
+func hasUnmetGang(wants []Want) bool {
+	return slices.ContainsFunc(wants, func(w Want) bool { return isRealGang(w.Job) })
+}
+
+// isRealGang reports whether a job is a gang of more than one task.
+func isRealGang(j *Job) bool { return j.Spec.Gang() && j.Spec.Tasks > 1 }
--- /dev/null
+++ b/internal/planner/cost.go
@@ -0,0 +1,57 @@
+package planner
+
+const (
+	// spotLoss is the fraction of its estimated run that a task without checkpoints
+	// is expected to lose on a spot machine, because the cloud may take it back.
+	spotLoss = 0.1
+
+	// bootRiskS is added to the time that a machine is expected to go on booting, in
+	// seconds, because some take longer than they should.
+	bootRiskS = 10
+
+	// pinningWeight is what a machine's hourly price counts in seconds for the first
+	// replica on it, which keeps the whole machine from being returned.
+	pinningWeight = 3
+
+	// replicaCrowdingS is what each replica that a machine has counts for the next,
+	// in seconds, because all of them are lost together.
+	replicaCrowdingS = 1
+
+	// priceWeight is what an hour's price of a machine counts in seconds for the share
+	// of the machine that a task takes.
+	priceWeight = 10
+
+	// fragmentationS is what leaving a whole machine unused next to the task counts,
+	// in seconds. Full machines leave others idle, and idle ones can be returned.
+	fragmentationS = 5
+)
+
+// placementCost returns the expected loss, in seconds, of running a task of the job
+// on the machine: the lower, the better the machine suits. The terms are added in a
+// fixed order, so that equal inputs always give equal bits.
+func placementCost(j *Job, m *Machine) float64 {
+	cost := m.ImageWaitS(j.Spec)
+	if m.Booting {
+		cost += m.BootS + bootRiskS
+	}
+	request := Needs(j.Spec)
+	cost += m.Slow * j.Spec.EstimateS
+	if m.Spot && j.Spec.CheckpointS == 0 {
+		cost += spotLoss * j.Spec.EstimateS
+	}
+	if j.Spec.Service() {
+		cost += replicaCost(m)
+	}
+	cost += priceWeight * m.Price * request.Share(m.Whole)
+	cost += fragmentationS * m.Free.Minus(request).Share(m.Whole)
+	return cost
+}
+
+// replicaCost returns what a service replica adds to the cost of a machine: the first
+// keeps the whole machine from being returned, others would be lost together.
+func replicaCost(m *Machine) float64 {
+	if m.Replicas == 0 {
+		return pinningWeight * m.Price
+	}
+	return replicaCrowdingS * float64(m.Replicas)
+}
--- /dev/null
+++ b/internal/planner/job.go
@@ -0,0 +1,101 @@
+package planner
+
+import (
+	"maps"
+
+	"postpoint/internal/protocol"
+)
+
+// Running is a task that runs, or may run, on a machine.
+type Running struct {
+	Task    int
+	Machine string
+	Zone    string
+	// Stopping tasks have been told to stop and still hold their resources.
+	Stopping bool
+	// Overhead is the paper's preemption overhead: how many seconds of work are lost
+	// if the task is stopped now.
+	Overhead float64
+	// Borrowed tasks are over quota: their team runs them beyond its guarantee.
+	Borrowed bool
+}
+
+// Job is a job that isn't over.
+type Job struct {
+	ID   string
+	Spec *protocol.JobSpec
+	// Rank is the job's priority class. 0 is the highest.
+	Rank int
+	// SubmittedAt orders jobs that are otherwise alike. Preempted jobs keep it.
+	SubmittedAt int64
+	// Returning jobs are lenders, in the paper's word, of a job that has ended: they
+	// were preempted for it, and resume before others of their rank.
+	Returning bool
+	// Pending are the tasks to start, in this order. A gang starts whole or not at
+	// all.
+	Pending []int
+	// Limit is how many tasks may be started in this plan, so that the job's record
+	// keeps within the size of a value.
+	Limit   int
+	Running []Running
+	// Zones counts, by zone, tasks that aren't among those running and still restrict
+	// where others may go, such as those of earlier attempts.
+	Zones map[string]int
+	// Waiting jobs back off after failures: they start nothing and preempt nothing.
+	Waiting bool
+	// MayEvict allows the job to have others preempted.
+	MayEvict bool
+	// Within tells that the job fits into its team's guarantee, counted together with
+	// the team's earlier jobs, so that it needn't wait for other teams.
+	Within bool
+	// StartAim tells that the job's class has an objective for its start.
+	StartAim bool
+	// StartS is how many seconds are left to start the job within its objective.
+	StartS float64
+	// Tier tells which of the job's objectives can still be met.
+	Tier Tier
+	// SlackS is how many seconds the job can wait before its tasks must run for it to
+	// end within its objective.
+	SlackS float64
+	// Avoid are the machines on which the job failed.
+	Avoid map[string]bool
+	// Unmet tells that machines have been wanted for the job for long and haven't
+	// come.
+	Unmet bool
+	// startedUnlisted counts the tasks that the plan has started and not added to
+	// Running, because their machines make no difference to the rest of the plan.
+	startedUnlisted int
+}
+
+// Tier tells which of a job's service-level objectives can still be met. Jobs of one
+// rank are served in the order of their tiers.
+type Tier int
+
+const (
+	// StartsInTime is the tier of jobs that meet the objective for their start if
+	// they start now.
+	StartsInTime Tier = iota
+	// EndsInTime is the tier of jobs that can meet the objective for their end. The
+	// one with the least slack goes first.
+	EndsInTime
+	// TooLate is the tier of jobs that can't meet any objective. They let others go
+	// first until they have waited so long that the caller raises them again.
+	TooLate
+)
+
+// zoneConstrained reports whether the zone of one task restricts those of the others.
+func (j *Job) zoneConstrained() bool { return j.Spec.OneZone || j.Spec.Spread }
+
+// tasksByZone counts the job's tasks by zone. It is empty if zones don't matter to the
+// job. The caller may change it.
+func (j *Job) tasksByZone() map[string]int {
+	zones := map[string]int{}
+	if !j.zoneConstrained() {
+		return zones
+	}
+	maps.Copy(zones, j.Zones)
+	for _, r := range j.Running {
+		zones[r.Zone]++
+	}
+	return zones
+}
--- /dev/null
+++ b/internal/planner/queue_test.go
@@ -0,0 +1,46 @@
+package planner
+
+import (
+	"slices"
+	"testing"
+)
+
+// Jobs compete for one machine after the other in the order of the queue.
+func TestQueueOrder(t *testing.T) {
+	withTeam := func(j Job, team string) Job {
+		j.Spec.Team = team
+		return j
+	}
+	job := func(id string, rank int, tier Tier) Job {
+		j := arrayJob(id, rank, 1, 1)
+		j.Tier, j.MayEvict = tier, false
+		return j
+	}
+	within, lender := job("within", 1, TooLate), job("lender", 1, TooLate)
+	within.Within, lender.Returning = true, true
+	startsSoon, startsLater := job("starts soon", 1, StartsInTime), job("starts later", 1, StartsInTime)
+	startsSoon.StartS, startsLater.StartS = 10, 20
+	tight, loose := job("tight", 1, EndsInTime), job("loose", 1, EndsInTime)
+	tight.SlackS, loose.SlackS = 1, 2
+	heldBack := withTeam(job("held back", 1, TooLate), "long backlog")
+	early := withTeam(job("early", 1, TooLate), "short backlog")
+	late := withTeam(job("late", 1, TooLate), "short backlog")
+	late.SubmittedAt = 1
+	order := []Job{job("higher rank", 0, TooLate), within, lender, startsSoon, startsLater, tight, loose,
+		heldBack, early, late}
+	teams := map[string]Team{"long backlog": {BacklogS: 2}, "short backlog": {BacklogS: 1}}
+
+	for free := range order {
+		s := Snapshot{Jobs: slices.Clone(order), Machines: machinesWith(free, 1, 1), Teams: teams}
+		slices.Reverse(s.Jobs)
+		placed := map[string]bool{}
+		for _, p := range Make(s).Places {
+			placed[p.Job] = true
+		}
+		for i, j := range order {
+			if placed[j.ID] != (i < free) {
+				t.Errorf("with room for %d jobs, %q is placed: %v, want %v", free, j.ID, placed[j.ID], i < free)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/planner/quota_test.go
@@ -0,0 +1,31 @@
+package planner
+
+import (
+	"testing"
+)
+
+// Work that a team is owed its guarantee for makes work over quota of its own rank yield,
+// and leaves that of higher ranks alone: that goes before it in the queue, would take the
+// room back at once and be preempted again, hundreds of times.
+func TestGuaranteePreemptsOverQuotaOfOwnRankOnly(t *testing.T) {
+	for _, test := range []struct {
+		name        string
+		rank        int
+		preemptions int
+	}{
+		{"higher rank", 0, 0},
+		{"own rank", 2, 1},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			owed := arrayJob("job-o", 2, 1, 4)
+			owed.Spec.Team, owed.Within = "owed", true
+			overQuota := arrayJob("job-b", test.rank, 2, 4,
+				Running{Task: 0, Machine: "m0", Borrowed: true}, Running{Task: 1, Machine: "m0", Borrowed: true})
+			overQuota.Spec.Team = "other"
+			plan := Make(Snapshot{Jobs: []Job{owed, overQuota}, Machines: machinesWith(1, 8, 0)})
+			if len(plan.Stops) != test.preemptions {
+				t.Errorf("preempted %v, want %d tasks", plan.Stops, test.preemptions)
+			}
+		})
+	}
+}
