--- /dev/null
+++ b/internal/fleet/cordon_test.go
@@ -0,0 +1,100 @@
+package fleet
+
+import (
+	"cmp"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"postpoint/internal/planner"
+	"postpoint/internal/protocol"
+)
+
+// cordonSnapshot returns 40 machines of which some are used in part, and a job that waits.
+func cordonSnapshot(r *rand.Rand) planner.Snapshot {
+	s := planner.Snapshot{}
+	spec := &protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 1000, Cpus: 2}
+	running := planner.Job{ID: "job-1", Spec: spec}
+	for i := range 40 {
+		used := 0
+		if r.IntN(3) == 0 {
+			used = 1 + r.IntN(4)
+		}
+		name := fmt.Sprintf("m-%02d", i)
+		whole := planner.Amounts{Cpus: 8}
+		s.Machines = append(s.Machines, planner.Machine{Name: name, Type: "t", Zone: "a", Whole: whole,
+			Free: whole.Minus(planner.Needs(spec).Times(float64(used))), Price: float64(1 + r.IntN(3))})
+		for range used {
+			task := planner.Running{Task: len(running.Running), Machine: name, Zone: "a"}
+			running.Running = append(running.Running, task)
+		}
+	}
+	waiting := planner.Job{ID: "job-2", Limit: 50,
+		Spec: &protocol.JobSpec{ID: "job-2", Shape: protocol.ShapeArray, Tasks: 50, Cpus: 2}}
+	for t := range r.IntN(50) {
+		waiting.Pending = append(waiting.Pending, t)
+	}
+	s.Jobs = []planner.Job{running, waiting}
+	return s
+}
+
+// cordonOneByOne returns the surplus machines that looking at one after the other finds.
+func cordonOneByOne(s planner.Snapshot) []string {
+	var candidates []planner.Machine
+	for _, m := range s.Machines {
+		if idleShare(m) > minIdleShare {
+			candidates = append(candidates, m)
+		}
+	}
+	slices.SortStableFunc(candidates, func(a, b planner.Machine) int {
+		return cmp.Compare(b.Price*idleShare(b), a.Price*idleShare(a))
+	})
+	var surplus []string
+	for _, m := range candidates {
+		if remaining, ok := Spares(s, m.Name); ok {
+			surplus, s = append(surplus, m.Name), remaining
+		}
+	}
+	return surplus
+}
+
+// However many are looked at together, what is cordoned can be removed together, the
+// costliest first, and with looks enough it is what looking one by one finds.
+func TestCordonMatchesLookingOneByOne(t *testing.T) {
+	for seed := range uint64(50) {
+		s := cordonSnapshot(rand.New(rand.NewPCG(seed, 1)))
+		want := cordonOneByOne(s)
+		for _, batch := range []int{1, 7, 100} {
+			if names, _ := Cordon(s, 1000, batch); !slices.Equal(names, want) {
+				t.Fatalf("seed %d, batch %d: cordoned %v, want %v as one by one", seed, batch, names, want)
+			}
+		}
+	}
+}
+
+// With few looks, less is found, and nothing that can't be removed together.
+func TestCordonInFewLooksIsSurplusTogether(t *testing.T) {
+	for seed := range uint64(50) {
+		s := cordonSnapshot(rand.New(rand.NewPCG(seed, 1)))
+		names, nextBatch := Cordon(s, 3, 4)
+		if _, ok := Spares(s, names...); !ok {
+			t.Fatalf("seed %d: cordoned %v, want machines that can be removed together", seed, names)
+		}
+		if nextBatch < 1 {
+			t.Fatalf("seed %d: next batch %d, want at least 1", seed, nextBatch)
+		}
+	}
+}
+
+// At the end of a day, when nothing waits, a few looks cordon most machines: one by one
+// they took minutes in which all of them were paid for.
+func TestCordonFindsManyInFewLooks(t *testing.T) {
+	s := cordonSnapshot(rand.New(rand.NewPCG(1, 1)))
+	s.Jobs[1].Pending = nil
+	names, nextBatch := Cordon(s, 5, 1)
+	if len(names) < 20 || nextBatch < 2 {
+		t.Fatalf("%d of %d machines cordoned, next batch %d, want at least 20 and 2",
+			len(names), len(s.Machines), nextBatch)
+	}
+}
--- /dev/null
+++ b/internal/fleet/idle.go
@@ -0,0 +1,30 @@
+package fleet
+
+import (
+	"postpoint/internal/clock"
+)
+
+// unusableIdleTime is for how long an idle machine is kept that is cordoned, or that nothing
+// seen lately could use. It bridges a short gap in the work; after that the machine is paid
+// for in vain.
+const unusableIdleTime = 15 * clock.Second
+
+// Idle is a machine without tasks.
+type Idle struct {
+	Kind Kind
+	// For is how long the machine has been without tasks.
+	For clock.Micros
+	// Needed tells that tasks of a class seen lately could use the machine.
+	Needed bool
+	// Cordoned machines take no new tasks.
+	Cordoned bool
+}
+
+// Keep returns how long an idle machine is worth keeping: for the time of a boot, since
+// renting it again costs one, during which it is paid for and its work waits.
+func (m *Market) Keep(i Idle) clock.Micros {
+	if !i.Needed || i.Cordoned {
+		return unusableIdleTime
+	}
+	return clock.FromSeconds(m.Types[i.Kind.Type].BootS)
+}
--- /dev/null
+++ b/internal/fleet/price.go
@@ -0,0 +1,128 @@
+package fleet
+
+import (
+	"postpoint/internal/planner"
+	"postpoint/internal/protocol"
+)
+
+// Multiples are those of the cheapest price for a task in the catalogue. These values are
+// ours; docs/design.md lists them.
+const (
+	// fairMultiple is the highest multiple paid for any job.
+	fairMultiple = 1.7
+
+	// negligibleShare is the share of the price of the dearest machine up to which a
+	// machine costs next to nothing, and is fair for any job.
+	negligibleShare = 0.05
+
+	// partlyFilledMultiple is the highest multiple paid if urgent demand fills minFill
+	// of a machine, filledMultiple if it fills minFullFill: nobody pays for a whole
+	// machine of a dear pool for the sake of a small part of it.
+	partlyFilledMultiple = 8
+	filledMultiple       = 20
+	minFill              = 0.5
+	minFullFill          = 0.9
+
+	// fillTolerance is how much less than that is enough. It covers the rounding
+	// errors that add up as placed tasks are subtracted.
+	fillTolerance = 1e-9
+)
+
+const (
+	// urgencyWindowS is how many seconds of slack, beyond the time until a machine
+	// rented now is ready, make a job urgent. Jobs with more can wait for a cheaper one.
+	urgencyWindowS = 20
+
+	// patienceS is for how many seconds a job that misses its objective in any case
+	// waits for a cheaper machine.
+	patienceS = 60
+
+	// anyPriceS is how many seconds late a job is when any price is paid for it: far
+	// beyond the wait for a cheaper machine that may still come.
+	anyPriceS = 300
+)
+
+// Price returns the price of a machine of the type for an hour.
+func Price(t protocol.MachineType, spot bool) float64 {
+	if spot {
+		return t.SpotPrice
+	}
+	return t.Price
+}
+
+// Price returns the price of a machine of the pool for an hour.
+func (m *Market) Price(k Kind) float64 { return Price(m.Types[k.Type], k.Spot) }
+
+// Fair reports whether a task of the job costs not much more in the pool than where it is
+// cheapest. From other pools machines are rented only for jobs that can't wait.
+func (m *Market) Fair(k Kind, j *planner.Job) bool {
+	return m.priceMultiple(k, j) <= fairMultiple || m.Price(k) <= negligibleShare*m.highestPrice()
+}
+
+// highestPrice returns the price of the dearest machine type.
+func (m *Market) highestPrice() float64 {
+	price := 0.0
+	for _, t := range m.Types {
+		price = max(price, t.Price)
+	}
+	return price
+}
+
+// priceMultiple returns what a task of the job costs in the pool, as a multiple of where
+// it is cheapest.
+func (m *Market) priceMultiple(k Kind, j *planner.Job) float64 {
+	return m.Price(k) / float64(m.tasksPerMachine(k, j.Spec)) / m.lowestTaskPrice(j.Spec)
+}
+
+// lowestTaskPrice returns the lowest price for a task on a machine that such tasks fill,
+// whether or not such a machine can be had at present.
+func (m *Market) lowestTaskPrice(s *protocol.JobSpec) float64 {
+	if known, ok := m.lowestPrices[s]; ok {
+		return known
+	}
+	lowest := 0.0
+	for k, tasks := range m.usablePools(s) {
+		if price := m.Price(k) / float64(tasks); lowest == 0 || price < lowest {
+			lowest = price
+		}
+	}
+	if m.lowestPrices == nil {
+		m.lowestPrices = map[*protocol.JobSpec]float64{}
+	}
+	m.lowestPrices[s] = lowest
+	return lowest
+}
+
+// worthPremium reports whether a price that isn't fair is paid for a job, given the
+// urgent demand of all jobs. The fill asked of that demand is scaled by fillScale.
+func (m *Market) worthPremium(k Kind, j *planner.Job, urgent *urgentDemand, fillScale float64) bool {
+	if paysAnyPrice(j) {
+		return true
+	}
+	multiple := m.priceMultiple(k, j)
+	if multiple > filledMultiple || !isUrgent(j, m.Types[k.Type]) {
+		return false
+	}
+	fill := minFill
+	if multiple > partlyFilledMultiple {
+		fill = minFullFill
+	}
+	return urgent.machinesFilled(k) >= fill*fillScale-fillTolerance
+}
+
+// isUrgent reports whether a job would miss its objective by waiting much longer than a
+// machine of the type takes to be ready, and can still meet it with one. Jobs that miss
+// it in any case wait for a cheaper machine, but not for ever. Jobs with an objective for
+// their start are always urgent.
+func isUrgent(j *planner.Job, t protocol.MachineType) bool {
+	readyS := t.BootS
+	if t.FetchGBPerS > 0 {
+		readyS += j.Spec.ImageGB / t.FetchGBPerS
+	}
+	return j.StartAim ||
+		j.SlackS >= readyS && j.SlackS < readyS+urgencyWindowS ||
+		j.SlackS < -patienceS
+}
+
+// paysAnyPrice reports whether a job has waited so long that any price is paid for it.
+func paysAnyPrice(j *planner.Job) bool { return j.SlackS < -anyPriceS }
--- a/internal/planner/reference_test.go
+++ b/internal/planner/reference_test.go
@@ -76,25 +76,31 @@
 	return zones
 }
 
-// tryZone places up to n tasks in a zone, and returns their machines, the total cost and
-// the machines' state with them. It leaves the machines as they are.
-func (r reference) tryZone(j *Job, n int, zone string, selects machineFilter) ([]*Machine, float64, []Machine) {
+// trial is what placing tasks in a zone leads to.
+type trial struct {
+	places []*Machine
+	cost   float64
+	after  []Machine // the state of all machines with those tasks
+}
+
+// tryZone places up to n tasks in a zone. It leaves the machines as they are.
+func (r reference) tryZone(j *Job, n int, zone string, selects machineFilter) trial {
 	before := slices.Clone(r.machines)
-	zones, cost := j.tasksByZone(), 0.0
-	var places []*Machine
-	for len(places) < n {
+	zones := j.tasksByZone()
+	var result trial
+	for len(result.places) < n {
 		m := r.best(j, zones, zone, selects)
 		if m == nil {
 			break
 		}
-		cost += placementCost(j, m)
+		result.cost += placementCost(j, m)
 		m.Free = m.Free.Minus(Needs(j.Spec))
 		zones[m.Zone]++
-		places = append(places, m)
+		result.places = append(result.places, m)
 	}
-	after := slices.Clone(r.machines)
+	result.after = slices.Clone(r.machines)
 	copy(r.machines, before)
-	return places, cost, after
+	return result
 }
 
 // fitWhole returns the cheapest machines for all pending tasks of a gang, or nil.
@@ -102,9 +108,9 @@
 	var cheapest []*Machine
 	lowest := 0.0
 	for _, zone := range r.zoneChoices(j) {
-		places, cost, _ := r.tryZone(j, len(j.Pending), zone, selects)
-		if len(places) == len(j.Pending) && (cheapest == nil || cost < lowest) {
-			cheapest, lowest = places, cost
+		result := r.tryZone(j, len(j.Pending), zone, selects)
+		if len(result.places) == len(j.Pending) && (cheapest == nil || result.cost < lowest) {
+			cheapest, lowest = result.places, result.cost
 		}
 	}
 	return cheapest
@@ -136,8 +142,8 @@
 	r.gangReserved = true
 	most, machines := 0, r.machines
 	for _, zone := range r.zoneChoices(j) {
-		if places, _, after := r.tryZone(j, len(j.Pending)-1, zone, isUp); len(places) > most {
-			most, machines = len(places), after
+		if result := r.tryZone(j, len(j.Pending)-1, zone, isUp); len(result.places) > most {
+			most, machines = len(result.places), result.after
 		}
 	}
 	copy(r.machines, machines)
