--- a/internal/fleet/cordon.go
+++ b/internal/fleet/cordon.go
@@ -27,16 +27,16 @@
 // after a look that finds them surplus and halves after one that doesn't: at the end of a
 // day hundreds are, in the middle of it hardly one. Cordon makes at most as many looks as
 // given, and returns the batch to begin with next time.
-func Cordon(s planner.Snapshot, looks, batch int) (names []string, nextBatch int) {
-	candidates := surplusCandidates(s.Machines)
+func Cordon(snapshot planner.Snapshot, looks, batch int) (names []string, nextBatch int) {
+	candidates := surplusCandidates(snapshot.Machines)
 	batch = max(batch, 1)
 	for ; looks > 0 && len(candidates) > 0; looks-- {
 		batch = min(batch, len(candidates))
 		next := candidates[:batch]
-		remaining, ok := Spares(s, next...)
+		remaining, ok := Spares(snapshot, next...)
 		switch {
 		case ok:
-			names, s = append(names, next...), remaining
+			names, snapshot = append(names, next...), remaining
 			candidates, batch = candidates[batch:], 2*batch
 		case batch > 1:
 			batch /= 2
@@ -73,36 +73,36 @@
 
 // Spares reports whether everything that runs and waits would have room without some
 // machines, their own tasks included, and returns the snapshot without them.
-func Spares(s planner.Snapshot, machines ...string) (planner.Snapshot, bool) {
-	remaining := withoutMachines(s, machines)
+func Spares(snapshot planner.Snapshot, machines ...string) (planner.Snapshot, bool) {
+	remaining := withoutMachines(snapshot, machines)
 	return remaining, len(planner.Make(remaining).Wants) == 0
 }
 
 // withoutMachines returns the snapshot without some machines and without those that boot,
 // which may not come. Tasks of removed machines are pending. Nothing preempts, so that
 // room has to be there, and nothing backs off, since it needs room again later.
-func withoutMachines(s planner.Snapshot, machines []string) planner.Snapshot {
+func withoutMachines(snapshot planner.Snapshot, machines []string) planner.Snapshot {
 	removed := make(map[string]bool, len(machines))
 	for _, name := range machines {
 		removed[name] = true
 	}
-	s.Machines = slices.DeleteFunc(slices.Clone(s.Machines), func(m planner.Machine) bool {
+	snapshot.Machines = slices.DeleteFunc(slices.Clone(snapshot.Machines), func(m planner.Machine) bool {
 		return removed[m.Name] || m.Booting
 	})
-	s.Jobs = slices.Clone(s.Jobs)
-	for i := range s.Jobs {
-		j := &s.Jobs[i]
-		j.MayEvict, j.Waiting = false, false
-		moveToPending(j, removed)
+	snapshot.Jobs = slices.Clone(snapshot.Jobs)
+	for i := range snapshot.Jobs {
+		job := &snapshot.Jobs[i]
+		job.MayEvict, job.Waiting = false, false
+		moveToPending(job, removed)
 	}
-	return s
+	return snapshot
 }
 
 // moveToPending makes the tasks of a job that run on removed machines pending. It leaves
 // the arrays that the job shares with others as they are.
-func moveToPending(j *planner.Job, removed map[string]bool) {
+func moveToPending(job *planner.Job, removed map[string]bool) {
 	var moved []int
-	for _, r := range j.Running {
+	for _, r := range job.Running {
 		if removed[r.Machine] {
 			moved = append(moved, r.Task)
 		}
@@ -110,19 +110,19 @@
 	if len(moved) == 0 {
 		return
 	}
-	j.Pending = append(slices.Clone(j.Pending), moved...)
-	j.Limit += len(moved)
-	j.Running = slices.DeleteFunc(slices.Clone(j.Running), func(r planner.Running) bool {
+	job.Pending = append(slices.Clone(job.Pending), moved...)
+	job.Limit += len(moved)
+	job.Running = slices.DeleteFunc(slices.Clone(job.Running), func(r planner.Running) bool {
 		return removed[r.Machine]
 	})
 }
 
 // Uncordon reports whether cordoned machines of a pool are needed after all: if one of the
 // pool would be rented for the unmet demand, or half of what that takes, since they are up.
-func (m *Market) Uncordon(k Kind, unmet []planner.Want) bool {
+func (m *Market) Uncordon(pool Kind, unmet []planner.Want) bool {
 	urgent := m.newUrgentDemand(unmet)
-	return slices.ContainsFunc(unmet, func(w planner.Want) bool {
-		return m.tasksPerMachine(k, w.Job.Spec) > 0 &&
-			(m.Fair(k, w.Job) || m.worthPremium(k, w.Job, urgent, uncordonFillScale))
+	return slices.ContainsFunc(unmet, func(demand planner.Want) bool {
+		return m.tasksPerMachine(pool, demand.Job.Spec) > 0 &&
+			(m.Fair(pool, demand.Job) || m.worthPremium(pool, demand.Job, urgent, uncordonFillScale))
 	})
 }
--- a/internal/fleet/market.go
+++ b/internal/fleet/market.go
@@ -43,9 +43,9 @@
 
 // Fits reports whether a task of the job fits an empty machine of any type in any zone
 // that the job may use.
-func Fits(types []protocol.MachineType, s *protocol.JobSpec) bool {
+func Fits(types []protocol.MachineType, spec *protocol.JobSpec) bool {
 	for _, t := range types {
-		if planner.Needs(s).Fits(Whole(t)) && typeAllowed(t, s) {
+		if planner.Needs(spec).Fits(Whole(t)) && typeAllowed(t, spec) {
 			return true
 		}
 	}
@@ -53,30 +53,30 @@
 }
 
 // typeAllowed reports whether the job may use machines of the type in any zone.
-func typeAllowed(t protocol.MachineType, s *protocol.JobSpec) bool {
+func typeAllowed(t protocol.MachineType, spec *protocol.JobSpec) bool {
 	return slices.ContainsFunc(t.Zones, func(zone string) bool {
-		return planner.Allowed(s, t.Name, zone, false) || planner.Allowed(s, t.Name, zone, true)
+		return planner.Allowed(spec, t.Name, zone, false) || planner.Allowed(spec, t.Name, zone, true)
 	})
 }
 
 // tasksPerMachine returns how many tasks of a job a machine of the pool holds, 0 if the
 // job may not use it.
-func (m *Market) tasksPerMachine(k Kind, s *protocol.JobSpec) int {
-	if !planner.Allowed(s, k.Type, k.Zone, k.Spot) {
+func (m *Market) tasksPerMachine(pool Kind, spec *protocol.JobSpec) int {
+	if !planner.Allowed(spec, pool.Type, pool.Zone, pool.Spot) {
 		return 0
 	}
-	return planner.Needs(s).Count(Whole(m.Types[k.Type]))
+	return planner.Needs(spec).Count(Whole(m.Types[pool.Type]))
 }
 
 // usablePools yields the pools that a job may use, regardless of where its other tasks
 // are, each with how many of its tasks a machine holds.
-func (m *Market) usablePools(s *protocol.JobSpec) iter.Seq2[Kind, int] {
+func (m *Market) usablePools(spec *protocol.JobSpec) iter.Seq2[Kind, int] {
 	if m.pools == nil {
 		m.pools = allPools(m.Types)
 	}
 	return func(yield func(Kind, int) bool) {
-		for _, k := range m.pools {
-			if n := m.tasksPerMachine(k, s); n > 0 && !yield(k, n) {
+		for _, pool := range m.pools {
+			if n := m.tasksPerMachine(pool, spec); n > 0 && !yield(pool, n) {
 				return
 			}
 		}
--- a/internal/fleet/price.go
+++ b/internal/fleet/price.go
@@ -51,12 +51,12 @@
 }
 
 // Price returns the price of a machine of the pool for an hour.
-func (m *Market) Price(k Kind) float64 { return Price(m.Types[k.Type], k.Spot) }
+func (m *Market) Price(pool Kind) float64 { return Price(m.Types[pool.Type], pool.Spot) }
 
 // Fair reports whether a task of the job costs not much more in the pool than where it is
 // cheapest. From other pools machines are rented only for jobs that can't wait.
-func (m *Market) Fair(k Kind, j *planner.Job) bool {
-	return m.priceMultiple(k, j) <= fairMultiple || m.Price(k) <= negligibleShare*m.highestPrice()
+func (m *Market) Fair(pool Kind, job *planner.Job) bool {
+	return m.priceMultiple(pool, job) <= fairMultiple || m.Price(pool) <= negligibleShare*m.highestPrice()
 }
 
 // highestPrice returns the price of the dearest machine type.
@@ -70,59 +70,59 @@
 
 // priceMultiple returns what a task of the job costs in the pool, as a multiple of where
 // it is cheapest.
-func (m *Market) priceMultiple(k Kind, j *planner.Job) float64 {
-	return m.Price(k) / float64(m.tasksPerMachine(k, j.Spec)) / m.lowestTaskPrice(j.Spec)
+func (m *Market) priceMultiple(pool Kind, job *planner.Job) float64 {
+	return m.Price(pool) / float64(m.tasksPerMachine(pool, job.Spec)) / m.lowestTaskPrice(job.Spec)
 }
 
 // lowestTaskPrice returns the lowest price for a task on a machine that such tasks fill,
 // whether or not such a machine can be had at present.
-func (m *Market) lowestTaskPrice(s *protocol.JobSpec) float64 {
-	if known, ok := m.lowestPrices[s]; ok {
+func (m *Market) lowestTaskPrice(spec *protocol.JobSpec) float64 {
+	if known, ok := m.lowestPrices[spec]; ok {
 		return known
 	}
 	lowest := 0.0
-	for k, tasks := range m.usablePools(s) {
-		if price := m.Price(k) / float64(tasks); lowest == 0 || price < lowest {
+	for pool, tasks := range m.usablePools(spec) {
+		if price := m.Price(pool) / float64(tasks); lowest == 0 || price < lowest {
 			lowest = price
 		}
 	}
 	if m.lowestPrices == nil {
 		m.lowestPrices = map[*protocol.JobSpec]float64{}
 	}
-	m.lowestPrices[s] = lowest
+	m.lowestPrices[spec] = lowest
 	return lowest
 }
 
 // worthPremium reports whether a price that isn't fair is paid for a job, given the
 // urgent demand of all jobs. The fill asked of that demand is scaled by fillScale.
-func (m *Market) worthPremium(k Kind, j *planner.Job, urgent *urgentDemand, fillScale float64) bool {
-	if paysAnyPrice(j) {
+func (m *Market) worthPremium(pool Kind, job *planner.Job, urgent *urgentDemand, fillScale float64) bool {
+	if paysAnyPrice(job) {
 		return true
 	}
-	multiple := m.priceMultiple(k, j)
-	if multiple > filledMultiple || !isUrgent(j, m.Types[k.Type]) {
+	multiple := m.priceMultiple(pool, job)
+	if multiple > filledMultiple || !isUrgent(job, m.Types[pool.Type]) {
 		return false
 	}
 	fill := minFill
 	if multiple > partlyFilledMultiple {
 		fill = minFullFill
 	}
-	return urgent.machinesFilled(k) >= fill*fillScale-fillTolerance
+	return urgent.machinesFilled(pool) >= fill*fillScale-fillTolerance
 }
 
 // isUrgent reports whether a job would miss its objective by waiting much longer than a
 // machine of the type takes to be ready, and can still meet it with one. Jobs that miss
 // it in any case wait for a cheaper machine, but not for ever. Jobs with an objective for
 // their start are always urgent.
-func isUrgent(j *planner.Job, t protocol.MachineType) bool {
+func isUrgent(job *planner.Job, t protocol.MachineType) bool {
 	readyS := t.BootS
 	if t.FetchGBPerS > 0 {
-		readyS += j.Spec.ImageGB / t.FetchGBPerS
+		readyS += job.Spec.ImageGB / t.FetchGBPerS
 	}
-	return j.StartAim ||
-		j.SlackS >= readyS && j.SlackS < readyS+urgencyWindowS ||
-		j.SlackS < -patienceS
+	return job.StartAim ||
+		job.SlackS >= readyS && job.SlackS < readyS+urgencyWindowS ||
+		job.SlackS < -patienceS
 }
 
 // paysAnyPrice reports whether a job has waited so long that any price is paid for it.
-func paysAnyPrice(j *planner.Job) bool { return j.SlackS < -anyPriceS }
+func paysAnyPrice(job *planner.Job) bool { return job.SlackS < -anyPriceS }
--- a/internal/fleet/scaleout.go
+++ b/internal/fleet/scaleout.go
@@ -23,8 +23,8 @@
 func (m *Market) Rent(unmet []planner.Want) []ScaleOutDecision {
 	s := m.newScaleOut(unmet)
 	for i := range s.unmet {
-		if w := &s.unmet[i]; !w.Job.Waiting {
-			s.addMachinesFor(w)
+		if demand := &s.unmet[i]; !demand.Job.Waiting {
+			s.addMachinesFor(demand)
 		}
 	}
 	return m.countByPool(s.machines)
@@ -41,7 +41,7 @@
 
 // newMachine is a machine to rent.
 type newMachine struct {
-	kind Kind
+	pool Kind
 	free planner.Amounts
 }
 
@@ -52,69 +52,69 @@
 
 // addMachinesFor places the unmet tasks of a job on machines chosen before, and adds
 // machines for those that find no room there.
-func (s *scaleOut) addMachinesFor(w *planner.Want) {
-	request := planner.Needs(w.Job.Spec)
-	zones := tasksByZone(w.Job)
+func (s *scaleOut) addMachinesFor(demand *planner.Want) {
+	request := planner.Needs(demand.Job.Spec)
+	zones := tasksByZone(demand.Job)
 	// Machines before this index have no room for a task of this job, and get none.
 	at := 0
-	for w.Tasks > 0 {
-		for at < len(s.machines) && !s.machines[at].takes(w.Job, request, zones) {
+	for demand.Tasks > 0 {
+		for at < len(s.machines) && !s.machines[at].takes(demand.Job, request, zones) {
 			at++
 		}
-		if at == len(s.machines) && !s.addMachine(w, zones) {
+		if at == len(s.machines) && !s.addMachine(demand, zones) {
 			break
 		}
 		chosen := s.machines[at]
 		chosen.free = chosen.free.Minus(request)
-		zones[chosen.kind.Zone]++
-		w.Tasks--
+		zones[chosen.pool.Zone]++
+		demand.Tasks--
 		s.urgent.taskPlaced()
 	}
-	s.urgent.settle(w.Job)
+	s.urgent.settle(demand.Job)
 }
 
 // tasksByZone counts a job's tasks by zone.
-func tasksByZone(j *planner.Job) map[string]int {
+func tasksByZone(job *planner.Job) map[string]int {
 	zones := map[string]int{}
-	maps.Copy(zones, j.Zones)
-	for _, r := range j.Running {
+	maps.Copy(zones, job.Zones)
+	for _, r := range job.Running {
 		zones[r.Zone]++
 	}
 	return zones
 }
 
 // takes reports whether one more task of a job may go to the machine.
-func (n *newMachine) takes(j *planner.Job, request planner.Amounts, zones map[string]int) bool {
+func (n *newMachine) takes(job *planner.Job, request planner.Amounts, zones map[string]int) bool {
 	return request.Fits(n.free) &&
-		planner.Allowed(j.Spec, n.kind.Type, n.kind.Zone, n.kind.Spot) &&
-		planner.ZoneAllowed(j.Spec, zones, n.kind.Zone)
+		planner.Allowed(job.Spec, n.pool.Type, n.pool.Zone, n.pool.Spot) &&
+		planner.ZoneAllowed(job.Spec, zones, n.pool.Zone)
 }
 
 // addMachine adds a machine for the unmet tasks of a job, and reports whether there is
 // one that may be rented for them.
-func (s *scaleOut) addMachine(w *planner.Want, zones map[string]int) bool {
+func (s *scaleOut) addMachine(demand *planner.Want, zones map[string]int) bool {
 	if len(s.machines) == maxMachinesPerDecision {
 		return false
 	}
-	kind, found := s.choosePool(w, zones)
+	pool, found := s.choosePool(demand, zones)
 	if found {
-		s.machines = append(s.machines, &newMachine{kind: kind, free: Whole(s.market.Types[kind.Type])})
+		s.machines = append(s.machines, &newMachine{pool: pool, free: Whole(s.market.Types[pool.Type])})
 	}
 	return found
 }
 
 // choosePool returns the pool with the lowest price for each of the tasks that a machine
 // would hold.
-func (s *scaleOut) choosePool(w *planner.Want, zones map[string]int) (best Kind, found bool) {
-	s.urgent.settle(w.Job)
+func (s *scaleOut) choosePool(demand *planner.Want, zones map[string]int) (best Kind, found bool) {
+	s.urgent.settle(demand.Job)
 	lowest := 0.0
-	for k, fits := range s.market.usablePools(w.Job.Spec) {
-		if !s.market.available(k, w.Job, zones) || !s.acceptsPrice(k, w.Job) {
+	for pool, fits := range s.market.usablePools(demand.Job.Spec) {
+		if !s.market.available(pool, demand.Job, zones) || !s.acceptsPrice(pool, demand.Job) {
 			continue
 		}
-		price := s.market.Price(k) / float64(min(fits, w.Tasks))
+		price := s.market.Price(pool) / float64(min(fits, demand.Tasks))
 		if !found || price < lowest {
-			best, lowest, found = k, price, true
+			best, lowest, found = pool, price, true
 		}
 	}
 	return best, found
@@ -122,30 +122,30 @@
 
 // available reports whether a machine of the pool is to be had, in a zone that the job's
 // next task may go to.
-func (m *Market) available(k Kind, j *planner.Job, zones map[string]int) bool {
-	if m.Refused[k] {
+func (m *Market) available(pool Kind, job *planner.Job, zones map[string]int) bool {
+	if m.Refused[pool] {
 		return false
 	}
-	if m.Doubtful[k.Zone] && !planner.MayNeedZone(j.Spec, k.Zone) {
+	if m.Doubtful[pool.Zone] && !planner.MayNeedZone(job.Spec, pool.Zone) {
 		return false
 	}
-	return planner.ZoneAllowed(j.Spec, zones, k.Zone)
+	return planner.ZoneAllowed(job.Spec, zones, pool.Zone)
 }
 
 // acceptsPrice reports whether the pool's price is paid for the job.
-func (s *scaleOut) acceptsPrice(k Kind, j *planner.Job) bool {
-	return s.market.Fair(k, j) || s.market.worthPremium(k, j, s.urgent, 1)
+func (s *scaleOut) acceptsPrice(pool Kind, job *planner.Job) bool {
+	return s.market.Fair(pool, job) || s.market.worthPremium(pool, job, s.urgent, 1)
 }
 
 // countByPool counts machines by pool, the cheapest pools first.
 func (m *Market) countByPool(machines []*newMachine) []ScaleOutDecision {
 	counts := map[Kind]int{}
 	for _, n := range machines {
-		counts[n.kind]++
+		counts[n.pool]++
 	}
 	decisions := make([]ScaleOutDecision, 0, len(counts))
-	for k, n := range counts {
-		decisions = append(decisions, ScaleOutDecision{k, n})
+	for pool, n := range counts {
+		decisions = append(decisions, ScaleOutDecision{pool, n})
 	}
 	slices.SortFunc(decisions, func(a, b ScaleOutDecision) int {
 		return cmp.Or(
--- a/internal/fleet/scaleout_test.go
+++ b/internal/fleet/scaleout_test.go
@@ -30,7 +30,7 @@
 				at, machines = len(machines), append(machines, newMachine{k, Whole(m.Types[k.Type])})
 			}
 			machines[at].free = machines[at].free.Minus(request)
-			zones[machines[at].kind.Zone]++
+			zones[machines[at].pool.Zone]++
 			w.Tasks--
 		}
 	}
@@ -41,7 +41,7 @@
 func referenceCounts(m *Market, machines []newMachine) []ScaleOutDecision {
 	counts := map[Kind]int{}
 	for _, n := range machines {
-		counts[n.kind]++
+		counts[n.pool]++
 	}
 	var decisions []ScaleOutDecision
 	for _, k := range slices.SortedFunc(maps.Keys(counts), func(a, b Kind) int {
--- a/internal/fleet/urgentdemand.go
+++ b/internal/fleet/urgentdemand.go
@@ -23,38 +23,38 @@
 }
 
 // machinesFilled returns how many machines of a pool the urgent tasks would fill.
-func (d *urgentDemand) machinesFilled(k Kind) float64 {
-	sum, known := d.filled[k]
+func (d *urgentDemand) machinesFilled(pool Kind) float64 {
+	sum, known := d.filled[pool]
 	if !known {
-		for _, w := range d.unmet {
-			sum += float64(w.Tasks) * d.taskShare(k, w.Job)
+		for _, demand := range d.unmet {
+			sum += float64(demand.Tasks) * d.taskShare(pool, demand.Job)
 		}
-		d.filled[k] = sum
+		d.filled[pool] = sum
 	}
 	return sum
 }
 
 // taskShare returns what share of a machine of the pool one task of a job takes, 0 if the
 // job isn't urgent or no price that high is paid for it.
-func (d *urgentDemand) taskShare(k Kind, j *planner.Job) float64 {
+func (d *urgentDemand) taskShare(pool Kind, job *planner.Job) float64 {
 	m := d.market
-	if m.tasksPerMachine(k, j.Spec) == 0 || m.priceMultiple(k, j) > filledMultiple ||
-		!isUrgent(j, m.Types[k.Type]) {
+	if m.tasksPerMachine(pool, job.Spec) == 0 || m.priceMultiple(pool, job) > filledMultiple ||
+		!isUrgent(job, m.Types[pool.Type]) {
 		return 0
 	}
-	return planner.Needs(j.Spec).Share(Whole(m.Types[k.Type]))
+	return planner.Needs(job.Spec).Share(Whole(m.Types[pool.Type]))
 }
 
 // taskPlaced notes that one more task of the job being placed isn't unmet any more.
 func (d *urgentDemand) taskPlaced() { d.placed++ }
 
 // settle subtracts the tasks of a job that were placed since the last call.
-func (d *urgentDemand) settle(j *planner.Job) {
+func (d *urgentDemand) settle(job *planner.Job) {
 	if d.placed == 0 {
 		return
 	}
-	for k := range d.filled {
-		d.filled[k] -= float64(d.placed) * d.taskShare(k, j)
+	for pool := range d.filled {
+		d.filled[pool] -= float64(d.placed) * d.taskShare(pool, job)
 	}
 	d.placed = 0
 }
--- a/internal/planner/assign.go
+++ b/internal/planner/assign.go
@@ -4,48 +4,48 @@
 
 // assignPending assigns the pending tasks of a job that fit, and returns how many should
 // run now and how many were assigned.
-func (p *planning) assignPending(j *Job) (wanted, assigned int) {
-	if j.Spec.Gang() {
-		return p.assignGang(j)
+func (p *planning) assignPending(job *Job) (wanted, assigned int) {
+	if job.Spec.Gang() {
+		return p.assignGang(job)
 	}
-	return p.assignTasks(j, p.candidates(j, readyOrBooting))
+	return p.assignTasks(job, p.candidates(job, readyOrBooting))
 }
 
 // assignWhereCached assigns pending tasks to machines that have the job's image. What it
 // has assigned is no longer pending.
-func (p *planning) assignWhereCached(j *Job) {
-	candidates := slices.DeleteFunc(p.candidates(j, readyNow), func(m *Machine) bool {
-		return m.ImageWaitS(j.Spec) > 0
+func (p *planning) assignWhereCached(job *Job) {
+	candidates := slices.DeleteFunc(p.candidates(job, readyNow), func(machine *Machine) bool {
+		return machine.ImageWaitS(job.Spec) > 0
 	})
 	if len(candidates) == 0 {
 		return
 	}
-	_, assigned := p.assignTasks(j, candidates)
-	j.Limit -= assigned
-	j.Pending = j.Pending[assigned:]
+	_, assigned := p.assignTasks(job, candidates)
+	job.Limit -= assigned
+	job.Pending = job.Pending[assigned:]
 }
 
 // assignTasks assigns pending tasks, in their order, to the cheapest of the candidates
 // until one of them finds no room or the team's quota is used up. It returns how many
 // should run now and how many were assigned.
-func (p *planning) assignTasks(j *Job, candidates []*Machine) (wanted, assigned int) {
-	team := p.teams[j.Spec.Team]
-	request := Needs(j.Spec)
-	zones := j.tasksByZone()
-	machines := newMachineHeap(j, candidates)
-	j.unshareRunning()
-	tasks := j.Pending[:min(len(j.Pending), j.Limit)]
+func (p *planning) assignTasks(job *Job, candidates []*Machine) (wanted, assigned int) {
+	team := p.teams[job.Spec.Team]
+	request := Needs(job.Spec)
+	zones := job.tasksByZone()
+	machines := newMachineHeap(job, candidates)
+	job.unshareRunning()
+	tasks := job.Pending[:min(len(job.Pending), job.Limit)]
 	for i, task := range tasks {
 		if !team.withinLimit(request, 1) {
 			return i, i
 		}
-		m := machines.cheapest(zones)
-		if m == nil {
+		machine := machines.cheapest(zones)
+		if machine == nil {
 			// Neither the quota nor the room changes for the tasks after it.
 			return len(tasks), i
 		}
-		zones[m.Zone]++
-		p.assign(j, task, m)
+		zones[machine.Zone]++
+		p.assign(job, task, machine)
 		machines.updateCheapest()
 	}
 	return len(tasks), len(tasks)
@@ -53,23 +53,23 @@
 
 // assignGang assigns all tasks of a gang or none, and returns how many should run now
 // and how many were assigned.
-func (p *planning) assignGang(j *Job) (wanted, assigned int) {
-	n := len(j.Pending)
-	if n > j.Limit || !p.teams[j.Spec.Team].withinLimit(Needs(j.Spec), n) {
+func (p *planning) assignGang(job *Job) (wanted, assigned int) {
+	n := len(job.Pending)
+	if n > job.Limit || !p.teams[job.Spec.Team].withinLimit(Needs(job.Spec), n) {
 		return 0, 0
 	}
 	// Machines that are up come first: a gang of which a part waits for a machine to
 	// boot can't start earlier than that part.
-	machines := p.fitGang(j, n, readyNow)
+	machines := p.fitGang(job, n, readyNow)
 	if machines == nil {
-		machines = p.fitGang(j, n, readyOrBooting)
+		machines = p.fitGang(job, n, readyOrBooting)
 	}
 	if machines == nil {
 		return n, 0
 	}
-	j.unshareRunning()
-	for i, m := range machines {
-		p.assign(j, j.Pending[i], m)
+	job.unshareRunning()
+	for i, machine := range machines {
+		p.assign(job, job.Pending[i], machine)
 	}
 	return n, n
 }
@@ -79,20 +79,20 @@
 func (j *Job) unshareRunning() { j.Running = slices.Clip(j.Running) }
 
 // assign adds a placement to the plan and takes the resources for it.
-func (p *planning) assign(j *Job, task int, m *Machine) {
-	request := Needs(j.Spec)
-	m.Free = m.Free.Minus(request)
-	if team := p.teams[j.Spec.Team]; team != nil {
+func (p *planning) assign(job *Job, task int, machine *Machine) {
+	request := Needs(job.Spec)
+	machine.Free = machine.Free.Minus(request)
+	if team := p.teams[job.Spec.Team]; team != nil {
 		team.Used = team.Used.Plus(request)
 	}
-	m.Pull(j.Spec)
-	if j.Spec.Service() {
-		m.Replicas++
+	machine.Pull(job.Spec)
+	if job.Spec.Service() {
+		machine.Replicas++
 	}
-	if j.zoneConstrained() {
-		j.Running = append(j.Running, Running{Task: task, Machine: m.Name, Zone: m.Zone})
+	if job.zoneConstrained() {
+		job.Running = append(job.Running, Running{Task: task, Machine: machine.Name, Zone: machine.Zone})
 	} else {
-		j.startedUnlisted++
+		job.startedUnlisted++
 	}
-	p.plan.Places = append(p.plan.Places, Place{j.ID, task, m.Name, m.Booting})
+	p.plan.Places = append(p.plan.Places, Place{job.ID, task, machine.Name, machine.Booting})
 }
--- a/internal/planner/constraints.go
+++ b/internal/planner/constraints.go
@@ -42,13 +42,13 @@
 
 // candidates returns the machines with room for one task of the job, regardless of
 // where its other tasks are.
-func (p *planning) candidates(j *Job, ready readiness) []*Machine {
+func (p *planning) candidates(job *Job, ready readiness) []*Machine {
 	var machines []*Machine
-	request := Needs(j.Spec)
+	request := Needs(job.Spec)
 	for i := range p.machines {
-		m := &p.machines[i]
-		if request.Fits(m.Free) && !(m.Booting && ready == readyNow) && j.accepts(m) {
-			machines = append(machines, m)
+		machine := &p.machines[i]
+		if request.Fits(machine.Free) && !(machine.Booting && ready == readyNow) && job.accepts(machine) {
+			machines = append(machines, machine)
 		}
 	}
 	return machines
@@ -56,18 +56,18 @@
 
 // accepts reports whether the job's tasks may be assigned to the machine if it has
 // room for them.
-func (j *Job) accepts(m *Machine) bool {
-	if m.Late && j.Spec.Service() {
+func (j *Job) accepts(machine *Machine) bool {
+	if machine.Late && j.Spec.Service() {
 		return false
 	}
-	if m.Doubtful && !MayNeedZone(j.Spec, m.Zone) {
+	if machine.Doubtful && !MayNeedZone(j.Spec, machine.Zone) {
 		return false
 	}
-	return j.mayUse(m)
+	return j.mayUse(machine)
 }
 
 // mayUse reports whether the job's tasks may be on the machine at all, whatever its
 // present state.
-func (j *Job) mayUse(m *Machine) bool {
-	return Allowed(j.Spec, m.Type, m.Zone, m.Spot) && !j.Avoid[m.Name]
+func (j *Job) mayUse(machine *Machine) bool {
+	return Allowed(j.Spec, machine.Type, machine.Zone, machine.Spot) && !j.Avoid[machine.Name]
 }
--- a/internal/planner/cost.go
+++ b/internal/planner/cost.go
@@ -29,29 +29,29 @@
 // placementCost returns the expected loss, in seconds, of running a task of the job
 // on the machine: the lower, the better the machine suits. The terms are added in a
 // fixed order, so that equal inputs always give equal bits.
-func placementCost(j *Job, m *Machine) float64 {
-	cost := m.ImageWaitS(j.Spec)
-	if m.Booting {
-		cost += m.BootS + bootRiskS
+func placementCost(job *Job, machine *Machine) float64 {
+	cost := machine.ImageWaitS(job.Spec)
+	if machine.Booting {
+		cost += machine.BootS + bootRiskS
 	}
-	request := Needs(j.Spec)
-	cost += m.Slow * j.Spec.EstimateS
-	if m.Spot && j.Spec.CheckpointS == 0 {
-		cost += spotLoss * j.Spec.EstimateS
+	request := Needs(job.Spec)
+	cost += machine.Slow * job.Spec.EstimateS
+	if machine.Spot && job.Spec.CheckpointS == 0 {
+		cost += spotLoss * job.Spec.EstimateS
 	}
-	if j.Spec.Service() {
-		cost += replicaCost(m)
+	if job.Spec.Service() {
+		cost += replicaCost(machine)
 	}
-	cost += priceWeight * m.Price * request.Share(m.Whole)
-	cost += fragmentationS * m.Free.Minus(request).Share(m.Whole)
+	cost += priceWeight * machine.Price * request.Share(machine.Whole)
+	cost += fragmentationS * machine.Free.Minus(request).Share(machine.Whole)
 	return cost
 }
 
 // replicaCost returns what a service replica adds to the cost of a machine: the first
 // keeps the whole machine from being returned, others would be lost together.
-func replicaCost(m *Machine) float64 {
-	if m.Replicas == 0 {
-		return pinningWeight * m.Price
+func replicaCost(machine *Machine) float64 {
+	if machine.Replicas == 0 {
+		return pinningWeight * machine.Price
 	}
-	return replicaCrowdingS * float64(m.Replicas)
+	return replicaCrowdingS * float64(machine.Replicas)
 }
--- a/internal/planner/machineheap.go
+++ b/internal/planner/machineheap.go
@@ -19,10 +19,10 @@
 }
 
 // newMachineHeap returns a heap of machines that all have room for a task of the job.
-func newMachineHeap(j *Job, machines []*Machine) *machineHeap {
-	h := &machineHeap{j, make([]heapEntry, len(machines))}
+func newMachineHeap(job *Job, machines []*Machine) *machineHeap {
+	h := &machineHeap{job, make([]heapEntry, len(machines))}
 	for i, m := range machines {
-		h.entries[i] = heapEntry{m, placementCost(j, m), i}
+		h.entries[i] = heapEntry{m, placementCost(job, m), i}
 	}
 	heap.Init(h)
 	return h
--- a/internal/planner/planning.go
+++ b/internal/planner/planning.go
@@ -65,10 +65,10 @@
 	}
 	slices.SortFunc(p.machines, func(a, b Machine) int { return cmp.Compare(a.Name, b.Name) })
 	for i := range p.machines {
-		m := &p.machines[i]
-		p.byName[m.Name] = m
-		if !slices.Contains(p.zones, m.Zone) {
-			p.zones = append(p.zones, m.Zone)
+		machine := &p.machines[i]
+		p.byName[machine.Name] = machine
+		if !slices.Contains(p.zones, machine.Zone) {
+			p.zones = append(p.zones, machine.Zone)
 		}
 	}
 	for name, t := range s.Teams {
@@ -81,16 +81,16 @@
 // yield to costs nothing.
 func (p *planning) surveyRunning(jobs []Job) {
 	for i := range jobs {
-		j := &jobs[i]
-		for _, r := range j.Running {
+		job := &jobs[i]
+		for _, r := range job.Running {
 			p.anyOverQuota = p.anyOverQuota || r.Borrowed
 			if r.Stopping {
-				p.stopping = append(p.stopping, victim{j, r})
+				p.stopping = append(p.stopping, victim{job, r})
 				p.preempting = true
 			}
 		}
-		if len(j.Running) > 0 {
-			p.lowestRank = max(p.lowestRank, j.Rank)
+		if len(job.Running) > 0 {
+			p.lowestRank = max(p.lowestRank, job.Rank)
 		}
 	}
 }
@@ -99,42 +99,42 @@
 // that have their image, and leave those where they would wait for it to jobs that have
 // it there.
 func (p *planning) planRank(sameRank, all []Job) {
-	for j := range startable(sameRank) {
-		if j.canWaitForImage() {
-			p.assignWhereCached(j)
+	for job := range startable(sameRank) {
+		if job.canWaitForImage() {
+			p.assignWhereCached(job)
 		} else {
-			p.planJob(j, all)
+			p.planJob(job, all)
 		}
 	}
-	for j := range startable(sameRank) {
-		if j.canWaitForImage() {
-			p.planJob(j, all)
+	for job := range startable(sameRank) {
+		if job.canWaitForImage() {
+			p.planJob(job, all)
 		}
 	}
 }
 
 // planJob assigns what it can of a job, has room made for the rest if the job may
 // preempt, and records as unmet demand what got neither.
-func (p *planning) planJob(j *Job, all []Job) {
-	wanted, assigned := p.assignPending(j)
+func (p *planning) planJob(job *Job, all []Job) {
+	wanted, assigned := p.assignPending(job)
 	missing := wanted - assigned
 	if missing == 0 {
 		return
 	}
-	if j.MayEvict && p.makeRoom(j, all, missing) {
+	if job.MayEvict && p.makeRoom(job, all, missing) {
 		return
 	}
-	reserved := p.reserveForGang(j, wanted)
-	p.plan.Wants = append(p.plan.Wants, Want{j, missing - reserved})
+	reserved := p.reserveForGang(job, wanted)
+	p.plan.Wants = append(p.plan.Wants, Want{job, missing - reserved})
 }
 
 // makeRoom preempts for n tasks of the job, unless room is being made already: then it
 // only reserves for the job what that will leave. It reports whether the job will have
 // room.
-func (p *planning) makeRoom(j *Job, all []Job, n int) bool {
+func (p *planning) makeRoom(job *Job, all []Job, n int) bool {
 	if !p.preempting {
-		p.preempting = p.preempt(j, all, n)
+		p.preempting = p.preempt(job, all, n)
 		return p.preempting
 	}
-	return p.reserveRoom(j, n, p.stopping)
+	return p.reserveRoom(job, n, p.stopping)
 }
--- a/internal/planner/preempt.go
+++ b/internal/planner/preempt.go
@@ -19,60 +19,60 @@
 // Unlike in the paper, room isn't judged by the sum of what would be freed: machines are
 // shared here, and freed pieces that are scattered can add up without holding a single
 // task. The tasks are placed on the machines as they would be.
-func (p *planning) preempt(j *Job, jobs []Job, n int) bool {
-	if !p.anythingYieldsTo(j) {
+func (p *planning) preempt(job *Job, jobs []Job, n int) bool {
+	if !p.anythingYieldsTo(job) {
 		return false
 	}
-	victims := p.shrinkArrays(j, jobs, n)
+	victims := p.shrinkArrays(job, jobs, n)
 	if victims == nil {
-		victims = p.preemptWhole(j, jobs, n)
+		victims = p.preemptWhole(job, jobs, n)
 	}
 	if victims == nil {
 		return false
 	}
 	for _, v := range victims {
-		p.plan.Stops = append(p.plan.Stops, Stop{v.job.ID, v.run.Task, j.ID})
+		p.plan.Stops = append(p.plan.Stops, Stop{v.job.ID, v.run.Task, job.ID})
 	}
-	p.reserveRoom(j, n, victims)
+	p.reserveRoom(job, n, victims)
 	return true
 }
 
 // anythingYieldsTo reports whether some running task may have to yield to the job: see
 // yields.
-func (p *planning) anythingYieldsTo(j *Job) bool {
-	return p.lowestRank > j.Rank || p.anyOverQuota && j.Within
+func (p *planning) anythingYieldsTo(job *Job) bool {
+	return p.lowestRank > job.Rank || p.anyOverQuota && job.Within
 }
 
-// yields reports whether a running task of the job v may be preempted for j: work of a
-// lower rank, or, if j is within its team's guarantee, work of its own rank that another
-// team runs over quota. Work of a higher rank goes before j in the queue and would take
-// the room back at once.
-func yields(v *Job, r Running, j *Job) bool {
-	if v.ID == j.ID || r.Stopping {
+// yields reports whether a running task of one job may be preempted for another: work of a
+// lower rank, or, if the other is within its team's guarantee, work of its own rank that
+// another team runs over quota. Work of a higher rank goes before it in the queue and would
+// take the room back at once.
+func yields(owner *Job, run Running, job *Job) bool {
+	if owner.ID == job.ID || run.Stopping {
 		return false
 	}
-	if v.Rank > j.Rank {
+	if owner.Rank > job.Rank {
 		return true
 	}
-	return r.Borrowed && v.Rank == j.Rank && v.Spec.Team != j.Spec.Team && j.Within
+	return run.Borrowed && owner.Rank == job.Rank && owner.Spec.Team != job.Spec.Team && job.Within
 }
 
 // reserveRoom holds the machines that n tasks of the job will have once the victims have
 // left, so that the jobs after it don't take that room piece by piece and have it made
 // again and again. It reports whether there will be room for all n.
-func (p *planning) reserveRoom(j *Job, n int, victims []victim) bool {
+func (p *planning) reserveRoom(job *Job, n int, victims []victim) bool {
 	p.release(victims)
-	machines := p.fitGang(j, n, readyNow)
+	machines := p.fitGang(job, n, readyNow)
 	p.unrelease(victims)
-	p.hold(j, machines)
+	p.hold(job, machines)
 	return machines != nil
 }
 
 // release gives the resources of the victims back to their machines.
 func (p *planning) release(victims []victim) {
 	for _, v := range victims {
-		if m := p.byName[v.run.Machine]; m != nil {
-			m.Free = m.Free.Plus(Needs(v.job.Spec))
+		if machine := p.byName[v.run.Machine]; machine != nil {
+			machine.Free = machine.Free.Plus(Needs(v.job.Spec))
 		}
 	}
 }
@@ -80,44 +80,59 @@
 // unrelease undoes release, save for rounding.
 func (p *planning) unrelease(victims []victim) {
 	for _, v := range victims {
-		if m := p.byName[v.run.Machine]; m != nil {
-			m.Free = m.Free.Minus(Needs(v.job.Spec))
+		if machine := p.byName[v.run.Machine]; machine != nil {
+			machine.Free = machine.Free.Minus(Needs(v.job.Spec))
 		}
 	}
 }
 
+// preemptable is a job that can be preempted as a whole.
+type preemptable struct {
+	tasks []victim
+	// overhead is the job's preemption overhead: the highest of its tasks.
+	overhead float64
+}
+
 // preemptWhole chooses victims among whole jobs, in ascending order of preemption
 // overhead as in the paper's PAA. It returns nil if they don't suffice.
-func (p *planning) preemptWhole(j *Job, jobs []Job, n int) []victim {
-	type candidate struct {
-		overhead float64
-		tasks    []victim
+func (p *planning) preemptWhole(job *Job, jobs []Job, n int) []victim {
+	candidates := preemptableJobs(job, jobs)
+	units := make([][]victim, len(candidates))
+	for i := range candidates {
+		units[i] = candidates[i].tasks
 	}
-	var candidates []candidate
+	return p.chooseVictims(job, n, units)
+}
+
+// preemptableJobs returns what can be preempted for the job, the least overhead first.
+func preemptableJobs(job *Job, jobs []Job) []preemptable {
+	var candidates []preemptable
 	for i := range jobs {
-		v := &jobs[i]
-		c := candidate{}
-		for _, r := range v.Running {
-			if yields(v, r, j) {
-				c.tasks = append(c.tasks, victim{v, r})
-				c.overhead = max(c.overhead, r.Overhead)
-			}
-		}
+		lower := &jobs[i]
+		c := newPreemptable(lower, job)
 		// A gang of which only a part yields would be broken for less room than it
 		// loses.
-		brokenGang := v.Spec.Gang() && len(c.tasks) < len(v.Running)
+		brokenGang := lower.Spec.Gang() && len(c.tasks) < len(lower.Running)
 		if len(c.tasks) > 0 && !brokenGang {
 			candidates = append(candidates, c)
 		}
 	}
-	slices.SortStableFunc(candidates, func(x, y candidate) int {
+	slices.SortStableFunc(candidates, func(x, y preemptable) int {
 		return cmp.Or(
 			cmp.Compare(x.overhead, y.overhead),
 			cmp.Compare(x.tasks[0].job.ID, y.tasks[0].job.ID))
 	})
-	units := make([][]victim, len(candidates))
-	for i := range candidates {
-		units[i] = candidates[i].tasks
+	return candidates
+}
+
+// newPreemptable returns the tasks of a lower job that yield to the job.
+func newPreemptable(lower, job *Job) preemptable {
+	var c preemptable
+	for _, r := range lower.Running {
+		if yields(lower, r, job) {
+			c.tasks = append(c.tasks, victim{lower, r})
+			c.overhead = max(c.overhead, r.Overhead)
+		}
 	}
-	return p.chooseVictims(j, n, units)
+	return c
 }
--- a/internal/planner/queue.go
+++ b/internal/planner/queue.go
@@ -73,7 +73,7 @@
 func startable(jobs []Job) iter.Seq[*Job] {
 	return func(yield func(*Job) bool) {
 		for i := range jobs {
-			if j := &jobs[i]; !j.Waiting && len(j.Pending) > 0 && !yield(j) {
+			if job := &jobs[i]; !job.Waiting && len(job.Pending) > 0 && !yield(job) {
 				return
 			}
 		}
--- a/internal/planner/shrink.go
+++ b/internal/planner/shrink.go
@@ -27,25 +27,26 @@
 // shrinkArrays chooses victims among the tasks of lower arrays, as evenly as possible
 // and the youngest of each array first, as in the paper's SPAA: gangs are its rigid jobs,
 // arrays its malleable ones. It returns nil if they don't suffice.
-func (p *planning) shrinkArrays(j *Job, jobs []Job, n int) []victim {
-	victims := takeInTurn(shrinkableArrays(j, jobs))
+func (p *planning) shrinkArrays(job *Job, jobs []Job, n int) []victim {
+	victims := takeInTurn(shrinkableArrays(job, jobs))
 	units := make([][]victim, len(victims))
 	for i := range victims {
 		units[i] = victims[i : i+1]
 	}
-	return p.chooseVictims(j, n, units)
+	return p.chooseVictims(job, n, units)
 }
 
 // shrinkableArrays returns the arrays that can give up tasks for the job, the one that
-// was submitted last first.
-func shrinkableArrays(j *Job, jobs []Job) []shrinkable {
+// was submitted last first. Services aren't shrunk: what a stopped replica would have served
+// is lost.
+func shrinkableArrays(job *Job, jobs []Job) []shrinkable {
 	var arrays []shrinkable
 	for i := range jobs {
-		v := &jobs[i]
-		if v.Spec.Gang() || v.Spec.Service() {
+		lower := &jobs[i]
+		if lower.Spec.Gang() || lower.Spec.Service() {
 			continue
 		}
-		if a := newShrinkable(v, j); a.surplus > 0 {
+		if a := newShrinkable(lower, job); a.surplus > 0 {
 			arrays = append(arrays, a)
 		}
 	}
@@ -57,15 +58,15 @@
 	return arrays
 }
 
-// newShrinkable returns what the array v can give up for the job j.
-func newShrinkable(v, j *Job) shrinkable {
-	a := shrinkable{job: v}
-	for _, r := range v.Running {
-		if yields(v, r, j) {
+// newShrinkable returns what a lower array can give up for the job.
+func newShrinkable(lower, job *Job) shrinkable {
+	a := shrinkable{job: lower}
+	for _, r := range lower.Running {
+		if yields(lower, r, job) {
 			a.tasks = append(a.tasks, r)
 		}
 	}
-	a.surplus = min(len(a.tasks), len(v.Running)+v.startedUnlisted-minSize(v))
+	a.surplus = min(len(a.tasks), len(lower.Running)+lower.startedUnlisted-minSize(lower))
 	if a.surplus > 0 {
 		slices.SortStableFunc(a.tasks, func(x, y Running) int { return cmp.Compare(x.Overhead, y.Overhead) })
 	}
@@ -73,7 +74,7 @@
 }
 
 // minSize returns how many tasks of an array are left to it.
-func minSize(j *Job) int { return int(float64(j.Spec.Tasks)*minArrayShare + roundUp) }
+func minSize(job *Job) int { return int(float64(job.Spec.Tasks)*minArrayShare + roundUp) }
 
 // takeInTurn returns what the arrays can give up, one task of each array in turn.
 func takeInTurn(arrays []shrinkable) []victim {
--- a/internal/planner/victims.go
+++ b/internal/planner/victims.go
@@ -8,15 +8,15 @@
 // chooseVictims takes units of victims in their order until n tasks of the job fit, then
 // gives back those units that turn out not to matter. It returns nil if all of them
 // don't suffice, if the team's quota doesn't allow the tasks, or if no unit is needed.
-func (p *planning) chooseVictims(j *Job, n int, units [][]victim) []victim {
-	if len(units) == 0 || !p.teams[j.Spec.Team].withinLimit(Needs(j.Spec), n) {
+func (p *planning) chooseVictims(job *Job, n int, units [][]victim) []victim {
+	if len(units) == 0 || !p.teams[job.Spec.Team].withinLimit(Needs(job.Spec), n) {
 		return nil
 	}
 	// Undoing releases by subtraction would leave other bits.
 	machinesBefore := slices.Clone(p.machines)
 	defer func() { copy(p.machines, machinesBefore) }()
 
-	fits := func() bool { return p.fitGang(j, n, readyNow) != nil }
+	fits := func() bool { return p.fitGang(job, n, readyNow) != nil }
 	released := releasedPrefix{planning: p, units: units}
 	// Releasing more never takes room away, so that the shortest prefix that suffices
 	// is found by binary search.
