--- a/internal/fleet/price.go
+++ b/internal/fleet/price.go
@@ -95,7 +95,9 @@
 
 // worthPremium reports whether a price that isn't fair is paid for a job, given the
 // urgent demand of all jobs. The fill asked of that demand is scaled by fillScale.
-func (m *Market) worthPremium(pool Kind, job *planner.Job, urgent *urgentDemand, fillScale float64) bool {
+func (m *Market) worthPremium(
+	pool Kind, job *planner.Job, urgent *urgentDemand, fillScale float64,
+) bool {
 	if paysAnyPrice(job) {
 		return true
 	}
--- a/internal/fleet/scaleout.go
+++ b/internal/fleet/scaleout.go
@@ -32,7 +32,7 @@
 
 // scaleOut is the state of one decision.
 type scaleOut struct {
-	market *Market
+	cloud *Market
 	// unmet is what is still unmet. It is also what urgent is computed from.
 	unmet    []planner.Want
 	urgent   *urgentDemand
@@ -47,7 +47,7 @@
 
 func (m *Market) newScaleOut(unmet []planner.Want) *scaleOut {
 	unmet = slices.Clone(unmet)
-	return &scaleOut{market: m, unmet: unmet, urgent: m.newUrgentDemand(unmet)}
+	return &scaleOut{cloud: m, unmet: unmet, urgent: m.newUrgentDemand(unmet)}
 }
 
 // addMachinesFor places the unmet tasks of a job on machines chosen before, and adds
@@ -98,21 +98,23 @@
 	}
 	pool, found := s.choosePool(demand, zones)
 	if found {
-		s.machines = append(s.machines, &newMachine{pool: pool, free: Whole(s.market.Types[pool.Type])})
+		s.machines = append(s.machines, &newMachine{pool: pool, free: Whole(s.cloud.Types[pool.Type])})
 	}
 	return found
 }
 
 // choosePool returns the pool with the lowest price for each of the tasks that a machine
 // would hold.
-func (s *scaleOut) choosePool(demand *planner.Want, zones map[string]int) (best Kind, found bool) {
+func (s *scaleOut) choosePool(
+	demand *planner.Want, zones map[string]int,
+) (best Kind, found bool) {
 	s.urgent.settle(demand.Job)
 	lowest := 0.0
-	for pool, fits := range s.market.usablePools(demand.Job.Spec) {
-		if !s.market.available(pool, demand.Job, zones) || !s.acceptsPrice(pool, demand.Job) {
+	for pool, fits := range s.cloud.usablePools(demand.Job.Spec) {
+		if !s.cloud.available(pool, demand.Job, zones) || !s.acceptsPrice(pool, demand.Job) {
 			continue
 		}
-		price := s.market.Price(pool) / float64(min(fits, demand.Tasks))
+		price := s.cloud.Price(pool) / float64(min(fits, demand.Tasks))
 		if !found || price < lowest {
 			best, lowest, found = pool, price, true
 		}
@@ -134,7 +136,7 @@
 
 // acceptsPrice reports whether the pool's price is paid for the job.
 func (s *scaleOut) acceptsPrice(pool Kind, job *planner.Job) bool {
-	return s.market.Fair(pool, job) || s.market.worthPremium(pool, job, s.urgent, 1)
+	return s.cloud.Fair(pool, job) || s.cloud.worthPremium(pool, job, s.urgent, 1)
 }
 
 // countByPool counts machines by pool, the cheapest pools first.
--- a/internal/fleet/scaleout_test.go
+++ b/internal/fleet/scaleout_test.go
@@ -45,7 +45,10 @@
 	}
 	var decisions []ScaleOutDecision
 	for _, k := range slices.SortedFunc(maps.Keys(counts), func(a, b Kind) int {
-		return cmp.Or(cmp.Compare(m.Price(a), m.Price(b)), cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone))
+		return cmp.Or(
+			cmp.Compare(m.Price(a), m.Price(b)),
+			cmp.Compare(a.Type, b.Type),
+			cmp.Compare(a.Zone, b.Zone))
 	}) {
 		decisions = append(decisions, ScaleOutDecision{k, counts[k]})
 	}
@@ -53,7 +56,9 @@
 }
 
 // referencePool chooses the cheapest pool for the tasks that a machine would hold.
-func referencePool(m *Market, w *planner.Want, zones map[string]int, unmet []planner.Want) (Kind, bool) {
+func referencePool(
+	m *Market, w *planner.Want, zones map[string]int, unmet []planner.Want,
+) (Kind, bool) {
 	var best Kind
 	bestCost, found := 0.0, false
 	for k, fits := range m.usablePools(w.Job.Spec) {
--- a/internal/fleet/urgentdemand.go
+++ b/internal/fleet/urgentdemand.go
@@ -9,8 +9,8 @@
 // follows what is placed: forming it anew for each machine to rent took a leader with
 // much unmet demand half a second at a time.
 type urgentDemand struct {
-	market *Market
-	unmet  []planner.Want
+	cloud *Market
+	unmet []planner.Want
 	// filled has the results of machinesFilled.
 	filled map[Kind]float64
 	// placed counts tasks of the job being placed that filled doesn't reflect yet: see
@@ -19,7 +19,7 @@
 }
 
 func (m *Market) newUrgentDemand(unmet []planner.Want) *urgentDemand {
-	return &urgentDemand{market: m, unmet: unmet, filled: map[Kind]float64{}}
+	return &urgentDemand{cloud: m, unmet: unmet, filled: map[Kind]float64{}}
 }
 
 // machinesFilled returns how many machines of a pool the urgent tasks would fill.
@@ -37,7 +37,7 @@
 // taskShare returns what share of a machine of the pool one task of a job takes, 0 if the
 // job isn't urgent or no price that high is paid for it.
 func (d *urgentDemand) taskShare(pool Kind, job *planner.Job) float64 {
-	m := d.market
+	m := d.cloud
 	if m.tasksPerMachine(pool, job.Spec) == 0 || m.priceMultiple(pool, job) > filledMultiple ||
 		!isUrgent(job, m.Types[pool.Type]) {
 		return 0
--- a/internal/planner/job.go
+++ b/internal/planner/job.go
@@ -16,7 +16,7 @@
 	// Overhead is the paper's preemption overhead: how many seconds of work are lost
 	// if the task is stopped now.
 	Overhead float64
-	// Borrowed tasks are over quota: their team runs them beyond its guarantee.
+	// Borrowed tells that the task's team runs it beyond its guarantee.
 	Borrowed bool
 }
 
@@ -28,8 +28,8 @@
 	Rank int
 	// SubmittedAt orders jobs that are otherwise alike. Preempted jobs keep it.
 	SubmittedAt int64
-	// Returning jobs are lenders, in the paper's word, of a job that has ended: they
-	// were preempted for it, and resume before others of their rank.
+	// Returning tells that the job is one of the paper's lenders: it was preempted for
+	// a job that has ended, and resumes before others of its rank.
 	Returning bool
 	// Pending are the tasks to start, in this order. A gang starts whole or not at
 	// all.
@@ -38,15 +38,16 @@
 	// keeps within the size of a value.
 	Limit   int
 	Running []Running
-	// Zones counts, by zone, tasks that aren't among those running and still restrict
-	// where others may go, such as those of earlier attempts.
+	// Zones counts tasks, by zone, that aren't among those running and still
+	// restrict where others may go, such as those of earlier attempts.
 	Zones map[string]int
-	// Waiting jobs back off after failures: they start nothing and preempt nothing.
+	// Waiting tells that the job waits after failures: it starts nothing and preempts
+	// nothing.
 	Waiting bool
 	// MayEvict allows the job to have others preempted.
 	MayEvict bool
-	// Within tells that the job fits into its team's guarantee, counted together with
-	// the team's earlier jobs, so that it needn't wait for other teams.
+	// Within tells that the job, counted together with the team's earlier jobs, fits
+	// into its team's guarantee, so that it needn't wait for other teams.
 	Within bool
 	// StartAim tells that the job's class has an objective for its start.
 	StartAim bool
@@ -59,8 +60,8 @@
 	SlackS float64
 	// Avoid are the machines on which the job failed.
 	Avoid map[string]bool
-	// Unmet tells that machines have been wanted for the job for long and haven't
-	// come.
+	// Unmet tells that machines have been wanted for the job for long
+	// and haven't come.
 	Unmet bool
 	// startedUnlisted counts the tasks that the plan has started and not added to
 	// Running, because their machines make no difference to the rest of the plan.
--- a/internal/planner/machine.go
+++ b/internal/planner/machine.go
@@ -26,7 +26,7 @@
 	// Images are the images in the machine's cache.
 	Images []string
 	// Pulling are the images being fetched. They share the machine's rate, so that
-	// all of them are there after PullS.
+	// all of them are there at the same time.
 	Pulling []string
 	// PullS is how many seconds fetching all images being fetched takes.
 	PullS float64
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -6,7 +6,7 @@
 	Places []Place
 	// Stops are the tasks to preempt.
 	Stops []Stop
-	// Wants is the unmet demand: what found no room, in the order of the queue.
+	// Wants lists what found no room, in the order of the queue.
 	Wants []Want
 }
 
@@ -19,7 +19,7 @@
 	Booting bool
 }
 
-// Stop preempts a task.
+// Stop has a running task stopped for another job.
 type Stop struct {
 	Job  string
 	Task int
@@ -27,7 +27,7 @@
 	For string
 }
 
-// Want is unmet demand: tasks of a job that should run now and found no room.
+// Want counts the tasks of a job that should run now and found no room.
 type Want struct {
 	Job   *Job
 	Tasks int
--- a/internal/planner/quota_test.go
+++ b/internal/planner/quota_test.go
@@ -20,7 +20,8 @@
 			owed := arrayJob("job-o", 2, 1, 4)
 			owed.Spec.Team, owed.Within = "owed", true
 			overQuota := arrayJob("job-b", test.rank, 2, 4,
-				Running{Task: 0, Machine: "m0", Borrowed: true}, Running{Task: 1, Machine: "m0", Borrowed: true})
+				Running{Task: 0, Machine: "m0", Borrowed: true},
+				Running{Task: 1, Machine: "m0", Borrowed: true})
 			overQuota.Spec.Team = "other"
 			plan := Make(Snapshot{Jobs: []Job{owed, overQuota}, Machines: machinesWith(1, 8, 0)})
 			if len(plan.Stops) != test.preemptions {
