--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,7 +1,10 @@
-// Package agent is the client of the workers' own addresses.
+// Package agent is the client of the workers' own addresses. It turns their responses into typed
+// results, which reach the asking actor as messages. It retries nothing: workers repeat their
+// status in heartbeats, and the leader what is still due.
 package agent
 
 import (
+	"context"
 	"net/http"
 
 	"postpoint/internal/actor"
@@ -10,51 +13,71 @@
 	"postpoint/internal/transport"
 )
 
-// API sends commands to workers. Status 200 carries them out and 409 does not;
-// both bring the worker's report. Status 0: they may still be carried out,
-// however late. transport.NotSent: they never left, since their time was over.
-type API interface {
-	Commands(addr string, c protocol.Commands, until clock.Micros, done func(status int, r protocol.Report))
-}
-
 const (
-	timeout = 3 * clock.Second
-	limit   = 1 << 20
+	timeout       = 3 * clock.Second
+	responseLimit = 1 << 20
 )
 
-// Sockets is how many connections the client has at the most. There are as many
-// addresses as machines, and most of them are also connected by their reports.
+// Sockets is how many connections the client has at the most. There are as many addresses as
+// machines, and most of them are also connected by their heartbeats.
 const Sockets = 48
 
+// Response is the outcome of commands. Status is the worker's own status, which also comes with
+// ErrRejected; otherwise it counts only if Err is nil.
+type Response struct {
+	Status protocol.Report
+	Err    error
+}
+
+// ResultAPI sends commands to workers. Callbacks run in the mailbox of the actor that asks.
+//
+// It takes the name API as soon as nobody needs the interface of that name any more.
+type ResultAPI interface {
+	// Commands sends commands to the worker at an address, unless that instant has come before they
+	// leave.
+	Commands(addr string, c protocol.Commands, until clock.Micros, done func(Response))
+}
+
 // Client bounds the process's connections to workers.
 type Client struct{ slots chan struct{} }
 
-// New makes a client without connections.
-func New() *Client {
-	return &Client{make(chan struct{}, Sockets)}
-}
+// New returns a client without connections.
+func New() *Client { return &Client{make(chan struct{}, Sockets)} }
 
-// For gives the interface whose answers arrive in the given mailbox.
-func (c *Client) For(m actor.Mailbox) API { return &bound{c, m} }
+// Results returns the interface whose results arrive in the given mailbox.
+func (c *Client) Results(m actor.Mailbox) ResultAPI { return &bound{c, m} }
 
+// bound is the client of one actor.
 type bound struct {
 	*Client
 	mailbox actor.Mailbox
 }
 
-func (b *bound) Commands(addr string, c protocol.Commands, until clock.Micros, done func(int, protocol.Report)) {
-	body := protocol.Encode(c)
+func (b *bound) Commands(addr string, c protocol.Commands, until clock.Micros, done func(Response)) {
+	request := transport.Request{Method: http.MethodPost, URL: "http://" + addr + "/commands",
+		Body: protocol.Encode(c), Timeout: timeout, ResponseLimit: responseLimit}
 	go func() {
 		b.slots <- struct{}{}
 		defer func() { <-b.slots }()
-		var r protocol.Report
-		status, raw, err := transport.Once(b.mailbox, until, http.MethodPost, "http://"+addr+"/commands", body, timeout, limit)
-		if err == nil && (status == http.StatusOK || status == http.StatusConflict) {
-			err = protocol.Decode(raw, &r)
-		}
-		if err != nil {
-			status = 0
-		}
-		b.mailbox.Post(func() { done(status, r) })
+		r := b.exchange(request, until)
+		b.mailbox.Post(func() { done(r) })
 	}()
 }
+
+// exchange makes one request and decodes its response.
+func (b *bound) exchange(request transport.Request, until clock.Micros) Response {
+	deadline := transport.Deadline{Clock: b.mailbox, Instant: until}
+	response, err := transport.DoOnce(context.Background(), deadline, request)
+	if err != nil {
+		return Response{Err: transport.NoResponse(err)}
+	}
+	var r Response
+	if hasStatus(response.Status) {
+		if err := protocol.Decode(response.Body, &r.Status); err != nil {
+			r.Err = transport.NoResponse(err)
+			return r
+		}
+	}
+	r.Err = failure(response.Status, r.Status)
+	return r
+}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"errors"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -13,27 +14,94 @@
 	"postpoint/internal/transport"
 )
 
-// Commands leave only while the lease under which they were decided lasts, however
-// long they waited for others.
-func TestLateCommandsDontLeave(t *testing.T) {
-	var asked atomic.Int32
-	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		asked.Add(1)
-		_, _ = w.Write(protocol.Encode(protocol.Report{Machine: "m-1"}))
+// worker is a machine that responds to every request as the test says.
+type worker struct {
+	addr     string
+	requests atomic.Int32
+}
+
+func newWorker(t *testing.T, status int, body []byte) *worker {
+	t.Helper()
+	w := &worker{}
+	server := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
+		w.requests.Add(1)
+		rw.WriteHeader(status)
+		_, _ = rw.Write(body)
 	}))
-	defer worker.Close()
+	t.Cleanup(server.Close)
+	w.addr = strings.TrimPrefix(server.URL, "http://")
+	return w
+}
+
+// command sends a command at the tenth second and waits for its outcome.
+func (w *worker) command(until clock.Micros) Response {
 	box := actortest.Instant{Now: 10 * clock.Second, Messages: make(chan func())}
-	api := New().For(box)
+	var got Response
+	New().Results(box).Commands(w.addr, protocol.Commands{Epoch: 1, Session: 1}, until,
+		func(r Response) { got = r })
+	(<-box.Messages)()
+	return got
+}
+
+// Commands leave only while the lease under which they were decided lasts, however long they waited
+// for others.
+func TestCommandsLeaveOnlyBeforeTheirDeadline(t *testing.T) {
+	w := newWorker(t, http.StatusOK, protocol.Encode(protocol.Report{Machine: "m-1"}))
 	for _, c := range []struct {
-		until  clock.Micros
-		status int
-		asked  int32
-	}{{10 * clock.Second, transport.NotSent, 0}, {9 * clock.Second, transport.NotSent, 0}, {11 * clock.Second, http.StatusOK, 1}} {
-		got := 0
-		api.Commands(strings.TrimPrefix(worker.URL, "http://"), protocol.Commands{Epoch: 1, Session: 1}, c.until, func(status int, _ protocol.Report) { got = status })
-		(<-box.Messages)()
-		if got != c.status || asked.Load() != c.asked {
-			t.Errorf("until %v: status %d, the worker was asked %d times", c.until, got, asked.Load())
+		until    clock.Micros
+		err      error
+		requests int32
+	}{{10 * clock.Second, ErrNotSent, 0}, {9 * clock.Second, ErrNotSent, 0}, {11 * clock.Second, nil, 1}} {
+		r := w.command(c.until)
+		if !errors.Is(r.Err, c.err) || w.requests.Load() != c.requests {
+			t.Errorf("until %v: error %v after %d requests, expected %v after %d", c.until, r.Err,
+				w.requests.Load(), c.err, c.requests)
+		}
+	}
+}
+
+func TestCommandOutcomeIsTyped(t *testing.T) {
+	status := protocol.Encode(protocol.Report{Machine: "m-1", Epoch: 8, Session: 2})
+	for _, c := range []struct {
+		status  int
+		body    []byte
+		err     error
+		machine string
+		unknown bool
+	}{
+		{200, status, nil, "m-1", false},
+		{409, status, ErrRejected, "m-1", false},
+		{400, nil, ErrInvalid, "", false},
+		{200, []byte{0xc1}, ErrNoResponse, "", true},
+		{409, nil, ErrNoResponse, "", true},
+		{404, status, ErrUnexpectedStatus, "", true},
+		{429, nil, ErrUnexpectedStatus, "", true},
+		{503, nil, ErrServerFailure, "", true},
+	} {
+		r := newWorker(t, c.status, c.body).command(11 * clock.Second)
+		if !errors.Is(r.Err, c.err) || r.Status.Machine != c.machine || OutcomeUnknown(r.Err) != c.unknown {
+			t.Errorf("status %d with %q: %v from %q (unknown %v), expected %v from %q (unknown %v)", c.status,
+				c.body,
+				r.Err, r.Status.Machine, OutcomeUnknown(r.Err), c.err, c.machine, c.unknown)
+		}
+	}
+	r := newWorker(t, http.StatusConflict, status).command(11 * clock.Second)
+	if rejected, ok := errors.AsType[*RejectedError](r.Err); !ok ||
+		*rejected != (RejectedError{Epoch: 8, Incarnation: 2}) {
+		t.Errorf("%v, expected a rejection by epoch 8 and incarnation 2", r.Err)
+	}
+}
+
+func TestNumbersAndErrorsSayTheSame(t *testing.T) {
+	for status := -1; status < 1000; status++ {
+		err := errorOf(status, protocol.Report{})
+		if got := statusOf(err); got != status {
+			t.Errorf("status %d became %d", status, got)
+		}
+		unknown := status != http.StatusOK && status != http.StatusConflict &&
+			status != http.StatusBadRequest && status != transport.NotSent
+		if OutcomeUnknown(err) != unknown {
+			t.Errorf("status %d: %v, expected an unknown outcome %v", status, err, unknown)
 		}
 	}
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,11 +1,13 @@
-// Package cloud is the client of the machine rental interface.
+// Package cloud is the client of the machine rental interface. It turns responses into typed
+// results, which reach the asking actor as messages. It retries nothing, and decides neither what
+// to rent nor when to return it.
 package cloud
 
 import (
-	"fmt"
-	"math"
+	"context"
 	"net/http"
 	"net/url"
+	"strconv"
 
 	"postpoint/internal/actor"
 	"postpoint/internal/clock"
@@ -13,87 +15,112 @@
 	"postpoint/internal/transport"
 )
 
-// API is the cloud as one actor sees it. A status of 0 means that no answer
-// came: the request may have been carried out, or may still be, later.
-// transport.NotSent: it never left, since its time was over. The cloud knows no epochs:
-// a late return would take machines that the next leader uses.
-type API interface {
-	Catalogue(done func(status int, c protocol.Catalogue))
-	Rent(r protocol.Rental, until clock.Micros, done func(status int, a protocol.RentalAnswer))
-	Release(machines []string, until clock.Micros, done func(status int))
-	List(from string, done func(status int, l protocol.MachineList))
-}
-
-// always is for requests that change nothing.
-const always = clock.Micros(math.MaxInt64)
-
 const (
-	timeout = 4 * clock.Second
-	limit   = 4 << 20
+	timeout       = 4 * clock.Second
+	responseLimit = 4 << 20
+	connections   = 4
 )
 
-// The interface's own bounds: machines in a page of the list, in a return, in a rental.
+// The interface's own limits: machines in a page of the list, in a return, in a rental.
 const (
 	PageSize    = 500
 	ReleaseSize = 100
 	RentalSize  = 50
 )
 
+// ResultAPI is the cloud as one actor sees it: all callbacks run in the actor's mailbox.
+//
+// The cloud knows no epochs: a late return would take machines that the next leader uses. Changes
+// therefore have an instant from which they must not leave any more, and fail with ErrNotSent then.
+//
+// It takes the name API as soon as nobody needs the interface of that name any more.
+type ResultAPI interface {
+	// Catalogue reads the machine types and their present prices.
+	Catalogue(done func(protocol.Catalogue, error))
+	// ScaleOut rents machines. A booking that is repeated rents nothing more and returns the same
+	// machines, fewer than were asked for if there are no more.
+	ScaleOut(r protocol.Rental, until clock.Micros, done func(machines []string, err error))
+	// ScaleIn returns machines. Once it has succeeded they are gone with everything on them.
+	ScaleIn(machines []string, until clock.Micros, done func(error))
+	// List reads a page of the machines whose names come after from.
+	List(from string, done func(protocol.MachineList, error))
+}
+
 // Client is the process's pool of connections to the cloud.
 type Client struct {
 	base  string
 	calls *transport.Client
 }
 
-// New makes a client of the cloud at an address.
-func New(addr string) *Client { return &Client{"http://" + addr, transport.New(4)} }
+// New returns a client of the cloud at an address.
+func New(addr string) *Client { return &Client{"http://" + addr, transport.New(connections)} }
 
-// For gives the interface whose answers arrive in the given mailbox.
-func (c *Client) For(m actor.Mailbox) API { return &bound{c, m} }
+// Results returns the interface whose results arrive in the given mailbox.
+func (c *Client) Results(m actor.Mailbox) ResultAPI { return &bound{c, m} }
 
+// bound is the cloud of one actor.
 type bound struct {
 	*Client
 	mailbox actor.Mailbox
 }
 
-// call sends the request off the actor and decodes a good answer into value
-// before done runs in the mailbox.
-func (b *bound) call(method, path string, request, value any, until clock.Micros, done func(status int)) {
-	var body []byte
-	if request != nil {
-		body = protocol.Encode(request)
-	}
+// read is the deadline of requests that change nothing: none.
+var read transport.Deadline
+
+// before is the deadline of a change.
+func (b *bound) before(until clock.Micros) transport.Deadline {
+	return transport.Deadline{Clock: b.mailbox, Instant: until}
+}
+
+// call makes one request off the actor, decodes any response's body into value (nil for none), and
+// posts the outcome to the actor.
+func (b *bound) call(deadline transport.Deadline, method, path string, body []byte, value any,
+	done func(error)) {
 	go func() {
-		status, raw, err := b.calls.CallUntil(b.mailbox, until, method, b.base+path, body, timeout, limit)
-		if err == nil && len(raw) > 0 && value != nil {
-			err = protocol.Decode(raw, value)
+		// Requests end with their timeouts: the actor that asks runs as long as the process.
+		response, err := b.calls.Do(context.Background(), deadline, transport.Request{Method: method,
+			URL: b.base + path, Body: body, Timeout: timeout, ResponseLimit: responseLimit})
+		if err == nil && len(response.Body) > 0 && value != nil {
+			err = protocol.Decode(response.Body, value)
 		}
 		if err != nil {
-			status = 0
+			err = transport.NoResponse(err)
+		} else {
+			err = failure(response.Status, reason(value))
 		}
-		b.mailbox.Post(func() { done(status) })
+		b.mailbox.Post(func() { done(err) })
 	}()
 }
 
-func (b *bound) Catalogue(done func(int, protocol.Catalogue)) {
+// reason returns the cloud's own explanation, if the message has one.
+func reason(value any) string {
+	if a, ok := value.(*protocol.RentalAnswer); ok {
+		return a.Error
+	}
+	return ""
+}
+
+func (b *bound) Catalogue(done func(protocol.Catalogue, error)) {
 	var c protocol.Catalogue
-	b.call(http.MethodGet, "/catalog", nil, &c, always, func(status int) { done(status, c) })
+	b.call(read, http.MethodGet, "/catalog", nil, &c, func(err error) { done(c, err) })
 }
 
-func (b *bound) Rent(r protocol.Rental, until clock.Micros, done func(int, protocol.RentalAnswer)) {
+func (b *bound) ScaleOut(r protocol.Rental, until clock.Micros, done func([]string, error)) {
 	var a protocol.RentalAnswer
-	b.call(http.MethodPost, "/hosts", r, &a, until, func(status int) { done(status, a) })
+	b.call(b.before(until), http.MethodPost, "/hosts", protocol.Encode(r), &a,
+		func(err error) { done(a.Machines, err) })
 }
 
-func (b *bound) Release(machines []string, until clock.Micros, done func(int)) {
-	b.call(http.MethodPost, "/hosts/release", protocol.MachineNames{Machines: machines}, nil, until, done)
+func (b *bound) ScaleIn(machines []string, until clock.Micros, done func(error)) {
+	body := protocol.Encode(protocol.MachineNames{Machines: machines})
+	b.call(b.before(until), http.MethodPost, "/hosts/release", body, nil, done)
 }
 
-func (b *bound) List(from string, done func(int, protocol.MachineList)) {
-	q := url.Values{"Limit": {fmt.Sprint(PageSize)}}
+func (b *bound) List(from string, done func(protocol.MachineList, error)) {
+	q := url.Values{"Limit": {strconv.Itoa(PageSize)}}
 	if from != "" {
 		q.Set("From", from)
 	}
 	var l protocol.MachineList
-	b.call(http.MethodGet, "/hosts?"+q.Encode(), nil, &l, always, func(status int) { done(status, l) })
+	b.call(read, http.MethodGet, "/hosts?"+q.Encode(), nil, &l, func(err error) { done(l, err) })
 }
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -1,8 +1,10 @@
 package cloud
 
 import (
+	"errors"
 	"net/http"
 	"net/http/httptest"
+	"slices"
 	"strings"
 	"sync/atomic"
 	"testing"
@@ -10,38 +12,132 @@
 	"postpoint/internal/actor/actortest"
 	"postpoint/internal/clock"
 	"postpoint/internal/protocol"
-	"postpoint/internal/transport"
 )
 
-// What a leader decided to rent or return doesn't leave once its lease is over: the
-// machines may be in use under the next one. Lists are always read.
-func TestLateRentalsAndReturnsDontLeave(t *testing.T) {
-	var asked atomic.Int32
-	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		asked.Add(1)
-		_, _ = w.Write(protocol.Encode(map[string]any{}))
+// service is a cloud that responds to every request as the test says.
+type service struct {
+	client   *Client
+	box      actortest.Instant
+	requests atomic.Int32
+}
+
+func newService(t *testing.T, status int, body []byte) *service {
+	t.Helper()
+	s := &service{box: actortest.Instant{Now: 10 * clock.Second, Messages: make(chan func())}}
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		s.requests.Add(1)
+		w.WriteHeader(status)
+		_, _ = w.Write(body)
 	}))
-	defer service.Close()
-	box := actortest.Instant{Now: 10 * clock.Second, Messages: make(chan func())}
-	api := New(strings.TrimPrefix(service.URL, "http://")).For(box)
-	got := 0
+	t.Cleanup(server.Close)
+	s.client = New(strings.TrimPrefix(server.URL, "http://"))
+	return s
+}
+
+// results is the cloud's typed interface.
+func (s *service) results() ResultAPI { return s.client.Results(s.box) }
+
+// await handles the message that brings an outcome.
+func (s *service) await() { (<-s.box.Messages)() }
+
+// What a leader decided to rent or return doesn't leave once its lease is over: the machines may be
+// in use under the next one. Lists are always read.
+func TestChangesLeaveOnlyBeforeTheirDeadline(t *testing.T) {
+	s := newService(t, http.StatusOK, protocol.Encode(map[string]any{}))
+	api := s.results()
+	var got error
 	for _, c := range []struct {
-		what   string
-		call   func()
-		status int
-		asked  int32
+		name     string
+		call     func()
+		err      error
+		requests int32
 	}{
-		{"a late return", func() { api.Release([]string{"m-1"}, 10*clock.Second, func(s int) { got = s }) }, transport.NotSent, 0},
+		{"a late return", func() {
+			api.ScaleIn([]string{"m-1"}, 10*clock.Second, func(err error) { got = err })
+		}, ErrNotSent, 0},
 		{"a late rental", func() {
-			api.Rent(protocol.Rental{Booking: "b"}, 9*clock.Second, func(s int, _ protocol.RentalAnswer) { got = s })
-		}, transport.NotSent, 0},
-		{"a return", func() { api.Release([]string{"m-1"}, 11*clock.Second, func(s int) { got = s }) }, http.StatusOK, 1},
-		{"a list", func() { api.List("", func(s int, _ protocol.MachineList) { got = s }) }, http.StatusOK, 2},
+			api.ScaleOut(protocol.Rental{Booking: "b"}, 9*clock.Second,
+				func(_ []string, err error) { got = err })
+		}, ErrNotSent, 0},
+		{"a return", func() {
+			api.ScaleIn([]string{"m-1"}, 11*clock.Second, func(err error) { got = err })
+		}, nil, 1},
+		{"a list", func() { api.List("", func(_ protocol.MachineList, err error) { got = err }) }, nil, 2},
 	} {
 		c.call()
-		(<-box.Messages)()
-		if got != c.status || asked.Load() != c.asked {
-			t.Errorf("%s: status %d, the service was asked %d times", c.what, got, asked.Load())
+		s.await()
+		if !errors.Is(got, c.err) || s.requests.Load() != c.requests {
+			t.Errorf("%s: error %v after %d requests, expected %v after %d", c.name, got, s.requests.Load(),
+				c.err, c.requests)
 		}
 	}
 }
+
+func TestRentalOutcomeIsTyped(t *testing.T) {
+	refusal := func(reason string) []byte { return protocol.Encode(protocol.RentalAnswer{Error: reason}) }
+	for _, c := range []struct {
+		status                   int
+		body                     []byte
+		err                      error
+		notExecuted, outcomeOpen bool
+	}{
+		{200, protocol.Encode(protocol.RentalAnswer{Machines: []string{"m-1"}}), nil, false, false},
+		{503, refusal(protocol.NoCapacity), ErrNoCapacity, true, false},
+		{503, refusal("trouble"), ErrUnavailable, true, false},
+		{503, nil, ErrUnavailable, true, false},
+		{503, []byte("<html>"), ErrNoResponse, false, true},
+		{429, refusal("too many"), ErrThrottled, true, false},
+		{400, refusal("malformed"), ErrInvalid, true, false},
+		{500, refusal("trouble"), ErrServerFailure, false, true},
+		{404, refusal(""), ErrUnexpectedStatus, false, false},
+		{200, []byte{0xc1}, ErrNoResponse, false, true},
+	} {
+		s := newService(t, c.status, c.body)
+		var machines []string
+		var err error
+		s.results().ScaleOut(protocol.Rental{Booking: "b"}, 11*clock.Second,
+			func(m []string, e error) { machines, err = m, e })
+		s.await()
+		if !errors.Is(err, c.err) || NotExecuted(err) != c.notExecuted ||
+			OutcomeUnknown(err) != c.outcomeOpen {
+			t.Errorf("status %d with %q: %v (not executed %v, unknown %v), expected %v (%v, %v)", c.status,
+				c.body, err,
+				NotExecuted(err), OutcomeUnknown(err), c.err, c.notExecuted, c.outcomeOpen)
+		}
+		if c.err == nil && !slices.Equal(machines, []string{"m-1"}) {
+			t.Errorf("machines %v, expected m-1", machines)
+		}
+	}
+}
+
+func TestNumbersAndErrorsSayTheSame(t *testing.T) {
+	for status := -1; status < 1000; status++ {
+		for _, reason := range []string{"", protocol.NoCapacity, "trouble"} {
+			err := errorOf(status, reason)
+			number := numbered{fixedRental{err}}
+			number.Rent(protocol.Rental{}, 0, func(got int, a protocol.RentalAnswer) {
+				if got != status || status != http.StatusOK && a.Error != reason {
+					t.Errorf("status %d with reason %q became %d with %q", status, reason, got, a.Error)
+				}
+			})
+			noCapacity := status == http.StatusServiceUnavailable && reason == protocol.NoCapacity
+			if errors.Is(err, ErrNoCapacity) != noCapacity {
+				t.Errorf("status %d, reason %q: %v, expected no capacity %v", status, reason, err, noCapacity)
+			}
+			noResponse := status == 0
+			if errors.Is(err, ErrNoResponse) != noResponse {
+				t.Errorf("status %d: %v, expected no response %v", status, err, noResponse)
+			}
+		}
+	}
+}
+
+// fixedRental responds to rentals with one error.
+type fixedRental struct{ err error }
+
+func (f fixedRental) ScaleOut(_ protocol.Rental, _ clock.Micros, done func([]string, error)) {
+	done(nil, f.err)
+}
+func (f fixedRental) Catalogue(func(protocol.Catalogue, error))      {}
+func (f fixedRental) ScaleIn([]string, clock.Micros, func(error))    {}
+func (f fixedRental) List(string, func(protocol.MachineList, error)) {}
--- /dev/null
+++ b/internal/statestore/client_test.go
@@ -0,0 +1,186 @@
+package statestore
+
+import (
+	"errors"
+	"net/http"
+	"net/http/httptest"
+	"slices"
+	"strings"
+	"testing"
+
+	"postpoint/internal/actor/actortest"
+	"postpoint/internal/clock"
+	"postpoint/internal/protocol"
+	"postpoint/internal/settings"
+	"postpoint/internal/transport"
+)
+
+// ampleLimits never throttle a test.
+var ampleLimits = settings.State{Rps: 1e6, WriteRps: 1e6, ValueKb: 8, TxnOps: 12}
+
+// newServedStore returns a store of a service that responds to every request as the test says.
+func newServedStore(t *testing.T, limits settings.State, status int,
+	body []byte) (*Client, actortest.Instant) {
+	t.Helper()
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		w.WriteHeader(status)
+		_, _ = w.Write(body)
+	}))
+	t.Cleanup(server.Close)
+	box := actortest.Instant{Now: clock.Second, Messages: make(chan func())}
+	return New(strings.TrimPrefix(server.URL, "http://"), limits), box
+}
+
+// requests has one request of each operation; each returns the outcome.
+var requests = map[string]func(ResultStore, func(error)){
+	"get":  func(s ResultStore, done func(error)) { s.Get("a/b", errOnly[protocol.Item](done)) },
+	"list": func(s ResultStore, done func(error)) { s.List("a/", "", errOnly[protocol.ItemList](done)) },
+	"commit": func(s ResultStore, done func(error)) {
+		s.Commit(ForUser, protocol.Txn{}, errOnly[Revision](done))
+	},
+	"follow": func(s ResultStore, done func(error)) {
+		s.Follow("a/", 1, 0, errOnly[protocol.FollowAnswer](done))
+	},
+	"grant": func(s ResultStore, done func(error)) { s.Grant(clock.Second, errOnly[LeaseID](done)) },
+	"renew": func(s ResultStore, done func(error)) { s.Renew(7, done) },
+}
+
+func errOnly[T any](done func(error)) func(Result[T]) { return func(r Result[T]) { done(r.Err) } }
+
+func TestStatusMapsToErrorByOperation(t *testing.T) {
+	// By status; operations that aren't listed get the error of "".
+	want := map[int]map[string]error{
+		200: {"": nil},
+		201: {"": ErrUnexpectedStatus},
+		304: {"": ErrUnexpectedStatus},
+		400: {"": ErrInvalid},
+		404: {"": ErrUnexpectedStatus, "get": ErrNotFound, "renew": ErrLeaseNotFound},
+		409: {"": ErrUnexpectedStatus, "commit": ErrConflict},
+		410: {"": ErrUnexpectedStatus, "follow": ErrCompacted},
+		429: {"": ErrThrottled},
+		500: {"": ErrServerFailure},
+		503: {"": ErrUnavailable},
+		504: {"": ErrServerFailure},
+	}
+	for status, errs := range want {
+		client, box := newServedStore(t, ampleLimits, status, nil)
+		for operation, request := range requests {
+			wanted, ok := errs[operation]
+			if !ok {
+				wanted = errs[""]
+			}
+			var got error
+			request(client.Results(box), func(err error) { got = err })
+			(<-box.Messages)()
+			if !errors.Is(got, wanted) {
+				t.Errorf("%s with status %d: %v, expected %v", operation, status, got, wanted)
+			}
+			if statusOf(got) != status {
+				t.Errorf("%s with status %d: number %d, expected the same", operation, status, statusOf(got))
+			}
+		}
+	}
+}
+
+func TestGarbageAfterSuccessLeavesOutcomeUnknown(t *testing.T) {
+	client, box := newServedStore(t, ampleLimits, http.StatusOK, []byte{0xc1})
+	for operation, request := range requests {
+		var got error
+		request(client.Results(box), func(err error) { got = err })
+		(<-box.Messages)()
+		if !errors.Is(got, ErrNoResponse) || !OutcomeUnknown(got) || statusOf(got) != 0 {
+			t.Errorf("%s: %v with number %d, expected an unknown outcome", operation, got, statusOf(got))
+		}
+	}
+}
+
+func TestGarbageAfterFailureKeepsStatus(t *testing.T) {
+	client, box := newServedStore(t, ampleLimits, http.StatusConflict, []byte("<html>"))
+	var got error
+	client.Results(box).Commit(ForUser, protocol.Txn{}, errOnly[Revision](func(err error) { got = err }))
+	(<-box.Messages)()
+	if !errors.Is(got, ErrConflict) || len(Failed(got)) > 0 {
+		t.Errorf("%v, expected a conflict without keys", got)
+	}
+}
+
+func TestNoConnectionLeavesOutcomeUnknown(t *testing.T) {
+	box := actortest.Instant{Now: clock.Second, Messages: make(chan func())}
+	server := httptest.NewServer(nil)
+	server.Close() // nobody listens there any more
+	client := New(strings.TrimPrefix(server.URL, "http://"), ampleLimits)
+	var got error
+	client.Results(box).Renew(7, func(err error) { got = err })
+	(<-box.Messages)()
+	if !OutcomeUnknown(got) || NotExecuted(got) {
+		t.Errorf("%v, expected an unknown outcome", got)
+	}
+}
+
+func TestCommitReportsRevisionConflictAndReason(t *testing.T) {
+	commit := func(status int, body protocol.TxnAnswer) Result[Revision] {
+		client, box := newServedStore(t, ampleLimits, status, protocol.Encode(body))
+		var got Result[Revision]
+		client.Results(box).Commit(ForLeader, protocol.Txn{}, func(r Result[Revision]) { got = r })
+		(<-box.Messages)()
+		var number Reply[protocol.TxnAnswer]
+		client.For(box).Commit(ForLeader, protocol.Txn{}, func(r Reply[protocol.TxnAnswer]) { number = r })
+		(<-box.Messages)()
+		if number.Status != status || number.Value.Revision != body.Revision ||
+			number.Value.Error != body.Error ||
+			!slices.Equal(number.Value.Failed, body.Failed) {
+			t.Errorf("reply %+v, expected status %d with %+v", number, status, body)
+		}
+		return got
+	}
+	if r := commit(200, protocol.TxnAnswer{Revision: 432}); r.Err != nil || r.Value != 432 {
+		t.Errorf("%+v, expected revision 432", r)
+	}
+	err := commit(409, protocol.TxnAnswer{Revision: 431, Failed: []string{"a", "b"}}).Err
+	conflict, ok := errors.AsType[*ConflictError](err)
+	if !ok || conflict.Revision != 431 || !slices.Equal(Failed(err), []string{"a", "b"}) {
+		t.Errorf("%v, expected a conflict of a and b at revision 431", err)
+	}
+	err = commit(400, protocol.TxnAnswer{Error: "value too large"}).Err
+	if Reason(err) != "value too large" || errors.Is(err, ErrLeaseNotFound) {
+		t.Errorf("%v, expected an invalid request with its reason", err)
+	}
+	err = commit(400, protocol.TxnAnswer{Error: "no such lease"}).Err
+	if !errors.Is(err, ErrLeaseNotFound) || !errors.Is(err, ErrInvalid) {
+		t.Errorf("%v, expected an invalid request because of its lease", err)
+	}
+	err = commit(500, protocol.TxnAnswer{Error: "disk"}).Err
+	if Reason(err) != "disk" || !OutcomeUnknown(err) {
+		t.Errorf("%v, expected an unknown outcome with its reason", err)
+	}
+}
+
+// A leader that writes as much as it may leaves changes for users, and readers leave requests for
+// both.
+func TestHigherPrioritiesKeepTheirShareOfLimits(t *testing.T) {
+	c := New("127.0.0.1:1", settings.State{Rps: 100, WriteRps: 40, ValueKb: 8, TxnOps: 12})
+	for c.admit(c.leaderChanges, 1, 0) == nil && c.admit(c.changes, 1, 0) == nil {
+	}
+	if err := c.admit(c.changes, 2, 0); err != nil {
+		t.Fatalf("no change is left for users: %v", err)
+	}
+	for c.admit(c.reads, 1, 0) == nil && c.admit(c.requests, 1, 0) == nil {
+	}
+	if err := c.admit(c.requests, 5, 0); err != nil {
+		t.Fatalf("no request is left for changes: %v", err)
+	}
+}
+
+func TestOwnLimitThrottlesWithTimeToRetry(t *testing.T) {
+	client, box := newServedStore(t, settings.State{Rps: 0.2, WriteRps: 0.2}, http.StatusOK, nil)
+	store := client.Results(box)
+	var got error
+	for range 2 { // the first takes the whole burst
+		store.Get("a", errOnly[protocol.Item](func(err error) { got = err }))
+		(<-box.Messages)()
+	}
+	failure, ok := errors.AsType[*transport.Error](got)
+	if !ok || failure.Kind != ErrThrottled || failure.RetryAfter <= 0 || !NotExecuted(got) {
+		t.Errorf("%v, expected a throttled request with a time to retry", got)
+	}
+}
--- /dev/null
+++ b/internal/statestore/legacy_test.go
@@ -0,0 +1,64 @@
+package statestore
+
+import (
+	"errors"
+	"net/http"
+	"testing"
+
+	"postpoint/internal/protocol"
+)
+
+// Whatever callers told apart by the numbers they can tell apart by the errors, for every number.
+func TestErrorsSeparateWhatNumbersSeparated(t *testing.T) {
+	type test struct {
+		name   string
+		number func(status int) bool
+		err    func(error) bool
+	}
+	is := func(target error) func(error) bool {
+		return func(err error) bool { return errors.Is(err, target) }
+	}
+	tests := []test{
+		{"success", func(s int) bool { return s == http.StatusOK },
+			func(err error) bool { return err == nil }},
+		{"refused", func(s int) bool { return s == http.StatusBadRequest }, is(ErrInvalid)},
+		{"throttled", func(s int) bool { return s == http.StatusTooManyRequests }, is(ErrThrottled)},
+		{"no response", func(s int) bool { return s == 0 }, is(ErrNoResponse)},
+		{"not executed", func(s int) bool {
+			return s == http.StatusTooManyRequests || s == http.StatusServiceUnavailable
+		}, NotExecuted},
+		{"outcome unknown", func(s int) bool {
+			return s == 0 || s >= http.StatusInternalServerError && s != http.StatusServiceUnavailable
+		}, OutcomeUnknown},
+		{"answered for good", func(s int) bool { return s != 0 && s < http.StatusInternalServerError },
+			func(err error) bool { return !OutcomeUnknown(err) && !errors.Is(err, ErrUnavailable) }},
+		{"unserved", func(s int) bool {
+			return s == 0 || s == http.StatusTooManyRequests || s >= http.StatusInternalServerError
+		}, Unserved},
+	}
+	ofOperation := map[operation]test{
+		opGet:    {"not found", func(s int) bool { return s == http.StatusNotFound }, is(ErrNotFound)},
+		opCommit: {"conflict", func(s int) bool { return s == http.StatusConflict }, is(ErrConflict)},
+		opFollow: {"compacted", func(s int) bool { return s == http.StatusGone }, is(ErrCompacted)},
+		opRenew: {"lease not found", func(s int) bool { return s == http.StatusNotFound },
+			is(ErrLeaseNotFound)},
+	}
+	for op := opGet; op <= opRenew; op++ {
+		all := tests
+		if own, ok := ofOperation[op]; ok {
+			all = append([]test{own}, tests...)
+		}
+		for status := range 1000 {
+			err := errorOf(op, Reply[protocol.TxnAnswer]{Status: status})
+			for _, x := range all {
+				if got, want := x.err(err), x.number(status); got != want {
+					t.Errorf("operation %d, status %d, %q: %v by the error %v, expected %v", op, status,
+						x.name, got, err, want)
+				}
+			}
+			if got := statusOf(err); got != status {
+				t.Errorf("operation %d: number %d of error %v, expected %d", op, got, err, status)
+			}
+		}
+	}
+}
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,5 +1,6 @@
-// Package transport exchanges MessagePack over HTTP with bounds on time, size
-// and connections, for the thin clients of the outside systems.
+// Package transport exchanges MessagePack over HTTP with bounds on time, size and connections, for
+// the clients of the outside systems. It also has the kinds of failure that those clients share.
+// It retries nothing: whether a request may be sent again is for its caller to judge.
 package transport
 
 import (
@@ -15,14 +16,53 @@
 	"postpoint/internal/clock"
 )
 
-// keptTime is how long idle connections last: pools are for systems that are asked all
-// the time.
-const keptTime = 90 * time.Second
+const (
+	contentType = "application/msgpack"
+	dialTimeout = 1500 * time.Millisecond
+	// idleTimeout is how long idle connections are kept: pools are for systems that are asked all
+	// the time.
+	idleTimeout = 90 * time.Second
+	// onceBufferSize holds most responses of workers.
+	onceBufferSize = 2 << 10
+)
+
+// ErrTooLarge is a response body beyond the request's limit.
+var ErrTooLarge = errors.New("response too large")
+
+// NotSent is the status that stood for ErrNotSent before there were typed errors. To be removed
+// with its last user.
+const NotSent = -1
+
+// Request is one HTTP request.
+type Request struct {
+	Method, URL string
+	Body        []byte // nil for none
+	// Timeout bounds the whole exchange.
+	Timeout clock.Micros
+	// ResponseLimit bounds the response's body in bytes.
+	ResponseLimit int64
+}
+
+// Response is a response that arrived whole.
+type Response struct {
+	Status int
+	Body   []byte
+}
+
+// Deadline is the instant from which a request must not leave any more. What a leader decided may
+// have waited behind other requests, or its process may have been suspended, and the next leader
+// may be at work by now. The zero value never passes.
+type Deadline struct {
+	Clock   clock.Clock
+	Instant clock.Micros
+}
+
+func (d Deadline) passed() bool { return d.Clock != nil && d.Clock.Steady() >= d.Instant }
 
 // Client is a pool of persistent connections to one kind of outside system.
 type Client struct{ http *http.Client }
 
-// New bounds the connections, all of which are kept while they are idle.
+// New returns a client with at most that many connections, all of which are kept while idle.
 func New(connections int) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Client{&http.Client{
@@ -31,109 +71,105 @@
 			MaxConnsPerHost:     connections,
 			MaxIdleConns:        connections,
 			MaxIdleConnsPerHost: connections,
-			IdleConnTimeout:     keptTime,
+			IdleConnTimeout:     idleTimeout,
 			DisableCompression:  true,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
 
-// ErrTooLarge is a body beyond what the caller allows.
-var ErrTooLarge = errors.New("answer too large")
-
-// NotSent is the status of a request whose time was over before it left.
-const NotSent = -1
-
-// CallUntil makes one request, unless it is too late for it: what a leader decided
-// may have waited behind other requests, or its process may have stood still, and the
-// next leader may be at work by now.
-func (c *Client) CallUntil(now clock.Clock, until clock.Micros, method, url string, body []byte, timeout clock.Micros, limit int64) (int, []byte, error) {
-	if now.Steady() >= until {
-		return NotSent, nil, nil
+// Do makes one request unless its deadline has passed, which is ErrNotSent. Any other error means
+// that no whole response came: the request may or may not have been carried out.
+func (c *Client) Do(ctx context.Context, deadline Deadline, r Request) (Response, error) {
+	if deadline.passed() {
+		return Response{}, notSent()
+	}
+	ctx, cancel := context.WithTimeout(ctx, r.Timeout.Duration())
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, r.Method, r.URL, bytes.NewReader(r.Body))
+	if err != nil {
+		return Response{}, err
+	}
+	if r.Body != nil {
+		req.Header.Set("Content-Type", contentType)
 	}
-	return c.Call(method, url, body, timeout, limit)
+	// Without this, net/http would send a request again by itself when a kept connection turns out
+	// to be closed; what may have been carried out is for the caller to judge.
+	req.GetBody = nil
+	resp, err := c.http.Do(req)
+	if err != nil {
+		return Response{}, err
+	}
+	return readResponse(resp, r.ResponseLimit)
 }
 
-// Once makes one request on a connection of its own, unless it is too late for it. It is
-// for systems that are so many that a kept connection is hardly ever used again: a pool
-// costs two goroutines, two buffers and a place for each.
-func Once(now clock.Clock, until clock.Micros, method, url string, body []byte, timeout clock.Micros, limit int64) (int, []byte, error) {
-	if now.Steady() >= until {
-		return NotSent, nil, nil
+// DoOnce makes one request like Client.Do, on a connection of its own. It is for systems that are
+// so many that a kept connection is hardly ever used again: a pool costs two goroutines, two
+// buffers and an entry for each.
+func DoOnce(ctx context.Context, deadline Deadline, r Request) (Response, error) {
+	if deadline.passed() {
+		return Response{}, notSent()
 	}
-	req, err := http.NewRequest(method, url, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, r.Method, r.URL, bytes.NewReader(r.Body))
 	if err != nil {
-		return 0, nil, err
+		return Response{}, err
 	}
 	req.Header.Set("Content-Type", contentType)
 	req.Close = true
-	// Connections this short need no probes.
-	dialer := net.Dialer{Deadline: time.Now().Add(min(dialTimeout, timeout.Duration())), KeepAlive: -1}
-	conn, err := dialer.Dial("tcp4", req.URL.Host)
+	conn, err := dialOnce(ctx, req.URL.Host, r.Timeout.Duration())
 	if err != nil {
-		return 0, nil, err
+		return Response{}, err
 	}
 	defer conn.Close()
-	if err := conn.SetDeadline(time.Now().Add(timeout.Duration())); err != nil {
-		return 0, nil, err
+	// It may have waited for the connection, or the process may have been suspended.
+	if deadline.passed() {
+		return Response{}, notSent()
+	}
+	return exchange(conn, req, r.ResponseLimit)
+}
+
+// dialOnce returns a connection whose reads and writes end with the timeout.
+func dialOnce(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
+	// Connections this short need no probes.
+	dialer := net.Dialer{Deadline: time.Now().Add(min(dialTimeout, timeout)), KeepAlive: -1}
+	conn, err := dialer.DialContext(ctx, "tcp4", address)
+	if err != nil {
+		return nil, err
 	}
-	// It may have waited for the connection, or the process may have stood still.
-	if now.Steady() >= until {
-		return NotSent, nil, nil
+	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
+		_ = conn.Close()
+		return nil, err
 	}
-	var whole bytes.Buffer // leaves in one piece
+	return conn, nil
+}
+
+// exchange sends a request in one piece and reads its response.
+func exchange(conn net.Conn, req *http.Request, limit int64) (Response, error) {
+	var whole bytes.Buffer
 	if err := req.Write(&whole); err != nil {
-		return 0, nil, err
+		return Response{}, err
 	}
 	if _, err := conn.Write(whole.Bytes()); err != nil {
-		return 0, nil, err
+		return Response{}, err
 	}
-	resp, err := http.ReadResponse(bufio.NewReaderSize(conn, answerBuffer), req)
+	resp, err := http.ReadResponse(bufio.NewReaderSize(conn, onceBufferSize), req)
 	if err != nil {
-		return 0, nil, err
+		return Response{}, err
 	}
-	return readAnswer(resp, limit)
+	return readResponse(resp, limit)
 }
 
-const (
-	contentType = "application/msgpack"
-	dialTimeout = 1500 * time.Millisecond
-	// answerBuffer holds most answers of workers.
-	answerBuffer = 2 << 10
-)
+func notSent() error { return &Error{Kind: ErrNotSent, Status: NotSent} }
 
-// readAnswer takes an answer whole, unless it is beyond the limit.
-func readAnswer(resp *http.Response, limit int64) (int, []byte, error) {
+// readResponse reads a response whole, unless it is beyond the limit.
+func readResponse(resp *http.Response, limit int64) (Response, error) {
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
-	if err != nil {
-		return 0, nil, err
-	}
-	if int64(len(raw)) > limit {
-		return 0, nil, ErrTooLarge
-	}
-	return resp.StatusCode, raw, nil
-}
-
-// Call makes one request. An error means that no whole answer came: the
-// request may or may not have been carried out.
-func (c *Client) Call(method, url string, body []byte, timeout clock.Micros, limit int64) (int, []byte, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), timeout.Duration())
-	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
-		return 0, nil, err
-	}
-	if body != nil {
-		req.Header.Set("Content-Type", contentType)
+		return Response{}, err
 	}
-	// Without this, net/http would send a request again by itself when a kept
-	// connection turns out to be closed; what may have been carried out is for
-	// the caller to judge.
-	req.GetBody = nil
-	resp, err := c.http.Do(req)
-	if err != nil {
-		return 0, nil, err
+	if int64(len(body)) > limit {
+		return Response{}, ErrTooLarge
 	}
-	return readAnswer(resp, limit)
+	return Response{resp.StatusCode, body}, nil
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -1,6 +1,8 @@
 package transport
 
 import (
+	"context"
+	"errors"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -10,40 +12,101 @@
 	"postpoint/internal/clock"
 )
 
-// stepping is a clock that each look moves on by a second.
-type stepping struct{ now clock.Micros }
+// advancingClock moves on by a second each time it is read.
+type advancingClock struct{ now clock.Micros }
 
-func (s *stepping) Steady() clock.Micros {
-	s.now += clock.Second
-	return s.now
+func (c *advancingClock) Steady() clock.Micros {
+	c.now += clock.Second
+	return c.now
 }
-func (s *stepping) OfDay() clock.Micros { return s.now }
+func (c *advancingClock) OfDay() clock.Micros { return c.now }
 
 // A request on a connection of its own leaves only if it is still in time once it is
-// connected, and its answer is bounded.
-func TestOnceIsInTimeAndBounded(t *testing.T) {
-	var asked atomic.Int32
+// connected, and its response is bounded.
+func TestDoOnceSendsOnlyBeforeDeadlineAndBoundsResponse(t *testing.T) {
+	var requests atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		asked.Add(1)
+		requests.Add(1)
 		_, _ = w.Write([]byte(strings.Repeat("a", 100)))
 	}))
 	defer server.Close()
 	for _, c := range []struct {
-		name   string
-		until  clock.Micros
-		limit  int64
-		status int
-		asked  int32
-		err    error
+		name     string
+		instant  clock.Micros
+		limit    int64
+		status   int
+		bytes    int
+		requests int32
+		err      error
 	}{
-		{"too late at once", clock.Second, 1000, NotSent, 0, nil},
-		{"too late once connected", 2 * clock.Second, 1000, NotSent, 0, nil},
-		{"in time", 3 * clock.Second, 1000, http.StatusOK, 1, nil},
-		{"too large an answer", 3 * clock.Second, 99, 0, 2, ErrTooLarge},
+		{"too late at once", clock.Second, 1000, 0, 0, 0, ErrNotSent},
+		{"too late once connected", 2 * clock.Second, 1000, 0, 0, 0, ErrNotSent},
+		{"in time", 3 * clock.Second, 1000, http.StatusOK, 100, 1, nil},
+		{"too large a response", 3 * clock.Second, 99, 0, 0, 2, ErrTooLarge},
 	} {
-		status, body, err := Once(&stepping{}, c.until, http.MethodPost, server.URL+"/x", []byte("b"), 3*clock.Second, c.limit)
-		if status != c.status || err != c.err || asked.Load() != c.asked || status == http.StatusOK && len(body) != 100 {
-			t.Errorf("%s: %d, %d bytes, %v, asked %d times", c.name, status, len(body), err, asked.Load())
+		request := Request{Method: http.MethodPost, URL: server.URL + "/x", Body: []byte("b"),
+			Timeout: 3 * clock.Second, ResponseLimit: c.limit}
+		got, err := DoOnce(context.Background(), Deadline{&advancingClock{}, c.instant}, request)
+		if !errors.Is(err, c.err) || got.Status != c.status || len(got.Body) != c.bytes {
+			t.Errorf("%s: status %d, %d bytes, error %v; expected status %d, %d bytes, error %v",
+				c.name, got.Status, len(got.Body), err, c.status, c.bytes, c.err)
 		}
+		if n := requests.Load(); n != c.requests {
+			t.Errorf("%s: the server has had %d requests, expected %d", c.name, n, c.requests)
+		}
+	}
+}
+
+func TestDoHonorsDeadline(t *testing.T) {
+	var requests atomic.Int32
+	handler := func(http.ResponseWriter, *http.Request) { requests.Add(1) }
+	server := httptest.NewServer(http.HandlerFunc(handler))
+	defer server.Close()
+	request := Request{Method: http.MethodGet, URL: server.URL, Timeout: 3 * clock.Second, ResponseLimit: 10}
+	for _, c := range []struct {
+		name     string
+		deadline Deadline
+		status   int
+		requests int32
+	}{
+		{"passed", Deadline{&advancingClock{}, clock.Second}, NotSent, 0},
+		{"ahead", Deadline{&advancingClock{}, 2 * clock.Second}, http.StatusOK, 1},
+		{"none", Deadline{}, http.StatusOK, 2},
+	} {
+		_, err := New(1).Do(context.Background(), c.deadline, request)
+		if StatusOf(err) != c.status || requests.Load() != c.requests {
+			t.Errorf("%s: %v and %d requests, expected status %d and %d requests", c.name, err,
+				requests.Load(), c.status, c.requests)
+		}
+	}
+}
+
+func TestStatusKindsClassifyEveryStatus(t *testing.T) {
+	kinds := StatusKinds{http.StatusServiceUnavailable: ErrUnavailable, http.StatusBadRequest: ErrInvalid}
+	for status, want := range map[int]error{
+		100: ErrUnexpectedStatus, 201: ErrUnexpectedStatus, 302: ErrUnexpectedStatus,
+		404: ErrUnexpectedStatus, 400: ErrInvalid, 499: ErrUnexpectedStatus,
+		500: ErrServerFailure, 503: ErrUnavailable, 504: ErrServerFailure,
+		999: ErrServerFailure,
+	} {
+		err := kinds.Failure(status)
+		if !errors.Is(err, want) || StatusOf(err) != status {
+			t.Errorf("status %d: %v, expected %v", status, err, want)
+		}
+	}
+	if err := kinds.Failure(http.StatusOK); err != nil {
+		t.Errorf("status 200: %v, expected no error", err)
+	}
+}
+
+func TestErrorMatchesKindAndCause(t *testing.T) {
+	err := error(NoResponse(context.DeadlineExceeded))
+	if !errors.Is(err, ErrNoResponse) || !errors.Is(err, context.DeadlineExceeded) || StatusOf(err) != 0 {
+		t.Errorf("%v with status %d, expected no response because of an exceeded deadline", err,
+			StatusOf(err))
+	}
+	late := NoResponse(notSent())
+	if !errors.Is(late, ErrNotSent) || errors.Is(late, ErrNoResponse) || StatusOf(late) != NotSent {
+		t.Errorf("%v with status %d, expected it to stay unsent", late, StatusOf(late))
 	}
 }
