--- /dev/null
+++ b/internal/leadership/election_test.go
@@ -0,0 +1,255 @@
+package leadership
+
+import (
+	"slices"
+	"testing"
+
+	"postpoint/internal/clock"
+	"postpoint/internal/protocol"
+	"postpoint/internal/statestore"
+)
+
+// manualMailbox is a mailbox whose clock and delayed messages the test moves on.
+type manualMailbox struct {
+	now     clock.Micros
+	delayed []func()
+}
+
+func (m *manualMailbox) Steady() clock.Micros                 { return m.now }
+func (m *manualMailbox) OfDay() clock.Micros                  { return m.now }
+func (m *manualMailbox) Post(message func())                  { message() }
+func (m *manualMailbox) After(_ clock.Micros, message func()) { m.delayed = append(m.delayed, message) }
+
+// advance moves the clock on and handles all delayed messages.
+func (m *manualMailbox) advance(d clock.Micros) {
+	m.now += d
+	due := m.delayed
+	m.delayed = nil
+	for _, message := range due {
+		message()
+	}
+}
+
+// pendingStore is a state service that grants leases at once and keeps everything else until the
+// test responds.
+type pendingStore struct {
+	statestore.ResultStore
+	leases  statestore.LeaseID
+	get     func(statestore.Result[protocol.Item])
+	commit  func(statestore.Result[statestore.Revision])
+	follow  func(statestore.Result[protocol.FollowAnswer])
+	renew   func(error)
+	txns    []protocol.Txn
+	renewed []statestore.LeaseID
+}
+
+func (s *pendingStore) Get(_ string, done func(statestore.Result[protocol.Item])) { s.get = done }
+func (s *pendingStore) Grant(_ clock.Micros, done func(statestore.Result[statestore.LeaseID])) {
+	s.leases++
+	done(statestore.Result[statestore.LeaseID]{Value: s.leases})
+}
+func (s *pendingStore) Commit(_ statestore.Use, t protocol.Txn,
+	done func(statestore.Result[statestore.Revision])) {
+	s.txns, s.commit = append(s.txns, t), done
+}
+func (s *pendingStore) Renew(lease statestore.LeaseID, done func(error)) {
+	s.renewed, s.renew = append(s.renewed, lease), done
+}
+func (s *pendingStore) Follow(_ string, _ statestore.Revision, _ clock.Micros,
+	done func(statestore.Result[protocol.FollowAnswer])) {
+	s.follow = done
+}
+
+// keyIs responds to the read of the leader's key.
+func (s *pendingStore) keyIs(value []byte, version int64) {
+	s.get(statestore.Result[protocol.Item]{Value: protocol.Item{Key: Key, Value: value, Version: version}})
+}
+
+// keyIsAbsent responds that there is no leader's key.
+func (s *pendingStore) keyIsAbsent() {
+	s.get(statestore.Result[protocol.Item]{Err: statestore.ErrNotFound})
+}
+
+// commitsAt responds that the transaction was applied, commitFails that it wasn't.
+func (s *pendingStore) commitsAt(r statestore.Revision) {
+	s.commit(statestore.Result[statestore.Revision]{Value: r})
+}
+func (s *pendingStore) commitFails(err error) {
+	s.commit(statestore.Result[statestore.Revision]{Err: err})
+}
+
+// candidacy is a started candidate with what it has published.
+type candidacy struct {
+	*Candidate
+	box    *manualMailbox
+	store  *pendingStore
+	term   Term
+	leader []string // whom it has announced
+}
+
+func newCandidacy() *candidacy {
+	x := &candidacy{box: &manualMailbox{now: clock.Second}, store: &pendingStore{}}
+	x.Candidate = New(x.box, x.store, Config{Node: "n", Incarnation: "this", TTL: 4 * clock.Second},
+		func(t Term) { x.term = t }, func(node string) { x.leader = append(x.leader, node) })
+	x.Start()
+	return x
+}
+
+// newElected is a candidate that leads with epoch 5.
+func newElected() *candidacy {
+	x := newCandidacy()
+	x.store.keyIsAbsent()
+	x.store.commitsAt(5)
+	return x
+}
+
+// expectEpoch checks the term that is published.
+func (x *candidacy) expectEpoch(t *testing.T, epoch Epoch) {
+	t.Helper()
+	if x.term.Epoch != epoch {
+		t.Fatalf("epoch %d, expected %d", x.term.Epoch, epoch)
+	}
+}
+
+// A campaign that was given up and applied late stands under a lease that nobody renews: the node
+// that finds its own name there isn't elected by it, but replaces it by a new campaign.
+func TestClaimAppliedLateElectsNobody(t *testing.T) {
+	x := newCandidacy()
+	store := x.store
+	for range 2 { // the responses to two claims are lost
+		store.keyIsAbsent()
+		store.commitFails(statestore.ErrNoResponse)
+		x.box.advance(clock.Second)
+	}
+	if len(store.txns) != 2 || store.leases != 2 {
+		t.Fatalf("%d campaigns under %d leases, expected 2 under 2", len(store.txns), store.leases)
+	}
+	store.keyIs(store.txns[0].Changes[0].Value, 9)
+	x.expectEpoch(t, 0)
+	if len(store.renewed) > 0 {
+		t.Fatalf("renews %v, expected no renewal", store.renewed)
+	}
+	if len(store.txns) != 3 || store.txns[2].Guards[0].Version != 9 {
+		t.Fatalf("campaigns %+v, expected a third against version 9", store.txns)
+	}
+	// The last one is recognized although its response is lost.
+	store.commitFails(statestore.ErrNoResponse)
+	x.box.advance(clock.Second)
+	store.keyIs(store.txns[2].Changes[0].Value, 10)
+	x.expectEpoch(t, 10)
+	if !slices.Equal(store.renewed, []statestore.LeaseID{3}) {
+		t.Fatalf("renews %v, expected lease 3", store.renewed)
+	}
+}
+
+func TestElectedNodePublishesTermAndItself(t *testing.T) {
+	x := newElected()
+	want := Term{Epoch: 5, RenewedAt: clock.Second, ValidUntil: 5*clock.Second - 204*clock.Millisecond}
+	if x.term != want {
+		t.Errorf("term %+v, expected %+v", x.term, want)
+	}
+	if !slices.Equal(x.leader, []string{"", "n"}) {
+		t.Errorf("announced %q, expected nobody and then n", x.leader)
+	}
+}
+
+func TestRenewalExtendsTermFromWhenItWasSent(t *testing.T) {
+	x := newElected()
+	x.box.advance(800 * clock.Millisecond)
+	sent := x.box.now
+	x.box.now += 300 * clock.Millisecond
+	x.store.renew(nil)
+	if x.term.RenewedAt != sent {
+		t.Errorf("renewed at %v, expected %v", x.term.RenewedAt, sent)
+	}
+}
+
+func TestFailedRenewalKeepsTermUntilLeaseExpires(t *testing.T) {
+	x := newElected()
+	for _, err := range []error{statestore.ErrNoResponse, statestore.ErrUnavailable, statestore.ErrThrottled,
+		statestore.ErrUnexpectedStatus} {
+		x.store.renew(err)
+		x.expectEpoch(t, 5)
+	}
+	x.store.renew(statestore.ErrLeaseNotFound)
+	x.expectEpoch(t, 0)
+	if last := x.leader[len(x.leader)-1]; last != "" {
+		t.Errorf("announced %q, expected nobody", last)
+	}
+}
+
+func TestOnlyHigherEpochDeposes(t *testing.T) {
+	x := newElected()
+	x.ObserveEpoch(5)
+	x.expectEpoch(t, 5)
+	x.ObserveEpoch(6)
+	x.expectEpoch(t, 0)
+}
+
+func TestNodeThatResignedDoesNotStandForAWhile(t *testing.T) {
+	x := newElected()
+	x.Resign()
+	x.expectEpoch(t, 0)
+	release := x.store.txns[1]
+	if len(release.Guards) != 1 || release.Guards[0] != (protocol.Guard{Key: Key, Version: 5}) ||
+		release.Changes[0].Delete != Key {
+		t.Fatalf("released by %+v, expected the removal of the key at version 5", release)
+	}
+	x.store.commitsAt(6)
+	x.store.keyIsAbsent()
+	x.box.advance(11 * clock.Second)
+	x.store.keyIsAbsent()
+	if n := len(x.store.txns); n != 2 {
+		t.Fatalf("%d transactions 11 s after it resigned, expected no claim yet", n)
+	}
+	x.box.advance(clock.Second)
+	x.store.keyIsAbsent()
+	if n := len(x.store.txns); n != 3 {
+		t.Fatalf("%d transactions 12 s after it resigned, expected a claim", n)
+	}
+}
+
+func TestFollowerCampaignsOnceKeyIsGone(t *testing.T) {
+	x := newCandidacy()
+	other := protocol.Encode(holder{Node: "m", Incarnation: "other", Lease: 1})
+	x.store.keyIs(other, 3)
+	if !slices.Equal(x.leader, []string{"m"}) {
+		t.Fatalf("announced %q, expected m", x.leader)
+	}
+	x.store.follow(statestore.Result[protocol.FollowAnswer]{Value: protocol.FollowAnswer{Revision: 4}})
+	if len(x.store.txns) > 0 {
+		t.Fatal("campaigns against a leader whose key hasn't changed")
+	}
+	gone := protocol.FollowAnswer{Revision: 5, Events: []protocol.Event{{Delete: Key, Version: 5}}}
+	x.store.follow(statestore.Result[protocol.FollowAnswer]{Value: gone})
+	if len(x.store.txns) != 1 || x.store.txns[0].Guards[0].Version != 0 {
+		t.Fatalf("%+v, expected one claim of an absent key", x.store.txns)
+	}
+}
+
+func TestLeaderUnseenForAWhileIsNotNamed(t *testing.T) {
+	x := newCandidacy()
+	x.store.keyIs(protocol.Encode(holder{Node: "m", Incarnation: "other", Lease: 1}), 3)
+	x.store.follow(statestore.Result[protocol.FollowAnswer]{Err: statestore.ErrUnavailable})
+	x.box.advance(7 * clock.Second)
+	x.store.get(statestore.Result[protocol.Item]{Err: statestore.ErrNoResponse})
+	if !slices.Equal(x.leader, []string{"m"}) {
+		t.Fatalf("announced %q after 7 s, expected still m", x.leader)
+	}
+	x.box.advance(1)
+	x.store.get(statestore.Result[protocol.Item]{Err: statestore.ErrNoResponse})
+	if !slices.Equal(x.leader, []string{"m", ""}) {
+		t.Fatalf("announced %q after more than 7 s, expected nobody in the end", x.leader)
+	}
+}
+
+func TestResponsesOfEarlierRoundsAreDropped(t *testing.T) {
+	x := newCandidacy()
+	early := x.store.get
+	x.store.keyIsAbsent()
+	x.store.commitsAt(5)
+	early(statestore.Result[protocol.Item]{Err: statestore.ErrNotFound})
+	if n := len(x.store.txns); n != 1 || x.term.Epoch != 5 {
+		t.Fatalf("%d campaigns and epoch %d, expected 1 and 5", n, x.term.Epoch)
+	}
+}
--- /dev/null
+++ b/internal/leadership/transaction_test.go
@@ -0,0 +1,66 @@
+package leadership
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"testing"
+
+	"postpoint/internal/protocol"
+	"postpoint/internal/statestore"
+)
+
+func TestTransactionIsGuardedByLeadersKeyFirst(t *testing.T) {
+	store := &pendingStore{}
+	txn := NewTransaction(7)
+	txn.Require("a", 3)
+	txn.Require("a", 3)
+	txn.RequireOnce("a", 3)
+	txn.RequireOnce("a", 4)
+	txn.RequireOnce(Key, 7)
+	txn.Put("a", []byte{0xc0})
+	txn.Delete("b")
+	txn.Commit(store, func(statestore.Result[statestore.Revision]) {})
+	want := protocol.Txn{
+		Guards: []protocol.Guard{{Key: Key, Version: 7}, {Key: "a", Version: 3}, {Key: "a", Version: 3},
+			{Key: "a", Version: 4}},
+		Changes: []protocol.Change{{Put: "a", Value: []byte{0xc0}}, {Delete: "b"}},
+	}
+	if got := protocol.Encode(store.txns[0]); !slices.Equal(got, protocol.Encode(want)) {
+		t.Errorf("committed %+v, expected %+v", store.txns[0], want)
+	}
+	if txn.Len() != 2 {
+		t.Errorf("%d changes, expected 2", txn.Len())
+	}
+}
+
+func TestTransactionTellsLostLeadershipFromOtherConflicts(t *testing.T) {
+	conflict := func(keys ...string) error { return &statestore.ConflictError{Keys: keys, Revision: 9} }
+	for _, c := range []struct {
+		err                 error
+		notLeader, conflict bool
+	}{
+		{nil, false, false},
+		{conflict("a"), false, true},
+		{conflict(), false, true},
+		{conflict("a", Key), true, true},
+		{statestore.ErrNoResponse, false, false},
+		{fmt.Errorf("wrapped: %w", conflict(Key)), true, true},
+	} {
+		store := &pendingStore{}
+		var got error
+		NewTransaction(7).Commit(store, func(r statestore.Result[statestore.Revision]) { got = r.Err })
+		store.commitFails(c.err)
+		if errors.Is(got, ErrNotLeader) != c.notLeader ||
+			errors.Is(got, statestore.ErrConflict) != c.conflict {
+			t.Errorf("%v became %v, expected lost leadership %v and a conflict %v", c.err, got, c.notLeader,
+				c.conflict)
+		}
+		if !slices.Equal(statestore.Failed(got), statestore.Failed(c.err)) {
+			t.Errorf("failed keys %v, expected %v", statestore.Failed(got), statestore.Failed(c.err))
+		}
+		if !c.notLeader && !errors.Is(got, c.err) {
+			t.Errorf("%v became %v, expected it unchanged", c.err, got)
+		}
+	}
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,6 @@
-// Package node connects the actors of one controller with each other. What lies outside of
-// it is passed in: real clients in a controller's process, stand-ins in tests.
+// Package node connects the actors of one controller with each other: who is told of a term, of a
+// leader, of a format. What lies outside of the node is passed in: real clients in a controller's
+// process, simulated ones in tests.
 package node
 
 import (
@@ -28,79 +29,107 @@
 	Settings   *settings.Settings
 	Leadership leadership.Config
 	Mailboxes  Mailboxes
-	// Store gives the state service whose answers arrive in a mailbox.
+	// Store returns the state service whose results arrive in a mailbox.
 	Store func(actor.Mailbox) statestore.Store
-	// Cloud and Agent answer into the mailbox of Dispatch, Forward into that of Intake.
+	// Cloud and Agent respond to the mailbox of Dispatch, Forward to that of Intake.
 	Cloud   cloud.API
 	Agent   agent.API
 	Forward intake.Forward
-	// Cells lists the cells, nil if they are switched off; Exchange reaches them and answers into
-	// the mailbox of Dispatch.
+	// Cells lists the cells, nil if they are switched off; Exchange reaches them and responds to the
+	// mailbox of Dispatch.
 	Cells    *cells.Directory
 	Exchange dispatch.Exchanger
-	// Recovery has the settings of recoveries from the loss of a zone, nil if they are switched off.
+	// Recovery has the settings of zone recovery, nil if it is switched off.
 	Recovery *recovery.Settings
-	// Everyone asks all nodes, given this one's own actor; ok tells that all have answered.
+	// Everyone asks all nodes, given this one's own actor; ok reports whether all have responded.
 	Everyone func(own *intake.Intake, r intake.Request, done func(answers []intake.Answer, ok bool))
 }
 
 // Node has the actors of one controller.
 type Node struct {
 	Dispatch   *dispatch.Dispatch
-	Leadership *leadership.Leadership
+	Leadership *leadership.Candidate
 	Intake     *intake.Intake
 	Rollout    *rollout.Rollout
 }
 
-// New makes a node that does nothing yet.
+// New returns a node that does nothing yet.
 func New(e Environment) *Node {
 	n := &Node{}
-	boxes := e.Mailboxes
-	n.Intake = intake.New(boxes.Intake, e.Store(boxes.Intake), e.Settings, e.Forward)
-	n.Dispatch = dispatch.New(boxes.Dispatch, e.Store(boxes.Dispatch), e.Cloud, e.Agent, e.Settings,
-		func(epoch int64) { n.Leadership.Deposed(epoch) },
-		func() { n.Leadership.Resign() },
-		func(back clock.Micros, done func([]intake.Attestation, bool)) {
-			e.Everyone(n.Intake, intake.AttestRequest(back), func(answers []intake.Answer, ok bool) {
-				done(intake.Attestations(answers, ok))
-			})
-		},
-		func(types []protocol.MachineType) { n.Intake.Types(types) })
-	n.Leadership = leadership.New(boxes.Leadership, e.Store(boxes.Leadership), e.Leadership,
-		func(t leadership.Term) {
-			n.Intake.Elected(t.Epoch) // first: nothing is vouched for after the term has begun
-			n.Dispatch.Term(t)
-		}, n.Dispatch.Leader)
+	n.Intake = intake.New(e.Mailboxes.Intake, e.Store(e.Mailboxes.Intake), e.Settings, e.Forward)
+	n.Dispatch = n.newDispatch(e)
+	n.Leadership = n.newCandidate(e)
 	n.Intake.ZoneReportsFrom(n.Dispatch.ZoneReports)
 	if e.Recovery != nil {
-		n.Dispatch.Recover(e.Recovery, func(done func([]intake.ZoneReports)) {
-			e.Everyone(n.Intake, intake.Request{Kind: intake.Zones}, func(answers []intake.Answer, _ bool) {
-				done(intake.AllZoneReports(answers))
-			})
-		})
+		n.Dispatch.Recover(e.Recovery, n.zoneReports(e))
 	}
-	format := rollout.Present
 	if e.Cells != nil {
-		format = rollout.WithCells
 		n.Dispatch.JoinCells(e.Cells, e.Exchange)
 	}
-	n.Rollout = rollout.New(boxes.Rollout, e.Store(boxes.Rollout), e.Settings.Node, e.Settings.Nodes(), format,
-		n.Leadership.Start, // what this node writes comes after the format that it reads
-		func(s rollout.Status) {
-			n.Dispatch.Format(s)
-			n.Intake.Format(s)
-		})
+	n.Rollout = n.newRollout(e)
 	return n
 }
 
+// newDispatch returns the leader's actor.
+func (n *Node) newDispatch(e Environment) *dispatch.Dispatch {
+	box := e.Mailboxes.Dispatch
+	return dispatch.New(box, e.Store(box), e.Cloud, e.Agent, e.Settings,
+		func(epoch int64) { n.Leadership.ObserveEpoch(epoch) },
+		func() { n.Leadership.Resign() },
+		n.attestations(e),
+		func(types []protocol.MachineType) { n.Intake.Types(types) })
+}
+
+// attestations returns how the leader asks all nodes to vouch for what they have told users.
+func (n *Node) attestations(e Environment) func(back clock.Micros, done func([]intake.Attestation, bool)) {
+	return func(back clock.Micros, done func([]intake.Attestation, bool)) {
+		e.Everyone(n.Intake, intake.AttestRequest(back), func(answers []intake.Answer, ok bool) {
+			done(intake.Attestations(answers, ok))
+		})
+	}
+}
+
+// zoneReports returns how the leader asks all nodes which zones' machines they hear from.
+func (n *Node) zoneReports(e Environment) func(done func([]intake.ZoneReports)) {
+	return func(done func([]intake.ZoneReports)) {
+		e.Everyone(n.Intake, intake.Request{Kind: intake.Zones}, func(answers []intake.Answer, _ bool) {
+			done(intake.AllZoneReports(answers))
+		})
+	}
+}
+
+func (n *Node) newCandidate(e Environment) *leadership.Candidate {
+	box := e.Mailboxes.Leadership
+	publishTerm := func(t leadership.Term) {
+		n.Intake.Elected(t.Epoch) // first: nothing is vouched for after the term has begun
+		n.Dispatch.Term(t)
+	}
+	return leadership.New(box, statestore.Typed(e.Store(box)), e.Leadership, publishTerm, n.Dispatch.Leader)
+}
+
+func (n *Node) newRollout(e Environment) *rollout.Rollout {
+	format := rollout.FormatServices
+	if e.Cells != nil {
+		format = rollout.FormatCells
+	}
+	onStatus := func(s rollout.Status) {
+		n.Dispatch.Format(s)
+		n.Intake.Format(s)
+	}
+	box := e.Mailboxes.Rollout
+	// The election waits: what this node writes comes after the format that it reads.
+	return rollout.New(box, statestore.Typed(e.Store(box)), e.Settings.Node, e.Settings.Nodes(), format,
+		n.Leadership.Start, onStatus)
+}
+
 // Start lets the node publish its format, stand for election and serve.
 func (n *Node) Start() {
 	n.Dispatch.Start()
 	n.Rollout.Start()
 }
 
-// StartUnpublished starts it like a version that publishes no format, for tests of versions
-// side by side.
+// StartUnpublished starts it like a version that publishes no format, for tests of versions side by
+// side.
 func (n *Node) StartUnpublished() {
 	n.Dispatch.Start()
 	n.Leadership.Start()
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,16 +1,18 @@
-// Package rollout finds out when every controller of the deployment runs a version that
-// reads the present formats of what is stored, so that versions that don't can serve side
-// by side with this one until then.
+// Package rollout finds out when every controller of the deployment runs a version that reads the
+// present formats of what is stored, so that versions that don't can serve side by side with this
+// one until then.
 //
-// Each controller publishes the format that it reads under a key of its own. Once all
-// controllers of the settings have, any of them opens the gate: a key that says what all of
-// them read, and is only ever raised. Until a controller has seen a format there it writes
-// none of it.
+// Each controller publishes the format that it reads under a key of its own. Once all controllers
+// of the settings have, any of them opens the gate: a key that says what all of them read, and is
+// only ever raised. Until a controller has seen a format there it writes none of it.
+//
+// The package owns these keys only. What a format contains is up to the actors that are told of
+// its status; the election waits until this node's format is published.
 package rollout
 
 import (
+	"errors"
 	"log/slog"
-	"net/http"
 	"slices"
 	"strings"
 
@@ -20,14 +22,17 @@
 	"postpoint/internal/statestore"
 )
 
-// The formats of what is stored. The first had neither services nor divided records, and
-// nothing published it.
+// Format is a version of the formats of what is stored; each contains the earlier ones. The first
+// had neither services nor sharded records, and nothing published it.
+type Format int
+
+// The formats that are published.
 const (
-	// Present has services and divided records.
-	Present = 2
-	// WithCells has jobs of other cells and tasks that other cells run as well. Controllers
+	// FormatServices has services and sharded records.
+	FormatServices Format = 2
+	// FormatCells has jobs of other cells and tasks that other cells run as well. Controllers
 	// publish it only if their operators have switched cells on.
-	WithCells = 3
+	FormatCells Format = 3
 )
 
 const (
@@ -35,152 +40,192 @@
 	gateKey    = prefix + "gate"
 	nodePrefix = prefix + "node/"
 
-	pollTime  = clock.Second
-	retryTime = 400 * clock.Millisecond
-	// reportTime is how often missing controllers are named in the log.
-	reportTime = 60 * clock.Second
+	pollTime   = clock.Second
+	retryDelay = 400 * clock.Millisecond
+	// missingLogTime is from one log line on missing controllers to the next.
+	missingLogTime = 60 * clock.Second
 )
 
-// Status is how far the upgrade is.
+// Status is how far the rollout has come.
 type Status struct {
-	Open bool // all controllers read Present
-	// Cells tells that all of them read WithCells, too.
-	Cells   bool
-	Missing []string // controllers that haven't published what this one has
+	// Open reports whether all controllers read FormatServices.
+	Open bool
+	// Cells reports whether all controllers read FormatCells.
+	Cells bool
+	// Missing are the controllers that haven't published the format of this one.
+	Missing []string
+}
+
+func (s Status) equal(o Status) bool {
+	return s.Open == o.Open && s.Cells == o.Cells && slices.Equal(s.Missing, o.Missing)
 }
 
-// published is the value of both kinds of keys.
-type published struct {
-	Format int `msgpack:"format"`
+// publishedFormat is the value of both kinds of keys.
+type publishedFormat struct {
+	Format Format `msgpack:"format"`
 }
 
 // Rollout is the actor.
 type Rollout struct {
 	mailbox actor.Mailbox
-	store   statestore.Store
+	store   statestore.ResultStore
 	node    string
 	nodes   []string
-	format  int
-	// joined is called once when this node's format is published, changed whenever the
-	// status is another one.
-	joined  func()
-	changed func(Status)
-
-	hasJoined  bool
-	status     Status
-	reportedAt clock.Micros
+	format  Format
+	// onPublished is called once, when this node's format is published.
+	onPublished func()
+	// onStatus is called with every change of the status.
+	onStatus func(Status)
+
+	published       bool
+	status          Status
+	missingLoggedAt clock.Micros
 }
 
-// New makes the actor for one of the named nodes, which reads the given format.
-func New(m actor.Mailbox, s statestore.Store, node string, nodes []string, format int, joined func(), changed func(Status)) *Rollout {
-	return &Rollout{mailbox: m, store: s, node: node, nodes: nodes, format: format, joined: joined, changed: changed}
+// New returns the actor for one of the named nodes, which reads the given format. onPublished is
+// called once, when that format is published, and onStatus with every change of the status, both
+// from the mailbox.
+func New(m actor.Mailbox, s statestore.ResultStore, node string, nodes []string, format Format,
+	onPublished func(), onStatus func(Status)) *Rollout {
+	return &Rollout{mailbox: m, store: s, node: node, nodes: nodes, format: format,
+		onPublished: onPublished, onStatus: onStatus}
 }
 
 // Start begins to publish and to watch for the others.
-func (r *Rollout) Start() { r.mailbox.Post(r.look) }
-
-// look reads all keys and does what they lack. It ends when the gate is open for all that this
-// node reads.
-func (r *Rollout) look() {
-	r.store.List(prefix, "", func(reply statestore.Reply[protocol.ItemList]) {
-		if reply.Status != http.StatusOK {
-			r.again(retryTime)
+func (r *Rollout) Start() { r.mailbox.Post(r.poll) }
+
+// poll reads all keys and takes the next step. Polling ends when the gate is open for all that
+// this node reads.
+func (r *Rollout) poll() {
+	r.store.List(prefix, "", func(result statestore.Result[protocol.ItemList]) {
+		if result.Err != nil {
+			r.pollAfter(retryDelay)
 			return
 		}
-		r.found(reply.Value.Items)
+		r.advance(decodeView(result.Value.Items))
 	})
 }
 
-func (r *Rollout) again(delay clock.Micros) { r.mailbox.After(delay, r.look) }
+func (r *Rollout) pollAfter(delay clock.Micros) { r.mailbox.After(delay, r.poll) }
 
-func (r *Rollout) found(items []protocol.Item) {
-	formats := map[string]int{}
+// view is what the keys say.
+type view struct {
+	formats  map[string]Format // by key
+	versions map[string]int64
+}
+
+// decodeView takes a malformed value for one that isn't published.
+func decodeView(items []protocol.Item) view {
+	v := view{formats: map[string]Format{}, versions: map[string]int64{}}
 	for _, item := range items {
-		var p published
+		var p publishedFormat
 		if err := protocol.Decode(item.Value, &p); err != nil {
-			slog.Error("malformed format of a controller", "key", item.Key, "error", err)
+			slog.Error("published format is malformed", "key", item.Key, "error", err)
 		}
-		formats[item.Key] = p.Format
+		v.formats[item.Key] = p.Format
+		v.versions[item.Key] = item.Version
+	}
+	return v
+}
+
+// gate returns the format that is known to be read by all.
+func (v view) gate() Format { return v.formats[gateKey] }
+
+// common returns the format that all nodes have published, at most this one's.
+func (r *Rollout) common(v view) Format {
+	common := r.format
+	for _, node := range r.nodes {
+		common = min(common, v.formats[nodePrefix+node])
+	}
+	return common
+}
+
+// missing returns the nodes for which the gate isn't open yet.
+func (r *Rollout) missing(v view) []string {
+	if v.gate() >= r.format {
+		return nil
 	}
-	gate := formats[gateKey]
-	status := Status{Open: gate >= Present, Cells: gate >= WithCells}
-	common := r.format // what all controllers read
+	var missing []string
 	for _, node := range r.nodes {
-		published := formats[nodePrefix+node]
-		if published < r.format && gate < r.format {
-			status.Missing = append(status.Missing, node)
+		if v.formats[nodePrefix+node] < r.format {
+			missing = append(missing, node)
 		}
-		common = min(common, published)
 	}
-	r.note(status)
+	return missing
+}
+
+// advance takes the next step: publish this node's format, open the gate, or wait.
+func (r *Rollout) advance(v view) {
+	r.noteStatus(Status{Open: v.gate() >= FormatServices, Cells: v.gate() >= FormatCells,
+		Missing: r.missing(v)})
+	ownKey := nodePrefix + r.node
+	common := r.common(v)
 	switch {
-	case gate >= r.format:
-		r.join()
-	case formats[nodePrefix+r.node] < r.format:
-		r.put(nodePrefix+r.node, r.format, version(items, nodePrefix+r.node))
-	case common >= Present && common > gate:
-		r.join()
-		r.put(gateKey, common, version(items, gateKey))
+	case v.gate() >= r.format:
+		r.notePublished()
+	case v.formats[ownKey] < r.format:
+		r.put(ownKey, r.format, v)
+	case common >= FormatServices && common > v.gate():
+		r.notePublished()
+		r.put(gateKey, common, v)
 	default:
-		r.join()
-		r.again(pollTime)
+		r.notePublished()
+		r.pollAfter(pollTime)
 	}
 }
 
-// join tells once that this node has published its format.
-func (r *Rollout) join() {
-	if !r.hasJoined {
-		r.hasJoined = true
-		r.joined()
+// notePublished reports once that this node has published its format.
+func (r *Rollout) notePublished() {
+	if !r.published {
+		r.published = true
+		r.onPublished()
 	}
 }
 
-// note tells of a changed status, and an operator now and then of who is missing.
-func (r *Rollout) note(s Status) {
-	now := r.mailbox.Steady()
-	if s.Open != r.status.Open || s.Cells != r.status.Cells || !slices.Equal(s.Missing, r.status.Missing) {
+// noteStatus reports a changed status.
+func (r *Rollout) noteStatus(s Status) {
+	if !s.equal(r.status) {
 		if s.Open && !r.status.Open {
-			slog.Info("all controllers read the present formats", "format", Present)
+			slog.Info("all controllers read services and sharded records", "format", FormatServices)
 		}
 		if s.Cells && !r.status.Cells {
-			slog.Info("all controllers read the formats of cells", "format", WithCells)
+			slog.Info("all controllers read the records of cells", "format", FormatCells)
 		}
 		r.status = s
-		r.changed(s)
+		r.onStatus(s)
 	}
-	if len(s.Missing) > 0 && now > r.reportedAt+reportTime {
-		if r.reportedAt != 0 {
-			what := "services and divided records"
-			if s.Open {
-				what = "cells"
-			}
-			slog.Info("controllers of an earlier version keep "+what+" off", "missing", strings.Join(s.Missing, " "))
+	r.logMissing(s)
+}
+
+// logMissing tells an operator now and then who is missing. The first time it is silent: an
+// upgrade takes a while.
+func (r *Rollout) logMissing(s Status) {
+	now := r.mailbox.Steady()
+	if len(s.Missing) == 0 || now <= r.missingLoggedAt+missingLogTime {
+		return
+	}
+	if r.missingLoggedAt != 0 {
+		features := "services and sharded records"
+		if s.Open {
+			features = "cells"
 		}
-		r.reportedAt = now
+		slog.Info("controllers of an earlier version keep features disabled",
+			"features", features, "missing", strings.Join(s.Missing, " "))
 	}
+	r.missingLoggedAt = now
 }
 
-// put writes one key and looks again, whatever became of it.
-func (r *Rollout) put(key string, format int, version int64) {
+// put writes one key and polls again, whatever became of it.
+func (r *Rollout) put(key string, format Format, v view) {
 	t := protocol.Txn{
-		Guards:  []protocol.Guard{{Key: key, Version: version}},
-		Changes: []protocol.Change{{Put: key, Value: protocol.Encode(published{Format: format})}},
+		Guards:  []protocol.Guard{{Key: key, Version: v.versions[key]}},
+		Changes: []protocol.Change{{Put: key, Value: protocol.Encode(publishedFormat{Format: format})}},
 	}
-	r.store.Commit(statestore.ForLeadership, t, func(reply statestore.Reply[protocol.TxnAnswer]) {
-		if reply.Status == http.StatusOK || reply.Status == http.StatusConflict {
-			r.look()
+	r.store.Commit(statestore.ForLeadership, t, func(result statestore.Result[statestore.Revision]) {
+		if result.Err == nil || errors.Is(result.Err, statestore.ErrConflict) {
+			r.poll()
 			return
 		}
-		r.again(retryTime)
+		r.pollAfter(retryDelay)
 	})
 }
-
-// version is that of a key among what was read, 0 if it isn't there.
-func version(items []protocol.Item, key string) int64 {
-	for _, item := range items {
-		if item.Key == key {
-			return item.Version
-		}
-	}
-	return 0
-}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -1,7 +1,6 @@
 package rollout
 
 import (
-	"net/http"
 	"slices"
 	"strings"
 	"testing"
@@ -11,100 +10,104 @@
 	"postpoint/internal/statestore"
 )
 
-// keys is a state service that answers at once, or refuses.
-type keys struct {
-	statestore.Store
+// memoryStore is a state service that responds at once, or is unavailable.
+type memoryStore struct {
+	statestore.ResultStore
 	values map[string][]byte
 	down   bool
 	puts   []string
 }
 
-func (k *keys) List(prefix, _ string, done func(statestore.Reply[protocol.ItemList])) {
-	if k.down {
-		done(statestore.Reply[protocol.ItemList]{Status: http.StatusServiceUnavailable})
+func (s *memoryStore) List(prefix, _ string, done func(statestore.Result[protocol.ItemList])) {
+	if s.down {
+		done(statestore.Result[protocol.ItemList]{Err: statestore.ErrUnavailable})
 		return
 	}
 	var list protocol.ItemList
-	for key, value := range k.values {
+	for key, value := range s.values {
 		if strings.HasPrefix(key, prefix) {
 			list.Items = append(list.Items, protocol.Item{Key: key, Value: value, Version: 1})
 		}
 	}
-	done(statestore.Reply[protocol.ItemList]{Status: http.StatusOK, Value: list})
+	done(statestore.Result[protocol.ItemList]{Value: list})
 }
 
-func (k *keys) Commit(_ statestore.Use, t protocol.Txn, done func(statestore.Reply[protocol.TxnAnswer])) {
+func (s *memoryStore) Commit(_ statestore.Use, t protocol.Txn,
+	done func(statestore.Result[statestore.Revision])) {
 	for _, c := range t.Changes {
-		_, exists := k.values[c.Put]
+		_, exists := s.values[c.Put]
 		if len(t.Guards) != 1 || t.Guards[0].Key != c.Put || exists != (t.Guards[0].Version != 0) {
-			done(statestore.Reply[protocol.TxnAnswer]{Status: http.StatusConflict})
+			conflict := &statestore.ConflictError{Keys: []string{c.Put}}
+			done(statestore.Result[statestore.Revision]{Err: conflict})
 			return
 		}
-		k.values[c.Put] = c.Value
-		k.puts = append(k.puts, c.Put)
+		s.values[c.Put] = c.Value
+		s.puts = append(s.puts, c.Put)
 	}
-	done(statestore.Reply[protocol.TxnAnswer]{Status: http.StatusOK})
+	done(statestore.Result[statestore.Revision]{})
 }
 
-// node is a controller's rollout on a clock that stands still until it is looked at again.
-type node struct {
-	rollout *Rollout
-	joined  bool
-	status  Status
+// controller is one controller's rollout, which polls when the test says so.
+type controller struct {
+	rollout   *Rollout
+	published bool
+	status    Status
 }
 
-func newNode(store statestore.Store, name string, all ...string) *node {
-	n := &node{}
-	n.rollout = New(&actortest.Still{}, store, name, all, Present, func() { n.joined = true }, func(s Status) { n.status = s })
-	return n
+func newController(store statestore.ResultStore, name string, all ...string) *controller {
+	c := &controller{}
+	c.rollout = New(&actortest.Still{}, store, name, all, FormatServices,
+		func() { c.published = true }, func(s Status) { c.status = s })
+	return c
 }
 
-func (n *node) look() { n.rollout.look() }
+func (c *controller) poll() { c.rollout.poll() }
 
-// The gate opens once every node of the settings has published its format, not before,
-// whoever is down by then, and stays open. A node says what it reads before anything else.
+// The gate opens once every node of the settings has published its format, not before, whoever is
+// down by then, and stays open. A node publishes what it reads before anything else.
 func TestGateOpensOnceAllHavePublished(t *testing.T) {
 	all := []string{"a", "b", "c"}
-	store := &keys{values: map[string][]byte{}}
-	a, b := newNode(store, "a", all...), newNode(store, "b", all...)
-	a.look()
-	b.look()
-	a.look()
-	if !a.joined || a.status.Open || !slices.Equal(a.status.Missing, []string{"c"}) {
-		t.Fatalf("joined %v, status %+v", a.joined, a.status)
+	store := &memoryStore{values: map[string][]byte{}}
+	a, b := newController(store, "a", all...), newController(store, "b", all...)
+	a.poll()
+	b.poll()
+	a.poll()
+	if !a.published || a.status.Open || !slices.Equal(a.status.Missing, []string{"c"}) {
+		t.Fatalf("published %v, status %+v; expected a closed gate for want of c", a.published, a.status)
 	}
 	if store.puts[0] != "rollout/node/a" {
-		t.Fatalf("first put %s", store.puts[0])
+		t.Fatalf("first put %s, expected a's own key", store.puts[0])
 	}
-	// Node a is down from now on, which shuts nothing.
-	c := newNode(store, "c", all...)
-	c.look()
-	b.look()
+	// Node a is down from now on, which closes nothing.
+	c := newController(store, "c", all...)
+	c.poll()
+	b.poll()
 	if !c.status.Open || !b.status.Open || len(b.status.Missing) > 0 {
-		t.Fatalf("c: %+v, b: %+v", c.status, b.status)
+		t.Fatalf("c: %+v, b: %+v; expected an open gate for both", c.status, b.status)
 	}
-	late := newNode(store, "a", all...)
-	late.look()
-	if !late.status.Open || !late.joined {
-		t.Fatalf("a node that starts late: %+v", late.status)
+	late := newController(store, "a", all...)
+	late.poll()
+	if !late.status.Open || !late.published {
+		t.Fatalf("published %v, status %+v; expected an open gate for a node that starts late",
+			late.published, late.status)
 	}
 	if n := len(store.puts); n != 4 {
-		t.Fatalf("%d puts: %v", n, store.puts)
+		t.Fatalf("%d puts: %v; expected one by each node and one of the gate", n, store.puts)
 	}
 }
 
-// While the state service doesn't answer, a node hasn't joined and nothing is open; a
-// value that makes no sense counts as unpublished.
-func TestNothingOpensWithoutEvidence(t *testing.T) {
-	store := &keys{values: map[string][]byte{"rollout/node/b": {0xc1}}, down: true}
-	a := newNode(store, "a", "a", "b")
-	a.look()
-	if a.joined || a.status.Open {
-		t.Fatalf("joined %v, status %+v", a.joined, a.status)
+// While the state service is unavailable, a node hasn't published and nothing is open; a malformed
+// value counts as unpublished.
+func TestGateStaysClosedWithoutEvidence(t *testing.T) {
+	store := &memoryStore{values: map[string][]byte{"rollout/node/b": {0xc1}}, down: true}
+	a := newController(store, "a", "a", "b")
+	a.poll()
+	if a.published || a.status.Open {
+		t.Fatalf("published %v, status %+v; expected neither during the outage", a.published, a.status)
 	}
 	store.down = false
-	a.look()
-	if !a.joined || a.status.Open || !slices.Equal(a.status.Missing, []string{"b"}) {
-		t.Fatalf("joined %v, status %+v", a.joined, a.status)
+	a.poll()
+	if !a.published || a.status.Open || !slices.Equal(a.status.Missing, []string{"b"}) {
+		t.Fatalf("published %v, status %+v; expected a closed gate for want of b", a.published, a.status)
 	}
 }
