--- a/cmd/postpoint/main.go
+++ b/cmd/postpoint/main.go
@@ -21,8 +21,18 @@
 // defaultLeaseTTL is that of the flag.
 const defaultLeaseTTL = 4 * clock.Second
 
+// helpTexts are the longer texts of --help, by their names in the fields' tags.
+var helpTexts = kong.Vars{
+	"version":      "postpoint " + version,
+	"log_level":    "Amount of logging: error, info or debug.",
+	"lease_ttl_ms": "How long leadership outlasts its last renewal, in milliseconds.",
+	"recovery_file": "File of the settings of recoveries from the loss of a zone (TOML); " +
+		"none: machines are met one by one.",
+	"cells_file": "File that lists the cells which run work for each other (TOML); none: a cell on its own.",
+}
+
 type commandLine struct {
-	LogLevel string           `help:"Amount of logging: error, info or debug." enum:"error,info,debug" default:"info" env:"LOG_LEVEL"`
+	LogLevel string           `help:"${log_level}" enum:"error,info,debug" default:"info" env:"LOG_LEVEL"`
 	Version  kong.VersionFlag `help:"Print the version."`
 
 	Serve serveCommand `cmd:"" default:"withargs" help:"Run a controller until killed (the default)."`
@@ -31,7 +41,7 @@
 
 type serveCommand struct {
 	filesFlags
-	LeaseTTLMs int64 `help:"How long leadership outlasts its last renewal, in milliseconds." default:"4000" env:"POSTPOINT_LEASE_TTL_MS" name:"lease-ttl-ms"`
+	LeaseTTLMs int64 `help:"${lease_ttl_ms}" default:"4000" env:"POSTPOINT_LEASE_TTL_MS" name:"lease-ttl-ms"`
 }
 
 type checkCommand struct {
@@ -41,13 +51,13 @@
 // filesFlags name the files that a controller reads.
 type filesFlags struct {
 	Config   string `help:"Settings file of the platform (JSON)." required:"" placeholder:"FILE"`
-	Recovery string `help:"File of the settings of recoveries from the loss of a zone (TOML); none: machines are met one by one." env:"POSTPOINT_RECOVERY" placeholder:"FILE"`
-	Cells    string `help:"File that lists the cells which run work for each other (TOML); none: a cell on its own." env:"POSTPOINT_CELLS" placeholder:"FILE"`
+	Recovery string `help:"${recovery_file}" env:"POSTPOINT_RECOVERY" placeholder:"FILE"`
+	Cells    string `help:"${cells_file}" env:"POSTPOINT_CELLS" placeholder:"FILE"`
 }
 
 func main() {
 	var cli commandLine
-	ctx := kong.Parse(&cli, kong.Name("postpoint"), kong.Vars{"version": "postpoint " + version},
+	ctx := kong.Parse(&cli, kong.Name("postpoint"), helpTexts,
 		kong.Description("A cluster scheduler: takes jobs, rents machines and decides what runs where."))
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(strings.ToUpper(cli.LogLevel))); err != nil {
@@ -93,11 +103,11 @@
 	}
 	fmt.Printf("%s: node %s of %d, %d teams, %d aims\n", c.Config, s.Node, len(s.Known)+1,
 		len(s.Deployment.Teams), len(s.Deployment.Objectives))
-	if options.Cells != nil {
-		fmt.Printf("%s: cell %s and %d others\n", c.Cells, options.Cells.Own.Name, len(options.Cells.Others()))
+	if group := options.Cells; group != nil {
+		fmt.Printf("%s: cell %s and %d others\n", c.Cells, group.Own.Name, len(group.Others()))
 	}
-	if options.Recovery != nil {
-		fmt.Printf("%s: order %v, %v tasks a second\n", c.Recovery, options.Recovery.Order, options.Recovery.TasksPerS)
+	if r := options.Recovery; r != nil {
+		fmt.Printf("%s: order %v, %v tasks a second\n", c.Recovery, r.Order, r.TasksPerS)
 	}
 	return nil
 }
@@ -112,6 +122,6 @@
 		return err
 	}
 	controller.ApplyLimits(s.Deployment.MachineLimits)
-	slog.Info("starting", "node", s.Node, "zone", s.Domain, "version", version)
+	slog.Info("starting controller", "node", s.Node, "zone", s.Domain, "version", version)
 	return controller.Run(s, options)
 }
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -45,14 +45,16 @@
 
 // cellTypes are machines that boot fast.
 var cellTypes = []protocol.MachineType{
-	{Name: "small", Cpus: 8, MemoryGB: 32, CacheGB: 50, FetchGBPerS: 1, Price: 0.4, SpotPrice: 0.1, BootS: 4, Zones: []string{"a"}},
+	{Name: "small", Cpus: 8, MemoryGB: 32, CacheGB: 50, FetchGBPerS: 1, Price: 0.4, SpotPrice: 0.1, BootS: 4,
+		Zones: []string{"a"}},
 }
 
 func newRealCell(x *testkit.RealTime, g *testkit.Group, name string, machines int) *realCell {
 	c := &realCell{name: name}
 	var controllers []testkit.Controller
 	for range controllersPerCell {
-		s := &settings.Settings{Node: fmt.Sprintf("worker-%d", len(c.settings)), Domain: "a", Bind: freeAddress(), InternalAddr: freeAddress()}
+		s := &settings.Settings{Node: fmt.Sprintf("worker-%d", len(c.settings)), Domain: "a",
+			Bind: freeAddress(), InternalAddr: freeAddress()}
 		s.Deployment = settings.Deployment{
 			InitialSize: controllersPerCell, Zones: []string{"a"}, Teams: []settings.Team{{Name: "open"}},
 			Workers:       settings.Workers{ReportS: 1, LeaseS: 6, GangWaitS: 15, GangPeerS: 3, CancelS: 24},
@@ -65,7 +67,8 @@
 		controllers = append(controllers, testkit.Controller{Name: s.Node, Address: s.Bind})
 	}
 	state, cloud, workers := listen("127.0.0.1:0"), listen("127.0.0.1:0"), listen("0.0.0.0:0")
-	c.standIns = testkit.NewLoopbackCell(x, g, name, c.settings[0], cellTypes, controllers, workers.Addr().(*net.TCPAddr).Port)
+	c.standIns = testkit.NewLoopbackCell(x, g, name, c.settings[0], cellTypes, controllers,
+		workers.Addr().(*net.TCPAddr).Port)
 	clear(c.standIns.Deployment.Cloud.Capacity)
 	c.standIns.Deployment.Cloud.Capacity[fleet.Kind{Type: "small", Zone: "a"}] = machines
 	c.standIns.Serve(state, cloud, workers)
@@ -82,7 +85,8 @@
 
 // entry is the cell's part of the cells file.
 func (c *realCell) entry() string {
-	text := fmt.Sprintf("[[cells]]\nname = %q\nlease_s = %v\nguests = { cpus = 64.0 }\n", c.name, c.settings[0].Deployment.Workers.LeaseS)
+	text := fmt.Sprintf("[[cells]]\nname = %q\nlease_s = %v\nguests = { cpus = 64.0 }\n", c.name,
+		c.settings[0].Deployment.Workers.LeaseS)
 	for i, address := range c.exchanges {
 		text += fmt.Sprintf("[[cells.controllers]]\nnode = %q\naddress = %q\n", c.settings[i].Node, address)
 	}
@@ -166,7 +170,11 @@
 func TestThreeCellsOfRealProcesses(t *testing.T) {
 	x := &testkit.RealTime{World: testkit.NewWorld(1)}
 	g := &testkit.Group{}
-	group := []*realCell{newRealCell(x, g, "alpha", 1), newRealCell(x, g, "beta", 3), newRealCell(x, g, "gamma", 3)}
+	group := []*realCell{
+		newRealCell(x, g, "alpha", 1),
+		newRealCell(x, g, "beta", 3),
+		newRealCell(x, g, "gamma", 3),
+	}
 	history := testkit.NewHistory(x.World, g.Cells...)
 	text := ""
 	for _, c := range group {
@@ -191,8 +199,9 @@
 	var jobs []*testkit.Job
 	x.Do(func() {
 		for i := range 8 {
-			spec := protocol.JobSpec{ID: fmt.Sprintf("job-%06d", i), Class: "c", Team: "open", Shape: protocol.ShapeArray, Rank: "normal",
-				Tasks: 8, Cpus: 2, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 4}
+			spec := protocol.JobSpec{ID: fmt.Sprintf("job-%06d", i), Class: "c", Team: "open",
+				Shape: protocol.ShapeArray, Rank: "normal", Tasks: 8, Cpus: 2, MemoryGB: 1,
+				Image: "i", ImageGB: 1, EstimateS: 4}
 			if i%4 == 3 {
 				spec.Shape, spec.Tasks = protocol.ShapeGang, 3
 			}
@@ -245,6 +254,7 @@
 			t.Error(strings.Join(wrong, "\n"))
 		}
 		elsewhere, all := history.Elsewhere()
-		t.Logf("%d of %d runs in other cells, all done after %.0f s", elsewhere, all, time.Since(began).Seconds())
+		t.Logf("%d of %d runs in other cells, all done after %.0f s", elsewhere, all,
+			time.Since(began).Seconds())
 	})
 }
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -14,6 +15,7 @@
 
 	"postpoint/internal/cells"
 	"postpoint/internal/clock"
+	"postpoint/internal/peer"
 	"postpoint/internal/settings"
 )
 
@@ -49,43 +51,71 @@
 	return child
 }
 
-// A machine that is too small is refused with the field's name, its value and the least.
-func TestTooSmallMachinesAreRefused(t *testing.T) {
-	least := settings.MachineLimits{CPU: MinCPU, MemoryMb: MinMemoryMB, MaxSockets: MinSockets}
-	if err := CheckLimits(least); err != nil {
-		t.Errorf("the least is refused: %v", err)
+// smallest is the smallest machine on which a controller runs.
+var smallest = settings.MachineLimits{CPU: MinCPU, MemoryMb: MinMemoryMB, MaxSockets: MinSockets}
+
+func TestTooSmallMachineIsRefusedByField(t *testing.T) {
+	if err := CheckLimits(smallest); err != nil {
+		t.Errorf("the smallest machine: %v, expected no error", err)
 	}
+	const format = "deployment.machine_limits.%s: %v is too small, at least %v is needed"
 	for _, c := range []struct {
-		change func(*settings.MachineLimits)
-		want   string
+		field   string
+		value   float64
+		minimum float64
+		set     func(*settings.MachineLimits)
 	}{
-		{func(l *settings.MachineLimits) { l.CPU = 0.001 }, "deployment.machine_limits.cpu: 0.001 is too small, at least 0.005 is needed"},
-		{func(l *settings.MachineLimits) { l.MemoryMb = 8 }, fmt.Sprintf("deployment.machine_limits.memory_mb: 8 is too small, at least %d is needed", MinMemoryMB)},
-		{func(l *settings.MachineLimits) { l.MaxSockets = 100 }, fmt.Sprintf("deployment.machine_limits.max_sockets: 100 is too small, at least %d is needed", MinSockets)},
+		{"cpu", 0.001, 0.005, func(l *settings.MachineLimits) { l.CPU = 0.001 }},
+		{"memory_mb", 8, MinMemoryMB, func(l *settings.MachineLimits) { l.MemoryMb = 8 }},
+		{"max_sockets", 100, MinSockets, func(l *settings.MachineLimits) { l.MaxSockets = 100 }},
 	} {
-		l := least
-		c.change(&l)
-		if err := CheckLimits(l); err == nil || err.Error() != c.want {
-			t.Errorf("%v, not %q", err, c.want)
+		l := smallest
+		c.set(&l)
+		err := CheckLimits(l)
+		if want := fmt.Sprintf(format, c.field, c.value, c.minimum); err == nil || err.Error() != want {
+			t.Errorf("%v, expected %q", err, want)
+		}
+		limit, ok := errors.AsType[*LimitError](err)
+		if !ok || *limit != (LimitError{Field: c.field, Value: c.value, Minimum: c.minimum}) {
+			t.Errorf("%#v, expected a LimitError of %s", err, c.field)
 		}
 	}
 }
 
-// The limit is compared with what the process really holds.
-func TestMemoryIsMeasured(t *testing.T) {
+func TestCellsNeedMoreSockets(t *testing.T) {
+	s := &settings.Settings{}
+	s.Deployment.MachineLimits = smallest
+	s.Deployment.Workers.LeaseS = 10
+	o := Options{LeaseTTL: 2 * clock.Second}
+	if err := o.Validate(s); err != nil {
+		t.Errorf("without cells: %v, expected no error", err)
+	}
+	o.Cells = &cells.Directory{}
+	const format = "deployment.machine_limits.max_sockets: %d is too small with cells, at least %d is needed"
+	want := fmt.Sprintf(format, MinSockets, MinSockets+peer.CellSockets)
+	if err := o.Validate(s); err == nil || err.Error() != want {
+		t.Errorf("with cells: %v, expected %q", err, want)
+	}
+	s.Deployment.MachineLimits.MaxSockets += peer.CellSockets
+	if err := o.Validate(s); err != nil {
+		t.Errorf("with cells and their sockets: %v, expected no error", err)
+	}
+}
+
+func TestMemoryLimitComparesWithWhatProcessHolds(t *testing.T) {
 	if memoryFull(1e6)() {
-		t.Error("a terabyte is full")
+		t.Error("a limit of a terabyte is reached, expected that it isn't")
 	}
 	if !memoryFull(1)() {
-		t.Error("a megabyte isn't full")
+		t.Error("a limit of a megabyte isn't reached, expected that it is")
 	}
 }
 
-// With the least of memory and sockets a controller starts, answers on as many
-// connections as it has sockets for, and stays within both.
-func TestLeastMachineSuffices(t *testing.T) {
+// With the least of memory and sockets a controller starts, responds on as many connections as it
+// has sockets for, and stays within both.
+func TestControllerServesOnSmallestMachine(t *testing.T) {
 	set := loadSettings(loads["often"])
-	set.Deployment.MachineLimits = settings.MachineLimits{CPU: MinCPU, MemoryMb: MinMemoryMB, MaxSockets: MinSockets}
+	set.Deployment.MachineLimits = smallest
 	bind, internal, nobody := listen("127.0.0.1:0"), listen("127.0.0.1:0"), listen("127.0.0.1:0")
 	set.Bind, set.InternalAddr = bind.Addr().String(), internal.Addr().String()
 	set.Outside = settings.Outside{State: nobody.Addr().String(), Cloud: nobody.Addr().String()}
@@ -122,12 +152,12 @@
 	_, err = fmt.Sscan(peak, &kilobytes)
 	must(err)
 	if kilobytes > MinMemoryMB*1000 {
-		t.Errorf("%d kB held, of %d MB", kilobytes, MinMemoryMB)
+		t.Errorf("%d kB held at the peak, expected at most %d MB", kilobytes, MinMemoryMB)
 	}
 	files, err := os.ReadDir(filepath.Join(proc, "fd"))
 	must(err)
 	if len(files) < minClientConnections || len(files) > MinSockets {
-		t.Errorf("%d files are open, of %d sockets", len(files), MinSockets)
+		t.Errorf("%d files are open, expected %d to %d", len(files), minClientConnections, MinSockets)
 	}
 	t.Logf("%d kB, %d files", kilobytes, len(files))
 }
--- a/internal/controller/loopback_test.go
+++ b/internal/controller/loopback_test.go
@@ -29,7 +29,11 @@
 // through real connections on the loopback interface, in real time. A controller runs
 // until its process ends, so that each benchmark needs a process of its own, and runs once:
 //
-//	go test -run xxx -bench SteadyState -benchtime 1x -seconds 60 -profiles DIR ./internal/controller
+//	go test -run xxx -bench SteadyState -benchtime 1x ./internal/controller \
+//		-seconds 60 -profiles "$PWD/target"
+//
+// The flags of this package come after its name: go test takes what follows an unknown flag for the
+// flags of the test, the package's name too.
 var (
 	seconds  = flag.Int("seconds", 20, "how long the phase at test lasts")
 	load     = flag.String("load", "often", "what the stand-ins are: 'often' or 'many', see loads")
@@ -64,9 +68,14 @@
 		Limits:   settings.MachineLimits{CPU: 0.05, MemoryMb: 114, MaxSockets: 1800},
 		Capacity: map[string]int{"small": 180, "middle": 100, "large": 25},
 		Arrivals: []arrivals{
-			{1100 * clock.Millisecond, protocol.JobSpec{Class: "gang", Shape: protocol.ShapeGang, Tasks: 6, Cpus: 15, MemoryGB: 51, ImageGB: 1.5, CheckpointS: 15, SaveS: 4, EstimateS: 90}, 90 * clock.Second},
-			{4 * clock.Second, protocol.JobSpec{Class: "array", Shape: protocol.ShapeArray, Tasks: 250, Cpus: 1, MemoryGB: 1.4, ImageGB: 1, EstimateS: 40}, 40 * clock.Second},
-			{12 * clock.Second, protocol.JobSpec{Class: "gpu", Shape: protocol.ShapeArray, Tasks: 15, Cpus: 10, Gpus: 1, MemoryGB: 54, ImageGB: 6, CheckpointS: 15, SaveS: 3, EstimateS: 100}, 100 * clock.Second},
+			{1100 * clock.Millisecond, protocol.JobSpec{Class: "gang", Shape: protocol.ShapeGang, Tasks: 6,
+				Cpus: 15, MemoryGB: 51, ImageGB: 1.5, CheckpointS: 15, SaveS: 4, EstimateS: 90},
+				90 * clock.Second},
+			{4 * clock.Second, protocol.JobSpec{Class: "array", Shape: protocol.ShapeArray, Tasks: 250,
+				Cpus: 1, MemoryGB: 1.4, ImageGB: 1, EstimateS: 40}, 40 * clock.Second},
+			{12 * clock.Second, protocol.JobSpec{Class: "gpu", Shape: protocol.ShapeArray, Tasks: 15,
+				Cpus: 10, Gpus: 1, MemoryGB: 54, ImageGB: 6, CheckpointS: 15, SaveS: 3, EstimateS: 100},
+				100 * clock.Second},
 		},
 	},
 	// Some 1,000 machines that report every 5 s, arrays of short tasks on GPUs.
@@ -75,17 +84,24 @@
 		Limits:   settings.MachineLimits{CPU: 0.036, MemoryMb: 114, MaxSockets: 1800},
 		Capacity: map[string]int{"small": 350, "middle": 0, "large": 150},
 		Arrivals: []arrivals{
-			{10 * clock.Second, protocol.JobSpec{Class: "gang", Shape: protocol.ShapeGang, Tasks: 6, Cpus: 8, MemoryGB: 16, ImageGB: 2.5, CheckpointS: 45, SaveS: 6, EstimateS: 80}, 80 * clock.Second},
-			{1500 * clock.Millisecond, protocol.JobSpec{Class: "gpu", Shape: protocol.ShapeArray, Tasks: 30, Cpus: 5, Gpus: 1, MemoryGB: 36, ImageGB: 5, CheckpointS: 30, SaveS: 3, EstimateS: 45}, 45 * clock.Second},
-			{3 * clock.Second, protocol.JobSpec{Class: "array", Shape: protocol.ShapeArray, Tasks: 150, Cpus: 2, MemoryGB: 4, ImageGB: 1, EstimateS: 60}, 60 * clock.Second},
+			{10 * clock.Second, protocol.JobSpec{Class: "gang", Shape: protocol.ShapeGang, Tasks: 6, Cpus: 8,
+				MemoryGB: 16, ImageGB: 2.5, CheckpointS: 45, SaveS: 6, EstimateS: 80}, 80 * clock.Second},
+			{1500 * clock.Millisecond, protocol.JobSpec{Class: "gpu", Shape: protocol.ShapeArray, Tasks: 30,
+				Cpus: 5, Gpus: 1, MemoryGB: 36, ImageGB: 5, CheckpointS: 30, SaveS: 3, EstimateS: 45},
+				45 * clock.Second},
+			{3 * clock.Second, protocol.JobSpec{Class: "array", Shape: protocol.ShapeArray, Tasks: 150,
+				Cpus: 2, MemoryGB: 4, ImageGB: 1, EstimateS: 60}, 60 * clock.Second},
 		},
 	},
 }
 
 var loadTypes = []protocol.MachineType{
-	{Name: "small", Cpus: 8, MemoryGB: 32, CacheGB: 50, FetchGBPerS: 0.6, Price: 0.4, SpotPrice: 0.1, BootS: 10, Zones: []string{"a", "b"}},
-	{Name: "middle", Cpus: 16, MemoryGB: 64, CacheGB: 40, FetchGBPerS: 0.5, Price: 0.7, SpotPrice: 0.2, BootS: 10, Zones: []string{"a", "b"}},
-	{Name: "large", Cpus: 48, Gpus: 4, MemoryGB: 288, CacheGB: 100, FetchGBPerS: 0.4, Price: 6, SpotPrice: 2, BootS: 10, Zones: []string{"a", "b"}},
+	{Name: "small", Cpus: 8, MemoryGB: 32, CacheGB: 50, FetchGBPerS: 0.6, Price: 0.4, SpotPrice: 0.1,
+		BootS: 10, Zones: []string{"a", "b"}},
+	{Name: "middle", Cpus: 16, MemoryGB: 64, CacheGB: 40, FetchGBPerS: 0.5, Price: 0.7, SpotPrice: 0.2,
+		BootS: 10, Zones: []string{"a", "b"}},
+	{Name: "large", Cpus: 48, Gpus: 4, MemoryGB: 288, CacheGB: 100, FetchGBPerS: 0.4, Price: 6, SpotPrice: 2,
+		BootS: 10, Zones: []string{"a", "b"}},
 }
 
 func TestMain(m *testing.M) {
@@ -123,7 +139,8 @@
 	shape := loads[options.Load]
 	workers := listen("0.0.0.0:0")
 	set := loadSettings(shape)
-	l := testkit.NewLoopback(set, loadTypes, []testkit.Controller{{Name: set.Node, Address: options.Controller}}, workers.Addr().(*net.TCPAddr).Port)
+	controllers := []testkit.Controller{{Name: set.Node, Address: options.Controller}}
+	l := testkit.NewLoopback(set, loadTypes, controllers, workers.Addr().(*net.TCPAddr).Port)
 	for name, n := range shape.Capacity {
 		for _, zone := range []string{"a", "b"} {
 			l.Deployment.Cloud.Capacity[fleet.Kind{Type: name, Zone: zone}] = n
@@ -168,8 +185,8 @@
 					}
 				}
 			}
-			must(answers.Encode(progress{l.Reports, l.Polls, l.Submissions, l.Starts, len(l.Deployment.Workers()),
-				l.Deployment.State.Changes}))
+			must(answers.Encode(progress{l.Reports, l.Polls, l.Submissions, l.Starts,
+				len(l.Deployment.Workers()), l.Deployment.State.Changes}))
 		})
 	}
 }
@@ -299,7 +316,8 @@
 	must(syscall.Getrusage(syscall.RUSAGE_SELF, &r))
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	u := processUsage{processor: float64(r.Utime.Nano()+r.Stime.Nano()) / 1e9, allocated: float64(m.TotalAlloc), resident: r.Maxrss << 10}
+	u := processUsage{processor: float64(r.Utime.Nano()+r.Stime.Nano()) / 1e9,
+		allocated: float64(m.TotalAlloc), resident: r.Maxrss << 10}
 	raw, err := os.ReadFile("/proc/self/io")
 	must(err)
 	for line := range strings.Lines(string(raw)) {
