--- a/internal/actor/actortest/actortest.go
+++ b/internal/actor/actortest/actortest.go
@@ -3,14 +3,13 @@
 
 import "postpoint/internal/clock"
 
-// Still handles messages in place, at a time that the test sets; what is to happen
-// later never does.
+// Still handles messages in place, at a time that the test sets; delayed messages never come.
 type Still struct{ Now clock.Micros }
 
-// Steady gives the time that the test has set.
+// Steady returns the time that the test has set.
 func (s *Still) Steady() clock.Micros { return s.Now }
 
-// OfDay gives the same time.
+// OfDay returns the same time.
 func (s *Still) OfDay() clock.Micros { return s.Now }
 
 // Post handles the message at once.
@@ -19,17 +18,17 @@
 // After drops the message.
 func (s *Still) After(_ clock.Micros, _ func()) {}
 
-// Instant is a mailbox at one instant, whose messages reach the test one by one: for
-// clients that answer from goroutines of their own.
+// Instant is a mailbox at one instant, whose messages reach the test one by one: for clients that
+// respond from goroutines of their own.
 type Instant struct {
 	Now      clock.Micros
 	Messages chan func()
 }
 
-// Steady gives the mailbox's instant.
+// Steady returns the mailbox's instant.
 func (i Instant) Steady() clock.Micros { return i.Now }
 
-// OfDay gives the same instant.
+// OfDay returns the same instant.
 func (i Instant) OfDay() clock.Micros { return i.Now }
 
 // Post hands the message to the test.
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock gives the program's times: whole microseconds, steady for
-// intervals and leases, of day for what people and records see.
+// Package clock has the program's times, in whole microseconds: a monotonic one for intervals and
+// leases, and the time of day for what people and records see.
 package clock
 
 import "time"
@@ -13,28 +13,32 @@
 	Second      Micros = 1000 * Millisecond
 )
 
-// FromSeconds rounds down to whole microseconds.
-func FromSeconds(s float64) Micros { return Micros(s * 1e6) }
+const microsPerSecond = float64(Second)
 
-// Seconds is for computations and for people.
-func (m Micros) Seconds() float64 { return float64(m) / 1e6 }
+// FromSeconds returns a time in seconds, rounded toward zero to whole microseconds.
+func FromSeconds(s float64) Micros { return Micros(s * microsPerSecond) }
 
-// Duration is for the standard library.
+// Seconds returns the time in seconds, for computations and for people.
+func (m Micros) Seconds() float64 { return float64(m) / microsPerSecond }
+
+// Duration returns the time in the form of the standard library.
 func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
-// Clock is the machine's pair of clocks.
+// Clock is a machine's pair of clocks.
 type Clock interface {
-	// Steady never steps; its zero means nothing.
+	// Steady returns the monotonic time: it never steps, and its zero has no meaning.
 	Steady() Micros
-	// OfDay is microseconds since 1970, off by what the settings bound.
+	// OfDay returns the microseconds since 1970, with an error that the settings bound.
 	OfDay() Micros
 }
 
+// system is the pair of clocks of this machine.
 type system struct{ began time.Time }
 
-// System reads the machine's clocks.
+// System returns the machine's clocks.
 func System() Clock { return system{time.Now()} }
 
 // Steady starts at one second so that 0 can stand for "never".
 func (s system) Steady() Micros { return Micros(time.Since(s.began).Microseconds()) + Second }
-func (s system) OfDay() Micros  { return Micros(time.Now().UnixMicro()) }
+
+func (s system) OfDay() Micros { return Micros(time.Now().UnixMicro()) }
