--- a/cmd/postpoint/golden_test.go
+++ b/cmd/postpoint/golden_test.go
@@ -14,7 +14,7 @@
 // newParser is one whose help and errors don't end the process.
 func newParser(t *testing.T, cli *commandLine) *kong.Kong {
 	t.Helper()
-	parser, err := kong.New(cli, kong.Name("postpoint"), kong.Vars{"version": "postpoint " + version},
+	parser, err := kong.New(cli, kong.Name("postpoint"), helpTexts,
 		kong.Exit(func(int) {}))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/leadership/golden_test.go
+++ b/internal/leadership/golden_test.go
@@ -1,7 +1,6 @@
 package leadership
 
 import (
-	"net/http"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
@@ -9,7 +8,6 @@
 	"postpoint/internal/clock"
 	"postpoint/internal/goldentest"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
 )
 
 const goldenHolder = "\x83\xa4node\xa8worker-0\xabincarnation\xa4this\xa5lease\x01"
@@ -31,18 +29,17 @@
 
 // A campaign puts the key under a lease, and a leader that resigns deletes it: both as recorded.
 func TestGoldenTransactions(t *testing.T) {
-	box, store := &hand{now: clock.Second}, &shelf{}
+	box, store := &manualMailbox{now: clock.Second}, &pendingStore{}
 	led := ""
 	l := New(box, store, Config{Node: "worker-0", Incarnation: "this", TTL: 4 * clock.Second}, func(Term) {},
 		func(leader string) { led = leader })
 	l.Start()
-	store.get(statestore.Reply[protocol.Item]{Status: http.StatusNotFound})
+	store.keyIsAbsent()
 	goldentest.Equal(t, "campaign", protocol.Encode(store.txns[0]),
 		"\x82\xa6Guards\x91\x82\xa4Path\xaflead/controller\xa5Stamp\x00\xa6Writes\x91\x83\xa5Write"+
 			"\xaflead/controller\xa4Data\x83\xa4node\xa8worker-0\xabincarnation\xa4this\xa5lease\x01\xa6P"+
 			"ermit\x01")
-	applied := protocol.TxnAnswer{Revision: 300}
-	store.commit(statestore.Reply[protocol.TxnAnswer]{Status: http.StatusOK, Value: applied})
+	store.commitsAt(300)
 	if led != "worker-0" {
 		t.Fatalf("led by %q", led)
 	}
@@ -54,13 +51,12 @@
 
 // Another node that stands in the recorded value is named as the leader.
 func TestGoldenHolderIsNamed(t *testing.T) {
-	box, store := &hand{now: clock.Second}, &shelf{}
+	box, store := &manualMailbox{now: clock.Second}, &pendingStore{}
 	led := ""
 	l := New(box, store, Config{Node: "worker-1", Incarnation: "other", TTL: 4 * clock.Second}, func(Term) {},
 		func(leader string) { led = leader })
 	l.Start()
-	store.get(statestore.Reply[protocol.Item]{Status: http.StatusOK,
-		Value: protocol.Item{Key: "lead/controller", Value: []byte(goldenHolder), Version: 9}})
+	store.keyIs([]byte(goldenHolder), 9)
 	if led != "worker-0" {
 		t.Errorf("led by %q", led)
 	}
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -13,23 +13,23 @@
 // The keys and values that controllers publish, by the format that they read, are the recorded
 // ones, in their order.
 func TestGoldenPublishedFormats(t *testing.T) {
-	for format, want := range map[int]map[string]string{
-		Present: {
+	for format, want := range map[Format]map[string]string{
+		FormatServices: {
 			"rollout/node/a": "\x81\xa6format\x02",
 			"rollout/node/b": "\x81\xa6format\x02",
 			"rollout/gate":   "\x81\xa6format\x02",
 		},
-		WithCells: {
+		FormatCells: {
 			"rollout/node/a": "\x81\xa6format\x03",
 			"rollout/node/b": "\x81\xa6format\x03",
 			"rollout/gate":   "\x81\xa6format\x03",
 		},
 	} {
-		store := &keys{values: map[string][]byte{}}
+		store := &memoryStore{values: map[string][]byte{}}
 		var status Status
 		for _, name := range []string{"a", "b"} {
 			changed := func(s Status) { status = s }
-			New(&actortest.Still{}, store, name, []string{"a", "b"}, format, func() {}, changed).look()
+			New(&actortest.Still{}, store, name, []string{"a", "b"}, format, func() {}, changed).poll()
 		}
 		if d := cmp.Diff([]string{"rollout/node/a", "rollout/node/b", "rollout/gate"}, store.puts); d != "" {
 			t.Errorf("format %d: %s", format, d)
@@ -37,7 +37,7 @@
 		for key, value := range want {
 			goldentest.Equal(t, key, store.values[key], value)
 		}
-		if !status.Open || status.Cells != (format == WithCells) {
+		if !status.Open || status.Cells != (format == FormatCells) {
 			t.Errorf("format %d: %+v", format, status)
 		}
 	}
@@ -45,12 +45,12 @@
 
 // Formats that others published are read from the recorded bytes.
 func TestGoldenFormatsAreRead(t *testing.T) {
-	if Present != 2 || WithCells != 3 {
-		t.Errorf("formats %d and %d", Present, WithCells)
+	if FormatServices != 2 || FormatCells != 3 {
+		t.Errorf("formats %d and %d", FormatServices, FormatCells)
 	}
-	goldentest.RequireTags(t, "msgpack", published{})
-	for value, want := range map[string]int{"\x81\xa6format\x02": 2, "\x81\xa6format\x03": 3} {
-		var p published
+	goldentest.RequireTags(t, "msgpack", publishedFormat{})
+	for value, want := range map[string]Format{"\x81\xa6format\x02": 2, "\x81\xa6format\x03": 3} {
+		var p publishedFormat
 		if err := protocol.Decode([]byte(value), &p); err != nil || p.Format != want {
 			t.Errorf("%q is read as %d, %v", value, p.Format, err)
 		}
