--- a/internal/intake/availability.go
+++ b/internal/intake/availability.go
@@ -52,8 +52,8 @@
 		return
 	}
 	in.availability.probing = true
-	in.store.Get(probeKey, func(r statestore.Reply[protocol.Item]) {
-		if in.noteStore(storeResultOf(r.Status)) {
+	in.store.Get(probeKey, func(r statestore.Result[protocol.Item]) {
+		if in.noteStore(storeResultOf(r.Err)) {
 			in.availability.probing = false
 			return
 		}
--- a/internal/intake/call.go
+++ b/internal/intake/call.go
@@ -101,8 +101,8 @@
 // readRecord reads the record of a job, nil if there is none.
 func (c *call) readRecord(id string, done func(record *ledger.Job, version int64)) {
 	key := ledger.Key(id)
-	c.in.store.Get(key, func(r statestore.Reply[protocol.Item]) {
-		result := storeResultOf(r.Status)
+	c.in.store.Get(key, func(r statestore.Result[protocol.Item]) {
+		result := storeResultOf(r.Err)
 		c.in.noteStore(result)
 		switch result {
 		case storeDone:
--- a/internal/intake/cancellation.go
+++ b/internal/intake/cancellation.go
@@ -25,8 +25,8 @@
 		Guards:  []protocol.Guard{{Key: key, Version: version}},
 		Changes: []protocol.Change{{Put: key, Value: record.Encode()}},
 	}
-	c.in.store.Commit(statestore.ForUser, txn, func(r statestore.Reply[protocol.TxnAnswer]) {
-		result := storeResultOf(r.Status)
+	c.in.store.Commit(statestore.ForUser, txn, func(r statestore.Result[statestore.Revision]) {
+		result := storeResultOf(r.Err)
 		switch {
 		case result == storeDone:
 			c.in.keepFinal(record.UserStatus())
--- a/internal/intake/golden_test.go
+++ b/internal/intake/golden_test.go
@@ -25,51 +25,51 @@
 
 // goldenStore is a state service that has some keys and keeps transactions.
 type goldenStore struct {
-	statestore.Store
+	statestore.ResultStore
 	values map[string][]byte
 	txns   []protocol.Txn
-	status int // of transactions that don't conflict
+	err    error // of transactions that don't conflict
 	down   bool
 }
 
-func (s *goldenStore) Get(key string, done func(statestore.Reply[protocol.Item])) {
+func (s *goldenStore) Get(key string, done func(statestore.Result[protocol.Item])) {
 	value, found := s.values[key]
 	switch {
 	case s.down:
-		done(statestore.Reply[protocol.Item]{Status: http.StatusServiceUnavailable})
+		done(statestore.Result[protocol.Item]{Err: statestore.ErrUnavailable})
 	case !found:
-		done(statestore.Reply[protocol.Item]{Status: http.StatusNotFound})
+		done(statestore.Result[protocol.Item]{Err: statestore.ErrNotFound})
 	default:
 		item := protocol.Item{Key: key, Value: value, Version: 9}
-		done(statestore.Reply[protocol.Item]{Status: http.StatusOK, Value: item})
+		done(statestore.Result[protocol.Item]{Value: item})
 	}
 }
 
-func (s *goldenStore) List(prefix, _ string, done func(statestore.Reply[protocol.ItemList])) {
+func (s *goldenStore) List(prefix, _ string, done func(statestore.Result[protocol.ItemList])) {
 	var list protocol.ItemList
 	for key, value := range s.values {
 		if strings.HasPrefix(key, prefix) {
 			list.Items = append(list.Items, protocol.Item{Key: key, Value: value, Version: 9})
 		}
 	}
-	done(statestore.Reply[protocol.ItemList]{Status: http.StatusOK, Value: list})
+	done(statestore.Result[protocol.ItemList]{Value: list})
 }
 
 func (s *goldenStore) Commit(_ statestore.Use, t protocol.Txn,
-	done func(statestore.Reply[protocol.TxnAnswer])) {
+	done func(statestore.Result[statestore.Revision])) {
 	s.txns = append(s.txns, t)
 	for _, guard := range t.Guards {
 		if _, exists := s.values[guard.Key]; exists != (guard.Version != 0) {
-			done(statestore.Reply[protocol.TxnAnswer]{Status: http.StatusConflict})
+			done(statestore.Result[statestore.Revision]{Err: statestore.ErrConflict})
 			return
 		}
 	}
-	done(statestore.Reply[protocol.TxnAnswer]{Status: s.status, Value: protocol.TxnAnswer{Revision: 300}})
+	done(statestore.Result[statestore.Revision]{Err: s.err, Value: 300})
 }
 
 // goldenIntake serves with a running job job-1 and a divided one job-2.
 func goldenIntake() (*Intake, *goldenStore) {
-	store := &goldenStore{values: map[string][]byte{}, status: http.StatusOK}
+	store := &goldenStore{values: map[string][]byte{}}
 	running := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 3}, 1)
 	running.Placed[0] = ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1}
 	running.Done.Add(1)
@@ -148,15 +148,15 @@
 			"503 Service Unavailable\nContent-Length: 39\nContent-Type: application/msgpack\n" +
 				"Retry-After: 1\n\n\x81\xa5error\xbfthe controller's memory is full"},
 		{"not recorded", "POST", "/api/jobs", protocol.Encode(accepted),
-			func(_ *Intake, store *goldenStore, _ *goldenHeartbeats) { store.status = http.StatusBadRequest },
+			func(_ *Intake, store *goldenStore, _ *goldenHeartbeats) { store.err = statestore.ErrInvalid },
 			"400 Bad Request\nContent-Length: 32\nContent-Type: application/msgpack\n" +
 				"\n\x81\xa5error\xb8too large to be recorded"},
 		{"no answer", "POST", "/api/jobs", protocol.Encode(accepted),
-			func(_ *Intake, store *goldenStore, _ *goldenHeartbeats) { store.status = 0 },
+			func(_ *Intake, store *goldenStore, _ *goldenHeartbeats) { store.err = statestore.ErrNoResponse },
 			"503 Service Unavailable\nContent-Length: 41\nContent-Type: application/msgpack\n" +
 				"Retry-After: 1\n\n\x81\xa5error\xd9 the state service did not answer"},
 		{"not served", "POST", "/api/jobs", protocol.Encode(accepted),
-			func(_ *Intake, store *goldenStore, _ *goldenHeartbeats) { store.status = 503 },
+			func(_ *Intake, store *goldenStore, _ *goldenHeartbeats) { store.err = statestore.ErrUnavailable },
 			"503 Service Unavailable\nContent-Length: 42\nContent-Type: application/msgpack\n" +
 				"Retry-After: 1\n\n\x81\xa5error\xd9!the state service does not answer"},
 		{"shown", "GET", "/api/jobs/job-1", nil, nil,
@@ -180,7 +180,7 @@
 			"404 Not Found\nContent-Length: 19\nContent-Type: application/msgpack\n" +
 				"\n\x81\xa5error\xabno such job"},
 		{"a job that is changing", "POST", "/api/jobs/job-1/withdraw", nil,
-			func(_ *Intake, store *goldenStore, _ *goldenHeartbeats) { store.status = http.StatusConflict },
+			func(_ *Intake, store *goldenStore, _ *goldenHeartbeats) { store.err = statestore.ErrConflict },
 			"503 Service Unavailable\nContent-Length: 27\nContent-Type: application/msgpack\n" +
 				"Retry-After: 1\n\n\x81\xa5error\xb3the job is changing"},
 		{"up", "GET", "/up", nil, nil,
--- a/internal/intake/helpers_test.go
+++ b/internal/intake/helpers_test.go
@@ -36,41 +36,38 @@
 
 // fakeStore is a key-value store that answers at once. Transactions don't change its values.
 type fakeStore struct {
-	statestore.Store
+	statestore.ResultStore
 	values   map[string][]byte
 	down     bool
 	maxValue int      // bytes of JSON, 0 for no limit
 	puts     [][]byte // values of the transactions that were carried out
 }
 
-func (s *fakeStore) Get(key string, done func(statestore.Reply[protocol.Item])) {
+func (s *fakeStore) Get(key string, done func(statestore.Result[protocol.Item])) {
 	value, found := s.values[key]
 	switch {
 	case s.down:
-		done(statestore.Reply[protocol.Item]{Status: http.StatusServiceUnavailable})
+		done(statestore.Result[protocol.Item]{Err: statestore.ErrUnavailable})
 	case !found:
-		done(statestore.Reply[protocol.Item]{Status: http.StatusNotFound})
+		done(statestore.Result[protocol.Item]{Err: statestore.ErrNotFound})
 	default:
 		item := protocol.Item{Key: key, Value: value, Version: 5}
-		done(statestore.Reply[protocol.Item]{Status: http.StatusOK, Value: item})
+		done(statestore.Result[protocol.Item]{Value: item})
 	}
 }
 
 func (s *fakeStore) Commit(
-	_ statestore.Use, txn protocol.Txn, done func(statestore.Reply[protocol.TxnAnswer]),
+	_ statestore.Use, txn protocol.Txn, done func(statestore.Result[statestore.Revision]),
 ) {
 	value := txn.Changes[0].Value
 	switch {
 	case s.down:
-		done(statestore.Reply[protocol.TxnAnswer]{Status: http.StatusServiceUnavailable})
+		done(statestore.Result[statestore.Revision]{Err: statestore.ErrUnavailable})
 	case s.maxValue > 0 && protocol.JSONSize(value) > s.maxValue:
-		done(statestore.Reply[protocol.TxnAnswer]{Status: http.StatusBadRequest})
+		done(statestore.Result[statestore.Revision]{Err: statestore.ErrInvalid})
 	default:
 		s.puts = append(s.puts, value)
-		done(statestore.Reply[protocol.TxnAnswer]{
-			Status: http.StatusOK,
-			Value:  protocol.TxnAnswer{Revision: 6},
-		})
+		done(statestore.Result[statestore.Revision]{Value: 6})
 	}
 }
 
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -17,7 +17,7 @@
 // Intake is the actor that answers requests.
 type Intake struct {
 	mailbox actor.Mailbox
-	store   statestore.Store
+	store   statestore.ResultStore
 	set     *settings.Settings
 	forward Forward
 	types   []protocol.MachineType // empty until the catalogue is known
@@ -38,7 +38,7 @@
 }
 
 // New makes the actor. It answers requests that the store doesn't serve through forward.
-func New(m actor.Mailbox, s statestore.Store, set *settings.Settings, forward Forward) *Intake {
+func New(m actor.Mailbox, s statestore.ResultStore, set *settings.Settings, forward Forward) *Intake {
 	return &Intake{
 		mailbox:       m,
 		store:         s,
--- a/internal/intake/status.go
+++ b/internal/intake/status.go
@@ -27,7 +27,7 @@
 		applyShards(record, page.Items)
 		return true
 	}
-	statestore.Walk(c.in.store, prefix, "", apply, func(int, string) {
+	statestore.WalkPages(c.in.store, prefix, "", apply, func(error, string) {
 		c.finish(knownJob(record.UserStatus()))
 	})
 }
--- a/internal/intake/storeresult.go
+++ b/internal/intake/storeresult.go
@@ -1,6 +1,10 @@
 package intake
 
-import "net/http"
+import (
+	"errors"
+
+	"postpoint/internal/statestore"
+)
 
 // storeResult is what became of a request to the key-value store.
 type storeResult int
@@ -16,22 +20,23 @@
 	storeUnexpected                     // a response that makes no sense
 )
 
-// storeResultOf maps the status of a response of the store, 0 if there was none.
-func storeResultOf(status int) storeResult {
+// storeResultOf maps the error of a request to the store. A failure of the store's server counts as
+// not carried out: if it was carried out all the same, the user's repeat finds that.
+func storeResultOf(err error) storeResult {
 	switch {
-	case status == 0:
-		return storeUnconfirmed
-	case status == http.StatusOK:
+	case err == nil:
 		return storeDone
-	case status == http.StatusNotFound:
+	case errors.Is(err, statestore.ErrNoResponse):
+		return storeUnconfirmed
+	case errors.Is(err, statestore.ErrNotFound):
 		return storeNotFound
-	case status == http.StatusConflict:
+	case errors.Is(err, statestore.ErrConflict):
 		return storeConflict
-	case status == http.StatusBadRequest:
+	case errors.Is(err, statestore.ErrInvalid):
 		return storeRejected
-	case status == http.StatusTooManyRequests:
+	case errors.Is(err, statestore.ErrThrottled):
 		return storeBusy
-	case status >= http.StatusInternalServerError:
+	case errors.Is(err, statestore.ErrUnavailable), errors.Is(err, statestore.ErrServerFailure):
 		return storeUnavailable
 	}
 	return storeUnexpected
--- a/internal/intake/submission.go
+++ b/internal/intake/submission.go
@@ -70,8 +70,8 @@
 		Guards:  []protocol.Guard{{Key: key}},
 		Changes: []protocol.Change{{Put: key, Value: c.newRecord().Encode()}},
 	}
-	c.in.store.Commit(statestore.ForUser, txn, func(r statestore.Reply[protocol.TxnAnswer]) {
-		switch result := storeResultOf(r.Status); result {
+	c.in.store.Commit(statestore.ForUser, txn, func(r statestore.Result[statestore.Revision]) {
+		switch result := storeResultOf(r.Err); result {
 		case storeDone:
 			status := protocol.JobStatus{ID: c.spec.ID, Status: protocol.StatusPending}
 			c.finish(outcome{kind: outcomeAccepted, status: status})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -57,7 +57,8 @@
 // New returns a node that does nothing yet.
 func New(e Environment) *Node {
 	n := &Node{}
-	n.Intake = intake.New(e.Mailboxes.Intake, e.Store(e.Mailboxes.Intake), e.Settings, e.Forward)
+	n.Intake = intake.New(e.Mailboxes.Intake, statestore.Typed(e.Store(e.Mailboxes.Intake)), e.Settings,
+		e.Forward)
 	n.Dispatch = n.newLeader(e)
 	n.Leadership = n.newCandidate(e)
 	n.Intake.ZoneReportsFrom(n.Dispatch.ZoneReports)
