--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -1,13 +1,13 @@
 package cells
 
 import (
-	"os"
-	"strings"
 	"testing"
 
+	"postpoint/internal/configfile/configtest"
 	"postpoint/internal/settings"
 )
 
+// ownSettings are those of a controller of cell alpha.
 func ownSettings() *settings.Settings {
 	s := &settings.Settings{Node: "worker-0", Known: []settings.Peer{{Node: "worker-1"}, {Node: "worker-2"}}}
 	s.Deployment.Teams = []settings.Team{{Name: "evaluare"}}
@@ -15,67 +15,82 @@
 	return s
 }
 
-func example(t *testing.T) string {
+// exampleDirectory is what the file under deploy/ says to a controller of cell alpha.
+func exampleDirectory(t *testing.T) *Directory {
 	t.Helper()
-	raw, err := os.ReadFile("../../deploy/cells.toml")
+	d, err := Parse([]byte(configtest.ReadExample(t, "cells.toml")), ownSettings())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(raw)
+	return d
 }
 
-// The file under deploy/ is good, and says what it seems to.
-func TestExampleFile(t *testing.T) {
-	d, err := Parse([]byte(example(t)), ownSettings())
-	if err != nil {
-		t.Fatal(err)
+func TestExampleFileListsCells(t *testing.T) {
+	d := exampleDirectory(t)
+	if d.Own.Name != "alpha" {
+		t.Errorf("own cell %q, want alpha", d.Own.Name)
+	}
+	if n := len(d.Others()); n != 1 {
+		t.Errorf("%d other cells, want 1", n)
+	}
+	if address := d.Own.Address("worker-1"); address != "10.0.0.2:8082" {
+		t.Errorf("worker-1 has address %q, want 10.0.0.2:8082", address)
 	}
-	if d.Own.Name != "alpha" || len(d.Others()) != 1 || d.Own.Address("worker-1") != "10.0.0.2:8082" || !d.TakesFrom("beta") {
-		t.Errorf("own %+v", d.Own)
+	if !d.TakesFrom("beta") {
+		t.Error("alpha hosts no jobs of beta, want it to")
 	}
+}
+
+func TestExampleFileLimitsOffloadingByClass(t *testing.T) {
+	d := exampleDirectory(t)
 	if _, ok := d.Rule("extrase", "evaluare"); !ok {
-		t.Error("extrase may not spill")
+		t.Error("class extrase may not be offloaded, want it to be")
 	}
 	if _, ok := d.Rule("revaluare", "evaluare"); ok {
-		t.Error("revaluare may spill")
+		t.Error("class revaluare may be offloaded, want it to stay")
 	}
-	if p := LongestPermission(ownSettings().Deployment.Workers, ClearTime(d.Cell("beta").Lease)); p.Seconds() < 10.9 || p.Seconds() > 11 {
-		t.Errorf("a permission of %v s", p.Seconds())
+}
+
+func TestLongestPermissionOfExampleFile(t *testing.T) {
+	d := exampleDirectory(t)
+	p := LongestPermission(ownSettings().Deployment.Workers, ClearTime(d.Cell("beta").Lease))
+	if p.Seconds() < 10.9 || p.Seconds() > 11 {
+		t.Errorf("permission of %v s, want between 10.9 and 11", p.Seconds())
 	}
 }
 
 // Each fault is refused with the name of its field.
-func TestFaultsAreNamed(t *testing.T) {
-	good := example(t)
-	for _, c := range []struct{ old, replacement, field string }{
-		{`cell = "alpha"`, `cell = "delta"`, "cell:"},
-		{`cell = "alpha"`, ``, "cell:"},
-		{`name = "beta"`, `name = "alpha"`, "cells[1].name"},
-		{`name = "beta"`, `name = "Beta 2"`, "cells[1].name"},
-		{`lease_s = 16.0                `, `lease_s = 12.0`, "cells.alpha.lease_s"},
-		{`node = "worker-1"`, `node = "worker-7"`, "cells.alpha.controllers"},
-		{`"10.0.0.3:8082"`, `"10.0.0.2:8082"`, "controllers[2].address"},
-		{`"10.1.0.1:8082"`, `"beta.example.org:8082"`, "address"},
-		{`reserve = { cpus = 16.0`, `reserve = { cpus = -1.0`, "reserve.cpus"},
-		{`guests = { cpus = 64.0, gpus = 4.0 }`, ``, "spill[0].to"},
-		{`to = ["beta"]`, `to = ["gamma"]`, "spill[0].to"},
-		{`to = ["beta"]`, `to = ["alpha"]`, "spill[0].to"},
-		{`to = ["beta"]`, `to = ["beta", "beta"]`, "spill[0].to"},
-		{`from = "beta"`, `from = "gamma"`, "spill[1].from"},
-		{`from = "beta"`, "from = \"alpha\"\nclasses = [\"extrase\"]", "spill[1].to"},
-		{"from = \"beta\"\nto = [\"alpha\"]", "from = \"alpha\"\nclasses = [\"extrase\"]\nto = [\"beta\"]", "spill[1]:"},
-		{`to = ["beta"]`, "to = [\"beta\"]\nteams = [\"nobody\"]", "spill[0].teams"},
-		{`to = ["beta"]`, "to = [\"beta\"]\nsplit_gangs = true", "spill[0].split_gangs"},
-		{`after_s = 15.0`, `after_s = -1.0`, "spill[0].after_s"},
-		{`after_s = 15.0`, `afterwards = 15.0`, "afterwards"},
-		{"lease_s = 16.0\nguests", "lease_s = 24.0\nguests", "spill[0].to"}, // no time for a permission
-	} {
-		text := strings.Replace(good, c.old, c.replacement, 1)
-		if text == good {
-			t.Fatalf("%q isn't in the example", c.old)
-		}
-		if _, err := Parse([]byte(text), ownSettings()); err == nil || !strings.Contains(err.Error(), c.field) {
-			t.Errorf("%q for %q: %v", c.replacement, c.old, err)
-		}
+func TestParseNamesFieldAtFault(t *testing.T) {
+	const (
+		betaToAlpha = "from = \"beta\"\nto = [\"alpha\"]"
+		alphaToBeta = "from = \"alpha\"\nclasses = [\"extrase\"]\nto = [\"beta\"]"
+	)
+	faults := []configtest.Fault{
+		{Old: `cell = "alpha"`, New: `cell = "delta"`, Field: "cell:"},
+		{Old: `cell = "alpha"`, New: ``, Field: "cell:"},
+		{Old: `name = "beta"`, New: `name = "alpha"`, Field: "cells[1].name"},
+		{Old: `name = "beta"`, New: `name = "Beta 2"`, Field: "cells[1].name"},
+		{Old: `lease_s = 16.0                `, New: `lease_s = 12.0`, Field: "cells.alpha.lease_s"},
+		{Old: `node = "worker-1"`, New: `node = "worker-7"`, Field: "cells.alpha.controllers"},
+		{Old: `"10.0.0.3:8082"`, New: `"10.0.0.2:8082"`, Field: "controllers[2].address"},
+		{Old: `"10.1.0.1:8082"`, New: `"beta.example.org:8082"`, Field: "address"},
+		{Old: `reserve = { cpus = 16.0`, New: `reserve = { cpus = -1.0`, Field: "reserve.cpus"},
+		{Old: `guests = { cpus = 64.0, gpus = 4.0 }`, New: ``, Field: "spill[0].to"},
+		{Old: `to = ["beta"]`, New: `to = ["gamma"]`, Field: "spill[0].to"},
+		{Old: `to = ["beta"]`, New: `to = ["alpha"]`, Field: "spill[0].to"},
+		{Old: `to = ["beta"]`, New: `to = ["beta", "beta"]`, Field: "spill[0].to"},
+		{Old: `from = "beta"`, New: `from = "gamma"`, Field: "spill[1].from"},
+		{Old: `from = "beta"`, New: "from = \"alpha\"\nclasses = [\"extrase\"]", Field: "spill[1].to"},
+		{Old: betaToAlpha, New: alphaToBeta, Field: "spill[1]:"},
+		{Old: `to = ["beta"]`, New: "to = [\"beta\"]\nteams = [\"nobody\"]", Field: "spill[0].teams"},
+		{Old: `to = ["beta"]`, New: "to = [\"beta\"]\nsplit_gangs = true", Field: "spill[0].split_gangs"},
+		{Old: `after_s = 15.0`, New: `after_s = -1.0`, Field: "spill[0].after_s"},
+		{Old: `after_s = 15.0`, New: `afterwards = 15.0`, Field: "afterwards"},
+		// No time is left for a permission.
+		{Old: "lease_s = 16.0\nguests", New: "lease_s = 24.0\nguests", Field: "spill[0].to"},
 	}
+	configtest.RequireRejected(t, configtest.ReadExample(t, "cells.toml"), faults, func(raw []byte) error {
+		_, err := Parse(raw, ownSettings())
+		return err
+	})
 }
--- a/internal/cells/directory.go
+++ b/internal/cells/directory.go
@@ -7,24 +7,26 @@
 	"postpoint/internal/planner"
 )
 
-// Directory is what a controller knows of the cells.
+// Directory is what a controller knows of the federation. It doesn't change while the controller
+// runs.
 type Directory struct {
 	// Own is the controller's own cell.
 	Own   *Cell
 	cells []*Cell
-	rules []Rule
+	rules []OffloadRule
 }
 
-// Cell is one cell of the group.
+// Cell is one cell of the federation.
 type Cell struct {
 	Name        string
 	Controllers []Controller
 	// Lease is that of its workers.
 	Lease clock.Micros
-	// Guests is the most that work of other cells may use at once, Reserve what it may not
-	// take of the machines that are up.
+	// Guests is the quota for hosted jobs: the most that they may use at once. Reserve is what they
+	// may not take of the machines that are up.
 	Guests, Reserve planner.Amounts
-	// Draining cells give back what they run for others and have others run, and exchange nothing new.
+	// Draining cells give back the jobs that they host, take back the tasks that they offloaded, and
+	// exchange nothing new.
 	Draining bool
 }
 
@@ -34,33 +36,53 @@
 	Address string // where other cells reach it
 }
 
-// Rule says what may spill from a cell, and where to.
-type Rule struct {
+// OffloadRule says which work may be offloaded from a cell, and where to.
+type OffloadRule struct {
 	From           string
 	Classes, Teams []string // empty: all
 	To             []string
-	// After is how long work waits in its own cell first.
+	// After is how long work waits in its origin cell first.
 	After clock.Micros
 }
 
+// directory converts a checked file.
 func (f *file) directory() *Directory {
 	d := &Directory{}
-	for _, e := range f.Cells {
-		c := &Cell{Name: e.Name, Lease: clock.FromSeconds(e.LeaseS), Draining: e.Drain,
-			Guests: e.Guests.amounts(), Reserve: e.Reserve.amounts()}
-		for _, controller := range e.Controllers {
-			c.Controllers = append(c.Controllers, Controller(controller))
-		}
-		d.cells = append(d.cells, c)
+	for i := range f.Cells {
+		d.cells = append(d.cells, f.Cells[i].cell())
 	}
-	for _, r := range f.Spill {
-		d.rules = append(d.rules, Rule{From: r.From, Classes: r.Classes, Teams: r.Teams, To: r.To, After: clock.FromSeconds(r.AfterS)})
+	for i := range f.OffloadRules {
+		d.rules = append(d.rules, f.OffloadRules[i].rule())
 	}
 	d.Own = d.Cell(f.Cell)
 	return d
 }
 
-func (a amountEntry) amounts() planner.Amounts { return planner.Amounts{Cpus: a.Cpus, Gpus: a.Gpus} }
+func (e *cellEntry) cell() *Cell {
+	c := &Cell{
+		Name:     e.Name,
+		Lease:    clock.FromSeconds(e.LeaseS),
+		Draining: e.Drain,
+		Guests:   e.HostedQuota.amounts(),
+		Reserve:  e.Reserve.amounts(),
+	}
+	for _, controller := range e.Controllers {
+		c.Controllers = append(c.Controllers, Controller(controller))
+	}
+	return c
+}
+
+func (e *ruleEntry) rule() OffloadRule {
+	return OffloadRule{
+		From:    e.From,
+		Classes: e.Classes,
+		Teams:   e.Teams,
+		To:      e.To,
+		After:   clock.FromSeconds(e.AfterS),
+	}
+}
+
+func (e amountEntry) amounts() planner.Amounts { return planner.Amounts{Cpus: e.Cpus, Gpus: e.Gpus} }
 
 // Cell finds a cell by name, or nil.
 func (d *Directory) Cell(name string) *Cell {
@@ -72,29 +94,33 @@
 	return nil
 }
 
-// Others are the cells but the controller's own.
+// Others returns the cells but the controller's own.
 func (d *Directory) Others() []*Cell {
 	return slices.DeleteFunc(slices.Clone(d.cells), func(c *Cell) bool { return c == d.Own })
 }
 
-// Rule finds the rule by which work of the controller's own cell may spill, if there is any.
-func (d *Directory) Rule(class, team string) (Rule, bool) {
-	for _, r := range d.rules {
-		if r.From == d.Own.Name && covers(r.Classes, class) && covers(r.Teams, team) {
-			return r, true
+// Rule finds the rule by which work of the controller's own cell may be offloaded. The result is
+// false if it has to stay.
+func (d *Directory) Rule(class, team string) (OffloadRule, bool) {
+	for _, rule := range d.rules {
+		if rule.From == d.Own.Name && covers(rule.Classes, class) && covers(rule.Teams, team) {
+			return rule, true
 		}
 	}
-	return Rule{}, false
+	return OffloadRule{}, false
 }
 
+// covers reports whether a list, of which an empty one stands for everything, has a name.
 func covers(names []string, name string) bool { return len(names) == 0 || slices.Contains(names, name) }
 
-// TakesFrom tells that a rule lets work of another cell come here.
+// TakesFrom reports whether a rule lets the controller's own cell host jobs of another one.
 func (d *Directory) TakesFrom(name string) bool {
-	return slices.ContainsFunc(d.rules, func(r Rule) bool { return r.From == name && slices.Contains(r.To, d.Own.Name) })
+	return slices.ContainsFunc(d.rules, func(rule OffloadRule) bool {
+		return rule.From == name && slices.Contains(rule.To, d.Own.Name)
+	})
 }
 
-// Address is where other cells reach a node of the cell, "" if it isn't one.
+// Address returns where other cells reach a node of the cell, "" if it isn't one.
 func (c *Cell) Address(node string) string {
 	for _, controller := range c.Controllers {
 		if controller.Node == node {
@@ -104,7 +130,9 @@
 	return ""
 }
 
-// Has tells whether an address is one of the cell's controllers.
+// Has reports whether an address is one of the cell's controllers.
 func (c *Cell) Has(address string) bool {
-	return slices.ContainsFunc(c.Controllers, func(x Controller) bool { return x.Address == address })
+	return slices.ContainsFunc(c.Controllers, func(controller Controller) bool {
+		return controller.Address == address
+	})
 }
--- /dev/null
+++ b/internal/configfile/validate.go
@@ -0,0 +1,36 @@
+package configfile
+
+import (
+	"errors"
+	"net/netip"
+	"reflect"
+	"strings"
+
+	"github.com/go-playground/validator/v10"
+)
+
+// validate checks contents by the validate tags of its fields. The error names the first field at
+// fault as the file does, by the names in tags of the given kind.
+func validate(contents any, nameTag string) error {
+	v := validator.New(validator.WithRequiredStructEnabled())
+	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get(nameTag) })
+	if err := v.RegisterValidation("ipv4port", isIPv4AddrPort); err != nil {
+		return err
+	}
+	err := v.Struct(contents)
+	var failed validator.ValidationErrors
+	if !errors.As(err, &failed) {
+		return err
+	}
+	first := failed[0]
+	_, path, _ := strings.Cut(first.Namespace(), ".") // without the name of the Go type
+	check := strings.TrimSpace(first.Tag() + " " + first.Param())
+	return Invalid(path, first.Value(), "fails the check %s", check)
+}
+
+// isIPv4AddrPort reports whether a field is an IPv4 address with its port. Host names are refused:
+// the platform has no name look-ups.
+func isIPv4AddrPort(f validator.FieldLevel) bool {
+	a, err := netip.ParseAddrPort(f.Field().String())
+	return err == nil && a.Addr().Is4() && a.Port() != 0
+}
--- /dev/null
+++ b/internal/recovery/evidence.go
@@ -0,0 +1,63 @@
+package recovery
+
+// Evidence is what the leader knows of a zone at one moment.
+type Evidence struct {
+	// Machines counts those that are up or should be, Heard those of them that report.
+	Machines, Heard int
+	// ProbesAnswered counts machines that don't report but have answered a direct question lately.
+	ProbesAnswered int
+	// Gone counts machines that the cloud lists as failed or no longer lists.
+	Gone int
+	// Controllers counts those of the zone, Reached those of them that answer this one.
+	Controllers, Reached int
+	// Elsewhere counts machines that report to other controllers.
+	Elsewhere int
+}
+
+// silentShare returns the share of the zone's machines that don't report.
+func (e Evidence) silentShare() float64 {
+	if e.Machines == 0 {
+		return 0
+	}
+	return float64(e.Machines-e.Heard) / float64(e.Machines)
+}
+
+// Reading says what the matter with a zone most likely is. It is shown to people and changes no
+// decision: a task is free to run elsewhere only on proof that it has ended.
+type Reading string
+
+// The readings. Their texts are shown in the overview.
+const (
+	AllHeard Reading = "well"
+	// ControllerIsolated zones can't be judged: this controller hears nothing from anywhere.
+	ControllerIsolated Reading = "this controller hears nothing"
+	PartlySilent       Reading = "a part of it is silent"
+	// PoweredOff zones have lost their machines, as the cloud says.
+	PoweredOff Reading = "it is dark"
+	// PartitionedOrOff zones have silent controllers as well; their machines may go on inside.
+	PartitionedOrOff Reading = "dark, or cut off with its workers going on inside"
+	// HeartbeatsMissing zones can be reached, but their machines' heartbeats don't arrive.
+	HeartbeatsMissing Reading = "its machines are silent, not all of it is out of reach"
+	HeardElsewhere    Reading = "other controllers hear it"
+)
+
+// Diagnose names what the evidence looks like. isolated says that this controller hears from no
+// other zone either.
+func Diagnose(e Evidence, isolated bool) Reading {
+	silent := e.Machines - e.Heard
+	switch {
+	case silent == 0:
+		return AllHeard
+	case isolated:
+		return ControllerIsolated
+	case e.Heard > 0:
+		return PartlySilent
+	case e.Elsewhere > 0:
+		return HeardElsewhere
+	case e.Reached > 0 || e.ProbesAnswered > 0:
+		return HeartbeatsMissing
+	case 2*e.Gone >= silent: // at least half of them
+		return PoweredOff
+	}
+	return PartitionedOrOff
+}
--- /dev/null
+++ b/internal/recovery/evidence_test.go
@@ -0,0 +1,21 @@
+package recovery
+
+import "testing"
+
+func TestDiagnoseNamesMostLikelyCause(t *testing.T) {
+	for want, e := range map[Reading]Evidence{
+		AllHeard:          well,
+		PartlySilent:      half,
+		PartitionedOrOff:  silent,
+		PoweredOff:        {Machines: 10, Gone: 8},
+		HeardElsewhere:    {Machines: 10, Elsewhere: 9},
+		HeartbeatsMissing: {Machines: 10, Controllers: 1, Reached: 1},
+	} {
+		if got := Diagnose(e, false); got != want {
+			t.Errorf("%+v is diagnosed as %q, want %q", e, got, want)
+		}
+	}
+	if got := Diagnose(silent, true); got != ControllerIsolated {
+		t.Errorf("an isolated controller diagnoses %q, want %q", got, ControllerIsolated)
+	}
+}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,15 +1,15 @@
-// Package settings reads and checks the file that the platform hands over.
+// Package settings has the platform's settings file: what it contains, and the checks of fields
+// against each other. It owns neither decoding nor the checks of single fields, which internal/configfile
+// does by the tags below, nor the operators' own files (internal/cells, internal/recovery), which
+// are checked against these settings. The command reads the file; everything else is handed the
+// result and changes nothing in it.
 package settings
 
 import (
-	"encoding/json"
-	"fmt"
-	"os"
-
 	"postpoint/internal/clock"
 )
 
-// Settings are the file's contents.
+// Settings are the file's contents. Fields that end in S are seconds.
 type Settings struct {
 	Node         string     `json:"node" validate:"required,max=100"`
 	Domain       string     `json:"domain" validate:"required,max=100"`
@@ -46,7 +46,7 @@
 	ClockErrorMs  float64       `json:"clock_error_ms" validate:"gte=0"`
 }
 
-// Team holds a team's guarantee and limit; 0 means none.
+// Team holds a team's guarantee (its fair share) and limit (its quota); 0 means none.
 type Team struct {
 	Name    string  `json:"name" validate:"required"`
 	Cpus    float64 `json:"cpus" validate:"gte=0"`
@@ -55,25 +55,16 @@
 	GpusMax float64 `json:"gpus_max" validate:"gte=0"`
 }
 
-// Objective is one of the users' aims for a class of jobs.
+// Objective is a service-level objective for a class of jobs.
 type Objective struct {
 	Kind    string  `json:"kind" validate:"required"`
 	Class   string  `json:"class"`
 	WithinS float64 `json:"within_s" validate:"gte=0"`
 	Share   float64 `json:"share"`
-	// Times stretches the deadline that a "deadline" aim is about.
+	// Times stretches the deadline that an objective of kind "deadline" is about.
 	Times float64 `json:"times" validate:"gte=0"`
 }
 
-// Nodes are the names of all controllers of the deployment, this one's first.
-func (s *Settings) Nodes() []string {
-	names := []string{s.Node}
-	for _, p := range s.Known {
-		names = append(names, p.Node)
-	}
-	return names
-}
-
 // Workers has the times by which machines and their tasks are run.
 type Workers struct {
 	ReportS   float64 `json:"report_s" validate:"gt=0"`
@@ -101,32 +92,7 @@
 	TxnOps   *int     `json:"txn_ops" validate:"omitnil,gte=1"`
 }
 
-// Tightest are the limits that hold whether or not the announced ones have come.
-func (s State) Tightest() State {
-	next := s.Next
-	s.Next = nil
-	if next == nil {
-		return s
-	}
-	s.Rps = lower(s.Rps, next.Rps)
-	s.WriteRps = lower(s.WriteRps, next.WriteRps)
-	s.ValueKb = lower(s.ValueKb, next.ValueKb)
-	s.TxnOps = lower(s.TxnOps, next.TxnOps)
-	return s
-}
-
-// lower is the smaller of a present and an announced limit.
-func lower[T int | float64](present T, announced *T) T {
-	if announced == nil {
-		return present
-	}
-	return min(present, *announced)
-}
-
-// ValueBytes is the largest value that may be stored, in bytes of its JSON form.
-func (s State) ValueBytes() int { return int(s.ValueKb * 1024) }
-
-// Cloud has the limits of the rental interface.
+// Cloud has the limits of the cloud's interface.
 type Cloud struct {
 	Rps      float64 `json:"rps" validate:"gt=0"`
 	ListLagS float64 `json:"list_lag_s" validate:"gte=0"`
@@ -139,68 +105,68 @@
 	MaxSockets int     `json:"max_sockets" validate:"gt=0"`
 }
 
-// Lease is how long a worker keeps its tasks after its last answered report.
+// Nodes returns the names of all controllers of the deployment, this one's first.
+func (s *Settings) Nodes() []string {
+	names := []string{s.Node}
+	for _, peer := range s.Known {
+		names = append(names, peer.Node)
+	}
+	return names
+}
+
+// Team finds a team by name. The result is false if there is none.
+func (d *Deployment) Team(name string) (Team, bool) {
+	for _, team := range d.Teams {
+		if team.Name == name {
+			return team, true
+		}
+	}
+	return Team{}, false
+}
+
+// Lease returns how long a worker keeps its tasks after the last report that was answered.
 func (w Workers) Lease() clock.Micros { return clock.FromSeconds(w.LeaseS) }
 
-// Report is the mean time between two reports of a worker.
+// Report returns the mean time between two reports of a worker.
 func (w Workers) Report() clock.Micros { return clock.FromSeconds(w.ReportS) }
 
-// GangPeer is the time in which the tasks of a gang notice the loss of one.
+// GangPeer returns the time within which the tasks of a gang notice the loss of one of them.
 func (w Workers) GangPeer() clock.Micros { return clock.FromSeconds(w.GangPeerS) }
 
-// KeepAlive is how long a leader may go on answering workers after the moment up to
-// which it knows every cancellation: one confirmed elsewhere right then still sees
-// every worker's lease run out within cancel_s. See docs/rules.md.
+// keepAliveMargin covers the drift of clocks and responses under way.
+const keepAliveMargin = clock.Second
+
+// KeepAlive returns how long a leader may go on answering workers after the moment up to which it
+// knows every cancellation: one confirmed elsewhere right then still sees every worker's lease
+// expire within cancel_s. See docs/rules.md.
 func (w Workers) KeepAlive() clock.Micros {
-	return clock.FromSeconds(w.CancelS-w.LeaseS) - clock.Second
+	return clock.FromSeconds(w.CancelS-w.LeaseS) - keepAliveMargin
 }
 
-// Load reads and checks FILE; the error names the field at fault.
-func Load(file string) (*Settings, error) {
-	raw, err := os.ReadFile(file)
-	if err != nil {
-		return nil, err
-	}
-	s, err := Parse(raw)
-	if err != nil {
-		return nil, fmt.Errorf("%s: %w", file, err)
-	}
-	return s, nil
-}
+// bytesPerKb is what value_kb counts in.
+const bytesPerKb = 1024
 
-// Parse checks the text of a settings file.
-func Parse(raw []byte) (*Settings, error) {
-	var s Settings
-	if err := json.Unmarshal(raw, &s); err != nil {
-		return nil, err
-	}
-	if err := Validate(&s, "json"); err != nil {
-		return nil, err
-	}
-	seen := map[string]bool{}
-	for _, t := range s.Deployment.Teams {
-		if seen[t.Name] {
-			return nil, fmt.Errorf("deployment.teams: %q is listed twice", t.Name)
-		}
-		seen[t.Name] = true
-		if t.CpusMax > 0 && t.Cpus > t.CpusMax || t.GpusMax > 0 && t.Gpus > t.GpusMax {
-			return nil, fmt.Errorf("deployment.teams: %q is guaranteed more than its limit", t.Name)
-		}
-	}
-	for _, p := range s.Known {
-		if p.Node == s.Node {
-			return nil, fmt.Errorf("known: %q is this node itself", p.Node)
-		}
+// ValueBytes returns the largest value that may be stored, in bytes of its JSON form.
+func (s State) ValueBytes() int { return int(s.ValueKb * bytesPerKb) }
+
+// Tightest returns the limits that hold whether or not the announced ones have come into force.
+func (s State) Tightest() State {
+	next := s.Next
+	s.Next = nil
+	if next == nil {
+		return s
 	}
-	return &s, nil
+	s.Rps = lower(s.Rps, next.Rps)
+	s.WriteRps = lower(s.WriteRps, next.WriteRps)
+	s.ValueKb = lower(s.ValueKb, next.ValueKb)
+	s.TxnOps = lower(s.TxnOps, next.TxnOps)
+	return s
 }
 
-// Team finds a team by name.
-func (d *Deployment) Team(name string) (Team, bool) {
-	for _, t := range d.Teams {
-		if t.Name == name {
-			return t, true
-		}
+// lower returns the smaller of a present and an announced limit.
+func lower[T int | float64](present T, announced *T) T {
+	if announced == nil {
+		return present
 	}
-	return Team{}, false
+	return min(present, *announced)
 }
