--- a/internal/cells/check.go
+++ b/internal/cells/check.go
@@ -65,7 +65,7 @@
 	}
 	field := "cells." + own.Name
 	if lease := set.Deployment.Workers.LeaseS; own.LeaseS != lease {
-		return configfile.Invalid(field+".lease_s", own.LeaseS, "differs from the settings' %v", lease)
+		return configfile.Invalid(field+".lease_s", own.LeaseS, "isn't the settings' %v", lease)
 	}
 	var listed []string
 	for _, c := range own.Controllers {
@@ -75,7 +75,7 @@
 	nodes := set.Nodes()
 	slices.Sort(nodes)
 	if !slices.Equal(listed, nodes) {
-		return configfile.Invalid(field+".controllers", listed, "differs from the settings' %v", nodes)
+		return configfile.Invalid(field+".controllers", listed, "aren't the settings' %v", nodes)
 	}
 	return nil
 }
@@ -121,7 +121,8 @@
 	}
 	for k := range f.OffloadRules[:i] {
 		if rule.overlaps(&f.OffloadRules[k]) {
-			return configfile.Invalid(field, nil, "another rule of %q is for the same classes and teams", rule.From)
+			problem := fmt.Sprintf("another rule of %q is for the same classes and teams", rule.From)
+			return &configfile.FieldError{Field: field, Problem: problem}
 		}
 	}
 	return f.checkTeams(field+".teams", rule, set)
--- a/internal/configfile/errors.go
+++ b/internal/configfile/errors.go
@@ -9,29 +9,24 @@
 type FieldError struct {
 	File  string // "" if the text didn't come from a file
 	Field string // its path, as the file spells it: cells[1].name
-	// Value is the value at fault, nil if there is none to show.
+	// Value is the value at fault, nil if there is none.
 	Value any
-	// Problem completes a sentence that begins with the value.
+	// Problem says what is wrong, in words that show the value.
 	Problem string
 }
 
-// Invalid returns a FieldError for a field and its value, for Load to add the file to.
+// Invalid returns a FieldError for a field and its value, for Load to add the file to. The problem
+// completes a sentence that begins with the value.
 func Invalid(field string, value any, problem string, args ...any) error {
-	return &FieldError{Field: field, Value: value, Problem: fmt.Sprintf(problem, args...)}
-}
-
-func (e *FieldError) Error() string {
-	text := e.Field + ": "
-	switch value := e.Value.(type) {
-	case nil:
-	case string:
-		text += fmt.Sprintf("%q ", value)
-	default:
-		text += fmt.Sprintf("%v ", value)
+	shown := fmt.Sprintf("%v", value)
+	if text, ok := value.(string); ok {
+		shown = fmt.Sprintf("%q", text)
 	}
-	return inFile(e.File, text+e.Problem)
+	return &FieldError{Field: field, Value: value, Problem: shown + " " + fmt.Sprintf(problem, args...)}
 }
 
+func (e *FieldError) Error() string { return inFile(e.File, e.Field+": "+e.Problem) }
+
 // SyntaxError is text that isn't in the file's notation at all, so that no field can be named.
 type SyntaxError struct {
 	File         string // "" if the text didn't come from a file
--- a/internal/configfile/validate.go
+++ b/internal/configfile/validate.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"net/netip"
 	"reflect"
 	"strings"
@@ -24,8 +25,9 @@
 	}
 	first := failed[0]
 	_, path, _ := strings.Cut(first.Namespace(), ".") // without the name of the Go type
-	check := strings.TrimSpace(first.Tag() + " " + first.Param())
-	return Invalid(path, first.Value(), "fails the check %s", check)
+	shown := fmt.Sprint(first.Value())
+	problem := fmt.Sprintf("fails the check %s %s (is %q)", first.Tag(), first.Param(), shown)
+	return &FieldError{Field: path, Value: first.Value(), Problem: problem}
 }
 
 // isIPv4AddrPort reports whether a field is an IPv4 address with its port. Host names are refused:
--- a/internal/recovery/load.go
+++ b/internal/recovery/load.go
@@ -46,7 +46,8 @@
 		}
 	}
 	if len(s.Order) != len(kinds) {
-		return configfile.Invalid("order", s.Order, "has to list all of %v", kinds)
+		problem := fmt.Sprintf("has to list all of %v", kinds)
+		return &configfile.FieldError{Field: "order", Value: s.Order, Problem: problem}
 	}
 	return nil
 }
