--- a/internal/delegation/message.go
+++ b/internal/delegation/message.go
@@ -7,14 +7,15 @@
 	"postpoint/internal/protocol"
 )
 
-// Cells speak in one kind of exchange, which a host's leader begins, as workers begin theirs
-// with a leader: the host reports what it has of the home cell's work, and the answer says
-// what it may go on with and what else it may take. An answer that comes too late is dropped.
+// Cells have one kind of exchange, which a host's leader begins, as workers begin theirs with a
+// leader: the host reports what it has of the origin cell's work, and the answer says what it may go
+// on with and what else it may take. An answer that comes too late is dropped.
 
-// Report is what a host tells a home cell.
+// Report is a host's heartbeat to an origin cell, with the status of what it hosts.
 type Report struct {
-	Host, Home string
-	// Epoch and Counter order the reports of a host.
+	Host string
+	Home string // the origin cell
+	// Epoch and Counter order the reports of a host: Epoch is its leader's.
 	Epoch, Counter int64
 	// Clear is how long after the end of a permission the host takes at most until nothing
 	// that needed it is on its machines.
@@ -28,12 +29,12 @@
 type Status struct {
 	Number int64
 	Job    string
-	// Closed delegations start nothing more: what is neither completed nor held is home's.
+	// Closed delegations start nothing more: what is neither completed nor held is the origin's.
 	Closed bool
 	Done   ledger.Ranges
 	// Held are tasks that may be on the host's machines.
 	Held ledger.Ranges
-	// Running and Waiting count the tasks that run and that wait for a place.
+	// Running and Waiting count the tasks that run and that wait for a machine.
 	Running, Waiting int
 	// Reason says why it was refused or given back.
 	Reason string
@@ -41,11 +42,11 @@
 
 // Load is how much a host could take. It is advice only: nothing depends on its being true.
 type Load struct {
-	// Room is how much more the host's operators let others use; memory isn't bounded.
+	// Room is what is left of the quota for hosted jobs; memory isn't bounded.
 	Room planner.Amounts
-	// Short is for how long work of the host's own has been waiting for room.
+	// Short is for how long work of the host's own has been waiting for machines.
 	Short clock.Micros
-	// MaxTasks is how many tasks of an ordinary job one delegation's record has room for.
+	// MaxTasks is how many tasks of an ordinary job fit into one delegation's record.
 	MaxTasks int
 	Types    []TypeLoad
 }
@@ -55,11 +56,11 @@
 	Type protocol.MachineType // without prices
 	// Free are the amounts that are free on machines that are up, beyond the reserve.
 	Free planner.Amounts
-	// Refused tells that its cloud has none left, as far as is known.
+	// Refused says that its cloud has none left, as far as is known.
 	Refused bool
 }
 
-// Verdict is what a home cell says of a delegation.
+// Verdict is what an origin cell lets a host do with a delegation.
 type Verdict byte
 
 // The verdicts. A host starts nothing of a delegation before the first Continue.
@@ -68,11 +69,11 @@
 	Continue Verdict = iota + 1
 	// Close lets it keep what runs for that time, and start nothing more.
 	Close
-	// Stop has it end what runs, saving progress, and lets it keep that for the time.
+	// Stop has it end what runs, saving checkpoints, and lets it keep that for the time.
 	Stop
 	// Cancel ends all of it at once.
 	Cancel
-	// Forget ends what is left, and has the record removed: home has taken what it needs.
+	// Forget ends what is left, and has the record removed: the origin has taken what it needs.
 	Forget
 )
 
@@ -92,6 +93,9 @@
 	return "unknown"
 }
 
+// valid reports whether this version knows a verdict.
+func (v Verdict) valid() bool { return v >= Continue && v <= Forget }
+
 // Ruling is the verdict on one delegation.
 type Ruling struct {
 	Number  int64
@@ -109,7 +113,7 @@
 	Age clock.Micros
 }
 
-// Result says whether a report was taken.
+// Result says whether a report was processed.
 type Result byte
 
 // The results.
@@ -119,7 +123,20 @@
 	NotLeader
 )
 
-// Answer is what a home cell answers a report.
+func (r Result) String() string {
+	switch r {
+	case Taken:
+		return "taken"
+	case NotLeader:
+		return "not leader"
+	}
+	return "unknown"
+}
+
+// valid reports whether this version knows a result.
+func (r Result) valid() bool { return r >= Taken && r <= NotLeader }
+
+// Answer is an origin cell's response to a report.
 type Answer struct {
 	Result  Result
 	Leader  string // the leader's address, if another node leads
@@ -127,17 +144,23 @@
 	Offers  []Offer
 }
 
-// Bounds of a message.
+// Bounds of a message, which keep it within a frame of internal/peer and bound what a leader does
+// for another cell.
 const (
 	// MaxPerHost is how many delegations one cell may have with one other.
 	MaxPerHost = 32
-	// MaxReported is how many a report names: those that are over stay for a moment.
+	// MaxReported is how many delegations a report names: those that are over stay for a moment.
 	MaxReported = 2 * MaxPerHost
 	// MaxTasks is how many tasks a delegation has at most.
 	MaxTasks = 256
 	// maxTypes is how many machine types a load describes.
 	maxTypes = 24
+	// maxZones is how many zones it names of each type.
 	maxZones = 8
-	// maxReason is the length of a reason.
+	// maxReason is the length of a reason, in bytes.
 	maxReason = 120
+	// maxNameText is the length of a cell's name or an address, in bytes.
+	maxNameText = 64
+	// maxAmount bounds an amount of processors or gigabytes either way; what is beyond is no amount.
+	maxAmount = 1e9
 )
--- a/internal/delegation/record.go
+++ b/internal/delegation/record.go
@@ -1,7 +1,9 @@
-// Package delegation is the transfer of a job's tasks from the cell that accepted the job,
-// its home, to another cell that runs them, their host. It has the records of both sides,
-// their states, the messages between them and what each message may change. It is pure: the
-// leaders of both cells keep the records, send the messages and tell the time.
+// Package delegation has the transfer of a job's tasks from the cell that accepted the job, its
+// origin, to another cell that runs them, their host. It owns the records of both sides, their
+// states, the messages between them with their binary form, and what each message may change. It
+// doesn't own connections, timers and the state service, nor the choice of what is offloaded
+// (internal/spill). It is pure: the leaders of both cells (internal/dispatch) store the records, send the
+// messages and tell the time; internal/peer carries the messages.
 //
 // docs/cells.md has the table of states and the argument that nothing runs twice.
 package delegation
@@ -15,17 +17,17 @@
 	"postpoint/internal/protocol"
 )
 
-// State is what home knows of a delegation.
+// State is what the origin cell knows of a delegation.
 type State string
 
-// The states of a delegation. Home may start none of its tasks in any of them: a task is free
-// for home only once it is no longer the delegation's.
+// The states of a delegation. The origin cell may start none of its tasks in any of them: a task is
+// free for it only once the task no longer belongs to the delegation.
 const (
-	// Offered delegations are in home's records; the host may or may not have heard of them.
+	// Offered delegations are in the origin's records; the host may or may not have heard of them.
 	Offered State = "offered"
 	// Accepted ones are in the host's records too.
 	Accepted State = "accepted"
-	// Refused ones the host will never start.
+	// Refused ones are never started by the host.
 	Refused State = "refused"
 	// Recalled ones are wanted back.
 	Recalled State = "recalled"
@@ -33,7 +35,16 @@
 	Ended State = "ended"
 )
 
-// Record is a delegation in home's state service.
+// valid reports whether this version knows a state.
+func (s State) valid() bool {
+	switch s {
+	case Offered, Accepted, Refused, Recalled, Ended:
+		return true
+	}
+	return false
+}
+
+// Record is a delegation in the origin cell's state service.
 type Record struct {
 	Number int64
 	Host   string // cell
@@ -53,38 +64,58 @@
 }
 
 const (
-	// Prefix is where home keeps its delegations.
+	// Prefix is where the origin cell keeps its delegations.
 	Prefix = "delegations/"
 	// NumbersKey holds the first number that no leader has taken yet.
 	NumbersKey = "delegation-numbers"
 )
 
-// Key is where a delegation's record stands.
+// Key returns where a delegation's record stands.
 func Key(number int64) string { return Prefix + strconv.FormatInt(number, 10) }
 
-// Encode gives the value to store.
+// Encode returns the value to store.
 func (r *Record) Encode() []byte {
-	return protocol.Encode(storedRecord{r.Host, r.Job, r.Tasks.String(), string(r.State), r.OfferedAt})
+	return protocol.Encode(storedRecord{
+		Host:      r.Host,
+		Job:       r.Job,
+		Tasks:     r.Tasks.String(),
+		State:     string(r.State),
+		OfferedAt: r.OfferedAt,
+	})
 }
 
-// DecodeRecord reads a stored delegation.
+// DecodeRecord reads a stored delegation. Errors are a *RecordError.
 func DecodeRecord(key string, value []byte) (Record, error) {
+	r, err := decodeRecord(key, value)
+	if err != nil {
+		return Record{}, &RecordError{Key: key, Err: err}
+	}
+	return r, nil
+}
+
+func decodeRecord(key string, value []byte) (Record, error) {
 	number, err := strconv.ParseInt(strings.TrimPrefix(key, Prefix), 10, 64)
 	if err != nil {
 		return Record{}, err
 	}
-	var s storedRecord
-	if err := protocol.Decode(value, &s); err != nil {
+	var stored storedRecord
+	if err := protocol.Decode(value, &stored); err != nil {
 		return Record{}, err
 	}
-	tasks, err := ledger.ParseRanges(s.Tasks)
+	tasks, err := ledger.ParseRanges(stored.Tasks)
 	if err != nil {
 		return Record{}, err
 	}
-	switch State(s.State) {
-	case Offered, Accepted, Refused, Recalled, Ended:
-	default:
-		return Record{}, fmt.Errorf("state %q", s.State)
+	state := State(stored.State)
+	if !state.valid() {
+		return Record{}, fmt.Errorf("state %q", stored.State)
 	}
-	return Record{Number: number, Host: s.Host, Job: s.Job, Tasks: tasks, State: State(s.State), OfferedAt: s.OfferedAt}, nil
+	return Record{
+		Number:    number,
+		Host:      stored.Host,
+		Job:       stored.Job,
+		Tasks:     tasks,
+		State:     state,
+		OfferedAt: stored.OfferedAt,
+	}, nil
 }
