--- a/internal/spill/relax.go
+++ b/internal/spill/relax.go
@@ -9,8 +9,18 @@
 	"postpoint/internal/planner"
 )
 
-// relax solves the problem with parts of tasks allowed. ok is false if the solver fails.
-func (p *problem) relax() (tasks []float64, ok bool) {
+const (
+	// tolerance is the solver's; whole numbers of tasks are far apart.
+	tolerance = 1e-9
+	// roundTolerance lets a number of tasks that the solver has just missed count as whole.
+	roundTolerance = 1e-6
+)
+
+// relaxedAllocation is how many tasks, or parts of tasks, take each option.
+type relaxedAllocation []float64
+
+// solveRelaxed solves the problem with parts of tasks allowed.
+func (p *problem) solveRelaxed() (relaxedAllocation, error) {
 	rows := p.constraints()
 	n := len(p.options)
 	// The solver wants equations: each row gets a variable for what it leaves unused.
@@ -20,22 +30,22 @@
 	}
 	a := mat.NewDense(len(rows), len(costs), nil)
 	b := make([]float64, len(rows))
-	for k, r := range rows {
-		for i, x := range r.takes {
+	for k, row := range rows {
+		for i, x := range row.takes {
 			a.Set(k, i, x)
 		}
 		a.Set(k, n+k, 1)
-		b[k] = r.most
+		b[k] = row.most
 	}
-	_, x, err := lp.Simplex(costs, a, b, tolerance, p.unused(len(rows)))
+	_, x, err := lp.Simplex(costs, a, b, tolerance, p.initialBasis(len(rows)))
 	if err != nil {
-		return nil, false
+		return nil, err
 	}
-	return x[:n], true
+	return x[:n], nil
 }
 
-// unused is the solver's first basis: nothing is taken.
-func (p *problem) unused(rows int) []int {
+// initialBasis returns the solver's first basis: nothing is allocated, all rows are unused.
+func (p *problem) initialBasis(rows int) []int {
 	basis := make([]int, rows)
 	for k := range basis {
 		basis[k] = len(p.options) + k
@@ -43,70 +53,88 @@
 	return basis
 }
 
-// tolerance is the solver's; whole numbers of tasks are far apart.
-const tolerance = 1e-9
-
-// constraint bounds what the options take of one thing.
+// constraint bounds what all options take of one thing.
 type constraint struct {
-	takes []float64 // each task of each option
+	takes []float64 // by each task of each option
 	most  float64
 }
 
+// constraints returns the bounds by tasks, pools and host cells.
 func (p *problem) constraints() []constraint {
 	var rows []constraint
-	add := func(most float64, takes func(option) float64) {
-		c := constraint{make([]float64, len(p.options)), max(most, 0)}
-		used := false
-		for i, o := range p.options {
-			c.takes[i] = takes(o)
-			used = used || c.takes[i] > 0
-		}
-		if used {
-			rows = append(rows, c)
-		}
-	}
+	rows = p.appendTaskConstraints(rows)
+	rows = p.appendPoolConstraints(rows)
+	return p.appendHostConstraints(rows)
+}
+
+// amount is one of the amounts that tasks need.
+type amount func(planner.Amounts) float64
+
+func cpus(a planner.Amounts) float64     { return a.Cpus }
+func gpus(a planner.Amounts) float64     { return a.Gpus }
+func memoryGB(a planner.Amounts) float64 { return a.MemoryGB }
+
+// appendTaskConstraints bounds the tasks of each job by those that wait.
+func (p *problem) appendTaskConstraints(rows []constraint) []constraint {
 	for w := range p.work {
-		add(float64(p.work[w].Tasks), func(o option) float64 {
+		rows = p.appendConstraint(rows, float64(p.work[w].Tasks), func(o option) float64 {
 			if o.work == w {
 				return 1
 			}
 			return 0
 		})
 	}
-	for _, amount := range []func(planner.Amounts) float64{
-		func(a planner.Amounts) float64 { return a.Cpus },
-		func(a planner.Amounts) float64 { return a.Gpus },
-		func(a planner.Amounts) float64 { return a.MemoryGB },
-	} {
-		for l := range p.lanes {
-			add(amount(p.lanes[l].room), func(o option) float64 {
-				if o.lane != l {
+	return rows
+}
+
+// appendPoolConstraints bounds what tasks need by the room of each pool.
+func (p *problem) appendPoolConstraints(rows []constraint) []constraint {
+	for _, of := range []amount{cpus, gpus, memoryGB} {
+		for i := range p.pools {
+			rows = p.appendConstraint(rows, of(p.pools[i].room), func(o option) float64 {
+				if o.pool != i {
 					return 0
 				}
-				return amount(planner.Needs(p.work[o.work].Spec))
+				return of(planner.Needs(p.work[o.work].Spec))
 			})
 		}
 	}
-	for _, amount := range []func(planner.Amounts) float64{
-		func(a planner.Amounts) float64 { return a.Cpus },
-		func(a planner.Amounts) float64 { return a.Gpus },
-	} {
-		for h := range p.hosts {
-			add(amount(p.hosts[h].Load.Room), func(o option) float64 {
-				if p.lanes[o.lane].host != h {
+	return rows
+}
+
+// appendHostConstraints bounds what tasks need by each host cell's quota; memory isn't bounded.
+func (p *problem) appendHostConstraints(rows []constraint) []constraint {
+	for _, of := range []amount{cpus, gpus} {
+		for host := range p.hosts {
+			rows = p.appendConstraint(rows, of(p.hosts[host].Load.Room), func(o option) float64 {
+				if p.pools[o.pool].host != host {
 					return 0
 				}
-				return amount(planner.Needs(p.work[o.work].Spec))
+				return of(planner.Needs(p.work[o.work].Spec))
 			})
 		}
 	}
 	return rows
 }
 
-// round takes whole tasks, and whole gangs, of a solution.
-func (p *problem) round(relaxed []float64) []int {
-	tasks := make([]int, len(relaxed))
-	r := p.roomAfter(tasks)
+// appendConstraint adds a bound, unless no option takes anything of what it bounds.
+func (p *problem) appendConstraint(rows []constraint, most float64, takes func(option) float64) []constraint {
+	c := constraint{takes: make([]float64, len(p.options)), most: max(most, 0)}
+	used := false
+	for i, o := range p.options {
+		c.takes[i] = takes(o)
+		used = used || c.takes[i] > 0
+	}
+	if !used {
+		return rows
+	}
+	return append(rows, c)
+}
+
+// round takes whole tasks, and whole gangs, of a relaxed solution.
+func (p *problem) round(relaxed relaxedAllocation) allocation {
+	a := p.empty()
+	r := p.remainderAfter(a)
 	for i, x := range relaxed {
 		n := int(math.Floor(x + roundTolerance))
 		if w := &p.work[p.options[i].work]; w.Whole && n < w.Tasks {
@@ -114,9 +142,7 @@
 		}
 		n = min(n, p.fits(&r, i))
 		p.take(&r, i, n)
-		tasks[i] = n
+		a[i] = n
 	}
-	return tasks
+	return a
 }
-
-const roundTolerance = 1e-6
