--- a/internal/recovery/zone.go
+++ b/internal/recovery/zone.go
@@ -37,7 +37,7 @@
 	Number  int64
 	Since   clock.Micros // when the phase began
 	Reading Reading
-	// Flaps counts recent returns that didn't last. Each doubles the time that the next has to.
+	// Flaps counts losses after the first. Each doubles the time that the next return has to last.
 	Flaps int
 	// wellSince is since when nearly all machines have been heard of, 0 if they aren't.
 	wellSince clock.Micros
@@ -51,7 +51,8 @@
 	maxDoublings = 4
 	// maxReturnDelay bounds the return delay: good machines shouldn't stay empty for longer.
 	maxReturnDelay = 120 * clock.Second
-	// flapMemory is after how long without a loss earlier flaps are forgotten.
+	// flapMemory is how long the phase before a loss has to have lasted for earlier flaps to be
+	// forgotten. That phase is nearly always a short Suspect, so that flaps hardly ever are.
 	flapMemory = 600 * clock.Second
 	// retryReachableDelay is after how long a lost zone without machines, of which a controller
 	// answers, is tried again: only a new machine can show whether it is back.
