--- a/internal/recovery/evidence.go
+++ b/internal/recovery/evidence.go
@@ -32,8 +32,8 @@
 	// ControllerIsolated zones can't be judged: this controller hears nothing from anywhere.
 	ControllerIsolated Reading = "this controller hears nothing"
 	PartlySilent       Reading = "a part of it is silent"
-	// PoweredOff zones have lost their machines, as the cloud says.
-	PoweredOff Reading = "it is dark"
+	// Dark zones have lost their machines, as the cloud says.
+	Dark Reading = "it is dark"
 	// PartitionedOrOff zones have silent controllers as well; their machines may go on inside.
 	PartitionedOrOff Reading = "dark, or cut off with its workers going on inside"
 	// HeartbeatsMissing zones can be reached, but their machines' heartbeats don't arrive.
@@ -57,7 +57,7 @@
 	case e.Reached > 0 || e.ProbesAnswered > 0:
 		return HeartbeatsMissing
 	case 2*e.Gone >= silent: // at least half of them
-		return PoweredOff
+		return Dark
 	}
 	return PartitionedOrOff
 }
--- a/internal/recovery/evidence_test.go
+++ b/internal/recovery/evidence_test.go
@@ -7,7 +7,7 @@
 		AllHeard:          well,
 		PartlySilent:      half,
 		PartitionedOrOff:  silent,
-		PoweredOff:        {Machines: 10, Gone: 8},
+		Dark:              {Machines: 10, Gone: 8},
 		HeardElsewhere:    {Machines: 10, Elsewhere: 9},
 		HeartbeatsMissing: {Machines: 10, Controllers: 1, Reached: 1},
 	} {
--- a/internal/recovery/golden_test.go
+++ b/internal/recovery/golden_test.go
@@ -55,7 +55,7 @@
 		{string(AllHeard), "well"},
 		{string(ControllerIsolated), "this controller hears nothing"},
 		{string(PartlySilent), "a part of it is silent"},
-		{string(PoweredOff), "it is dark"},
+		{string(Dark), "it is dark"},
 		{string(PartitionedOrOff), "dark, or cut off with its workers going on inside"},
 		{string(HeartbeatsMissing), "its machines are silent, not all of it is out of reach"},
 		{string(HeardElsewhere), "other controllers hear it"},
