--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -11,7 +11,13 @@
 func ownSettings() *settings.Settings {
 	s := &settings.Settings{Node: "worker-0", Known: []settings.Peer{{Node: "worker-1"}, {Node: "worker-2"}}}
 	s.Deployment.Teams = []settings.Team{{Name: "evaluare"}}
-	s.Deployment.Workers = settings.Workers{ReportS: 2.5, LeaseS: 16, GangWaitS: 40, GangPeerS: 5, CancelS: 36}
+	s.Deployment.Workers = settings.Workers{
+		ReportS:   2.5,
+		LeaseS:    16,
+		GangWaitS: 40,
+		GangPeerS: 5,
+		CancelS:   36,
+	}
 	return s
 }
 
--- a/internal/cells/golden_test.go
+++ b/internal/cells/golden_test.go
@@ -186,7 +186,12 @@
 		Own:   alpha,
 		cells: []*Cell{alpha, beta},
 		rules: []OffloadRule{
-			{From: "alpha", Classes: []string{"scenarii", "extrase"}, To: []string{"beta"}, After: 15 * clock.Second},
+			{
+				From:    "alpha",
+				Classes: []string{"scenarii", "extrase"},
+				To:      []string{"beta"},
+				After:   15 * clock.Second,
+			},
 			{From: "beta", To: []string{"alpha"}, After: 15 * clock.Second},
 		},
 	}
--- a/internal/cells/permission.go
+++ b/internal/cells/permission.go
@@ -20,13 +20,13 @@
 	driftDivisor = 1000
 	// returnTime is left for the cloud to return a machine that hangs with a task.
 	returnTime = 7 * clock.Second
-	// permissionMargin covers drift between clocks, timers, and answers under way.
+	// permissionMargin covers drift between clocks, timers, and responses under way.
 	permissionMargin = clock.Second
 	// MinPermission lets two exchanges in a row fail before a permission ends.
 	MinPermission = 4 * clock.Second
 )
 
-// SilenceTime returns after which time, counted from the last answer to it, a host cell's silent
+// SilenceTime returns after which time, counted from the last response to it, a host cell's silent
 // machine holds nothing that is still running: its lease, the drift of clocks, and a margin.
 func SilenceTime(lease clock.Micros) clock.Micros { return lease + lease/driftDivisor + silenceMargin }
 
--- a/internal/delegation/codec.go
+++ b/internal/delegation/codec.go
@@ -151,8 +151,8 @@
 	w.number(int64(o.Age))
 }
 
-// DecodeAnswer reads the binary form. Jobs that are offered are checked like submissions. Errors are
-// a *MalformedError, an *OfferError or a VersionError.
+// DecodeAnswer reads the binary form. Jobs that are offered are checked like submissions.
+// Errors are a *MalformedError, an *OfferError or a VersionError.
 func DecodeAnswer(raw []byte) (Answer, error) {
 	r := newReader(raw)
 	r.version()
@@ -184,7 +184,7 @@
 	ruling.Number = r.number()
 	ruling.Verdict = Verdict(r.byte())
 	if !ruling.Verdict.valid() {
-		r.fail("there is no such verdict")
+		r.fail("there is no such action")
 	}
 	ruling.For = clock.Micros(r.number())
 	return ruling
--- a/internal/delegation/codec_test.go
+++ b/internal/delegation/codec_test.go
@@ -71,7 +71,7 @@
 	}
 })
 
-var drawReport = rapid.Custom(func(t *rapid.T) Report {
+var drawHeartbeat = rapid.Custom(func(t *rapid.T) Report {
 	r := Report{
 		Host:    drawText.Draw(t, "host"),
 		Home:    drawText.Draw(t, "home"),
@@ -93,7 +93,7 @@
 	return r
 })
 
-var drawAnswer = rapid.Custom(func(t *rapid.T) Answer {
+var drawResponse = rapid.Custom(func(t *rapid.T) Answer {
 	spec := protocol.JobSpec{
 		ID:       "job-1",
 		Class:    "c",
@@ -122,21 +122,21 @@
 
 func TestMessagesAreDecodedAsTheyWereEncoded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		report := drawReport.Draw(t, "report")
-		if got, err := DecodeReport(report.Encode()); err != nil || !equal(report, got) {
-			t.Fatalf("report: error %v, decoded minus encoded: %s", err, cmp.Diff(report, got, unexported))
+		heartbeat := drawHeartbeat.Draw(t, "heartbeat")
+		if got, err := DecodeReport(heartbeat.Encode()); err != nil || !equal(heartbeat, got) {
+			t.Fatalf("heartbeat: error %v, decoded minus encoded: %s", err, cmp.Diff(heartbeat, got, unexported))
 		}
-		answer := drawAnswer.Draw(t, "answer")
-		if got, err := DecodeAnswer(answer.Encode()); err != nil || !equal(answer, got) {
-			t.Fatalf("answer: error %v, decoded minus encoded: %s", err, cmp.Diff(answer, got, unexported))
+		response := drawResponse.Draw(t, "response")
+		if got, err := DecodeAnswer(response.Encode()); err != nil || !equal(response, got) {
+			t.Fatalf("response: error %v, decoded minus encoded: %s", err, cmp.Diff(response, got, unexported))
 		}
 	})
 }
 
-func TestReportsOfAnotherLengthAreRefused(t *testing.T) {
+func TestHeartbeatsOfAnotherLengthAreRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		report := drawReport.Draw(t, "report")
-		raw := report.Encode()
+		heartbeat := drawHeartbeat.Draw(t, "heartbeat")
+		raw := heartbeat.Encode()
 		cut := rapid.IntRange(0, len(raw)-1).Draw(t, "cut")
 		if _, err := DecodeReport(raw[:cut]); !errors.Is(err, ErrMalformed) {
 			t.Fatalf("%d of %d bytes: error %v, want %v", cut, len(raw), err, ErrMalformed)
@@ -152,36 +152,36 @@
 // Whatever becomes of garbled messages, decoding them doesn't panic.
 func TestDecodingGarbageDoesNotPanic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		answer := drawAnswer.Draw(t, "answer")
-		garbled := answer.Encode()
+		response := drawResponse.Draw(t, "response")
+		garbled := response.Encode()
 		garbled[rapid.IntRange(0, len(garbled)-1).Draw(t, "at")] ^= rapid.Byte().Draw(t, "bits")
 		_, _ = DecodeAnswer(garbled)
 		_, _ = DecodeReport(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"))
 	})
 }
 
-func TestReportsOfAnotherVersionAreRefused(t *testing.T) {
+func TestHeartbeatsOfAnotherVersionAreRefused(t *testing.T) {
 	_, err := DecodeReport([]byte{Version + 1})
 	if want := VersionError(Version + 1); err != want {
 		t.Errorf("error %v, want %v", err, want)
 	}
 }
 
-// An unknown result, an unknown verdict and a job that wouldn't be accepted as a submission are refused.
-func TestAnswersThatMakeNoSenseAreRefused(t *testing.T) {
-	for _, answer := range []Answer{
+// An unknown result, an unknown action and a job that wouldn't be accepted as a submission are refused.
+func TestResponsesThatMakeNoSenseAreRefused(t *testing.T) {
+	for _, response := range []Answer{
 		{},
 		{Result: NotLeader + 1},
 		{Result: Taken, Rulings: []Ruling{{Number: 7}}},
 		{Result: Taken, Rulings: []Ruling{{Number: 7, Verdict: Forget + 1}}},
 	} {
-		if _, err := DecodeAnswer(answer.Encode()); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%+v: error %v, want %v", answer, err, ErrMalformed)
+		if _, err := DecodeAnswer(response.Encode()); !errors.Is(err, ErrMalformed) {
+			t.Errorf("%+v: error %v, want %v", response, err, ErrMalformed)
 		}
 	}
-	answer := Answer{Result: Taken, Offers: []Offer{{Number: 8}}}
+	response := Answer{Result: Taken, Offers: []Offer{{Number: 8}}}
 	var offer *OfferError
-	if _, err := DecodeAnswer(answer.Encode()); !errors.As(err, &offer) || offer.Number != 8 {
+	if _, err := DecodeAnswer(response.Encode()); !errors.As(err, &offer) || offer.Number != 8 {
 		t.Errorf("offer without a job: error %v, want an *OfferError for number 8", err)
 	}
 }
--- a/internal/delegation/message.go
+++ b/internal/delegation/message.go
@@ -8,14 +8,14 @@
 )
 
 // Cells have one kind of exchange, which a host's leader begins, as workers begin theirs with a
-// leader: the host reports what it has of the origin cell's work, and the answer says what it may go
-// on with and what else it may take. An answer that comes too late is dropped.
+// leader: its heartbeat says what it has of the origin cell's work, and the response says what it may
+// go on with and what else it may take. A response that comes too late is dropped.
 
-// Report is a host's heartbeat to an origin cell, with the status of what it hosts.
+// Report is what a host sends to an origin cell: a heartbeat with the status of what it hosts.
 type Report struct {
 	Host string
 	Home string // the origin cell
-	// Epoch and Counter order the reports of a host: Epoch is its leader's.
+	// Epoch and Counter order the heartbeats of a host: Epoch is its leader's.
 	Epoch, Counter int64
 	// Clear is how long after the end of a permission the host takes at most until nothing
 	// that needed it is on its machines.
@@ -63,7 +63,7 @@
 // Verdict is what an origin cell lets a host do with a delegation.
 type Verdict byte
 
-// The verdicts. A host starts nothing of a delegation before the first Continue.
+// The actions. A host starts nothing of a delegation before the first Continue.
 const (
 	// Continue lets the host start and keep the delegation's tasks for a time.
 	Continue Verdict = iota + 1
@@ -93,14 +93,14 @@
 	return "unknown"
 }
 
-// valid reports whether this version knows a verdict.
+// valid reports whether this version knows an action.
 func (v Verdict) valid() bool { return v >= Continue && v <= Forget }
 
-// Ruling is the verdict on one delegation.
+// Ruling is what a host may do with one delegation.
 type Ruling struct {
 	Number  int64
 	Verdict Verdict
-	// For is how long the permission lasts from the moment that the report was sent.
+	// For is how long the permission lasts from the moment that the heartbeat was sent.
 	For clock.Micros
 }
 
@@ -113,7 +113,7 @@
 	Age clock.Micros
 }
 
-// Result says whether a report was processed.
+// Result says whether a heartbeat was processed.
 type Result byte
 
 // The results.
@@ -136,7 +136,7 @@
 // valid reports whether this version knows a result.
 func (r Result) valid() bool { return r >= Taken && r <= NotLeader }
 
-// Answer is an origin cell's response to a report.
+// Answer is what an origin cell responds to a heartbeat.
 type Answer struct {
 	Result  Result
 	Leader  string // the leader's address, if another node leads
@@ -149,7 +149,7 @@
 const (
 	// MaxPerHost is how many delegations one cell may have with one other.
 	MaxPerHost = 32
-	// MaxReported is how many delegations a report names: those that are over stay for a moment.
+	// MaxReported is how many delegations a heartbeat names: those that are over stay for a moment.
 	MaxReported = 2 * MaxPerHost
 	// MaxTasks is how many tasks a delegation has at most.
 	MaxTasks = 256
--- a/internal/delegation/permission.go
+++ b/internal/delegation/permission.go
@@ -6,11 +6,11 @@
 // has delegated. It works like a lease that the host renews. It belongs to one leader's term: a
 // successor has to ask the origin cell itself. Times are on the leader's clock.
 type Permit struct {
-	// until is when the permission ends. Before the origin's first answer there is none.
+	// until is when the permission ends. Before the origin's first response there is none.
 	until clock.Micros
-	// asked says that the origin has answered.
+	// asked says that the origin has responded.
 	asked bool
-	// patience is until when a first answer is waited for.
+	// patience is until when a first response is waited for.
 	patience clock.Micros
 	// Ending says that all of it has to go, Closing that nothing more starts, Stopping that what
 	// runs is to be stopped with its progress saved.
@@ -23,7 +23,7 @@
 // missed until the given time.
 func Patient(until clock.Micros) *Permit { return &Permit{patience: until} }
 
-// Take takes the origin's ruling in the answer to a report that was sent at the given time.
+// Take takes what the origin cell responded to a heartbeat that was sent at the given time.
 func (p *Permit) Take(r Ruling, sentAt, now clock.Micros) {
 	p.asked = true
 	switch r.Verdict {
--- a/internal/delegation/transfer_test.go
+++ b/internal/delegation/transfer_test.go
@@ -27,16 +27,16 @@
 	// lastUntil is the end of the latest permission of any leader of the host.
 	lastUntil clock.Micros
 
-	reports []sentReport
-	answers []sentAnswer
+	heartbeats []sentHeartbeat
+	responses  []sentResponse
 }
 
-type sentReport struct {
+type sentHeartbeat struct {
 	status Status
 	sentAt clock.Micros
 }
 
-type sentAnswer struct {
+type sentResponse struct {
 	ruling Ruling
 	sentAt clock.Micros
 }
@@ -46,7 +46,7 @@
 	modelCancel = 30 * clock.Second
 	modelClear  = 20 * clock.Second // E of docs/cells.md
 	modelPermit = modelCancel - modelClear - clock.Second
-	// modelPatience is how long a host's leader waits for the origin's first answer.
+	// modelPatience is how long a host's leader waits for the origin's first response.
 	modelPatience = 4 * clock.Second
 )
 
@@ -73,7 +73,7 @@
 	}
 }
 
-// status is what the host reports now.
+// status is what the host sends now.
 func (m *transferModel) status() Status {
 	s := Status{Number: 1, Job: "job-1", Closed: m.closed}
 	for task := range modelTasks {
@@ -87,8 +87,8 @@
 	return s
 }
 
-// answer is the origin's part of an exchange. It knew all cancellations of lag ago.
-func (m *transferModel) answer(r sentReport, lag clock.Micros) {
+// respond is the origin's part of an exchange. It knew all cancellations of lag ago.
+func (m *transferModel) respond(r sentHeartbeat, lag clock.Micros) {
 	if m.origin.Over() {
 		m.send(Ruling{Number: 1, Verdict: Forget}, r)
 		return
@@ -106,8 +106,8 @@
 	}
 }
 
-func (m *transferModel) send(ruling Ruling, to sentReport) {
-	m.answers = append(m.answers, sentAnswer{ruling, to.sentAt})
+func (m *transferModel) send(ruling Ruling, to sentHeartbeat) {
+	m.responses = append(m.responses, sentResponse{ruling, to.sentAt})
 }
 
 func (m *transferModel) free(f Freed) {
@@ -124,11 +124,11 @@
 	case 2:
 		m.hostAccepts()
 	case 3:
-		m.hostReports()
+		m.hostSendsHeartbeat()
 	case 4, 5:
-		m.reportArrives(t)
+		m.heartbeatArrives(t)
 	case 6, 7:
-		m.answerArrives(t)
+		m.responseArrives(t)
 	case 8, 9:
 		m.taskStarts(t)
 	case 10:
@@ -154,27 +154,27 @@
 	}
 }
 
-func (m *transferModel) hostReports() {
+func (m *transferModel) hostSendsHeartbeat() {
 	if m.accepted {
-		m.reports = append(m.reports, sentReport{m.status(), m.now})
+		m.heartbeats = append(m.heartbeats, sentHeartbeat{m.status(), m.now})
 	}
 }
 
-// reportArrives delivers any of the reports, as often as it likes.
-func (m *transferModel) reportArrives(t *rapid.T) {
-	if len(m.reports) == 0 {
+// heartbeatArrives delivers any of the heartbeats, as often as it likes.
+func (m *transferModel) heartbeatArrives(t *rapid.T) {
+	if len(m.heartbeats) == 0 {
 		return
 	}
 	lag := clock.Micros(rapid.Int64Range(0, int64(3*clock.Second)).Draw(t, "lag"))
-	m.answer(m.reports[rapid.IntRange(0, len(m.reports)-1).Draw(t, "which")], lag)
+	m.respond(m.heartbeats[rapid.IntRange(0, len(m.heartbeats)-1).Draw(t, "which")], lag)
 }
 
-// answerArrives delivers any of the answers, as often as it likes.
-func (m *transferModel) answerArrives(t *rapid.T) {
-	if len(m.answers) == 0 || m.permit == nil {
+// responseArrives delivers any of the responses, as often as it likes.
+func (m *transferModel) responseArrives(t *rapid.T) {
+	if len(m.responses) == 0 || m.permit == nil {
 		return
 	}
-	a := m.answers[rapid.IntRange(0, len(m.answers)-1).Draw(t, "which")]
+	a := m.responses[rapid.IntRange(0, len(m.responses)-1).Draw(t, "which")]
 	m.permit.Take(a.ruling, a.sentAt, m.now)
 	if m.permit.MayKeep(m.now) {
 		m.lastUntil = max(m.lastUntil, m.permit.Until())
--- a/internal/recovery/evidence.go
+++ b/internal/recovery/evidence.go
@@ -2,19 +2,19 @@
 
 // Evidence is what the leader knows of a zone at one moment.
 type Evidence struct {
-	// Machines counts those that are up or should be, Heard those of them that report.
+	// Machines counts those that are up or should be, Heard those of them whose heartbeats arrive.
 	Machines, Heard int
-	// ProbesAnswered counts machines that don't report but have answered a direct question lately.
+	// ProbesAnswered counts silent machines that have answered a direct question lately.
 	ProbesAnswered int
 	// Gone counts machines that the cloud lists as failed or no longer lists.
 	Gone int
 	// Controllers counts those of the zone, Reached those of them that answer this one.
 	Controllers, Reached int
-	// Elsewhere counts machines that report to other controllers.
+	// Elsewhere counts machines whose heartbeats other controllers get.
 	Elsewhere int
 }
 
-// silentShare returns the share of the zone's machines that don't report.
+// silentShare returns the share of the zone's machines that are silent.
 func (e Evidence) silentShare() float64 {
 	if e.Machines == 0 {
 		return 0
--- a/internal/recovery/settings.go
+++ b/internal/recovery/settings.go
@@ -78,7 +78,7 @@
 	defaultSuspectShare = 0.5
 	// defaultLostShare tolerates a few machines of a lost zone that still report.
 	defaultLostShare = 0.9
-	// defaultLossDelayS is a little over two reports of a worker at 2.5 s each, and has to be under
+	// defaultLossDelayS is a little over two heartbeats of a worker at 2.5 s each, and has to be under
 	// the lease: shorter cuts heal by themselves.
 	defaultLossDelayS   = 6
 	defaultReturnDelayS = 10
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -124,10 +124,10 @@
 	return Team{}, false
 }
 
-// Lease returns how long a worker keeps its tasks after the last report that was answered.
+// Lease returns how long a worker keeps its tasks after the last heartbeat that was answered.
 func (w Workers) Lease() clock.Micros { return clock.FromSeconds(w.LeaseS) }
 
-// Report returns the mean time between two reports of a worker.
+// Report returns the mean time between two heartbeats of a worker.
 func (w Workers) Report() clock.Micros { return clock.FromSeconds(w.ReportS) }
 
 // GangPeer returns the time within which the tasks of a gang notice the loss of one of them.
--- a/internal/spill/plan.go
+++ b/internal/spill/plan.go
@@ -1,5 +1,5 @@
 // Package spill decides which waiting jobs are offloaded to which other cell. It owns that decision,
-// which is a function from what waits and what the cells report of themselves to a plan. It doesn't
+// which is a function from what waits and what the cells say of themselves to a plan. It doesn't
 // own who may offload what (internal/cells), nor the transfer itself (internal/delegation): the origin
 // cell's leader (internal/dispatch) gathers the input and carries the plan out. The package is pure.
 //
--- a/internal/spill/problem.go
+++ b/internal/spill/problem.go
@@ -11,7 +11,7 @@
 
 const (
 	// transferS is what passing work to another cell takes at most, in seconds: the host's next
-	// report, a record there, and the report by which it is permitted to start.
+	// heartbeat, a record there, and the heartbeat by which it is permitted to start.
 	transferS = 3
 	// returnS likewise for coming back.
 	returnS = 3
