--- a/internal/leader/machinetable/catalogue.go
+++ b/internal/leader/machinetable/catalogue.go
@@ -22,18 +22,20 @@
 	*term.State
 	cloud cloud.API
 	Store statestore.Store
-	// Published is told of each new catalogue, changed that prices have changed.
+	// Published is called with each new list of types.
 	Published func([]protocol.MachineType)
-	changed   func()
+	// changed is called when types or prices have changed.
+	changed func()
 
 	Types  []protocol.MachineType
 	ByName map[string]protocol.MachineType
 	// FromCloud reports that the list is the cloud's own, not one that a leader has stored.
-	FromCloud      bool
+	FromCloud bool
+	// sharedThisTerm reports that the list is stored, or being stored, for other nodes.
 	sharedThisTerm bool
 }
 
-// NewCatalogue makes an empty catalogue; published is told of each new one.
+// NewCatalogue returns an empty catalogue; published is called with each new list of types.
 func NewCatalogue(term *term.State, cl cloud.API, store statestore.Store,
 	published func([]protocol.MachineType)) *Catalogue {
 	return &Catalogue{
@@ -48,36 +50,52 @@
 // Begin forgets that the catalogue was shared in an earlier term.
 func (mc *Catalogue) Begin() { mc.sharedThisTerm = false }
 
-// catalogueKey is where the leader leaves the catalogue for nodes that start
-// while the cloud doesn't answer: without the machine types they could neither
-// judge submissions nor place anything.
+// catalogueKey is where the leader stores the catalogue for nodes that start while the cloud doesn't
+// respond: without the machine types they could neither judge submissions nor place anything.
 const catalogueKey = "catalogue"
 
-const catalogueTime = 30 * clock.Second
+const (
+	// refreshInterval is from one read of the cloud's prices to the next.
+	refreshInterval = 30 * clock.Second
+	// firstReadRetryDelay is the pause before the next read as long as no machine type is known.
+	firstReadRetryDelay = clock.Second
+)
 
-// Read keeps the catalogue and its prices, on every node.
+// Read keeps the catalogue and its prices up to date, on every node.
 func (mc *Catalogue) Read() {
 	mc.cloud.Catalogue(func(status int, c protocol.Catalogue) {
-		again := catalogueTime
-		types := slices.DeleteFunc(c.Types, unusable)
-		if len(types) < len(c.Types) {
-			slog.Error("the catalogue has types that make no sense", "types", len(c.Types), "usable", len(types))
-		}
-		if status == http.StatusOK && len(types) > 0 {
-			mc.Replace(types)
-			mc.FromCloud = true
-		} else if len(mc.Types) == 0 {
-			again = clock.Second
-			mc.ReadShared()
-		}
-		mc.Mailbox.After(again, mc.Read)
+		mc.Mailbox.After(mc.noteRead(status, c.Types), mc.Read)
 	})
 }
 
-// unusable refuses what planning would stumble over.
+// noteRead takes what the cloud responded and returns the pause before the next read.
+func (mc *Catalogue) noteRead(status int, listed []protocol.MachineType) clock.Micros {
+	count := len(listed)
+	types := slices.DeleteFunc(listed, unusable)
+	if len(types) < count {
+		slog.Error("catalogue has unusable machine types", "types", count, "usable", len(types))
+	}
+	switch {
+	case status == http.StatusOK && len(types) > 0:
+		mc.Replace(types)
+		mc.FromCloud = true
+	case len(mc.Types) == 0:
+		mc.ReadShared()
+		return firstReadRetryDelay
+	}
+	return refreshInterval
+}
+
+// maxPlausible bounds the numbers of a machine type.
+const maxPlausible = 1e9
+
+// unusable reports whether a machine type has values that planning can't compute with.
 func unusable(t protocol.MachineType) bool {
-	for _, x := range []float64{t.Cpus, t.Gpus, t.MemoryGB, t.CacheGB, t.FetchGBPerS, t.Price, t.SpotPrice, t.BootS} {
-		if !(x >= 0 && x < 1e9) { // NaN fails both
+	numbers := []float64{
+		t.Cpus, t.Gpus, t.MemoryGB, t.CacheGB, t.FetchGBPerS, t.Price, t.SpotPrice, t.BootS,
+	}
+	for _, x := range numbers {
+		if !(x >= 0 && x < maxPlausible) { // NaN fails both
 			return true
 		}
 	}
@@ -95,63 +113,71 @@
 	mc.Published(types)
 }
 
-// ReadShared takes what a leader left.
+// ReadShared takes the catalogue that a leader has stored, unless the cloud has responded meanwhile.
 func (mc *Catalogue) ReadShared() {
 	mc.Store.Get(catalogueKey, func(r statestore.Reply[protocol.Item]) {
+		if r.Status != http.StatusOK || len(mc.Types) > 0 {
+			return
+		}
 		var c protocol.Catalogue
-		if r.Status != http.StatusOK || len(mc.Types) > 0 || protocol.Decode(r.Value.Value, &c) != nil || len(c.Types) == 0 {
+		if protocol.Decode(r.Value.Value, &c) != nil || len(c.Types) == 0 {
 			return
 		}
-		slog.Info("the cloud doesn't answer, using the catalogue that a leader left", "types", len(c.Types))
+		slog.Info("the cloud doesn't respond, using the catalogue that a leader stored", "types", len(c.Types))
 		mc.Replace(c.Types)
 	})
 }
 
-// Share leaves the catalogue for others, once in a term and only if
-// it is news: prices alone aren't.
+// Share stores the catalogue for other nodes, once in a term and only if it has changed by more than
+// prices.
 func (mc *Catalogue) Share() {
 	if mc.sharedThisTerm || !mc.FromCloud {
 		return
 	}
 	mc.sharedThisTerm = true // unless it fails
-	epoch := mc.Term.Epoch
-	mc.Store.Get(catalogueKey, func(r statestore.Reply[protocol.Item]) {
-		if mc.Term.Epoch != epoch {
-			return
-		}
-		var c protocol.Catalogue
-		if r.Status == http.StatusOK && protocol.Decode(r.Value.Value, &c) == nil && slices.EqualFunc(c.Types, mc.Types, SameType) {
-			return
-		}
-		if r.Status != http.StatusOK && r.Status != http.StatusNotFound {
+	mc.Store.Get(catalogueKey, term.Guarded(mc.State, mc.shareUnlessStored))
+}
+
+// shareUnlessStored stores the catalogue unless the stored one has the same types.
+func (mc *Catalogue) shareUnlessStored(r statestore.Reply[protocol.Item]) {
+	var c protocol.Catalogue
+	if r.Status == http.StatusOK && protocol.Decode(r.Value.Value, &c) == nil &&
+		slices.EqualFunc(c.Types, mc.Types, SameType) {
+		return
+	}
+	if r.Status != http.StatusOK && r.Status != http.StatusNotFound {
+		mc.sharedThisTerm = false
+		return
+	}
+	value := protocol.Encode(protocol.Catalogue{Types: mc.Types})
+	limit := ledger.Usable(mc.Settings.Deployment.State.Tightest().ValueBytes())
+	if size := protocol.JSONSize(value); size > limit {
+		slog.Info("the catalogue is too large to be stored for other nodes", "bytes", size, "limit", limit)
+		return
+	}
+	t := protocol.Txn{
+		Guards: []protocol.Guard{
+			{Key: leadership.Key, Version: mc.Term.Epoch},
+			{Key: catalogueKey, Version: r.Value.Version},
+		},
+		Changes: []protocol.Change{{Put: catalogueKey, Value: value}},
+	}
+	stored := func(r statestore.Reply[protocol.TxnAnswer]) {
+		if r.Status != http.StatusOK {
 			mc.sharedThisTerm = false
-			return
-		}
-		value := protocol.Encode(protocol.Catalogue{Types: mc.Types})
-		if size, limit := protocol.JSONSize(value), ledger.Usable(mc.Settings.Deployment.State.Tightest().ValueBytes()); size > limit {
-			slog.Info("the catalogue is too large to be left for others", "bytes", size, "limit", limit)
-			return
 		}
-		t := protocol.Txn{
-			Guards:  []protocol.Guard{{Key: leadership.Key, Version: epoch}, {Key: catalogueKey, Version: r.Value.Version}},
-			Changes: []protocol.Change{{Put: catalogueKey, Value: value}},
-		}
-		mc.Store.Commit(statestore.ForLeader, t, func(r statestore.Reply[protocol.TxnAnswer]) {
-			if mc.Term.Epoch == epoch && r.Status != http.StatusOK {
-				mc.sharedThisTerm = false
-			}
-		})
-	})
+	}
+	mc.Store.Commit(statestore.ForLeader, t, term.Guarded(mc.State, stored))
 }
 
-// SameType compares all but prices.
+// SameType reports whether two machine types differ in nothing but their prices.
 func SameType(a, b protocol.MachineType) bool {
 	return a.Name == b.Name && a.Cpus == b.Cpus && a.Gpus == b.Gpus && a.MemoryGB == b.MemoryGB &&
-		a.CacheGB == b.CacheGB && a.FetchGBPerS == b.FetchGBPerS && a.BootS == b.BootS && slices.Equal(a.Zones, b.Zones)
+		a.CacheGB == b.CacheGB && a.FetchGBPerS == b.FetchGBPerS && a.BootS == b.BootS &&
+		slices.Equal(a.Zones, b.Zones)
 }
 
-// SlowestFetchS is how long a GB of image takes on the slowest type that the job
-// may use, in seconds.
+// SlowestFetchS returns how many seconds a GB of image takes on the slowest type that the job may use.
 func (mc *Catalogue) SlowestFetchS(s *protocol.JobSpec) float64 {
 	slowest := 0.0
 	for _, t := range mc.Types {
@@ -162,7 +188,10 @@
 	return slowest
 }
 
-// ReplicaTypes are the machine types that replicas of a job are to have for long: a replica
+// replicaPriceFactor is how many times the cheapest suitable type's price a machine for replicas may cost.
+const replicaPriceFactor = 2.5
+
+// ReplicaTypes returns the machine types that replicas of a job are to have for long: a replica
 // keeps its whole machine, so that only those count which cost about as little as any.
 func (mc *Catalogue) ReplicaTypes(s *protocol.JobSpec) []string {
 	cheapest := math.MaxFloat64
@@ -180,10 +209,7 @@
 	return names
 }
 
-// TypeHolds tells that a job may use a machine type and a task of it fits when it is empty.
+// TypeHolds reports whether a job may use a machine type and a task of it fits on an empty machine.
 func TypeHolds(t protocol.MachineType, s *protocol.JobSpec) bool {
 	return planner.Needs(s).Fits(fleet.Whole(t)) && (len(s.Types) == 0 || slices.Contains(s.Types, t.Name))
 }
-
-// replicaPriceFactor is how many times the cheapest suitable type's price a machine for replicas may cost.
-const replicaPriceFactor = 2.5
--- /dev/null
+++ b/internal/leader/machinetable/delivery.go
@@ -0,0 +1,75 @@
+package machinetable
+
+import (
+	"cmp"
+
+	"postpoint/internal/clock"
+)
+
+// AttemptRef identifies an attempt of a task.
+type AttemptRef struct {
+	Job     string
+	Task    int
+	Attempt int64
+}
+
+// CompareAttempts orders attempts by job, task and attempt.
+func CompareAttempts(a, b AttemptRef) int {
+	return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
+}
+
+// StartDelivery is what is known of a start command on its way to the worker. As long as one may
+// still arrive the attempt must not be forgotten, or it would start again.
+type StartDelivery struct {
+	// InCommand reports that a direct command with the start has no response yet.
+	InCommand bool
+	// InHeartbeat reports that the response to a heartbeat carried the start, and no later heartbeat
+	// has come.
+	InHeartbeat bool
+	// OutcomeUnknown reports that a direct command with the start got no usable response.
+	OutcomeUnknown bool
+	// Replica reports that the task is a service's, even once that is over and forgotten.
+	Replica bool
+	// StartSentAt and StopSentAt are when the commands last left.
+	StartSentAt clock.Micros
+	StopSentAt  clock.Micros
+}
+
+// mayArrive reports whether a start may still reach the worker.
+func (d *StartDelivery) mayArrive() bool { return d.InCommand || d.InHeartbeat || d.OutcomeUnknown }
+
+// Delivery returns what is known of an attempt's commands, to be added to.
+func (c *CommandState) Delivery(ref AttemptRef) *StartDelivery {
+	d := c.Deliveries[ref]
+	if d == nil {
+		d = &StartDelivery{}
+		c.Deliveries[ref] = d
+	}
+	return d
+}
+
+// StartMayArrive reports whether a start of an attempt may still reach the worker.
+func (c *CommandState) StartMayArrive(ref AttemptRef) bool {
+	d := c.Deliveries[ref]
+	return d != nil && d.mayArrive()
+}
+
+// DropDeliveries forgets the deliveries of attempts that are neither reported nor placed, unless a
+// start of them may still arrive.
+func (m *Machine) DropDeliveries() {
+	for ref, d := range m.Deliveries {
+		_, reported := m.Tasks[ref]
+		_, placed := m.Placements[ref.Job][ref.Task]
+		if !reported && !placed && !d.mayArrive() {
+			delete(m.Deliveries, ref)
+		}
+	}
+}
+
+// NoteHeartbeatReceived notes that the worker has executed or dropped the response to its last
+// heartbeat: it has one heartbeat in flight at a time.
+func (c *CommandState) NoteHeartbeatReceived() {
+	for _, d := range c.Deliveries {
+		d.InHeartbeat = false
+	}
+}
--- a/internal/leader/machinetable/machine.go
+++ b/internal/leader/machinetable/machine.go
@@ -1,7 +1,6 @@
 package machinetable
 
 import (
-	"cmp"
 	"slices"
 
 	"postpoint/internal/clock"
@@ -11,149 +10,336 @@
 	"postpoint/internal/protocol"
 )
 
-// AttemptRef is an attempt of a task.
-type AttemptRef struct {
-	Job     string
-	Task    int
-	Attempt int64
+// Machine is one worker as the leader knows it. Its fields are grouped by subject; the comment of
+// each group names the part of the leader that changes it. Fields that change together are changed
+// by methods.
+type Machine struct {
+	Identity
+	WorkerStatus
+	IncarnationState
+	LeaseState
+	CommandState
+	CloudState
+	PlacementState
+	PlannerView
+	Performance
+	FaultState
+	ScaleInState
 }
 
-// Machine is one worker as it was last heard of.
-type Machine struct {
+// newMachine returns a machine of which nothing but its name is known.
+func newMachine(name, address string, now clock.Micros) *Machine {
+	return &Machine{
+		Identity: Identity{Name: name, Address: address},
+		WorkerStatus: WorkerStatus{
+			Tasks:        map[AttemptRef]protocol.TaskReport{},
+			RunningSince: map[AttemptRef]clock.Micros{},
+		},
+		CommandState:   CommandState{Deliveries: map[AttemptRef]*StartDelivery{}},
+		CloudState:     CloudState{FirstSeen: now},
+		PlacementState: PlacementState{Placements: map[string]map[int]ledger.Placement{}, IdleSince: now},
+		PlannerView:    PlannerView{ViewStale: true},
+		FaultState:     FaultState{FailedJobs: map[string]bool{}},
+	}
+}
+
+// Identity is what a machine is and where its worker can be reached. The autoscaler fills it in from
+// the cloud's responses, until heartbeats say it themselves.
+type Identity struct {
 	Name, Address, Type, Zone string
 	Spot                      bool
-
-	Seen bool // a report was heard in this term
-	// Steady tells that every placed task stood in the last report and none of
-	// them had ended: the same report again is no news.
-	Steady                      bool
-	Incarnation, Counter, Epoch int64
-	Tasks                       map[AttemptRef]protocol.TaskReport
-	LastTasks                   []protocol.TaskReport // what tasks was made from
-	// ExitedTasks counts the tasks that are only to be forgotten, since the last report with
-	// news; ForgetAt is when they are at the latest.
-	ExitedTasks          int
-	ForgetAt             clock.Micros
-	RunningSince         map[AttemptRef]clock.Micros // when a task was first seen running
-	HeardAt, RespondedAt clock.Micros
-	IncarnationSeenAt    clock.Micros // when its present session was first heard of
-	RecallAt             clock.Micros // when the cloud takes it; 0: not announced
-	HeartbeatIncarnation int64
-	HeartbeatCounter     int64
-	LeaseExpired         bool // its lease has surely ended: only a newer session counts
-	// ResponsesLost machines report, but lose one session after the other though they
-	// are answered: answers don't reach them.
-	ResponsesLost bool
-	ProbedAt      clock.Micros // when it was last asked whether it is still there
-	ChallengedAt  clock.Micros // when it was last asked whether it has started over
-
-	Listed      bool
-	FirstSeen   clock.Micros
-	ListedAt    clock.Micros
-	CloudStatus string
-
-	Placements map[string]map[int]ledger.Placement // by job
-	// View is the machine as the planner is shown it, kept until anything that
-	// it depends on changes.
-	View         planner.Machine
-	ViewStale    bool
-	Unrecognized bool // something of unknown size runs there
-	// PullGB was still to be fetched at pulledAt.
-	PullGB     float64
-	pulledAt   clock.Micros
-	Deliveries map[AttemptRef]*StartDelivery
-	// CommandInFlight is a direct command on its way; CommandAgain asks for another.
-	CommandInFlight, CommandAgain bool
-	EpochAnnouncedAt              clock.Micros // when the last empty command was sent
-
-	Pace        float64 // its run times against the classes' averages
-	PaceRuns    int     // how many runs that is drawn from
-	Images      []image
-	FullUntil   clock.Micros
-	FailedJobs  map[string]bool // jobs that failed here
-	Quarantined bool
-	CordonedAt  clock.Micros
-	ReservedAt  clock.Micros // when a place on it was last to be kept free
-	Cordoned    bool         // takes no new tasks, so that it empties: see fleet.Cordon
-	Releasing   bool
-	Overdue     bool // holds tasks of a cancelled job that don't end
-	IdleSince   clock.Micros
 }
 
-// StartDelivery is what is known of a start's way to the worker: as long as one may
-// still arrive, the attempt must not be forgotten, or it would start again.
-type StartDelivery struct {
-	InCommand      bool
-	InHeartbeat    bool
-	OutcomeUnknown bool
-	Replica        bool // of a service, even once that is over and forgotten
-	StartSentAt    clock.Micros
-	StopSentAt     clock.Micros
-}
+// Kind returns what is scaled out to get such a machine.
+func (i *Identity) Kind() fleet.Kind { return fleet.Kind{Type: i.Type, Zone: i.Zone, Spot: i.Spot} }
 
-type image struct {
-	Name string
-	gb   float64
+// WorkerStatus is what the last heartbeat of the worker said. The reconciler changes it.
+type WorkerStatus struct {
+	// Seen reports that a heartbeat was received in this term.
+	Seen    bool
+	HeardAt clock.Micros
+	// RecallAt is when the cloud takes the machine back, 0 as long as that isn't announced.
+	RecallAt clock.Micros
+	Tasks    map[AttemptRef]protocol.TaskReport
+	// listedTasks is the list that Tasks was made from.
+	listedTasks []protocol.TaskReport
+	// RunningSince is when an attempt was first seen running.
+	RunningSince map[AttemptRef]clock.Micros
+	// Steady reports that every placed task stood in the last heartbeat and none of them had
+	// exited: the same heartbeat again proves nothing new.
+	Steady bool
+	// ExitedTasks counts the tasks that only have to be forgotten, as of the last heartbeat that
+	// changed anything. ForgetAt is when that happens at the latest.
+	ExitedTasks int
+	ForgetAt    clock.Micros
 }
 
-// Kind is what is rented when such a machine is.
-func (m *Machine) Kind() fleet.Kind { return fleet.Kind{Type: m.Type, Zone: m.Zone, Spot: m.Spot} }
+// SetTasks replaces the tasks by those that a heartbeat lists. Running times are kept of those that
+// are still listed.
+func (s *WorkerStatus) SetTasks(tasks []protocol.TaskReport) {
+	clear(s.Tasks)
+	s.listedTasks, s.ExitedTasks = tasks, 0
+	for _, t := range tasks {
+		job, task, ok := protocol.ParseTask(t.Task)
+		if !ok {
+			continue
+		}
+		s.Tasks[AttemptRef{Job: job, Task: task, Attempt: t.Attempt}] = t
+	}
+	for ref := range s.RunningSince {
+		if _, listed := s.Tasks[ref]; !listed {
+			delete(s.RunningSince, ref)
+		}
+	}
+}
 
-// SameTasks tells that a report brings no news of the machine's tasks.
-func (m *Machine) SameTasks(tasks []protocol.TaskReport) bool {
-	if len(tasks) != len(m.Tasks) {
+// SameTasks reports whether a heartbeat lists the tasks that are known, in the states that are known.
+func (s *WorkerStatus) SameTasks(tasks []protocol.TaskReport) bool {
+	if len(tasks) != len(s.Tasks) {
 		return false
 	}
-	if len(tasks) == 0 || len(m.LastTasks) == len(tasks) && &m.LastTasks[0] == &tasks[0] {
-		return true // the very list of the last report: see protocol.ReportDecoder
+	if len(tasks) == 0 || len(s.listedTasks) == len(tasks) && &s.listedTasks[0] == &tasks[0] {
+		return true // the very list of the last heartbeat: see protocol.ReportDecoder
 	}
 	for _, t := range tasks {
-		id, task, ok := protocol.ParseTask(t.Task)
+		job, task, ok := protocol.ParseTask(t.Task)
 		if !ok {
 			return false
 		}
-		if known, there := m.Tasks[AttemptRef{id, task, t.Attempt}]; !there || known.Status != t.Status {
+		known, listed := s.Tasks[AttemptRef{Job: job, Task: task, Attempt: t.Attempt}]
+		if !listed || known.Status != t.Status {
 			return false
 		}
 	}
 	return true
 }
 
+// HeartbeatNumber orders the heartbeats of a machine, however late each of them arrives.
+type HeartbeatNumber struct {
+	// Incarnation rises each time the worker begins a new lease after losing one.
+	Incarnation int64
+	// Counter rises with each heartbeat.
+	Counter int64
+}
+
+// NumberOf returns the number of a heartbeat.
+func NumberOf(r *protocol.Report) HeartbeatNumber {
+	return HeartbeatNumber{Incarnation: r.Session, Counter: r.Counter}
+}
+
+// After reports whether a heartbeat was sent after another one.
+func (n HeartbeatNumber) After(other HeartbeatNumber) bool {
+	return n.Incarnation > other.Incarnation || n.Incarnation == other.Incarnation && n.Counter > other.Counter
+}
+
+// IncarnationState is the worker's present incarnation and what it has acknowledged. The reconciler
+// changes it.
+type IncarnationState struct {
+	HeartbeatNumber
+	// Epoch is the highest fencing token that the worker has seen.
+	Epoch int64
+	// IncarnationSeenAt is when the present incarnation was first heard of.
+	IncarnationSeenAt clock.Micros
+}
+
+// LeaseState is what is known of the lease that lets the worker's tasks run. The heartbeat handler
+// renews it, the health monitor proves it expired.
+type LeaseState struct {
+	// RespondedAt is when a heartbeat was last responded to, which renews the lease.
+	RespondedAt clock.Micros
+	// RespondedTo is the heartbeat that was.
+	RespondedTo HeartbeatNumber
+	// LeaseExpired reports that the lease has certainly expired: only a later incarnation counts.
+	LeaseExpired bool
+	// ResponsesLost reports that heartbeats arrive, but the worker loses one incarnation after the
+	// other though they are responded to: responses don't reach it.
+	ResponsesLost bool
+}
+
+// NoteResponse notes that a heartbeat is responded to.
+func (l *LeaseState) NoteResponse(heartbeat HeartbeatNumber, now clock.Micros) {
+	l.RespondedTo, l.RespondedAt = heartbeat, now
+}
+
+// BeginIncarnation notes that the worker has begun a later incarnation. It holds nothing of the
+// earlier ones, and no command that was sent to them has any effect on it.
+func (m *Machine) BeginIncarnation(incarnation int64, now clock.Micros) {
+	clear(m.Deliveries)
+	clear(m.RunningSince)
+	m.LeaseExpired = false
+	m.Steady = false
+	m.Incarnation, m.IncarnationSeenAt = incarnation, now
+}
+
+// ExpireLease notes that the lease of the present incarnation, and of any that something was placed
+// in, has certainly expired: nothing runs there any more.
+func (m *Machine) ExpireLease() {
+	m.LeaseExpired = true
+	for _, tasks := range m.Placements {
+		for _, p := range tasks {
+			m.Incarnation = max(m.Incarnation, p.Session)
+		}
+	}
+	clear(m.Tasks)
+	clear(m.RunningSince)
+	m.ViewStale = true
+}
+
+// CommandState is which commands are on their way to the worker. The command sender changes it; the
+// health monitor and the zone tracker note their probes.
+type CommandState struct {
+	Deliveries map[AttemptRef]*StartDelivery
+	// CommandInFlight reports that a direct command has no response yet.
+	CommandInFlight bool
+	// PushPending asks for another direct command after that.
+	PushPending bool
+	// EpochAnnouncedAt is when the leader's epoch was last announced by a direct command.
+	EpochAnnouncedAt clock.Micros
+	// ProbedAt is when the worker was last asked whether it is still there.
+	ProbedAt clock.Micros
+	// ChallengedAt is when the worker was last asked whether it has started over.
+	ChallengedAt clock.Micros
+}
+
+// BeginCommand notes that a direct command is sent; pushes wait for its response.
+func (c *CommandState) BeginCommand() { c.CommandInFlight, c.PushPending = true, false }
+
+// CloudState is what the cloud says of the machine. The autoscaler changes it.
+type CloudState struct {
+	Listed bool
+	// FirstSeen is when the machine was first heard of, or earlier if the cloud says so.
+	FirstSeen   clock.Micros
+	ListedAt    clock.Micros
+	CloudStatus string
+}
+
+// PlacementState is what the job records place on the machine. The job table changes it, through
+// Table.AddPlacement and Table.RemovePlacement.
+type PlacementState struct {
+	// Placements are the placed tasks by job.
+	Placements map[string]map[int]ledger.Placement
+	// IdleSince is when the last placement was released.
+	IdleSince clock.Micros
+}
+
+// Placed reports whether the machine's placement of a task is the given attempt.
+func (p *PlacementState) Placed(ref AttemptRef) bool {
+	placement, ok := p.Placements[ref.Job][ref.Task]
+	return ok && placement.Attempt == ref.Attempt
+}
+
+// PlannerView is the machine as the planner is shown it. Package snapshots makes it anew whenever
+// ViewStale is set, which everything does that changes what it depends on.
+type PlannerView struct {
+	View      planner.Machine
+	ViewStale bool
+	// Unrecognized reports that something of unknown size runs there.
+	Unrecognized bool
+	Images       []image
+	// PullGB was still to be fetched at pulledAt.
+	PullGB   float64
+	pulledAt clock.Micros
+}
+
+// image is a container image that is likely to be in the machine's cache.
+type image struct {
+	Name   string
+	sizeGB float64
+}
+
 // HasImage reports whether an image is likely to be in the machine's cache.
-func (m *Machine) HasImage(name string) bool {
-	return slices.ContainsFunc(m.Images, func(i image) bool { return i.Name == name })
+func (v *PlannerView) HasImage(name string) bool {
+	return slices.ContainsFunc(v.Images, func(i image) bool { return i.Name == name })
+}
+
+// noteImage moves an image to the front of the cache, which holds the most recently used images up
+// to its size.
+func (v *PlannerView) noteImage(name string, sizeGB, cacheGB float64) {
+	images := []image{{name, sizeGB}}
+	used := sizeGB
+	for _, i := range v.Images {
+		if i.Name != name && used+i.sizeGB <= cacheGB {
+			used += i.sizeGB
+			images = append(images, i)
+		}
+	}
+	v.Images = images
+	v.ViewStale = true
 }
 
-// Delivery is what is known of an attempt's orders.
-func (m *Machine) Delivery(ref AttemptRef) *StartDelivery {
-	s := m.Deliveries[ref]
-	if s == nil {
-		s = &StartDelivery{}
-		m.Deliveries[ref] = s
+// AdvancePulls subtracts what was fetched of the pulled images since it was last called.
+func (v *PlannerView) AdvancePulls(now clock.Micros, t protocol.MachineType) {
+	if len(v.View.Pulling) == 0 {
+		v.PullGB = 0
 	}
-	return s
+	v.PullGB = max(0, v.PullGB-(now-v.pulledAt).Seconds()*t.FetchGBPerS)
+	v.pulledAt = now
 }
 
-// CompareAttempts orders attempts by job, task and attempt.
-func CompareAttempts(a, b AttemptRef) int {
-	return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
+// Performance is how fast tasks run there. Package objectives changes it.
+type Performance struct {
+	// Pace is the run times of tasks in proportion to the averages of their classes.
+	Pace float64
+	// PaceRuns is from how many runs Pace is drawn.
+	PaceRuns int
 }
 
-// Slowness is by how much longer tasks take on a machine than on others, 0 if
-// that isn't clear. Slow machines are used last; they aren't returned for it,
-// since most recover.
-func (m *Machine) Slowness() float64 {
-	if m.PaceRuns < minPaceRuns || m.Pace < slowPace {
+const (
+	// minPaceRuns is from how many runs on Pace is believed: estimates are often wrong by half.
+	minPaceRuns = 4
+	// slowPace is the least Pace that counts as slow.
+	slowPace = 1.6
+)
+
+// Slowness returns by which part tasks take longer than on other machines, 0 if that isn't clear.
+// Slow machines are used last; they aren't scaled in for it, since most recover.
+func (p *Performance) Slowness() float64 {
+	if p.PaceRuns < minPaceRuns || p.Pace < slowPace {
 		return 0
 	}
-	return m.Pace - 1
+	return p.Pace - 1
 }
 
-// AdvancePulls lets the images that are being fetched come nearer.
-func (m *Machine) AdvancePulls(now clock.Micros, t protocol.MachineType) {
-	if len(m.View.Pulling) == 0 {
-		m.PullGB = 0
+// FaultState is what failed on the machine. The reconciler changes it.
+type FaultState struct {
+	// FullUntil is until when the worker is taken to have no room, since it refused a start.
+	FullUntil clock.Micros
+	// FailedJobs are the jobs of which a task failed there.
+	FailedJobs  map[string]bool
+	Quarantined bool
+}
+
+// quarantineFailures is from how many failed jobs on it is the machine that is taken to be faulty.
+const quarantineFailures = 2
+
+// QuarantineIfFaulty quarantines a machine on which several jobs failed, and reports whether it was
+// that call that did. Nothing is placed on it any more, and it is scaled in once it is empty.
+func (f *FaultState) QuarantineIfFaulty() bool {
+	if len(f.FailedJobs) < quarantineFailures || f.Quarantined {
+		return false
 	}
-	m.PullGB = max(0, m.PullGB-(now-m.pulledAt).Seconds()*t.FetchGBPerS)
-	m.pulledAt = now
+	f.Quarantined = true
+	return true
 }
+
+// ScaleInState is whether the machine is to go. The autoscaler cordons it; whoever proves that it has
+// to go schedules its release.
+type ScaleInState struct {
+	// Cordoned reports that no new tasks are placed there, so that the machine empties: see
+	// fleet.Cordon.
+	Cordoned   bool
+	CordonedAt clock.Micros
+	// ReservedAt is when room on it was last reserved.
+	ReservedAt clock.Micros
+	// Releasing reports that the machine is to be released: see Table.ScheduleRelease.
+	Releasing bool
+	// Overdue reports that the machine holds tasks of a cancelled job that don't end: its release
+	// goes before others.
+	Overdue bool
+}
+
+// Cordon keeps new tasks off the machine.
+func (s *ScaleInState) Cordon(now clock.Micros) { s.Cordoned, s.CordonedAt = true, now }
+
+// Uncordon lets new tasks be placed on the machine again.
+func (s *ScaleInState) Uncordon() { s.Cordoned = false }
--- a/internal/leader/reconciler/cancellations.go
+++ b/internal/leader/reconciler/cancellations.go
@@ -129,8 +129,7 @@
 			}
 			m := cn.machines.GetOrAdd(p.Machine)
 			if j.MustEnd() && now > cn.ReleaseAt(j) {
-				m.Overdue = true
-				cn.machines.ScheduleRelease(m, "cancelled tasks don't end")
+				cn.machines.ScheduleOverdueRelease(m, machinetable.ReleaseCancelledRemaining)
 			}
 			if !m.Releasing {
 				cn.commands.Push(m)
--- a/internal/leader/reconciler/commands.go
+++ b/internal/leader/reconciler/commands.go
@@ -44,7 +44,7 @@
 // Send sends a direct command, one at a time to a machine. Its answer, if there
 // is one, is heard before the next goes out.
 func (cs *CommandSender) Send(m *machinetable.Machine, session int64, orders []protocol.Order, done func(status int, answer *protocol.Report)) {
-	m.CommandInFlight, m.CommandAgain = true, false
+	m.BeginCommand()
 	epoch := cs.Term.Epoch
 	until := min(cs.ActsUntil(), cs.permittedUntil(orders))
 	cs.Agent.Commands(m.Address, protocol.Commands{Epoch: epoch, Session: session, Orders: orders}, until, func(status int, r protocol.Report) {
@@ -60,7 +60,7 @@
 		if answer != nil {
 			cs.reconciler.Observe(m, r)
 		}
-		if m.CommandAgain {
+		if m.PushPending {
 			cs.Push(m)
 		}
 	})
@@ -137,7 +137,7 @@
 			st := cs.stopRequest(j, p)
 			s := m.Delivery(ref)
 			name := protocol.TaskName(id, p.Task)
-			if !there && (st == nil || cs.startMayArrive(m, ref)) && due(s.StartSentAt) && j.StartPermitted(st, now) {
+			if !there && (st == nil || m.StartMayArrive(ref)) && due(s.StartSentAt) && j.StartPermitted(st, now) {
 				// With a stop wanted, a start that may still arrive is made to
 				// arrive now: it then has no effect later.
 				orders = append(orders, protocol.Order{Verb: protocol.VerbStart, Task: name, Attempt: p.Attempt})
@@ -145,7 +145,7 @@
 				s.InHeartbeat = s.InHeartbeat || heartbeat
 				s.InCommand = s.InCommand || !heartbeat
 			}
-			if st != nil && (there || cs.startMayArrive(m, ref)) && due(s.StopSentAt) {
+			if st != nil && (there || m.StartMayArrive(ref)) && due(s.StopSentAt) {
 				orders = append(orders, protocol.Order{Verb: protocol.VerbStop, Task: name, Attempt: p.Attempt, GraceS: st.GraceS})
 				s.StopSentAt = now
 			}
@@ -165,7 +165,7 @@
 		if cs.jobs.Malformed[ref.Job] || j != nil && j.Over() && t.Status != protocol.TaskExited {
 			continue
 		}
-		if p, ok := m.Placements[ref.Job][ref.Task]; !ok || p.Attempt != ref.Attempt {
+		if !m.Placed(ref) {
 			loose = append(loose, ref)
 		}
 	}
@@ -181,7 +181,7 @@
 			continue
 		}
 		m.ExitedTasks++
-		if heartbeat && (j == nil || j.OutcomeStored(ref.Task)) && !cs.startMayArrive(m, ref) && !MayRepeat(m, ref, t) {
+		if heartbeat && (j == nil || j.OutcomeStored(ref.Task)) && !m.StartMayArrive(ref) && !MayRepeat(m, ref, t) {
 			// The outcome is durable and no start can bring the attempt back.
 			forgets = append(forgets, protocol.Order{Verb: protocol.VerbForget, Task: name, Attempt: ref.Attempt})
 		}
@@ -227,7 +227,7 @@
 		return
 	}
 	if m.CommandInFlight {
-		m.CommandAgain = true
+		m.PushPending = true
 		return
 	}
 	orders := cs.CommandsFor(m, false)
@@ -270,12 +270,6 @@
 	return until
 }
 
-// startMayArrive tells that a start of this attempt may still reach the worker.
-func (cs *CommandSender) startMayArrive(m *machinetable.Machine, ref machinetable.AttemptRef) bool {
-	s := m.Deliveries[ref]
-	return s != nil && (s.InCommand || s.InHeartbeat || s.OutcomeUnknown)
-}
-
 // mayRenewLease tells that an answer may renew the machine's lease. A cancelled task
 // must be gone within cancel_s of its confirmation: from lease_s before that on, an
 // answer has to carry the task's end, which it does for whatever the machine
--- a/internal/leader/reconciler/health.go
+++ b/internal/leader/reconciler/health.go
@@ -80,7 +80,7 @@
 			}
 		case now > m.ProbedAt+ProbeTimeout:
 			slog.Info("machine with replicas is silent", "machine", m.Name, "silent_s", (now - m.HeardAt).Seconds())
-			hm.machines.ScheduleRelease(m, "silent with replicas")
+			hm.machines.ScheduleRelease(m, machinetable.ReleaseSilentReplicas)
 		}
 	}
 }
@@ -114,10 +114,10 @@
 		return
 	}
 	m.ChallengedAt = hm.Now()
-	session, counter := m.Incarnation, m.Counter
-	hm.commands.Send(m, session, []protocol.Order{}, func(_ int, answer *protocol.Report) {
-		if answer != nil && (answer.Session < session || answer.Session == session && answer.Counter <= counter) {
-			hm.machines.ScheduleRelease(m, "it has started over")
+	before := m.HeartbeatNumber
+	hm.commands.Send(m, m.Incarnation, []protocol.Order{}, func(_ int, answer *protocol.Report) {
+		if answer != nil && !machinetable.NumberOf(answer).After(before) {
+			hm.machines.ScheduleRelease(m, machinetable.ReleaseStartedOver)
 		}
 	})
 }
@@ -134,39 +134,34 @@
 		if !m.LeaseExpired && (m.Seen || len(m.Placements) > 0) && now > hm.machines.ProvenEmptyAt(m) {
 			slog.Info("machine is silent, its lease has ended", "machine", m.Name, "jobs", len(m.Placements),
 				"silent_s", (now - m.HeardAt).Seconds())
-			m.LeaseExpired = true
+			m.ExpireLease()
 			for id, tasks := range ordered.ByKey(m.Placements) {
 				for _, p := range ordered.ByKey(tasks) {
-					m.Incarnation = max(m.Incarnation, p.Session)
 					j := hm.jobs.ByID[id]
 					switch {
 					case j == nil || j.MustReload:
 					case j.MustEnd():
 						// It may hang, and what it was stopped in the middle of counts as
 						// there until it goes on or is gone.
-						m.Overdue = true
-						hm.machines.ScheduleRelease(m, "silent with cancelled tasks")
+						hm.machines.ScheduleOverdueRelease(m, machinetable.ReleaseSilentCancelled)
 					default:
 						hm.jobs.ReleasePlacement(j, p)
 					}
 				}
 			}
-			clear(m.Tasks)
-			clear(m.RunningSince)
-			m.ViewStale = true
 		}
 		boot := clock.FromSeconds(hm.catalogue.ByName[m.Type].BootS)
 		switch {
 		case m.LeaseExpired && now > max(m.HeardAt, m.FirstSeen)+w.Lease()+20*clock.Second:
-			hm.machines.ScheduleRelease(m, "silent")
+			hm.machines.ScheduleRelease(m, machinetable.ReleaseSilent)
 		case m.CloudStatus == protocol.MachineFailed:
-			hm.machines.ScheduleRelease(m, "failed")
+			hm.machines.ScheduleRelease(m, machinetable.ReleaseFailed)
 		case !m.Seen && m.CloudStatus == protocol.MachineStarting && now > m.FirstSeen+2*boot+10*clock.Second:
-			hm.machines.ScheduleRelease(m, "never came up")
+			hm.machines.ScheduleRelease(m, machinetable.ReleaseNeverBooted)
 		case !m.Seen && m.CloudStatus == protocol.MachineRunning && now > m.FirstSeen+max(boot, w.Lease())+30*clock.Second:
-			hm.machines.ScheduleRelease(m, "up but never reported")
+			hm.machines.ScheduleRelease(m, machinetable.ReleaseNeverReported)
 		case m.Quarantined && len(m.Placements) == 0:
-			hm.machines.ScheduleRelease(m, "set aside")
+			hm.machines.ScheduleRelease(m, machinetable.ReleaseQuarantined)
 		}
 	}
 }
--- a/internal/leader/reconciler/heartbeats.go
+++ b/internal/leader/reconciler/heartbeats.go
@@ -106,7 +106,8 @@
 	hb.reconciler.Observe(m, r)
 	// An old report may come late. One that is only older than what a
 	// direct command's answer told is the worker's current one.
-	newest := r.Session > m.HeartbeatIncarnation || r.Session == m.HeartbeatIncarnation && r.Counter > m.HeartbeatCounter
+	number := machinetable.NumberOf(&r)
+	newest := number.After(m.RespondedTo)
 	if !newest {
 		hb.health.challenge(m)
 	}
@@ -119,14 +120,9 @@
 		reply(http.StatusServiceUnavailable, protocol.Redirect{})
 		return
 	}
-	m.HeartbeatIncarnation, m.HeartbeatCounter = r.Session, r.Counter
-	for _, s := range m.Deliveries {
-		// The worker has one report in flight: the answer to the last one
-		// was carried out or dropped by now.
-		s.InHeartbeat = false
-	}
+	m.NoteHeartbeatReceived()
 	answer := protocol.HeartbeatAnswer{Epoch: hb.Term.Epoch, Orders: hb.commands.CommandsFor(m, true)}
-	m.RespondedAt = hb.Now()
+	m.NoteResponse(number, hb.Now())
 	reply(http.StatusOK, answer)
 }
 
--- a/internal/leader/reconciler/reconciler.go
+++ b/internal/leader/reconciler/reconciler.go
@@ -112,12 +112,9 @@
 
 // Observe takes a report if it is newer than what is known.
 func (rc *Reconciler) Observe(m *machinetable.Machine, r protocol.Report) {
-	if m.Seen && (r.Session < m.Incarnation || r.Session == m.Incarnation && r.Counter <= m.Counter) {
+	if outdated(m, &r) {
 		return
 	}
-	if m.LeaseExpired && r.Session <= m.Incarnation {
-		return // sent before the lease ended, whenever it arrives
-	}
 	if r.Epoch > rc.Term.Epoch {
 		rc.Deposed(r.Epoch)
 	}
@@ -125,17 +122,7 @@
 		slog.Info("machine reports", "machine", m.Name, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "tasks", len(r.Tasks))
 		m.IdleSince = rc.Now()
 	}
-	if m.Seen && r.Session > m.Incarnation {
-		rc.incarnationLost(m, r.Session)
-	}
-	if r.Session > m.Incarnation {
-		clear(m.Deliveries)
-		clear(m.RunningSince)
-		m.LeaseExpired = false
-	}
-	if !m.Seen || r.Session > m.Incarnation {
-		m.IncarnationSeenAt = rc.Now()
-	}
+	rc.noteIncarnation(m, r.Session)
 	same := m.Steady && r.Session == m.Incarnation && r.Epoch == m.Epoch && m.SameTasks(r.Tasks)
 	rc.machines.NoteHeartbeat(m, &r)
 	if !same {
@@ -144,6 +131,26 @@
 	}
 }
 
+// outdated reports whether a heartbeat proves nothing any more, however late it arrives: it was sent
+// before the last one, or before the lease expired.
+func outdated(m *machinetable.Machine, r *protocol.Report) bool {
+	return m.Seen && !machinetable.NumberOf(r).After(m.HeartbeatNumber) ||
+		m.LeaseExpired && r.Session <= m.Incarnation
+}
+
+// noteIncarnation notes which incarnation of the worker a heartbeat is from, before the rest of it.
+func (rc *Reconciler) noteIncarnation(m *machinetable.Machine, incarnation int64) {
+	switch {
+	case incarnation > m.Incarnation:
+		if m.Seen {
+			rc.incarnationLost(m, incarnation)
+		}
+		m.BeginIncarnation(incarnation, rc.Now())
+	case !m.Seen:
+		m.IncarnationSeenAt = rc.Now()
+	}
+}
+
 // incarnationLost handles a machine whose session ran out.
 func (rc *Reconciler) incarnationLost(m *machinetable.Machine, next int64) {
 	// Had the latest answer to it arrived, it would not
@@ -153,7 +160,7 @@
 	if answerLost && !m.ResponsesLost {
 		slog.Info("machine loses its session though it is answered", "machine", m.Name, "session", next)
 	} else if answerLost {
-		rc.machines.ScheduleRelease(m, "answers don't reach it")
+		rc.machines.ScheduleRelease(m, machinetable.ReleaseResponsesLost)
 	}
 	m.ResponsesLost = m.ResponsesLost || answerLost
 }
@@ -161,28 +168,9 @@
 // replaceTasks replaces what is known of a machine's tasks by what its report says, and draws
 // from it what it proves.
 func (rc *Reconciler) replaceTasks(m *machinetable.Machine, tasks []protocol.TaskReport) {
-	clear(m.Tasks)
-	m.LastTasks, m.ExitedTasks = tasks, 0
-	for _, t := range tasks {
-		id, task, ok := protocol.ParseTask(t.Task)
-		if !ok {
-			continue
-		}
-		m.Tasks[machinetable.AttemptRef{Job: id, Task: task, Attempt: t.Attempt}] = t
-	}
-	for ref := range m.RunningSince {
-		if _, ok := m.Tasks[ref]; !ok {
-			delete(m.RunningSince, ref)
-		}
-	}
+	m.SetTasks(tasks)
 	rc.Reconcile(m)
-	for ref := range m.Deliveries {
-		_, there := m.Tasks[ref]
-		_, placed := m.Placements[ref.Job][ref.Task]
-		if !there && !placed && !rc.commands.startMayArrive(m, ref) {
-			delete(m.Deliveries, ref)
-		}
-	}
+	m.DropDeliveries()
 }
 
 // Reconcile draws from the last report what it proves about placements.
@@ -204,7 +192,7 @@
 				m.Steady = false
 				if rc.machines.EpochAcknowledged(m) {
 					// It was in a later session when this was placed.
-					rc.machines.ScheduleRelease(m, "it has started over")
+					rc.machines.ScheduleRelease(m, machinetable.ReleaseStartedOver)
 				}
 				continue
 			}
@@ -215,7 +203,7 @@
 				rc.taskExited(m, j, p, t)
 			case there:
 				rc.taskRunning(m, j, ref, t)
-			case rc.commands.stopRequest(j, p) != nil && j.Committed(p) && rc.machines.EpochAcknowledged(m) && !rc.commands.startMayArrive(m, ref):
+			case rc.commands.stopRequest(j, p) != nil && j.Committed(p) && rc.machines.EpochAcknowledged(m) && !m.StartMayArrive(ref):
 				rc.jobs.ReleasePlacement(j, p)
 			default:
 				m.Steady = false
@@ -297,8 +285,7 @@
 
 // quarantineIfFaulty sets a machine aside on which several jobs failed that run elsewhere.
 func (rc *Reconciler) quarantineIfFaulty(m *machinetable.Machine) {
-	if len(m.FailedJobs) >= 2 && !m.Quarantined {
-		m.Quarantined = true
+	if m.QuarantineIfFaulty() {
 		slog.Info("machine set aside, several jobs failed on it", "machine", m.Name, "type", m.Type, "jobs", len(m.FailedJobs))
 	}
 }
