--- a/internal/leader/machinetable/delivery.go
+++ b/internal/leader/machinetable/delivery.go
@@ -73,3 +73,13 @@
 		d.InHeartbeat = false
 	}
 }
+
+// NoteStart notes that a start leaves, in the response to a heartbeat or by a direct command.
+func (d *StartDelivery) NoteStart(inHeartbeat, replica bool, now clock.Micros) {
+	d.StartSentAt, d.Replica = now, replica
+	if inHeartbeat {
+		d.InHeartbeat = true
+	} else {
+		d.InCommand = true
+	}
+}
--- a/internal/leader/orders_test.go
+++ b/internal/leader/orders_test.go
@@ -166,7 +166,7 @@
 		if direct := out.n > 0; direct != (late == 0) {
 			t.Errorf("late by %v: %d direct commands", late, out.n)
 		}
-		if orders := d.commands.CommandsFor(m, true); late > 0 && (len(orders) != 1 || orders[0].Verb != protocol.VerbStart) {
+		if orders := d.commands.CommandsFor(m, reconciler.ViaHeartbeat); late > 0 && (len(orders) != 1 || orders[0].Verb != protocol.VerbStart) {
 			t.Errorf("late by %v: the report is answered by %v", late, orders)
 		}
 	}
--- a/internal/leader/reconcile_test.go
+++ b/internal/leader/reconcile_test.go
@@ -6,6 +6,7 @@
 	"postpoint/internal/clock"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
+	"postpoint/internal/leader/reconciler"
 	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
 )
@@ -34,13 +35,13 @@
 	if len(j.Placed) != 1 {
 		t.Fatal("the place was freed")
 	}
-	orders := d.commands.CommandsFor(m, true)
+	orders := d.commands.CommandsFor(m, reconciler.ViaHeartbeat)
 	if len(orders) != 2 || orders[0].Verb != protocol.VerbStart || orders[1].Verb != protocol.VerbStop {
 		t.Fatalf("orders %v", orders)
 	}
 	m.Deliveries[ref] = &machinetable.StartDelivery{OutcomeUnknown: true}
 	j.Status = protocol.StatusCancelled
-	if orders := d.commands.CommandsFor(m, true); len(orders) != 0 || len(j.Placed) != 1 {
+	if orders := d.commands.CommandsFor(m, reconciler.ViaHeartbeat); len(orders) != 0 || len(j.Placed) != 1 {
 		t.Fatalf("orders %v for a cancelled job, placed %v", orders, j.Placed)
 	}
 	m.Deliveries[ref] = &machinetable.StartDelivery{}
--- a/internal/leader/reconciler/commands.go
+++ b/internal/leader/reconciler/commands.go
@@ -4,7 +4,6 @@
 	"log/slog"
 	"math"
 	"net/http"
-	"slices"
 
 	"postpoint/internal/agent"
 	"postpoint/internal/clock"
@@ -17,7 +16,8 @@
 	"postpoint/internal/transport"
 )
 
-// CommandSender decides which commands a worker needs, and sends them.
+// CommandSender decides which commands a worker needs, and sends them directly or hands them to the
+// HeartbeatHandler.
 type CommandSender struct {
 	*term.State
 	Agent      agent.API
@@ -26,201 +26,99 @@
 	reconciler *Reconciler
 }
 
-// NewCommandSender makes a sender of commands to the workers of the given machines.
-func NewCommandSender(term *term.State, api agent.API, jobs *jobtable.Table, machines *machinetable.Table) *CommandSender {
+// NewCommandSender returns a sender of commands to the workers of the given machines.
+func NewCommandSender(term *term.State, api agent.API, jobs *jobtable.Table,
+	machines *machinetable.Table) *CommandSender {
 	return &CommandSender{State: term, Agent: api, jobs: jobs, machines: machines}
 }
 
 const (
-	// ForgetBatch is how many exited tasks are forgotten at a time, unless ForgetDelay is over.
-	ForgetBatch = 4
-	// ForgetDelay is how long exited tasks wait for others to be forgotten with.
-	ForgetDelay = 8 * clock.Second
+	// CommandRepeatDelay is after which a command that seems not to have arrived is repeated.
+	CommandRepeatDelay = clock.Second
+	// epochAnnounceInterval is from one announcement of the epoch to a machine to the next.
+	epochAnnounceInterval = 2 * clock.Second
 )
 
-// CommandRepeatDelay is after which an order that seems not to have arrived is repeated.
-const CommandRepeatDelay = clock.Second
+// CommandOutcome is what became of commands that were sent directly.
+type CommandOutcome int
 
-// Send sends a direct command, one at a time to a machine. Its answer, if there
-// is one, is heard before the next goes out.
-func (cs *CommandSender) Send(m *machinetable.Machine, session int64, orders []protocol.Order, done func(status int, answer *protocol.Report)) {
+const (
+	// OutcomeUnknown is commands without a usable response: they may still be executed, however late.
+	OutcomeUnknown CommandOutcome = iota
+	// Executed is commands that the worker accepted.
+	Executed
+	// NotExecuted is commands that the worker rejected, or that never left.
+	NotExecuted
+)
+
+// CommandResult is the response to a direct command.
+type CommandResult struct {
+	Outcome CommandOutcome
+	// Heartbeat is what the worker said of itself, nil if it said nothing.
+	Heartbeat *protocol.Report
+}
+
+// resultOf returns what the status of a response says. Nothing else here knows these numbers. Another
+// worker that has come to the address of the machine says nothing about it.
+func resultOf(machine string, status int, heartbeat *protocol.Report) CommandResult {
+	var result CommandResult
+	switch status {
+	case http.StatusOK:
+		result.Outcome = Executed
+	case http.StatusConflict, http.StatusBadRequest, transport.NotSent:
+		result.Outcome = NotExecuted
+	}
+	if (status == http.StatusOK || status == http.StatusConflict) && heartbeat.Machine == machine {
+		result.Heartbeat = heartbeat
+	}
+	return result
+}
+
+// Send sends direct commands, one request at a time to a machine. The worker's response, if there is
+// one, is passed to done and observed before the next request leaves.
+func (cs *CommandSender) Send(m *machinetable.Machine, incarnation int64, commands []protocol.Order,
+	done func(CommandResult)) {
 	m.BeginCommand()
-	epoch := cs.Term.Epoch
-	until := min(cs.ActsUntil(), cs.permittedUntil(orders))
-	cs.Agent.Commands(m.Address, protocol.Commands{Epoch: epoch, Session: session, Orders: orders}, until, func(status int, r protocol.Report) {
-		if cs.Term.Epoch != epoch || cs.machines.ByName[m.Name] != m {
+	request := protocol.Commands{Epoch: cs.Term.Epoch, Session: incarnation, Orders: commands}
+	until := min(cs.ActsUntil(), cs.permittedUntil(commands))
+	cs.Agent.Commands(m.Address, request, until, term.Guarded2(cs.State, func(status int, r protocol.Report) {
+		if cs.machines.ByName[m.Name] != m {
 			return
 		}
 		m.CommandInFlight = false
-		var answer *protocol.Report
-		if (status == http.StatusOK || status == http.StatusConflict) && r.Machine == m.Name {
-			answer = &r
-		}
-		done(status, answer)
-		if answer != nil {
+		result := resultOf(m.Name, status, &r)
+		done(result)
+		if result.Heartbeat != nil {
 			cs.reconciler.Observe(m, r)
 		}
 		if m.PushPending {
 			cs.Push(m)
 		}
-	})
+	}))
 }
 
-// stopRequest says whether and how a placed task is to be stopped.
-func (cs *CommandSender) stopRequest(j *jobtable.Job, p ledger.Placement) *jobtable.StopRequest {
-	if j.Over() {
-		return &jobtable.StopRequest{Reason: "over"}
-	}
-	if s, ok := j.Stops[p.Task]; ok {
-		return &s
-	}
-	if j.Spec.Gang() && len(j.Placed) < j.Spec.Tasks && !cs.Completable(j) {
-		// A part of the gang is gone; the next attempt needs all places free.
-		return &jobtable.StopRequest{Reason: "gang broken"}
-	}
-	return nil
+// Probe asks a worker for a sign of life by a request without commands.
+func (cs *CommandSender) Probe(m *machinetable.Machine) {
+	cs.Send(m, m.Incarnation, []protocol.Order{}, func(CommandResult) {})
 }
 
-// Completable tells that a gang which lost tasks hasn't started, so that
-// replacements with the same attempt complete it. What a lost task's machine did
-// last isn't known, but had the gang started, the others would run or have
-// ended for want of a peer by the time the loss is proven.
-func (cs *CommandSender) Completable(j *jobtable.Job) bool {
-	if !j.Spec.Gang() || len(j.Placed) == 0 || len(j.Stops) > 0 {
-		return false
-	}
-	attempt := int64(0)
-	for _, p := range j.Placed {
-		m := cs.machines.ByName[p.Machine]
-		if p.Attempt <= j.BrokenAttempt || attempt != 0 && p.Attempt != attempt || m == nil || !cs.machines.EpochAcknowledged(m) || !cs.machines.LeaseRenewed(m) || m.RecallAt != 0 {
-			return false
-		}
-		attempt = p.Attempt
-		if t, there := m.Tasks[machinetable.AttemptRef{Job: j.Spec.ID, Task: p.Task, Attempt: p.Attempt}]; there && t.Status != protocol.TaskFetching && t.Status != protocol.TaskWaiting {
-			return false
-		}
-	}
-	return true
-}
-
-// CommandsFor is what the worker should do now, given its last report. Orders can
-// be repeated; heartbeat answers carry all, direct commands only what is due. Without the
-// lease there is nothing but the ends of what is cancelled.
-func (cs *CommandSender) CommandsFor(m *machinetable.Machine, heartbeat bool) []protocol.Order {
-	if cs.upToDate(m) {
-		return []protocol.Order{}
-	}
-	orders := append([]protocol.Order{}, cs.cancellationCommands(m, heartbeat)...)
-	if !cs.Leads() || !cs.machines.EpochAcknowledged(m) {
-		return orders // a worker's answer to the new epoch comes first
-	}
-	now := cs.Now()
-	// An order just sent by one way isn't sent again by the other.
-	due := func(at clock.Micros) bool { return at == 0 || now-at >= CommandRepeatDelay }
-	for id, tasks := range ordered.ByKey(m.Placements) {
-		j := cs.jobs.ByID[id]
-		if j == nil || j.Over() {
-			// Nothing of a job that is over is started, not even to be stopped at once:
-			// while a start may still arrive, its place is kept until the session ends.
-			continue
-		}
-		for _, p := range ordered.ByKey(tasks) {
-			// Commit before act: only what the record holds.
-			if !j.Committed(p) || p.Session != m.Incarnation || j.MustReload {
-				continue
-			}
-			ref := machinetable.AttemptRef{Job: id, Task: p.Task, Attempt: p.Attempt}
-			t, there := m.Tasks[ref]
-			if there && t.Status == protocol.TaskExited {
-				continue
-			}
-			st := cs.stopRequest(j, p)
-			s := m.Delivery(ref)
-			name := protocol.TaskName(id, p.Task)
-			if !there && (st == nil || m.StartMayArrive(ref)) && due(s.StartSentAt) && j.StartPermitted(st, now) {
-				// With a stop wanted, a start that may still arrive is made to
-				// arrive now: it then has no effect later.
-				orders = append(orders, protocol.Order{Verb: protocol.VerbStart, Task: name, Attempt: p.Attempt})
-				s.StartSentAt, s.Replica = now, j.Spec.Service()
-				s.InHeartbeat = s.InHeartbeat || heartbeat
-				s.InCommand = s.InCommand || !heartbeat
-			}
-			if st != nil && (there || m.StartMayArrive(ref)) && due(s.StopSentAt) {
-				orders = append(orders, protocol.Order{Verb: protocol.VerbStop, Task: name, Attempt: p.Attempt, GraceS: st.GraceS})
-				s.StopSentAt = now
-			}
-		}
-	}
-	return append(orders, cs.unassignedCommands(m, heartbeat, len(orders) > 0)...)
-}
-
-// unassignedCommands stops and forgets what is on a machine and in no record. Each forgotten
-// task is a change that the worker reports at once, and most of what a strained leader
-// is told: tasks that have ended are forgotten several at a time, with other orders, or
-// after a while.
-func (cs *CommandSender) unassignedCommands(m *machinetable.Machine, heartbeat, others bool) []protocol.Order {
-	var loose []machinetable.AttemptRef
-	for ref, t := range m.Tasks {
-		j := cs.jobs.ByID[ref.Job]
-		if cs.jobs.Malformed[ref.Job] || j != nil && j.Over() && t.Status != protocol.TaskExited {
-			continue
-		}
-		if !m.Placed(ref) {
-			loose = append(loose, ref)
-		}
-	}
-	slices.SortFunc(loose, machinetable.CompareAttempts)
-	var orders, forgets []protocol.Order
-	m.ExitedTasks = 0
-	for _, ref := range loose {
-		t, j := m.Tasks[ref], cs.jobs.ByID[ref.Job]
-		name := protocol.TaskName(ref.Job, ref.Task)
-		if t.Status != protocol.TaskExited {
-			// No record has it: whatever it is, nobody needs it.
-			orders = append(orders, protocol.Order{Verb: protocol.VerbStop, Task: name, Attempt: ref.Attempt})
-			continue
-		}
-		m.ExitedTasks++
-		if heartbeat && (j == nil || j.OutcomeStored(ref.Task)) && !m.StartMayArrive(ref) && !MayRepeat(m, ref, t) {
-			// The outcome is durable and no start can bring the attempt back.
-			forgets = append(forgets, protocol.Order{Verb: protocol.VerbForget, Task: name, Attempt: ref.Attempt})
+// permittedUntil returns until when starts of hosted jobs may leave.
+func (cs *CommandSender) permittedUntil(commands []protocol.Order) clock.Micros {
+	until := clock.Micros(math.MaxInt64)
+	for _, c := range commands {
+		id, _, _ := protocol.ParseTask(c.Task)
+		if j := cs.jobs.ByID[id]; c.Verb == protocol.VerbStart && j != nil && j.Permission != nil {
+			until = min(until, j.Permission.Until())
 		}
 	}
-	if !heartbeat || m.ExitedTasks == 0 {
-		return orders
-	}
-	now := cs.Now()
-	if m.ForgetAt == 0 {
-		m.ForgetAt = now + ForgetDelay
-	}
-	if others || len(orders) > 0 || len(forgets) >= ForgetBatch || now >= m.ForgetAt {
-		m.ForgetAt = now + ForgetDelay
-		return append(orders, forgets...)
-	}
-	return orders
+	return until
 }
 
-// upToDate tells that a machine runs exactly what it is to run, so that there is
-// nothing to order: most reports are such, and sorting what is placed only to find that
-// out was a tenth of a leader's time.
-func (cs *CommandSender) upToDate(m *machinetable.Machine) bool {
-	if !m.Steady {
-		return false
-	}
-	placed := 0
-	for id, tasks := range m.Placements {
-		j := cs.jobs.ByID[id]
-		if j == nil || j.Over() || len(j.Stops) > 0 || j.Spec.Gang() && len(j.Placed) < j.Spec.Tasks {
-			return false
-		}
-		placed += len(tasks)
-	}
-	// All that is placed was reported: as many tasks as that are those and no others, but
-	// for some that are to be forgotten later.
-	return placed+m.ExitedTasks == len(m.Tasks) && (m.ExitedTasks == 0 || m.ExitedTasks < ForgetBatch && cs.Now() < m.ForgetAt)
-}
+// unknownIncarnation is the guess for a worker that wasn't heard of yet. A wrong one is responded to
+// with the worker's heartbeat all the same.
+const unknownIncarnation = 1
 
-// Push sends what is due directly, without waiting for the next report.
+// Push sends what is due directly, without waiting for the next heartbeat.
 func (cs *CommandSender) Push(m *machinetable.Machine) {
 	leads := cs.Leads()
 	if !leads && !cs.MayAnswer() || m.Address == "" || m.LeaseExpired {
@@ -230,121 +128,112 @@
 		m.PushPending = true
 		return
 	}
-	orders := cs.CommandsFor(m, false)
-	if len(orders) == 0 && (!leads || cs.machines.EpochAcknowledged(m) || m.EpochAnnouncedAt != 0 && cs.Now() < m.EpochAnnouncedAt+epochAnnounceInterval) {
+	commands := cs.CommandsFor(m, ViaDirectCommand)
+	if len(commands) == 0 && !(leads && cs.epochAnnouncementDue(m)) {
 		return
 	}
-	session := m.Incarnation
+	incarnation := m.Incarnation
 	if !m.Seen {
-		session = 1 // a wrong guess is answered with the report all the same
+		incarnation = unknownIncarnation
 	}
 	if !cs.machines.EpochAcknowledged(m) {
 		m.EpochAnnouncedAt = cs.Now()
 	}
-	cs.Send(m, session, orders, func(status int, _ *protocol.Report) {
-		for _, o := range orders {
-			if o.Verb != protocol.VerbStart {
-				continue
-			}
-			id, task, _ := protocol.ParseTask(o.Task)
-			if s := m.Deliveries[machinetable.AttemptRef{Job: id, Task: task, Attempt: o.Attempt}]; s != nil {
-				s.InCommand = false
-				// 409, 400 and what never left execute nothing; silence can mean a
-				// late arrival.
-				s.OutcomeUnknown = s.OutcomeUnknown || status != http.StatusOK && status != http.StatusConflict &&
-					status != http.StatusBadRequest && status != transport.NotSent
-			}
-		}
+	cs.Send(m, incarnation, commands, func(result CommandResult) {
+		noteStartOutcomes(m, commands, result.Outcome)
 	})
 }
 
-// permittedUntil is until when starts of guests may leave.
-func (cs *CommandSender) permittedUntil(orders []protocol.Order) clock.Micros {
-	until := clock.Micros(math.MaxInt64)
-	for _, o := range orders {
-		id, _, _ := protocol.ParseTask(o.Task)
-		if j := cs.jobs.ByID[id]; o.Verb == protocol.VerbStart && j != nil && j.Permission != nil {
-			until = min(until, j.Permission.Until())
-		}
-	}
-	return until
+// epochAnnouncementDue reports whether a worker is to be sent this term's epoch.
+func (cs *CommandSender) epochAnnouncementDue(m *machinetable.Machine) bool {
+	return !cs.machines.EpochAcknowledged(m) &&
+		(m.EpochAnnouncedAt == 0 || cs.Now() >= m.EpochAnnouncedAt+epochAnnounceInterval)
 }
 
-// mayRenewLease tells that an answer may renew the machine's lease. A cancelled task
-// must be gone within cancel_s of its confirmation: from lease_s before that on, an
-// answer has to carry the task's end, which it does for whatever the machine
-// reports. What may be there without being reported can't be ended like that.
-func (cs *CommandSender) mayRenewLease(m *machinetable.Machine) bool {
-	for id, tasks := range m.Placements {
-		j := cs.jobs.ByID[id]
-		if j == nil || !cs.renewalNeedsTermination(j) {
+// noteStartOutcomes notes what became of the starts among direct commands.
+func noteStartOutcomes(m *machinetable.Machine, commands []protocol.Order, outcome CommandOutcome) {
+	for _, c := range commands {
+		if c.Verb != protocol.VerbStart {
 			continue
 		}
-		if !j.MustEnd() {
-			return false // a guest that nobody permits and nobody ends, for a moment
-		}
-		for _, p := range tasks {
-			if _, reported := m.Tasks[machinetable.AttemptRef{Job: id, Task: p.Task, Attempt: p.Attempt}]; !reported && p.Session >= m.Incarnation {
-				return false
-			}
+		id, task, _ := protocol.ParseTask(c.Task)
+		if d := m.Deliveries[machinetable.AttemptRef{Job: id, Task: task, Attempt: c.Attempt}]; d != nil {
+			d.InCommand = false
+			d.OutcomeUnknown = d.OutcomeUnknown || outcome == OutcomeUnknown
 		}
 	}
-	return true
 }
 
-// renewalNeedsTermination tells that a lease may be renewed only by an answer that ends what is left of a job.
-func (cs *CommandSender) renewalNeedsTermination(j *jobtable.Job) bool {
-	if j.Permission != nil {
-		return !j.Permission.MayKeep(cs.Now())
+// stopRequest returns whether and how a placed task is to be stopped, nil if it isn't.
+func (cs *CommandSender) stopRequest(j *jobtable.Job, p ledger.Placement) *jobtable.StopRequest {
+	if j.Over() {
+		return &jobtable.StopRequest{Reason: "over"}
+	}
+	if s, ok := j.Stops[p.Task]; ok {
+		return &s
+	}
+	if j.Spec.Gang() && len(j.Placed) < j.Spec.Tasks && !cs.Completable(j) {
+		// A part of the gang is gone; the next attempt needs the room of all tasks.
+		return &jobtable.StopRequest{Reason: "gang broken"}
 	}
-	return j.Cancelled && cs.Now() > j.CancelConfirmedAt+cs.Settings.Deployment.Workers.KeepAlive()
+	return nil
 }
 
-// cancellationCommands stops what is left of jobs that are over. For confirmed cancellations these
-// are the only orders that need neither the lease nor fresh records: they are final. An
-// answer to a report always carries them, since it renews the lease of what it doesn't
-// end.
-func (cs *CommandSender) cancellationCommands(m *machinetable.Machine, heartbeat bool) []protocol.Order {
-	leads := cs.Leads()
-	var left []machinetable.AttemptRef
-	for ref, t := range m.Tasks {
-		j := cs.jobs.ByID[ref.Job]
-		if j != nil && t.Status != protocol.TaskExited && (j.MustEnd() || leads && j.Final()) {
-			left = append(left, ref)
-		}
+// Completable reports whether a gang that lost tasks hasn't started, so that
+// replacements under the same attempt complete it. What a lost task's machine did
+// last isn't known, but had the gang started, the others would run or have
+// ended for want of a peer by the time the loss is proven.
+func (cs *CommandSender) Completable(j *jobtable.Job) bool {
+	if !j.Spec.Gang() || len(j.Placed) == 0 || len(j.Stops) > 0 {
+		return false
 	}
-	slices.SortFunc(left, machinetable.CompareAttempts)
-	var orders []protocol.Order
-	for _, ref := range left {
-		s := m.Delivery(ref)
-		if heartbeat || s.StopSentAt == 0 || cs.Now()-s.StopSentAt >= CommandRepeatDelay {
-			orders = append(orders, protocol.Order{Verb: protocol.VerbStop, Task: protocol.TaskName(ref.Job, ref.Task), Attempt: ref.Attempt})
-			s.StopSentAt = cs.Now()
+	attempt := int64(0)
+	for _, p := range j.Placed {
+		if p.Attempt <= j.BrokenAttempt || attempt != 0 && p.Attempt != attempt {
+			return false
 		}
+		if !cs.mayWaitForPeers(j, p) {
+			return false
+		}
+		attempt = p.Attempt
 	}
-	return orders
+	return true
 }
 
-// Stop takes a running task off its machine, saving if it can. A gang can only
-// save whole, so that all its tasks are told at once.
-func (cs *CommandSender) Stop(j *jobtable.Job, task int, why, forID string) {
-	tell := func(t int) {
-		p, ok := j.Placed[t]
-		if _, stopping := j.Stops[t]; !ok || stopping {
-			return
-		}
-		j.Stops[t] = jobtable.StopRequest{GraceS: j.Spec.SaveS + 1, Reason: why}
-		j.RunningStale = true
-		slog.Debug("stopping task", "job", j.Spec.ID, "task", t, "machine", p.Machine, "why", why, "for", forID)
-		if m := cs.machines.ByName[p.Machine]; m != nil {
-			cs.Push(m)
-		}
+// mayWaitForPeers reports whether a task of a gang stands on a machine that goes on, and hasn't
+// started.
+func (cs *CommandSender) mayWaitForPeers(j *jobtable.Job, p ledger.Placement) bool {
+	m := cs.machines.ByName[p.Machine]
+	if m == nil || !cs.machines.EpochAcknowledged(m) || !cs.machines.LeaseRenewed(m) || m.RecallAt != 0 {
+		return false
 	}
+	t, reported := m.Tasks[attemptOf(j, p)]
+	return !reported || t.Status == protocol.TaskFetching || t.Status == protocol.TaskWaiting
+}
+
+// Stop takes a running task off its machine, saving a checkpoint if it can. A gang can only save as a
+// whole, so that all its tasks are stopped at once. forID is the job that needs the room, if any.
+func (cs *CommandSender) Stop(j *jobtable.Job, task int, reason, forID string) {
 	if !j.Spec.Gang() {
-		tell(task)
+		cs.stopTask(j, task, reason, forID)
+		return
+	}
+	for task := range ordered.ByKey(j.Placed) {
+		cs.stopTask(j, task, reason, forID)
+	}
+}
+
+// stopTask stops one placed task, unless it is being stopped already.
+func (cs *CommandSender) stopTask(j *jobtable.Job, task int, reason, forID string) {
+	p, placed := j.Placed[task]
+	if _, stopping := j.Stops[task]; !placed || stopping {
 		return
 	}
-	for t := range ordered.ByKey(j.Placed) {
-		tell(t)
+	j.Stops[task] = jobtable.StopRequest{GraceS: j.Spec.SaveS + 1, Reason: reason}
+	j.RunningStale = true
+	slog.Debug("stopping task", "job", j.Spec.ID, "task", task, "machine", p.Machine,
+		"reason", reason, "for", forID)
+	if m := cs.machines.ByName[p.Machine]; m != nil {
+		cs.Push(m)
 	}
 }
--- a/internal/leader/reconciler/health.go
+++ b/internal/leader/reconciler/health.go
@@ -13,7 +13,7 @@
 	"postpoint/internal/protocol"
 )
 
-// HealthMonitor watches for machines that are silent, failed or about to be taken back.
+// HealthMonitor watches for machines that are silent, failed or about to be taken back by the cloud.
 type HealthMonitor struct {
 	*term.State
 	jobs      *jobtable.Table
@@ -22,9 +22,9 @@
 	commands  *CommandSender
 }
 
-// NewHealthMonitor makes a monitor of the given machines.
-func NewHealthMonitor(term *term.State, jobs *jobtable.Table, machines *machinetable.Table, catalogue *machinetable.Catalogue,
-	commands *CommandSender) *HealthMonitor {
+// NewHealthMonitor returns a monitor of the given machines.
+func NewHealthMonitor(term *term.State, jobs *jobtable.Table, machines *machinetable.Table,
+	catalogue *machinetable.Catalogue, commands *CommandSender) *HealthMonitor {
 	return &HealthMonitor{
 		State:     term,
 		jobs:      jobs,
@@ -34,29 +34,31 @@
 	}
 }
 
-// saveMargin is the time, in seconds, that an order to save may take to arrive.
-const saveMargin = 4.0
-
 const (
-	epochAnnounceBatch    = 8
-	epochAnnounceInterval = 2 * clock.Second
+	// saveMarginS is how many seconds a command to save a checkpoint may take to arrive.
+	saveMarginS = 4.0
+	// epochAnnounceBatch is to how many machines the epoch is announced at a time.
+	epochAnnounceBatch = 8
+	// challengeInterval is from one challenge of a machine to the next.
+	challengeInterval = 5 * clock.Second
+	// ProbeTimeout is longer than a worker that isn't silent takes to respond.
+	ProbeTimeout = 1500 * clock.Millisecond
+
+	// silentTime is how long after the end of its lease a silent machine is given up.
+	silentTime = 20 * clock.Second
+	// A machine that the cloud starts is given up after bootFactor usual boot times and bootMargin,
+	// one that runs after neverReportedTime without a heartbeat.
+	bootFactor        = 2
+	bootMargin        = 10 * clock.Second
+	neverReportedTime = 30 * clock.Second
 )
 
-// moveReplicas stops replicas on a machine that is about to be taken, one of each job at a
-// time, so that the others serve while it starts elsewhere.
-func (hm *HealthMonitor) moveReplicas(j *jobtable.Job, tasks map[int]ledger.Placement) {
-	if j.Over() || len(j.Stops) > 0 || j.PendingCount() > 0 {
-		return
-	}
-	for task := range ordered.ByKey(tasks) {
-		hm.commands.Stop(j, task, "recall", "")
-		return
-	}
-}
+// stopForRecall is the reason of stops on machines that the cloud takes back.
+const stopForRecall = "recall"
 
-// ReplaceSilent returns machines with replicas that have missed a report and don't answer
-// when asked: the cloud's answer is proof that they are empty, long before their leases
-// end. If half of all machines are silent, it is more likely this node that hears nothing.
+// ReplaceSilent releases machines with replicas that have missed a heartbeat and don't respond
+// when probed: the cloud's response is proof that they are empty, long before their leases
+// expire. If half of all machines are silent, it is more likely this node that hears nothing.
 // A machine whose replicas could run nowhere else stays: where a whole zone is cut off they
 // may serve on inside it.
 func (hm *HealthMonitor) ReplaceSilent() {
@@ -76,7 +78,7 @@
 		case m.ProbedAt <= m.HeardAt || m.ProbedAt == 0:
 			m.ProbedAt = now
 			if !m.CommandInFlight && m.Address != "" {
-				hm.commands.Send(m, m.Incarnation, []protocol.Order{}, func(int, *protocol.Report) {})
+				hm.commands.Probe(m)
 			}
 		case now > m.ProbedAt+ProbeTimeout:
 			slog.Info("machine with replicas is silent", "machine", m.Name, "silent_s", (now - m.HeardAt).Seconds())
@@ -85,7 +87,7 @@
 	}
 }
 
-// replaceable tells that a replica on a machine could run in a zone that is heard of.
+// replaceable reports whether a replica on a machine could run in a zone that is heard of.
 func (hm *HealthMonitor) replaceable(m *machinetable.Machine, zones map[string]machinetable.HeardCount) bool {
 	for id := range m.Placements {
 		j := hm.jobs.ByID[id]
@@ -104,69 +106,85 @@
 	return false
 }
 
-// challenge asks a machine that has only old reports to give what it has to say
-// now: either they are late copies, or it has started over, and counts from one
-// again. The answer to a command is never older than the command. A machine that
-// has started over goes back: late copies of its former life would look newer than
-// all that it says, and what it still holds is known for certain once it is gone.
+// challenge asks a machine of which only old heartbeats come for its present state: either they are
+// late copies, or the worker has started over, and counts from one again. The response to a command is
+// never older than the command. A machine that has started over is released: late copies of its former
+// life would look newer than all that it says, and what it still holds is known for certain once it is
+// gone.
 func (hm *HealthMonitor) challenge(m *machinetable.Machine) {
-	if !hm.Leads() || m.CommandInFlight || m.Releasing || m.Address == "" || hm.machines.HeardRecently(m) || hm.Now() < m.ChallengedAt+challengeInterval {
+	if !hm.Leads() || m.CommandInFlight || m.Releasing || m.Address == "" ||
+		hm.machines.HeardRecently(m) || hm.Now() < m.ChallengedAt+challengeInterval {
 		return
 	}
 	m.ChallengedAt = hm.Now()
 	before := m.HeartbeatNumber
-	hm.commands.Send(m, m.Incarnation, []protocol.Order{}, func(_ int, answer *protocol.Report) {
-		if answer != nil && !machinetable.NumberOf(answer).After(before) {
+	hm.commands.Send(m, m.Incarnation, []protocol.Order{}, func(result CommandResult) {
+		if result.Heartbeat != nil && !machinetable.NumberOf(result.Heartbeat).After(before) {
 			hm.machines.ScheduleRelease(m, machinetable.ReleaseStartedOver)
 		}
 	})
 }
 
-// ExpireLeases frees the places of machines whose leases have ended unheard, and
-// gives up on machines that show no sign of life.
+// ExpireLeases releases the placements of machines whose leases have expired unheard, and gives up on
+// machines that show no sign of life.
 func (hm *HealthMonitor) ExpireLeases() {
 	now := hm.Now()
-	w := hm.Settings.Deployment.Workers
 	for _, m := range hm.machines.Ordered {
 		if m.Releasing {
 			continue
 		}
 		if !m.LeaseExpired && (m.Seen || len(m.Placements) > 0) && now > hm.machines.ProvenEmptyAt(m) {
-			slog.Info("machine is silent, its lease has ended", "machine", m.Name, "jobs", len(m.Placements),
-				"silent_s", (now - m.HeardAt).Seconds())
-			m.ExpireLease()
-			for id, tasks := range ordered.ByKey(m.Placements) {
-				for _, p := range ordered.ByKey(tasks) {
-					j := hm.jobs.ByID[id]
-					switch {
-					case j == nil || j.MustReload:
-					case j.MustEnd():
-						// It may hang, and what it was stopped in the middle of counts as
-						// there until it goes on or is gone.
-						hm.machines.ScheduleOverdueRelease(m, machinetable.ReleaseSilentCancelled)
-					default:
-						hm.jobs.ReleasePlacement(j, p)
-					}
-				}
-			}
+			hm.expireLease(m, now)
 		}
-		boot := clock.FromSeconds(hm.catalogue.ByName[m.Type].BootS)
-		switch {
-		case m.LeaseExpired && now > max(m.HeardAt, m.FirstSeen)+w.Lease()+20*clock.Second:
-			hm.machines.ScheduleRelease(m, machinetable.ReleaseSilent)
-		case m.CloudStatus == protocol.MachineFailed:
-			hm.machines.ScheduleRelease(m, machinetable.ReleaseFailed)
-		case !m.Seen && m.CloudStatus == protocol.MachineStarting && now > m.FirstSeen+2*boot+10*clock.Second:
-			hm.machines.ScheduleRelease(m, machinetable.ReleaseNeverBooted)
-		case !m.Seen && m.CloudStatus == protocol.MachineRunning && now > m.FirstSeen+max(boot, w.Lease())+30*clock.Second:
-			hm.machines.ScheduleRelease(m, machinetable.ReleaseNeverReported)
-		case m.Quarantined && len(m.Placements) == 0:
-			hm.machines.ScheduleRelease(m, machinetable.ReleaseQuarantined)
+		if reason := hm.releaseReason(m, now); reason != "" {
+			hm.machines.ScheduleRelease(m, reason)
+		}
+	}
+}
+
+// expireLease notes that a machine's lease has expired, which proves its tasks gone. Tasks that have to
+// be gone in time are no exception, but the worker may hang: what it was stopped in the middle of
+// counts as there until the worker goes on or the machine is gone.
+func (hm *HealthMonitor) expireLease(m *machinetable.Machine, now clock.Micros) {
+	slog.Info("machine is silent, its lease has expired", "machine", m.Name, "jobs", len(m.Placements),
+		"silent_s", (now - m.HeardAt).Seconds())
+	m.ExpireLease()
+	for id, tasks := range ordered.ByKey(m.Placements) {
+		for _, p := range ordered.ByKey(tasks) {
+			j := hm.jobs.ByID[id]
+			switch {
+			case j == nil || j.MustReload:
+			case j.MustEnd():
+				hm.machines.ScheduleOverdueRelease(m, machinetable.ReleaseSilentCancelled)
+			default:
+				hm.jobs.ReleasePlacement(j, p)
+			}
 		}
 	}
 }
 
-// DrainRecalled saves what runs on machines that the cloud will take.
+// releaseReason returns why a machine is to be given up, "" if it isn't.
+func (hm *HealthMonitor) releaseReason(m *machinetable.Machine, now clock.Micros) machinetable.ReleaseReason {
+	lease := hm.Settings.Deployment.Workers.Lease()
+	boot := clock.FromSeconds(hm.catalogue.ByName[m.Type].BootS)
+	starting := !m.Seen && m.CloudStatus == protocol.MachineStarting
+	running := !m.Seen && m.CloudStatus == protocol.MachineRunning
+	switch {
+	case m.LeaseExpired && now > max(m.HeardAt, m.FirstSeen)+lease+silentTime:
+		return machinetable.ReleaseSilent
+	case m.CloudStatus == protocol.MachineFailed:
+		return machinetable.ReleaseFailed
+	case starting && now > m.FirstSeen+bootFactor*boot+bootMargin:
+		return machinetable.ReleaseNeverBooted
+	case running && now > m.FirstSeen+max(boot, lease)+neverReportedTime:
+		return machinetable.ReleaseNeverReported
+	case m.Quarantined && len(m.Placements) == 0:
+		return machinetable.ReleaseQuarantined
+	}
+	return ""
+}
+
+// DrainRecalled saves what runs on machines that the cloud takes back.
 func (hm *HealthMonitor) DrainRecalled() {
 	for _, m := range hm.machines.Ordered {
 		if m.RecallAt == 0 {
@@ -175,34 +193,48 @@
 		left := (m.RecallAt - hm.Now()).Seconds()
 		for id, tasks := range ordered.ByKey(m.Placements) {
 			j := hm.jobs.ByID[id]
-			if j != nil && j.Spec.Service() {
-				hm.moveReplicas(j, tasks)
-				continue
-			}
-			if j == nil || j.Spec.CheckpointS == 0 || left > j.Spec.SaveS+saveMargin {
-				continue
-			}
-			for task := range ordered.ByKey(tasks) {
-				hm.commands.Stop(j, task, "recall", "")
+			switch {
+			case j == nil:
+			case j.Spec.Service():
+				hm.moveReplica(j, tasks)
+			case j.Spec.CheckpointS != 0 && left <= j.Spec.SaveS+saveMarginS:
+				for task := range ordered.ByKey(tasks) {
+					hm.commands.Stop(j, task, stopForRecall, "")
+				}
 			}
 		}
 	}
 }
 
-// AnnounceEpoch repeats this term's epoch by direct command to machines that haven't come
-// by themselves, a few at a time.
+// moveReplica stops a replica on a machine that the cloud takes back, one of each job at a time, so
+// that the others serve while it starts elsewhere.
+func (hm *HealthMonitor) moveReplica(j *jobtable.Job, tasks map[int]ledger.Placement) {
+	if j.Over() || len(j.Stops) > 0 || j.PendingCount() > 0 {
+		return
+	}
+	for task := range ordered.ByKey(tasks) {
+		hm.commands.Stop(j, task, stopForRecall, "")
+		return
+	}
+}
+
+// AnnounceEpoch announces this term's epoch by direct commands to machines of which no heartbeat has
+// come, a few at a time.
 func (hm *HealthMonitor) AnnounceEpoch() {
 	now := hm.Now()
 	due := now - hm.Settings.Deployment.Workers.Report()*3/2 - clock.Second
 	left := epochAnnounceBatch
 	for _, m := range hm.machines.Ordered {
-		if left > 0 && !hm.machines.EpochAcknowledged(m) && !m.Releasing && !m.CommandInFlight && m.CloudStatus != protocol.MachineStarting &&
-			max(m.HeardAt, hm.BegunAt) < due && now >= m.EpochAnnouncedAt+epochAnnounceInterval {
+		if left == 0 {
+			return
+		}
+		if hm.machines.EpochAcknowledged(m) || m.Releasing || m.CommandInFlight ||
+			m.CloudStatus == protocol.MachineStarting {
+			continue
+		}
+		if max(m.HeardAt, hm.BegunAt) < due && now >= m.EpochAnnouncedAt+epochAnnounceInterval {
 			left--
 			hm.commands.Push(m)
 		}
 	}
 }
-
-// ProbeTimeout is longer than a worker that isn't silent takes to answer.
-const ProbeTimeout = 1500 * clock.Millisecond
--- a/internal/leader/reconciler/heartbeats.go
+++ b/internal/leader/reconciler/heartbeats.go
@@ -10,7 +10,7 @@
 	"postpoint/internal/protocol"
 )
 
-// HeartbeatHandler answers workers' heartbeats.
+// HeartbeatHandler responds to workers' heartbeats.
 type HeartbeatHandler struct {
 	*term.State
 	machines   *machinetable.Table
@@ -18,7 +18,7 @@
 	commands   *CommandSender
 	health     *HealthMonitor
 	jobs       *jobtable.Table
-	// Zones is told of heartbeats that this node doesn't answer as leader.
+	// Zones observes heartbeats that this node doesn't respond to as leader.
 	Zones HeartbeatWatcher
 
 	// Deferring reports that heartbeats wait until the records are read.
@@ -26,9 +26,9 @@
 	deferred  []func()
 }
 
-// NewHeartbeatHandler makes a handler that passes heartbeats on to the reconciler.
-func NewHeartbeatHandler(term *term.State, jobs *jobtable.Table, machines *machinetable.Table, reconciler *Reconciler,
-	commands *CommandSender, health *HealthMonitor) *HeartbeatHandler {
+// NewHeartbeatHandler returns a handler that passes heartbeats on to the reconciler.
+func NewHeartbeatHandler(term *term.State, jobs *jobtable.Table, machines *machinetable.Table,
+	reconciler *Reconciler, commands *CommandSender, health *HealthMonitor) *HeartbeatHandler {
 	return &HeartbeatHandler{
 		State:      term,
 		jobs:       jobs,
@@ -39,17 +39,16 @@
 	}
 }
 
-// HeartbeatWatcher is told of heartbeats that reach a node which doesn't lead.
+// HeartbeatWatcher observes heartbeats that reach a node which doesn't lead.
 type HeartbeatWatcher interface {
 	NoteUnansweredHeartbeat(r *protocol.Report)
 }
 
-// deferredTime is less than workers wait by far.
-const deferredTime = clock.Second
-
 const (
-	challengeInterval = 5 * clock.Second
-	// heartbeatTimeout is less than the four seconds that a worker waits.
+	// deferredTime is how long heartbeats wait for the records: far less than workers wait.
+	deferredTime = clock.Second
+	// heartbeatTimeout is after which a heartbeat isn't looked at: less than the four seconds that a
+	// worker waits.
 	heartbeatTimeout = 3 * clock.Second
 )
 
@@ -59,9 +58,8 @@
 	hb.Deferring = true
 }
 
-// deferHeartbeat keeps a report until the records are read, but not for long: a new leader knows
-// what it may answer a moment later, and a refusal would send each worker round the
-// other nodes and back.
+// deferHeartbeat keeps a heartbeat until the records are read, but not for long: a new leader knows
+// how to respond a moment later, and a refusal would send each worker round the other nodes and back.
 func (hb *HeartbeatHandler) deferHeartbeat(heartbeat func()) {
 	if len(hb.deferred) == 0 {
 		hb.AfterInTerm(deferredTime, hb.AnswerDeferred)
@@ -69,7 +67,7 @@
 	hb.deferred = append(hb.deferred, heartbeat)
 }
 
-// AnswerDeferred lets the reports that were held be answered as things stand.
+// AnswerDeferred handles the heartbeats that were deferred by what is known now.
 func (hb *HeartbeatHandler) AnswerDeferred() {
 	heartbeats := hb.deferred
 	hb.Deferring, hb.deferred = false, nil
@@ -78,57 +76,91 @@
 	}
 }
 
-// Handle answers a heartbeat that arrived at the given time.
-func (hb *HeartbeatHandler) Handle(r protocol.Report, arrived clock.Micros, reply func(status int, body any)) {
+// heartbeatOutcome is what becomes of a heartbeat.
+type heartbeatOutcome int
+
+const (
+	// accepted renews the worker's lease; the response carries its commands.
+	accepted heartbeatOutcome = iota
+	// misdirected sends the worker on, to the leader if one is known. It doesn't renew the lease.
+	misdirected
+	// notNow has the worker try again here. It doesn't renew the lease.
+	notNow
+)
+
+// status returns the HTTP status that a worker expects. Nothing else here knows these numbers.
+func (o heartbeatOutcome) status() int {
+	switch o {
+	case misdirected:
+		return http.StatusMisdirectedRequest
+	case notNow:
+		return http.StatusServiceUnavailable
+	default:
+		return http.StatusOK
+	}
+}
+
+// Handle responds to a heartbeat that arrived at the given time.
+func (hb *HeartbeatHandler) Handle(r protocol.Report, arrived clock.Micros,
+	reply func(status int, body any)) {
 	if hb.Deferring {
 		hb.deferHeartbeat(func() { hb.Handle(r, arrived, reply) })
 		return
 	}
-	// After a stand of the process, or behind more than the processor can do, a
-	// report is no news of now and its worker is about to give up: a refusal
-	// costs next to nothing, lets those be taken whose answers will be in time,
-	// and isn't taken for an answer that the worker didn't heed.
+	outcome, body := hb.respond(&r, arrived)
+	reply(outcome.status(), body)
+}
+
+// respond decides how to respond to a heartbeat, and returns the body of the response as well.
+func (hb *HeartbeatHandler) respond(r *protocol.Report, arrived clock.Micros) (heartbeatOutcome, any) {
+	// After the process was suspended, or behind more heartbeats than the processor can handle, one
+	// that waited this long says nothing of now, and its worker is about to give up. A refusal costs
+	// next to nothing, lets those be handled whose responses will be in time, and isn't counted as a
+	// response that the worker didn't receive.
 	if hb.Now() > arrived+heartbeatTimeout {
-		reply(http.StatusServiceUnavailable, protocol.Redirect{})
-		return
+		return notNow, protocol.Redirect{}
 	}
 	hb.machines.NoteAddress(r.Machine, r.Address)
 	if !hb.Leads() && !hb.MayAnswer() || hb.machines.WasReleased(r.Machine) {
-		hint := hb.KnownLeader
-		if hint == hb.Settings.Node {
-			hint = ""
-		}
-		hb.Zones.NoteUnansweredHeartbeat(&r)
-		reply(http.StatusMisdirectedRequest, protocol.Redirect{Node: hint})
-		return
+		hb.Zones.NoteUnansweredHeartbeat(r)
+		return misdirected, protocol.Redirect{Node: hb.otherLeader()}
 	}
 	m := hb.machines.GetOrAdd(r.Machine)
-	hb.reconciler.Observe(m, r)
-	// An old report may come late. One that is only older than what a
-	// direct command's answer told is the worker's current one.
-	number := machinetable.NumberOf(&r)
-	newest := number.After(m.RespondedTo)
-	if !newest {
-		hb.health.challenge(m)
-	}
-	if !newest || r.Session != m.Incarnation || m.LeaseExpired || r.Epoch > hb.Term.Epoch {
-		reply(http.StatusMisdirectedRequest, protocol.Redirect{})
-		return
+	hb.reconciler.Observe(m, *r)
+	if !hb.isCurrent(m, r) {
+		return misdirected, protocol.Redirect{}
 	}
-	hb.checkHostedOn(m)
+	hb.checkPermissions(m)
 	if !hb.commands.mayRenewLease(m) {
-		reply(http.StatusServiceUnavailable, protocol.Redirect{})
-		return
+		return notNow, protocol.Redirect{}
 	}
 	m.NoteHeartbeatReceived()
-	answer := protocol.HeartbeatAnswer{Epoch: hb.Term.Epoch, Orders: hb.commands.CommandsFor(m, true)}
-	m.NoteResponse(number, hb.Now())
-	reply(http.StatusOK, answer)
+	commands := hb.commands.CommandsFor(m, ViaHeartbeat)
+	m.NoteResponse(machinetable.NumberOf(r), hb.Now())
+	return accepted, protocol.HeartbeatAnswer{Epoch: hb.Term.Epoch, Orders: commands}
+}
+
+// otherLeader returns the node that workers are to turn to, "" if none is known.
+func (hb *HeartbeatHandler) otherLeader() string {
+	if hb.KnownLeader == hb.Settings.Node {
+		return ""
+	}
+	return hb.KnownLeader
+}
+
+// isCurrent reports whether an observed heartbeat may be responded to. A late copy may not; one that is
+// only older than the response to a direct command is the worker's current one.
+func (hb *HeartbeatHandler) isCurrent(m *machinetable.Machine, r *protocol.Report) bool {
+	if !machinetable.NumberOf(r).After(m.RespondedTo) {
+		hb.health.challenge(m)
+		return false
+	}
+	return r.Session == m.Incarnation && !m.LeaseExpired && r.Epoch <= hb.Term.Epoch
 }
 
-// checkHostedOn looks at the permissions of the hosted jobs on a machine whose heartbeat is about to
-// be answered.
-func (hb *HeartbeatHandler) checkHostedOn(m *machinetable.Machine) {
+// checkPermissions looks at the permissions of the hosted jobs on a machine whose heartbeat is about to
+// be responded to.
+func (hb *HeartbeatHandler) checkPermissions(m *machinetable.Machine) {
 	for id := range m.Placements {
 		if j := hb.jobs.ByID[id]; j != nil && j.Guest != nil {
 			j.Permission.Check(hb.Now())
--- a/internal/leader/reconciler/reconciler.go
+++ b/internal/leader/reconciler/reconciler.go
@@ -1,7 +1,7 @@
-// Package reconciler squares workers' heartbeats with the placements in the job records, and decides
-// which commands each worker is sent. It owns no tables: it changes machines (package machinetable)
-// and jobs (package jobtable) by what heartbeats prove, and watches for machines that are silent.
-// The leader's actor calls it for each heartbeat and on each tick.
+// Package reconciler reconciles workers' heartbeats with the placements in the job records, and
+// decides which commands each worker is sent. It owns no tables: it changes machines (package
+// machinetable) and jobs (package jobtable) by what heartbeats prove, and watches for machines that
+// are silent. The leader's actor calls it for each heartbeat and on each tick.
 package reconciler
 
 import (
@@ -17,7 +17,7 @@
 	"postpoint/internal/protocol"
 )
 
-// Reconciler squares workers' heartbeats with the placements in the job records.
+// Reconciler reconciles workers' heartbeats with the placements in the job records.
 type Reconciler struct {
 	*term.State
 	jobs       *jobtable.Table
@@ -27,7 +27,7 @@
 	steps      *term.StepTimer
 }
 
-// New makes a reconciler that is told of the answers to direct commands, too.
+// New returns a reconciler that also observes the responses to direct commands.
 func New(term *term.State, jobs *jobtable.Table, machines *machinetable.Table, commands *CommandSender,
 	objectives *objectives.Tracker, steps *term.StepTimer) *Reconciler {
 	rc := &Reconciler{
@@ -42,75 +42,7 @@
 	return rc
 }
 
-// MayRepeat tells that a late copy of a start that was carried out could do
-// harm: the task is to run again, and a worker that has forgotten this attempt would
-// start it where nobody expects it. What was started in earlier terms is safe,
-// since workers refuse older epochs, and so is what is done, since it doesn't
-// run again. Only a machine with very many such attempts takes the risk.
-func MayRepeat(m *machinetable.Machine, ref machinetable.AttemptRef, t protocol.TaskReport) bool {
-	s := m.Deliveries[ref]
-	if s == nil || len(m.Tasks) >= maxRemembered {
-		return false
-	}
-	return t.Cause != protocol.CauseDone || s.Replica // which runs again after any end
-}
-
-// maxRemembered keeps reports well within their size limit.
-const maxRemembered = 400
-
-// startFailed notes the cause for the user and the operator, and holds a job
-// that fails again and again back for longer each time.
-func (rc *Reconciler) startFailed(m *machinetable.Machine, j *jobtable.Job, p ledger.Placement, cause string, pause clock.Micros) {
-	if j.StartFailures == 0 || j.Cause == "" {
-		slog.Info("start failed", "job", j.Spec.ID, "task", p.Task, "machine", m.Name, "cause", cause)
-	}
-	j.Cause = cause + " on " + m.Name
-	if pause == 0 {
-		return
-	}
-	j.StartFailures++
-	if j.StartFailures > 3 {
-		pause *= clock.Micros(1) << min(j.StartFailures-3, 6)
-	}
-	j.NotBefore = max(j.NotBefore, rc.Now()+min(pause, 60*clock.Second))
-}
-
-// ReplicaEnded handles the end of a service's replica, which runs again whatever the
-// cause. A refused start says nothing of the replica: it tells that the end isn't handled.
-func (rc *Reconciler) ReplicaEnded(m *machinetable.Machine, j *jobtable.Job, p ledger.Placement, cause string, ran clock.Micros) bool {
-	switch cause {
-	case protocol.CauseNoRoom, protocol.CauseBusy:
-		return false
-	case protocol.CauseStopped:
-		return true // by this leader or an earlier one, to move it
-	}
-	r := j.Restarts[p.Task]
-	if ran >= jobtable.GoodRunTime {
-		r.ShortRuns = 0
-	}
-	r.ShortRuns++
-	r.NotBefore = rc.Now() + rc.restartPause(r.ShortRuns)
-	j.Restarts[p.Task] = r
-	slog.Info("replica ended, it runs again", "job", j.Spec.ID, "task", p.Task, "machine", m.Name, "cause", cause,
-		"ran_s", ran.Seconds(), "failures", r.ShortRuns)
-	j.Cause = cause + " on " + m.Name
-	if cause == protocol.CauseError {
-		j.AvoidMachine(m.Name)
-	}
-	return true
-}
-
-// restartPause is how long a replica waits after so many short runs.
-func (rc *Reconciler) restartPause(failures int) clock.Micros {
-	if failures <= 1 {
-		return 0
-	}
-	pause := min(jobtable.FirstRestartPause<<min(failures-2, jobtable.MaxRestartDoubled), jobtable.MaxRestartPause)
-	spread := 1 - jobtable.RestartJitter + 2*jobtable.RestartJitter*rc.Random.Float64()
-	return clock.Micros(float64(pause) * spread)
-}
-
-// Observe takes a report if it is newer than what is known.
+// Observe takes a heartbeat if it is newer than what is known.
 func (rc *Reconciler) Observe(m *machinetable.Machine, r protocol.Report) {
 	if outdated(m, &r) {
 		return
@@ -119,13 +51,14 @@
 		rc.Deposed(r.Epoch)
 	}
 	if !m.Seen {
-		slog.Info("machine reports", "machine", m.Name, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "tasks", len(r.Tasks))
+		slog.Info("machine heard of", "machine", m.Name, "type", r.Type, "zone", r.Zone, "spot", r.Spot,
+			"tasks", len(r.Tasks))
 		m.IdleSince = rc.Now()
 	}
 	rc.noteIncarnation(m, r.Session)
-	same := m.Steady && r.Session == m.Incarnation && r.Epoch == m.Epoch && m.SameTasks(r.Tasks)
+	unchanged := m.Steady && r.Session == m.Incarnation && r.Epoch == m.Epoch && m.SameTasks(r.Tasks)
 	rc.machines.NoteHeartbeat(m, &r)
-	if !same {
+	if !unchanged {
 		m.ViewStale = true
 		rc.replaceTasks(m, r.Tasks)
 	}
@@ -138,12 +71,13 @@
 		m.LeaseExpired && r.Session <= m.Incarnation
 }
 
-// noteIncarnation notes which incarnation of the worker a heartbeat is from, before the rest of it.
+// noteIncarnation notes which incarnation of the worker a heartbeat is from, before the rest of it is
+// taken: what is known of an earlier incarnation doesn't count any more.
 func (rc *Reconciler) noteIncarnation(m *machinetable.Machine, incarnation int64) {
 	switch {
 	case incarnation > m.Incarnation:
 		if m.Seen {
-			rc.incarnationLost(m, incarnation)
+			rc.noteLostIncarnation(m, incarnation)
 		}
 		m.BeginIncarnation(incarnation, rc.Now())
 	case !m.Seen:
@@ -151,29 +85,33 @@
 	}
 }
 
-// incarnationLost handles a machine whose session ran out.
-func (rc *Reconciler) incarnationLost(m *machinetable.Machine, next int64) {
-	// Had the latest answer to it arrived, it would not
-	// have yet: a machine whose reports come through while answers and
-	// commands don't looks alive and loses its tasks lease after lease.
-	answerLost := m.RespondedAt != 0 && rc.Now() < m.RespondedAt+rc.Settings.Deployment.Workers.Lease()
-	if answerLost && !m.ResponsesLost {
-		slog.Info("machine loses its session though it is answered", "machine", m.Name, "session", next)
-	} else if answerLost {
+// noteLostIncarnation handles a machine whose lease expired although its heartbeats arrive. Had the
+// latest response reached it, the lease would not have expired yet: a machine whose heartbeats come
+// through while responses and commands don't looks alive, and loses its tasks lease after lease. It
+// gets no work until an incarnation outlasts its first lease, and is released the second time.
+func (rc *Reconciler) noteLostIncarnation(m *machinetable.Machine, next int64) {
+	lease := rc.Settings.Deployment.Workers.Lease()
+	if m.RespondedAt == 0 || rc.Now() >= m.RespondedAt+lease {
+		return
+	}
+	if m.ResponsesLost {
 		rc.machines.ScheduleRelease(m, machinetable.ReleaseResponsesLost)
+		return
 	}
-	m.ResponsesLost = m.ResponsesLost || answerLost
+	slog.Info("machine loses its lease though its heartbeats are responded to", "machine", m.Name,
+		"incarnation", next)
+	m.ResponsesLost = true
 }
 
-// replaceTasks replaces what is known of a machine's tasks by what its report says, and draws
-// from it what it proves.
+// replaceTasks replaces what is known of a machine's tasks by what its heartbeat lists, and acts on
+// what that proves.
 func (rc *Reconciler) replaceTasks(m *machinetable.Machine, tasks []protocol.TaskReport) {
 	m.SetTasks(tasks)
 	rc.Reconcile(m)
 	m.DropDeliveries()
 }
 
-// Reconcile draws from the last report what it proves about placements.
+// Reconcile acts on what the last heartbeat of a machine proves about its placements.
 func (rc *Reconciler) Reconcile(m *machinetable.Machine) {
 	m.Steady = true
 	for id, tasks := range ordered.ByKey(m.Placements) {
@@ -183,109 +121,102 @@
 			continue
 		}
 		for _, p := range ordered.ByKey(tasks) {
-			if p.Session < m.Incarnation {
-				slog.Debug("place lost with the worker's lease", "job", id, "task", p.Task, "machine", m.Name)
-				rc.jobs.ReleasePlacement(j, p)
-				continue
-			}
-			if p.Session > m.Incarnation {
-				m.Steady = false
-				if rc.machines.EpochAcknowledged(m) {
-					// It was in a later session when this was placed.
-					rc.machines.ScheduleRelease(m, machinetable.ReleaseStartedOver)
-				}
-				continue
-			}
-			ref := machinetable.AttemptRef{Job: id, Task: p.Task, Attempt: p.Attempt}
-			t, there := m.Tasks[ref]
-			switch {
-			case there && t.Status == protocol.TaskExited:
-				rc.taskExited(m, j, p, t)
-			case there:
-				rc.taskRunning(m, j, ref, t)
-			case rc.commands.stopRequest(j, p) != nil && j.Committed(p) && rc.machines.EpochAcknowledged(m) && !m.StartMayArrive(ref):
-				rc.jobs.ReleasePlacement(j, p)
-			default:
-				m.Steady = false
-			}
+			rc.reconcilePlacement(m, j, p)
 		}
 	}
 	rc.steps.Wake()
 }
 
-func (rc *Reconciler) taskRunning(m *machinetable.Machine, j *jobtable.Job, ref machinetable.AttemptRef, t protocol.TaskReport) {
-	if t.Status == protocol.TaskFetching {
-		return
-	}
-	if m.RunningSince[ref] == 0 {
-		rc.machines.NoteImage(m, j.Spec.Image, j.Spec.ImageGB)
-		if t.Status == protocol.TaskRunning {
-			j.BrokenAttempt = max(j.BrokenAttempt, ref.Attempt) // a gang that runs can't be completed
-			m.RunningSince[ref] = rc.Now()
-			j.RunningStale = true
-			j.StartFailures = 0
-			if term.DebugEnabled() {
-				slog.Debug("task running", "job", ref.Job, "class", j.Spec.Class, "task", ref.Task, "machine", m.Name, "type", m.Type,
-					"since_submission_s", (rc.Mailbox.OfDay() - clock.Micros(j.SubmittedAt)).Seconds())
-			}
-		}
-	}
-}
+// evidence is what the last heartbeat of a machine proves about one of its placements.
+type evidence int
+
+const (
+	// unproven is no proof of anything: the task may run without being listed yet, or its start may
+	// still arrive.
+	unproven evidence = iota
+	// listed is a task that the worker holds, and that hasn't exited.
+	listed
+	// exited is a task that has ended, for the cause that the heartbeat gives.
+	exited
+	// lostWithLease is a task of an earlier incarnation: it ended when that one's lease expired.
+	lostWithLease
+	// neverStarted is a task that was to be stopped before it was started, and that no start can
+	// bring any more.
+	neverStarted
+	// startedOver is a task that was placed in a later incarnation than the worker is in: the worker
+	// has lost count and numbers its incarnations from one again.
+	startedOver
+)
 
-// taskExited handles the end of a placed attempt.
-func (rc *Reconciler) taskExited(m *machinetable.Machine, j *jobtable.Job, p ledger.Placement, t protocol.TaskReport) {
-	id := j.Spec.ID
-	ref := machinetable.AttemptRef{Job: id, Task: p.Task, Attempt: p.Attempt}
-	ran := rc.machines.RanFor(m, ref)
-	if term.DebugEnabled() {
-		slog.Debug("task exited", "job", id, "task", p.Task, "attempt", p.Attempt, "machine", m.Name, "cause", t.Cause, "ran_s", ran.Seconds())
+// evidenceFor returns what the last heartbeat of a machine proves about a placement. Absence is proof
+// only if the worker rejects whatever an earlier leader sent: see docs/rules.md.
+func (rc *Reconciler) evidenceFor(m *machinetable.Machine, j *jobtable.Job, p ledger.Placement) evidence {
+	if p.Session < m.Incarnation {
+		return lostWithLease
 	}
-	if t.Cause == protocol.CauseDone {
-		j.RecordDone(p.Task)
+	if p.Session > m.Incarnation {
+		if rc.machines.EpochAcknowledged(m) {
+			return startedOver
+		}
+		return unproven
 	}
-	rc.jobs.ReleasePlacement(j, p)
-	if j.Over() {
+	ref := attemptOf(j, p)
+	if t, ok := m.Tasks[ref]; ok {
+		if t.Status == protocol.TaskExited {
+			return exited
+		}
+		return listed
+	}
+	if rc.commands.stopRequest(j, p) != nil && j.Committed(p) &&
+		rc.machines.EpochAcknowledged(m) && !m.StartMayArrive(ref) {
+		return neverStarted
+	}
+	return unproven
+}
+
+// reconcilePlacement acts on what the last heartbeat of a machine proves about a placement.
+func (rc *Reconciler) reconcilePlacement(m *machinetable.Machine, j *jobtable.Job, p ledger.Placement) {
+	switch rc.evidenceFor(m, j, p) {
+	case listed:
+		ref := attemptOf(j, p)
+		rc.noteListed(m, j, ref, m.Tasks[ref].Status)
+	case exited:
+		rc.noteExit(m, j, p, m.Tasks[attemptOf(j, p)].Cause)
+	case lostWithLease:
+		slog.Debug("placement lost with the worker's lease", "job", j.Spec.ID, "task", p.Task, "machine", m.Name)
+		rc.jobs.ReleasePlacement(j, p)
+	case neverStarted:
+		rc.jobs.ReleasePlacement(j, p)
+	case startedOver:
+		m.Steady = false
+		rc.machines.ScheduleRelease(m, machinetable.ReleaseStartedOver)
+	case unproven:
+		m.Steady = false
+	}
+}
+
+// attemptOf identifies the attempt of a job's task that a placement is for.
+func attemptOf(j *jobtable.Job, p ledger.Placement) machinetable.AttemptRef {
+	return machinetable.AttemptRef{Job: j.Spec.ID, Task: p.Task, Attempt: p.Attempt}
+}
+
+// noteListed notes a placed task that the worker holds: its image is in the machine's cache once it
+// doesn't fetch any more, and it may have begun to run.
+func (rc *Reconciler) noteListed(m *machinetable.Machine, j *jobtable.Job, ref machinetable.AttemptRef,
+	status string) {
+	if status == protocol.TaskFetching || m.RunningSince[ref] != 0 {
 		return
 	}
-	if j.Spec.Service() && rc.ReplicaEnded(m, j, p, t.Cause, ran) {
+	rc.machines.NoteImage(m, j.Spec.Image, j.Spec.ImageGB)
+	if status != protocol.TaskRunning {
 		return
 	}
-	rc.noteOutcome(m, j, p, t.Cause, ran)
-}
-
-// noteOutcome draws from an attempt's end what it says of its job and its machine.
-func (rc *Reconciler) noteOutcome(m *machinetable.Machine, j *jobtable.Job, p ledger.Placement, cause string, ran clock.Micros) {
-	switch cause {
-	case protocol.CauseDone, protocol.CauseStopped, protocol.CausePeers, protocol.CauseAlone:
-		j.BrokenAttempt = max(j.BrokenAttempt, p.Attempt)
-	}
-	switch cause {
-	case protocol.CauseDone:
-		j.StartFailures, j.Cause = 0, ""
-		rc.objectives.NotePace(m, &j.Spec, ran)
-		rc.jobs.CompleteIfDone(j)
-	case protocol.CauseStopped, protocol.CausePeers:
-	case protocol.CauseAlone:
-		rc.startFailed(m, j, p, cause, 0)
-	case protocol.CauseError:
-		m.FailedJobs[j.Spec.ID] = true
-		j.AvoidMachine(m.Name)
-		rc.startFailed(m, j, p, cause, clock.Second)
-		rc.quarantineIfFaulty(m)
-	case protocol.CauseNoRoom:
-		m.FullUntil = rc.Now() + 5*clock.Second
-		rc.startFailed(m, j, p, cause, 0)
-	case protocol.CauseBusy:
-		m.FullUntil = rc.Now() + 2*clock.Second
-		rc.startFailed(m, j, p, cause, clock.Second)
-	default:
-		rc.startFailed(m, j, p, cause, 2*clock.Second)
-	}
-}
-
-// quarantineIfFaulty sets a machine aside on which several jobs failed that run elsewhere.
-func (rc *Reconciler) quarantineIfFaulty(m *machinetable.Machine) {
-	if m.QuarantineIfFaulty() {
-		slog.Info("machine set aside, several jobs failed on it", "machine", m.Name, "type", m.Type, "jobs", len(m.FailedJobs))
+	m.RunningSince[ref] = rc.Now()
+	j.RunningStale = true
+	j.BrokenAttempt = max(j.BrokenAttempt, ref.Attempt) // a gang that runs can't be completed
+	j.StartFailures = 0
+	if term.DebugEnabled() {
+		slog.Debug("task running", "job", ref.Job, "class", j.Spec.Class, "task", ref.Task, "machine", m.Name,
+			"type", m.Type, "since_submission_s", (rc.Mailbox.OfDay() - clock.Micros(j.SubmittedAt)).Seconds())
 	}
 }
--- a/internal/leader/records_test.go
+++ b/internal/leader/records_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"postpoint/internal/leader/reconciler"
 	"postpoint/internal/leader/recordstore"
 	"postpoint/internal/leader/term"
 	"postpoint/internal/ledger"
@@ -89,7 +90,7 @@
 	cancelled := *j.Job
 	cancelled.Status, cancelled.CancelledAt = protocol.StatusCancelled, int64(box.Now)
 	d.reader.Adopt(ledger.Key("job-1"), cancelled.Encode(), 6)
-	if orders := d.commands.CommandsFor(m, true); len(orders) != 1 || orders[0].Verb != protocol.VerbStop {
+	if orders := d.commands.CommandsFor(m, reconciler.ViaHeartbeat); len(orders) != 1 || orders[0].Verb != protocol.VerbStop {
 		t.Fatalf("orders %v", orders)
 	}
 }
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -90,7 +90,7 @@
 	d.jobs.AddPlacement(j, ledger.Placement{Task: 1, Attempt: 1, Machine: "m-1", Session: 1})
 	j.StoredCount = j.ChangeCount
 	m.Steady = false
-	d.commands.CommandsFor(m, true)
+	d.commands.CommandsFor(m, reconciler.ViaHeartbeat)
 	ref := machinetable.AttemptRef{Job: "job-1", Task: 1, Attempt: 1}
 	delete(d.jobs.ByID, "job-1")
 	if !reconciler.MayRepeat(m, ref, protocol.TaskReport{Cause: protocol.CauseDone}) {
--- a/internal/leader/zonetracker/zonerecovery.go
+++ b/internal/leader/zonetracker/zonerecovery.go
@@ -326,7 +326,7 @@
 		if left[m.Zone] > 0 && zr.machines.Late(m) && !m.Releasing && !m.CommandInFlight && m.Address != "" && zr.Now() > m.ProbedAt+probeZonesTime {
 			left[m.Zone]--
 			m.ProbedAt = zr.Now()
-			zr.commands.Send(m, m.Incarnation, []protocol.Order{}, func(int, *protocol.Report) {})
+			zr.commands.Probe(m)
 		}
 	}
 }
