--- a/internal/leader/orders_test.go
+++ b/internal/leader/commands_test.go
@@ -14,9 +14,9 @@
 	"postpoint/internal/statestore"
 )
 
-// A leader that no longer hears what users change stops giving orders, though
+// A leader that no longer hears what users change stops sending commands, though
 // its lease is good: cancelled work must not be started again.
-func TestStaleRecordsStopOrders(t *testing.T) {
+func TestStaleRecordsStopCommands(t *testing.T) {
 	d, _, _, box := one(t)
 	if !d.state.Leads() {
 		t.Fatal("it doesn't lead")
@@ -36,26 +36,35 @@
 	}
 }
 
-// A report without news costs next to nothing, and whatever there is to order is
-// noticed all the same.
-func TestReportWithoutNewsCostsLittle(t *testing.T) {
+// A heartbeat that changes nothing costs next to nothing.
+func TestUnchangedHeartbeatCostsLittle(t *testing.T) {
 	d, _, r := eightRunning()
 	n := testing.AllocsPerRun(100, func() {
 		r.Counter++
 		d.Heartbeat(r, func(int, any) {})
 	})
 	if n > 4 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("%v allocations, want at most 4", n)
 	}
+}
+
+// Whatever makes commands due is noticed at the next heartbeat, also where that one changes nothing.
+func TestDueCommandsAreNoticed(t *testing.T) {
 	for name, change := range map[string]func(d *Leader, j *jobtable.Job, r *protocol.Report){
 		"a task is to stop": func(_ *Leader, j *jobtable.Job, _ *protocol.Report) {
 			j.Stops[3] = jobtable.StopRequest{Reason: "room"}
 		},
-		"the job is cancelled":  func(d *Leader, j *jobtable.Job, _ *protocol.Report) { d.jobs.NoteCancelled(j, d.state.Now()) },
-		"a task has gone":       func(_ *Leader, _ *jobtable.Job, r *protocol.Report) { r.Tasks = r.Tasks[1:] },
-		"a task isn't in place": func(d *Leader, j *jobtable.Job, _ *protocol.Report) { d.jobs.ReleasePlacement(j, j.Placed[5]) },
+		"the job is cancelled": func(d *Leader, j *jobtable.Job, _ *protocol.Report) {
+			d.jobs.NoteCancelled(j, d.state.Now())
+		},
+		"a task has gone": func(_ *Leader, _ *jobtable.Job, r *protocol.Report) {
+			r.Tasks = r.Tasks[1:]
+		},
+		"a placement is released": func(d *Leader, j *jobtable.Job, _ *protocol.Report) {
+			d.jobs.ReleasePlacement(j, j.Placed[5])
+		},
 		"a task has been added": func(_ *Leader, _ *jobtable.Job, r *protocol.Report) {
-			r.Tasks = append(slices.Clone(r.Tasks), protocol.TaskReport{Task: "job-2/0", Attempt: 1, Status: protocol.TaskRunning})
+			r.Tasks = append(slices.Clone(r.Tasks), unassignedTask)
 		},
 		"a gang is incomplete": func(_ *Leader, j *jobtable.Job, _ *protocol.Report) {
 			j.Spec.Shape, j.Spec.Tasks, j.BrokenAttempt = protocol.ShapeGang, 9, 1
@@ -64,26 +73,33 @@
 		d, j, r := eightRunning()
 		change(d, j, &r)
 		r.Counter++
-		var orders []protocol.Order
-		d.Heartbeat(r, func(_ int, body any) { orders = body.(protocol.HeartbeatAnswer).Orders })
-		if len(orders) == 0 {
-			t.Errorf("%s: nothing is ordered", name)
+		if commands := commandsInResponse(d, r); len(commands) == 0 {
+			t.Errorf("%s: no commands, want some", name)
 		}
 	}
 }
 
-// Ended tasks are forgotten several at a time, with other orders, or after a while: each
-// forgotten one makes its worker report again.
-func TestEndedTasksAreForgottenTogether(t *testing.T) {
+// unassignedTask is a running task that no record has.
+var unassignedTask = protocol.TaskReport{Task: "job-2/0", Attempt: 1, Status: protocol.TaskRunning}
+
+// commandsInResponse returns the commands in the response to a heartbeat that is accepted.
+func commandsInResponse(d *Leader, r protocol.Report) (commands []protocol.Order) {
+	d.Heartbeat(r, func(_ int, body any) { commands = body.(protocol.HeartbeatAnswer).Orders })
+	return commands
+}
+
+// Exited tasks are forgotten several at a time, with other commands, or after a while: each
+// forgotten one makes its worker send another heartbeat.
+func TestExitedTasksAreForgottenTogether(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		ended     int
-		other     bool // something else is ordered
+		exited    int
+		other     bool // another command is due
 		after     clock.Micros
 		forgotten int
 	}{
 		{"one", 1, false, 0, 0},
-		{"one, with another order", 1, true, 0, 1},
+		{"one, with another command", 1, true, 0, 1},
 		{"one, after a while", 1, false, reconciler.ForgetDelay, 1},
 		{"a batch", reconciler.ForgetBatch, false, 0, reconciler.ForgetBatch},
 	} {
@@ -92,20 +108,18 @@
 		heartbeat := func() (forgotten int) {
 			r.Counter++
 			r.Tasks = slices.Clone(r.Tasks)
-			d.Heartbeat(r, func(_ int, body any) {
-				for _, o := range body.(protocol.HeartbeatAnswer).Orders {
-					if o.Verb == protocol.VerbForget {
-						forgotten++
-					}
+			for _, c := range commandsInResponse(d, r) {
+				if c.Verb == protocol.VerbForget {
+					forgotten++
 				}
-			})
+			}
 			return forgotten
 		}
-		for i := range c.ended {
+		for i := range c.exited {
 			r.Tasks[i].Status, r.Tasks[i].Cause = protocol.TaskExited, protocol.CauseDone
 		}
 		if n := heartbeat(); n > 0 {
-			t.Errorf("%s: %d forgotten before their ends are durable", c.name, n)
+			t.Errorf("%s: %d forgotten before their ends are durable, want none", c.name, n)
 		}
 		j.StoredCount = j.ChangeCount
 		if c.other {
@@ -113,32 +127,32 @@
 		}
 		for waited := clock.Micros(0); waited < c.after; waited += clock.Second {
 			if n := heartbeat(); n > 0 {
-				t.Errorf("%s: %d forgotten after %v s", c.name, n, waited.Seconds())
+				t.Errorf("%s: %d forgotten after %v s, want none yet", c.name, n, waited.Seconds())
 			}
 			box.Now += clock.Second
 			d.state.FreshAt, d.state.Term.ValidUntil = box.Now, box.Now+clock.Second
 		}
 		if n := heartbeat(); n != c.forgotten {
-			t.Errorf("%s: %d forgotten, not %d", c.name, n, c.forgotten)
+			t.Errorf("%s: %d forgotten, want %d", c.name, n, c.forgotten)
 		}
 	}
 }
 
-// An ended task that was forgotten doesn't hide another that has come in its stead.
-func TestStrayTaskInPlaceOfAnEndedOneIsStopped(t *testing.T) {
+// An exited task that was forgotten doesn't hide another that has come in its stead.
+func TestUnassignedTaskInPlaceOfExitedOneIsStopped(t *testing.T) {
 	d, j, r := eightRunning()
-	beat := func() (orders []protocol.Order) {
+	heartbeat := func() []protocol.Order {
 		r.Counter++
-		d.Heartbeat(r, func(_ int, body any) { orders = body.(protocol.HeartbeatAnswer).Orders })
-		return orders
+		return commandsInResponse(d, r)
 	}
 	r.Tasks = slices.Clone(r.Tasks)
 	r.Tasks[0].Status, r.Tasks[0].Cause = protocol.TaskExited, protocol.CauseDone
-	beat()
+	heartbeat()
 	j.StoredCount = j.ChangeCount
-	r.Tasks = append(slices.Clone(r.Tasks[1:]), protocol.TaskReport{Task: "job-2/0", Attempt: 1, Status: protocol.TaskRunning})
-	if orders := beat(); len(orders) != 1 || orders[0].Verb != protocol.VerbStop || orders[0].Task != "job-2/0" {
-		t.Errorf("ordered %v", orders)
+	r.Tasks = append(slices.Clone(r.Tasks[1:]), unassignedTask)
+	commands := heartbeat()
+	if len(commands) != 1 || commands[0].Verb != protocol.VerbStop || commands[0].Task != "job-2/0" {
+		t.Errorf("commands %v, want the stop of job-2/0", commands)
 	}
 }
 
@@ -147,9 +161,9 @@
 
 func (c *calls) Commands(string, protocol.Commands, clock.Micros, func(int, protocol.Report)) { c.n++ }
 
-// While the processor doesn't keep up, starts wait for the answers to reports instead
+// While the processor doesn't keep up, starts wait for the responses to heartbeats instead
 // of taking a connection each.
-func TestStartsRideOnReportsUnderStrain(t *testing.T) {
+func TestStartsWaitForHeartbeatsUnderOverload(t *testing.T) {
 	for _, late := range []clock.Micros{0, clock.Second} {
 		d, j, m, box := one(t)
 		out := &calls{}
@@ -162,12 +176,15 @@
 		d.tick()
 		d.state.Term.Epoch = 7
 		j.Uncommitted = []int{0}
-		d.writer.HandleResult([]recordstore.Write{{J: j, V: &j.StoredValue, Part: recordstore.HeadIndex, Changed: j.ChangeCount}}, statestore.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 9}})
+		d.writer.HandleResult(
+			[]recordstore.Write{{J: j, V: &j.StoredValue, Part: recordstore.HeadIndex, Changed: j.ChangeCount}},
+			statestore.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 9}})
 		if direct := out.n > 0; direct != (late == 0) {
-			t.Errorf("late by %v: %d direct commands", late, out.n)
+			t.Errorf("late by %v: %d direct commands, want some only without delay", late, out.n)
 		}
-		if orders := d.commands.CommandsFor(m, reconciler.ViaHeartbeat); late > 0 && (len(orders) != 1 || orders[0].Verb != protocol.VerbStart) {
-			t.Errorf("late by %v: the report is answered by %v", late, orders)
+		commands := d.commands.CommandsFor(m, reconciler.ViaHeartbeat)
+		if late > 0 && (len(commands) != 1 || commands[0].Verb != protocol.VerbStart) {
+			t.Errorf("late by %v: the heartbeat's response has %v, want the start", late, commands)
 		}
 	}
 }
--- a/internal/leader/heartbeat_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -1,6 +1,7 @@
 package leader
 
 import (
+	"net/http"
 	"testing"
 
 	"postpoint/internal/actor/actortest"
@@ -9,6 +10,7 @@
 	"postpoint/internal/statestore"
 )
 
+// BenchmarkHeartbeat handles a heartbeat of eight running tasks that changes nothing.
 func BenchmarkHeartbeat(b *testing.B) {
 	d, _, r := eightRunning()
 	for b.Loop() {
@@ -25,9 +27,9 @@
 
 func (q *queued) Post(message func()) { q.waiting = append(q.waiting, message) }
 
-// A report that has waited for longer than its worker does is refused without being
-// looked at: it says nothing of now, and it wasn't answered.
-func TestReportsThatWaitedTooLongAreRefused(t *testing.T) {
+// A heartbeat that has waited for longer than its worker does is refused without being
+// looked at: it says nothing of now, and it doesn't count as responded to.
+func TestHeartbeatsThatWaitedTooLongAreRefused(t *testing.T) {
 	d, box := leader()
 	q := &queued{Still: *box}
 	d.state.Mailbox = q
@@ -42,17 +44,19 @@
 		q.waiting = nil
 		return got
 	}
-	if got := heartbeat(1, 3500*clock.Millisecond); got != 503 || d.machines.ByName["m-1"] != nil {
-		t.Fatalf("a late report is answered %d, the machine is %v", got, d.machines.ByName["m-1"])
+	got := heartbeat(1, 3500*clock.Millisecond)
+	if got != http.StatusServiceUnavailable || d.machines.ByName["m-1"] != nil {
+		t.Fatalf("a late heartbeat gets %d, the machine is %v; want 503 and nil", got, d.machines.ByName["m-1"])
 	}
-	if got := heartbeat(2, 500*clock.Millisecond); got != 200 || d.machines.ByName["m-1"] == nil {
-		t.Fatalf("one in time is answered %d", got)
+	got = heartbeat(2, 500*clock.Millisecond)
+	if got != http.StatusOK || d.machines.ByName["m-1"] == nil {
+		t.Fatalf("one in time gets %d, the machine is %v; want 200 and the machine", got, d.machines.ByName["m-1"])
 	}
 }
 
 // A leader that was just elected knows of no cancellation before it has read the
-// records, however long an earlier one might have answered, on a young process too.
-func TestNothingIsKeptBeforeTheRecordsAreRead(t *testing.T) {
+// records, however long an earlier one might have responded, on a young process too.
+func TestNothingIsKeptAliveBeforeRecordsAreRead(t *testing.T) {
 	d, box := leader()
 	for _, now := range []clock.Micros{clock.Second, 100 * clock.Second} {
 		box.Now = now
@@ -68,22 +72,22 @@
 	}
 }
 
-// lists is a state service that has no records, and keeps the answer until the test asks.
+// lists is a key-value store that has no records, and keeps its response until the test asks.
 type lists struct {
 	statestore.Store
-	answer func()
+	respond func()
 }
 
 func (l *lists) List(_, _ string, done func(statestore.Reply[protocol.ItemList])) {
-	l.answer = func() { done(statestore.Reply[protocol.ItemList]{Status: 200}) }
+	l.respond = func() { done(statestore.Reply[protocol.ItemList]{Status: 200}) }
 }
 
 func (l *lists) Follow(string, int64, clock.Micros, func(statestore.Reply[protocol.FollowAnswer])) {}
 
-// Reports that come while a new leader reads its records are answered once it has, or
+// Heartbeats that come while a new leader reads its records are responded to once it has, or
 // refused when that takes long: sent round the other nodes at once, all workers would
 // be back a second later with new connections.
-func TestEarlyReportsWaitForRecords(t *testing.T) {
+func TestEarlyHeartbeatsWaitForRecords(t *testing.T) {
 	for _, read := range []bool{true, false} {
 		d, box := leader()
 		store := &lists{}
@@ -93,25 +97,25 @@
 		status := 0
 		d.Heartbeat(report(1, 1), func(s int, _ any) { status = s })
 		if status != 0 {
-			t.Fatalf("answered %d before the records are read", status)
+			t.Fatalf("status %d before the records are read, want none", status)
 		}
-		want := 421
+		want := http.StatusMisdirectedRequest
 		if read {
-			store.answer() // the records, and the parts of divided ones after them
+			store.respond() // the records, and the shards of sharded ones after them
 			if status != 0 {
-				t.Fatalf("answered %d before the parts are read", status)
+				t.Fatalf("status %d before the shards are read, want none", status)
 			}
-			store.answer()
-			want = 200
+			store.respond()
+			want = http.StatusOK
 		} else {
 			d.heartbeats.AnswerDeferred() // after deferredTime
 		}
 		if status != want {
-			t.Fatalf("records read %v: answered %d", read, status)
+			t.Fatalf("records read %v: status %d, want %d", read, status, want)
 		}
 		d.Heartbeat(report(1, 2), func(s int, _ any) { status = -s })
 		if status != -want {
-			t.Fatalf("records read %v: the next is answered %d", read, -status)
+			t.Fatalf("records read %v: the next gets %d, want %d", read, -status, want)
 		}
 	}
 }
--- /dev/null
+++ b/internal/leader/reconciler/commands_test.go
@@ -0,0 +1,35 @@
+package reconciler
+
+import (
+	"net/http"
+	"testing"
+
+	"postpoint/internal/protocol"
+	"postpoint/internal/transport"
+)
+
+// Only the protocol's refusals, and what never left, are known not to be executed; only the worker
+// that was asked speaks for its machine.
+func TestResultOfDirectCommands(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		machine string
+		status  int
+		want    CommandOutcome
+		heard   bool
+	}{
+		{"accepted", "m-1", http.StatusOK, Executed, true},
+		{"accepted by another worker", "m-2", http.StatusOK, Executed, false},
+		{"rejected", "m-1", http.StatusConflict, NotExecuted, true},
+		{"malformed", "m-1", http.StatusBadRequest, NotExecuted, false},
+		{"never left", "", transport.NotSent, NotExecuted, false},
+		{"no response", "", 0, OutcomeUnknown, false},
+		{"failure of the worker", "m-1", http.StatusInternalServerError, OutcomeUnknown, false},
+	} {
+		got := resultOf("m-1", c.status, &protocol.Report{Machine: c.machine})
+		if got.Outcome != c.want || (got.Heartbeat != nil) != c.heard {
+			t.Errorf("%s: outcome %v, heard of the machine %v; want %v and %v",
+				c.name, got.Outcome, got.Heartbeat != nil, c.want, c.heard)
+		}
+	}
+}
--- /dev/null
+++ b/internal/leader/reconciler/exits_test.go
@@ -0,0 +1,29 @@
+package reconciler
+
+import (
+	"testing"
+
+	"postpoint/internal/clock"
+	"postpoint/internal/protocol"
+)
+
+// Each cause has the effect that it proves: what ended at the job's or the machine's fault holds the
+// job back, what a worker refused says that it is full, and what ran breaks the attempt of its gang.
+func TestEffectsOfExits(t *testing.T) {
+	second := clock.Second
+	for cause, want := range map[string]exitEffect{
+		protocol.CauseDone:           {breaksAttempt: true},
+		protocol.CauseStopped:        {breaksAttempt: true},
+		protocol.CausePeers:          {breaksAttempt: true},
+		protocol.CauseAlone:          {breaksAttempt: true, failedStart: true},
+		protocol.CauseError:          {failedStart: true, startPause: second, suspectsMachine: true},
+		protocol.CauseNoRoom:         {refused: true, failedStart: true, fullFor: 5 * second},
+		protocol.CauseBusy:           {refused: true, failedStart: true, startPause: second, fullFor: 2 * second},
+		protocol.CauseNoSuch:         {failedStart: true, startPause: 2 * second},
+		"a cause of a later version": {failedStart: true, startPause: 2 * second},
+	} {
+		if got := effectOf(cause); got != want {
+			t.Errorf("%s: effect %+v, want %+v", cause, got, want)
+		}
+	}
+}
