--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"net/http"
+	"slices"
 	"testing"
 
 	"postpoint/internal/actor/actortest"
@@ -19,6 +20,21 @@
 	}
 }
 
+// BenchmarkChangedHeartbeat handles a heartbeat with a task that has changed and one that no record
+// has: everything is reconciled, and the response carries a command.
+func BenchmarkChangedHeartbeat(b *testing.B) {
+	d, _, r := eightRunning()
+	r.Tasks = append(slices.Clone(r.Tasks), unassignedTask)
+	waiting := slices.Clone(r.Tasks)
+	waiting[0].Status = protocol.TaskWaiting
+	lists := [][]protocol.TaskReport{r.Tasks, waiting}
+	for b.Loop() {
+		r.Counter++
+		r.Tasks = lists[r.Counter%2]
+		d.Heartbeat(r, func(int, any) {})
+	}
+}
+
 // queued is a mailbox whose messages wait until the test lets them through.
 type queued struct {
 	actortest.Still
--- a/internal/leader/machinetable/delivery.go
+++ b/internal/leader/machinetable/delivery.go
@@ -35,8 +35,8 @@
 	StopSentAt  clock.Micros
 }
 
-// mayArrive reports whether a start may still reach the worker.
-func (d *StartDelivery) mayArrive() bool { return d.InCommand || d.InHeartbeat || d.OutcomeUnknown }
+// MayArrive reports whether a start may still reach the worker.
+func (d *StartDelivery) MayArrive() bool { return d.InCommand || d.InHeartbeat || d.OutcomeUnknown }
 
 // Delivery returns what is known of an attempt's commands, to be added to.
 func (c *CommandState) Delivery(ref AttemptRef) *StartDelivery {
@@ -51,7 +51,7 @@
 // StartMayArrive reports whether a start of an attempt may still reach the worker.
 func (c *CommandState) StartMayArrive(ref AttemptRef) bool {
 	d := c.Deliveries[ref]
-	return d != nil && d.mayArrive()
+	return d != nil && d.MayArrive()
 }
 
 // DropDeliveries forgets the deliveries of attempts that are neither reported nor placed, unless a
@@ -60,7 +60,7 @@
 	for ref, d := range m.Deliveries {
 		_, reported := m.Tasks[ref]
 		_, placed := m.Placements[ref.Job][ref.Task]
-		if !reported && !placed && !d.mayArrive() {
+		if !reported && !placed && !d.MayArrive() {
 			delete(m.Deliveries, ref)
 		}
 	}
--- a/internal/leader/reconciler/commandset.go
+++ b/internal/leader/reconciler/commandset.go
@@ -91,12 +91,12 @@
 	d := m.Delivery(ref)
 	// With a stop wanted, a start that may still arrive is made to arrive now: it then has no effect
 	// later.
-	startNeeded := !reported && (stop == nil || m.StartMayArrive(ref))
+	startNeeded := !reported && (stop == nil || d.MayArrive())
 	if startNeeded && set.repeatDue(d.StartSentAt) && j.StartPermitted(stop, set.now) {
 		set.add(protocol.VerbStart, ref)
 		d.NoteStart(set.via == ViaHeartbeat, j.Spec.Service(), set.now)
 	}
-	if stop != nil && (reported || m.StartMayArrive(ref)) && set.repeatDue(d.StopSentAt) {
+	if stop != nil && (reported || d.MayArrive()) && set.repeatDue(d.StopSentAt) {
 		command := commandFor(protocol.VerbStop, ref)
 		command.GraceS = stop.GraceS
 		set.commands = append(set.commands, command)
--- a/internal/leader/reconciler/reconciler.go
+++ b/internal/leader/reconciler/reconciler.go
@@ -148,40 +148,43 @@
 	startedOver
 )
 
-// evidenceFor returns what the last heartbeat of a machine proves about a placement. Absence is proof
-// only if the worker rejects whatever an earlier leader sent: see docs/rules.md.
-func (rc *Reconciler) evidenceFor(m *machinetable.Machine, j *jobtable.Job, p ledger.Placement) evidence {
+// evidenceFor returns what the last heartbeat of a machine proves about a placement, and the task if it
+// is listed. Absence is proof only if the worker rejects whatever an earlier leader sent: see
+// docs/rules.md.
+func (rc *Reconciler) evidenceFor(m *machinetable.Machine, j *jobtable.Job, p ledger.Placement,
+	ref machinetable.AttemptRef) (evidence, protocol.TaskReport) {
 	if p.Session < m.Incarnation {
-		return lostWithLease
+		return lostWithLease, protocol.TaskReport{}
 	}
 	if p.Session > m.Incarnation {
 		if rc.machines.EpochAcknowledged(m) {
-			return startedOver
+			return startedOver, protocol.TaskReport{}
 		}
-		return unproven
+		return unproven, protocol.TaskReport{}
 	}
-	ref := attemptOf(j, p)
-	if t, ok := m.Tasks[ref]; ok {
-		if t.Status == protocol.TaskExited {
-			return exited
-		}
-		return listed
+	t, ok := m.Tasks[ref]
+	switch {
+	case ok && t.Status == protocol.TaskExited:
+		return exited, t
+	case ok:
+		return listed, t
 	}
 	if rc.commands.stopRequest(j, p) != nil && j.Committed(p) &&
 		rc.machines.EpochAcknowledged(m) && !m.StartMayArrive(ref) {
-		return neverStarted
+		return neverStarted, t
 	}
-	return unproven
+	return unproven, t
 }
 
 // reconcilePlacement acts on what the last heartbeat of a machine proves about a placement.
 func (rc *Reconciler) reconcilePlacement(m *machinetable.Machine, j *jobtable.Job, p ledger.Placement) {
-	switch rc.evidenceFor(m, j, p) {
+	ref := attemptOf(j, p)
+	proof, t := rc.evidenceFor(m, j, p, ref)
+	switch proof {
 	case listed:
-		ref := attemptOf(j, p)
-		rc.noteListed(m, j, ref, m.Tasks[ref].Status)
+		rc.noteListed(m, j, ref, t.Status)
 	case exited:
-		rc.noteExit(m, j, p, m.Tasks[attemptOf(j, p)].Cause)
+		rc.noteExit(m, j, p, t.Cause)
 	case lostWithLease:
 		slog.Debug("placement lost with the worker's lease", "job", j.Spec.ID, "task", p.Task, "machine", m.Name)
 		rc.jobs.ReleasePlacement(j, p)
