--- a/internal/leader/divide_test.go
+++ b/internal/leader/divide_test.go
@@ -51,11 +51,11 @@
 	d.jobs.ReleasePlacement(j, j.Placed[0])
 	j.ChangedAt = 0 // long enough ago
 	d.writer.Commit()
-	if len(store.txns) != 0 || !j.Sharding {
-		t.Fatalf("%d transactions, dividing %v", len(store.txns), j.Sharding)
+	if len(store.txns) != 0 || !j.Sharding() {
+		t.Fatalf("%d transactions, dividing %v", len(store.txns), j.Sharding())
 	}
 	headWritten := false
-	for revision := int64(11); j.Sharding; revision++ {
+	for revision := int64(11); j.Sharding(); revision++ {
 		d.writer.Commit()
 		if !d.writer.Committing {
 			t.Fatal("nothing is written, yet the record is not divided")
@@ -69,8 +69,8 @@
 		}
 		store.answer(ok(revision))
 	}
-	if !headWritten || j.Sharding || len(j.Shards) < 3 {
-		t.Fatalf("head written %v, dividing %v, %d parts", headWritten, j.Sharding, len(j.Shards))
+	if !headWritten || j.Sharding() || len(j.Shards) < 3 {
+		t.Fatalf("head written %v, dividing %v, %d parts", headWritten, j.Sharding(), len(j.Shards))
 	}
 	if len(j.Placed) != 299 || !j.Committed(j.Placed[7]) {
 		t.Fatalf("%d placed, committed %v", len(j.Placed), j.Committed(j.Placed[7]))
@@ -120,16 +120,16 @@
 	store.answer(ok(9))
 	d.writer.PauseUntil = 0
 	d.writer.Commit()
-	if len(store.txns) != 2 || j.MustReload || len(j.Placed) != 299 || j.PartSize != 0 {
-		t.Fatalf("%d transactions, read again %v, placed %d", len(store.txns), j.MustReload, len(j.Placed))
+	if len(store.txns) != 2 || j.MustReload() || len(j.Placed) != 299 || j.PartSize != 0 {
+		t.Fatalf("%d transactions, read again %v, placed %d", len(store.txns), j.MustReload(), len(j.Placed))
 	}
 	// Once the last controller is new, it is divided and written.
 	d.SetFormat(rollout.Status{Open: true})
 	j.ChangedAt = 0
 	d.writer.Commit()
 	d.writer.Commit()
-	if !j.Sharding || len(store.txns) != 3 {
-		t.Fatalf("dividing %v, %d transactions", j.Sharding, len(store.txns))
+	if !j.Sharding() || len(store.txns) != 3 {
+		t.Fatalf("dividing %v, %d transactions", j.Sharding(), len(store.txns))
 	}
 }
 
@@ -172,8 +172,8 @@
 	d.reader.Adopt(ledger.Key("job-1"), cancelled.Encode(), 8)
 	store.answer(statestore.Reply[protocol.TxnAnswer]{Status: http.StatusConflict,
 		Value: protocol.TxnAnswer{Failed: []string{ledger.Key("job-1")}}})
-	if !j.Over() || j.Committed(j.Placed[0]) || j.MustReload || len(j.Placed) != 1 {
-		t.Fatalf("over %v, committed %v, read again %v, placed %v", j.Over(), j.Committed(j.Placed[0]), j.MustReload, j.Placed)
+	if !j.Over() || j.Committed(j.Placed[0]) || j.MustReload() || len(j.Placed) != 1 {
+		t.Fatalf("over %v, committed %v, read again %v, placed %v", j.Over(), j.Committed(j.Placed[0]), j.MustReload(), j.Placed)
 	}
 }
 
@@ -213,7 +213,7 @@
 	d.reader.AdoptShard(protocol.Item{Key: ledger.PartKey("job-1", 0), Version: 4})
 	d.reader.AdoptShard(protocol.Item{Key: ledger.PartKey("job-9", 2), Version: 3})
 	d.writer.ShardLargeRecords()
-	if d.jobs.ByID["job-1"].Sharding {
+	if d.jobs.ByID["job-1"].Sharding() {
 		t.Fatal("divided over parts that are there")
 	}
 	d.writer.Commit()
@@ -281,14 +281,14 @@
 	store.answer(statestore.Reply[protocol.TxnAnswer]{Status: http.StatusConflict, Value: protocol.TxnAnswer{Failed: []string{first}}})
 	d.writer.PauseUntil = 0
 	d.writer.Commit() // nobody lists its parts
-	if len(j.Placed) != 300 || j.MustReload {
-		t.Fatalf("%d placed, read again %v: the undivided record is what counts", len(j.Placed), j.MustReload)
+	if len(j.Placed) != 300 || j.MustReload() {
+		t.Fatalf("%d placed, read again %v: the undivided record is what counts", len(j.Placed), j.MustReload())
 	}
-	if j.Sharding || !j.HasStrayShards {
-		t.Fatalf("dividing %v, stray parts %v", j.Sharding, j.HasStrayShards)
+	if j.Sharding() || !j.HasStrayShards() {
+		t.Fatalf("dividing %v, stray parts %v", j.Sharding(), j.HasStrayShards())
 	}
 	d.writer.Shard(j)
-	if j.Sharding {
+	if j.Sharding() {
 		t.Fatal("divided over a part that may be there")
 	}
 	store.down = false
@@ -303,7 +303,7 @@
 	}
 	store.answer(ok(9))
 	d.writer.Shard(j)
-	if !j.Sharding {
+	if !j.Sharding() {
 		t.Fatal("not divided again")
 	}
 }
@@ -343,7 +343,7 @@
 	}
 	d.writer.PauseUntil = 0
 	d.writer.Commit()
-	if reads.reads != 1 || j.MustReload || j.Version != 9 || len(j.Placed) != 0 {
-		t.Fatalf("%d reads, to be read again %v, version %d, placed %v", reads.reads, j.MustReload, j.Version, j.Placed)
+	if reads.reads != 1 || j.MustReload() || j.Version != 9 || len(j.Placed) != 0 {
+		t.Fatalf("%d reads, to be read again %v, version %d, placed %v", reads.reads, j.MustReload(), j.Version, j.Placed)
 	}
 }
--- a/internal/leader/federation/delegationstore.go
+++ b/internal/leader/federation/delegationstore.go
@@ -161,7 +161,7 @@
 func (oc *Origin) placeGuard(del *trackedDelegation) protocol.Guard {
 	j := oc.jobs.ByID[del.Job]
 	task := del.Left.NextIn(0)
-	if j.PartSize == 0 || j.Sharding {
+	if j.PartSize == 0 || j.Sharding() {
 		return protocol.Guard{Key: ledger.Key(j.Spec.ID), Version: j.Version}
 	}
 	return protocol.Guard{Key: ledger.PartKey(j.Spec.ID, j.PartOf(task)), Version: j.ShardOf(task).Version}
--- a/internal/leader/federation/host.go
+++ b/internal/leader/federation/host.go
@@ -133,7 +133,7 @@
 // CheckJob applies a hosted job's permission to what is left of it.
 func (hc *Host) CheckJob(j *jobtable.Job) {
 	j.Permission.Check(hc.Now())
-	if j.MustReload || j.Loading || j.Final() {
+	if j.ReadPending() || j.Final() {
 		// A home that this cell doesn't know any more will never say that it has done with it.
 		if j.Final() && (j.Permission.Forgotten || hc.cells.Directory == nil || hc.cells.Directory.Cell(j.Guest.Home) == nil) {
 			hc.removeRecord(j)
@@ -198,7 +198,7 @@
 
 // removeRecord deletes the record of a guest that is over for both cells.
 func (hc *Host) removeRecord(j *jobtable.Job) {
-	if j.InFlight || j.Loading || len(j.Placed) > 0 || !hc.Leads() {
+	if j.InFlight || j.Loading() || len(j.Placed) > 0 || !hc.Leads() {
 		return
 	}
 	key := ledger.Key(j.Spec.ID)
@@ -218,7 +218,7 @@
 			hc.jobs.Forget(j)
 		case http.StatusConflict:
 			// An earlier copy of this has removed it, or a change without an answer was carried out.
-			j.MustReload = true
+			j.NoteRecordEvent(jobtable.EventRecordConflict)
 		}
 	})
 }
--- a/internal/leader/federation/hostreports.go
+++ b/internal/leader/federation/hostreports.go
@@ -228,7 +228,7 @@
 // StatusOf is what home is told of a guest. known is false while its record is in doubt.
 func (hc *Host) StatusOf(j *jobtable.Job) (s delegation.Status, known bool) {
 	_, id, number, ok := ledger.ParseGuestID(j.Spec.ID)
-	if !ok || j.MustReload || j.Loading {
+	if !ok || j.ReadPending() {
 		return s, false
 	}
 	s = delegation.Status{Number: number, Job: id, Done: j.StoredDone, Reason: j.Cause,
--- a/internal/leader/federation/offload.go
+++ b/internal/leader/federation/offload.go
@@ -108,7 +108,7 @@
 // together: gangs, and jobs whose tasks' zones depend on each other.
 func (oc *Origin) OffloadableTasks(j *jobtable.Job) (tasks int, whole bool) {
 	now := oc.Now()
-	if j.Over() || j.Guest != nil || j.Spec.Service() || j.MustReload || j.Loading || j.ShardsUnread || j.Sharding ||
+	if j.Over() || j.Guest != nil || j.Spec.Service() || j.ReadPending() || j.ShardsUnread() || j.Sharding() ||
 		j.UnmetAt == 0 || now > j.UnmetAt+jobtable.UnmetDemandGap || now < j.NotBefore || j.Returned >= MaxReturned ||
 		j.GivenBackAt != 0 && now < j.GivenBackAt+MinStayTime {
 		return 0, false
--- a/internal/leader/federation/origin.go
+++ b/internal/leader/federation/origin.go
@@ -124,7 +124,7 @@
 
 // MatchDelegation squares one job's placements with the delegations.
 func (oc *Origin) MatchDelegation(j *jobtable.Job) {
-	if oc.reader.Loading || j.ShardsUnread || oc.HasMalformed {
+	if oc.reader.Loading || j.ShardsUnread() || oc.HasMalformed {
 		return
 	}
 	for _, p := range ordered.ByKey(j.Placed) {
@@ -155,7 +155,7 @@
 // placesStored tells that all places of a delegation are in its job's record.
 func (oc *Origin) placesStored(del *trackedDelegation) bool {
 	j := oc.jobs.ByID[del.Job]
-	if j == nil || j.MustReload || j.Loading {
+	if j == nil || j.ReadPending() {
 		return false
 	}
 	for task := del.Left.NextIn(0); task <= del.Left.Max(); task = del.Left.NextIn(task + 1) {
@@ -204,7 +204,7 @@
 		del.Recall()
 	}
 	silent := now > max(del.HeardAt, oc.BegunAt)+lostTime
-	if del.Over() || !del.Clear(now) || !silent && del.State != delegation.Recalled || j != nil && (j.MustReload || j.Loading) {
+	if del.Over() || !del.Clear(now) || !silent && del.State != delegation.Recalled || j != nil && (j.ReadPending()) {
 		return
 	}
 	freed := del.Expire()
@@ -215,7 +215,7 @@
 
 // lostItsPlaces tells that a delegation's places didn't get into its job's record.
 func (oc *Origin) lostItsPlaces(j *jobtable.Job, del *trackedDelegation) bool {
-	if j.MustReload || j.Loading || j.InFlight {
+	if j.ReadPending() || j.InFlight {
 		return false
 	}
 	for task := del.Left.NextIn(0); task <= del.Left.Max(); task = del.Left.NextIn(task + 1) {
@@ -288,7 +288,7 @@
 		return ruling, leads && !oc.HasMalformed
 	}
 	j := oc.jobs.ByID[del.Job]
-	if leads && (j == nil || !j.MustReload && !j.Loading) {
+	if leads && (j == nil || !j.ReadPending()) {
 		oc.takeBack(del, del.Hear(s, oc.Now()))
 	}
 	switch {
--- a/internal/leader/jobtable/job.go
+++ b/internal/leader/jobtable/job.go
@@ -20,18 +20,7 @@
 	// The value at the job's key: the whole record, or the head of a divided one.
 	StoredValue
 	Shards []*StoredValue // of a divided record
-	// Sharding tells that the parts of a record are being written whose undivided form is
-	// the valid one until its head says otherwise: see divide.
-	Sharding bool
-	// HasStrayShards tells that parts may be stored though the record is undivided.
-	HasStrayShards bool
-	// ShardsUnread tells that a new leader hasn't read the parts yet.
-	ShardsUnread bool
-
-	MustReload bool // the record must be read before anything else happens
-	// FenceFirst tells that the head has to be written anew before that: see fenceUnit.
-	FenceFirst    bool
-	Loading       bool
+	RecordState
 	FollowedEvent *protocol.Event // what was followed while a change was in flight
 
 	// ProposedAt holds, for each placement, the count of its value's changes at its proposal:
@@ -81,7 +70,7 @@
 
 // Committed tells that a placement is in the record: only then is it acted on.
 func (j *Job) Committed(p ledger.Placement) bool {
-	return !j.ShardsUnread && j.ProposedAt[p.Task] <= j.valueOf(p.Task).StoredCount
+	return !j.ShardsUnread() && j.ProposedAt[p.Task] <= j.valueOf(p.Task).StoredCount
 }
 
 // NewJob makes a job whose record isn't known yet.
@@ -165,8 +154,11 @@
 	return true
 }
 
-// NoteSharded makes the parts the valid record: whatever is placed is in them.
-func (j *Job) NoteSharded() {
-	j.Sharding = false
-	clear(j.ProposedAt)
+// NoteHeadStored notes that the record or head was written. If that ended sharding, the shards are
+// the valid record from now on, and whatever is placed is in them.
+func (j *Job) NoteHeadStored() {
+	if j.Sharding() {
+		clear(j.ProposedAt)
+	}
+	j.NoteRecordEvent(EventHeadStored)
 }
--- a/internal/leader/jobtable/jobtable.go
+++ b/internal/leader/jobtable/jobtable.go
@@ -67,7 +67,7 @@
 // NoteTaskChange notes a change of what a task's value says.
 func (jt *Table) NoteTaskChange(j *Job, task int) {
 	j.valueOf(task).NoteChange(jt.Now())
-	if j.Sharding {
+	if j.Sharding() {
 		j.ShardOf(task).NoteChange(jt.Now())
 	}
 	j.RunningStale = true
@@ -115,7 +115,7 @@
 
 // ForgetIfOver drops a job that is over and nowhere any more.
 func (jt *Table) ForgetIfOver(j *Job) {
-	if j.Final() && len(j.Placed) == 0 && j.allStored() && !j.HasStrayShards && j.Permission == nil {
+	if j.Final() && len(j.Placed) == 0 && j.allStored() && !j.HasStrayShards() && j.Permission == nil {
 		jt.FinalVersions[j.Spec.ID] = j.Version
 		delete(jt.ByID, j.Spec.ID)
 	}
@@ -170,7 +170,8 @@
 // DropShards forgets the parts of a record that turned out to be undivided.
 func (jt *Table) DropShards(j *Job) {
 	if len(j.Shards) > 0 {
-		j.Shards, j.Sharding, j.HasStrayShards = nil, false, true
+		j.Shards = nil
+		j.NoteRecordEvent(EventShardsDropped)
 	}
 }
 
@@ -180,7 +181,7 @@
 		return
 	}
 	j.Status = protocol.StatusDone
-	if j.Sharding {
+	if j.Sharding() {
 		jt.AbandonSharding(j) // its record is small enough again
 	}
 	jt.NoteHeadChange(j)
--- a/internal/leader/jobtable/storedvalue.go
+++ b/internal/leader/jobtable/storedvalue.go
@@ -72,7 +72,7 @@
 // valueOf is where a task's state is stored. While a record is being divided that is
 // still its undivided form.
 func (j *Job) valueOf(task int) *StoredValue {
-	if j.PartSize == 0 || j.Sharding {
+	if j.PartSize == 0 || j.Sharding() {
 		return &j.StoredValue
 	}
 	return j.ShardOf(task)
@@ -92,7 +92,7 @@
 // allStored tells that all of the job is stored as it is in memory. Of the parts of a job
 // that is over nothing stays.
 func (j *Job) allStored() bool {
-	if j.MustReload || j.ShardsUnread || !j.IsStored() {
+	if !j.ContentKnown() || !j.IsStored() {
 		return false
 	}
 	for _, v := range j.Shards {
@@ -105,8 +105,8 @@
 
 // OutcomeStored tells that what became of a task is stored.
 func (j *Job) OutcomeStored(task int) bool {
-	if j.MustReload || j.ShardsUnread || task >= j.Spec.Tasks {
-		return !j.MustReload && !j.ShardsUnread
+	if !j.ContentKnown() || task >= j.Spec.Tasks {
+		return j.ContentKnown()
 	}
 	v := j.valueOf(task)
 	if j.Final() && v != &j.StoredValue {
--- a/internal/leader/reconcile_test.go
+++ b/internal/leader/reconcile_test.go
@@ -119,7 +119,7 @@
 	d.machines.Released["m-1"] = box.Now
 	delete(d.machines.ByName, "m-1")
 	d.machines.Ordered = nil
-	j.MustReload = true
+	j.NoteRecordEvent(jobtable.EventRecordConflict)
 	d.reader.Adopt(ledger.Key("job-1"), old, 6)
 	if len(j.Placed) != 0 || j.NextAttempt < 2 {
 		t.Fatalf("placed %v, next try %d", j.Placed, j.NextAttempt)
--- a/internal/leader/reconciler/commands.go
+++ b/internal/leader/reconciler/commands.go
@@ -126,7 +126,7 @@
 		}
 		for _, p := range ordered.ByKey(tasks) {
 			// Commit before act: only what the record holds.
-			if !j.Committed(p) || p.Session != m.Incarnation || j.MustReload {
+			if !j.Committed(p) || p.Session != m.Incarnation || j.MustReload() {
 				continue
 			}
 			ref := machinetable.AttemptRef{Job: id, Task: p.Task, Attempt: p.Attempt}
--- a/internal/leader/reconciler/health.go
+++ b/internal/leader/reconciler/health.go
@@ -140,7 +140,7 @@
 					m.Incarnation = max(m.Incarnation, p.Session)
 					j := hm.jobs.ByID[id]
 					switch {
-					case j == nil || j.MustReload:
+					case j == nil || j.MustReload():
 					case j.MustEnd():
 						// It may hang, and what it was stopped in the middle of counts as
 						// there until it goes on or is gone.
--- a/internal/leader/reconciler/reconciler.go
+++ b/internal/leader/reconciler/reconciler.go
@@ -190,7 +190,7 @@
 	m.Steady = true
 	for id, tasks := range ordered.ByKey(m.Placements) {
 		j := rc.jobs.ByID[id]
-		if j == nil || j.MustReload {
+		if j == nil || j.MustReload() {
 			m.Steady = false
 			continue
 		}
--- a/internal/leader/records_test.go
+++ b/internal/leader/records_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/recordstore"
 	"postpoint/internal/leader/term"
 	"postpoint/internal/ledger"
@@ -18,7 +19,7 @@
 	old := j.Encode()
 	d.reconciler.Observe(m, report(1, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskExited, Cause: protocol.CauseStopped}))
 	d.reader.Adopt(ledger.Key("job-1"), j.Encode(), 6)
-	j.MustReload = true
+	j.NoteRecordEvent(jobtable.EventRecordConflict)
 	d.reader.Adopt(ledger.Key("job-1"), old, 5)
 	if len(j.Placed) != 0 || j.Version != 6 {
 		t.Fatalf("placed %v at version %d", j.Placed, j.Version)
@@ -65,8 +66,8 @@
 	d.jobs.AddPlacement(j, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1})
 	d.writer.Commit()
 	store.answer(statestore.Reply[protocol.TxnAnswer]{})
-	if len(j.Placed) != 1 || j.MustReload || j.Committed(j.Placed[0]) {
-		t.Fatalf("placed %v, to be read again %v", j.Placed, j.MustReload)
+	if len(j.Placed) != 1 || j.MustReload() || j.Committed(j.Placed[0]) {
+		t.Fatalf("placed %v, to be read again %v", j.Placed, j.MustReload())
 	}
 	box.Now += term.RetryDelay
 	d.writer.Commit()
@@ -75,7 +76,7 @@
 	}
 	// The first has applied meanwhile: the record tells.
 	store.answer(statestore.Reply[protocol.TxnAnswer]{Status: 409, Value: protocol.TxnAnswer{Failed: []string{ledger.Key("job-1")}}})
-	if !j.MustReload {
+	if !j.MustReload() {
 		t.Fatal("the record isn't read")
 	}
 }
--- a/internal/leader/recordstore/recordreader.go
+++ b/internal/leader/recordstore/recordreader.go
@@ -137,7 +137,7 @@
 	case !ok || rr.jobs.Malformed[id]:
 	case j == nil || j.PartSize == 0 || part >= len(j.Shards):
 		rr.jobs.StrayShards[item.Key] = item.Version
-	case j.ShardsUnread:
+	case j.ShardsUnread():
 		if err := j.ApplyPart(part, item.Value); err != nil {
 			rr.jobs.QuarantineRecord(id, err)
 			return
@@ -149,7 +149,7 @@
 // recordsRead begins to act on the records and to follow their changes.
 func (rr *Reader) recordsRead(epoch, revision int64, began clock.Micros) {
 	for _, j := range ordered.ByKey(rr.jobs.ByID) {
-		if j.ShardsUnread {
+		if j.ShardsUnread() {
 			rr.shardsRead(j)
 		}
 	}
@@ -199,11 +199,11 @@
 	// A read that was answered late can be older than what is known: taking it
 	// would bring back places that are empty. The same version is news only if
 	// what is in memory has to be dropped.
-	if version <= rr.jobs.FinalVersions[id] || j != nil && (version < j.Version || version == j.Version && !j.MustReload) {
+	if version <= rr.jobs.FinalVersions[id] || j != nil && (version < j.Version || version == j.Version && !j.MustReload()) {
 		return
 	}
 	content, err := ledger.Decode(raw)
-	if j != nil && (j.InFlight || j.Loading) {
+	if j != nil && (j.InFlight || j.Loading()) {
 		// What this is becomes clear when our own change is answered, or the record's
 		// parts are; that it is cancelled is final.
 		j.FollowedEvent = &protocol.Event{Put: key, Value: raw, Version: version}
@@ -240,7 +240,11 @@
 		content.Marked = true // it was left by a version that took it for an array
 	}
 	j := jobtable.NewJob()
-	j.ShardsUnread = unread
+	if unread {
+		j.NoteRecordEvent(jobtable.EventHeadLoaded)
+	} else {
+		j.NoteRecordEvent(jobtable.EventRecordLoaded)
+	}
 	if content.Guest != nil {
 		rr.jobs.AwaitPermission(j)
 	}
@@ -257,6 +261,7 @@
 	}
 	rr.jobs.RemoveFromMachines(j)
 	rr.jobs.DropShards(j)
+	j.NoteRecordEvent(jobtable.EventRecordLoaded)
 	rr.replaceContent(j, content, version)
 	rr.jobs.ForgetIfOver(j)
 }
@@ -264,11 +269,11 @@
 // adoptSharded takes a newer head. Users' nodes only cancel: anything else is a change of
 // this leader's own that had no answer, and the parts have to be read as well.
 func (rr *Reader) adoptSharded(j *jobtable.Job, content *ledger.Job, version int64) {
-	if content.Status == protocol.StatusCancelled && !j.MustReload && !j.Sharding && content.PartSize == j.PartSize {
+	if content.Status == protocol.StatusCancelled && !j.MustReload() && !j.Sharding() && content.PartSize == j.PartSize {
 		rr.cancelSharded(j, content, version)
 		return
 	}
-	j.MustReload = true
+	j.NoteRecordEvent(jobtable.EventHeadFollowed)
 	if content.Status == protocol.StatusCancelled {
 		rr.jobs.NoteCancelled(j, rr.ConfirmedAt(content))
 	}
@@ -276,7 +281,7 @@
 
 // replaceContent makes a record's content what is known of its job.
 func (rr *Reader) replaceContent(j *jobtable.Job, content *ledger.Job, version int64) {
-	j.Job, j.MustReload, j.FenceFirst = content, false, false
+	j.Job = content
 	j.StoredValue.Replace(version)
 	j.RunningStale = true
 	j.ClosedAtChange, j.StoredDone = 0, content.Done.Clone()
@@ -287,7 +292,7 @@
 	if content.Status == protocol.StatusCancelled && content.Guest == nil {
 		rr.jobs.NoteCancelled(j, rr.ConfirmedAt(content))
 	}
-	if !j.ShardsUnread {
+	if !j.ShardsUnread() {
 		rr.placeContent(j)
 	}
 }
@@ -320,10 +325,10 @@
 // reload replaces what is in memory by the record. Nothing was done about
 // what is lost by this: only durable placements are acted on.
 func (rr *Reader) reload(j *jobtable.Job) {
-	if j.Loading {
+	if j.Loading() {
 		return
 	}
-	j.Loading = true
+	j.NoteRecordEvent(jobtable.EventReadStarted)
 	key := ledger.Key(j.Spec.ID)
 	rr.Store.Get(key, term.Guarded(rr.State, func(r statestore.Reply[protocol.Item]) {
 		content, err := ledger.Decode(r.Value.Value)
@@ -356,7 +361,7 @@
 	}, term.Guarded2(rr.State, func(status int, _ string) {
 		switch {
 		case status != http.StatusOK:
-			j.Loading = false // and all of it again, after a pause
+			j.NoteRecordEvent(jobtable.EventReadEnded) // and all of it again, after a pause
 			rr.writer.Pause()
 		default:
 			if rr.jobs.ByID[j.Spec.ID] == j {
@@ -388,9 +393,9 @@
 		versions[part] = item.Version
 	}
 	rr.jobs.RemoveFromMachines(j)
-	j.Sharding, j.Shards = false, nil
+	j.Shards = nil
 	// The versions come before what the machines said meanwhile: that is news to the parts.
-	j.ShardsUnread = true
+	j.NoteRecordEvent(jobtable.EventHeadLoaded)
 	rr.replaceContent(j, r.content, r.version)
 	for part, version := range versions {
 		j.Shards[part].Replace(version)
@@ -400,7 +405,7 @@
 
 // loadingEnded takes what was followed while a record was read.
 func (rr *Reader) loadingEnded(j *jobtable.Job) {
-	j.Loading = false
+	j.NoteRecordEvent(jobtable.EventReadEnded)
 	if e := j.FollowedEvent; e != nil && !j.InFlight && rr.jobs.ByID[j.Spec.ID] == j {
 		j.FollowedEvent = nil
 		rr.Adopt(e.Put, e.Value, e.Version)
@@ -411,10 +416,10 @@
 // changed since, so that none of those changes can be carried out any more.
 func (rr *Reader) findShards(j *jobtable.Job) {
 	uncertain := func(v *jobtable.StoredValue) bool { return v.OutcomeUnknown }
-	if j.Loading || !j.IsStored() || !slices.ContainsFunc(j.Shards, uncertain) {
+	if j.Loading() || !j.IsStored() || !slices.ContainsFunc(j.Shards, uncertain) {
 		return
 	}
-	j.Loading = true
+	j.NoteRecordEvent(jobtable.EventReadStarted)
 	rr.listShards(j, shardedRead{}, func(r shardedRead) {
 		for _, v := range j.Shards {
 			v.Version, v.OutcomeUnknown = 0, false
@@ -431,15 +436,15 @@
 // part whose change had no answer may be there unknown, and would stand in the way of
 // dividing the record again.
 func (rr *Reader) findStrayShards(j *jobtable.Job) {
-	if j.Loading {
+	if j.Loading() {
 		return
 	}
-	j.Loading = true
+	j.NoteRecordEvent(jobtable.EventReadStarted)
 	rr.listShards(j, shardedRead{}, func(r shardedRead) {
 		for _, item := range r.shards {
 			rr.jobs.StrayShards[item.Key] = item.Version
 		}
-		j.HasStrayShards = false
+		j.NoteRecordEvent(jobtable.EventStrayShardsListed)
 		rr.jobs.ForgetIfOver(j)
 	})
 }
@@ -460,7 +465,7 @@
 
 // shardsRead ends a job's time without its parts.
 func (rr *Reader) shardsRead(j *jobtable.Job) {
-	j.ShardsUnread = false
+	j.NoteRecordEvent(jobtable.EventShardsLoaded)
 	if j.Spec.Gang() && j.Done.Len() > 0 {
 		j.RecordDone(0)
 	}
--- a/internal/leader/recordstore/recordsharding.go
+++ b/internal/leader/recordstore/recordsharding.go
@@ -42,12 +42,13 @@
 // meanwhile; what ends is noted in the parts.
 func (rw *Writer) Shard(j *jobtable.Job) {
 	limit, _ := rw.Limits()
-	if j.InFlight || j.MustReload || j.HasStrayShards || j.PartSize != 0 || j.Guest != nil || len(rw.jobs.StrayShards) > 0 {
+	if j.InFlight || j.MustReload() || j.HasStrayShards() || j.PartSize != 0 || j.Guest != nil || len(rw.jobs.StrayShards) > 0 {
 		return
 	}
 	size := ledger.PartSizeWithin(limit)
 	slog.Info("dividing a record that is too large for one value", "job", j.Spec.ID, "tasks", j.Spec.Tasks, "part_tasks", size)
-	j.PartSize, j.Marked, j.Sharding = size, true, true
+	j.PartSize, j.Marked = size, true
+	j.NoteRecordEvent(jobtable.EventShardingStarted)
 	j.MakeShards()
 	for task := range j.Placed {
 		j.ShardOf(task).NoteChange(rw.Now())
--- a/internal/leader/recordstore/recordunits.go
+++ b/internal/leader/recordstore/recordunits.go
@@ -80,7 +80,7 @@
 // starts, then ends of some tasks among many.
 func headUrgency(j *jobtable.Job) int {
 	switch {
-	case j.Sharding:
+	case j.Sharding():
 		return urgentStart
 	case j.Final() || j.Spec.Gang() || len(j.Uncommitted) > 0 && len(j.Uncommitted) == len(j.Placed):
 		return urgentWhole
@@ -91,7 +91,7 @@
 }
 
 func partUrgency(j *jobtable.Job, v *jobtable.StoredValue) int {
-	if j.Sharding || len(v.Uncommitted) > 0 {
+	if j.Sharding() || len(v.Uncommitted) > 0 {
 		return urgentStart
 	}
 	return urgentEnds
@@ -121,13 +121,13 @@
 	var units []WriteUnit
 	for _, j := range ordered.ByKey(rw.jobs.ByID) {
 		switch {
-		case j.MustReload && j.FenceFirst:
+		case j.MustFence():
 			units = append(units, rw.fenceUnit(j)...)
-		case j.MustReload:
+		case j.MustReload():
 			rw.reader.reload(j)
-		case j.ShardsUnread:
+		case j.ShardsUnread():
 		default:
-			if j.HasStrayShards {
+			if j.HasStrayShards() {
 				rw.reader.findStrayShards(j)
 			}
 			units = append(units, rw.unitsOf(j)...)
@@ -152,7 +152,7 @@
 func (rw *Writer) unitsOf(j *jobtable.Job) []WriteUnit {
 	var units []WriteUnit
 	rank := j.Rank()
-	if v := &j.StoredValue; !v.InFlight && v.ChangeCount != v.StoredCount && (!j.Sharding || j.ShardsStored()) {
+	if v := &j.StoredValue; !v.InFlight && v.ChangeCount != v.StoredCount && (!j.Sharding() || j.ShardsStored()) {
 		urgency := headUrgency(j)
 		if rw.Now() >= v.ChangedAt+commitDelay(urgency, j) {
 			units = append(units, WriteUnit{[]Write{{J: j, V: v, Part: HeadIndex, Changed: v.ChangeCount}}, rank, urgency, v.ChangedAt})
@@ -171,7 +171,7 @@
 		w := Write{J: j, V: v, Part: i, Changed: v.ChangeCount, guard: j.Version}
 		urgency := partUrgency(j, v)
 		switch {
-		case j.Spec.Gang() && !j.Sharding && len(j.Shards) <= txnOps:
+		case j.Spec.Gang() && !j.Sharding() && len(j.Shards) <= txnOps:
 			parts.writes = append(parts.writes, w)
 			parts.dirtyAt = max(parts.dirtyAt, v.ChangedAt)
 		case rw.Now() >= v.ChangedAt+commitDelay(urgency, j):
--- a/internal/leader/recordstore/recordwriter.go
+++ b/internal/leader/recordstore/recordwriter.go
@@ -240,11 +240,15 @@
 		slog.Error("a change is refused, reading the records", "status", r.Status, "reason", r.Value.Error, "records", len(writes))
 		rw.Pause()
 		for _, w := range writes {
-			w.J.MustReload, w.J.FenceFirst = true, w.Part != HeadIndex && !w.J.Sharding
+			if w.Part == HeadIndex {
+				w.J.NoteRecordEvent(jobtable.EventRecordConflict)
+			} else {
+				w.J.NoteRecordEvent(jobtable.EventShardConflict)
+			}
 		}
 	}
 	for _, w := range writes {
-		if e := w.J.FollowedEvent; e != nil && !w.J.InFlight && !w.J.Loading {
+		if e := w.J.FollowedEvent; e != nil && !w.J.InFlight && !w.J.Loading() {
 			w.J.FollowedEvent = nil
 			rw.reader.Adopt(e.Put, e.Value, e.Version)
 		}
@@ -260,19 +264,19 @@
 		changed := slices.Contains(failed, w.key())
 		switch {
 		case headChanged && w.Part == HeadIndex:
-			j.MustReload, j.FenceFirst = true, false // what depends on the old version is void
+			j.NoteRecordEvent(jobtable.EventRecordConflict) // what depends on the old version is void
 		case headChanged:
 			// If the head's change is known by now, the part just goes again.
 			if w.guard == j.Version {
-				j.MustReload, j.FenceFirst = true, false
+				j.NoteRecordEvent(jobtable.EventRecordConflict)
 			}
 		case !changed:
 		case j.Final():
 			w.V.OutcomeUnknown = true // it is looked for, to be removed
-		case j.Sharding:
+		case j.Sharding():
 			rw.jobs.AbandonSharding(j)
 		default:
-			j.MustReload, j.FenceFirst = true, true
+			j.NoteRecordEvent(jobtable.EventShardConflict)
 		}
 	}
 }
@@ -303,11 +307,8 @@
 		if w.remove {
 			w.V.Version = 0
 		}
-		if w.Part == HeadIndex && w.J.Sharding {
-			w.J.NoteSharded()
-		}
 		if w.Part == HeadIndex {
-			w.J.FenceFirst = false
+			w.J.NoteHeadStored()
 			rw.Hosted.NoteHostedStored(w.J)
 		}
 		w.V.Uncommitted = slices.DeleteFunc(w.V.Uncommitted, func(task int) bool {
--- a/internal/leader/snapshots/snapshot.go
+++ b/internal/leader/snapshots/snapshot.go
@@ -89,7 +89,7 @@
 			team.BacklogS += j.Spec.EstimateS * left.Share(team.Limit)
 		}
 		s.Teams[j.Spec.Team] = team
-		if j.Over() || j.MustReload || j.ShardsUnread || j.Permission != nil && !j.Permission.MayStart(now) && len(j.Placed) == 0 {
+		if j.Over() || !j.ContentKnown() || j.Permission != nil && !j.Permission.MayStart(now) && len(j.Placed) == 0 {
 			continue
 		}
 		s.Jobs = append(s.Jobs, sb.PlannedJob(j, now, evictions))
@@ -167,7 +167,7 @@
 	pj.Running = sb.runningTasks(j, now, evictions)
 	// Zones that tasks' places depend on are known only once none is with another cell.
 	zonesKnown := j.TasksElsewhere == 0 || !j.Spec.OneZone && !j.Spec.Spread
-	if missing := j.PendingCount() > 0; missing && zonesKnown && !j.Sharding && (!j.Spec.Gang() || len(j.Placed) == 0 || sb.commands.Completable(j)) {
+	if missing := j.PendingCount() > 0; missing && zonesKnown && !j.Sharding() && (!j.Spec.Gang() || len(j.Placed) == 0 || sb.commands.Completable(j)) {
 		if j.Spec.Gang() {
 			pj.Pending = j.Pending(j.Spec.Tasks)
 			pj.Limit = len(j.Startable(limit, j.Spec.Tasks))
--- a/internal/leader/zonetracker/displaced.go
+++ b/internal/leader/zonetracker/displaced.go
@@ -45,7 +45,7 @@
 		}
 		switch {
 		case j.Displaced == "" || j.Over():
-		case z == nil || j.PendingCount() == 0 && !j.MustReload:
+		case z == nil || j.PendingCount() == 0 && !j.MustReload():
 			zr.EndDisplacement(j)
 		case j.ClearedToStart:
 		case zr.Options.Action(z.Name) == recovery.Hold:
