--- a/internal/leader/federation/delegationstore.go
+++ b/internal/leader/federation/delegationstore.go
@@ -47,12 +47,12 @@
 }
 
 // LoadDelegations reads the records of what other cells run.
-func (oc *Origin) LoadDelegations(epoch int64, done func()) {
+func (oc *Origin) LoadDelegations(done func()) {
 	if !oc.Format.Cells {
 		done()
 		return
 	}
-	oc.reader.LoadAll(epoch, delegation.Prefix, "", func(item protocol.Item) {
+	oc.reader.LoadAll(delegation.Prefix, func(item protocol.Item) {
 		r, err := delegation.DecodeRecord(item.Key, item.Value)
 		if err != nil {
 			// Never guess at what may be running elsewhere: nothing is freed on its account.
--- a/internal/leader/heartbeat_test.go
+++ b/internal/leader/heartbeat_test.go
@@ -85,11 +85,11 @@
 // be back a second later with new connections.
 func TestEarlyReportsWaitForRecords(t *testing.T) {
 	for _, read := range []bool{true, false} {
-		d, box := leader()
+		d, _ := leader()
 		store := &lists{}
 		useStore(d, store)
 		d.state.Loaded, d.state.FreshAt, d.heartbeats.Deferring = false, 0, true
-		d.reader.Load(7, "", 0, box.Now)
+		d.reader.Load()
 		status := 0
 		d.Heartbeat(report(1, 1), func(s int, _ any) { status = s })
 		if status != 0 {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -223,7 +223,7 @@
 	l.steps.Begin()
 	l.cancellations.Begin()
 	l.scheduler.Begin()
-	l.reader.Load(l.state.Term.Epoch, "", 0, l.state.Now())
+	l.reader.Load()
 }
 
 // end forgets what was known in a term that is over.
--- /dev/null
+++ b/internal/leader/recordstore/outcome.go
@@ -0,0 +1,208 @@
+package recordstore
+
+import (
+	"log/slog"
+	"net/http"
+	"slices"
+
+	"postpoint/internal/leader/jobtable"
+	"postpoint/internal/leader/machinetable"
+	"postpoint/internal/leadership"
+	"postpoint/internal/ledger"
+	"postpoint/internal/ordered"
+	"postpoint/internal/protocol"
+	"postpoint/internal/statestore"
+)
+
+// outcome is what became of a transaction.
+type outcome int
+
+const (
+	outcomeCommitted outcome = iota
+	// outcomeDeposed means that the leader's key has changed hands.
+	outcomeDeposed
+	// outcomeConflict means that another request has changed some of the keys.
+	outcomeConflict
+	// outcomeRejected means that the store takes the transaction for malformed or too large.
+	outcomeRejected
+	// outcomeNotExecuted means that the store declined the transaction for now.
+	outcomeNotExecuted
+	// outcomeUnknown means that the transaction may have been carried out, or may be later.
+	outcomeUnknown
+	// outcomeUnexpected means that the response has no meaning for a transaction.
+	outcomeUnexpected
+)
+
+// outcomeOf returns what became of a transaction. Nothing else in this package knows the statuses of
+// transactions.
+func outcomeOf(r statestore.Reply[protocol.TxnAnswer]) outcome {
+	switch {
+	case r.Status == http.StatusOK:
+		return outcomeCommitted
+	case r.Status == http.StatusConflict && slices.Contains(r.Value.Failed, leadership.Key):
+		return outcomeDeposed
+	case r.Status == http.StatusConflict:
+		return outcomeConflict
+	case r.Status == http.StatusBadRequest:
+		return outcomeRejected
+	case r.Status == http.StatusTooManyRequests || r.Status == http.StatusServiceUnavailable:
+		return outcomeNotExecuted
+	case r.Unknown() || r.Status >= http.StatusInternalServerError:
+		return outcomeUnknown
+	}
+	return outcomeUnexpected
+}
+
+// decided reports whether a transaction was carried out or never will be. Of a failure of the store
+// that isn't taken for granted, not even when it says that it is unavailable.
+func decided(r statestore.Reply[protocol.TxnAnswer]) bool {
+	return !r.Unknown() && r.Status < http.StatusInternalServerError
+}
+
+// HandleResult handles the response to a transaction.
+func (w *Writer) HandleResult(writes []Write, r statestore.Reply[protocol.TxnAnswer]) {
+	for i := range writes {
+		writes[i].end(decided(r))
+	}
+	switch outcomeOf(r) {
+	case outcomeCommitted:
+		w.markStored(writes, r.Value.Revision)
+	case outcomeDeposed:
+		w.noteDeposed()
+		return
+	case outcomeConflict:
+		noteConflicts(w.jobs, writes, r.Value.Failed)
+	case outcomeRejected:
+		w.learnLimits(writes, r.Value.Error)
+	case outcomeNotExecuted:
+		w.Pause() // the same changes go again
+	case outcomeUnknown:
+		slog.Info("commit outcome unknown, retrying", "status", r.Status, "error", r.Value.Error, "values", len(writes))
+		w.noteUnknown(writes)
+	case outcomeUnexpected:
+		slog.Error("commit refused, reading the records", "status", r.Status, "error", r.Value.Error,
+			"values", len(writes))
+		w.noteUnexpected(writes)
+	}
+	for _, write := range writes {
+		w.reader.adoptDeferred(write.J)
+		w.jobs.ForgetIfOver(write.J)
+	}
+}
+
+// noteDeposed stops this node from acting as leader, and has it look for the one that replaced it.
+func (w *Writer) noteDeposed() {
+	slog.Info("the leader's key changed hands", "epoch", w.Term.Epoch)
+	w.Term.ValidUntil = 0
+	w.Deposed(w.Term.Epoch + 1)
+}
+
+// noteUnknown has changes go again as they stand by then, that may have been carried out or may be
+// seconds from now. Until something else is written at these versions nothing that they say may be
+// forgotten: a placement that a read doesn't show yet would be given away and then exist all the
+// same. Only one of the two transactions can apply; if it was the first, the second is refused and
+// the records are read.
+func (w *Writer) noteUnknown(writes []Write) {
+	w.Pause()
+	for _, write := range writes {
+		write.V.OutcomeUnknown = true
+	}
+}
+
+// noteUnexpected has the records read whose changes were refused for an unknown reason.
+func (w *Writer) noteUnexpected(writes []Write) {
+	w.Pause()
+	for _, write := range writes {
+		event := jobtable.EventShardConflict
+		if write.Part == HeadIndex {
+			event = jobtable.EventRecordConflict
+		}
+		write.J.NoteRecordEvent(event)
+	}
+}
+
+// noteConflicts has the records read that another request has changed: only they show what it was.
+func noteConflicts(jobs *jobtable.Table, writes []Write, failed []string) {
+	for i := range writes {
+		write := &writes[i]
+		if slices.Contains(failed, ledger.Key(write.J.Spec.ID)) {
+			noteHeadConflict(write)
+		} else if slices.Contains(failed, write.key()) {
+			noteShardConflict(jobs, write)
+		}
+	}
+}
+
+// noteHeadConflict handles a write whose record or head has changed.
+func noteHeadConflict(write *Write) {
+	// If the head's change is known by now, the shard just goes again.
+	if write.Part == HeadIndex || write.headVersion == write.J.Version {
+		write.J.NoteRecordEvent(jobtable.EventRecordConflict)
+	}
+}
+
+// noteShardConflict handles a write of a shard that has changed though its head hasn't.
+func noteShardConflict(jobs *jobtable.Table, write *Write) {
+	switch j := write.J; {
+	case j.Final():
+		write.V.OutcomeUnknown = true // the shard is looked for, to be removed
+	case j.Sharding():
+		jobs.AbandonSharding(j)
+	default:
+		j.NoteRecordEvent(jobtable.EventShardConflict)
+	}
+}
+
+// learnLimits learns from changes that the store takes for malformed: its limits have become
+// tighter. The changes go again within tighter ones, first those that were announced, then whatever
+// is found by halves.
+func (w *Writer) learnLimits(writes []Write, reason string) {
+	slog.Error("commit too large for the key-value store", "error", reason, "values", len(writes),
+		"limits_tightened", w.LimitsTightened)
+	w.Pause()
+	switch {
+	case !w.LimitsTightened:
+		w.LimitsTightened = true
+	case len(writes) > 1:
+		w.learnedTxnOps = len(writes) / 2
+	default:
+		write := &writes[0]
+		write.V.RefusedBytes = protocol.JSONSize(write.change().Value)
+	}
+}
+
+// markStored marks what a transaction has written, and sends commands to the machines whose
+// placements have become durable by it.
+func (w *Writer) markStored(writes []Write, revision int64) {
+	affected := map[string]*machinetable.Machine{}
+	for i := range writes {
+		write := &writes[i]
+		write.markStored(revision)
+		if write.Part == HeadIndex {
+			write.J.NoteHeadStored()
+			w.Hosted.NoteHostedStored(write.J)
+		}
+		w.collectCommitted(write, affected)
+	}
+	if w.steps.Overloaded() {
+		return // commands go with the responses to heartbeats
+	}
+	for _, m := range ordered.ByKey(affected) {
+		w.commands.Push(m)
+	}
+}
+
+// collectCommitted drops the value's placements that have become durable from those that wait for
+// it, and adds their machines to those affected.
+func (w *Writer) collectCommitted(write *Write, affected map[string]*machinetable.Machine) {
+	write.V.Uncommitted = slices.DeleteFunc(write.V.Uncommitted, func(task int) bool {
+		p, placed := write.J.Placed[task]
+		if placed && !write.J.Committed(p) {
+			return false
+		}
+		if m := w.machines.ByName[p.Machine]; placed && m != nil {
+			affected[m.Name] = m
+		}
+		return true
+	})
+}
--- /dev/null
+++ b/internal/leader/recordstore/reader.go
@@ -0,0 +1,211 @@
+package recordstore
+
+import (
+	"log/slog"
+	"maps"
+	"net/http"
+
+	"postpoint/internal/clock"
+	"postpoint/internal/leader/jobtable"
+	"postpoint/internal/leader/machinetable"
+	"postpoint/internal/leader/objectives"
+	"postpoint/internal/leader/reconciler"
+	"postpoint/internal/leader/term"
+	"postpoint/internal/ledger"
+	"postpoint/internal/ordered"
+	"postpoint/internal/protocol"
+	"postpoint/internal/statestore"
+)
+
+// Reader loads the job records at the beginning of a term and follows their changes.
+type Reader struct {
+	*term.State
+	Store      statestore.Store
+	jobs       *jobtable.Table
+	machines   *machinetable.Table
+	writer     *Writer
+	reconciler *reconciler.Reconciler
+	commands   *reconciler.CommandSender
+	heartbeats *reconciler.HeartbeatHandler
+	objectives *objectives.Tracker
+	// Delegations and Zones are loaded after the job records.
+	Delegations DelegationRecords
+	Zones       ZoneRecords
+	steps       *term.StepTimer
+
+	// Loading reports that all records are being read.
+	Loading bool
+}
+
+// NewReader returns a reader, and makes it the one that the writer asks to reload records.
+func NewReader(term *term.State, store statestore.Store, jobs *jobtable.Table, machines *machinetable.Table,
+	writer *Writer, reconciler *reconciler.Reconciler, commands *reconciler.CommandSender,
+	heartbeats *reconciler.HeartbeatHandler, objectives *objectives.Tracker, steps *term.StepTimer) *Reader {
+	r := &Reader{
+		State:      term,
+		Store:      store,
+		jobs:       jobs,
+		machines:   machines,
+		writer:     writer,
+		reconciler: reconciler,
+		commands:   commands,
+		heartbeats: heartbeats,
+		objectives: objectives,
+		steps:      steps,
+	}
+	writer.reader = r
+	return r
+}
+
+// DelegationRecords loads the delegations to other cells, and reconciles them with the job records.
+type DelegationRecords interface {
+	LoadDelegations(done func())
+	MatchDelegations()
+	MatchDelegation(j *jobtable.Job)
+}
+
+// ZoneRecords loads the state of zone recoveries.
+type ZoneRecords interface {
+	LoadZones(done func())
+}
+
+// loadPass is one pass over all records, from the first page of heads until following begins.
+type loadPass struct {
+	startedAt clock.Micros
+	// revision is that of the first page. Following starts there, so that no change is missed
+	// between reading and following.
+	revision int64
+}
+
+// Load reads all records, and then follows their changes.
+func (r *Reader) Load() {
+	r.Loading = true
+	pass := &loadPass{startedAt: r.Now()}
+	r.loadPages(ledger.Prefix, "", func(page protocol.ItemList) { r.adoptPage(pass, page) },
+		func() { r.loadShards(pass) })
+}
+
+// adoptPage takes over a page of job records.
+func (r *Reader) adoptPage(pass *loadPass, page protocol.ItemList) {
+	if pass.revision == 0 {
+		pass.revision = page.Revision
+	}
+	for _, item := range page.Items {
+		r.Adopt(item.Key, item.Value, item.Version)
+	}
+}
+
+// loadShards comes after the heads: only the leader writes shards, so none is missed.
+func (r *Reader) loadShards(pass *loadPass) {
+	r.LoadAll(ledger.PartsPrefix, r.AdoptShard, func() { r.loadDelegations(pass) })
+}
+
+func (r *Reader) loadDelegations(pass *loadPass) {
+	r.Delegations.LoadDelegations(func() { r.loadZones(pass) })
+}
+
+func (r *Reader) loadZones(pass *loadPass) {
+	r.Zones.LoadZones(func() { r.finishLoad(pass) })
+}
+
+// LoadAll reads all keys with a prefix, however often it has to retry.
+func (r *Reader) LoadAll(prefix string, adopt func(protocol.Item), done func()) {
+	r.loadPages(prefix, "", func(page protocol.ItemList) {
+		for _, item := range page.Items {
+			adopt(item)
+		}
+	}, done)
+}
+
+// loadPages reads all keys with a prefix after from. A page that can't be read is asked for again
+// after a pause.
+func (r *Reader) loadPages(prefix, from string, adopt func(protocol.ItemList), done func()) {
+	same := r.SameTerm()
+	adoptInTerm := func(page protocol.ItemList) (more bool) {
+		if !same() {
+			return false
+		}
+		adopt(page)
+		return true
+	}
+	statestore.Walk(r.Store, prefix, from, adoptInTerm, term.Guarded2(r.State, func(status int, from string) {
+		if status != http.StatusOK {
+			r.AfterInTerm(term.RetryDelay, func() { r.loadPages(prefix, from, adopt, done) })
+			return
+		}
+		done()
+	}))
+}
+
+// AdoptShard takes over a shard as read, if its job waits for it. A shard that belongs to no sharded
+// record is left over from a leader that ended while it sharded one.
+func (r *Reader) AdoptShard(item protocol.Item) {
+	id, shard, ok := ledger.ParsePartKey(item.Key)
+	j := r.jobs.ByID[id]
+	switch {
+	case !ok || r.jobs.Malformed[id]:
+	case j == nil || j.PartSize == 0 || shard >= len(j.Shards):
+		r.jobs.StrayShards[item.Key] = item.Version
+	case j.ShardsUnread():
+		if err := j.ApplyPart(shard, item.Value); err != nil {
+			r.jobs.QuarantineRecord(id, err)
+			return
+		}
+		j.Shards[shard].Replace(item.Version)
+	}
+}
+
+// finishLoad lets the leader act on the records, and begins to follow their changes.
+func (r *Reader) finishLoad(pass *loadPass) {
+	for _, j := range ordered.ByKey(r.jobs.ByID) {
+		if j.ShardsUnread() {
+			r.noteShardsLoaded(j)
+		}
+	}
+	first := !r.Loaded
+	r.Loaded, r.Loading = true, false
+	r.Delegations.MatchDelegations()
+	r.FreshAt = pass.startedAt
+	if first {
+		r.heartbeats.AnswerDeferred()
+		slog.Info("records read", "epoch", r.Term.Epoch, "open_jobs", len(r.jobs.ByID),
+			"took_ms", (r.Now()-pass.startedAt)/clock.Millisecond)
+	}
+	r.steps.Wake()
+	r.follow(pass.revision)
+}
+
+// follow waits for what other nodes accept and cancel after a revision. The store responds at least
+// every FollowInterval, which shows how fresh the records are.
+func (r *Reader) follow(from int64) {
+	sentAt := r.Now()
+	handle := func(reply statestore.Reply[protocol.FollowAnswer]) { r.handleFollowed(from, sentAt, reply) }
+	r.Store.Follow(ledger.Prefix, from, term.FollowInterval, term.Guarded(r.State, handle))
+}
+
+// handleFollowed takes over the changes of the records since a revision, and goes on from there.
+func (r *Reader) handleFollowed(from int64, sentAt clock.Micros, reply statestore.Reply[protocol.FollowAnswer]) {
+	switch reply.Status {
+	case http.StatusOK:
+		r.FreshAt = sentAt
+		r.adoptChanges(reply.Value)
+		r.follow(max(from, reply.Value.Revision))
+	case http.StatusGone:
+		r.Load() // the store has forgotten changes since
+	default:
+		r.AfterInTerm(term.RetryDelay, func() { r.follow(from) })
+	}
+}
+
+// adoptChanges takes over followed changes. Deletions are this leader's own.
+func (r *Reader) adoptChanges(changes protocol.FollowAnswer) {
+	for _, e := range changes.Events {
+		if e.Put != "" {
+			r.Adopt(e.Put, e.Value, e.Version)
+		}
+	}
+	if len(changes.Events) > 0 {
+		r.steps.Wake()
+	}
+	maps.DeleteFunc(r.jobs.FinalVersions, func(_ string, version int64) bool { return version <= changes.Revision })
+}
--- /dev/null
+++ b/internal/leader/recordstore/writer.go
@@ -0,0 +1,216 @@
+// Package recordstore reads, follows and writes the job records in the key-value store: the write
+// path of the leader. Every write depends on the leader's key and on the version that it changes.
+// What the records say belongs to package jobtable; how they are encoded, to package ledger.
+package recordstore
+
+import (
+	"cmp"
+	"slices"
+
+	"postpoint/internal/clock"
+	"postpoint/internal/leader/jobtable"
+	"postpoint/internal/leader/machinetable"
+	"postpoint/internal/leader/reconciler"
+	"postpoint/internal/leader/term"
+	"postpoint/internal/leadership"
+	"postpoint/internal/ledger"
+	"postpoint/internal/ordered"
+	"postpoint/internal/protocol"
+	"postpoint/internal/statestore"
+)
+
+// Writer commits changed job records, within the limits of the key-value store.
+type Writer struct {
+	*term.State
+	Store    statestore.Store
+	jobs     *jobtable.Table
+	machines *machinetable.Table
+	reader   *Reader
+	commands *reconciler.CommandSender
+	// Hosted is told of stored changes of jobs that another cell has delegated to this one.
+	Hosted HostedObserver
+	steps  *term.StepTimer
+
+	// Committing reports that a transaction is in flight.
+	Committing bool
+	// PauseUntil is set after the store has refused a request.
+	PauseUntil clock.Micros
+	// LimitsTightened reports that the store was seen to refuse what its first limits allow.
+	LimitsTightened bool
+	// learnedTxnOps is how many changes a transaction may have by what the store has refused, 0 if
+	// it has refused none for that.
+	learnedTxnOps int
+}
+
+// NewWriter returns a writer to the given store.
+func NewWriter(term *term.State, store statestore.Store, jobs *jobtable.Table, machines *machinetable.Table,
+	commands *reconciler.CommandSender, steps *term.StepTimer) *Writer {
+	return &Writer{
+		State:    term,
+		Store:    store,
+		jobs:     jobs,
+		machines: machines,
+		commands: commands,
+		steps:    steps,
+	}
+}
+
+// Begin forgets a transaction that was sent in an earlier term.
+func (w *Writer) Begin() { w.Committing = false }
+
+// Pause puts the next transaction off: the key-value store doesn't serve this node.
+func (w *Writer) Pause() { w.PauseUntil = w.Now() + term.RetryDelay }
+
+// Paused reports whether the key-value store refused a request a moment ago.
+func (w *Writer) Paused() bool { return w.Now() < w.PauseUntil }
+
+// HostedObserver is told of stored changes of jobs that another cell has delegated to this one.
+type HostedObserver interface {
+	NoteHostedStored(j *jobtable.Job)
+}
+
+// txnBytes is how much of the 64 KiB that a transaction may have is used: sizes are counted as JSON,
+// which is a little longer than what the store measures.
+const txnBytes = 40 << 10
+
+// transaction is a transaction in the making.
+type transaction struct {
+	protocol.Txn
+	writes []Write
+	size   int
+}
+
+// guard adds a condition once.
+func (t *transaction) guard(key string, version int64) {
+	g := protocol.Guard{Key: key, Version: version}
+	if !slices.Contains(t.Guards, g) {
+		t.Guards = append(t.Guards, g)
+	}
+}
+
+// Commit writes changed records, many in one transaction, each on the condition of its own version
+// and all on that of the leader's key: a deposed leader changes nothing.
+func (w *Writer) Commit() {
+	if w.Committing || w.Paused() {
+		return
+	}
+	units := w.PendingUnits()
+	if len(units) == 0 {
+		w.removeStrayShards()
+		return
+	}
+	slices.SortFunc(units, compareUnits)
+	t := transaction{Txn: protocol.Txn{Guards: []protocol.Guard{{Key: leadership.Key, Version: w.Term.Epoch}}}}
+	for _, u := range units {
+		w.add(&t, u)
+	}
+	if len(t.writes) > 0 {
+		w.send(t.Txn, func(r statestore.Reply[protocol.TxnAnswer]) { w.HandleResult(t.writes, r) })
+	}
+}
+
+// add takes a unit into the transaction if there is room for all of it.
+func (w *Writer) add(t *transaction, u WriteUnit) {
+	limit, txnOps := w.Limits()
+	if len(t.writes)+len(u.writes) > txnOps {
+		return
+	}
+	changes := make([]protocol.Change, len(u.writes))
+	size := t.size
+	for i := range u.writes {
+		changes[i] = u.writes[i].change()
+		size += len(changes[i].Value)
+		if w.tooLarge(&u.writes[i], changes[i].Value, limit) {
+			return
+		}
+	}
+	if len(t.writes) > 0 && size > txnBytes {
+		return
+	}
+	t.size = size
+	for i, write := range u.writes {
+		if write.Part != HeadIndex {
+			t.guard(ledger.Key(write.J.Spec.ID), write.headVersion)
+		}
+		t.guard(write.key(), write.V.Version)
+		t.Changes = append(t.Changes, changes[i])
+		t.writes = append(t.writes, write)
+		write.V.InFlight, write.V.ChangedAt = true, w.Now()
+	}
+}
+
+// tooLarge reports whether a value can't be stored as it is. An undivided record is sharded if it
+// may be; until then its job goes on with what is stored, and other changes go out.
+func (w *Writer) tooLarge(write *Write, value []byte, limit int) bool {
+	refusedBytes := write.V.RefusedBytes
+	if len(value) < limit/2 && refusedBytes == 0 {
+		return false
+	}
+	size := protocol.JSONSize(value)
+	if size <= ledger.Usable(limit) && (refusedBytes == 0 || size < refusedBytes) {
+		return false
+	}
+	if write.Part == HeadIndex && write.J.PartSize == 0 && w.Format.Open {
+		w.Shard(write.J)
+		w.steps.Wake()
+	}
+	return true
+}
+
+// send commits a transaction, one at a time.
+func (w *Writer) send(t protocol.Txn, handle func(statestore.Reply[protocol.TxnAnswer])) {
+	w.Committing = true
+	w.Store.Commit(statestore.ForLeader, t, term.Guarded(w.State, func(r statestore.Reply[protocol.TxnAnswer]) {
+		w.Committing = false
+		handle(r)
+		w.steps.Wake()
+	}))
+}
+
+// removeStrayShards removes shards that belong to no sharded record: a leader ended while it sharded
+// one, or sharding was abandoned.
+func (w *Writer) removeStrayShards() {
+	if len(w.jobs.StrayShards) == 0 {
+		return
+	}
+	_, txnOps := w.Limits()
+	t := protocol.Txn{Guards: []protocol.Guard{{Key: leadership.Key, Version: w.Term.Epoch}}}
+	for key, version := range ordered.ByKey(w.jobs.StrayShards) {
+		if len(t.Changes) == txnOps {
+			break
+		}
+		t.Guards = append(t.Guards, protocol.Guard{Key: key, Version: version})
+		t.Changes = append(t.Changes, protocol.Change{Delete: key})
+	}
+	w.send(t, func(r statestore.Reply[protocol.TxnAnswer]) { w.handleRemoval(t.Changes, r) })
+}
+
+// handleRemoval takes note of the removal of stray shards.
+func (w *Writer) handleRemoval(changes []protocol.Change, r statestore.Reply[protocol.TxnAnswer]) {
+	switch outcomeOf(r) {
+	case outcomeCommitted:
+		for _, c := range changes {
+			delete(w.jobs.StrayShards, c.Delete)
+		}
+	case outcomeConflict, outcomeDeposed:
+		// Another request has changed them, an earlier copy of this one most likely.
+		for _, key := range r.Value.Failed {
+			delete(w.jobs.StrayShards, key)
+		}
+	default:
+		w.Pause()
+	}
+}
+
+// compareUnits orders units: by rank, urgency, how long they have waited, and then by name, so that
+// the same units always go in the same order.
+func compareUnits(a, b WriteUnit) int {
+	first, second := &a.writes[0], &b.writes[0]
+	return cmp.Or(
+		cmp.Compare(a.rank, b.rank),
+		cmp.Compare(a.urgency, b.urgency),
+		cmp.Compare(a.changedAt, b.changedAt),
+		cmp.Compare(first.J.Spec.ID, second.J.Spec.ID),
+		cmp.Compare(first.Part, second.Part),
+	)
+}
--- a/internal/leader/zonetracker/zonestore.go
+++ b/internal/leader/zonetracker/zonestore.go
@@ -13,12 +13,12 @@
 )
 
 // LoadZones goes on with the recoveries that an earlier leader was in the middle of.
-func (zr *Tracker) LoadZones(epoch int64, done func()) {
+func (zr *Tracker) LoadZones(done func()) {
 	if zr.Options == nil {
 		done()
 		return
 	}
-	zr.reader.LoadAll(epoch, recovery.Prefix, "", func(item protocol.Item) {
+	zr.reader.LoadAll(recovery.Prefix, func(item protocol.Item) {
 		name := item.Key[len(recovery.Prefix):]
 		if known := zr.Zones[name]; known != nil {
 			known.Version = item.Version // read again within a term
