--- a/internal/leader/recordstore/writer.go
+++ b/internal/leader/recordstore/writer.go
@@ -12,7 +12,6 @@
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/reconciler"
 	"postpoint/internal/leader/term"
-	"postpoint/internal/leadership"
 	"postpoint/internal/ledger"
 	"postpoint/internal/ordered"
 	"postpoint/internal/protocol"
@@ -73,21 +72,13 @@
 // which is a little longer than what the store measures.
 const txnBytes = 40 << 10
 
-// transaction is a transaction in the making.
-type transaction struct {
-	protocol.Txn
+// writeTransaction is a transaction in the making, with the writes that it consists of.
+type writeTransaction struct {
+	*term.Transaction
 	writes []Write
 	size   int
 }
 
-// guard adds a condition once.
-func (t *transaction) guard(key string, version int64) {
-	g := protocol.Guard{Key: key, Version: version}
-	if !slices.Contains(t.Guards, g) {
-		t.Guards = append(t.Guards, g)
-	}
-}
-
 // Commit writes changed records, many in one transaction, each on the condition of its own version
 // and all on that of the leader's key: a deposed leader changes nothing.
 func (w *Writer) Commit() {
@@ -100,17 +91,17 @@
 		return
 	}
 	slices.SortFunc(units, compareUnits)
-	t := transaction{Txn: protocol.Txn{Guards: []protocol.Guard{{Key: leadership.Key, Version: w.Term.Epoch}}}}
+	t := writeTransaction{Transaction: w.NewTransaction()}
 	for _, u := range units {
 		w.add(&t, u)
 	}
 	if len(t.writes) > 0 {
-		w.send(t.Txn, func(r statestore.Reply[protocol.TxnAnswer]) { w.HandleResult(t.writes, r) })
+		w.send(t.Transaction, func(r statestore.Reply[protocol.TxnAnswer]) { w.HandleResult(t.writes, r) })
 	}
 }
 
 // add takes a unit into the transaction if there is room for all of it.
-func (w *Writer) add(t *transaction, u WriteUnit) {
+func (w *Writer) add(t *writeTransaction, u WriteUnit) {
 	limit, txnOps := w.Limits()
 	if len(t.writes)+len(u.writes) > txnOps {
 		return
@@ -130,10 +121,10 @@
 	t.size = size
 	for i, write := range u.writes {
 		if write.Part != HeadIndex {
-			t.guard(ledger.Key(write.J.Spec.ID), write.headVersion)
+			t.RequireOnce(ledger.Key(write.J.Spec.ID), write.headVersion)
 		}
-		t.guard(write.key(), write.V.Version)
-		t.Changes = append(t.Changes, changes[i])
+		t.RequireOnce(write.key(), write.V.Version)
+		t.Add(changes[i])
 		t.writes = append(t.writes, write)
 		write.V.InFlight, write.V.ChangedAt = true, w.Now()
 	}
@@ -158,9 +149,9 @@
 }
 
 // send commits a transaction, one at a time.
-func (w *Writer) send(t protocol.Txn, handle func(statestore.Reply[protocol.TxnAnswer])) {
+func (w *Writer) send(t *term.Transaction, handle func(statestore.Reply[protocol.TxnAnswer])) {
 	w.Committing = true
-	w.Store.Commit(statestore.ForLeader, t, term.Guarded(w.State, func(r statestore.Reply[protocol.TxnAnswer]) {
+	t.Commit(w.Store, term.Guarded(w.State, func(r statestore.Reply[protocol.TxnAnswer]) {
 		w.Committing = false
 		handle(r)
 		w.steps.Wake()
@@ -174,15 +165,15 @@
 		return
 	}
 	_, txnOps := w.Limits()
-	t := protocol.Txn{Guards: []protocol.Guard{{Key: leadership.Key, Version: w.Term.Epoch}}}
+	t := w.NewTransaction()
 	for key, version := range ordered.ByKey(w.jobs.StrayShards) {
-		if len(t.Changes) == txnOps {
+		if t.Len() == txnOps {
 			break
 		}
-		t.Guards = append(t.Guards, protocol.Guard{Key: key, Version: version})
-		t.Changes = append(t.Changes, protocol.Change{Delete: key})
+		t.Require(key, version)
+		t.Delete(key)
 	}
-	w.send(t, func(r statestore.Reply[protocol.TxnAnswer]) { w.handleRemoval(t.Changes, r) })
+	w.send(t, func(r statestore.Reply[protocol.TxnAnswer]) { w.handleRemoval(t.Changes(), r) })
 }
 
 // handleRemoval takes note of the removal of stray shards.
