--- a/internal/leader/jobtable/jobtable.go
+++ b/internal/leader/jobtable/jobtable.go
@@ -26,23 +26,24 @@
 	// Losses is told of placements that are lost before their tasks are done.
 	Losses LossObserver
 
+	// ByID has the jobs by their ids.
 	ByID map[string]*Job
 	// FinalVersions are the last versions of jobs that are over, until following the records has
 	// caught up with them: an older version that still arrives is outdated.
 	FinalVersions map[string]int64
-	// Malformed are the jobs whose records can't be decoded.
+	// Malformed are the ids of jobs whose records can't be decoded.
 	Malformed map[string]bool
-	// StrayShards are stored shards that belong to no sharded record, with their versions.
+	// StrayShards are the versions of stored shards, by key, that belong to no sharded record.
 	StrayShards map[string]int64
 }
 
-// New makes an empty table.
-func New(term *term.State, machines *machinetable.Table, steps *term.StepTimer) *Table {
-	return &Table{State: term, machines: machines, steps: steps}
+// New returns an empty table.
+func New(state *term.State, machines *machinetable.Table, steps *term.StepTimer) *Table {
+	return &Table{State: state, machines: machines, steps: steps}
 }
 
 // End forgets the jobs when the term is over.
-func (jt *Table) End() { jt.ByID = nil }
+func (t *Table) End() { t.ByID = nil }
 
 // LossObserver is told of placements that are lost before their tasks are done.
 type LossObserver interface {
@@ -50,96 +51,104 @@
 }
 
 // Begin forgets what was known in earlier terms.
-func (jt *Table) Begin() {
-	jt.ByID = map[string]*Job{}
-	jt.FinalVersions = map[string]int64{}
-	jt.Malformed = map[string]bool{}
-	jt.StrayShards = map[string]int64{}
+func (t *Table) Begin() {
+	t.ByID = map[string]*Job{}
+	t.FinalVersions = map[string]int64{}
+	t.Malformed = map[string]bool{}
+	t.StrayShards = map[string]int64{}
 }
 
-// QuarantineRecord forgets a job whose record makes no sense: never guess at what may be running.
-func (jt *Table) QuarantineRecord(id string, err error) {
+// QuarantineRecord forgets a job whose record can't be decoded, and notes its id: what may be running
+// of it is never guessed at.
+func (t *Table) QuarantineRecord(id string, err error) {
 	slog.Error("malformed record", "job", id, "error", err)
-	jt.Malformed[id] = true
-	delete(jt.ByID, id)
+	t.Malformed[id] = true
+	delete(t.ByID, id)
 }
 
-// NoteTaskChange notes a change of what a task's value says.
-func (jt *Table) NoteTaskChange(j *Job, task int) {
-	j.valueOf(task).NoteChange(jt.Now())
+// NoteTaskChange notes a change of a task's state. While a record is being sharded both of its forms
+// have to follow.
+func (t *Table) NoteTaskChange(j *Job, task int) {
+	j.valueOf(task).NoteChange(t.Now())
 	if j.Sharding() {
-		j.ShardOf(task).NoteChange(jt.Now())
+		j.ShardOf(task).NoteChange(t.Now())
 	}
 	j.RunningStale = true
 }
 
-// NoteHeadChange notes a change of what concerns the job as a whole.
-func (jt *Table) NoteHeadChange(j *Job) {
-	j.StoredValue.NoteChange(jt.Now())
+// NoteHeadChange notes a change of the job's own state, as against that of its tasks.
+func (t *Table) NoteHeadChange(j *Job) {
+	j.StoredValue.NoteChange(t.Now())
 }
 
-// AddPlacement decides a placement; it counts from now and acts once it is durable.
-func (jt *Table) AddPlacement(j *Job, p ledger.Placement) {
+// AddPlacement adds a placement. It takes capacity from now on, and is acted on once it is durable.
+func (t *Table) AddPlacement(j *Job, p ledger.Placement) {
 	j.Placed[p.Task] = p
-	jt.machines.AddPlacement(j.Spec.ID, p)
-	jt.NoteTaskChange(j, p.Task)
+	t.machines.AddPlacement(j.Spec.ID, p)
+	t.NoteTaskChange(j, p.Task)
 	v := j.valueOf(p.Task)
 	j.ProposedAt[p.Task] = v.ChangeCount
 	v.Uncommitted = append(v.Uncommitted, p.Task)
 }
 
-// ReleasePlacement frees a place, which only proof allows: see docs/rules.md.
-func (jt *Table) ReleasePlacement(j *Job, p ledger.Placement) {
+// ReleasePlacement releases a placement. Only proof that its task can't run there any more allows
+// that: see docs/rules.md.
+func (t *Table) ReleasePlacement(j *Job, p ledger.Placement) {
 	delete(j.Placed, p.Task)
 	delete(j.Stops, p.Task)
 	delete(j.ProposedAt, p.Task)
 	if v := j.valueOf(p.Task); v.InFlight || v.OutcomeUnknown {
 		v.UnconfirmedReleases = append(v.UnconfirmedReleases, p)
 	}
-	jt.machines.RemovePlacement(j.Spec.ID, p)
-	jt.NoteTaskChange(j, p.Task)
+	t.machines.RemovePlacement(j.Spec.ID, p)
+	t.NoteTaskChange(j, p.Task)
 	if !j.Done.Has(p.Task) {
-		jt.Losses.PlacementLost(j, p.Machine)
-		// It is to run again, under another attempt than any before.
+		t.Losses.PlacementLost(j, p.Machine)
+		// The task is to run again, under another attempt than any before.
 		j.NextAttempt = max(j.NextAttempt, p.Attempt+1)
 	}
-	jt.steps.Wake()
+	t.steps.Wake()
 }
 
-// RemoveFromMachines takes a job's placements off its machines, not out of its record.
-func (jt *Table) RemoveFromMachines(j *Job) {
+// RemoveFromMachines removes a job's placements from its machines, but not from its record.
+func (t *Table) RemoveFromMachines(j *Job) {
 	for _, p := range ordered.ByKey(j.Placed) {
-		jt.machines.RemovePlacement(j.Spec.ID, p)
+		t.machines.RemovePlacement(j.Spec.ID, p)
 	}
 }
 
-// ForgetIfOver drops a job that is over and nowhere any more.
-func (jt *Table) ForgetIfOver(j *Job) {
+// ForgetIfOver drops a job that is over, has no placements, and is stored like that.
+func (t *Table) ForgetIfOver(j *Job) {
 	if j.Final() && len(j.Placed) == 0 && j.allStored() && !j.HasStrayShards() && j.Permission == nil {
-		jt.FinalVersions[j.Spec.ID] = j.Version
-		delete(jt.ByID, j.Spec.ID)
+		t.Forget(j)
 	}
 }
 
-// returnCapacity lets those who made room for a job have it back first.
-func (jt *Table) returnCapacity(j *Job) {
+// Forget drops a job that needs no leader any more, or whose record is gone.
+func (t *Table) Forget(j *Job) {
+	t.FinalVersions[j.Spec.ID] = j.Version
+	delete(t.ByID, j.Spec.ID)
+}
+
+// returnCapacity lets the jobs that were preempted for a job have their capacity back first.
+func (t *Table) returnCapacity(j *Job) {
 	for _, id := range j.Lenders {
-		if l := jt.ByID[id]; l != nil {
-			l.Reclaiming = true
+		if lender := t.ByID[id]; lender != nil {
+			lender.Reclaiming = true
 		}
 	}
 }
 
-// TasksWithinQuota is how many more tasks of a job its team's limit allows, over all cells.
-func (jt *Table) TasksWithinQuota(j *Job) int {
-	team, _ := jt.Settings.Deployment.Team(j.Spec.Team)
+// TasksWithinQuota returns how many more tasks of a job its team's limit allows, over all cells.
+func (t *Table) TasksWithinQuota(j *Job) int {
+	team, _ := t.Settings.Deployment.Team(j.Spec.Team)
 	room := planner.Amounts{Cpus: team.CpusMax, Gpus: team.GpusMax, MemoryGB: planner.PlentyGB}
-	for _, o := range jt.ByID {
-		if o.Spec.Team == j.Spec.Team {
-			room = room.Minus(planner.Needs(&o.Spec).Times(float64(o.PlacesTaken())))
+	for _, other := range t.ByID {
+		if other.Spec.Team == j.Spec.Team {
+			room = room.Minus(planner.Needs(&other.Spec).Times(float64(other.PlacesTaken())))
 		}
 	}
-	if team.CpusMax == 0 { // none
+	if team.CpusMax == 0 { // no limit
 		room.Cpus = math.MaxInt32
 	}
 	if team.GpusMax == 0 {
@@ -149,11 +158,11 @@
 }
 
 // ZonesOf counts a job's placements by zone, those in unknown ones under "".
-func (jt *Table) ZonesOf(j *Job) map[string]int {
+func (t *Table) ZonesOf(j *Job) map[string]int {
 	zones := map[string]int{}
 	for _, p := range j.Placed {
 		zone := ""
-		if m := jt.machines.ByName[p.Machine]; m != nil {
+		if m := t.machines.ByName[p.Machine]; m != nil {
 			zone = m.Zone
 		}
 		zones[zone]++
@@ -161,54 +170,55 @@
 	return zones
 }
 
-// AbandonSharding goes on with the undivided record, which has been the valid one.
-func (jt *Table) AbandonSharding(j *Job) {
+// AbandonSharding goes on with the undivided record, which has been the valid one all along.
+func (t *Table) AbandonSharding(j *Job) {
 	j.PartSize, j.Marked = 0, j.Spec.Service()
-	jt.DropShards(j)
+	t.DropShards(j)
 }
 
-// DropShards forgets the parts of a record that turned out to be undivided.
-func (jt *Table) DropShards(j *Job) {
+// DropShards forgets the shards of a record that turned out to be undivided. What is stored of them
+// has to be looked for.
+func (t *Table) DropShards(j *Job) {
 	if len(j.Shards) > 0 {
 		j.Shards = nil
 		j.NoteRecordEvent(EventShardsDropped)
 	}
 }
 
-// CompleteIfDone makes a job done once all of its tasks are.
-func (jt *Table) CompleteIfDone(j *Job) {
+// CompleteIfDone makes a job done once all of its tasks are. A service never is.
+func (t *Table) CompleteIfDone(j *Job) {
 	if j.Final() || j.Spec.Service() || j.Done.Len() < j.Spec.Tasks {
 		return
 	}
 	j.Status = protocol.StatusDone
 	if j.Sharding() {
-		jt.AbandonSharding(j) // its record is small enough again
+		t.AbandonSharding(j) // its record is small enough again
 	}
-	jt.NoteHeadChange(j)
-	jt.returnCapacity(j)
+	t.NoteHeadChange(j)
+	t.returnCapacity(j)
 }
 
-// IsHosted tells whether an id is that of a known guest.
-func (jt *Table) IsHosted(id string) bool {
-	j := jt.ByID[id]
+// IsHosted reports whether an id is that of a known hosted job.
+func (t *Table) IsHosted(id string) bool {
+	j := t.ByID[id]
 	return j != nil && j.Guest != nil
 }
 
-// HostedByOrigin are the guests of each home cell, in a fixed order.
-func (jt *Table) HostedByOrigin() map[string][]*Job {
-	guests := map[string][]*Job{}
-	for _, j := range ordered.ByKey(jt.ByID) {
+// HostedByOrigin returns the hosted jobs by their origin cells, each cell's in the order of their ids.
+func (t *Table) HostedByOrigin() map[string][]*Job {
+	hosted := map[string][]*Job{}
+	for _, j := range ordered.ByKey(t.ByID) {
 		if j.Guest != nil {
-			guests[j.Guest.Home] = append(guests[j.Guest.Home], j)
+			hosted[j.Guest.Home] = append(hosted[j.Guest.Home], j)
 		}
 	}
-	return guests
+	return hosted
 }
 
-// HostedAmounts is what guests may use at once.
-func (jt *Table) HostedAmounts() planner.Amounts {
+// HostedAmounts returns what hosted jobs may use at once.
+func (t *Table) HostedAmounts() planner.Amounts {
 	var used planner.Amounts
-	for _, j := range jt.ByID {
+	for _, j := range t.ByID {
 		if j.Guest == nil || j.Final() {
 			continue
 		}
@@ -221,32 +231,27 @@
 	return used
 }
 
-// NoteCancelled keeps when a cancellation was confirmed, or an earlier time: it
-// isn't counted from when this leader came to know of it, since each change of
-// leader would then put the end of its tasks off.
-func (jt *Table) NoteCancelled(j *Job, at clock.Micros) {
+// NoteCancelled notes when a cancellation was confirmed to a user, or an earlier time. It isn't counted
+// from when this leader came to know of it, since each change of leader would then put the end of the
+// job's tasks off.
+func (t *Table) NoteCancelled(j *Job, at clock.Micros) {
 	if !j.Cancelled {
-		slog.Debug("job cancelled", "job", j.Spec.ID, "placed", len(j.Placed), "ago_s", (jt.Now() - at).Seconds())
+		slog.Debug("job cancelled", "job", j.Spec.ID, "placed", len(j.Placed), "ago_s", (t.Now() - at).Seconds())
 		j.Cancelled, j.CancelConfirmedAt = true, at
 	}
 	j.CancelConfirmedAt = min(j.CancelConfirmedAt, at)
 }
 
-// AwaitPermission prepares what is known of a guest beyond its record. Whatever an earlier leader was
-// permitted, this one has to ask for itself.
-func (jt *Table) AwaitPermission(j *Job) {
-	j.Permission = delegation.Patient(jt.Now() + AnnounceTime)
-}
-
-// Forget drops a job whose record is gone.
-func (jt *Table) Forget(j *Job) {
-	jt.FinalVersions[j.Spec.ID] = j.Version
-	delete(jt.ByID, j.Spec.ID)
+// AwaitPermission has a hosted job wait for the permission of its origin cell. Whatever an earlier
+// leader was permitted, this one has to ask for itself.
+func (t *Table) AwaitPermission(j *Job) {
+	j.Permission = delegation.Patient(t.Now() + AnnounceTime)
 }
 
 const (
-	// UnmetDemandGap is longer than it takes from one plan to the next.
+	// UnmetDemandGap is longer than it takes from one plan to the next: demand that no plan had unmet
+	// for so long is met.
 	UnmetDemandGap = 10 * clock.Second
-	// AnnounceTime is given to machines to speak for themselves at the beginning of a term.
+	// AnnounceTime is how long machines have to send their heartbeats at the beginning of a term.
 	AnnounceTime = 4 * clock.Second
 )
--- a/internal/leader/jobtable/replicas.go
+++ b/internal/leader/jobtable/replicas.go
@@ -4,7 +4,8 @@
 
 // Restart is a replica's wait for its next start.
 type Restart struct {
-	ShortRuns int // short runs in a row
+	// ShortRuns counts the short runs in a row.
+	ShortRuns int
 	NotBefore clock.Micros
 }
 
@@ -22,7 +23,7 @@
 	RestartJitter = 0.25
 )
 
-// Restartable are those of a service's pending replicas that needn't wait.
+// Restartable returns those of a service's pending replicas that needn't wait.
 func (j *Job) Restartable(pending []int, now clock.Micros) []int {
 	if len(j.Restarts) == 0 {
 		return pending
@@ -39,8 +40,8 @@
 // WaitingRestarts counts the replicas that wait for their next start.
 func (j *Job) WaitingRestarts(now clock.Micros) int {
 	n := 0
-	for task, r := range j.Restarts {
-		if _, placed := j.Placed[task]; !placed && now < r.NotBefore {
+	for task, restart := range j.Restarts {
+		if _, placed := j.Placed[task]; !placed && now < restart.NotBefore {
 			n++
 		}
 	}
--- a/internal/leader/recordstore/outcome.go
+++ b/internal/leader/recordstore/outcome.go
@@ -77,7 +77,8 @@
 	case outcomeNotExecuted:
 		w.Pause() // the same changes go again
 	case outcomeUnknown:
-		slog.Info("commit outcome unknown, retrying", "status", r.Status, "error", r.Value.Error, "values", len(writes))
+		slog.Info("commit outcome unknown, retrying", "status", r.Status, "error", r.Value.Error,
+			"values", len(writes))
 		w.noteUnknown(writes)
 	case outcomeUnexpected:
 		slog.Error("commit refused, reading the records", "status", r.Status, "error", r.Value.Error,
--- a/internal/leader/recordstore/reader.go
+++ b/internal/leader/recordstore/reader.go
@@ -184,7 +184,8 @@
 }
 
 // handleFollowed takes over the changes of the records since a revision, and goes on from there.
-func (r *Reader) handleFollowed(from int64, sentAt clock.Micros, reply statestore.Reply[protocol.FollowAnswer]) {
+func (r *Reader) handleFollowed(from int64, sentAt clock.Micros,
+	reply statestore.Reply[protocol.FollowAnswer]) {
 	switch reply.Status {
 	case http.StatusOK:
 		r.FreshAt = sentAt
@@ -207,5 +208,7 @@
 	if len(changes.Events) > 0 {
 		r.steps.Wake()
 	}
-	maps.DeleteFunc(r.jobs.FinalVersions, func(_ string, version int64) bool { return version <= changes.Revision })
+	maps.DeleteFunc(r.jobs.FinalVersions, func(_ string, version int64) bool {
+		return version <= changes.Revision
+	})
 }
--- a/internal/leader/term/guarded.go
+++ b/internal/leader/term/guarded.go
@@ -3,9 +3,9 @@
 // SameTerm returns a function that reports whether the term in which SameTerm was called still
 // lasts. Each election has an epoch of its own, so a node that loses and regains leadership is in
 // another term.
-func (lt *State) SameTerm() func() bool {
-	epoch := lt.Term.Epoch
-	return func() bool { return lt.Term.Epoch == epoch }
+func (s *State) SameTerm() func() bool {
+	epoch := s.Term.Epoch
+	return func() bool { return s.Term.Epoch == epoch }
 }
 
 // Guarded returns a callback that passes its result to handle as long as the term lasts in which
--- a/internal/leader/term/steps.go
+++ b/internal/leader/term/steps.go
@@ -10,10 +10,13 @@
 // that heartbeats, renewals and users' requests are left without processor time.
 type StepTimer struct {
 	*State
+	// Step plans and writes.
 	Step func()
 
-	Pending   bool
-	notBefore clock.Micros // see Builder.PlanningCost
+	// Pending reports that a step is scheduled.
+	Pending bool
+	// notBefore keeps steps to their share of the processor.
+	notBefore clock.Micros
 	TickedAt  clock.Micros
 	// lag is by how much ticks have been late lately.
 	lag clock.Micros
@@ -32,45 +35,49 @@
 	overloadLag = 300 * clock.Millisecond
 )
 
-// NewStepTimer makes a timer whose Step has to be set before it is woken.
-func NewStepTimer(term *State) *StepTimer { return &StepTimer{State: term} }
+// NewStepTimer returns a timer whose Step has to be set before it is woken.
+func NewStepTimer(state *State) *StepTimer { return &StepTimer{State: state} }
 
-// Begin forgets a step that an earlier term had planned.
-func (st *StepTimer) Begin() { st.Pending = false }
+// Begin forgets a step that an earlier term had scheduled.
+func (t *StepTimer) Begin() { t.Pending = false }
 
 // NoteTick measures by how much a periodic tick is late.
-func (st *StepTimer) NoteTick() {
-	if late := st.Now() - st.TickedAt - TickInterval; st.TickedAt != 0 {
-		if late > lateTickThreshold {
-			slog.Info("the process stood still or had no processor", "for_s", late.Seconds(), "epoch", st.Term.Epoch)
-		}
-		st.lag = (st.lag + max(late, 0)) / 2
+func (t *StepTimer) NoteTick() {
+	if t.TickedAt != 0 {
+		t.noteLateness(t.Now() - t.TickedAt - TickInterval)
 	}
-	st.TickedAt = st.Now()
+	t.TickedAt = t.Now()
+}
+
+func (t *StepTimer) noteLateness(late clock.Micros) {
+	if late > lateTickThreshold {
+		slog.Info("the process stood still or had no processor", "for_s", late.Seconds(), "epoch", t.Term.Epoch)
+	}
+	t.lag = (t.lag + max(late, 0)) / 2
 }
 
 // PauseAfter puts the next step off so that steps of this cost take their share of the processor
 // and no more.
-func (st *StepTimer) PauseAfter(cost clock.Micros) {
-	if cpu := st.Settings.Deployment.MachineLimits.CPU; cpu > 0 {
-		st.notBefore = st.Now() + clock.Micros(float64(cost)/(min(cpu, 1)*stepShare))
+func (t *StepTimer) PauseAfter(cost clock.Micros) {
+	if cpu := t.Settings.Deployment.MachineLimits.CPU; cpu > 0 {
+		t.notBefore = t.Now() + clock.Micros(float64(cost)/(min(cpu, 1)*stepShare))
 	}
 }
 
-// Wake runs a step soon; what happens until then shares it.
-func (st *StepTimer) Wake() {
-	if st.Pending || st.Term.Epoch == 0 {
+// Wake schedules a step for soon. What happens until then shares it.
+func (t *StepTimer) Wake() {
+	if t.Pending || t.Term.Epoch == 0 {
 		return
 	}
-	st.Pending = true
-	st.AfterInTerm(max(wakeDelay, st.notBefore-st.Now()), func() {
-		st.Pending = false
-		st.Step()
+	t.Pending = true
+	t.AfterInTerm(max(wakeDelay, t.notBefore-t.Now()), func() {
+		t.Pending = false
+		t.Step()
 	})
 }
 
-// Overloaded tells that the processor doesn't keep up. What can ride on the answers to
-// reports then does: a direct command mostly costs a connection, and once reports are
-// answered too late for their workers, these come again and again by new connections,
-// until there is less than nothing left for the work itself.
-func (st *StepTimer) Overloaded() bool { return st.lag > overloadLag }
+// Overloaded reports whether the processor doesn't keep up. Commands then go with the responses to
+// heartbeats where they can: a direct command mostly costs a connection. Workers whose heartbeats
+// are responded to too late come again by new connections, which leaves even less time for the work
+// itself.
+func (t *StepTimer) Overloaded() bool { return t.lag > overloadLag }
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -17,19 +17,19 @@
 	"postpoint/internal/settings"
 )
 
-// State is the term in which this node leads, and what it may do in it: until when it may
-// give commands, until when it may still answer heartbeats, and how fresh its knowledge is.
-// Every component embeds it, to read; only its own methods and the Leader's change it.
+// State is the term in which this node leads, and what it may do in it: until when it may give
+// commands, until when it may respond to heartbeats, and how fresh its knowledge is. Every component
+// embeds it, to read; only its own methods and the Leader's change it.
 type State struct {
 	Mailbox  actor.Mailbox
 	Settings *settings.Settings
-	// Deposed is told of fencing tokens above this node's own.
+	// Deposed is called with fencing tokens above this node's own.
 	Deposed func(epoch int64)
 
 	Term leadership.Term
 	// KnownLeader is the node that workers are sent to, "" if none is known.
 	KnownLeader string
-	// Format is how far the controllers' upgrade is, and so what may be written.
+	// Format is how far the controllers' upgrade is, which decides what may be written.
 	Format rollout.Status
 	// Loaded reports that the records were read in this term.
 	Loaded bool
@@ -37,7 +37,8 @@
 	BegunAt clock.Micros
 	// FreshAt is the time before which everything in the records is known.
 	FreshAt clock.Micros
-	// AttestedAt is the time before which everything that any node told users is known.
+	// AttestedAt is the time before which everything that any node told users is known: every node
+	// was asked.
 	AttestedAt clock.Micros
 	// Random is seeded with the epoch, so that the same events draw the same numbers.
 	Random *rand.Rand
@@ -48,87 +49,88 @@
 	StaleAfter = 6 * clock.Second
 	// RetryDelay is the pause after the key-value store has refused a request.
 	RetryDelay = 300 * clock.Millisecond
-	// FollowInterval is after how long a watch of the records answers without any change.
+	// FollowInterval is after how long a watch of the records responds without any change.
 	FollowInterval = 2 * clock.Second
 )
 
-// New makes the state of a node that doesn't lead. deposed is told of higher fencing tokens.
-func New(mailbox actor.Mailbox, set *settings.Settings, deposed func(epoch int64)) *State {
-	return &State{Mailbox: mailbox, Settings: set, Deposed: deposed}
+// New returns the state of a node that doesn't lead. deposed is called with higher fencing tokens.
+func New(mailbox actor.Mailbox, settings *settings.Settings, deposed func(epoch int64)) *State {
+	return &State{Mailbox: mailbox, Settings: settings, Deposed: deposed}
 }
 
 // Begin forgets what was known in earlier terms.
-func (lt *State) Begin() {
-	lt.Loaded = false
-	lt.BegunAt = lt.Now()
-	lt.FreshAt, lt.AttestedAt = 0, 0
-	lt.Random = NewRandom(lt.Term.Epoch)
+func (s *State) Begin() {
+	s.Loaded = false
+	s.BegunAt = s.Now()
+	s.FreshAt, s.AttestedAt = 0, 0
+	s.Random = NewRandom(s.Term.Epoch)
 }
 
-// Now is the steady clock.
-func (lt *State) Now() clock.Micros { return lt.Mailbox.Steady() }
+// Now returns the time on the monotonic clock.
+func (s *State) Now() clock.Micros { return s.Mailbox.Steady() }
 
-// Leads tells that this node may act: its lease holds and what users changed
-// through other nodes is known.
-func (lt *State) Leads() bool {
-	now := lt.Now()
-	return lt.Term.Epoch != 0 && now < lt.Term.ValidUntil && lt.Loaded && now < lt.FreshAt+StaleAfter
+// Leads reports whether this node may act: its lease holds, and what users changed through other
+// nodes is known.
+func (s *State) Leads() bool {
+	now := s.Now()
+	return s.Term.Epoch != 0 && now < s.Term.ValidUntil && s.Loaded && now < s.FreshAt+StaleAfter
 }
 
-// AfterInTerm does something later, if this is still the same term then.
-func (lt *State) AfterInTerm(delay clock.Micros, do func()) {
-	same := lt.SameTerm()
-	lt.Mailbox.After(delay, func() {
+// AfterInTerm calls do after a delay, if this is still the same term then.
+func (s *State) AfterInTerm(delay clock.Micros, do func()) {
+	same := s.SameTerm()
+	s.Mailbox.After(delay, func() {
 		if same() {
 			do()
 		}
 	})
 }
 
-// KnownUntil is up to when every cancellation that any user was told is known:
-// from the records, or because every node has said what it told.
-func (lt *State) KnownUntil() clock.Micros { return max(lt.FreshAt, lt.AttestedAt) }
+// KnownUntil returns the time up to which every cancellation is known that any user was told of: from
+// the records, or from what every node has attested.
+func (s *State) KnownUntil() clock.Micros { return max(s.FreshAt, s.AttestedAt) }
 
-// SoleUntil is up to when nobody else can have been elected: the lease was good,
-// or every node said that it wasn't.
-func (lt *State) SoleUntil() clock.Micros { return max(lt.Term.RenewedAt, lt.AttestedAt) }
+// SoleUntil returns the time up to which no other node can have been elected: this node's lease held,
+// or every node attested that it hadn't been.
+func (s *State) SoleUntil() clock.Micros { return max(s.Term.RenewedAt, s.AttestedAt) }
 
-// AnswersUntil is until when workers may be answered. A cancellation that isn't known
-// was told after KnownUntil, and a leader that isn't known was elected after
-// SoleUntil. Before the records are read nothing is known at all, whoever led before
-// and however well: nobody is answered then.
-func (lt *State) AnswersUntil() clock.Micros {
-	if lt.Term.Epoch == 0 || !lt.Loaded {
+// AnswersUntil returns the time until which heartbeats may be responded to. A cancellation that isn't
+// known was told after KnownUntil, and a leader that isn't known was elected after SoleUntil. Before
+// the records are read nothing is known at all, whoever led before: no heartbeat is responded to.
+func (s *State) AnswersUntil() clock.Micros {
+	if s.Term.Epoch == 0 || !s.Loaded {
 		return 0
 	}
-	return min(lt.KnownUntil(), lt.SoleUntil()) + lt.Settings.Deployment.Workers.KeepAlive()
+	return min(s.KnownUntil(), s.SoleUntil()) + s.Settings.Deployment.Workers.KeepAlive()
 }
 
-// MayAnswer tells that workers may still be answered, without orders but for the end
-// of what is cancelled.
-func (lt *State) MayAnswer() bool { return lt.Now() < lt.AnswersUntil() }
+// MayAnswer reports whether heartbeats may still be responded to, without commands other than those by
+// which cancelled tasks end.
+func (s *State) MayAnswer() bool { return s.Now() < s.AnswersUntil() }
 
-// ConfirmedAt is the record's time of a cancellation on this node's steady clock,
-// no later than it was: clocks of day are off by a bounded error, either way.
-func (lt *State) ConfirmedAt(r *ledger.Job) clock.Micros {
+// ConfirmedAt returns a record's time of cancellation on this node's monotonic clock, no later than it
+// was: clocks of the time of day, the record's and this node's, are off by a bounded error either way.
+func (s *State) ConfirmedAt(r *ledger.Job) clock.Micros {
 	if r.CancelledAt == 0 {
-		return lt.Now() // a record of an earlier version
+		return s.Now() // a record of an earlier version
 	}
-	off := 2 * clock.Micros(lt.Settings.Deployment.ClockErrorMs*float64(clock.Millisecond))
-	return lt.Now() - max(0, lt.Mailbox.OfDay()-clock.Micros(r.CancelledAt)) - off
+	clockError := clock.Micros(s.Settings.Deployment.ClockErrorMs * float64(clock.Millisecond))
+	age := max(0, s.Mailbox.OfDay()-clock.Micros(r.CancelledAt))
+	return s.Now() - age - 2*clockError
 }
 
-// ActsUntil is until when commands and returns may leave: without the lease only those
-// by which cancelled tasks end.
-func (lt *State) ActsUntil() clock.Micros {
-	if lt.Leads() {
-		return lt.Term.ValidUntil
+// ActsUntil returns the time until which commands and scale-in requests may leave: without the lease
+// only those by which cancelled tasks end.
+func (s *State) ActsUntil() clock.Micros {
+	if s.Leads() {
+		return s.Term.ValidUntil
 	}
-	return lt.AnswersUntil()
+	return s.AnswersUntil()
 }
 
-// NewRandom is a source of jitter that the same events draw the same numbers from.
+// NewRandom returns a source of jitter from which the same events draw the same numbers.
 func NewRandom(epoch int64) *rand.Rand { return rand.New(rand.NewPCG(uint64(epoch), 0)) }
 
-// DebugEnabled spares the cost of what would be thrown away.
+// DebugEnabled reports whether debug lines are logged, so that callers needn't prepare lines that
+// would be thrown away.
 func DebugEnabled() bool { return slog.Default().Enabled(context.Background(), slog.LevelDebug) }
--- a/internal/leader/term/transaction.go
+++ b/internal/leader/term/transaction.go
@@ -16,9 +16,9 @@
 }
 
 // NewTransaction returns a transaction of this term without changes.
-func (lt *State) NewTransaction() *Transaction {
+func (s *State) NewTransaction() *Transaction {
 	t := &Transaction{}
-	t.Require(leadership.Key, lt.Term.Epoch)
+	t.Require(leadership.Key, s.Term.Epoch)
 	return t
 }
 
