--- /dev/null
+++ b/internal/leader/commitoutcome_test.go
@@ -0,0 +1,104 @@
+package leader
+
+import (
+	"fmt"
+	"net/http"
+	"testing"
+
+	"postpoint/internal/leader/recordstore"
+	"postpoint/internal/leader/term"
+	"postpoint/internal/ledger"
+	"postpoint/internal/protocol"
+	"postpoint/internal/statestore"
+)
+
+// A change without a response may be carried out seconds later. Its placements stay, and it goes again
+// at the same versions, so that only one of the two can apply.
+func TestCommitsOfUnknownOutcomeAreRetried(t *testing.T) {
+	l, box := leader()
+	store := &commits{}
+	useStore(l, store)
+	content := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 2}, 1)
+	l.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
+	j := l.jobs.ByID["job-1"]
+	l.jobs.AddPlacement(j, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1})
+	l.writer.Commit()
+	store.answer(noResponse())
+	if len(j.Placed) != 1 || j.MustReload() || j.Committed(j.Placed[0]) {
+		t.Fatalf("placed %v, to be reloaded %v, committed %v, want one task, false, false", j.Placed,
+			j.MustReload(), j.Committed(j.Placed[0]))
+	}
+	box.Now += term.RetryDelay
+	l.writer.Commit()
+	if len(store.txns) != 2 || fmt.Sprint(store.txns[0]) != fmt.Sprint(store.txns[1]) {
+		t.Fatalf("transactions %v, want the same one twice", store.txns)
+	}
+	// The first has applied meanwhile: the record shows it.
+	store.answer(conflictOn(ledger.Key("job-1")))
+	if !j.MustReload() {
+		t.Fatal("the record isn't to be reloaded after a conflict on it")
+	}
+}
+
+// A placement that is released while a write which contains it has no response counts against its
+// team's limit until that write can't be carried out any more: it would bring the placement back after
+// its room had been given away.
+func TestReleasedPlacementsCountWhileAWriteMayComeLate(t *testing.T) {
+	declined := statestore.Reply[protocol.TxnAnswer]{Status: http.StatusTooManyRequests}
+	for name, c := range map[string]struct {
+		responses []statestore.Reply[protocol.TxnAnswer]
+		taken     int
+	}{
+		"carried out":                   {[]statestore.Reply[protocol.TxnAnswer]{committedAt(6)}, 0},
+		"never carried out":             {[]statestore.Reply[protocol.TxnAnswer]{declined}, 0},
+		"no response":                   {[]statestore.Reply[protocol.TxnAnswer]{noResponse()}, 1},
+		"no response, then declined":    {[]statestore.Reply[protocol.TxnAnswer]{noResponse(), declined}, 1},
+		"no response, then carried out": {[]statestore.Reply[protocol.TxnAnswer]{noResponse(), committedAt(6)}, 0},
+	} {
+		l, j, m, _ := one(t)
+		l.state.Deposed = func(int64) {}
+		j.InFlight = true
+		l.reconciler.Observe(m, report(1, 1, protocol.TaskReport{
+			Task:    "job-1/0",
+			Attempt: 1,
+			Status:  protocol.TaskExited,
+			Cause:   protocol.CauseStopped,
+		}))
+		for _, response := range c.responses {
+			j.InFlight = true
+			l.writer.HandleResult([]recordstore.Write{
+				{J: j, V: &j.StoredValue, Part: recordstore.HeadIndex, Changed: j.ChangeCount - 1},
+			}, response)
+		}
+		used, wantUsed := l.snapshots.Snapshot().Teams[""].Used, float64(c.taken)*j.Spec.Cpus
+		if j.PlacesTaken() != c.taken || used.Cpus != wantUsed {
+			t.Errorf("%s: %d placements count and %v are used, want %d and %v processors", name, j.PlacesTaken(),
+				used, c.taken, wantUsed)
+		}
+	}
+}
+
+// Limits that nobody announced are found by halves; a value alone that is refused waits until it has
+// become smaller, and isn't sent unchanged again.
+func TestUnknownLimitsAreLearned(t *testing.T) {
+	l, store := tightLeader(true)
+	for _, id := range []string{"job-1", "job-2", "job-3"} {
+		l.reader.Adopt(ledger.Key(id), ledger.New(arraySpec(id, 1), 1).Encode(), 5)
+		l.jobs.AddPlacement(l.jobs.ByID[id], ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1})
+	}
+	for i, want := range []int{3, 3, 1} {
+		commitAfterPause(l)
+		if n := len(store.txns[i].Changes); n != want {
+			t.Fatalf("transaction %d has %d changes, want %d", i, n, want)
+		}
+		store.answer(statestore.Reply[protocol.TxnAnswer]{Status: http.StatusBadRequest})
+	}
+	refused := store.txns[2].Changes[0].Put
+	commitAfterPause(l)
+	if next := store.txns[3].Changes; len(next) != 1 || next[0].Put == refused {
+		t.Fatalf("changes %v, want one other than that of %s, which was refused alone", next, refused)
+	}
+	if len(l.jobs.ByID) != 3 {
+		t.Fatalf("%d jobs are known, want 3", len(l.jobs.ByID))
+	}
+}
--- /dev/null
+++ b/internal/leader/recordfixtures_test.go
@@ -0,0 +1,118 @@
+package leader
+
+import (
+	"fmt"
+	"net/http"
+	"testing"
+
+	"postpoint/internal/leader/jobtable"
+	"postpoint/internal/ledger"
+	"postpoint/internal/protocol"
+	"postpoint/internal/rollout"
+	"postpoint/internal/settings"
+	"postpoint/internal/statestore"
+)
+
+// commits is a key-value store that keeps transactions until the test responds to the last.
+type commits struct {
+	statestore.Store
+	txns   []protocol.Txn
+	answer func(statestore.Reply[protocol.TxnAnswer])
+}
+
+func (c *commits) Commit(_ statestore.Use, t protocol.Txn, done func(statestore.Reply[protocol.TxnAnswer])) {
+	c.txns, c.answer = append(c.txns, t), done
+}
+
+func (c *commits) last() protocol.Txn { return c.txns[len(c.txns)-1] }
+
+// readableCommits keeps transactions like commits, and responds to reads at once.
+type readableCommits struct {
+	commits
+	items []protocol.Item // of lists
+	down  bool            // for lists
+	item  protocol.Item   // of single reads
+	reads int
+}
+
+func (c *readableCommits) Get(_ string, done func(statestore.Reply[protocol.Item])) {
+	c.reads++
+	done(statestore.Reply[protocol.Item]{Status: http.StatusOK, Value: c.item})
+}
+
+func (c *readableCommits) List(_, _ string, done func(statestore.Reply[protocol.ItemList])) {
+	if c.down {
+		done(statestore.Reply[protocol.ItemList]{Status: http.StatusServiceUnavailable})
+		return
+	}
+	done(statestore.Reply[protocol.ItemList]{Status: http.StatusOK, Value: protocol.ItemList{Items: c.items}})
+}
+
+// committedAt is the response to a transaction that was carried out.
+func committedAt(revision int64) statestore.Reply[protocol.TxnAnswer] {
+	return statestore.Reply[protocol.TxnAnswer]{
+		Status: http.StatusOK,
+		Value:  protocol.TxnAnswer{Revision: revision},
+	}
+}
+
+// conflictOn is the response to a transaction of whose conditions those on the given keys don't hold.
+func conflictOn(keys ...string) statestore.Reply[protocol.TxnAnswer] {
+	return statestore.Reply[protocol.TxnAnswer]{
+		Status: http.StatusConflict,
+		Value:  protocol.TxnAnswer{Failed: keys},
+	}
+}
+
+// noResponse is the reply to a transaction whose outcome is unknown.
+func noResponse() statestore.Reply[protocol.TxnAnswer] {
+	return statestore.Reply[protocol.TxnAnswer]{}
+}
+
+// commitAfterPause commits without waiting for the end of a pause.
+func commitAfterPause(l *Leader) {
+	l.writer.PauseUntil = 0
+	l.writer.Commit()
+}
+
+// tightLeader is one whose store may come to take values of 2 KiB and four changes at a time. If
+// sharding is true, every controller reads sharded records.
+func tightLeader(sharding bool) (*Leader, *commits) {
+	l, _ := leader()
+	valueKb, txnOps := 2.0, 4
+	l.state.Settings.Deployment.State = settings.State{Rps: 100, WriteRps: 40, ValueKb: 32, TxnOps: 12,
+		Next: &settings.NextState{ValueKb: &valueKb, TxnOps: &txnOps}}
+	l.state.Format = rollout.Status{Open: sharding}
+	store := &commits{}
+	useStore(l, store)
+	return l, store
+}
+
+// arraySpec is a job without needs of its own.
+func arraySpec(id string, tasks int) protocol.JobSpec {
+	return protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Rank: "normal", Tasks: tasks}
+}
+
+// wideArray is the record of an array of 300 tasks, all of which run on machines of their own.
+func wideArray() *ledger.Job {
+	content := ledger.New(arraySpec("job-1", 300), 1)
+	content.NextAttempt = 2
+	for task := range content.Spec.Tasks {
+		machine := fmt.Sprintf("m-%06d", task)
+		content.Placed[task] = ledger.Placement{Task: task, Attempt: 1, Machine: machine, Session: 1}
+	}
+	return content
+}
+
+// shardedArray is a leader with a sharded array, its first task placed on m-1.
+func shardedArray(t *testing.T) (*Leader, *commits, *jobtable.Job) {
+	t.Helper()
+	l, store := tightLeader(true)
+	content := ledger.New(arraySpec("job-1", 250), 1)
+	content.PartSize, content.Marked = 100, true
+	l.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
+	j := l.jobs.ByID["job-1"]
+	l.jobs.AddPlacement(j, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1})
+	l.writer.Commit()
+	return l, store, j
+}
