--- a/internal/leader/federation/delegationstore.go
+++ b/internal/leader/federation/delegationstore.go
@@ -47,12 +47,12 @@
 }
 
 // LoadDelegations reads the records of what other cells run.
-func (oc *Origin) LoadDelegations(epoch int64, done func()) {
+func (oc *Origin) LoadDelegations(done func()) {
 	if !oc.Format.Cells {
 		done()
 		return
 	}
-	oc.reader.LoadAll(epoch, delegation.Prefix, "", func(item protocol.Item) {
+	oc.reader.LoadAll(delegation.Prefix, func(item protocol.Item) {
 		r, err := delegation.DecodeRecord(item.Key, item.Value)
 		if err != nil {
 			// Never guess at what may be running elsewhere: nothing is freed on its account.
@@ -161,7 +161,7 @@
 func (oc *Origin) placeGuard(del *trackedDelegation) protocol.Guard {
 	j := oc.jobs.ByID[del.Job]
 	task := del.Left.NextIn(0)
-	if j.PartSize == 0 || j.Sharding {
+	if j.PartSize == 0 || j.Sharding() {
 		return protocol.Guard{Key: ledger.Key(j.Spec.ID), Version: j.Version}
 	}
 	return protocol.Guard{Key: ledger.PartKey(j.Spec.ID, j.PartOf(task)), Version: j.ShardOf(task).Version}
--- a/internal/leader/machines_test.go
+++ b/internal/leader/machines_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/ledger"
 )
@@ -48,7 +49,7 @@
 	d.machines.Released["m-1"] = box.Now
 	delete(d.machines.ByName, "m-1")
 	d.machines.Ordered = nil
-	j.MustReload = true
+	j.NoteRecordEvent(jobtable.EventRecordConflict)
 	d.reader.Adopt(ledger.Key("job-1"), old, 6)
 	if len(j.Placed) != 0 || j.NextAttempt < 2 {
 		t.Fatalf("placements %v, next attempt %d; want none and at least 2", j.Placed, j.NextAttempt)
--- a/internal/leader/reconciler/commandset.go
+++ b/internal/leader/reconciler/commandset.go
@@ -42,7 +42,7 @@
 	}
 	for id, tasks := range ordered.ByKey(m.Placements) {
 		j := cs.jobs.ByID[id]
-		if j == nil || j.Over() || j.MustReload {
+		if j == nil || j.Over() || j.MustReload() {
 			// Nothing of a job that is over is started, not even to be stopped at once: while a
 			// start may still arrive, its placement is kept until the incarnation ends.
 			continue
--- a/internal/leader/reconciler/health.go
+++ b/internal/leader/reconciler/health.go
@@ -153,7 +153,7 @@
 		for _, p := range ordered.ByKey(tasks) {
 			j := hm.jobs.ByID[id]
 			switch {
-			case j == nil || j.MustReload:
+			case j == nil || j.MustReload():
 			case j.MustEnd():
 				hm.machines.ScheduleOverdueRelease(m, machinetable.ReleaseSilentCancelled)
 			default:
