--- /dev/null
+++ b/internal/leader/autoscaler/cloudview.go
@@ -0,0 +1,61 @@
+package autoscaler
+
+import (
+	"postpoint/internal/clock"
+	"postpoint/internal/fleet"
+)
+
+const (
+	// initialCapacityPause is after how long a pool that has run out of machines is asked again. The
+	// pause doubles with each refusal in a row, up to maxCapacityPause, which bounds how late new
+	// capacity is noticed.
+	initialCapacityPause = 8 * clock.Second
+	maxCapacityPause     = 32 * clock.Second
+)
+
+// capacityPause is the time in which a pool that has run out of machines isn't asked.
+type capacityPause struct {
+	until  clock.Micros
+	length clock.Micros
+}
+
+// Market returns what can be scaled out at present, as far as is known.
+func (a *Autoscaler) Market() *fleet.Market {
+	view := &fleet.Market{Types: a.catalogue.ByName, Refused: map[fleet.Kind]bool{}}
+	for pool, pause := range a.scaleOut.exhausted {
+		if a.Now() < pause.until {
+			view.Refused[pool] = true
+		}
+	}
+	if a.zones.AnyAvoided() {
+		a.excludeAvoidedZones(view)
+	}
+	return view
+}
+
+// excludeAvoidedZones leaves out the zones that aren't healthy, since machines that boot there may
+// never be heard of. Zones that have just returned are only marked: what depends on them may go there.
+func (a *Autoscaler) excludeAvoidedZones(view *fleet.Market) {
+	view.Doubtful = map[string]bool{}
+	for _, machineType := range a.catalogue.Types {
+		for _, zone := range machineType.Zones {
+			if a.zones.Returning(zone) {
+				view.Doubtful[zone] = true
+			} else if a.zones.Avoided(zone) {
+				view.Refused[fleet.Kind{Type: machineType.Name, Zone: zone}] = true
+				view.Refused[fleet.Kind{Type: machineType.Name, Zone: zone, Spot: true}] = true
+			}
+		}
+	}
+}
+
+// noteExhausted pauses requests for a pool that has run out of machines.
+func (a *Autoscaler) noteExhausted(pool fleet.Kind) {
+	pause := a.scaleOut.exhausted[pool]
+	pause.length = min(max(initialCapacityPause, 2*pause.length), maxCapacityPause)
+	pause.until = a.Now() + pause.length
+	a.scaleOut.exhausted[pool] = pause
+}
+
+// noteAvailable ends the pause of a pool in which there is capacity again.
+func (a *Autoscaler) noteAvailable(pool fleet.Kind) { delete(a.scaleOut.exhausted, pool) }
--- a/internal/leader/autoscaler/cordon.go
+++ b/internal/leader/autoscaler/cordon.go
@@ -9,118 +9,193 @@
 	"postpoint/internal/fleet"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
+	"postpoint/internal/ledger"
 	"postpoint/internal/ordered"
 	"postpoint/internal/planner"
 )
 
-// Uncordon gives the planner back some of what was to be spared and is needed after
-// all, the cheapest kinds first.
-func (sc *Autoscaler) Uncordon(wants []planner.Want, n int) bool {
-	market := sc.Market()
-	needed := map[fleet.Kind]bool{}
-	var spared []*machinetable.Machine
-	for _, m := range sc.machines.Ordered {
+const (
+	// cordonInterval is from one search for surplus machines to the next.
+	cordonInterval = 3 * clock.Second
+	// minCordonTrials is how many machines a search tries at least to do without. Each trial costs a
+	// plan.
+	minCordonTrials = 4
+	// machinesPerTrial bounds the trials of a small deployment.
+	machinesPerTrial = 8
+	// maxCordonTime is what the trials of one search may cost, by Builder.PlanningCost.
+	maxCordonTime = 12 * clock.Millisecond
+	// minRunBeforeMove is how long a task has to have run before it is moved, so that its start counts.
+	minRunBeforeMove = 32 * clock.Second
+	// moveCostS is what moving a task costs, in seconds, beyond saving it: a task that ends sooner
+	// isn't moved.
+	moveCostS = 60
+)
+
+// stopReasonSurplus says in logs why tasks are stopped that are moved off a surplus machine.
+const stopReasonSurplus = "surplus"
+
+// cordonState is what the searches for surplus machines remember, across terms.
+type cordonState struct {
+	searchedAt clock.Micros
+	// batch is how many machines the next trial is for: see fleet.Cordon.
+	batch int
+}
+
+// cordonSearch is one search for surplus machines.
+type cordonSearch struct {
+	// snapshot is without the machines that were found to be surplus.
+	snapshot   planner.Snapshot
+	trialsLeft int
+}
+
+// Uncordon makes up to limit cordoned machines usable again that unmet demand needs after all, the
+// cheapest first. It reports whether there was any such machine.
+func (a *Autoscaler) Uncordon(demand []planner.Want, limit int) bool {
+	view := a.Market()
+	needed := a.neededCordoned(view, demand)
+	slices.SortStableFunc(needed, func(x, y *machinetable.Machine) int {
+		return cmp.Compare(view.Price(x.Kind()), view.Price(y.Kind()))
+	})
+	for _, m := range needed[:min(limit, len(needed))] {
+		m.Cordoned = false
+	}
+	return len(needed) > 0
+}
+
+// neededCordoned returns the cordoned machines that unmet demand needs.
+func (a *Autoscaler) neededCordoned(view *fleet.Market, demand []planner.Want) []*machinetable.Machine {
+	poolNeeded := map[fleet.Kind]bool{}
+	var needed []*machinetable.Machine
+	for _, m := range a.machines.Ordered {
 		if !m.Cordoned || m.Releasing {
 			continue
 		}
-		k := m.Kind()
-		if _, known := needed[k]; !known {
-			needed[k] = market.Uncordon(k, wants)
+		pool := m.Kind()
+		if _, known := poolNeeded[pool]; !known {
+			poolNeeded[pool] = view.Uncordon(pool, demand)
 		}
-		if needed[k] {
-			spared = append(spared, m)
+		if poolNeeded[pool] {
+			needed = append(needed, m)
 		}
 	}
-	slices.SortStableFunc(spared, func(a, b *machinetable.Machine) int {
-		return cmp.Compare(market.Price(a.Kind()), market.Price(b.Kind()))
-	})
-	for _, m := range spared[:min(n, len(spared))] {
-		m.Cordoned = false
+	return needed
+}
+
+// CordonPeriodically searches for surplus machines once in cordonInterval.
+func (a *Autoscaler) CordonPeriodically() {
+	if a.Now() > a.cordons.searchedAt+cordonInterval {
+		a.cordons.searchedAt = a.Now()
+		a.searchSurplus()
 	}
-	return len(spared) > 0
 }
 
-// cordon spares machines of which there are too many, and empties those that have
-// been spared for a while. Each look costs a plan, so that their number depends on
-// what a plan costs.
-func (sc *Autoscaler) cordon() {
-	if len(sc.catalogue.Types) == 0 {
+// searchSurplus drains machines that have been cordoned for a while, and cordons others.
+func (a *Autoscaler) searchSurplus() {
+	if len(a.catalogue.Types) == 0 {
 		return
 	}
-	tries := max(cordonTries, min(len(sc.machines.Ordered)/8, int(cordonCost/max(sc.snapshots.PlanningCost(), 1))))
-	s := sc.snapshots.Snapshot()
-	for _, m := range sc.machines.Ordered {
-		if !m.Cordoned || m.Releasing || sc.Now() <= m.CordonedAt+cordonInterval || !sc.movable(m) || tries == 0 {
+	search := &cordonSearch{trialsLeft: a.cordonTrials()}
+	search.snapshot = a.snapshots.Snapshot()
+	a.drainCordoned(search)
+	a.cordonSurplus(search)
+}
+
+// cordonTrials returns how many trials a search may make: more in a large deployment, as long as
+// plans are cheap.
+func (a *Autoscaler) cordonTrials() int {
+	affordable := int(maxCordonTime / max(a.snapshots.PlanningCost(), 1))
+	return max(minCordonTrials, min(len(a.machines.Ordered)/machinesPerTrial, affordable))
+}
+
+// drainCordoned moves the tasks off cordoned machines if there is room for them elsewhere.
+func (a *Autoscaler) drainCordoned(search *cordonSearch) {
+	for _, m := range a.machines.Ordered {
+		if search.trialsLeft == 0 || !a.drainable(m) {
 			continue
 		}
-		tries--
-		rest, ok := fleet.Spares(s, m.Name)
-		if !ok {
-			continue
+		search.trialsLeft--
+		if rest, ok := fleet.Spares(search.snapshot, m.Name); ok {
+			search.snapshot = rest
+			a.moveTasksOff(m)
 		}
-		s = rest
-		slog.Info("moving tasks off a machine that can be spared", "machine", m.Name, "type", m.Type, "spot", m.Spot)
-		for id, tasks := range ordered.ByKey(m.Placements) {
-			for task := range ordered.ByKey(tasks) {
-				sc.commands.Stop(sc.jobs.ByID[id], task, "spared", "")
-			}
-			sc.jobs.ByID[id].MovedOffSurplus = true
+	}
+}
+
+// drainable reports whether a machine has been cordoned for a while and its tasks can be moved.
+func (a *Autoscaler) drainable(m *machinetable.Machine) bool {
+	return m.Cordoned && !m.Releasing && a.Now() > m.CordonedAt+cordonInterval && a.worthMoving(m)
+}
+
+// moveTasksOff stops all tasks of a machine, so that they start elsewhere.
+func (a *Autoscaler) moveTasksOff(m *machinetable.Machine) {
+	slog.Info("draining surplus machine", "machine", m.Name, "type", m.Type, "zone", m.Zone, "spot", m.Spot)
+	for id, tasks := range ordered.ByKey(m.Placements) {
+		j := a.jobs.ByID[id]
+		for task := range ordered.ByKey(tasks) {
+			a.commands.Stop(j, task, stopReasonSurplus, "")
 		}
+		j.MovedOffSurplus = true
 	}
-	var names []string
-	names, sc.cordonBatch = fleet.Cordon(s, tries, sc.cordonBatch)
+}
+
+// cordonSurplus cordons the machines that everything else has room without.
+func (a *Autoscaler) cordonSurplus(search *cordonSearch) {
+	names, nextBatch := fleet.Cordon(search.snapshot, search.trialsLeft, a.cordons.batch)
+	a.cordons.batch = nextBatch
 	for _, name := range names {
-		m := sc.machines.ByName[name]
-		m.Cordoned, m.CordonedAt = true, sc.Now()
-		slog.Debug("machine can be spared", "machine", name, "type", m.Type)
+		m := a.machines.ByName[name]
+		m.Cordoned, m.CordonedAt = true, a.Now()
+		slog.Debug("cordoned surplus machine", "machine", name, "type", m.Type, "zone", m.Zone, "spot", m.Spot)
 	}
 }
 
-const (
-	cordonTries = 4
-	// cordonCost is what looking for machines to spare may cost at a time.
-	cordonCost = 12 * clock.Millisecond
-)
-
-// movable tells that all tasks on a machine can be stopped without losing
-// progress, have run for so long that their starts count, and are not likely to
-// end by themselves soon. A gang goes as a whole, and once: it stands on many
-// machines, of which each could ask for it.
-func (sc *Autoscaler) movable(m *machinetable.Machine) bool {
+// worthMoving reports whether all tasks of a machine can be moved, and some of them would run on for
+// longer than the move takes.
+func (a *Autoscaler) worthMoving(m *machinetable.Machine) bool {
 	worth := false
 	for id, tasks := range m.Placements {
-		j := sc.jobs.ByID[id]
-		if j.Over() || j.Spec.CheckpointS == 0 || j.Spec.Gang() && j.Spec.Tasks > 1 && (j.MovedOffSurplus || !sc.steady(j)) {
+		j := a.jobs.ByID[id]
+		if !a.jobMovable(j) {
 			return false
 		}
-		for _, p := range tasks {
-			ran := sc.machines.RanFor(m, machinetable.AttemptRef{Job: id, Task: p.Task, Attempt: p.Attempt})
-			if ran < startCountsAfter || j.Stops[p.Task].Reason != "" {
+		for _, placement := range tasks {
+			if !a.taskMovable(m, j, placement) {
 				return false
 			}
-			left := j.Spec.EstimateS - ran.Seconds()
-			worth = worth || left > j.Spec.SaveS+moveCostS
+			leftS := j.Spec.EstimateS - a.ranFor(m, j, placement).Seconds()
+			worth = worth || leftS > j.Spec.SaveS+moveCostS
 		}
 	}
 	return worth
 }
 
-// steady tells that all tasks of a gang have run for so long that their starts count.
-func (sc *Autoscaler) steady(j *jobtable.Job) bool {
-	for _, p := range j.Placed {
-		m := sc.machines.ByName[p.Machine]
-		if m == nil {
-			return false
-		}
-		if sc.machines.RanFor(m, machinetable.AttemptRef{Job: j.Spec.ID, Task: p.Task, Attempt: p.Attempt}) < startCountsAfter {
+// jobMovable reports whether tasks of a job can be stopped without losing their progress. A gang is
+// moved as a whole, and once only: it runs on many machines, each of which may be surplus.
+func (a *Autoscaler) jobMovable(j *jobtable.Job) bool {
+	if j.Over() || j.Spec.CheckpointS == 0 {
+		return false
+	}
+	ofSeveral := j.Spec.Gang() && j.Spec.Tasks > 1
+	return !ofSeveral || !j.MovedOffSurplus && a.gangRuns(j)
+}
+
+// taskMovable reports whether a task has run for long enough and isn't being stopped already.
+func (a *Autoscaler) taskMovable(m *machinetable.Machine, j *jobtable.Job, placement ledger.Placement) bool {
+	return a.ranFor(m, j, placement) >= minRunBeforeMove && j.Stops[placement.Task].Reason == ""
+}
+
+// gangRuns reports whether all tasks of a gang have run for long enough to be moved.
+func (a *Autoscaler) gangRuns(j *jobtable.Job) bool {
+	for _, placement := range j.Placed {
+		m := a.machines.ByName[placement.Machine]
+		if m == nil || a.ranFor(m, j, placement) < minRunBeforeMove {
 			return false
 		}
 	}
 	return len(j.Placed) == j.Spec.Tasks
 }
 
-const (
-	startCountsAfter = 32 * clock.Second
-	// moveCostS is what moving a task costs, in seconds, beyond saving it.
-	moveCostS = 60
-)
+// ranFor returns for how long the attempt of a placement has been seen running on its machine.
+func (a *Autoscaler) ranFor(m *machinetable.Machine, j *jobtable.Job, p ledger.Placement) clock.Micros {
+	return a.machines.RanFor(m, machinetable.AttemptRef{Job: j.Spec.ID, Task: p.Task, Attempt: p.Attempt})
+}
--- a/internal/leader/autoscaler/machinelist.go
+++ b/internal/leader/autoscaler/machinelist.go
@@ -1,85 +1,123 @@
 package autoscaler
 
 import (
-	"net/http"
+	"errors"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/leader/machinetable"
+	"postpoint/internal/leader/term"
 	"postpoint/internal/protocol"
 )
 
-// listMachines reads the cloud's list: addresses, strays and failures.
-func (sc *Autoscaler) listMachines() {
-	sc.listing = true
-	sc.listedAt = sc.Now()
-	listed := map[string]bool{}
-	var page func(from string)
-	epoch, began := sc.Term.Epoch, sc.Now()
-	page = func(from string) {
-		sc.Cloud.List(from, func(status int, l protocol.MachineList) {
-			if sc.Term.Epoch != epoch {
-				return
-			}
-			if status != http.StatusOK {
-				sc.listing = false
-				if status != 0 {
-					sc.DownUntil = sc.Now() + cloudRetryDelay
-				}
-				return
-			}
-			for _, x := range l.Machines {
-				listed[x.Name] = true
-				sc.noteListed(x)
-			}
-			if l.More && len(l.Machines) > 0 {
-				page(l.Machines[len(l.Machines)-1].Name)
-				return
-			}
-			sc.listing = false
-			sc.releaseMissing(listed, began)
-			sc.steps.Wake()
-		})
+const (
+	// listInterval is from one read of the cloud's list of machines to the next.
+	listInterval = 4 * clock.Second
+	// unheardTimeout is given to machines that ran tasks before this term to be listed or heard of.
+	unheardTimeout = 9 * clock.Second
+	// A machine has to be missing from a list that was begun listLagFactor times the list's lag and
+	// listLagMargin after its first listing: an older list may lack it though it is there.
+	listLagFactor = 2
+	listLagMargin = clock.Second
+)
+
+// listState is what a term knows of its reads of the cloud's list.
+type listState struct {
+	inFlight bool
+	begunAt  clock.Micros
+}
+
+// listing is one read of the list, page by page.
+type listing struct {
+	names   map[string]bool
+	begunAt clock.Micros
+}
+
+// listPeriodically reads the cloud's list once in listInterval.
+func (a *Autoscaler) listPeriodically() {
+	if a.list.inFlight || a.Now() <= a.list.begunAt+listInterval {
+		return
 	}
-	page("")
+	a.list = listState{inFlight: true, begunAt: a.Now()}
+	a.readPage(&listing{names: map[string]bool{}, begunAt: a.Now()}, "")
+}
+
+// readPage reads the machines whose names come after from, "" for the first page.
+func (a *Autoscaler) readPage(l *listing, from string) {
+	a.Cloud.List(from, term.Guarded2(a.State, func(status int, page protocol.MachineList) {
+		a.pageRead(l, page, failureOf(status, ""))
+	}))
 }
 
-func (sc *Autoscaler) noteListed(x protocol.ListedMachine) {
-	if sc.machines.WasReleased(x.Name) {
+// pageRead notes the machines of a page, and asks for the next page or finishes the listing. A read
+// without a response says nothing against the cloud: the next one is due soon anyway.
+func (a *Autoscaler) pageRead(l *listing, page protocol.MachineList, err error) {
+	if err != nil {
+		a.list.inFlight = false
+		if !errors.Is(err, errNoResponse) {
+			a.backOff()
+		}
 		return
 	}
-	fresh := sc.machines.ByName[x.Name] == nil
-	m := sc.machines.GetOrAdd(x.Name)
+	for _, machine := range page.Machines {
+		l.names[machine.Name] = true
+		a.noteListed(machine)
+	}
+	if page.More && len(page.Machines) > 0 {
+		a.readPage(l, page.Machines[len(page.Machines)-1].Name)
+		return
+	}
+	a.list.inFlight = false
+	a.releaseMissing(l)
+	a.steps.Wake()
+}
+
+// noteListed takes over what the cloud says of a machine. What its worker says counts more, as soon
+// as it is heard of.
+func (a *Autoscaler) noteListed(listed protocol.ListedMachine) {
+	if a.machines.WasReleased(listed.Name) {
+		return // the list lags behind
+	}
+	unknown := a.machines.ByName[listed.Name] == nil
+	m := a.machines.GetOrAdd(listed.Name)
 	if !m.Listed {
 		m.Listed = true
-		m.ListedAt = sc.Now()
+		m.ListedAt = a.Now()
 	}
-	if fresh {
-		m.FirstSeen -= clock.FromSeconds(x.AgeS)
+	if unknown {
+		m.FirstSeen -= clock.FromSeconds(listed.AgeS)
 	}
 	if !m.Seen {
-		m.Type, m.Zone, m.Spot, m.ViewStale = x.Type, x.Zone, x.Spot, true
-		m.Address = x.Address
+		m.Type, m.Zone, m.Spot, m.ViewStale = listed.Type, listed.Zone, listed.Spot, true
+		m.Address = listed.Address
 	}
-	if was := m.CloudStatus; was != x.Status {
-		m.CloudStatus = x.Status
-		if x.Status == protocol.MachineRunning && !m.Seen {
-			m.FirstSeen = max(m.FirstSeen, sc.Now()-clock.FromSeconds(sc.catalogue.ByName[m.Type].BootS))
-		}
+	a.noteCloudStatus(m, listed.Status)
+}
+
+// noteCloudStatus notes whether a machine boots or is up. One that came up without having been heard
+// of began to boot no longer ago than a boot takes.
+func (a *Autoscaler) noteCloudStatus(m *machinetable.Machine, status string) {
+	if m.CloudStatus == status {
+		return
+	}
+	m.CloudStatus = status
+	if status == protocol.MachineRunning && !m.Seen {
+		boot := clock.FromSeconds(a.catalogue.ByName[m.Type].BootS)
+		m.FirstSeen = max(m.FirstSeen, a.Now()-boot)
 	}
 }
 
-// releaseMissing returns machines that were listed and no longer are. An old list may
-// lack young machines, so that only a list surely younger than the machine's
-// own first listing counts; the release is what proves them gone.
-func (sc *Autoscaler) releaseMissing(listed map[string]bool, began clock.Micros) {
-	lag := 2*clock.FromSeconds(sc.Settings.Deployment.Cloud.ListLagS) + clock.Second
-	for _, m := range sc.machines.Ordered {
-		if m.Listed && !listed[m.Name] && began > m.ListedAt+lag && !sc.machines.HeardRecently(m) {
-			sc.machines.ScheduleRelease(m, "no longer listed")
+// releaseMissing releases machines that the list lacks though it should have them: it is the release
+// that proves them gone.
+func (a *Autoscaler) releaseMissing(l *listing) {
+	lag := listLagFactor*clock.FromSeconds(a.Settings.Deployment.Cloud.ListLagS) + listLagMargin
+	for _, m := range a.machines.Ordered {
+		if m.Listed && !l.names[m.Name] && l.begunAt > m.ListedAt+lag && !a.machines.HeardRecently(m) {
+			a.machines.ScheduleRelease(m, releaseUnlisted)
 		}
-		// It ran tasks before this term and has had time to report since: if it
-		// is alive at all, it is out of everybody's sight.
-		if !m.Listed && !m.Seen && len(m.Placements) > 0 && began > sc.BegunAt+unheardTimeout {
-			sc.machines.ScheduleRelease(m, "neither listed nor heard of")
+		// It ran tasks before this term and has had time to report since: if it is alive at all,
+		// neither the cloud nor this node can see it.
+		if !m.Listed && !m.Seen && len(m.Placements) > 0 && l.begunAt > a.BegunAt+unheardTimeout {
+			a.machines.ScheduleRelease(m, releaseUnheard)
 		}
 	}
 }
--- /dev/null
+++ b/internal/leader/autoscaler/scalein.go
@@ -0,0 +1,125 @@
+package autoscaler
+
+import (
+	"log/slog"
+
+	"postpoint/internal/clock"
+	"postpoint/internal/cloud"
+	"postpoint/internal/fleet"
+	"postpoint/internal/leader/machinetable"
+	"postpoint/internal/leader/term"
+	"postpoint/internal/ordered"
+	"postpoint/internal/planner"
+)
+
+// Why the autoscaler releases machines, as logged.
+const (
+	releaseIdle     = "idle"
+	releaseUnlisted = "no longer listed"
+	releaseUnheard  = "neither listed nor heard of"
+)
+
+// recentClassWindow is for how long after its last job a class counts as one that will have more: its
+// idle machines are kept for about as long as a boot takes.
+const recentClassWindow = 5 * 60 * clock.Second
+
+// releaseIdleMachines releases machines that have been idle for longer than they are worth keeping.
+func (a *Autoscaler) releaseIdleMachines() {
+	now := a.Now()
+	view := a.Market()
+	for _, m := range a.machines.Ordered {
+		if !m.Seen || m.Releasing || len(m.Placements) > 0 || a.machines.Busy(m) {
+			continue
+		}
+		idle := fleet.Idle{
+			Kind:     m.Kind(),
+			For:      now - max(m.IdleSince, m.ReservedAt),
+			Needed:   a.neededByRecentClass(m),
+			Cordoned: m.Cordoned,
+		}
+		if m.RecallAt == 0 && idle.For > view.Keep(idle) {
+			a.machines.ScheduleRelease(m, releaseIdle)
+		}
+	}
+}
+
+// neededByRecentClass reports whether a class of jobs that was submitted lately could use a machine.
+func (a *Autoscaler) neededByRecentClass(m *machinetable.Machine) bool {
+	for _, class := range a.objectives.Classes {
+		if a.Now()-class.LastAt < recentClassWindow && planner.Allowed(&class.Spec, m.Type, m.Zone, m.Spot) &&
+			planner.Needs(&class.Spec).Fits(fleet.Whole(a.catalogue.ByName[m.Type])) {
+			return true
+		}
+	}
+	return false
+}
+
+// SendReleases scales in the machines that are marked for it. Once the cloud has confirmed that, the
+// machines are gone with all that ran on them: it is the proof that their placements have ended.
+func (a *Autoscaler) SendReleases() {
+	leads := a.Leads()
+	if a.scaleInInFlight || !leads && !a.MayAnswer() {
+		return
+	}
+	// Machines with cancelled tasks wait neither for others nor for the end of a backoff.
+	names := a.appendReleasing(nil, overdueMachines)
+	if leads && a.Now() >= a.BackoffUntil {
+		names = a.appendReleasing(names, otherMachines)
+	}
+	if len(names) == 0 {
+		return
+	}
+	a.scaleInInFlight = true
+	a.Cloud.Release(names, a.ActsUntil(), term.Guarded(a.State, func(status int) {
+		a.scaleInDone(names, failureOf(status, ""))
+	}))
+}
+
+// releaseUrgency says which of the machines that are marked for a scale-in are meant.
+type releaseUrgency bool
+
+const (
+	// overdueMachines hold tasks of cancelled jobs that don't end.
+	overdueMachines releaseUrgency = true
+	otherMachines   releaseUrgency = false
+)
+
+// appendReleasing appends marked machines of one urgency, up to what one request takes.
+func (a *Autoscaler) appendReleasing(names []string, urgency releaseUrgency) []string {
+	for _, m := range a.machines.Ordered {
+		if m.Releasing && m.Overdue == bool(urgency) && len(names) < cloud.ReleaseSize {
+			names = append(names, m.Name)
+		}
+	}
+	return names
+}
+
+// scaleInDone handles the outcome of a scale-in. After a failure the machines stay marked, so that
+// the request is repeated.
+func (a *Autoscaler) scaleInDone(names []string, err error) {
+	a.scaleInInFlight = false
+	if err != nil {
+		slog.Debug("scale-in failed", "machines", names, "error", err)
+		a.backOff()
+		return
+	}
+	for _, name := range names {
+		a.forgetMachine(a.machines.ByName[name])
+	}
+	a.machines.ForgetReleased()
+	a.machines.DropRemoved()
+	a.steps.Wake()
+}
+
+// forgetMachine removes a machine that is proven gone, and releases its placements.
+func (a *Autoscaler) forgetMachine(m *machinetable.Machine) {
+	for id, tasks := range ordered.ByKey(m.Placements) {
+		for _, placement := range ordered.ByKey(tasks) {
+			if j := a.jobs.ByID[id]; j != nil {
+				a.jobs.ReleasePlacement(j, placement)
+			}
+		}
+	}
+	a.machines.Remove(m)
+	a.noteAvailable(m.Kind())
+}
--- a/internal/leader/scaleout_test.go
+++ b/internal/leader/scaleout_test.go
@@ -54,8 +54,9 @@
 	stub := &cloudStub{}
 	d.autoscaler.Cloud = stub
 	d.catalogue.Published = func([]protocol.MachineType) {}
-	d.catalogue.Replace([]protocol.MachineType{{Name: "t", Cpus: 8, MemoryGB: 32, Price: 1, SpotPrice: 1, BootS: 30,
-		Zones: []string{"a"}}})
+	d.catalogue.Replace([]protocol.MachineType{{
+		Name: "t", Zones: []string{"a"}, Cpus: 8, MemoryGB: 32, Price: 1, SpotPrice: 1, BootS: 30,
+	}})
 	d.state.Settings.Deployment.Cloud.Rps = 100
 	d.autoscaler.Begin()
 	return d, stub, mailbox
@@ -63,7 +64,9 @@
 
 // unmetDemand is a job that needs a machine which isn't spot for each of its tasks.
 func unmetDemand(tasks int) []planner.Want {
-	spec := &protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: tasks, Cpus: 8, MemoryGB: 1, EstimateS: 60}
+	spec := &protocol.JobSpec{
+		ID: "job-1", Shape: protocol.ShapeArray, Tasks: tasks, Cpus: 8, MemoryGB: 1, EstimateS: 60,
+	}
 	return []planner.Want{{Job: &planner.Job{ID: "job-1", Spec: spec, Limit: tasks}, Tasks: tasks}}
 }
 
@@ -203,8 +206,8 @@
 	lost.Listed, lost.ListedAt = true, mailbox.Now-60*clock.Second
 	d.autoscaler.Manage()
 	page := func(more bool, name string) protocol.MachineList {
-		return protocol.MachineList{More: more, Machines: []protocol.ListedMachine{{Name: name, Type: "t", Zone: "a",
-			Status: protocol.MachineRunning}}}
+		machine := protocol.ListedMachine{Name: name, Type: "t", Zone: "a", Status: protocol.MachineRunning}
+		return protocol.MachineList{More: more, Machines: []protocol.ListedMachine{machine}}
 	}
 	stub.listed[0](http.StatusOK, page(true, "m-1"))
 	if lost.Releasing {
--- a/internal/leader/snapshot_test.go
+++ b/internal/leader/snapshot_test.go
@@ -71,7 +71,7 @@
 	content := ledger.New(protocol.JobSpec{ID: "job-1", Team: "x", Shape: protocol.ShapeArray, Tasks: spared, Cpus: 8, MemoryGB: 1, EstimateS: 60}, 1)
 	d.state.Settings.Deployment.State.ValueKb = 64
 	d.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
-	d.autoscaler.DownUntil = box.Now + clock.Second
+	d.autoscaler.BackoffUntil = box.Now + clock.Second
 	d.scheduler.Schedule()
 	if placed := len(d.jobs.ByID["job-1"].Placed); placed != spared || d.scheduler.Plans > 12 {
 		t.Fatalf("%d of %d placed after %d plans", placed, spared, d.scheduler.Plans)
