--- a/internal/leader/snapshots/reserve.go
+++ b/internal/leader/snapshots/reserve.go
@@ -95,8 +95,8 @@
 		}
 		spec := j.Spec
 		spec.Shape, spec.Tasks = protocol.ShapeArray, n
-		tier, slack := sb.objectives.TierAndSlack(j)
-		pj := planner.Job{ID: displacedReservePrefix + id, Spec: &spec, Rank: j.Rank(), SubmittedAt: j.SubmittedAt, Tier: tier, SlackS: slack,
+		urgency := sb.objectives.TierAndSlack(j)
+		pj := planner.Job{ID: displacedReservePrefix + id, Spec: &spec, Rank: j.Rank(), SubmittedAt: j.SubmittedAt, Tier: urgency.Tier, SlackS: urgency.SlackS,
 			StartS: sb.objectives.StartSlackS(j), Limit: n, Avoid: j.AvoidMachines}
 		if spec.OneZone || spec.Spread {
 			spec.OneZone, spec.Tasks = false, j.Spec.Tasks
--- a/internal/leader/snapshots/snapshot.go
+++ b/internal/leader/snapshots/snapshot.go
@@ -160,7 +160,8 @@
 	limit, _ := sb.writer.Limits()
 	pj := planner.Job{ID: j.Spec.ID, Spec: &j.Spec, Rank: j.Rank(), SubmittedAt: j.SubmittedAt,
 		Returning: j.Reclaiming, Waiting: now < j.NotBefore || sb.zones.AwaitsClearance(j), MayEvict: j.StartFailures < 3, Avoid: j.AvoidMachines}
-	pj.Tier, pj.SlackS = sb.objectives.TierAndSlack(j)
+	urgency := sb.objectives.TierAndSlack(j)
+	pj.Tier, pj.SlackS = urgency.Tier, urgency.SlackS
 	pj.StartAim = j.Spec.Service() || sb.objectives.StartObjectiveS(j.Spec.Class) > 0
 	pj.StartS = sb.objectives.StartSlackS(j)
 	pj.Unmet = j.UnmetAt != 0 && now > j.UnmetSince+unmetDemandTime && now <= j.UnmetAt+jobtable.UnmetDemandGap
--- a/internal/leader/zonetracker/displaced.go
+++ b/internal/leader/zonetracker/displaced.go
@@ -66,14 +66,14 @@
 func (zr *Tracker) DisplacedWork(j *jobtable.Job) recovery.Displaced {
 	w := recovery.Displaced{Job: j.Spec.ID, Rank: j.Rank(), SubmittedAt: j.SubmittedAt, Tasks: j.PendingCount(),
 		LostShare: float64(j.PendingCount()) / float64(j.Spec.Tasks)}
-	tier, slack := zr.objectives.TierAndSlack(j)
-	w.SlackS = slack
+	urgency := zr.objectives.TierAndSlack(j)
+	w.SlackS = urgency.SlackS
 	switch {
 	case j.Spec.Service():
 		w.Kind = recovery.Services
-	case j.Spec.DeadlineS != nil && slack >= 0:
+	case j.Spec.DeadlineS != nil && urgency.SlackS >= 0:
 		w.Kind = recovery.Deadlines
-	case tier == planner.TooLate:
+	case urgency.Tier == planner.TooLate:
 		w.Kind = recovery.Rest
 	case j.Spec.Gang():
 		w.Kind = recovery.Gangs
