--- /dev/null
+++ b/internal/leader/snapshots/jobs.go
@@ -0,0 +1,217 @@
+package snapshots
+
+import (
+	"maps"
+	"math"
+	"slices"
+
+	"postpoint/internal/clock"
+	"postpoint/internal/leader/jobtable"
+	"postpoint/internal/leader/machinetable"
+	"postpoint/internal/ledger"
+	"postpoint/internal/planner"
+	"postpoint/internal/protocol"
+)
+
+const (
+	// maxPreemptingFailures is how many of its starts may fail before a job preempts nothing more: room
+	// that it can't use isn't made for it.
+	maxPreemptingFailures = 2
+	// maxTasksPerPlan bounds how many tasks of one job a single plan starts.
+	maxTasksPerPlan = 2000
+	// scaleOutTimeout is after which machines that a job needs and that haven't come are taken not to:
+	// longer than any boot, and less than the 90 s that users grant other jobs.
+	scaleOutTimeout = 60 * clock.Second
+	// startMargin is what has to be left of a hosted job's permission for a start: the permission would
+	// end before the task began.
+	startMargin = 2 * clock.Second
+)
+
+// Overheads says whether a snapshot contains what the preemption of each running task would lose.
+type Overheads bool
+
+const (
+	// WithOverheads computes the losses.
+	WithOverheads Overheads = true
+	// WithoutOverheads leaves them out, since nothing can be preempted.
+	WithoutOverheads Overheads = false
+)
+
+// overheadsNeeded returns WithOverheads if some job could preempt another. There are thousands of
+// running tasks in each plan, so that the losses are computed only then.
+func (b *Builder) overheadsNeeded(teams map[string]planner.Team) Overheads {
+	for _, team := range teams {
+		if team.Guaranteed() {
+			return WithOverheads
+		}
+	}
+	ranks := map[int]bool{}
+	for _, j := range b.jobs.ByID {
+		ranks[j.Rank()] = true
+	}
+	return len(ranks) > 1
+}
+
+// plannable reports whether the planner is shown a job: one whose record is known, and of which
+// something may run.
+func plannable(j *jobtable.Job, now clock.Micros) bool {
+	if j.Over() || j.MustReload || j.ShardsUnread {
+		return false
+	}
+	return j.Permission == nil || j.Permission.MayStart(now) || len(j.Placed) > 0
+}
+
+// PlannedJob returns a job as the planner is shown it.
+func (b *Builder) PlannedJob(j *jobtable.Job, now clock.Micros, overheads Overheads) planner.Job {
+	planned := planner.Job{
+		ID:          j.Spec.ID,
+		Spec:        &j.Spec,
+		Rank:        j.Rank(),
+		SubmittedAt: j.SubmittedAt,
+		Returning:   j.Reclaiming,
+		Waiting:     now < j.NotBefore || b.zones.AwaitsClearance(j),
+		MayEvict:    j.StartFailures <= maxPreemptingFailures,
+		Avoid:       j.AvoidMachines,
+		Unmet:       scaleOutOverdue(j, now),
+	}
+	b.judge(j, &planned)
+	planned.Running = b.runningTasks(j, now, overheads)
+	if b.mayStartTasks(j) {
+		b.setPending(j, &planned, now)
+	}
+	if len(planned.Pending) == 0 {
+		j.Reclaiming = false
+	}
+	if j.Permission != nil {
+		b.restrictHosted(j, &planned, now)
+	}
+	return planned
+}
+
+// judge sets by when a job should start and end.
+func (b *Builder) judge(j *jobtable.Job, planned *planner.Job) {
+	urgency := b.objectives.TierAndSlack(j)
+	planned.Tier, planned.SlackS = urgency.Tier, urgency.SlackS
+	planned.StartAim = j.Spec.Service() || b.objectives.StartObjectiveS(j.Spec.Class) > 0
+	planned.StartS = b.objectives.StartSlackS(j)
+}
+
+// scaleOutOverdue reports whether a job has needed machines for long and still does.
+func scaleOutOverdue(j *jobtable.Job, now clock.Micros) bool {
+	return j.UnmetAt != 0 && now > j.UnmetSince+scaleOutTimeout && now <= j.UnmetAt+jobtable.UnmetDemandGap
+}
+
+// mayStartTasks reports whether a job has pending tasks that a plan may start.
+func (b *Builder) mayStartTasks(j *jobtable.Job) bool {
+	if j.PendingCount() == 0 || j.Sharding {
+		return false
+	}
+	// The zones that its tasks depend on are known only if none of them runs in another cell.
+	if j.TasksElsewhere > 0 && (j.Spec.OneZone || j.Spec.Spread) {
+		return false
+	}
+	return !j.Spec.Gang() || len(j.Placed) == 0 || b.commands.Completable(j)
+}
+
+// setPending sets the tasks that a plan may start, within what the record has room for.
+func (b *Builder) setPending(j *jobtable.Job, planned *planner.Job, now clock.Micros) {
+	valueBytes, _ := b.writer.Limits()
+	if j.Spec.Gang() {
+		planned.Pending = j.Pending(j.Spec.Tasks)
+		planned.Limit = len(j.Startable(valueBytes, j.Spec.Tasks))
+		planned.Avoid = b.machinesWithEndedTasks(j)
+		return
+	}
+	planned.Pending = j.Restartable(j.Startable(valueBytes, maxTasksPerPlan), now)
+	planned.Limit = len(planned.Pending)
+}
+
+// machinesWithEndedTasks returns the machines that a gang avoids, together with those that still
+// report an ended task of the attempt that it may be completed with: a start of the same task and
+// attempt has no effect there.
+func (b *Builder) machinesWithEndedTasks(j *jobtable.Job) map[string]bool {
+	if len(j.Placed) == 0 {
+		return j.AvoidMachines
+	}
+	avoid := maps.Clone(j.AvoidMachines)
+	for _, m := range b.machines.Ordered {
+		for ref, task := range m.Tasks {
+			if ref.Job == j.Spec.ID && task.Status == protocol.TaskExited {
+				avoid[m.Name] = true
+			}
+		}
+	}
+	return avoid
+}
+
+// restrictHosted shows another cell's job to the planner. It preempts nothing, and takes only the
+// room that is left beyond the cell's reserve.
+func (b *Builder) restrictHosted(j *jobtable.Job, planned *planner.Job, now clock.Micros) {
+	planned.MayEvict, planned.StartAim, planned.Returning = false, false, false
+	planned.Tier, planned.SlackS, planned.StartS = planner.EndsInTime, math.MaxFloat64, math.MaxFloat64
+	planned.Waiting = planned.Waiting || !j.Permission.MayStart(now+startMargin) || j.Guest.Closed
+	if b.Directory == nil || b.Directory.Own.Reserve == (planner.Amounts{}) {
+		return
+	}
+	room := b.free.Minus(b.Directory.Own.Reserve)
+	room.MemoryGB = planner.PlentyGB // the reserve is of CPUs and GPUs only
+	if fits := planner.Needs(&j.Spec).Count(room); fits < len(planned.Pending) {
+		planned.Limit = min(planned.Limit, fits)
+	}
+}
+
+// runningTasks returns what a job has placed in this cell, kept from one snapshot to the next as long
+// as no placement changes.
+func (b *Builder) runningTasks(j *jobtable.Job, now clock.Micros, overheads Overheads) []planner.Running {
+	if j.RunningStale {
+		b.rebuildRunning(j)
+	}
+	if overheads == WithOverheads {
+		setOverheads(j, now)
+	}
+	return j.RunningView
+}
+
+// rebuildRunning makes the planner's view of a job's placements anew.
+func (b *Builder) rebuildRunning(j *jobtable.Job) {
+	j.RunningStale = false
+	j.RunningView, j.RunningSince, j.TasksElsewhere = j.RunningView[:0], j.RunningSince[:0], 0
+	for _, task := range slices.Sorted(maps.Keys(j.Placed)) {
+		placement := j.Placed[task]
+		if placement.Host() != "" {
+			j.TasksElsewhere++
+			continue // its preemption makes no room here
+		}
+		running, since := b.runningTask(j, placement)
+		j.RunningView, j.RunningSince = append(j.RunningView, running), append(j.RunningSince, since)
+	}
+}
+
+// runningTask returns a placed task and when it was first seen running, 0 if it wasn't yet.
+func (b *Builder) runningTask(j *jobtable.Job, placement ledger.Placement) (planner.Running, clock.Micros) {
+	running := planner.Running{Task: placement.Task, Machine: placement.Machine}
+	_, running.Stopping = j.Stops[placement.Task]
+	m := b.machines.ByName[placement.Machine]
+	if m == nil {
+		return running, 0
+	}
+	running.Zone = m.Zone
+	ref := machinetable.AttemptRef{Job: j.Spec.ID, Task: placement.Task, Attempt: placement.Attempt}
+	return running, m.RunningSince[ref]
+}
+
+// setOverheads sets what the preemption of each running task would lose: the time since its last
+// checkpoint, by the interval that the job declares, or since its start without one.
+func setOverheads(j *jobtable.Job, now clock.Micros) {
+	for i, since := range j.RunningSince {
+		running := &j.RunningView[i]
+		running.Overhead, running.Borrowed = 0, false
+		if since == 0 {
+			continue
+		}
+		running.Overhead = (now - since).Seconds()
+		if j.Spec.CheckpointS > 0 {
+			running.Overhead = math.Mod(running.Overhead, j.Spec.CheckpointS)
+		}
+	}
+}
--- a/internal/leader/snapshots/reserve.go
+++ b/internal/leader/snapshots/reserve.go
@@ -3,8 +3,8 @@
 import (
 	"math"
 	"slices"
+	"strings"
 
-	"postpoint/internal/clock"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/objectives"
 	"postpoint/internal/ordered"
@@ -13,149 +13,212 @@
 	"postpoint/internal/recovery"
 )
 
-// zoneReservePrefix marks room that is kept for the loss of a zone.
-const zoneReservePrefix = ReservePrefix + "zone/"
+// A reserve is capacity that is kept free. The planner is shown it as a job that never runs, whose id
+// begins with reservePrefix as no other job's does. The planner orders jobs by their ids in the end.
+const (
+	reservePrefix = "spare/"
+	// zoneReservePrefix is for the loss of a zone.
+	zoneReservePrefix = reservePrefix + "zone/"
+	// displacedReservePrefix is for tasks in a lost zone that aren't proven to have ended yet: machines
+	// for them boot meanwhile.
+	displacedReservePrefix = reservePrefix + "lost/"
+)
+
+const (
+	// classMemory is for how long after its last job more jobs of a class are expected.
+	classMemory = 2 * objectives.ArrivalWindow
+	// arrivalHorizonS is the time, in seconds, for whose arrivals capacity is reserved.
+	arrivalHorizonS = 12.0
+)
+
+// IsReserve reports whether a job of a plan is a reserve.
+func IsReserve(jobID string) bool { return strings.HasPrefix(jobID, reservePrefix) }
+
+// newReserve returns a reserve for so many tasks like those of a spec, which it changes into an
+// array. It is in no hurry, and comes after all other jobs of its rank and tier.
+func newReserve(id string, spec *protocol.JobSpec, tasks, rank int, tier planner.Tier) planner.Job {
+	spec.Shape, spec.Tasks = protocol.ShapeArray, tasks
+	return planner.Job{
+		ID:          id,
+		Spec:        spec,
+		Rank:        rank,
+		SubmittedAt: math.MaxInt64,
+		Tier:        tier,
+		StartS:      math.MaxFloat64,
+		SlackS:      math.MaxFloat64,
+		Limit:       tasks,
+		Pending:     firstTasks(tasks),
+	}
+}
+
+// firstTasks returns the numbers of the first n tasks.
+func firstTasks(n int) []int {
+	var tasks []int
+	for task := range n {
+		tasks = append(tasks, task)
+	}
+	return tasks
+}
+
+// expectedArrivals returns reserves for jobs that are about to be submitted and should start sooner
+// than a machine boots. They come after the jobs that can still start in time, and before all others.
+func (b *Builder) expectedArrivals() []planner.Job {
+	var jobs []planner.Job
+	for class, history := range ordered.ByKey(b.objectives.Classes) {
+		if b.objectives.StartsBeforeBoot(class) && b.Now() <= history.LastAt+classMemory {
+			jobs = append(jobs, b.arrivalReserve(class, history))
+		}
+	}
+	return jobs
+}
 
-// zoneReserves are places that other zones have for a share of what each zone runs, if the settings
-// of recoveries ask for it. They come after everything that waits.
-func (sb *Builder) zoneReserves() []planner.Job {
-	if sb.zones.Options == nil || sb.zones.Options.Reserve.Share == 0 || sb.zones.AnyAvoided() {
-		return nil // a zone that isn't well is what the room is for
+// arrivalReserve returns the reserve for a class: one more job, and those of the next seconds. That of
+// a service comes after everything else that is pending, since a replica can preempt other tasks where
+// no room is reserved.
+func (b *Builder) arrivalReserve(class string, history objectives.ClassHistory) planner.Job {
+	spec := history.Spec
+	expected := float64(len(history.Arrivals)) * arrivalHorizonS / objectives.ArrivalWindow.Seconds()
+	tasks, rank := history.Spec.Tasks*(1+int(expected)), protocol.RankOf(spec.Rank)
+	if history.Spec.Service() {
+		tasks, rank = b.ReplicaReserve(history), len(protocol.Ranks)
+		spec.Types = b.catalogue.ReplicaTypes(&history.Spec)
+	}
+	return newReserve(reservePrefix+class, &spec, tasks, rank, planner.StartsInTime)
+}
+
+// ReplicaReserve returns how many replicas of a class room is reserved for: those of one more job, or
+// those that are submitted while a machine boots, and the replicas of the machine with most of them,
+// which may be lost.
+func (b *Builder) ReplicaReserve(history objectives.ClassHistory) int {
+	recent, largest := 0, 0
+	for _, arrival := range history.Arrivals {
+		recent += arrival.Tasks
+		largest = max(largest, arrival.Tasks)
 	}
-	part := sb.zones.Options.Reserve
-	most := map[string]map[string]int{} // tasks by class and zone
+	slowestBoot := 0.0
+	for _, name := range b.catalogue.ReplicaTypes(&history.Spec) {
+		slowestBoot = max(slowestBoot, b.catalogue.ByName[name].BootS)
+	}
+	whileBooting := math.Ceil(float64(recent) * slowestBoot * objectives.BootAllowance /
+		objectives.ArrivalWindow.Seconds())
+	return max(int(whileBooting), largest) + b.machines.MostReplicas()
+}
+
+// zoneReserves returns reserves, in the other zones, for a share of what each zone runs, if the
+// settings of zone recovery ask for it. They come after everything that is pending. As long as a zone
+// isn't healthy there are none: it is what the room is for.
+func (b *Builder) zoneReserves() []planner.Job {
+	if b.zones.Options == nil || b.zones.Options.Reserve.Share == 0 || b.zones.AnyAvoided() {
+		return nil
+	}
+	reserve := b.zones.Options.Reserve
+	running := map[string]map[string]int{} // tasks by class and zone
 	specs := map[string]*protocol.JobSpec{}
-	for _, m := range sb.machines.Ordered {
+	for _, m := range b.machines.Ordered {
 		for id, tasks := range m.Placements {
-			j := sb.jobs.ByID[id]
-			if j == nil || j.Over() || j.Spec.Zone != "" || len(part.Classes) > 0 && !slices.Contains(part.Classes, j.Spec.Class) {
+			j := b.jobs.ByID[id]
+			if j == nil || !needsZoneReserve(j, reserve.Classes) {
 				continue
 			}
-			if most[j.Spec.Class] == nil {
-				most[j.Spec.Class] = map[string]int{}
+			if running[j.Spec.Class] == nil {
+				running[j.Spec.Class] = map[string]int{}
 			}
-			most[j.Spec.Class][m.Zone] += len(tasks)
+			running[j.Spec.Class][m.Zone] += len(tasks)
 			specs[j.Spec.Class] = &j.Spec
 		}
 	}
 	var jobs []planner.Job
-	for class, zones := range ordered.ByKey(most) {
-		for lost, running := range ordered.ByKey(zones) {
-			jobs = append(jobs, sb.reservesOutside(specs[class], lost, int(math.Ceil(part.Share*float64(running))))...)
+	for class, zones := range ordered.ByKey(running) {
+		for zone, tasks := range ordered.ByKey(zones) {
+			reserved := int(math.Ceil(reserve.Share * float64(tasks)))
+			jobs = append(jobs, b.reservesOutside(specs[class], zone, reserved)...)
 		}
 	}
 	return jobs
 }
 
-// reservesOutside keeps n places for tasks like one of a spec in the zones but one, evenly.
-func (sb *Builder) reservesOutside(like *protocol.JobSpec, lost string, n int) []planner.Job {
+// needsZoneReserve reports whether a job's tasks could run in another zone and are of a class that the
+// reserve is for. Without any classes it is for all of them.
+func needsZoneReserve(j *jobtable.Job, classes []string) bool {
+	return !j.Over() && j.Spec.Zone == "" && (len(classes) == 0 || slices.Contains(classes, j.Spec.Class))
+}
+
+// reservesOutside returns reserves for tasks like those of a spec, spread evenly over all zones but
+// one.
+func (b *Builder) reservesOutside(like *protocol.JobSpec, lostZone string, tasks int) []planner.Job {
 	var others []string
-	for name := range ordered.ByKey(sb.zones.Zones) {
-		if name != lost {
+	for name := range ordered.ByKey(b.zones.Zones) {
+		if name != lostZone {
 			others = append(others, name)
 		}
 	}
 	var jobs []planner.Job
 	for i, zone := range others {
-		share := (n + i) / len(others)
+		share := (tasks + i) / len(others)
 		if share == 0 {
 			continue
 		}
 		spec := *like
-		spec.Shape, spec.Tasks, spec.Zone, spec.OneZone, spec.Spread = protocol.ShapeArray, share, zone, false, false
-		j := planner.Job{ID: zoneReservePrefix + like.Class + "/" + lost + "/" + zone, Spec: &spec, Rank: len(protocol.Ranks), SubmittedAt: math.MaxInt64,
-			Tier: planner.EndsInTime, StartS: math.MaxFloat64, SlackS: math.MaxFloat64, Limit: share}
-		for task := range share {
-			j.Pending = append(j.Pending, task)
-		}
-		jobs = append(jobs, j)
+		spec.Zone, spec.OneZone, spec.Spread = zone, false, false
+		id := zoneReservePrefix + like.Class + "/" + lostZone + "/" + zone
+		jobs = append(jobs, newReserve(id, &spec, share, len(protocol.Ranks), planner.EndsInTime))
 	}
 	return jobs
 }
 
-// displacedReserves are the tasks of lost zones that will have to start elsewhere, once each.
-func (sb *Builder) displacedReserves() []planner.Job {
-	if sb.zones.Options == nil || !sb.zones.AnyLost() {
+// displacedReserves returns reserves for the tasks of lost zones, which will have to start elsewhere.
+func (b *Builder) displacedReserves() []planner.Job {
+	if b.zones.Options == nil || !b.zones.AnyLost() {
 		return nil
 	}
-	lost := map[string]int{} // by job
-	for _, m := range sb.machines.Ordered {
-		if z := sb.zones.Zones[m.Zone]; z == nil || z.Phase != recovery.Lost || !sb.machines.Late(m) {
-			continue
-		}
-		for id, tasks := range m.Placements {
-			lost[id] += len(tasks)
-		}
-	}
 	var jobs []planner.Job
-	for id, n := range ordered.ByKey(lost) {
-		j := sb.jobs.ByID[id]
-		if j == nil || j.Over() || j.Spec.Zone != "" && sb.zones.Avoided(j.Spec.Zone) {
+	for id, tasks := range ordered.ByKey(b.lostTasks()) {
+		j := b.jobs.ByID[id]
+		if j == nil || j.Over() || j.Spec.Zone != "" && b.zones.Avoided(j.Spec.Zone) {
 			continue
 		}
-		spec := j.Spec
-		spec.Shape, spec.Tasks = protocol.ShapeArray, n
-		urgency := sb.objectives.TierAndSlack(j)
-		pj := planner.Job{ID: displacedReservePrefix + id, Spec: &spec, Rank: j.Rank(), SubmittedAt: j.SubmittedAt, Tier: urgency.Tier, SlackS: urgency.SlackS,
-			StartS: sb.objectives.StartSlackS(j), Limit: n, Avoid: j.AvoidMachines}
-		if spec.OneZone || spec.Spread {
-			spec.OneZone, spec.Tasks = false, j.Spec.Tasks
-			pj.Zones = sb.zonesLeft(j)
-		}
-		for task := range n {
-			pj.Pending = append(pj.Pending, task)
-		}
-		jobs = append(jobs, pj)
+		jobs = append(jobs, b.displacedReserve(j, tasks))
 	}
 	return jobs
 }
 
-// zonesLeft counts a job's tasks by zone, those in lost zones left out: theirs will be gone.
-func (sb *Builder) zonesLeft(j *jobtable.Job) map[string]int {
-	zones := map[string]int{}
-	for _, p := range j.Placed {
-		if m := sb.machines.ByName[p.Machine]; m != nil && !sb.zones.Lost(m.Zone) {
-			zones[m.Zone]++
+// lostTasks counts, by job, the tasks on silent machines of lost zones.
+func (b *Builder) lostTasks() map[string]int {
+	lost := map[string]int{}
+	for _, m := range b.machines.Ordered {
+		zone := b.zones.Zones[m.Zone]
+		if zone == nil || zone.Phase != recovery.Lost || !b.machines.Late(m) {
+			continue
+		}
+		for id, tasks := range m.Placements {
+			lost[id] += len(tasks)
 		}
 	}
-	return zones
+	return lost
 }
 
-// SpareReplicas is how many places are kept for replicas of a class: for one more job, for
-// those that come while a machine boots, and for the loss of the machine with most replicas.
-func (sb *Builder) SpareReplicas(u objectives.ClassHistory) int {
-	recent, largest := 0, 0
-	for _, a := range u.Arrivals {
-		recent += a.Tasks
-		largest = max(largest, a.Tasks)
-	}
-	boot := 0.0
-	for _, name := range sb.catalogue.ReplicaTypes(&u.Spec) {
-		boot = max(boot, sb.catalogue.ByName[name].BootS)
+// displacedReserve returns the reserve for tasks of a job, which is as urgent as the job itself.
+func (b *Builder) displacedReserve(j *jobtable.Job, tasks int) planner.Job {
+	spec := j.Spec
+	urgency := b.objectives.TierAndSlack(j)
+	reserve := newReserve(displacedReservePrefix+j.Spec.ID, &spec, tasks, j.Rank(), urgency.Tier)
+	reserve.SubmittedAt = j.SubmittedAt
+	reserve.SlackS, reserve.StartS = urgency.SlackS, b.objectives.StartSlackS(j)
+	reserve.Avoid = j.AvoidMachines
+	if spec.OneZone || spec.Spread {
+		spec.OneZone, spec.Tasks = false, j.Spec.Tasks
+		reserve.Zones = b.tasksByHealthyZone(j)
 	}
-	coming := int(math.Ceil(float64(recent) * boot * objectives.BootAllowance / objectives.ArrivalWindow.Seconds()))
-	return max(coming, largest) + sb.machines.MostReplicas()
+	return reserve
 }
 
-// restrictHosted shows a guest to the planner: it never presses, and takes only room beyond the
-// reserve.
-func (sb *Builder) restrictHosted(j *jobtable.Job, pj *planner.Job, now clock.Micros) {
-	pj.MayEvict, pj.StartAim, pj.Returning = false, false, false
-	pj.Tier, pj.SlackS, pj.StartS = planner.EndsInTime, math.MaxFloat64, math.MaxFloat64
-	pj.Waiting = pj.Waiting || !j.Permission.MayStart(now+startMargin) || j.Guest.Closed
-	if sb.Directory == nil || sb.Directory.Own.Reserve == (planner.Amounts{}) {
-		return
-	}
-	room := sb.free.Minus(sb.Directory.Own.Reserve)
-	room.MemoryGB = planner.PlentyGB
-	if fits := planner.Needs(&j.Spec).Count(room); fits < len(pj.Pending) {
-		pj.Limit = min(pj.Limit, fits)
+// tasksByHealthyZone counts a job's tasks by zone, except for those in lost zones, which will be gone.
+func (b *Builder) tasksByHealthyZone(j *jobtable.Job) map[string]int {
+	zones := map[string]int{}
+	for _, placement := range j.Placed {
+		if m := b.machines.ByName[placement.Machine]; m != nil && !b.zones.Lost(m.Zone) {
+			zones[m.Zone]++
+		}
 	}
+	return zones
 }
-
-// startMargin is what a start needs of a permission at least: less would be in vain.
-const startMargin = 2 * clock.Second
-
-// displacedReservePrefix marks room that is kept for tasks which are with a lost zone and not proven gone yet:
-// machines for them boot meanwhile.
-const displacedReservePrefix = ReservePrefix + "lost/"
