--- a/internal/testkit/docs_test.go
+++ b/internal/testkit/docs_test.go
@@ -1,9 +1,6 @@
 package testkit
 
 import (
-	"go/ast"
-	"go/parser"
-	"go/token"
 	"io/fs"
 	"os"
 	"path/filepath"
@@ -12,73 +9,79 @@
 	"testing"
 )
 
+const rulesPage = repository + "/docs/rules.md"
+
 // docs/rules.md names code and tests. Each function, method, type and test that it names
 // still exists, in the package that it names.
 func TestRulesPageNamesWhatExists(t *testing.T) {
-	declared := declarations(t, "..")
-	page, err := os.ReadFile("../../docs/rules.md")
-	if err != nil {
-		t.Fatal(err)
-	}
+	sources := indexSources(t)
+	page := readPage(t, rulesPage)
 	named := regexp.MustCompile("`([a-z]+)\\.([A-Za-z]+)`|`(Test[A-Za-z]+)`")
 	count := 0
-	for _, m := range named.FindAllStringSubmatch(string(page), -1) {
+	for _, m := range named.FindAllStringSubmatch(page, -1) {
 		count++
 		switch {
 		case m[3] != "":
-			if !declared[m[3]] {
+			if !sources.declared[m[3]] {
 				t.Errorf("no test is called %s", m[3])
 			}
-		case !declared[m[1]+"."+m[2]]:
+		case !sources.declared[m[1]+"."+m[2]]:
 			t.Errorf("package %s has no %s", m[1], m[2])
 		}
 	}
 	if count < 100 {
-		t.Errorf("only %d names were found", count)
+		t.Errorf("only %d names were found, at least 100 expected", count)
 	}
 }
 
-// declarations are the names of all functions, methods and types below a folder, tests
-// alone and with their packages.
-func declarations(t *testing.T, folder string) map[string]bool {
-	t.Helper()
-	names := map[string]bool{}
-	err := filepath.WalkDir(folder, func(path string, _ fs.DirEntry, err error) error {
-		if err != nil || !strings.HasSuffix(path, ".go") {
-			return err
-		}
-		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
-		if err != nil {
-			return err
-		}
-		for _, d := range file.Decls {
-			for _, name := range declaredNames(d) {
-				names[file.Name.Name+"."+name] = true
-				if strings.HasPrefix(name, "Test") {
-					names[name] = true
+// Whatever code, test, file, link, flag, variable or command a page names exists.
+func TestPagesNameWhatExists(t *testing.T) {
+	sources := indexSources(t)
+	total := map[string]int{}
+	for _, page := range pages(t) {
+		text := readPage(t, page)
+		for _, check := range pageChecks {
+			for _, match := range check.pattern.FindAllStringSubmatch(text, -1) {
+				name := match[len(match)-1]
+				total[check.kind]++
+				if problem := check.problem(sources, page, name); problem != "" {
+					t.Errorf("%s names %q: %s", strings.TrimPrefix(page, repository+"/"), name, problem)
 				}
 			}
 		}
-		return nil
-	})
-	if err != nil {
-		t.Fatal(err)
 	}
-	return names
+	for _, check := range pageChecks {
+		t.Logf("%d names of the kind %q", total[check.kind], check.kind)
+		if total[check.kind] < check.least {
+			t.Errorf("only %d names of the kind %q were found, at least %d expected",
+				total[check.kind], check.kind, check.least)
+		}
+	}
 }
 
-func declaredNames(d ast.Decl) []string {
-	switch d := d.(type) {
-	case *ast.FuncDecl:
-		return []string{d.Name.Name}
-	case *ast.GenDecl:
-		var names []string
-		for _, s := range d.Specs {
-			if s, ok := s.(*ast.TypeSpec); ok {
-				names = append(names, s.Name.Name)
+// pages are the README, the change log, all pages under docs/ and the examples under deploy/.
+func pages(t *testing.T) []string {
+	t.Helper()
+	all := []string{repository + "/README.md", repository + "/CHANGELOG.md"}
+	for folder, extension := range map[string]string{"docs": ".md", "deploy": ".toml"} {
+		collect := func(file string, _ fs.DirEntry, err error) error {
+			if strings.HasSuffix(file, extension) {
+				all = append(all, file)
 			}
+			return err
+		}
+		if err := filepath.WalkDir(filepath.Join(repository, folder), collect); err != nil {
+			t.Fatal(err)
 		}
-		return names
 	}
-	return nil
+	return all
+}
+
+func readPage(t *testing.T, file string) string {
+	t.Helper()
+	page, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(page)
 }
