--- /dev/null
+++ b/internal/testkit/celloperations_test.go
@@ -0,0 +1,190 @@
+package testkit
+
+import (
+	"postpoint/internal/clock"
+	"postpoint/internal/delegation"
+	"postpoint/internal/ledger"
+	"postpoint/internal/protocol"
+	"postpoint/internal/settings"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// The other cell is gone for good while it runs work: home does it itself, once nothing can
+// be running there any more, and not later.
+func TestWorkComesBackFromALostCell(t *testing.T) {
+	t.Parallel()
+	x := newTransfer(4400, false)
+	if !x.runTo(steps[5].reached) {
+		t.Fatal("nothing is done elsewhere")
+	}
+	lostAt := x.w.Now()
+	for _, n := range x.host.Nodes {
+		n.Crash()
+	}
+	x.host.CutOff(false)
+	for _, m := range x.host.Workers() {
+		m.Die()
+	}
+	for x.elsewhere() > 0 && x.w.Now() < lostAt+100*clock.Second {
+		x.w.Run(x.w.Now() + 100*clock.Millisecond)
+	}
+	if took := x.w.Now() - lostAt; took > 32*clock.Second {
+		t.Errorf("the tasks are home's again after %.1f s", took.Seconds())
+	}
+	x.w.Run(x.w.Now() + 300*clock.Second)
+	mustJudge(t, x.w, x.history, []*Job{x.job})
+	if x.delegated() {
+		t.Error("the delegation is left")
+	}
+}
+
+// Controllers get the cells file one after another, and lose it again in the middle of a
+// transfer: nothing is delegated before all of them have it, and all of it comes back.
+func TestCellsAreSwitchedOnAndOff(t *testing.T) {
+	t.Parallel()
+	x := newTransfer(4500, false)
+	behind := x.home.Nodes[2]
+	behind.WithoutCells = true
+	behind.Crash()
+	// As if that one had never had it.
+	for key := range x.home.State.keys {
+		if strings.HasPrefix(key, "rollout/") {
+			delete(x.home.State.keys, key)
+		}
+	}
+	x.home.restart(100 * clock.Millisecond)
+	x.w.Run(50 * clock.Second)
+	if x.elsewhere() > 0 {
+		t.Fatal("delegated while a controller takes such records for malformed")
+	}
+	behind.WithoutCells = false
+	behind.Crash()
+	x.home.StartNode(behind)
+	if !x.runTo(steps[4].reached) {
+		t.Fatal("nothing runs elsewhere once all have the file")
+	}
+	for _, n := range x.home.Nodes {
+		n.WithoutCells = true
+	}
+	x.home.restart(100 * clock.Millisecond)
+	x.w.Run(x.w.Now() + 300*clock.Second)
+	mustJudge(t, x.w, x.history, []*Job{x.job})
+	if x.delegated() || x.guest() == nil || !x.guest().Final() {
+		t.Error("home still has a delegation, or the host no tombstone that home could ask for")
+	}
+	for _, n := range x.host.Nodes {
+		n.WithoutCells = true
+	}
+	x.host.restart(100 * clock.Millisecond)
+	x.w.Run(x.w.Now() + 60*clock.Second)
+	if x.guest() != nil {
+		t.Error("the tombstone is left though the host knows no such cell")
+	}
+}
+
+// What another cell does, or that it is gone, changes nothing for a cell's own work.
+func TestOtherCellsCostLittle(t *testing.T) {
+	t.Parallel()
+	starts := map[string]clock.Micros{}
+	for name, neighbour := range map[string]func(w *World, g *Group){
+		"alone": func(*World, *Group) {},
+		"dead": func(_ *World, g *Group) {
+			for _, n := range g.Cells[1].Nodes {
+				n.Crash()
+			}
+		},
+		"silent": func(_ *World, g *Group) { g.Cells[1].CutOff(true) },
+		// As many messages as the listener lets through, all of them sensible.
+		"flooding": func(w *World, g *Group) {
+			w.Every(50*clock.Millisecond, func() {
+				for _, n := range g.Cells[0].Nodes {
+					r := delegation.Report{Host: "beta", Home: "alpha", Epoch: 1 << 40, Counter: int64(w.Now()), Clear: 20 * clock.Second}
+					for i := range delegation.MaxReported {
+						r.Tasks = append(r.Tasks, delegation.Status{Number: int64(i), Job: "job-000001", Closed: true})
+					}
+					n.proc.run(func() { n.Dispatch.Exchange(r, func(delegation.Answer, bool) {}) })
+				}
+			})
+		},
+	} {
+		w := NewWorld(4600)
+		w.MessageCost = 100
+		g := NewGroup(w, []*settings.Settings{testSettings(), testSettings()}, testTypes(), groupGuests,
+			"[[spill]]\nfrom = \"alpha\"\nto = [\"beta\"]\n[[spill]]\nfrom = \"beta\"\nto = [\"alpha\"]\n", 0)
+		neighbour(w, g)
+		w.Run(20 * clock.Second)
+		jobs := flood(g.Cells[0], 4)
+		w.Run(300 * clock.Second)
+		mustKeepRules(t, w)
+		for _, j := range jobs {
+			if j.told != protocol.StatusDone {
+				t.Errorf("%s: %s isn't done", name, j.spec.ID)
+			}
+			starts[name] += j.began - j.submitted
+		}
+	}
+	for name, sum := range starts {
+		if sum > starts["alone"]*11/10+4*clock.Second {
+			t.Errorf("%s: starts after %.1f s in all, %.1f s alone", name, sum.Seconds(), starts["alone"].Seconds())
+		}
+	}
+}
+
+// A cell is drained by its operators while it runs another's work: all of that comes back, with
+// what ran stopped in order, and nothing more goes there.
+func TestDrainedCellsGiveBack(t *testing.T) {
+	t.Parallel()
+	x := newTransfer(4700, true)
+	if !x.runTo(steps[4].reached) {
+		t.Fatal("nothing runs elsewhere")
+	}
+	x.w.Run(x.w.Now() + 3*clock.Second)
+	x.home.group.File = strings.Replace(x.home.group.File, "name = \"beta\"", "name = \"beta\"\ndrain = true", 1)
+	for _, d := range []*Deployment{x.host, x.home} {
+		for i, n := range d.Nodes {
+			x.w.After(clock.Micros(i)*5*clock.Second, func() {
+				n.Crash()
+				x.w.After(clock.Second, func() { d.StartNode(n) })
+			})
+		}
+	}
+	x.w.Run(x.w.Now() + 60*clock.Second)
+	if x.elsewhere() > 0 || x.delegated() || x.guest() != nil {
+		t.Errorf("a minute later %d tasks are elsewhere, delegated %v, guest %v", x.elsewhere(), x.delegated(), x.guest())
+	}
+	x.finish(t, "drained")
+	if elsewhere, _ := x.history.Elsewhere(); elsewhere != x.job.spec.Tasks {
+		t.Errorf("%d runs elsewhere", elsewhere)
+	}
+}
+
+// Without a cells file nothing of cells is stored: the keys, and the format that controllers
+// publish, are those of the version before.
+func TestNothingChangesWithoutCells(t *testing.T) {
+	t.Parallel()
+	puts := 0
+	d := play(7, func(d *Deployment) {
+		check := d.State.CheckPut
+		d.State.CheckPut = func(key string, value []byte) {
+			puts++
+			check(key, value)
+			known := slices.ContainsFunc([]string{ledger.Prefix, ledger.PartsPrefix, "rollout/", "lead/controller", "catalogue"},
+				func(prefix string) bool { return strings.HasPrefix(key, prefix) })
+			if !known || strings.Contains(string(value), "cell ") || strings.Contains(string(value), "guest ") {
+				d.World.Break("cells", "%s: %q", key, value)
+			}
+			var published struct {
+				Format int `msgpack:"format"`
+			}
+			if strings.HasPrefix(key, "rollout/") && (protocol.Decode(value, &published) != nil || published.Format != 2) {
+				d.World.Break("cells", "format %d is published", published.Format)
+			}
+		}
+	})
+	mustKeepRules(t, d.World)
+	if puts < 100 {
+		t.Errorf("only %d puts", puts)
+	}
+}
--- /dev/null
+++ b/internal/testkit/delegationfaults_test.go
@@ -0,0 +1,147 @@
+package testkit
+
+import (
+	"fmt"
+	"postpoint/internal/clock"
+	"testing"
+)
+
+// faults are what meets a transfer, each at every step of it.
+var faults = map[string]func(x *transfer, long clock.Micros){
+	"home's leader ends": func(x *transfer, long clock.Micros) { x.home.endLeader(long) },
+	"host's leader ends": func(x *transfer, long clock.Micros) { x.host.endLeader(long) },
+	"both leaders end":   func(x *transfer, long clock.Micros) { x.home.endLeader(long); x.host.endLeader(long) },
+	"home restarts":      func(x *transfer, long clock.Micros) { x.home.restart(long) },
+	"both cells restart": func(x *transfer, long clock.Micros) { x.home.restart(long); x.host.restart(long) },
+	"home's state service is out": func(x *transfer, long clock.Micros) {
+		x.home.State.Outage(true)
+		x.w.After(long, func() { x.home.State.Outage(false) })
+	},
+	"host's state service is out": func(x *transfer, long clock.Micros) {
+		x.host.State.Outage(true)
+		x.w.After(long, func() { x.host.State.Outage(false) })
+	},
+	"cells are cut": func(x *transfer, long clock.Micros) { x.w.After(long, x.host.CutOff(true)) },
+	"host isn't answered": func(x *transfer, long clock.Micros) {
+		for _, n := range x.host.Nodes {
+			n.Unanswered = true
+			x.w.After(long, func() { n.Unanswered = false })
+		}
+	},
+	"host's leader stands still": func(x *transfer, long clock.Micros) {
+		if n := x.host.Leader(); n != nil {
+			n.proc.Stand(long)
+		}
+	},
+	"home's leader stands still": func(x *transfer, long clock.Micros) {
+		if n := x.home.Leader(); n != nil {
+			n.proc.Stand(long)
+		}
+	},
+	"the job is cancelled": func(x *transfer, _ clock.Micros) { x.home.Cancel(x.job) },
+	"cut and cancelled": func(x *transfer, long clock.Micros) {
+		x.w.After(long, x.host.CutOff(false))
+		x.home.Cancel(x.job)
+	},
+}
+
+// Every fault at every step of a transfer, short and long: nothing runs twice, what is
+// cancelled is gone in time, all of the job gets done, and nothing of the transfer is left.
+func TestTroubleAtEveryStepOfATransfer(t *testing.T) {
+	for name, fault := range faults {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			for i, step := range steps {
+				for k, long := range []clock.Micros{3 * clock.Second, 40 * clock.Second} {
+					x := newTransfer(uint64(4000+2*i+k), step.gang && i%2 == k)
+					if !x.runTo(step.reached) {
+						t.Errorf("the step %q wasn't reached", step.name)
+						continue
+					}
+					fault(x, long)
+					x.finish(t, fmt.Sprintf("%s, %.0f s", step.name, long.Seconds()))
+				}
+			}
+		})
+	}
+}
+
+// A leader ends after any request that it sends while a transfer is under way.
+func TestLeadersEndAfterAnyRequestOfATransfer(t *testing.T) {
+	for i, name := range []string{"home", "host"} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			for k := 1; k <= 60; k++ {
+				x := newTransfer(uint64(4200+k), k%3 == 0)
+				x.runTo(steps[0].reached)
+				d := []*Deployment{x.home, x.host}[i]
+				n := d.Leader()
+				n.proc.EndAfter = k
+				x.w.After(60*clock.Second, func() { d.StartNode(n) })
+				x.finish(t, fmt.Sprintf("request %d", k))
+			}
+		})
+	}
+}
+
+// The other cell's machines hold what is cancelled, and everything that could end it there
+// fails at that moment, or a moment before: it is gone in time all the same.
+func TestCancelledWorkIsGoneFromOtherCells(t *testing.T) {
+	t.Parallel()
+	for name, fault := range map[string]func(x *transfer){
+		"nothing more":       func(*transfer) {},
+		"state outage":       func(x *transfer) { x.host.State.Outage(true) },
+		"leader ends":        func(x *transfer) { x.host.endLeader(5 * clock.Second) },
+		"leader stands":      func(x *transfer) { x.host.Leader().proc.Stand(35 * clock.Second) },
+		"all controllers":    func(x *transfer) { x.host.restart(200 * clock.Second) },
+		"machines hang":      func(x *transfer) { x.hang() },
+		"hang, leader ends":  func(x *transfer) { x.hang(); x.host.endLeader(5 * clock.Second) },
+		"commands don't go":  func(x *transfer) { x.hold() },
+		"home's leader ends": func(x *transfer) { x.home.endLeader(5 * clock.Second) },
+		"home's state": func(x *transfer) {
+			x.w.After(clock.Second, func() { x.home.State.Outage(true) })
+			x.w.After(80*clock.Second, func() { x.home.State.Outage(false) })
+		},
+	} {
+		for delay := range clock.Micros(4) {
+			x := newTransfer(uint64(4300+delay), false)
+			x.host.WatchService()
+			if !x.runTo(steps[4].reached) {
+				t.Fatal("nothing runs elsewhere")
+			}
+			x.w.Run(x.w.Now() + 2*clock.Second)
+			heal := x.host.CutOff(false)
+			fault(x)
+			x.w.Run(x.w.Now() + delay*700*clock.Millisecond)
+			confirmCancel(x.w, x.home, x.job)
+			x.w.Run(x.w.Now() + 31*clock.Second)
+			for _, m := range x.host.Cloud.all {
+				for _, task := range m.tasks {
+					if task.onIt && !m.Hung && x.host.find(task.job) == x.job {
+						t.Errorf("%s: %s still runs %s", name, m.name, task.job)
+					}
+				}
+			}
+			x.host.State.Outage(false)
+			heal()
+			mustKeepRules(t, x.w)
+		}
+	}
+}
+
+// hang lets the machines hang on which the job's tasks are.
+func (x *transfer) hang() {
+	for _, places := range x.job.places {
+		for m := range places {
+			m.Hung = true
+		}
+	}
+}
+
+// hold keeps direct commands from arriving, for a while.
+func (x *transfer) hold() {
+	for _, m := range x.host.Workers() {
+		m.Commands.Cut, m.Commands.Hold = true, true
+		x.w.After(20*clock.Second, m.Commands.Heal)
+	}
+}
--- /dev/null
+++ b/internal/testkit/failover_test.go
@@ -0,0 +1,137 @@
+package testkit
+
+import (
+	"net/http"
+	"postpoint/internal/clock"
+	"postpoint/internal/intake"
+	"postpoint/internal/protocol"
+	"testing"
+)
+
+// Ten leaders in two minutes, an outage among them: no task is lost, and the tasks of
+// jobs that end far apart each end once.
+func TestManyLeadersLoseNothing(t *testing.T) {
+	w, d, _, other := twoJobs(t, 46, 200*clock.Second)
+	apart := d.Submit(array("job-000003", "open", 3, 2, 80), 80*clock.Second, false)
+	for i := range 10 {
+		w.Run(w.Now() + 12*clock.Second)
+		if i == 5 {
+			d.State.Outage(true)
+			w.After(9*clock.Second, func() { d.State.Outage(false) })
+		}
+		for _, n := range d.Nodes {
+			if n.Dispatch.Leads() {
+				n.Crash()
+				w.After(w.Between(100*clock.Millisecond, 3*clock.Second), func() { d.StartNode(n) })
+			}
+		}
+	}
+	if lost(d) > 0 {
+		t.Fatalf("%d machines lost their tasks", lost(d))
+	}
+	w.Run(w.Now() + 400*clock.Second)
+	mustBeDone(t, w, other)
+	mustBeDone(t, w, apart)
+	if record := d.State.record(apart.spec.ID); record.NextAttempt != 1 {
+		t.Fatalf("a task was started again: next try %d", record.NextAttempt)
+	}
+}
+
+// A leader that only the workers can't reach any more makes way in time for
+// their tasks to go on under another.
+func TestDeafLeaderMakesWay(t *testing.T) {
+	w := NewWorld(5)
+	set := testSettings()
+	set.Deployment.Workers.LeaseS, set.Deployment.Workers.CancelS = 16, 36
+	d := NewDeployment(w, set, testTypes(), 0)
+	spec := array("job-000001", "open", 12, 2, 60)
+	j := d.Submit(spec, 60*clock.Second, false)
+	w.Run(40 * clock.Second)
+	deaf := leading(t, d)
+	d.Nodes[deaf].Workers.Cut = true
+	w.Run(w.Now() + 40*clock.Second)
+	if now := leading(t, d); now == deaf {
+		t.Fatal("the same node leads")
+	}
+	for _, m := range d.Workers() {
+		if m.session > 1 {
+			t.Fatalf("%s lost its tasks", m.name)
+		}
+	}
+	w.Run(w.Now() + 100*clock.Second)
+	mustBeDone(t, w, j)
+}
+
+// A node that is left with the workers only sends them on, without naming a
+// leader that it hasn't seen in office for a while, fails its health check and
+// answers users at once.
+func TestLoneNodeVouchesForNobody(t *testing.T) {
+	for _, leads := range []bool{true, false} {
+		w, d, j := busyDay(t, 14, 60*clock.Second)
+		lone := d.Nodes[leading(t, d)]
+		if !leads {
+			for _, n := range d.Nodes {
+				if n != lone {
+					lone = n
+					break
+				}
+			}
+		}
+		lone.State.Cut, lone.Peers.Cut, lone.Clouds.Cut = true, true, true
+		up := true
+		for range 30 {
+			lone.Intake.Ready(func(ok bool) { up = ok }) // as the load balancer asks
+			w.Run(w.Now() + clock.Second)
+		}
+		status, redirect := 0, ""
+		lone.Dispatch.Heartbeat(d.Workers()[0].snapshot(), func(s int, body any) {
+			status = s
+			if r, ok := body.(protocol.Redirect); ok {
+				redirect = r.Node
+			}
+		})
+		var told intake.Answer
+		lone.Intake.Handle(intake.Request{Kind: intake.Show, ID: j.spec.ID}, func(a intake.Answer) { told = a })
+		w.Run(w.Now() + 20*clock.Millisecond)
+		if up || status != http.StatusMisdirectedRequest || redirect != "" || told.Status != http.StatusServiceUnavailable || told.RetryS == 0 {
+			t.Fatalf("leads %v: up %v, beat %d %q, user %+v", leads, up, status, redirect, told)
+		}
+		w.Run(w.Now() + 150*clock.Second)
+		mustBeDone(t, w, j)
+	}
+}
+
+// A controller stands still for a while before one of its requests or answers
+// leaves, its clocks running on: the leader at any step of an ordinary hour's work,
+// and each of the others at any step of an election and a takeover. Whatever it had
+// half done is old when it goes on, and what leaves then harms nothing.
+func TestControllerStandsStillAtAnyStep(t *testing.T) {
+	for _, electing := range []bool{false, true} {
+		for _, length := range []clock.Micros{2500 * clock.Millisecond, 7 * clock.Second, 37 * clock.Second} {
+			for step := 1; step <= 20; step++ {
+				w, d, j := busyDay(t, uint64(100+step), 30*clock.Second)
+				leader := d.Nodes[leading(t, d)]
+				stand := func(n *Node, from int) {
+					n.proc.StandFor, n.proc.StandAfter = length, from
+				}
+				d.Submit(array("job-000002", "open", 6, 4, 10), 10*clock.Second, false)
+				if electing {
+					for _, n := range d.Nodes {
+						if n != leader {
+							stand(n, step)
+						}
+					}
+					leader.Crash()
+					w.After(3*clock.Second, func() { d.StartNode(leader) })
+				} else {
+					stand(leader, step)
+				}
+				w.After(20*clock.Second, func() { d.Cancel(j) })
+				w.Run(w.Now() + 200*clock.Second)
+				if left := d.Unfinished(); len(w.Broken) > 0 || len(left) > 0 {
+					t.Fatalf("electing %v, step %d, %.1f s: broken %v, left %v", electing, step, length.Seconds(), w.Broken, left)
+				}
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/testkit/gangs_test.go
@@ -0,0 +1,148 @@
+package testkit
+
+import (
+	"fmt"
+	"postpoint/internal/clock"
+	"postpoint/internal/fleet"
+	"postpoint/internal/ledger"
+	"postpoint/internal/protocol"
+	"testing"
+)
+
+// A gang that loses a task before it has started gets a replacement, with the
+// same attempt, and those that wait for it needn't start over.
+func TestGangIsCompletedBeforeItStarts(t *testing.T) {
+	w := NewWorld(9)
+	set := testSettings()
+	set.Deployment.Workers.GangWaitS = 90
+	d := NewDeployment(w, set, testTypes(), 0)
+	spec := protocol.JobSpec{ID: "job-000001", Class: "c", Team: "open", Shape: protocol.ShapeGang, Rank: "normal",
+		Tasks: 3, Cpus: 6, MemoryGB: 1, Image: "i", EstimateS: 20}
+	j := d.Submit(spec, 20*clock.Second, false)
+	// Until one waits and another still fetches.
+	var dying *Worker
+	for dying == nil && w.Now() < 60*clock.Second {
+		w.Run(w.Now() + 50*clock.Millisecond)
+		waiting := false
+		var fetching *Worker
+		for _, m := range d.Workers() {
+			for _, x := range m.tasks {
+				waiting = waiting || x.status == protocol.TaskWaiting
+				if x.status == protocol.TaskFetching {
+					fetching = m
+				}
+			}
+		}
+		if waiting {
+			dying = fetching
+		}
+	}
+	if dying == nil {
+		t.Fatal("no task waited while another fetched")
+	}
+	dying.Die()
+	w.Run(w.Now() + 150*clock.Second)
+	record, err := ledger.Decode(d.State.keys[ledger.Key(spec.ID)].value)
+	if err != nil || record.Status != protocol.StatusDone || record.NextAttempt != 2 {
+		t.Fatalf("record %+v, %v", record, err)
+	}
+	mustBeDone(t, w, j)
+}
+
+// A gang of which a part would have to wait for a machine to boot takes no places
+// until all of them are there: placed in part it would hold them, fail for want of
+// the rest and start over.
+func TestGangWaitsWholeForBootingMachines(t *testing.T) {
+	w := NewWorld(15)
+	d := NewDeployment(w, testSettings(), testTypes(), 0)
+	d.Cloud.Capacity = map[fleet.Kind]int{{Type: "small", Zone: "a"}: 2}
+	spec := array("job-000001", "open", 2, 6, 20)
+	first := d.Submit(spec, 20*clock.Second, false)
+	for !first.Done() && w.Now() < 100*clock.Second {
+		w.Run(w.Now() + 100*clock.Millisecond)
+	}
+	if up := len(d.Workers()); up != 2 {
+		t.Fatalf("%d machines are up", up)
+	}
+	d.Cloud.Capacity = map[fleet.Kind]int{{Type: "small", Zone: "a"}: 4} // one may not come up
+	spec.ID, spec.Shape, spec.Tasks = "job-000002", protocol.ShapeGang, 3
+	gang := d.Submit(spec, 20*clock.Second, false)
+	for gang.told == "" && w.Now() < 200*clock.Second {
+		w.Run(w.Now() + 100*clock.Millisecond)
+		holding := 0
+		for _, m := range d.Workers() {
+			for _, x := range m.tasks {
+				if x.job == spec.ID && x.status != protocol.TaskExited {
+					holding++
+				}
+			}
+		}
+		if up := len(d.Workers()); holding > 0 && up < 3 {
+			t.Fatalf("%d places are held with %d machines up", holding, up)
+		}
+	}
+	mustBeDone(t, w, gang)
+}
+
+// A gang whose machine could be spared is moved off it as a whole, saving, and once:
+// until then a costly machine was paid for until the last task of a gang on it ended.
+func TestGangMovesOffSparedMachine(t *testing.T) {
+	w := NewWorld(19)
+	d := NewDeployment(w, testSettings(), testTypes(), 0)
+	d.Cloud.Capacity = map[fleet.Kind]int{{Type: "small", Zone: "a"}: 3, {Type: "big", Zone: "a"}: 2}
+	spec := protocol.JobSpec{ID: "job-000001", Class: "c", Team: "open", Shape: protocol.ShapeArray, Rank: "normal",
+		Tasks: 3, Cpus: 2, MemoryGB: 20, Image: "i", EstimateS: 600}
+	d.Submit(spec, 600*clock.Second, false) // one on each small machine, which it keeps up
+	w.Run(30 * clock.Second)
+	spec.ID, spec.Cpus, spec.MemoryGB, spec.EstimateS = "job-000002", 6, 5, 60
+	d.Submit(spec, 60*clock.Second, false) // fills them
+	w.Run(45 * clock.Second)
+	spec.ID, spec.Shape, spec.Tasks, spec.EstimateS, spec.CheckpointS, spec.SaveS = "job-000003", protocol.ShapeGang, 2, 400, 10, 1
+	gang := d.Submit(spec, 400*clock.Second, false)
+	costly := func() int {
+		n := 0
+		for _, m := range d.Workers() {
+			if m.typ == "big" {
+				n++
+			}
+		}
+		return n
+	}
+	w.Run(80 * clock.Second)
+	if gang.began == 0 || costly() == 0 {
+		t.Fatalf("the gang began at %.0f s, %d costly machines are up", gang.began.Seconds(), costly())
+	}
+	w.Run(180 * clock.Second)
+	record, err := ledger.Decode(d.State.keys[ledger.Key(spec.ID)].value)
+	if err != nil || costly() > 0 || len(gang.places) != 2 || record.NextAttempt != 2 {
+		t.Fatalf("%d costly machines are up, record %+v, %v", costly(), record, err)
+	}
+	w.Run(1500 * clock.Second)
+	mustBeDone(t, w, gang)
+}
+
+// A gang that the machines there are, and all that the cloud still has, can't hold
+// keeps no room from smaller work: it would for ever.
+func TestGangThatNeverFitsHoldsUpNobody(t *testing.T) {
+	w := NewWorld(91)
+	d := NewDeployment(w, testSettings(), testTypes(), 0)
+	d.Cloud.Reliable = true
+	d.Cloud.Capacity = map[fleet.Kind]int{{Type: "small", Zone: "a"}: 3, {Type: "small", Zone: "b"}: 3}
+	gang := array("job-000001", "open", 5, 6, 20)
+	gang.Shape, gang.Zone = protocol.ShapeGang, "a"
+	d.Submit(gang, 20*clock.Second, false)
+	for i := range 8 {
+		w.After(clock.Micros(100+i*20)*clock.Second, func() {
+			s := array(fmt.Sprintf("job-1%05d", i), "open", 4, 4, 15)
+			s.Zone = gang.Zone
+			d.Submit(s, 15*clock.Second, false)
+		})
+	}
+	w.Run(150 * clock.Second)
+	d.WatchRoom()
+	w.Run(500 * clock.Second)
+	mustKeepRules(t, w)
+	if left := d.Unfinished(); len(left) != 1 {
+		t.Fatalf("left: %v", left)
+	}
+}
--- /dev/null
+++ b/internal/testkit/placement_test.go
@@ -0,0 +1,82 @@
+package testkit
+
+import (
+	"fmt"
+	"postpoint/internal/clock"
+	"postpoint/internal/fleet"
+	"postpoint/internal/protocol"
+	"postpoint/internal/settings"
+	"testing"
+)
+
+// Arrays and gangs bound to one zone lose machines: what runs elsewhere is never in
+// another zone than what may still be there, and all of it gets done.
+func TestZoneBoundJobsLoseMachines(t *testing.T) {
+	for seed := uint64(81); seed < 85; seed++ {
+		w := NewWorld(seed)
+		d := NewDeployment(w, testSettings(), testTypes(), 0)
+		d.Cloud.Capacity = map[fleet.Kind]int{}
+		for _, zone := range []string{"a", "b"} {
+			d.Cloud.Capacity[fleet.Kind{Type: "small", Zone: zone}] = 6
+		}
+		var jobs []*Job
+		for i := range 6 {
+			s := array(fmt.Sprintf("job-%06d", i), "open", 4, 4, 30)
+			s.OneZone = true
+			if i%2 == 1 {
+				s.Shape = protocol.ShapeGang
+			}
+			jobs = append(jobs, d.Submit(s, 30*clock.Second, false))
+		}
+		for i := range 8 {
+			w.Run(w.Now() + 15*clock.Second)
+			up := d.Workers()
+			if len(up) == 0 {
+				continue
+			}
+			m := up[w.Rand.IntN(len(up))]
+			if i%2 == 0 {
+				m.Die()
+			} else {
+				m.Link.Cut, m.Commands.Cut = true, true
+				w.After(20*clock.Second, func() { m.Link.Heal(); m.Commands.Heal() })
+			}
+		}
+		w.Run(w.Now() + 500*clock.Second)
+		for _, j := range jobs {
+			mustBeDone(t, w, j)
+		}
+	}
+}
+
+// The largest array that can be submitted is accepted at once, runs as far as its
+// record has room, and holds up neither smaller work that comes after it nor the
+// other nodes' answers.
+func TestHugeArrayHoldsUpNobody(t *testing.T) {
+	w := NewWorld(20)
+	set := testSettings()
+	set.Deployment.Objectives = []settings.Objective{{Kind: "finished", Class: "small", WithinS: 60, Share: 0.9}}
+	d := NewDeployment(w, set, testTypes(), 0)
+	d.Cloud.Reliable = true // or how much is done is a matter of luck
+	w.Run(10 * clock.Second)
+	huge := d.Submit(protocol.JobSpec{ID: "job-000001", Class: "huge", Team: "open", Shape: protocol.ShapeArray, Rank: "normal",
+		Tasks: 100_000, Cpus: 1, MemoryGB: 1, Image: "i", EstimateS: 20}, 20*clock.Second, false)
+	w.Run(12 * clock.Second)
+	if !huge.accepted() {
+		t.Fatal("not accepted within two seconds")
+	}
+	w.Run(60 * clock.Second)
+	var small []*Job
+	for i := range 5 {
+		small = append(small, d.Submit(protocol.JobSpec{ID: fmt.Sprintf("job-1%05d", i), Class: "small", Team: "open",
+			Shape: protocol.ShapeArray, Rank: "normal", Tasks: 4, Cpus: 1, MemoryGB: 1, Image: "i", EstimateS: 5}, 5*clock.Second, false))
+	}
+	d.WatchAnswers()
+	w.Run(160 * clock.Second)
+	for _, j := range small {
+		mustBeDone(t, w, j)
+	}
+	if len(huge.gone) < 500 {
+		t.Errorf("%d tasks of the huge array are done", len(huge.gone))
+	}
+}
--- /dev/null
+++ b/internal/testkit/scalefailover_test.go
@@ -0,0 +1,139 @@
+package testkit
+
+import (
+	"fmt"
+	"postpoint/internal/clock"
+	"postpoint/internal/fleet"
+	"postpoint/internal/protocol"
+	"postpoint/internal/settings"
+	"testing"
+)
+
+// Six hundred machines on controllers whose processor is short: each message takes 2 ms,
+// half of it for reports alone while nothing happens. A burst of jobs comes, and the
+// leader ends with all of them at work. No reachable worker loses its lease, submissions
+// are accepted within two seconds, and the next leader has heard of every machine, and
+// has work started, within 15 s of the end.
+func TestSmallControllersKeepLeases(t *testing.T) {
+	t.Parallel()
+	w := NewWorld(19)
+	set := testSettings()
+	set.Deployment.Workers = settings.Workers{ReportS: 2.5, LeaseS: 16, GangWaitS: 40, GangPeerS: 5, CancelS: 36}
+	set.Deployment.State = settings.State{Rps: 100, WriteRps: 30, ValueKb: 32, TxnOps: 12}
+	set.Deployment.MachineLimits.CPU = 0.05
+	d := NewDeployment(w, set, testTypes(), 0)
+	d.State.Kept, d.State.Page = 10_000, 500
+	d.Cloud.Reliable = true
+	d.Cloud.Capacity = map[fleet.Kind]int{{Type: "small", Zone: "a"}: 400, {Type: "small", Zone: "b"}: 200}
+	w.MessageCost = 2 * clock.Millisecond
+	submit := func(tasks int, run clock.Micros) {
+		d.Submit(protocol.JobSpec{ID: fmt.Sprintf("job-%06d", len(d.order)), Class: "c", Team: "open", Shape: protocol.ShapeArray,
+			Rank: "normal", Tasks: tasks, Cpus: 2, MemoryGB: 1, Image: "i", EstimateS: run.Seconds()}, run, false)
+	}
+	for i := range clock.Micros(5) {
+		w.After(i*clock.Second, func() { submit(400, 120*clock.Second) })
+	}
+	for i := range clock.Micros(40) { // ten a second, of which the state service takes 30
+		w.After(60*clock.Second+i*100*clock.Millisecond, func() { submit(8, 40*clock.Second) })
+	}
+	const end = 90 * clock.Second
+	w.After(end, func() {
+		if up := len(d.Workers()); up < 550 {
+			t.Errorf("only %d machines are up", up)
+		}
+		old := d.Nodes[leading(t, d)]
+		old.Crash()
+		w.After(6*clock.Second, func() { d.StartNode(old) })
+	})
+	w.After(end+15*clock.Second, func() {
+		heir := d.Nodes[leading(t, d)]
+		heard := 0
+		for _, m := range d.Workers() {
+			if heir.Dispatch.Knows(m.name) && m.epoch > 1 {
+				heard++
+			}
+		}
+		if all := len(d.Workers()); heard < all {
+			t.Errorf("the next leader has answered %d of %d machines after 15 s", heard, all)
+		}
+		submit(10, 20*clock.Second)
+	})
+	w.Run(400 * clock.Second)
+	if left := d.Unfinished(); len(w.Broken) > 0 || len(left) > 0 {
+		t.Fatalf("broken %v, accepted but not done %v", w.Broken[:min(len(w.Broken), 5)], left)
+	}
+	for _, m := range d.Cloud.all {
+		if m.session > 1 {
+			t.Errorf("%s lost its lease", m.name)
+		}
+	}
+	for _, j := range d.order {
+		if took := j.acceptedAt - j.submitted; took > 2*clock.Second {
+			t.Errorf("%s was accepted after %.1f s", j.spec.ID, took.Seconds())
+		}
+	}
+	if last := d.order[len(d.order)-1]; last.began-last.submitted > 30*clock.Second {
+		t.Errorf("a job submitted to the next leader began after %.1f s", (last.began - last.submitted).Seconds())
+	}
+}
+
+// Four thousand machines with services among the work: the leader ends, and before the next
+// has heard of everybody a zone of a thousand machines is gone for good. Replicas that ran
+// there run elsewhere, each once, all work is done, and what is asked of the outside systems
+// stays in proportion.
+func TestFourThousandMachinesLoseAZone(t *testing.T) {
+	t.Parallel()
+	w := NewWorld(20)
+	set := tighteningSettings()
+	set.Deployment.Workers = settings.Workers{ReportS: 6, LeaseS: 31, GangWaitS: 40, GangPeerS: 5, CancelS: 51}
+	set.Deployment.State.Rps, set.Deployment.State.WriteRps = 250, 70
+	set.Deployment.Cloud.Rps = 12
+	d := NewDeployment(w, set, testTypes(), 0)
+	d.State.Kept, d.State.Page = 10_000, 500
+	d.Cloud.Reliable = true
+	d.Cloud.Capacity = map[fleet.Kind]int{{Type: "small", Zone: "a"}: 3000, {Type: "small", Zone: "b"}: 1000}
+	d.State.Limit(set.Deployment.State.Tightest(), false)
+	submit := func(shape, rank string, tasks int, cpus float64, run clock.Micros) *Job {
+		return d.Submit(protocol.JobSpec{ID: fmt.Sprintf("job-%06d", len(d.order)), Class: shape, Team: "open", Shape: shape,
+			Rank: rank, Tasks: tasks, Cpus: cpus, MemoryGB: 1, Image: "i", Spread: shape == protocol.ShapeService, EstimateS: run.Seconds()}, run, false)
+	}
+	for i := range clock.Micros(8) {
+		w.After(i*2*clock.Second, func() { submit(protocol.ShapeArray, "normal", 975, 4, 150*clock.Second) })
+	}
+	var services []*Job
+	for i := range clock.Micros(20) {
+		w.After(60*clock.Second+i*clock.Second, func() { services = append(services, submit(protocol.ShapeService, "prod", 6, 1, 0)) })
+	}
+	w.After(120*clock.Second, func() {
+		if up := len(d.Workers()); up < 3900 {
+			t.Errorf("only %d machines are up", up)
+		}
+		old := d.Nodes[leading(t, d)]
+		old.Crash()
+		w.After(3*clock.Second, func() { d.StartNode(old) })
+	})
+	w.After(124*clock.Second, func() {
+		for _, m := range d.Workers() {
+			if m.zone == "b" {
+				m.Die()
+			}
+		}
+		d.Cloud.Capacity[fleet.Kind{Type: "small", Zone: "b"}] = 0
+	})
+	w.Run(200 * clock.Second)
+	for _, j := range services {
+		running := 0
+		for _, on := range j.places {
+			running += len(on)
+		}
+		// Spread lets half of them, rounded up, be in the zone that is left.
+		if running < 3 {
+			t.Errorf("%s: %d replicas run 76 s after the zone was lost", j.spec.ID, running)
+		}
+	}
+	w.Run(600 * clock.Second)
+	if left := d.Unfinished(); len(w.Broken) > 0 || len(left) > 0 {
+		t.Fatalf("broken %v, accepted but not done %v", w.Broken[:min(len(w.Broken), 5)], left)
+	}
+	d.mustHaveUsed(t, used{changes: 3400, requests: 8000, calls: 1200, plans: 2900, commands: 8500})
+}
--- /dev/null
+++ b/internal/testkit/services_test.go
@@ -0,0 +1,85 @@
+package testkit
+
+import (
+	"postpoint/internal/clock"
+	"postpoint/internal/protocol"
+	"testing"
+)
+
+// Replicas that end by themselves run again, the service is never told done, and once it
+// is cancelled nothing of it is left.
+func TestServicesRunUntilCancelled(t *testing.T) {
+	t.Parallel()
+	w := NewWorld(260)
+	d := NewDeployment(w, tighteningSettings(), testTypes(), 0)
+	spec := array("job-000001", "open", 4, 1, 0)
+	spec.Shape, spec.Rank, spec.Spread = protocol.ShapeService, "prod", true
+	j := d.Submit(spec, 40*clock.Second, false) // each replica ends after 20 to 60 s
+	served, samples := 0, 0
+	w.Run(60 * clock.Second)
+	w.Every(clock.Second, func() {
+		if j.wantsEnd {
+			return
+		}
+		samples += spec.Tasks
+		for n := range spec.Tasks {
+			served += min(len(j.places[n]), 1)
+		}
+	})
+	w.Run(400 * clock.Second)
+	if j.told != "" {
+		t.Fatalf("its user was told %q", j.told)
+	}
+	if served*100 < samples*85 {
+		t.Errorf("%d of %d replica seconds were served", served, samples)
+	}
+	confirmCancel(w, d, j)
+	w.Run(w.Now() + 60*clock.Second)
+	mustKeepRules(t, w)
+	for n, on := range j.places {
+		if len(on) > 0 {
+			t.Errorf("replica %d still runs", n)
+		}
+	}
+}
+
+// Machines with replicas hang or are cut off: the replicas run elsewhere well before their
+// leases have ended, each of them once.
+func TestReplicasOfSilentMachinesRunElsewhereSoon(t *testing.T) {
+	t.Parallel()
+	w := NewWorld(261)
+	set := tighteningSettings()
+	set.Deployment.Workers.LeaseS, set.Deployment.Workers.CancelS = 25, 45
+	d := NewDeployment(w, set, testTypes(), 0)
+	d.Cloud.Reliable = true
+	spec := array("job-000001", "open", 6, 4, 0)
+	spec.Shape, spec.Rank, spec.Spread = protocol.ShapeService, "prod", true
+	j := d.Submit(spec, 0, false)
+	d.Submit(array("job-000002", "open", 8, 4, 600), 600*clock.Second, false)
+	w.Run(80 * clock.Second)
+	var lost *Worker
+	for _, on := range j.places {
+		for m := range on {
+			lost = m
+		}
+	}
+	lost.Hung = true
+	at := w.Now()
+	away := func() bool {
+		for n := range spec.Tasks {
+			if len(j.places[n]) == 0 || j.places[n][lost] {
+				return true
+			}
+		}
+		return false
+	}
+	for away() && w.Now() < at+60*clock.Second {
+		w.Run(w.Now() + 100*clock.Millisecond)
+	}
+	if took := w.Now() - at; took > 20*clock.Second {
+		t.Errorf("all replicas run again after %.1f s", took.Seconds())
+	}
+	lost.Resume()
+	w.Run(w.Now() + 60*clock.Second)
+	mustKeepRules(t, w)
+}
--- /dev/null
+++ b/internal/testkit/transfer_test.go
@@ -0,0 +1,154 @@
+package testkit
+
+import (
+	"fmt"
+	"postpoint/internal/clock"
+	"postpoint/internal/delegation"
+	"postpoint/internal/fleet"
+	"postpoint/internal/ledger"
+	"postpoint/internal/protocol"
+	"postpoint/internal/settings"
+	"strings"
+	"testing"
+)
+
+// transfer is two cells, the first of which has no machines: all of its job's tasks go to the
+// second, which has few. Some time later the first gets machines, for a short job, and what
+// waits comes back.
+type transfer struct {
+	w          *World
+	home, host *Deployment
+	job        *Job
+	history    *History
+}
+
+const homeGrowsAt = 45 * clock.Second
+
+func newTransfer(seed uint64, gang bool) *transfer {
+	w := NewWorld(seed)
+	g := NewGroup(w, []*settings.Settings{testSettings(), testSettings()}, testTypes()[:1], groupGuests,
+		"[[spill]]\nfrom = \"alpha\"\nto = [\"beta\"]\n", 0)
+	x := &transfer{w: w, home: g.Cells[0], host: g.Cells[1]}
+	x.history = NewHistory(w, g.Cells...)
+	for _, d := range g.Cells {
+		d.Cloud.Reliable = true
+		clear(d.Cloud.Capacity)
+	}
+	x.host.Cloud.Capacity[fleet.Kind{Type: "small", Zone: "a"}] = 2
+	w.Run(10 * clock.Second)
+	spec := array("job-000001", "open", 20, 4, 25)
+	if gang {
+		spec.Shape, spec.Tasks, spec.CheckpointS, spec.SaveS = protocol.ShapeGang, 4, 5, 1
+	}
+	x.job = x.home.Submit(spec, 25*clock.Second, false)
+	x.host.Submit(array("job-000001", "open", 1, 4, 20), 20*clock.Second, false) // the same id
+	w.After(homeGrowsAt, func() {
+		x.home.Cloud.Capacity[fleet.Kind{Type: "small", Zone: "b"}] = 4
+		x.home.Submit(array("job-000002", "open", 8, 4, 3), 3*clock.Second, false)
+	})
+	return x
+}
+
+// steps are the states that a transfer goes through, each with how it shows.
+var steps = []struct {
+	name    string
+	reached func(x *transfer) bool
+	gang    bool // a gang reaches it, too
+}{
+	{"placed with the host", func(x *transfer) bool { return x.elsewhere() > 0 }, true},
+	{"offered", func(x *transfer) bool { return x.inState(delegation.Offered) }, true},
+	{"recorded by the host", func(x *transfer) bool { return x.guest() != nil }, true},
+	{"accepted", func(x *transfer) bool { return x.inState(delegation.Accepted) }, true},
+	{"running", func(x *transfer) bool { return len(x.job.places) > 0 }, true},
+	{"partly done", func(x *transfer) bool { return len(x.job.gone) > 0 }, false},
+	{"done tasks at home", func(x *transfer) bool { return x.done() > 0 }, true},
+	{"recalled", func(x *transfer) bool { return x.inState(delegation.Recalled) }, false},
+	{"closed", func(x *transfer) bool { return x.guest() != nil && x.guest().Guest.Closed }, false},
+	{"over for the host", func(x *transfer) bool { return x.guest() != nil && x.guest().Final() }, true},
+	{"forgotten by home", func(x *transfer) bool { return x.guest() != nil && !x.delegated() }, true},
+	{"forgotten by the host", func(x *transfer) bool { return x.done() > 0 && x.guest() == nil && !x.delegated() }, true},
+}
+
+func (x *transfer) elsewhere() int {
+	n := 0
+	if j := x.home.State.record(x.job.spec.ID); j != nil {
+		for _, p := range j.Placed {
+			if p.Host() != "" {
+				n++
+			}
+		}
+	}
+	return n
+}
+
+func (x *transfer) done() int {
+	if j := x.home.State.record(x.job.spec.ID); j != nil {
+		return j.Done.Len()
+	}
+	return 0
+}
+
+func (x *transfer) records() []delegation.Record {
+	var records []delegation.Record
+	for key, e := range x.home.State.keys {
+		if strings.HasPrefix(key, delegation.Prefix) {
+			if r, err := delegation.DecodeRecord(key, e.value); err == nil {
+				records = append(records, r)
+			}
+		}
+	}
+	return records
+}
+
+func (x *transfer) delegated() bool { return len(x.records()) > 0 }
+
+func (x *transfer) inState(s delegation.State) bool {
+	for _, r := range x.records() {
+		if r.State == s {
+			return true
+		}
+	}
+	return false
+}
+
+func (x *transfer) guest() *ledger.Job {
+	for key := range x.host.State.keys {
+		id := strings.TrimPrefix(key, ledger.Prefix)
+		if _, _, _, guest := ledger.ParseGuestID(id); guest {
+			return x.host.State.record(id)
+		}
+	}
+	return nil
+}
+
+// runTo plays until a step is reached, or until it is too late for it.
+func (x *transfer) runTo(reached func(x *transfer) bool) bool {
+	for x.w.Now() < 200*clock.Second {
+		if reached(x) {
+			return true
+		}
+		x.w.Run(x.w.Now() + 5*clock.Millisecond)
+	}
+	return false
+}
+
+// finish plays to the end and judges.
+func (x *transfer) finish(t *testing.T, step string) {
+	t.Helper()
+	x.w.Run(x.w.Now() + 300*clock.Second)
+	wrong := x.w.Broken
+	if x.job.told == protocol.StatusDone {
+		wrong = append(wrong, x.history.Judge([]*Job{x.job})...)
+	}
+	if x.job.told == "" {
+		wrong = append(wrong, fmt.Sprintf("%d of %d tasks are done", x.done(), x.job.spec.Tasks))
+	}
+	for _, d := range []*Deployment{x.home, x.host} {
+		if left := d.State.delegations(); len(left) > 0 {
+			wrong = append(wrong, fmt.Sprintf("%s still has %v", d.name, left))
+		}
+	}
+	if len(wrong) > 0 {
+		t.Errorf("%s: %v", step, wrong)
+	}
+}
--- /dev/null
+++ b/internal/testkit/zonefixture_test.go
@@ -0,0 +1,144 @@
+package testkit
+
+import (
+	"fmt"
+	"postpoint/internal/clock"
+	"postpoint/internal/dispatch"
+	"postpoint/internal/fleet"
+	"postpoint/internal/protocol"
+	"postpoint/internal/recovery"
+	"postpoint/internal/settings"
+	"strings"
+	"testing"
+)
+
+// zoneDay is a deployment of two zones with recoveries switched on.
+func zoneDay(seed uint64, change func(*settings.Settings)) (*World, *Deployment, *History) {
+	w := NewWorld(seed)
+	set := testSettings()
+	set.Deployment.Zones = []string{"a", "b"}
+	if change != nil {
+		change(set)
+	}
+	d := prepare(w, set, testTypes(), 0, false)
+	s := recovery.Defaults()
+	d.Recovery = &s
+	d.Cloud.Reliable = true
+	for _, n := range d.Nodes {
+		d.StartNode(n)
+	}
+	return w, d, NewHistory(w, d)
+}
+
+// capacity makes a deployment of so many small machines in each zone.
+func (d *Deployment) capacity(machines int) {
+	clear(d.Cloud.Capacity)
+	for _, zone := range []string{"a", "b"} {
+		d.Cloud.Capacity[fleet.Kind{Type: "small", Zone: zone}] = machines
+	}
+}
+
+// zones is what the leader says of them, by name.
+func (d *Deployment) zones() map[string]dispatch.ZoneOverview {
+	all := map[string]dispatch.ZoneOverview{}
+	if n := d.Leader(); n != nil {
+		n.Dispatch.Overview(func(o any) {
+			for _, z := range o.(dispatch.Overview).Zones {
+				all[z.Zone] = z
+			}
+		})
+		d.World.Run(d.World.now + clock.Millisecond)
+	}
+	return all
+}
+
+// awaitPhase plays until the leader has a zone in a phase.
+func (d *Deployment) awaitPhase(t *testing.T, zone string, p recovery.Phase, most clock.Micros) {
+	t.Helper()
+	for until := d.World.now + most; d.World.now < until; d.World.Run(d.World.now + 100*clock.Millisecond) {
+		if d.zones()[zone].Phase == p {
+			return
+		}
+	}
+	t.Fatalf("zone %s isn't %s after %.0f s: %+v", zone, p, most.Seconds(), d.zones()[zone])
+}
+
+// watchGangs sees to it that no gang is in pieces for long: placed in part, by its record, for
+// longer than a gang waits for its tasks, a lease and the time to notice; while the nodes or what
+// they need are troubled the record may be behind.
+func (d *Deployment) watchGangs() {
+	workers := d.Settings.Deployment.Workers
+	longest := clock.FromSeconds(workers.GangWaitS+workers.LeaseS+workers.GangPeerS) + workers.KeepAlive() + 10*clock.Second
+	since := map[string]clock.Micros{}
+	d.World.Every(clock.Second, func() {
+		for _, j := range d.order {
+			r := d.State.wholeRecord(j.spec.ID)
+			if r == nil || !j.spec.Gang() || r.Final() || len(r.Placed) == 0 || len(r.Placed) == j.spec.Tasks {
+				delete(since, j.spec.ID)
+			} else if since[j.spec.ID] == 0 {
+				since[j.spec.ID] = d.World.now
+			} else if d.World.now > max(since[j.spec.ID], d.disturbedAt)+longest {
+				d.World.Break("gang_in_pieces", "%s: %d of %d tasks", j.spec.ID, len(r.Placed), j.spec.Tasks)
+				since[j.spec.ID] = d.World.now
+			}
+		}
+	})
+}
+
+func gang(id string, tasks int, seconds float64) protocol.JobSpec {
+	s := array(id, "open", tasks, 4, seconds)
+	s.Shape, s.CheckpointS, s.SaveS = protocol.ShapeGang, 5, 1
+	return s
+}
+
+func mustBeJudged(t *testing.T, what string, w *World, h *History, jobs ...*Job) {
+	t.Helper()
+	wrong := append([]string(nil), w.Broken...)
+	for _, j := range jobs {
+		if j.told == "" {
+			wrong = append(wrong, fmt.Sprintf("%s: %d of %d tasks are done", j.spec.ID, len(j.gone), j.spec.Tasks))
+		}
+	}
+	if len(wrong) == 0 {
+		wrong = h.Judge(jobs)
+	}
+	if len(wrong) > 0 {
+		t.Errorf("%s: %s", what, strings.Join(wrong, "\n"))
+	}
+}
+
+// count is how many of a job's tasks are in a state on machines.
+func (d *Deployment) count(j *Job, status string) int {
+	n := 0
+	for _, m := range d.Cloud.all {
+		for _, t := range m.tasks {
+			if m.d.find(t.job) == j && t.status == status {
+				n++
+			}
+		}
+	}
+	return n
+}
+
+// mustBeJudgedIfDone leaves jobs out that were cancelled.
+func mustBeJudgedIfDone(t *testing.T, what string, w *World, h *History, jobs []*Job) {
+	t.Helper()
+	var done []*Job
+	for _, j := range jobs {
+		if j.told != protocol.StatusCancelled {
+			done = append(done, j)
+		}
+	}
+	mustBeJudged(t, what, w, h, done...)
+}
+
+// displaced are open jobs that are marked as having lost tasks with a zone though none is missing.
+func (d *Deployment) displaced() []string {
+	var ids []string
+	for _, j := range d.order {
+		if r := d.State.wholeRecord(j.spec.ID); r != nil && !r.Final() && r.Displaced != "" && r.PendingCount() == 0 {
+			ids = append(ids, j.spec.ID)
+		}
+	}
+	return ids
+}
--- /dev/null
+++ b/internal/testkit/zoneloss_test.go
@@ -0,0 +1,148 @@
+package testkit
+
+import (
+	"fmt"
+	"postpoint/internal/clock"
+	"postpoint/internal/fleet"
+	"postpoint/internal/protocol"
+	"postpoint/internal/recovery"
+	"testing"
+)
+
+// A zone's sockets are cut at every step of a gang's rebuild, for less than a lease, for longer and
+// for several: each gang ends whole, nothing runs twice, also once the zone is back with what it
+// believes to own.
+func TestZoneIsCutAtEveryStepOfARebuild(t *testing.T) {
+	steps := []struct {
+		name    string
+		reached func(d *Deployment, j *Job) bool
+	}{
+		{"accepted", func(_ *Deployment, j *Job) bool { return j.accepted() }},
+		{"placed", func(d *Deployment, j *Job) bool { return len(d.State.wholeRecord(j.spec.ID).Placed) > 0 }},
+		{"fetching", func(d *Deployment, j *Job) bool { return d.count(j, protocol.TaskFetching) > 0 }},
+		{"waiting", func(d *Deployment, j *Job) bool { return d.count(j, protocol.TaskWaiting) > 0 }},
+		{"running", func(d *Deployment, j *Job) bool { return d.count(j, protocol.TaskRunning) == j.spec.Tasks }},
+		{"running for long", func(d *Deployment, j *Job) bool { return j.began != 0 && d.World.now > j.began+12*clock.Second }},
+		{"rebuilt", func(d *Deployment, j *Job) bool { r := d.State.wholeRecord(j.spec.ID); return r.NextAttempt > 1 }},
+	}
+	for i, step := range steps {
+		t.Run(step.name, func(t *testing.T) {
+			t.Parallel()
+			for k, long := range []clock.Micros{5 * clock.Second, 20 * clock.Second, 70 * clock.Second} {
+				for _, zone := range []string{"a", "b"} {
+					w, d, h := zoneDay(uint64(5000+10*i+k), nil)
+					d.capacity(4)
+					d.watchGangs()
+					w.Run(20 * clock.Second)
+					j := d.Submit(gang("job-000001", 8, 25), 25*clock.Second, false)
+					other := d.Submit(array("job-000002", "open", 6, 2, 20), 20*clock.Second, false)
+					if step.name == "rebuilt" {
+						w.After(30*clock.Second, func() { w.After(40*clock.Second, d.CutZone("a", true)) })
+					}
+					for w.Now() < 150*clock.Second && !(d.State.wholeRecord(j.spec.ID) != nil && step.reached(d, j)) {
+						w.Run(w.Now() + 20*clock.Millisecond)
+					}
+					w.After(long, d.CutZone(zone, k%2 == 0))
+					w.Run(w.Now() + 400*clock.Second)
+					mustBeJudged(t, fmt.Sprintf("zone %s, %.0f s", zone, long.Seconds()), w, h, j, other)
+				}
+			}
+		})
+	}
+}
+
+// What else fails while a zone is lost: the cloud, the state service, the leader again and again, an
+// upgrade; a cancellation is confirmed while its tasks are in the dark zone.
+func TestTroublesMeetALostZone(t *testing.T) {
+	t.Parallel()
+	for name, trouble := range map[string]func(d *Deployment, j *Job){
+		"cloud": func(d *Deployment, _ *Job) {
+			d.Cloud.Outage = true
+			d.World.After(45*clock.Second, func() { d.Cloud.Outage = false })
+		},
+		"state": func(d *Deployment, _ *Job) {
+			d.State.Outage(true)
+			d.World.After(45*clock.Second, func() { d.State.Outage(false) })
+		},
+		"leaders": func(d *Deployment, _ *Job) {
+			for i := range clock.Micros(6) {
+				d.World.After(i*9*clock.Second, func() { d.endLeader(2 * clock.Second) })
+			}
+		},
+		"upgrade":      func(d *Deployment, _ *Job) { d.Upgrade(8*clock.Second, 2*clock.Second) },
+		"cancellation": func(d *Deployment, j *Job) { d.Cancel(j) },
+		"slow state": func(d *Deployment, _ *Job) {
+			d.State.LateWrites = 0.3
+			d.World.After(60*clock.Second, func() { d.State.LateWrites = 0 })
+		},
+		"nothing else": func(*Deployment, *Job) {},
+	} {
+		for i, delay := range []clock.Micros{0, 4 * clock.Second, 12 * clock.Second, 26 * clock.Second} {
+			w, d, h := zoneDay(uint64(5600+i), nil)
+			d.capacity(5)
+			d.WatchService()
+			d.watchGangs()
+			w.Run(20 * clock.Second)
+			jobs := []*Job{d.Submit(array("job-000001", "open", 24, 2, 50), 50*clock.Second, false),
+				d.Submit(gang("job-000002", 6, 40), 40*clock.Second, false)}
+			w.Run(60 * clock.Second)
+			w.After(50*clock.Second, d.CutZone([]string{"a", "b"}[i%2], i > 1))
+			w.Run(w.Now() + delay)
+			trouble(d, jobs[0])
+			w.Run(600 * clock.Second)
+			mustBeJudgedIfDone(t, fmt.Sprintf("%s after %.0f s", name, delay.Seconds()), w, h, jobs)
+			if left := d.displaced(); len(left) > 0 {
+				t.Errorf("%s: %v are still marked as displaced", name, left)
+			}
+		}
+	}
+}
+
+// Work that another cell runs survives the loss of a zone there: the host recovers it like its own.
+func TestSpilledWorkSurvivesALostZone(t *testing.T) {
+	t.Parallel()
+	x := newTransfer(5700, false)
+	s := recovery.Defaults()
+	x.host.Recovery = &s
+	x.host.restart(100 * clock.Millisecond)
+	x.host.Cloud.Capacity[fleet.Kind{Type: "small", Zone: "b"}] = 2
+	if !x.runTo(steps[5].reached) {
+		t.Fatal("nothing is done elsewhere")
+	}
+	x.w.After(60*clock.Second, x.host.CutZone("a", false))
+	x.finish(t, "zone of the host")
+}
+
+// Days of random troubles with recoveries switched on, cuts of zones among them: every rule holds,
+// no gang stays in pieces, and all accepted work gets done.
+func TestRecoveriesHoldThroughTroubles(t *testing.T) {
+	for seed := range seeds(20) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
+			losses := 0
+			d := play(7000+seed, func(d *Deployment) {
+				s := recovery.Defaults()
+				d.Recovery = &s
+				for _, n := range d.Nodes { // they started before
+					n.Crash()
+					d.StartNode(n)
+				}
+				d.watchGangs()
+				w := d.World
+				for range 3 {
+					w.After(w.Between(30*clock.Second, 240*clock.Second), func() {
+						losses++
+						w.After(w.Between(2*clock.Second, 60*clock.Second), d.CutZone([]string{"a", "b"}[w.Rand.IntN(2)], w.chance(0.5)))
+					})
+				}
+			})
+			mustKeepRules(t, d.World)
+			if left := d.Unfinished(); len(left) > 0 {
+				t.Fatalf("accepted but not done: %v", left)
+			}
+			if left := d.displaced(); len(left) > 0 {
+				t.Errorf("%v are still marked as displaced", left)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/testkit/zonerecovery_test.go
@@ -0,0 +1,206 @@
+package testkit
+
+import (
+	"fmt"
+	"postpoint/internal/clock"
+	"postpoint/internal/fleet"
+	"postpoint/internal/protocol"
+	"postpoint/internal/recovery"
+	"postpoint/internal/settings"
+	"testing"
+)
+
+// A lost zone is told from a leader that is alone, keeps its number through leaders that end in
+// each phase, and is healthy again once it has been back for long enough.
+func TestRecoveryOutlivesLeaders(t *testing.T) {
+	t.Parallel()
+	for _, phase := range []recovery.Phase{recovery.Suspect, recovery.Lost, recovery.Returning} {
+		for zone, k := range map[string]int{"a": 0, "b": 1} { // with the leader inside, or most controllers
+			w, d, h := zoneDay(uint64(5200+k), nil)
+			d.capacity(4)
+			w.Run(20 * clock.Second)
+			j := d.Submit(array("job-000001", "open", 24, 2, 60), 60*clock.Second, false)
+			w.Run(50 * clock.Second)
+			heal := d.CutZone(zone, false)
+			w.After(60*clock.Second, heal)
+			d.awaitPhase(t, zone, phase, 100*clock.Second)
+			d.endLeader(3 * clock.Second)
+			w.Run(w.Now() + clock.Second)
+			for until := w.Now() + 30*clock.Second; d.Leader() == nil && w.Now() < until; {
+				w.Run(w.Now() + 100*clock.Millisecond)
+			}
+			if z := d.zones()[zone]; phase == recovery.Lost && z.Phase != recovery.Lost {
+				t.Errorf("zone %s, %s: the next leader has it %+v", zone, phase, z)
+			}
+			w.Run(200 * clock.Second)
+			if z := d.zones()[zone]; z.Phase != recovery.Healthy || z.Number != 1 {
+				t.Errorf("zone %s, leader ended while %s: %+v", zone, phase, z)
+			}
+			w.Run(500 * clock.Second)
+			mustBeJudged(t, string(phase), w, h, j)
+		}
+	}
+}
+
+// Zones that flap cost little: no work is moved for cuts that are shorter than a verdict, and the
+// more often it flaps the longer it gets nothing. Elections and rentals are bounded.
+func TestFlappingZones(t *testing.T) {
+	t.Parallel()
+	for name, c := range map[string]struct {
+		cuts, every, long clock.Micros // how many, how often, each for how long
+		losses            int64
+		rentals           int
+	}{
+		"twice within a minute":            {2, 40 * clock.Second, 15 * clock.Second, 2, 8},
+		"each few seconds for ten minutes": {75, 8 * clock.Second, 4 * clock.Second, 0, 3},
+		"often and for long":               {10, 60 * clock.Second, 25 * clock.Second, 5, 8},
+	} {
+		w, d, h := zoneDay(5300, nil)
+		d.capacity(2)
+		w.Run(20 * clock.Second)
+		j := d.Submit(array("job-000001", "open", 16, 2, 2000), 1000*clock.Second, false)
+		w.Run(50 * clock.Second)
+		d.capacity(8)
+		leader, machines := d.Leader(), len(d.Cloud.all)
+		zone := "a"
+		if leader.Zone == "a" {
+			zone = "b" // elections are another matter
+		}
+		epoch := d.State.keys["lead/controller"].version
+		for i := range c.cuts {
+			w.After(i*c.every, func() { w.After(c.long, d.CutZone(zone, i%2 == 0)) })
+		}
+		w.Run(w.Now() + c.cuts*c.every + 150*clock.Second)
+		z := d.zones()[zone]
+		if z.Number > c.losses || z.Phase != recovery.Healthy {
+			t.Errorf("%s: %d losses, %s", name, z.Number, z.Phase)
+		}
+		if n := len(d.Cloud.all) - machines; n > c.rentals {
+			t.Errorf("%s: %d machines rented, at most %d expected", name, n, c.rentals)
+		}
+		if e := d.State.keys["lead/controller"].version; e != epoch {
+			t.Errorf("%s: another leader was elected", name)
+		}
+		_, runs := h.Elsewhere()
+		t.Logf("%s: %d losses, %d machines rented, %d runs of %d tasks", name, z.Number, len(d.Cloud.all)-machines, runs, j.spec.Tasks)
+		mustKeepRules(t, w)
+	}
+}
+
+// With little room left, a lost zone's work starts in the written order, and what can't start is
+// named with its reason.
+func TestRecoveryKeepsItsOrder(t *testing.T) {
+	t.Parallel()
+	w, d, _ := zoneDay(5400, func(s *settings.Settings) { s.Deployment.Workers.GangWaitS = 60 })
+	d.Recovery.TasksPerS = 2
+	clear(d.Cloud.Capacity)
+	d.Cloud.Capacity[fleet.Kind{Type: "small", Zone: "a"}] = 12
+	d.Cloud.Capacity[fleet.Kind{Type: "small", Zone: "b"}] = 1
+	w.Run(20 * clock.Second)
+	stays := array("job-000006", "open", 1, 8, 600) // or nothing would be heard at all
+	stays.Zone = "b"
+	d.Submit(stays, 600*clock.Second, false)
+	deadline := 4000.0
+	service, due, whole, plain := array("job-000004", "open", 4, 4, 0), array("job-000003", "open", 4, 4, 60), gang("job-000002", 4, 60), array("job-000001", "open", 8, 4, 60)
+	service.Shape, due.DeadlineS = protocol.ShapeService, &deadline
+	bound := array("job-000005", "open", 2, 4, 60)
+	bound.Zone = "a"
+	var jobs []*Job
+	for _, s := range []protocol.JobSpec{plain, whole, due, service, bound} {
+		jobs = append(jobs, d.Submit(s, 100*clock.Second, false))
+	}
+	w.Run(60 * clock.Second)
+	if d.Leader().Zone == "a" {
+		d.Leader().Crash()
+		w.Run(w.Now() + 15*clock.Second)
+	}
+	d.Cloud.Capacity[fleet.Kind{Type: "small", Zone: "b"}] = 12
+	w.After(300*clock.Second, d.CutZone("a", false))
+	// Until when each job waited for its turn, and why the one that can't start doesn't.
+	turns := map[string]clock.Micros{}
+	reason := ""
+	for range 400 {
+		w.Run(w.Now() + 100*clock.Millisecond)
+		for _, x := range d.zones()["a"].Waiting {
+			if x.Why == "its turn" {
+				turns[x.Job] = w.Now()
+			} else if x.Job == bound.ID {
+				reason = x.Why
+			}
+		}
+	}
+	order := []string{service.ID, due.ID, whole.ID, plain.ID}
+	for i := 1; i < len(order); i++ {
+		if turns[order[i]] < turns[order[i-1]] || turns[plain.ID] == 0 {
+			t.Errorf("%s waits until %.1f s, %s until %.1f s", order[i-1], turns[order[i-1]].Seconds(), order[i], turns[order[i]].Seconds())
+		}
+	}
+	if reason != "its zone" {
+		t.Errorf("what is bound to the lost zone waits for %q", reason)
+	}
+	for i, j := range jobs[:4] {
+		for task := range j.spec.Tasks {
+			if len(j.places[task]) == 0 {
+				t.Errorf("task %d of job %d doesn't run", task, i)
+			}
+		}
+	}
+	mustKeepRules(t, w)
+}
+
+// Nothing is rented in a zone that isn't well, machines for its work boot before its tasks are
+// proven gone, and all of it runs again sooner than without.
+func TestRecoveryIsFaster(t *testing.T) {
+	t.Parallel()
+	took := map[bool]clock.Micros{}
+	for i := range uint64(16) {
+		on := i%2 == 1
+		w, d, h := zoneDay(5500+i/2, nil)
+		if !on {
+			d.Recovery = nil
+			for _, n := range d.Nodes {
+				n.Crash()
+				d.StartNode(n)
+			}
+		}
+		d.capacity(4)
+		w.Run(20 * clock.Second)
+		j := d.Submit(array("job-000001", "open", 32, 2, 400), 400*clock.Second, false)
+		w.Run(60 * clock.Second)
+		d.capacity(8)
+		zone := map[string]string{"a": "b", "b": "a"}[d.Leader().Zone]
+		before := len(d.Cloud.all)
+		cutAt := w.Now()
+		w.After(90*clock.Second, d.CutZone(zone, false))
+		running := func() (n int) {
+			for _, places := range j.places {
+				for m := range places {
+					if m.zone != zone {
+						n++
+						break
+					}
+				}
+			}
+			return n
+		}
+		for running() < j.spec.Tasks && w.Now() < cutAt+80*clock.Second {
+			w.Run(w.Now() + 100*clock.Millisecond)
+		}
+		took[on] += (w.Now() - cutAt) / 8
+		there := 0
+		for _, m := range d.Cloud.all[before:] {
+			if m.zone == zone && m.rentedAt > cutAt+5*clock.Second {
+				there++
+			}
+		}
+		if on && there > 0 {
+			t.Errorf("%d machines were rented in the lost zone", there)
+		}
+		w.Run(900 * clock.Second)
+		mustBeJudged(t, fmt.Sprint(on), w, h, j)
+	}
+	t.Logf("all tasks run again after %.1f s, without recoveries after %.1f s", took[true].Seconds(), took[false].Seconds())
+	if took[true] > took[false] {
+		t.Errorf("all tasks run again after %.1f s, without recoveries after %.1f s", took[true].Seconds(), took[false].Seconds())
+	}
+}
