--- a/internal/testkit/cancellation_test.go
+++ b/internal/testkit/cancellation_test.go
@@ -9,7 +9,7 @@
 
 // A leader left alone with the workers keeps their tasks alive only for as
 // long as a cancellation, accepted on the other side, can wait.
-func TestCutOffLeaderLetsCancelledTasksGo(t *testing.T) {
+func TestPartitionedLeaderLetsCancelledTasksExpire(t *testing.T) {
 	w := NewWorld(3)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
 	spec := array("job-000001", "open", 4, 2, 500)
@@ -39,7 +39,7 @@
 
 // In the gap a machine reaches no controller, and direct commands reach it only once the
 // leader's lease is over: they end what is cancelled there all the same.
-func TestRefusedLeaderEndsByCommand(t *testing.T) {
+func TestRefusedLeaderStopsCancelledTasksByCommand(t *testing.T) {
 	w, d, j, _ := twoJobs(t, 37, 300*clock.Second)
 	d.Nodes[leading(t, d)].State.Refused = true
 	mute := sortedKeys(j.places[0])[0]
@@ -58,7 +58,7 @@
 
 // Leaders change every few seconds while a machine hangs with what was cancelled. The
 // time of the cancellation is the record's: none of them puts the return off.
-func TestChangingLeadersReturnHungMachinesInTime(t *testing.T) {
+func TestFailoversDontDelayReleaseOfHungWorkers(t *testing.T) {
 	w, d, j, other := twoJobs(t, 42, 200*clock.Second)
 	hung := sortedKeys(j.places[0])[0]
 	d.Cancel(j)
@@ -85,7 +85,7 @@
 
 // The cloud refuses everything while a machine hangs with what was cancelled: its
 // return is asked for again until the cloud answers, before any other.
-func TestRefusedReturnsGoAgain(t *testing.T) {
+func TestRefusedReleasesAreRetried(t *testing.T) {
 	w, d, j, _ := twoJobs(t, 43, 300*clock.Second)
 	hung := sortedKeys(j.places[0])[0]
 	d.Cancel(j)
@@ -101,7 +101,7 @@
 
 // A job is cancelled, and all controllers are away for longer than the workers' lease
 // before its tasks could be stopped.
-func TestAllControllersAwayAfterACancellation(t *testing.T) {
+func TestCancellationSurvivesLossOfAllControllers(t *testing.T) {
 	w, d, j, other := twoJobs(t, 47, 100*clock.Second)
 	d.Cancel(j)
 	for j.told == "" {
@@ -118,7 +118,7 @@
 
 // A team is at its limit, the leader changes, some of its machines can't be asked, and
 // its job is cancelled: the room counts as taken until each place is proven empty.
-func TestCancelledRoomCountsUntilProof(t *testing.T) {
+func TestCancelledTasksCountAgainstQuotaUntilProvenGone(t *testing.T) {
 	for seed := uint64(51); seed < 55; seed++ {
 		w := NewWorld(seed)
 		d := NewDeployment(w, testSettings(), testTypes(), 0)
@@ -150,7 +150,7 @@
 
 // Cancellations, questions and repeated submissions meet the end of the last task:
 // whatever users are told first stays, and the job ends once.
-func TestCancellationsMeetTheEnd(t *testing.T) {
+func TestCancellationRacesWithCompletion(t *testing.T) {
 	w := NewWorld(71)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
 	d.CancelAtEnd = 1
--- a/internal/testkit/celloperations_test.go
+++ b/internal/testkit/celloperations_test.go
@@ -13,7 +13,7 @@
 
 // The other cell is gone for good while it runs work: home does it itself, once nothing can
 // be running there any more, and not later.
-func TestWorkComesBackFromALostCell(t *testing.T) {
+func TestTasksReturnFromALostHostCell(t *testing.T) {
 	t.Parallel()
 	x := newTransfer(4400, false)
 	if !x.runTo(steps[5].reached) {
@@ -42,7 +42,7 @@
 
 // Controllers get the cells file one after another, and lose it again in the middle of a
 // transfer: nothing is delegated before all of them have it, and all of it comes back.
-func TestCellsAreSwitchedOnAndOff(t *testing.T) {
+func TestCellsAreSwitchedOnAndOffDuringADelegation(t *testing.T) {
 	t.Parallel()
 	x := newTransfer(4500, false)
 	behind := x.home.Nodes[2]
@@ -85,7 +85,7 @@
 }
 
 // What another cell does, or that it is gone, changes nothing for a cell's own work.
-func TestOtherCellsCostLittle(t *testing.T) {
+func TestOtherCellsDontDelayOwnJobs(t *testing.T) {
 	t.Parallel()
 	starts := map[string]clock.Micros{}
 	for name, neighbour := range map[string]func(w *World, g *Group){
@@ -134,7 +134,7 @@
 
 // A cell is drained by its operators while it runs another's work: all of that comes back, with
 // what ran stopped in order, and nothing more goes there.
-func TestDrainedCellsGiveBack(t *testing.T) {
+func TestDrainedCellReturnsHostedJobs(t *testing.T) {
 	t.Parallel()
 	x := newTransfer(4700, true)
 	if !x.runTo(steps[4].reached) {
@@ -162,7 +162,7 @@
 
 // Without a cells file nothing of cells is stored: the keys, and the format that controllers
 // publish, are those of the version before.
-func TestNothingChangesWithoutCells(t *testing.T) {
+func TestStoreIsUnchangedWithoutCellsFile(t *testing.T) {
 	t.Parallel()
 	puts := 0
 	d := play(7, func(d *Deployment) {
--- a/internal/testkit/cells_test.go
+++ b/internal/testkit/cells_test.go
@@ -60,7 +60,7 @@
 
 // One cell is filled, its work spills, and every task of all cells completes exactly once.
 // Ids that several cells use by themselves stay apart.
-func TestWorkSpillsAndCompletesOnce(t *testing.T) {
+func TestOffloadedTasksCompleteExactlyOnce(t *testing.T) {
 	t.Parallel()
 	w := NewWorld(300)
 	g := group(w, 0)
@@ -152,7 +152,7 @@
 
 // Cells keep every rule, each for itself and all together, through random troubles, and
 // complete every job exactly once.
-func TestCellsHoldThroughTroubles(t *testing.T) {
+func TestCellsKeepRulesUnderRandomFaults(t *testing.T) {
 	spilled := 0
 	for seed := range seeds(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/testkit/delegationfaults_test.go
+++ b/internal/testkit/delegationfaults_test.go
@@ -47,7 +47,7 @@
 
 // Every fault at every step of a transfer, short and long: nothing runs twice, what is
 // cancelled is gone in time, all of the job gets done, and nothing of the transfer is left.
-func TestTroubleAtEveryStepOfATransfer(t *testing.T) {
+func TestFaultAtEveryStepOfADelegation(t *testing.T) {
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -67,7 +67,7 @@
 }
 
 // A leader ends after any request that it sends while a transfer is under way.
-func TestLeadersEndAfterAnyRequestOfATransfer(t *testing.T) {
+func TestLeaderCrashAfterAnyRequestOfADelegation(t *testing.T) {
 	for i, name := range []string{"home", "host"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -86,7 +86,7 @@
 
 // The other cell's machines hold what is cancelled, and everything that could end it there
 // fails at that moment, or a moment before: it is gone in time all the same.
-func TestCancelledWorkIsGoneFromOtherCells(t *testing.T) {
+func TestCancelledTasksEndInHostCells(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]func(x *transfer){
 		"nothing more":       func(*transfer) {},
--- a/internal/testkit/failover_test.go
+++ b/internal/testkit/failover_test.go
@@ -10,7 +10,7 @@
 
 // Ten leaders in two minutes, an outage among them: no task is lost, and the tasks of
 // jobs that end far apart each end once.
-func TestManyLeadersLoseNothing(t *testing.T) {
+func TestRepeatedFailoversLoseNoTask(t *testing.T) {
 	w, d, _, other := twoJobs(t, 46, 200*clock.Second)
 	apart := d.Submit(array("job-000003", "open", 3, 2, 80), 80*clock.Second, false)
 	for i := range 10 {
@@ -39,7 +39,7 @@
 
 // A leader that only the workers can't reach any more makes way in time for
 // their tasks to go on under another.
-func TestDeafLeaderMakesWay(t *testing.T) {
+func TestLeaderThatHearsNoWorkerResigns(t *testing.T) {
 	w := NewWorld(5)
 	set := testSettings()
 	set.Deployment.Workers.LeaseS, set.Deployment.Workers.CancelS = 16, 36
@@ -65,7 +65,7 @@
 // A node that is left with the workers only sends them on, without naming a
 // leader that it hasn't seen in office for a while, fails its health check and
 // answers users at once.
-func TestLoneNodeVouchesForNobody(t *testing.T) {
+func TestIsolatedControllerFailsItsHealthCheck(t *testing.T) {
 	for _, leads := range []bool{true, false} {
 		w, d, j := busyDay(t, 14, 60*clock.Second)
 		lone := d.Nodes[leading(t, d)]
@@ -105,7 +105,7 @@
 // leaves, its clocks running on: the leader at any step of an ordinary hour's work,
 // and each of the others at any step of an election and a takeover. Whatever it had
 // half done is old when it goes on, and what leaves then harms nothing.
-func TestControllerStandsStillAtAnyStep(t *testing.T) {
+func TestControllerPausesAtAnyRequest(t *testing.T) {
 	for _, electing := range []bool{false, true} {
 		for _, length := range []clock.Micros{2500 * clock.Millisecond, 7 * clock.Second, 37 * clock.Second} {
 			for step := 1; step <= 20; step++ {
--- a/internal/testkit/gangs_test.go
+++ b/internal/testkit/gangs_test.go
@@ -11,7 +11,7 @@
 
 // A gang that loses a task before it has started gets a replacement, with the
 // same attempt, and those that wait for it needn't start over.
-func TestGangIsCompletedBeforeItStarts(t *testing.T) {
+func TestLostTaskIsReplacedBeforeItsGangStarts(t *testing.T) {
 	w := NewWorld(9)
 	set := testSettings()
 	set.Deployment.Workers.GangWaitS = 90
@@ -52,7 +52,7 @@
 // A gang of which a part would have to wait for a machine to boot takes no places
 // until all of them are there: placed in part it would hold them, fail for want of
 // the rest and start over.
-func TestGangWaitsWholeForBootingMachines(t *testing.T) {
+func TestGangIsPlacedOnlyOnceAllItsWorkersAreUp(t *testing.T) {
 	w := NewWorld(15)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
 	d.Cloud.Capacity = map[fleet.Kind]int{{Type: "small", Zone: "a"}: 2}
@@ -86,7 +86,7 @@
 
 // A gang whose machine could be spared is moved off it as a whole, saving, and once:
 // until then a costly machine was paid for until the last task of a gang on it ended.
-func TestGangMovesOffSparedMachine(t *testing.T) {
+func TestGangIsMovedOffSurplusWorkerAsAWhole(t *testing.T) {
 	w := NewWorld(19)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
 	d.Cloud.Capacity = map[fleet.Kind]int{{Type: "small", Zone: "a"}: 3, {Type: "big", Zone: "a"}: 2}
@@ -123,7 +123,7 @@
 
 // A gang that the machines there are, and all that the cloud still has, can't hold
 // keeps no room from smaller work: it would for ever.
-func TestGangThatNeverFitsHoldsUpNobody(t *testing.T) {
+func TestGangThatNeverFitsReservesNoRoom(t *testing.T) {
 	w := NewWorld(91)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
 	d.Cloud.Reliable = true
--- a/internal/testkit/placement_test.go
+++ b/internal/testkit/placement_test.go
@@ -11,7 +11,7 @@
 
 // Arrays and gangs bound to one zone lose machines: what runs elsewhere is never in
 // another zone than what may still be there, and all of it gets done.
-func TestZoneBoundJobsLoseMachines(t *testing.T) {
+func TestZoneBoundJobsKeepTheirZoneWhenWorkersAreLost(t *testing.T) {
 	for seed := uint64(81); seed < 85; seed++ {
 		w := NewWorld(seed)
 		d := NewDeployment(w, testSettings(), testTypes(), 0)
@@ -52,7 +52,7 @@
 // The largest array that can be submitted is accepted at once, runs as far as its
 // record has room, and holds up neither smaller work that comes after it nor the
 // other nodes' answers.
-func TestHugeArrayHoldsUpNobody(t *testing.T) {
+func TestLargestArrayDelaysNoOtherJob(t *testing.T) {
 	w := NewWorld(20)
 	set := testSettings()
 	set.Deployment.Objectives = []settings.Objective{{Kind: "finished", Class: "small", WithinS: 60, Share: 0.9}}
--- a/internal/testkit/requests_test.go
+++ b/internal/testkit/requests_test.go
@@ -12,7 +12,7 @@
 
 // Users repeat submissions, cancel what is done, ask for what was never submitted, and
 // send what can't run or lacks a field: nothing of it is accepted, and nothing changes.
-func TestOddRequests(t *testing.T) {
+func TestInvalidAndRepeatedRequestsChangeNothing(t *testing.T) {
 	w, d, j := busyDay(t, 72, 30*clock.Second)
 	done := d.Submit(array("job-000003", "open", 1, 1, 5), 5*clock.Second, false)
 	for range 30 {
@@ -35,7 +35,7 @@
 
 // Nodes that start while the cloud doesn't answer judge submissions by the
 // catalogue that a leader left.
-func TestSubmissionsGoOnWhenNodesStartWithoutCloud(t *testing.T) {
+func TestSubmissionsAreAcceptedWhenControllersStartWithoutCloud(t *testing.T) {
 	w := NewWorld(6)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
 	w.Run(20 * clock.Second)
--- a/internal/testkit/rules_test.go
+++ b/internal/testkit/rules_test.go
@@ -433,7 +433,7 @@
 
 // Whole controllers keep every rule through crashes, cuts, outages, hung
 // machines and late messages, and get all accepted work done afterwards.
-func TestRulesHoldThroughTroubles(t *testing.T) {
+func TestRulesHoldUnderRandomFaults(t *testing.T) {
 	for seed := range seeds(60) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -455,7 +455,7 @@
 
 // The same seed gives the same course of events: what a failing day shows can
 // be looked at again.
-func TestDaysRepeat(t *testing.T) {
+func TestSameSeedGivesSameSimulation(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 5, 21} { // some of them with outages of the state service
 		a, b := play(seed), play(seed)
 		if a.World.seq != b.World.seq || a.State.revision != b.State.revision || a.State.Changes != b.State.Changes {
--- a/internal/testkit/scale_test.go
+++ b/internal/testkit/scale_test.go
@@ -15,7 +15,7 @@
 // largest jobs begin within four minutes, every job stays known, and what all
 // nodes ask of the state service, the cloud and the workers stays within the
 // settings' limits and in proportion to the tasks.
-func TestLargeDeploymentKeepsToItsBudgets(t *testing.T) {
+func TestLargeDeploymentStaysWithinRequestBudgets(t *testing.T) {
 	t.Parallel()
 	w := NewWorld(17)
 	set := testSettings()
@@ -109,7 +109,7 @@
 // restarted, so that everybody returns at once. The work is done, every job stays
 // known, no machine loses its lease but those that were cut off or died, and what is
 // asked of the outside systems stays in proportion.
-func TestFleetReturnsAtOnce(t *testing.T) {
+func TestTwoThousandWorkersReturnAtOnce(t *testing.T) {
 	t.Parallel()
 	w := NewWorld(18)
 	set := testSettings()
--- a/internal/testkit/scalefailover_test.go
+++ b/internal/testkit/scalefailover_test.go
@@ -81,7 +81,7 @@
 // has heard of everybody a zone of a thousand machines is gone for good. Replicas that ran
 // there run elsewhere, each once, all work is done, and what is asked of the outside systems
 // stays in proportion.
-func TestFourThousandMachinesLoseAZone(t *testing.T) {
+func TestFourThousandWorkersLoseAZone(t *testing.T) {
 	t.Parallel()
 	w := NewWorld(20)
 	set := tighteningSettings()
--- a/internal/testkit/services_test.go
+++ b/internal/testkit/services_test.go
@@ -45,7 +45,7 @@
 
 // Machines with replicas hang or are cut off: the replicas run elsewhere well before their
 // leases have ended, each of them once.
-func TestReplicasOfSilentMachinesRunElsewhereSoon(t *testing.T) {
+func TestReplicasOfSilentWorkersAreReplacedSoon(t *testing.T) {
 	t.Parallel()
 	w := NewWorld(261)
 	set := tighteningSettings()
--- a/internal/testkit/storeoutage_test.go
+++ b/internal/testkit/storeoutage_test.go
@@ -14,7 +14,7 @@
 // machine that hangs, and what wasn't runs on: the nodes vouch for what they told.
 // If one of them can't be asked, or has started since, nobody vouches, and the leader
 // lets everything go in time.
-func TestRefusedLeaderBeforeAnOutage(t *testing.T) {
+func TestCancelledTasksEndWhenLeaderIsRefusedBeforeStoreOutage(t *testing.T) {
 	for _, silent := range []string{"nobody", "a peer", "a young peer"} {
 		for seed := uint64(31); seed < 36; seed++ {
 			w, d, j, other := twoJobs(t, seed, 300*clock.Second)
@@ -62,7 +62,7 @@
 
 // A leader that was elected and can't read the records knows of no cancellation: an
 // outage that begins with its election lets all tasks go in time.
-func TestLeaderWithoutRecordsKeepsNothing(t *testing.T) {
+func TestLeaderWithoutRecordsRenewsNoLeases(t *testing.T) {
 	w, d, j, _ := twoJobs(t, 41, 300*clock.Second)
 	first := d.Nodes[leading(t, d)]
 	epoch := d.State.keys[leadership.Key].version
@@ -80,7 +80,7 @@
 // A leader that is refused by the state service learns from the others, long before
 // its allowance ends, that one of them was elected, and sends the workers on, also if
 // these hear nothing of the next leader.
-func TestRefusedLeaderLearnsOfTheNext(t *testing.T) {
+func TestRefusedLeaderLearnsOfItsSuccessor(t *testing.T) {
 	w, d, j, _ := twoJobs(t, 45, 300*clock.Second)
 	old := d.Nodes[leading(t, d)]
 	old.State.Refused = true
@@ -109,7 +109,7 @@
 
 // Placements whose transaction gets no answer and is carried out after newer ones are
 // still counted: a team's other jobs don't get their room meanwhile.
-func TestLateChangesKeepTheirPlaces(t *testing.T) {
+func TestPlacementsOfLateTransactionsCount(t *testing.T) {
 	for seed := uint64(61); seed < 65; seed++ {
 		w := NewWorld(seed)
 		d := NewDeployment(w, testSettings(), testTypes(), 0)
--- a/internal/testkit/upgrade_test.go
+++ b/internal/testkit/upgrade_test.go
@@ -46,7 +46,7 @@
 // The leader ends at any instant while a running array's record is divided after an
 // upgrade, and the state service's limits come as well: nothing runs twice, all of it gets
 // done, and no part is left over.
-func TestLeaderEndsWhileARecordIsDivided(t *testing.T) {
+func TestLeaderCrashWhileARecordIsSharded(t *testing.T) {
 	t.Parallel()
 	divided := 0
 	for step := range clock.Micros(40) {
@@ -79,7 +79,7 @@
 // the leader ends: what is accepted stays known and goes on as far as records allow, a
 // cancellation is carried out, services are put off with a time to come back, and once the
 // last controller is new all of it gets done.
-func TestLimitsComeWhileOneControllerIsLeftBehind(t *testing.T) {
+func TestLimitsTightenWhileOneControllerIsOld(t *testing.T) {
 	t.Parallel()
 	w, d, j := oldDay(250, 30*clock.Second)
 	other := d.Submit(array("job-000002", "open", 200, 1, 300), 300*clock.Second, false)
@@ -131,7 +131,7 @@
 
 // A day's roll: all controllers are replaced one after another while services and arrays
 // run. Elections are few, and nothing that runs is lost to them.
-func TestRollLosesNothing(t *testing.T) {
+func TestRollingUpgradeLosesNoTask(t *testing.T) {
 	t.Parallel()
 	w, d, j := oldDay(262, 100*clock.Second)
 	d.Upgrade(10*clock.Second, 3*clock.Second)
--- a/internal/testkit/workerloss_test.go
+++ b/internal/testkit/workerloss_test.go
@@ -10,7 +10,7 @@
 // A machine that reaches no controller, while direct commands reach it, is heard of by
 // their answers. It gets no work that would die with its lease all the same, and what
 // it ran goes on once a machine hears.
-func TestMuteMachineGetsNoWork(t *testing.T) {
+func TestWorkerThatReachesNoControllerGetsNoWork(t *testing.T) {
 	w := NewWorld(44)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
 	d.Cloud.Reliable = true
@@ -41,7 +41,7 @@
 
 // When it is the workers that are gone, leadership doesn't go round for ever:
 // some leader lasts long enough to prove them gone, and the work runs elsewhere.
-func TestDeadWorkersAreReplacedThoughNobodyIsHeard(t *testing.T) {
+func TestSilentWorkersAreReplacedWhenAllAreSilent(t *testing.T) {
 	w := NewWorld(7)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
 	d.Cloud.Capacity = map[fleet.Kind]int{{Type: "small", Zone: "a"}: 4}
@@ -58,7 +58,7 @@
 // A machine whose reports arrive, but which neither answers nor commands reach,
 // loses its tasks lease after lease: it gets no more work, they go on elsewhere,
 // and it is returned.
-func TestMachineThatHearsNothingIsReplaced(t *testing.T) {
+func TestWorkerThatReceivesNoResponsesIsReplaced(t *testing.T) {
 	w, d, j := busyDay(t, 11, 60*clock.Second)
 	m := d.Workers()[0]
 	m.Unheeding = true
@@ -71,7 +71,7 @@
 }
 
 // One that hears again in time is used again.
-func TestMachineThatHearsAgainIsUsedAgain(t *testing.T) {
+func TestWorkerThatReceivesResponsesAgainIsReused(t *testing.T) {
 	w, d, j := busyDay(t, 11, 200*clock.Second)
 	d.Cloud.Capacity = map[fleet.Kind]int{} // there is no other
 	m := d.Workers()[0]
@@ -89,7 +89,7 @@
 // A machine that counts its sessions and reports from one again is neither
 // ignored for ever nor believed about the places that it may still hold, by the
 // same leader or by the next.
-func TestMachineThatStartsOverIsReturned(t *testing.T) {
+func TestWorkerThatRestartsItsCountersIsReleased(t *testing.T) {
 	for _, next := range []bool{false, true} {
 		w, d, j := busyDay(t, 12, 90*clock.Second)
 		m := d.Workers()[0]
@@ -121,7 +121,7 @@
 // A copy of a report that arrives long after it, the first that a new leader
 // hears of a machine returned since, brings the machine back to nobody's mind: it
 // gets no work and doesn't stay.
-func TestLateCopiesBringNoMachineBack(t *testing.T) {
+func TestLateHeartbeatCopiesDontReviveReleasedWorkers(t *testing.T) {
 	w, d, j := busyDay(t, 13, 100*clock.Second)
 	m := d.Workers()[0]
 	old := m.snapshot()
--- a/internal/testkit/zoneloss_test.go
+++ b/internal/testkit/zoneloss_test.go
@@ -12,7 +12,7 @@
 // A zone's sockets are cut at every step of a gang's rebuild, for less than a lease, for longer and
 // for several: each gang ends whole, nothing runs twice, also once the zone is back with what it
 // believes to own.
-func TestZoneIsCutAtEveryStepOfARebuild(t *testing.T) {
+func TestZonePartitionAtEveryStepOfAGangRestart(t *testing.T) {
 	steps := []struct {
 		name    string
 		reached func(d *Deployment, j *Job) bool
@@ -53,7 +53,7 @@
 
 // What else fails while a zone is lost: the cloud, the state service, the leader again and again, an
 // upgrade; a cancellation is confirmed while its tasks are in the dark zone.
-func TestTroublesMeetALostZone(t *testing.T) {
+func TestFaultsDuringZoneLoss(t *testing.T) {
 	t.Parallel()
 	for name, trouble := range map[string]func(d *Deployment, j *Job){
 		"cloud": func(d *Deployment, _ *Job) {
@@ -99,7 +99,7 @@
 }
 
 // Work that another cell runs survives the loss of a zone there: the host recovers it like its own.
-func TestSpilledWorkSurvivesALostZone(t *testing.T) {
+func TestOffloadedTasksSurviveZoneLoss(t *testing.T) {
 	t.Parallel()
 	x := newTransfer(5700, false)
 	s := recovery.Defaults()
@@ -115,7 +115,7 @@
 
 // Days of random troubles with recoveries switched on, cuts of zones among them: every rule holds,
 // no gang stays in pieces, and all accepted work gets done.
-func TestRecoveriesHoldThroughTroubles(t *testing.T) {
+func TestZoneRecoveryKeepsRulesUnderRandomFaults(t *testing.T) {
 	for seed := range seeds(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
--- a/internal/testkit/zonerecovery_test.go
+++ b/internal/testkit/zonerecovery_test.go
@@ -12,7 +12,7 @@
 
 // A lost zone is told from a leader that is alone, keeps its number through leaders that end in
 // each phase, and is healthy again once it has been back for long enough.
-func TestRecoveryOutlivesLeaders(t *testing.T) {
+func TestZoneRecoverySurvivesFailover(t *testing.T) {
 	t.Parallel()
 	for _, phase := range []recovery.Phase{recovery.Suspect, recovery.Lost, recovery.Returning} {
 		for zone, k := range map[string]int{"a": 0, "b": 1} { // with the leader inside, or most controllers
@@ -44,7 +44,7 @@
 
 // Zones that flap cost little: no work is moved for cuts that are shorter than a verdict, and the
 // more often it flaps the longer it gets nothing. Elections and rentals are bounded.
-func TestFlappingZones(t *testing.T) {
+func TestFlappingZoneCostsLittle(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		cuts, every, long clock.Micros // how many, how often, each for how long
@@ -89,7 +89,7 @@
 
 // With little room left, a lost zone's work starts in the written order, and what can't start is
 // named with its reason.
-func TestRecoveryKeepsItsOrder(t *testing.T) {
+func TestZoneRecoveryKeepsItsOrder(t *testing.T) {
 	t.Parallel()
 	w, d, _ := zoneDay(5400, func(s *settings.Settings) { s.Deployment.Workers.GangWaitS = 60 })
 	d.Recovery.TasksPerS = 2
@@ -150,7 +150,7 @@
 
 // Nothing is rented in a zone that isn't well, machines for its work boot before its tasks are
 // proven gone, and all of it runs again sooner than without.
-func TestRecoveryIsFaster(t *testing.T) {
+func TestZoneRecoveryIsFasterThanNone(t *testing.T) {
 	t.Parallel()
 	took := map[bool]clock.Micros{}
 	for i := range uint64(16) {
