--- a/cmd/loadtool/cells.go
+++ b/cmd/loadtool/cells.go
@@ -4,176 +4,86 @@
 	"fmt"
 	"slices"
 	"strings"
-	"time"
 
-	"gonum.org/v1/plot/plotter"
-
-	"postpoint/internal/clock"
-	"postpoint/internal/protocol"
 	"postpoint/internal/report"
-	"postpoint/internal/settings"
-	"postpoint/internal/testkit"
 )
 
-type cellsCommand struct{ outputFlags }
-
-// cellsVariant is how the cells stand to each other.
-type cellsVariant struct {
-	name   string
-	rules  string
-	on     bool // with a cells file at all
-	broken bool // the cell that helps most is lost in the middle
-}
-
-var cellsVariants = []cellsVariant{
-	{name: "cells off", on: false},
-	{name: "on, nothing may spill", on: true},
-	{name: "spilling", on: true, rules: spillRules},
-	{name: "spilling, beta lost at 100 s", on: true, rules: spillRules, broken: true},
-}
-
-const spillRules = "[[spill]]\nfrom = \"alpha\"\nto = [\"beta\", \"gamma\"]\n"
-
-// cellsDay is what one day gave.
-type cellsDay struct {
-	starts             []float64 // of the filled cell's jobs, in seconds from their submission
-	others             []float64 // of the other cells' own jobs
-	ends               []float64
-	elsewhere, runs    int
-	delegations, jobs  int
-	wrong              int
-	changes            int     // of the filled cell's state service
-	backS              float64 // until nothing of a lost cell's work was its any more
-	processor          time.Duration
-	lentOverTime       plotter.XYs
-	unfinished, broken int
-}
-
-func cellSettings() *settings.Settings {
-	s := &settings.Settings{}
-	s.Deployment = settings.Deployment{
-		Teams:         []settings.Team{{Name: "open"}},
-		Workers:       settings.Workers{ReportS: 2.5, LeaseS: 16, GangWaitS: 40, GangPeerS: 5, CancelS: 36},
-		State:         settings.State{Rps: 100, WriteRps: 30, ValueKb: 32, TxnOps: 12},
-		Cloud:         settings.Cloud{Rps: 8, ListLagS: 4},
-		MachineLimits: settings.MachineLimits{CPU: 0.1},
-	}
-	return s
-}
+// firstCellsSeed is the seed of the first day of each variant.
+const firstCellsSeed = 100
 
-var cellTypes = []protocol.MachineType{{Name: "small", Cpus: 8, MemoryGB: 32, CacheGB: 50, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3,
-	BootS: 8, Zones: []string{"a", "b"}}}
+// cellsCommand compares ways in which three cells may help each other while one is overloaded.
+type cellsCommand struct{ outputFlags }
 
-// playCells plays a day on which alpha has three times as much to do as it has machines for.
-func playCells(v cellsVariant, seed uint64) cellsDay {
-	const (
-		filling = 240 * clock.Second
-		end     = 900 * clock.Second
-	)
-	w := testkit.NewWorld(seed)
-	g := testkit.NewGroup(w, []*settings.Settings{cellSettings(), cellSettings(), cellSettings()}, cellTypes,
-		"guests = { cpus = 64.0 }", v.rules, 0)
-	if !v.on {
-		g.SwitchOff()
-	}
-	h := testkit.NewHistory(w, g.Cells...)
-	began := time.Now()
-	var jobs, others []*testkit.Job
-	submit := func(d *testkit.Deployment, list *[]*testkit.Job) {
-		spec := protocol.JobSpec{ID: fmt.Sprintf("job-%06d", len(*list)), Class: "array", Team: "open", Shape: protocol.ShapeArray, Rank: "normal",
-			Tasks: 8, Cpus: 2, MemoryGB: 2, Image: "i", ImageGB: 1, Spot: true, EstimateS: 40}
-		if len(*list)%4 == 3 {
-			spec.Class, spec.Shape, spec.Tasks, spec.CheckpointS, spec.SaveS = "gang", protocol.ShapeGang, 4, 10, 2
-		}
-		*list = append(*list, d.Submit(spec, 40*clock.Second, false))
-	}
-	for at := 20 * clock.Second; at < filling; at += 5 * clock.Second {
-		w.After(at, func() { submit(g.Cells[0], &jobs) })
-		if at%(30*clock.Second) == 20*clock.Second {
-			w.After(at, func() { submit(g.Cells[1], &others) })
+// Run simulates all variants, prints their figures and writes the report.
+func (c *cellsCommand) Run() error {
+	var rows [][]string
+	var starts, lent []report.Series
+	for _, v := range cellsVariants {
+		sum, returned, first := c.simulate(v)
+		starts = append(starts, report.Distribution(v.name, sum.starts))
+		if v.rules != "" {
+			lent = append(lent, report.Series{Name: v.name, Points: first.lentOverTime, Steps: true})
 		}
+		rows = append(rows, c.row(v, sum, returned))
 	}
-	day := cellsDay{backS: -1}
-	if v.broken {
-		w.Run(100 * clock.Second)
-		g.Cells[1].Lose()
+	for _, row := range rows {
+		fmt.Println(strings.Join(row, " | "))
 	}
-	for w.Now() < end {
-		w.Run(w.Now() + clock.Second)
-		lent := g.Cells[0].Lent()
-		day.lentOverTime = append(day.lentOverTime, plotter.XY{X: w.Now().Seconds(), Y: float64(lent["beta"] + lent["gamma"])})
-		if v.broken && day.backS < 0 && lent["beta"] == 0 {
-			day.backS = (w.Now() - 100*clock.Second).Seconds()
+	return c.write(rows, starts, lent)
+}
+
+// simulate sums up a variant's days, sorted, and lists after how long each lost cell's tasks were the
+// origin's again. It also returns the first day.
+func (c *cellsCommand) simulate(v cellsVariant) (sum cellsDay, returned []string, first cellsDay) {
+	for seed := range c.Seeds {
+		day := simulateCells(v, firstCellsSeed+seed)
+		if seed == 0 {
+			first = day
 		}
-	}
-	day.processor = time.Since(began)
-	for _, j := range jobs {
-		day.starts = append(day.starts, j.Began().Seconds())
-		day.ends = append(day.ends, j.Ended().Seconds())
-		if j.Told() != protocol.StatusDone {
-			day.unfinished++
+		if day.returnedS >= 0 {
+			returned = append(returned, fmt.Sprintf("%.0f", day.returnedS))
 		}
+		sum.add(day)
 	}
-	for _, j := range others {
-		if !v.broken {
-			day.others = append(day.others, j.Began().Seconds())
-		}
+	slices.Sort(sum.starts)
+	slices.Sort(sum.ends)
+	slices.Sort(sum.otherStarts)
+	return sum, returned, first
+}
+
+var cellsHeader = []string{
+	"variant", "alpha's jobs begin after, s (half, nine in ten)", "end after, s", "beta's own begin after, s",
+	"share of runs elsewhere", "delegations a job", "tasks not exactly once", "rules broken", "unfinished",
+	"beta's work back after, s", "alpha's changes of state", "processor, s a day (all stand-ins)",
+}
+
+// row is a line of the table under cellsHeader.
+func (c *cellsCommand) row(v cellsVariant, sum cellsDay, returned []string) []string {
+	days := float64(c.Seeds)
+	return []string{
+		v.name, quantiles(sum.starts), quantiles(sum.ends), quantiles(sum.otherStarts),
+		fmt.Sprintf("%.2f", float64(sum.elsewhere)/float64(max(sum.runs, 1))),
+		fmt.Sprintf("%.2f", float64(sum.delegations)/float64(sum.jobs)),
+		fmt.Sprintf("%d of %d", sum.wrong, sum.jobs), fmt.Sprint(sum.broken), fmt.Sprint(sum.unfinished),
+		strings.Join(returned, " "),
+		fmt.Sprintf("%.0f", float64(sum.changes)/days),
+		fmt.Sprintf("%.2f", sum.processor.Seconds()/days),
 	}
-	day.elsewhere, day.runs = h.Elsewhere()
-	day.delegations, day.jobs, day.changes = g.Cells[0].Delegations(), len(jobs), g.Cells[0].State.Changes
-	day.wrong, day.broken = len(h.Judge(jobs)), len(w.Broken)
-	return day
 }
 
-// Run plays all variants and writes the report.
-func (c *cellsCommand) Run() error {
+func (c *cellsCommand) write(rows [][]string, starts, lent []report.Series) error {
 	r := report.Report{Title: "Three cells, one of them filled (simulated)"}
-	var rows [][]string
-	var starts, lent []report.Series
-	for _, v := range cellsVariants {
-		var all cellsDay
-		backs := []string{}
-		for seed := range c.Seeds {
-			day := playCells(v, 100+seed)
-			all.starts, all.ends, all.others = append(all.starts, day.starts...), append(all.ends, day.ends...), append(all.others, day.others...)
-			all.elsewhere += day.elsewhere
-			all.runs += day.runs
-			all.delegations += day.delegations
-			all.jobs += day.jobs
-			all.wrong += day.wrong
-			all.broken += day.broken
-			all.unfinished += day.unfinished
-			all.changes += day.changes
-			all.processor += day.processor
-			if day.backS >= 0 {
-				backs = append(backs, fmt.Sprintf("%.0f", day.backS))
-			}
-			if seed == 0 && v.rules != "" {
-				lent = append(lent, report.Series{Name: v.name, Points: day.lentOverTime, Steps: true})
-			}
-		}
-		slices.Sort(all.starts)
-		slices.Sort(all.ends)
-		slices.Sort(all.others)
-		starts = append(starts, report.Distribution(v.name, all.starts))
-		rows = append(rows, []string{v.name, quantiles(all.starts), quantiles(all.ends), quantiles(all.others),
-			fmt.Sprintf("%.2f", float64(all.elsewhere)/float64(max(all.runs, 1))), fmt.Sprintf("%.2f", float64(all.delegations)/float64(all.jobs)),
-			fmt.Sprintf("%d of %d", all.wrong, all.jobs), fmt.Sprint(all.broken), fmt.Sprint(all.unfinished), strings.Join(backs, " "),
-			fmt.Sprintf("%.0f", float64(all.changes)/float64(c.Seeds)), fmt.Sprintf("%.2f", all.processor.Seconds()/float64(c.Seeds))})
-	}
-	header := []string{"variant", "alpha's jobs begin after, s (half, nine in ten)", "end after, s", "beta's own begin after, s", "share of runs elsewhere", "delegations a job",
-		"tasks not exactly once", "rules broken", "unfinished", "beta's work back after, s", "alpha's changes of state", "processor, s a day (all stand-ins)"}
-	r.Table("Figures", fmt.Sprintf("%d days of each kind. Alpha gets an array of eight tasks, or a gang of four, every five seconds, "+
-		"about three times what its machines can do; beta has some work of its own.", c.Seeds), header, rows)
-	if err := r.Lines("Starts", "The share of alpha's jobs that have begun.", "seconds from the submission", "share", starts...); err != nil {
+	text := fmt.Sprintf("%d days of each kind. Alpha gets an array of eight tasks, or a gang of four, "+
+		"every five seconds, about three times what its machines can do; beta has some work of its own.", c.Seeds)
+	r.Table("Figures", text, cellsHeader, rows)
+	err := r.Lines("Starts", "The share of alpha's jobs that have begun.", "seconds from the submission", "share", starts...)
+	if err != nil {
 		return err
 	}
-	if err := r.Lines("Lent", "Alpha's tasks with other cells, on the first day.", "seconds", "tasks", lent...); err != nil {
+	err = r.Lines("Lent", "Alpha's tasks with other cells, on the first day.", "seconds", "tasks", lent...)
+	if err != nil {
 		return err
 	}
-	for _, row := range rows {
-		fmt.Println(strings.Join(row, " | "))
-	}
 	return r.Write(c.Report)
 }
 
--- /dev/null
+++ b/cmd/loadtool/cellsday.go
@@ -0,0 +1,199 @@
+package main
+
+import (
+	"fmt"
+	"time"
+
+	"gonum.org/v1/plot/plotter"
+
+	"postpoint/internal/clock"
+	"postpoint/internal/protocol"
+	"postpoint/internal/settings"
+	"postpoint/internal/testkit"
+)
+
+const (
+	fillingTime = 240 * clock.Second // while jobs are submitted
+	dayLength   = 900 * clock.Second
+	lossTime    = 100 * clock.Second // when beta is lost, if it is
+
+	firstSubmission = 20 * clock.Second
+	alphaInterval   = 5 * clock.Second  // between submissions to the overloaded cell
+	betaInterval    = 30 * clock.Second // between submissions to its neighbour
+	jobDuration     = 40 * clock.Second
+	gangEvery       = 4 // every fourth job is a gang
+	hostedJobs      = "guests = { cpus = 64.0 }"
+	offloadRules    = "[[spill]]\nfrom = \"alpha\"\nto = [\"beta\", \"gamma\"]\n"
+	numberOfCells   = 3
+	notReturned     = -1 // seconds, of a lost cell's tasks that are not the origin's again
+)
+
+// cellsVariant is one way in which the cells may help each other.
+type cellsVariant struct {
+	name     string
+	rules    string // of the cells file
+	on       bool   // with a cells file at all
+	loseBeta bool   // the cell that helps most is lost in the middle
+}
+
+var cellsVariants = []cellsVariant{
+	{name: "cells off", on: false},
+	{name: "on, nothing may spill", on: true},
+	{name: "spilling", on: true, rules: offloadRules},
+	{name: "spilling, beta lost at 100 s", on: true, rules: offloadRules, loseBeta: true},
+}
+
+// cellsDay is the result of one simulated day, or the sum of several.
+type cellsDay struct {
+	starts       []float64 // of the overloaded cell's jobs, in seconds from their submission
+	ends         []float64
+	otherStarts  []float64 // of the other cells' own jobs
+	elsewhere    int       // runs of tasks outside their origin cell
+	runs         int
+	delegations  int
+	jobs         int
+	wrong        int // tasks that didn't complete exactly once
+	unfinished   int
+	broken       int           // broken rules
+	changes      int           // of the overloaded cell's store
+	returnedS    float64       // until no task was with the lost cell any more
+	processor    time.Duration // spent on the day
+	lentOverTime plotter.XYs   // tasks with other cells
+}
+
+// add sums up days.
+func (c *cellsDay) add(day cellsDay) {
+	c.starts = append(c.starts, day.starts...)
+	c.ends = append(c.ends, day.ends...)
+	c.otherStarts = append(c.otherStarts, day.otherStarts...)
+	c.elsewhere += day.elsewhere
+	c.runs += day.runs
+	c.delegations += day.delegations
+	c.jobs += day.jobs
+	c.wrong += day.wrong
+	c.unfinished += day.unfinished
+	c.broken += day.broken
+	c.changes += day.changes
+	c.processor += day.processor
+}
+
+func cellSettings() *settings.Settings {
+	s := &settings.Settings{}
+	s.Deployment = settings.Deployment{
+		Teams:         []settings.Team{{Name: "open"}},
+		Workers:       settings.Workers{ReportS: 2.5, LeaseS: 16, GangWaitS: 40, GangPeerS: 5, CancelS: 36},
+		State:         settings.State{Rps: 100, WriteRps: 30, ValueKb: 32, TxnOps: 12},
+		Cloud:         settings.Cloud{Rps: 8, ListLagS: 4},
+		MachineLimits: settings.MachineLimits{CPU: 0.1},
+	}
+	return s
+}
+
+var cellTypes = []protocol.MachineType{{
+	Name: "small", Cpus: 8, MemoryGB: 32, CacheGB: 50, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3,
+	BootS: 8, Zones: []string{"a", "b"},
+}}
+
+// cellsSimulation is a day under way. Alpha is overloaded: it gets three times as many tasks as its
+// machines can run.
+type cellsSimulation struct {
+	variant     cellsVariant
+	world       *testkit.World
+	alpha, beta *testkit.Deployment
+	history     *testkit.History
+	jobs        []*testkit.Job // of alpha
+	otherJobs   []*testkit.Job // of beta
+	day         cellsDay
+}
+
+// simulateCells runs a day of a variant.
+func simulateCells(v cellsVariant, seed uint64) cellsDay {
+	s := newCellsSimulation(v, seed)
+	began := time.Now()
+	s.scheduleSubmissions()
+	s.run()
+	s.day.processor = time.Since(began)
+	s.measure()
+	return s.day
+}
+
+func newCellsSimulation(v cellsVariant, seed uint64) *cellsSimulation {
+	world := testkit.NewWorld(seed)
+	var sets []*settings.Settings
+	for range numberOfCells {
+		sets = append(sets, cellSettings())
+	}
+	group := testkit.NewGroup(world, sets, cellTypes, hostedJobs, v.rules, 0)
+	if !v.on {
+		group.SwitchOff()
+	}
+	return &cellsSimulation{
+		variant: v, world: world, alpha: group.Cells[0], beta: group.Cells[1],
+		history: testkit.NewHistory(world, group.Cells...),
+		day:     cellsDay{returnedS: notReturned},
+	}
+}
+
+func (s *cellsSimulation) scheduleSubmissions() {
+	for at := firstSubmission; at < fillingTime; at += alphaInterval {
+		s.world.After(at, func() { submitNext(s.alpha, &s.jobs) })
+		if (at-firstSubmission)%betaInterval == 0 {
+			s.world.After(at, func() { submitNext(s.beta, &s.otherJobs) })
+		}
+	}
+}
+
+// submitNext submits an array, or a gang each fourth time.
+func submitNext(d *testkit.Deployment, jobs *[]*testkit.Job) {
+	number := len(*jobs)
+	spec := protocol.JobSpec{
+		ID: fmt.Sprintf("job-%06d", number), Class: "array", Team: "open", Shape: protocol.ShapeArray, Rank: "normal",
+		Tasks: 8, Cpus: 2, MemoryGB: 2, Image: "i", ImageGB: 1, Spot: true, EstimateS: jobDuration.Seconds(),
+	}
+	if number%gangEvery == gangEvery-1 {
+		spec.Class, spec.Shape, spec.Tasks = "gang", protocol.ShapeGang, 4
+		spec.CheckpointS, spec.SaveS = 10, 2
+	}
+	*jobs = append(*jobs, d.Submit(spec, jobDuration, false))
+}
+
+// run lets the day pass and samples the tasks with other cells each second.
+func (s *cellsSimulation) run() {
+	if s.variant.loseBeta {
+		s.world.Run(lossTime)
+		s.beta.Lose()
+	}
+	for s.world.Now() < dayLength {
+		s.world.Run(s.world.Now() + clock.Second)
+		s.sample()
+	}
+}
+
+func (s *cellsSimulation) sample() {
+	lent := s.alpha.Lent()
+	tasks := float64(lent["beta"] + lent["gamma"])
+	s.day.lentOverTime = append(s.day.lentOverTime, plotter.XY{X: s.world.Now().Seconds(), Y: tasks})
+	if s.variant.loseBeta && s.day.returnedS < 0 && lent["beta"] == 0 {
+		s.day.returnedS = (s.world.Now() - lossTime).Seconds()
+	}
+}
+
+// measure fills in the day's results.
+func (s *cellsSimulation) measure() {
+	day := &s.day
+	for _, j := range s.jobs {
+		day.starts = append(day.starts, j.Began().Seconds())
+		day.ends = append(day.ends, j.Ended().Seconds())
+		if j.Told() != protocol.StatusDone {
+			day.unfinished++
+		}
+	}
+	if !s.variant.loseBeta {
+		for _, j := range s.otherJobs {
+			day.otherStarts = append(day.otherStarts, j.Began().Seconds())
+		}
+	}
+	day.elsewhere, day.runs = s.history.Elsewhere()
+	day.delegations, day.jobs, day.changes = s.alpha.Delegations(), len(s.jobs), s.alpha.State.Changes
+	day.wrong, day.broken = len(s.history.Judge(s.jobs)), len(s.world.Broken)
+}
