--- a/internal/testkit/cancellation_test.go
+++ b/internal/testkit/cancellation_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// A leader left alone with the workers keeps their tasks alive only for as
-// long as a cancellation, accepted on the other side, can wait.
+// A leader that is partitioned with the workers renews their leases only until a
+// cancellation that the majority accepted must have taken effect.
 func TestPartitionedLeaderLetsCancelledTasksExpire(t *testing.T) {
 	w := NewWorld(3)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
@@ -16,12 +16,12 @@
 	j := d.Submit(spec, 500*clock.Second, false)
 	w.Run(40 * clock.Second)
 	if len(j.places) != 4 {
-		t.Fatalf("%d tasks run", len(j.places))
+		t.Fatalf("%d tasks run, want 4", len(j.places))
 	}
-	leader := leading(t, d)
-	for i, n := range d.Nodes {
-		n.Clouds.Cut = true // or the new leader would return the machines
-		if i == leader {
+	leader := mustLead(t, d)
+	for _, n := range d.Nodes {
+		n.Clouds.Cut = true // or the new leader would release the machines
+		if n == leader {
 			n.State.Cut, n.Peers.Cut = true, true
 		} else {
 			n.Workers.Cut = true
@@ -29,19 +29,15 @@
 	}
 	d.Cancel(j)
 	w.Run(w.Now() + 100*clock.Second)
-	if j.told != protocol.StatusCancelled {
-		t.Fatalf("the user was told %q", j.told)
-	}
-	if len(w.Broken) > 0 {
-		t.Fatal(w.Broken)
-	}
+	mustBeCancelled(t, j)
+	mustKeepRules(t, w)
 }
 
-// In the gap a machine reaches no controller, and direct commands reach it only once the
-// leader's lease is over: they end what is cancelled there all the same.
+// The store refuses the leader and then is out for everybody, while a worker reaches no controller.
+// Direct commands reach it only after the leader's lease expired; they still stop what is cancelled.
 func TestRefusedLeaderStopsCancelledTasksByCommand(t *testing.T) {
 	w, d, j, _ := twoJobs(t, 37, 300*clock.Second)
-	d.Nodes[leading(t, d)].State.Refused = true
+	mustLead(t, d).State.Refused = true
 	mute := sortedKeys(j.places[0])[0]
 	mute.Mute, mute.Commands.Cut = true, true
 	confirmCancel(w, d, j)
@@ -50,14 +46,14 @@
 	mute.Commands.Heal()
 	w.Run(w.Now() + 5*clock.Second)
 	if mute.runs(j) || mute.session != 1 {
-		t.Fatalf("what is cancelled runs %v, session %d", mute.runs(j), mute.session)
+		t.Fatalf("the cancelled job runs: %v, want false; incarnation %d, want 1", mute.runs(j), mute.session)
 	}
 	w.Run(w.Now() + 40*clock.Second)
 	mustKeepRules(t, w)
 }
 
-// Leaders change every few seconds while a machine hangs with what was cancelled. The
-// time of the cancellation is the record's: none of them puts the return off.
+// Leaders change every few seconds while a worker hangs with cancelled tasks. Each of them counts
+// from the time in the job's record, so none delays the worker's release.
 func TestFailoversDontDelayReleaseOfHungWorkers(t *testing.T) {
 	w, d, j, other := twoJobs(t, 42, 200*clock.Second)
 	hung := sortedKeys(j.places[0])[0]
@@ -77,14 +73,14 @@
 	w.Run(w.Now() + 20*clock.Second)
 	mustKeepRules(t, w)
 	if j.told != protocol.StatusCancelled || !hung.ended {
-		t.Fatalf("told %q, machine gone %v", j.told, hung.ended)
+		t.Fatalf("told %q, want %q; worker released: %v, want true", j.told, protocol.StatusCancelled, hung.ended)
 	}
 	w.Run(w.Now() + 600*clock.Second)
 	mustBeDone(t, w, other)
 }
 
-// The cloud refuses everything while a machine hangs with what was cancelled: its
-// return is asked for again until the cloud answers, before any other.
+// The cloud refuses everything while a worker hangs with cancelled tasks: its release is retried
+// until the cloud responds, before any other request.
 func TestRefusedReleasesAreRetried(t *testing.T) {
 	w, d, j, _ := twoJobs(t, 43, 300*clock.Second)
 	hung := sortedKeys(j.places[0])[0]
@@ -99,8 +95,8 @@
 	mustKeepRules(t, w)
 }
 
-// A job is cancelled, and all controllers are away for longer than the workers' lease
-// before its tasks could be stopped.
+// A job is cancelled, and all controllers are down for longer than the workers' lease before its
+// tasks could be stopped.
 func TestCancellationSurvivesLossOfAllControllers(t *testing.T) {
 	w, d, j, other := twoJobs(t, 47, 100*clock.Second)
 	d.Cancel(j)
@@ -116,8 +112,8 @@
 	mustBeDone(t, w, other)
 }
 
-// A team is at its limit, the leader changes, some of its machines can't be asked, and
-// its job is cancelled: the room counts as taken until each place is proven empty.
+// A team is at its quota, the leader changes, some of its workers are unreachable, and its job is
+// cancelled: its tasks count against the quota until each is proven gone.
 func TestCancelledTasksCountAgainstQuotaUntilProvenGone(t *testing.T) {
 	for seed := uint64(51); seed < 55; seed++ {
 		w := NewWorld(seed)
@@ -129,34 +125,31 @@
 		d.Submit(array("job-000002", "limited", 6, 4, 20), 20*clock.Second, false)
 		d.Submit(array("job-000003", "open", 2, 4, 300), 300*clock.Second, false) // keeps room up
 		for _, m := range sortedKeys(j.places[0]) {
-			m.Link.Cut, m.Commands.Cut = true, true
+			m.partition()
 		}
-		leader := d.Nodes[leading(t, d)]
+		leader := mustLead(t, d)
 		leader.Crash()
 		w.Run(w.Now() + w.Between(0, 2*clock.Second))
 		d.Cancel(j)
 		w.Run(w.Now() + 60*clock.Second)
-		if j.told != protocol.StatusCancelled {
-			t.Fatalf("the user was told %q", j.told)
-		}
+		mustBeCancelled(t, j)
 		d.StartNode(leader)
 		w.Run(w.Now() + 200*clock.Second)
 		mustKeepRules(t, w)
-		if len(d.Unfinished()) > 1 {
-			t.Fatalf("left: %v", d.Unfinished())
-		}
+		mustHaveUnfinished(t, d, 1)
 	}
 }
 
-// Cancellations, questions and repeated submissions meet the end of the last task:
-// whatever users are told first stays, and the job ends once.
+// Cancellations, status requests and repeated submissions race with the end of the last task:
+// whatever users are told first stays true, and the job ends once.
 func TestCancellationRacesWithCompletion(t *testing.T) {
 	w := NewWorld(71)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
 	d.CancelAtEnd = 1
 	var jobs []*Job
 	for i := range 40 {
-		jobs = append(jobs, d.Submit(array(fmt.Sprintf("job-%06d", i), "open", 1+i%3, 2, 10), 10*clock.Second, false))
+		spec := array(fmt.Sprintf("job-%06d", i), "open", 1+i%3, 2, 10)
+		jobs = append(jobs, d.Submit(spec, 10*clock.Second, false))
 	}
 	for w.Now() < 300*clock.Second {
 		w.Run(w.Now() + 500*clock.Millisecond)
@@ -171,10 +164,11 @@
 	for _, j := range jobs {
 		told[j.told]++
 		if record := d.State.record(j.spec.ID); record.Status != j.told || len(record.Placed) > 0 {
-			t.Fatalf("%s was told %q, its record says %q, placed %v", j.spec.ID, j.told, record.Status, record.Placed)
+			t.Fatalf("%s was told %q, its record says %q, want the same; placements %v, want none",
+				j.spec.ID, j.told, record.Status, record.Placed)
 		}
 	}
 	if told[""] > 0 || told[protocol.StatusCancelled] == 0 {
-		t.Fatalf("users were told %v", told)
+		t.Fatalf("users were told %v, want all an end and some %q", told, protocol.StatusCancelled)
 	}
 }
--- a/internal/testkit/celloperations_test.go
+++ b/internal/testkit/celloperations_test.go
@@ -11,13 +11,13 @@
 	"testing"
 )
 
-// The other cell is gone for good while it runs work: home does it itself, once nothing can
-// be running there any more, and not later.
+// The host cell is lost for good while it runs tasks: the origin cell runs them itself as soon as
+// nothing can still run there.
 func TestTasksReturnFromALostHostCell(t *testing.T) {
 	t.Parallel()
 	x := newTransfer(4400, false)
 	if !x.runTo(steps[5].reached) {
-		t.Fatal("nothing is done elsewhere")
+		t.Fatal("no task was completed by the host cell")
 	}
 	lostAt := x.w.Now()
 	for _, n := range x.host.Nodes {
@@ -31,17 +31,17 @@
 		x.w.Run(x.w.Now() + 100*clock.Millisecond)
 	}
 	if took := x.w.Now() - lostAt; took > 32*clock.Second {
-		t.Errorf("the tasks are home's again after %.1f s", took.Seconds())
+		t.Errorf("the tasks are the origin's again after %.1f s, want 32 s at most", took.Seconds())
 	}
 	x.w.Run(x.w.Now() + 300*clock.Second)
 	mustJudge(t, x.w, x.history, []*Job{x.job})
 	if x.delegated() {
-		t.Error("the delegation is left")
+		t.Error("the delegation is left, want it removed")
 	}
 }
 
-// Controllers get the cells file one after another, and lose it again in the middle of a
-// transfer: nothing is delegated before all of them have it, and all of it comes back.
+// Controllers get the cells file one after another, and lose it again during a delegation: nothing
+// is delegated before all of them have it, and everything comes back.
 func TestCellsAreSwitchedOnAndOffDuringADelegation(t *testing.T) {
 	t.Parallel()
 	x := newTransfer(4500, false)
@@ -54,37 +54,37 @@
 			delete(x.home.State.keys, key)
 		}
 	}
-	x.home.restart(100 * clock.Millisecond)
+	x.home.crashAll(100 * clock.Millisecond)
 	x.w.Run(50 * clock.Second)
 	if x.elsewhere() > 0 {
-		t.Fatal("delegated while a controller takes such records for malformed")
+		t.Fatal("tasks are delegated while a controller can't read such records, want none")
 	}
 	behind.WithoutCells = false
 	behind.Crash()
 	x.home.StartNode(behind)
 	if !x.runTo(steps[4].reached) {
-		t.Fatal("nothing runs elsewhere once all have the file")
+		t.Fatal("no task runs in the host cell once all controllers have the file")
 	}
 	for _, n := range x.home.Nodes {
 		n.WithoutCells = true
 	}
-	x.home.restart(100 * clock.Millisecond)
+	x.home.crashAll(100 * clock.Millisecond)
 	x.w.Run(x.w.Now() + 300*clock.Second)
 	mustJudge(t, x.w, x.history, []*Job{x.job})
 	if x.delegated() || x.guest() == nil || !x.guest().Final() {
-		t.Error("home still has a delegation, or the host no tombstone that home could ask for")
+		t.Error("the origin still has a delegation, want none; or the host has no final record, want one")
 	}
 	for _, n := range x.host.Nodes {
 		n.WithoutCells = true
 	}
-	x.host.restart(100 * clock.Millisecond)
+	x.host.crashAll(100 * clock.Millisecond)
 	x.w.Run(x.w.Now() + 60*clock.Second)
 	if x.guest() != nil {
-		t.Error("the tombstone is left though the host knows no such cell")
+		t.Error("the host keeps the final record without a cells file, want it removed")
 	}
 }
 
-// What another cell does, or that it is gone, changes nothing for a cell's own work.
+// Whatever another cell does, a cell starts its own jobs about as soon as alone.
 func TestOtherCellsDontDelayOwnJobs(t *testing.T) {
 	t.Parallel()
 	starts := map[string]clock.Micros{}
@@ -96,11 +96,12 @@
 			}
 		},
 		"silent": func(_ *World, g *Group) { g.Cells[1].CutOff(true) },
-		// As many messages as the listener lets through, all of them sensible.
+		// As many messages as the listener lets through, all of them valid.
 		"flooding": func(w *World, g *Group) {
 			w.Every(50*clock.Millisecond, func() {
 				for _, n := range g.Cells[0].Nodes {
-					r := delegation.Report{Host: "beta", Home: "alpha", Epoch: 1 << 40, Counter: int64(w.Now()), Clear: 20 * clock.Second}
+					r := delegation.Report{Host: "beta", Home: "alpha", Epoch: 1 << 40,
+						Counter: int64(w.Now()), Clear: 20 * clock.Second}
 					for i := range delegation.MaxReported {
 						r.Tasks = append(r.Tasks, delegation.Status{Number: int64(i), Job: "job-000001", Closed: true})
 					}
@@ -120,25 +121,26 @@
 		mustKeepRules(t, w)
 		for _, j := range jobs {
 			if j.told != protocol.StatusDone {
-				t.Errorf("%s: %s isn't done", name, j.spec.ID)
+				t.Errorf("%s: %s was told %q, want %q", name, j.spec.ID, j.told, protocol.StatusDone)
 			}
 			starts[name] += j.began - j.submitted
 		}
 	}
 	for name, sum := range starts {
 		if sum > starts["alone"]*11/10+4*clock.Second {
-			t.Errorf("%s: starts after %.1f s in all, %.1f s alone", name, sum.Seconds(), starts["alone"].Seconds())
+			t.Errorf("%s: starts after %.1f s in all, want at most a tenth and 4 s more than alone (%.1f s)",
+				name, sum.Seconds(), starts["alone"].Seconds())
 		}
 	}
 }
 
-// A cell is drained by its operators while it runs another's work: all of that comes back, with
-// what ran stopped in order, and nothing more goes there.
+// Operators drain a cell while it runs another's tasks: all of them return, after a graceful stop,
+// and no more are offered to it.
 func TestDrainedCellReturnsHostedJobs(t *testing.T) {
 	t.Parallel()
 	x := newTransfer(4700, true)
 	if !x.runTo(steps[4].reached) {
-		t.Fatal("nothing runs elsewhere")
+		t.Fatal("no task runs in the host cell")
 	}
 	x.w.Run(x.w.Now() + 3*clock.Second)
 	x.home.group.File = strings.Replace(x.home.group.File, "name = \"beta\"", "name = \"beta\"\ndrain = true", 1)
@@ -152,39 +154,43 @@
 	}
 	x.w.Run(x.w.Now() + 60*clock.Second)
 	if x.elsewhere() > 0 || x.delegated() || x.guest() != nil {
-		t.Errorf("a minute later %d tasks are elsewhere, delegated %v, guest %v", x.elsewhere(), x.delegated(), x.guest())
+		t.Errorf("a minute later %d tasks are with the host, delegated %v, hosted job %v, want none of it",
+			x.elsewhere(), x.delegated(), x.guest())
 	}
 	x.finish(t, "drained")
 	if elsewhere, _ := x.history.Elsewhere(); elsewhere != x.job.spec.Tasks {
-		t.Errorf("%d runs elsewhere", elsewhere)
+		t.Errorf("%d runs in the host cell, want %d", elsewhere, x.job.spec.Tasks)
 	}
 }
 
-// Without a cells file nothing of cells is stored: the keys, and the format that controllers
-// publish, are those of the version before.
+// Without a cells file nothing about cells is stored: the keys, and the format that controllers
+// publish, are those of the previous version.
 func TestStoreIsUnchangedWithoutCellsFile(t *testing.T) {
 	t.Parallel()
 	puts := 0
+	prefixes := []string{ledger.Prefix, ledger.PartsPrefix, "rollout/", "lead/controller", "catalogue"}
 	d := play(7, func(d *Deployment) {
 		check := d.State.CheckPut
 		d.State.CheckPut = func(key string, value []byte) {
 			puts++
 			check(key, value)
-			known := slices.ContainsFunc([]string{ledger.Prefix, ledger.PartsPrefix, "rollout/", "lead/controller", "catalogue"},
-				func(prefix string) bool { return strings.HasPrefix(key, prefix) })
+			known := slices.ContainsFunc(prefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
 			if !known || strings.Contains(string(value), "cell ") || strings.Contains(string(value), "guest ") {
 				d.World.Break("cells", "%s: %q", key, value)
 			}
 			var published struct {
 				Format int `msgpack:"format"`
 			}
-			if strings.HasPrefix(key, "rollout/") && (protocol.Decode(value, &published) != nil || published.Format != 2) {
+			if !strings.HasPrefix(key, "rollout/") {
+				return
+			}
+			if protocol.Decode(value, &published) != nil || published.Format != 2 {
 				d.World.Break("cells", "format %d is published", published.Format)
 			}
 		}
 	})
 	mustKeepRules(t, d.World)
 	if puts < 100 {
-		t.Errorf("only %d puts", puts)
+		t.Errorf("%d values were stored, want at least 100", puts)
 	}
 }
--- a/internal/testkit/cells_test.go
+++ b/internal/testkit/cells_test.go
@@ -54,12 +54,12 @@
 	t.Helper()
 	mustKeepRules(t, w)
 	if wrong := h.Judge(jobs); len(wrong) > 0 {
-		t.Fatal(strings.Join(wrong, "\n"))
+		t.Fatalf("want each task completed once, without overlap:\n%s", strings.Join(wrong, "\n"))
 	}
 }
 
-// One cell is filled, its work spills, and every task of all cells completes exactly once.
-// Ids that several cells use by themselves stay apart.
+// One cell is overloaded and offloads tasks; every task of all cells completes exactly once. Jobs of
+// different cells with the same id stay apart.
 func TestOffloadedTasksCompleteExactlyOnce(t *testing.T) {
 	t.Parallel()
 	w := NewWorld(300)
@@ -73,7 +73,7 @@
 	elsewhere, all := h.Elsewhere()
 	t.Logf("%d of %d runs in other cells", elsewhere, all)
 	if elsewhere < 100 {
-		t.Errorf("only %d of %d runs in other cells", elsewhere, all)
+		t.Errorf("%d of %d runs in other cells, want at least 100", elsewhere, all)
 	}
 }
 
@@ -150,8 +150,8 @@
 	return g, h
 }
 
-// Cells keep every rule, each for itself and all together, through random troubles, and
-// complete every job exactly once.
+// Cells keep every rule, each for itself and all together, under random faults, and complete every
+// job exactly once.
 func TestCellsKeepRulesUnderRandomFaults(t *testing.T) {
 	spilled := 0
 	for seed := range seeds(12) {
@@ -169,7 +169,7 @@
 					}
 				}
 				if left := d.State.delegations(); len(left) > 0 {
-					t.Errorf("%s still has %v", d.name, left)
+					t.Errorf("%s still has %v, want no delegations", d.name, left)
 				}
 			}
 			mustJudge(t, g.Cells[0].World, h, jobs)
--- a/internal/testkit/delegationfaults_test.go
+++ b/internal/testkit/delegationfaults_test.go
@@ -6,13 +6,19 @@
 	"testing"
 )
 
-// faults are what meets a transfer, each at every step of it.
+// faults are injected at every step of a delegation.
 var faults = map[string]func(x *transfer, long clock.Micros){
-	"home's leader ends": func(x *transfer, long clock.Micros) { x.home.endLeader(long) },
-	"host's leader ends": func(x *transfer, long clock.Micros) { x.host.endLeader(long) },
-	"both leaders end":   func(x *transfer, long clock.Micros) { x.home.endLeader(long); x.host.endLeader(long) },
-	"home restarts":      func(x *transfer, long clock.Micros) { x.home.restart(long) },
-	"both cells restart": func(x *transfer, long clock.Micros) { x.home.restart(long); x.host.restart(long) },
+	"home's leader ends": func(x *transfer, long clock.Micros) { x.home.crashLeader(long) },
+	"host's leader ends": func(x *transfer, long clock.Micros) { x.host.crashLeader(long) },
+	"both leaders end": func(x *transfer, long clock.Micros) {
+		x.home.crashLeader(long)
+		x.host.crashLeader(long)
+	},
+	"home restarts": func(x *transfer, long clock.Micros) { x.home.crashAll(long) },
+	"both cells restart": func(x *transfer, long clock.Micros) {
+		x.home.crashAll(long)
+		x.host.crashAll(long)
+	},
 	"home's state service is out": func(x *transfer, long clock.Micros) {
 		x.home.State.Outage(true)
 		x.w.After(long, func() { x.home.State.Outage(false) })
@@ -45,8 +51,8 @@
 	},
 }
 
-// Every fault at every step of a transfer, short and long: nothing runs twice, what is
-// cancelled is gone in time, all of the job gets done, and nothing of the transfer is left.
+// Every fault at every step of a delegation, short and long: no task runs twice, cancelled tasks end
+// in time, the whole job gets done, and nothing of the delegation is left.
 func TestFaultAtEveryStepOfADelegation(t *testing.T) {
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
@@ -55,7 +61,7 @@
 				for k, long := range []clock.Micros{3 * clock.Second, 40 * clock.Second} {
 					x := newTransfer(uint64(4000+2*i+k), step.gang && i%2 == k)
 					if !x.runTo(step.reached) {
-						t.Errorf("the step %q wasn't reached", step.name)
+						t.Errorf("the step %q wasn't reached within 200 s", step.name)
 						continue
 					}
 					fault(x, long)
@@ -66,7 +72,7 @@
 	}
 }
 
-// A leader ends after any request that it sends while a transfer is under way.
+// A leader crashes after any one request that it sends during a delegation.
 func TestLeaderCrashAfterAnyRequestOfADelegation(t *testing.T) {
 	for i, name := range []string{"home", "host"} {
 		t.Run(name, func(t *testing.T) {
@@ -84,20 +90,23 @@
 	}
 }
 
-// The other cell's machines hold what is cancelled, and everything that could end it there
-// fails at that moment, or a moment before: it is gone in time all the same.
+// The host cell's workers run a job that is cancelled, and whatever could stop it there fails at that
+// moment, or a moment before: it ends in time nevertheless.
 func TestCancelledTasksEndInHostCells(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]func(x *transfer){
-		"nothing more":       func(*transfer) {},
-		"state outage":       func(x *transfer) { x.host.State.Outage(true) },
-		"leader ends":        func(x *transfer) { x.host.endLeader(5 * clock.Second) },
-		"leader stands":      func(x *transfer) { x.host.Leader().proc.Stand(35 * clock.Second) },
-		"all controllers":    func(x *transfer) { x.host.restart(200 * clock.Second) },
-		"machines hang":      func(x *transfer) { x.hang() },
-		"hang, leader ends":  func(x *transfer) { x.hang(); x.host.endLeader(5 * clock.Second) },
+		"nothing more":    func(*transfer) {},
+		"state outage":    func(x *transfer) { x.host.State.Outage(true) },
+		"leader ends":     func(x *transfer) { x.host.crashLeader(5 * clock.Second) },
+		"leader stands":   func(x *transfer) { x.host.Leader().proc.Stand(35 * clock.Second) },
+		"all controllers": func(x *transfer) { x.host.crashAll(200 * clock.Second) },
+		"machines hang":   func(x *transfer) { x.hang() },
+		"hang, leader ends": func(x *transfer) {
+			x.hang()
+			x.host.crashLeader(5 * clock.Second)
+		},
 		"commands don't go":  func(x *transfer) { x.hold() },
-		"home's leader ends": func(x *transfer) { x.home.endLeader(5 * clock.Second) },
+		"home's leader ends": func(x *transfer) { x.home.crashLeader(5 * clock.Second) },
 		"home's state": func(x *transfer) {
 			x.w.After(clock.Second, func() { x.home.State.Outage(true) })
 			x.w.After(80*clock.Second, func() { x.home.State.Outage(false) })
@@ -107,7 +116,7 @@
 			x := newTransfer(uint64(4300+delay), false)
 			x.host.WatchService()
 			if !x.runTo(steps[4].reached) {
-				t.Fatal("nothing runs elsewhere")
+				t.Fatal("no task runs in the host cell")
 			}
 			x.w.Run(x.w.Now() + 2*clock.Second)
 			heal := x.host.CutOff(false)
@@ -118,7 +127,7 @@
 			for _, m := range x.host.Cloud.all {
 				for _, task := range m.tasks {
 					if task.onIt && !m.Hung && x.host.find(task.job) == x.job {
-						t.Errorf("%s: %s still runs %s", name, m.name, task.job)
+						t.Errorf("%s: %s still runs %s, want it ended", name, m.name, task.job)
 					}
 				}
 			}
@@ -129,7 +138,7 @@
 	}
 }
 
-// hang lets the machines hang on which the job's tasks are.
+// hang freezes the workers that run the job's tasks.
 func (x *transfer) hang() {
 	for _, places := range x.job.places {
 		for m := range places {
@@ -138,7 +147,7 @@
 	}
 }
 
-// hold keeps direct commands from arriving, for a while.
+// hold delays direct commands to the host's workers for a while.
 func (x *transfer) hold() {
 	for _, m := range x.host.Workers() {
 		m.Commands.Cut, m.Commands.Hold = true, true
--- a/internal/testkit/failover_test.go
+++ b/internal/testkit/failover_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Ten leaders in two minutes, an outage among them: no task is lost, and the tasks of
-// jobs that end far apart each end once.
+// Ten leaders in two minutes, an outage of the store among them: no worker loses its tasks, and
+// tasks that end far apart each end once.
 func TestRepeatedFailoversLoseNoTask(t *testing.T) {
 	w, d, _, other := twoJobs(t, 46, 200*clock.Second)
 	apart := d.Submit(array("job-000003", "open", 3, 2, 80), 80*clock.Second, false)
@@ -26,19 +26,19 @@
 			}
 		}
 	}
-	if lost(d) > 0 {
-		t.Fatalf("%d machines lost their tasks", lost(d))
+	if expired(d) > 0 {
+		t.Fatalf("%d workers lost their tasks, want none", expired(d))
 	}
 	w.Run(w.Now() + 400*clock.Second)
 	mustBeDone(t, w, other)
 	mustBeDone(t, w, apart)
 	if record := d.State.record(apart.spec.ID); record.NextAttempt != 1 {
-		t.Fatalf("a task was started again: next try %d", record.NextAttempt)
+		t.Fatalf("a task was started again: next attempt %d, want 1", record.NextAttempt)
 	}
 }
 
-// A leader that only the workers can't reach any more makes way in time for
-// their tasks to go on under another.
+// A leader that only the workers can't reach resigns in time for their tasks to continue under its
+// successor.
 func TestLeaderThatHearsNoWorkerResigns(t *testing.T) {
 	w := NewWorld(5)
 	set := testSettings()
@@ -47,28 +47,25 @@
 	spec := array("job-000001", "open", 12, 2, 60)
 	j := d.Submit(spec, 60*clock.Second, false)
 	w.Run(40 * clock.Second)
-	deaf := leading(t, d)
-	d.Nodes[deaf].Workers.Cut = true
+	deaf := mustLead(t, d)
+	deaf.Workers.Cut = true
 	w.Run(w.Now() + 40*clock.Second)
-	if now := leading(t, d); now == deaf {
-		t.Fatal("the same node leads")
+	if mustLead(t, d) == deaf {
+		t.Fatalf("%s still leads, want another controller", deaf.Name)
 	}
-	for _, m := range d.Workers() {
-		if m.session > 1 {
-			t.Fatalf("%s lost its tasks", m.name)
-		}
+	if n := expired(d); n > 0 {
+		t.Fatalf("%d workers lost their tasks, want none", n)
 	}
 	w.Run(w.Now() + 100*clock.Second)
 	mustBeDone(t, w, j)
 }
 
-// A node that is left with the workers only sends them on, without naming a
-// leader that it hasn't seen in office for a while, fails its health check and
-// answers users at once.
+// A controller that reaches only the workers redirects them, without naming a leader that it hasn't
+// seen for a while, fails its health check and answers users at once.
 func TestIsolatedControllerFailsItsHealthCheck(t *testing.T) {
 	for _, leads := range []bool{true, false} {
-		w, d, j := busyDay(t, 14, 60*clock.Second)
-		lone := d.Nodes[leading(t, d)]
+		w, d, j := eightTasks(t, 14, 60*clock.Second)
+		lone := mustLead(t, d)
 		if !leads {
 			for _, n := range d.Nodes {
 				if n != lone {
@@ -93,24 +90,30 @@
 		var told intake.Answer
 		lone.Intake.Handle(intake.Request{Kind: intake.Show, ID: j.spec.ID}, func(a intake.Answer) { told = a })
 		w.Run(w.Now() + 20*clock.Millisecond)
-		if up || status != http.StatusMisdirectedRequest || redirect != "" || told.Status != http.StatusServiceUnavailable || told.RetryS == 0 {
-			t.Fatalf("leads %v: up %v, beat %d %q, user %+v", leads, up, status, redirect, told)
+		if up {
+			t.Fatalf("led %v: it passes its health check, want it failed", leads)
+		}
+		if status != http.StatusMisdirectedRequest || redirect != "" {
+			t.Fatalf("led %v: a heartbeat gets %d and is sent to %q, want %d and nobody",
+				leads, status, redirect, http.StatusMisdirectedRequest)
+		}
+		if told.Status != http.StatusServiceUnavailable || told.RetryS == 0 {
+			t.Fatalf("led %v: a user gets %+v, want %d and a retry time", leads, told, http.StatusServiceUnavailable)
 		}
 		w.Run(w.Now() + 150*clock.Second)
 		mustBeDone(t, w, j)
 	}
 }
 
-// A controller stands still for a while before one of its requests or answers
-// leaves, its clocks running on: the leader at any step of an ordinary hour's work,
-// and each of the others at any step of an election and a takeover. Whatever it had
-// half done is old when it goes on, and what leaves then harms nothing.
+// A controller pauses before any one of its requests or responses leaves, while its clocks go on: the
+// leader at any step of ordinary work, the others at any step of an election and a failover. Whatever
+// it was doing is outdated when it continues, and what it sends then does no harm.
 func TestControllerPausesAtAnyRequest(t *testing.T) {
 	for _, electing := range []bool{false, true} {
 		for _, length := range []clock.Micros{2500 * clock.Millisecond, 7 * clock.Second, 37 * clock.Second} {
 			for step := 1; step <= 20; step++ {
-				w, d, j := busyDay(t, uint64(100+step), 30*clock.Second)
-				leader := d.Nodes[leading(t, d)]
+				w, d, j := eightTasks(t, uint64(100+step), 30*clock.Second)
+				leader := mustLead(t, d)
 				stand := func(n *Node, from int) {
 					n.proc.StandFor, n.proc.StandAfter = length, from
 				}
@@ -129,7 +132,8 @@
 				w.After(20*clock.Second, func() { d.Cancel(j) })
 				w.Run(w.Now() + 200*clock.Second)
 				if left := d.Unfinished(); len(w.Broken) > 0 || len(left) > 0 {
-					t.Fatalf("electing %v, step %d, %.1f s: broken %v, left %v", electing, step, length.Seconds(), w.Broken, left)
+					t.Fatalf("electing %v, step %d, %.1f s: broken rules %v, unfinished jobs %v, want none",
+						electing, step, length.Seconds(), w.Broken, left)
 				}
 			}
 		}
--- a/internal/testkit/gangs_test.go
+++ b/internal/testkit/gangs_test.go
@@ -9,15 +9,15 @@
 	"testing"
 )
 
-// A gang that loses a task before it has started gets a replacement, with the
-// same attempt, and those that wait for it needn't start over.
+// A gang that loses a task before it has started gets a replacement with the same attempt, and the
+// tasks that wait for it needn't restart.
 func TestLostTaskIsReplacedBeforeItsGangStarts(t *testing.T) {
 	w := NewWorld(9)
 	set := testSettings()
 	set.Deployment.Workers.GangWaitS = 90
 	d := NewDeployment(w, set, testTypes(), 0)
-	spec := protocol.JobSpec{ID: "job-000001", Class: "c", Team: "open", Shape: protocol.ShapeGang, Rank: "normal",
-		Tasks: 3, Cpus: 6, MemoryGB: 1, Image: "i", EstimateS: 20}
+	spec := array("job-000001", "open", 3, 6, 20)
+	spec.Shape = protocol.ShapeGang
 	j := d.Submit(spec, 20*clock.Second, false)
 	// Until one waits and another still fetches.
 	var dying *Worker
@@ -38,20 +38,19 @@
 		}
 	}
 	if dying == nil {
-		t.Fatal("no task waited while another fetched")
+		t.Fatal("no task waited while another fetched its image")
 	}
 	dying.Die()
 	w.Run(w.Now() + 150*clock.Second)
 	record, err := ledger.Decode(d.State.keys[ledger.Key(spec.ID)].value)
 	if err != nil || record.Status != protocol.StatusDone || record.NextAttempt != 2 {
-		t.Fatalf("record %+v, %v", record, err)
+		t.Fatalf("record %+v, want %q and next attempt 2; error %v", record, protocol.StatusDone, err)
 	}
 	mustBeDone(t, w, j)
 }
 
-// A gang of which a part would have to wait for a machine to boot takes no places
-// until all of them are there: placed in part it would hold them, fail for want of
-// the rest and start over.
+// A gang of which some tasks would have to wait for a worker to boot isn't placed until all workers
+// are up: placed in part it would hold resources, fail for want of the rest and restart.
 func TestGangIsPlacedOnlyOnceAllItsWorkersAreUp(t *testing.T) {
 	w := NewWorld(15)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
@@ -62,7 +61,7 @@
 		w.Run(w.Now() + 100*clock.Millisecond)
 	}
 	if up := len(d.Workers()); up != 2 {
-		t.Fatalf("%d machines are up", up)
+		t.Fatalf("%d workers are up, want 2", up)
 	}
 	d.Cloud.Capacity = map[fleet.Kind]int{{Type: "small", Zone: "a"}: 4} // one may not come up
 	spec.ID, spec.Shape, spec.Tasks = "job-000002", protocol.ShapeGang, 3
@@ -78,26 +77,27 @@
 			}
 		}
 		if up := len(d.Workers()); holding > 0 && up < 3 {
-			t.Fatalf("%d places are held with %d machines up", holding, up)
+			t.Fatalf("%d tasks are placed with %d workers up, want none before 3 are", holding, up)
 		}
 	}
 	mustBeDone(t, w, gang)
 }
 
-// A gang whose machine could be spared is moved off it as a whole, saving, and once:
-// until then a costly machine was paid for until the last task of a gang on it ended.
+// A gang on a surplus worker is checkpointed and moved off it as a whole, and once: otherwise a
+// costly machine would be paid for until the gang ends.
 func TestGangIsMovedOffSurplusWorkerAsAWhole(t *testing.T) {
 	w := NewWorld(19)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
 	d.Cloud.Capacity = map[fleet.Kind]int{{Type: "small", Zone: "a"}: 3, {Type: "big", Zone: "a"}: 2}
-	spec := protocol.JobSpec{ID: "job-000001", Class: "c", Team: "open", Shape: protocol.ShapeArray, Rank: "normal",
-		Tasks: 3, Cpus: 2, MemoryGB: 20, Image: "i", EstimateS: 600}
+	spec := array("job-000001", "open", 3, 2, 600)
+	spec.MemoryGB = 20
 	d.Submit(spec, 600*clock.Second, false) // one on each small machine, which it keeps up
 	w.Run(30 * clock.Second)
 	spec.ID, spec.Cpus, spec.MemoryGB, spec.EstimateS = "job-000002", 6, 5, 60
 	d.Submit(spec, 60*clock.Second, false) // fills them
 	w.Run(45 * clock.Second)
-	spec.ID, spec.Shape, spec.Tasks, spec.EstimateS, spec.CheckpointS, spec.SaveS = "job-000003", protocol.ShapeGang, 2, 400, 10, 1
+	spec.ID, spec.Shape, spec.Tasks = "job-000003", protocol.ShapeGang, 2
+	spec.EstimateS, spec.CheckpointS, spec.SaveS = 400, 10, 1
 	gang := d.Submit(spec, 400*clock.Second, false)
 	costly := func() int {
 		n := 0
@@ -110,19 +110,21 @@
 	}
 	w.Run(80 * clock.Second)
 	if gang.began == 0 || costly() == 0 {
-		t.Fatalf("the gang began at %.0f s, %d costly machines are up", gang.began.Seconds(), costly())
+		t.Fatalf("the gang began at %.0f s, want before 80 s; %d costly workers are up, want some",
+			gang.began.Seconds(), costly())
 	}
 	w.Run(180 * clock.Second)
 	record, err := ledger.Decode(d.State.keys[ledger.Key(spec.ID)].value)
 	if err != nil || costly() > 0 || len(gang.places) != 2 || record.NextAttempt != 2 {
-		t.Fatalf("%d costly machines are up, record %+v, %v", costly(), record, err)
+		t.Fatalf("%d costly workers are up, want 0; %d tasks began, want 2; record %+v, want next attempt 2; %v",
+			costly(), len(gang.places), record, err)
 	}
 	w.Run(1500 * clock.Second)
 	mustBeDone(t, w, gang)
 }
 
-// A gang that the machines there are, and all that the cloud still has, can't hold
-// keeps no room from smaller work: it would for ever.
+// No room is reserved for a gang that fits neither on the workers there are nor on all that the cloud
+// still has: smaller jobs would wait for ever.
 func TestGangThatNeverFitsReservesNoRoom(t *testing.T) {
 	w := NewWorld(91)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
@@ -143,6 +145,6 @@
 	w.Run(500 * clock.Second)
 	mustKeepRules(t, w)
 	if left := d.Unfinished(); len(left) != 1 {
-		t.Fatalf("left: %v", left)
+		t.Fatalf("accepted but not done: %v, want only the gang", left)
 	}
 }
--- a/internal/testkit/helpers_test.go
+++ b/internal/testkit/helpers_test.go
@@ -3,35 +3,35 @@
 import (
 	"postpoint/internal/clock"
 	"postpoint/internal/protocol"
+	"strings"
 	"testing"
 )
 
-// array is a job of independent tasks that nothing is wished for.
+// array is the specification of a job array without placement constraints.
 func array(id, team string, tasks int, cpus, seconds float64) protocol.JobSpec {
 	return protocol.JobSpec{ID: id, Class: "c", Team: team, Shape: protocol.ShapeArray, Rank: "normal",
 		Tasks: tasks, Cpus: cpus, MemoryGB: 1, Image: "i", EstimateS: seconds}
 }
 
-// twoJobs is a deployment on which one job to be cancelled and one to go on run for a
-// long time.
+// twoJobs is a deployment that runs two long jobs, one to be cancelled and one to continue.
 func twoJobs(t *testing.T, seed uint64, run clock.Micros) (w *World, d *Deployment, cancelled, other *Job) {
 	t.Helper()
 	w = NewWorld(seed)
 	d = NewDeployment(w, testSettings(), testTypes(), 0)
 	cancelled = d.Submit(array("job-000001", "open", 6, 4, run.Seconds()), run, false)
 	other = d.Submit(array("job-000002", "open", 6, 4, run.Seconds()), run, false)
-	for w.Now() < 100*clock.Second && (len(cancelled.places) < 6 || len(other.places) < 6) {
-		w.Run(w.Now() + 100*clock.Millisecond)
-	}
+	runUntil(w, 100*clock.Second, 100*clock.Millisecond, func() bool {
+		return len(cancelled.places) >= 6 && len(other.places) >= 6
+	})
 	w.Run(w.Now() + 10*clock.Second)
 	if len(cancelled.places) < 6 || len(other.places) < 6 {
-		t.Fatalf("%d and %d tasks run", len(cancelled.places), len(other.places))
+		t.Fatalf("%d and %d tasks run, want 6 each", len(cancelled.places), len(other.places))
 	}
 	return w, d, cancelled, other
 }
 
-// busyDay is a deployment that runs one job of eight tasks for a long time.
-func busyDay(t *testing.T, seed uint64, run clock.Micros) (*World, *Deployment, *Job) {
+// eightTasks is a deployment that runs one job of eight tasks.
+func eightTasks(t *testing.T, seed uint64, run clock.Micros) (*World, *Deployment, *Job) {
 	t.Helper()
 	w := NewWorld(seed)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
@@ -39,12 +39,12 @@
 	j := d.Submit(spec, run, false)
 	w.Run(40 * clock.Second)
 	if len(j.places) != 8 {
-		t.Fatalf("%d tasks run", len(j.places))
+		t.Fatalf("%d tasks run, want 8", len(j.places))
 	}
 	return w, d, j
 }
 
-// confirmCancel has the user cancel the job and waits for the confirmation.
+// confirmCancel has the user cancel the job and runs until the cancellation is confirmed.
 func confirmCancel(w *World, d *Deployment, j *Job) {
 	d.Cancel(j)
 	for j.told == "" {
@@ -52,34 +52,74 @@
 	}
 }
 
+// mustKeepRules fails the test if a rule was broken.
 func mustKeepRules(t *testing.T, w *World) {
 	t.Helper()
 	if len(w.Broken) > 0 {
-		t.Fatal(w.Broken)
+		t.Fatalf("broken rules, want none:\n%s", strings.Join(w.Broken, "\n"))
 	}
 }
 
-// mustBeDone sees to it that a user was told the end of a job, and no rule broken.
+// mustBeDone fails the test unless the user was told that the job is done and no rule was broken.
 func mustBeDone(t *testing.T, w *World, j *Job) {
 	t.Helper()
 	if j.told != protocol.StatusDone || len(w.Broken) > 0 {
-		t.Fatalf("%s: told %q, broken %v", j.spec.ID, j.told, w.Broken)
+		t.Fatalf("%s: told %q, want %q; broken rules %v, want none",
+			j.spec.ID, j.told, protocol.StatusDone, w.Broken)
+	}
+}
+
+// mustBeCancelled fails the test unless the user was told that the job is cancelled.
+func mustBeCancelled(t *testing.T, j *Job) {
+	t.Helper()
+	if j.told != protocol.StatusCancelled {
+		t.Fatalf("%s: told %q, want %q", j.spec.ID, j.told, protocol.StatusCancelled)
 	}
 }
 
-func leading(t *testing.T, d *Deployment) int {
+// mustHaveUnfinished fails the test if more accepted jobs than allowed are not done.
+func mustHaveUnfinished(t *testing.T, d *Deployment, atMost int) {
 	t.Helper()
-	for i, n := range d.Nodes {
+	if left := d.Unfinished(); len(left) > atMost {
+		t.Fatalf("accepted but not done: %v, want at most %d", left, atMost)
+	}
+}
+
+// runUntil runs the simulation in steps until the condition holds or the time limit is reached, and
+// reports whether it holds.
+func runUntil(w *World, limit, step clock.Micros, condition func() bool) bool {
+	for w.Now() < limit {
+		if condition() {
+			return true
+		}
+		w.Run(w.Now() + step)
+	}
+	return false
+}
+
+// partition cuts a worker off in both directions.
+func (m *Worker) partition() { m.Link.Cut, m.Commands.Cut = true, true }
+
+// heal ends a worker's partition.
+func (m *Worker) heal() {
+	m.Link.Heal()
+	m.Commands.Heal()
+}
+
+// mustLead is the first controller that leads; the test fails if none does.
+func mustLead(t *testing.T, d *Deployment) *Node {
+	t.Helper()
+	for _, n := range d.Nodes {
 		if n.Dispatch.Leads() {
-			return i
+			return n
 		}
 	}
-	t.Fatal("nobody leads")
-	return -1
+	t.Fatal("no controller leads")
+	return nil
 }
 
-// lost counts the machines that lost a session and with it their tasks.
-func lost(d *Deployment) int {
+// expired counts the workers whose lease expired, which cost them their tasks.
+func expired(d *Deployment) int {
 	n := 0
 	for _, m := range d.Workers() {
 		if m.session > 1 {
@@ -89,7 +129,7 @@
 	return n
 }
 
-// runs tells that a task of the job is on the machine.
+// runs reports whether a task of the job is on the worker.
 func (m *Worker) runs(j *Job) bool {
 	for _, t := range m.tasks {
 		if t.job == j.spec.ID && t.onIt {
@@ -99,17 +139,22 @@
 	return false
 }
 
-// endLeader ends the leader's process; it comes back after a while.
-func (d *Deployment) endLeader(away clock.Micros) {
+// crashFor ends a controller's process and starts a new one after a while.
+func (d *Deployment) crashFor(n *Node, down clock.Micros) {
+	n.Crash()
+	d.World.After(down, func() { d.StartNode(n) })
+}
+
+// crashLeader does so with the leader, if there is one.
+func (d *Deployment) crashLeader(down clock.Micros) {
 	if n := d.Leader(); n != nil {
-		n.Crash()
-		d.World.After(away, func() { d.StartNode(n) })
+		d.crashFor(n, down)
 	}
 }
 
-func (d *Deployment) restart(away clock.Micros) {
+// crashAll does so with all controllers.
+func (d *Deployment) crashAll(down clock.Micros) {
 	for _, n := range d.Nodes {
-		n.Crash()
-		d.World.After(away, func() { d.StartNode(n) })
+		d.crashFor(n, down)
 	}
 }
--- a/internal/testkit/placement_test.go
+++ b/internal/testkit/placement_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// Arrays and gangs bound to one zone lose machines: what runs elsewhere is never in
-// another zone than what may still be there, and all of it gets done.
+// Arrays and gangs bound to one zone lose workers: no task runs in another zone than those that may
+// still run, and all jobs get done.
 func TestZoneBoundJobsKeepTheirZoneWhenWorkersAreLost(t *testing.T) {
 	for seed := uint64(81); seed < 85; seed++ {
 		w := NewWorld(seed)
@@ -38,8 +38,8 @@
 			if i%2 == 0 {
 				m.Die()
 			} else {
-				m.Link.Cut, m.Commands.Cut = true, true
-				w.After(20*clock.Second, func() { m.Link.Heal(); m.Commands.Heal() })
+				m.partition()
+				w.After(20*clock.Second, m.heal)
 			}
 		}
 		w.Run(w.Now() + 500*clock.Second)
@@ -49,9 +49,8 @@
 	}
 }
 
-// The largest array that can be submitted is accepted at once, runs as far as its
-// record has room, and holds up neither smaller work that comes after it nor the
-// other nodes' answers.
+// The largest array that can be submitted is accepted at once, runs as far as its record has room,
+// and delays neither smaller jobs submitted after it nor the other controllers' responses.
 func TestLargestArrayDelaysNoOtherJob(t *testing.T) {
 	w := NewWorld(20)
 	set := testSettings()
@@ -59,17 +58,19 @@
 	d := NewDeployment(w, set, testTypes(), 0)
 	d.Cloud.Reliable = true // or how much is done is a matter of luck
 	w.Run(10 * clock.Second)
-	huge := d.Submit(protocol.JobSpec{ID: "job-000001", Class: "huge", Team: "open", Shape: protocol.ShapeArray, Rank: "normal",
-		Tasks: 100_000, Cpus: 1, MemoryGB: 1, Image: "i", EstimateS: 20}, 20*clock.Second, false)
+	largest := array("job-000001", "open", 100_000, 1, 20)
+	largest.Class = "huge"
+	huge := d.Submit(largest, 20*clock.Second, false)
 	w.Run(12 * clock.Second)
 	if !huge.accepted() {
-		t.Fatal("not accepted within two seconds")
+		t.Fatal("the array isn't accepted, want it within 2 s")
 	}
 	w.Run(60 * clock.Second)
 	var small []*Job
 	for i := range 5 {
-		small = append(small, d.Submit(protocol.JobSpec{ID: fmt.Sprintf("job-1%05d", i), Class: "small", Team: "open",
-			Shape: protocol.ShapeArray, Rank: "normal", Tasks: 4, Cpus: 1, MemoryGB: 1, Image: "i", EstimateS: 5}, 5*clock.Second, false))
+		spec := array(fmt.Sprintf("job-1%05d", i), "open", 4, 1, 5)
+		spec.Class = "small"
+		small = append(small, d.Submit(spec, 5*clock.Second, false))
 	}
 	d.WatchAnswers()
 	w.Run(160 * clock.Second)
@@ -77,6 +78,6 @@
 		mustBeDone(t, w, j)
 	}
 	if len(huge.gone) < 500 {
-		t.Errorf("%d tasks of the huge array are done", len(huge.gone))
+		t.Errorf("%d tasks of the largest array are done, want at least 500", len(huge.gone))
 	}
 }
--- a/internal/testkit/requests_test.go
+++ b/internal/testkit/requests_test.go
@@ -10,10 +10,10 @@
 	"testing"
 )
 
-// Users repeat submissions, cancel what is done, ask for what was never submitted, and
-// send what can't run or lacks a field: nothing of it is accepted, and nothing changes.
+// Users repeat submissions, cancel finished jobs, ask for unknown ones, and submit jobs that can't run
+// or lack a field: none of it is accepted, and nothing changes.
 func TestInvalidAndRepeatedRequestsChangeNothing(t *testing.T) {
-	w, d, j := busyDay(t, 72, 30*clock.Second)
+	w, d, j := eightTasks(t, 72, 30*clock.Second)
 	done := d.Submit(array("job-000003", "open", 1, 1, 5), 5*clock.Second, false)
 	for range 30 {
 		oddRequests(d)
@@ -29,12 +29,12 @@
 	want := []string{"catalogue", "jobs/job-000001", "jobs/job-000003", "lead/controller",
 		"rollout/gate", "rollout/node/worker-0", "rollout/node/worker-1", "rollout/node/worker-2"}
 	if keys := slices.Sorted(maps.Keys(d.State.keys)); !slices.Equal(keys, want) {
-		t.Fatalf("keys %v", keys)
+		t.Fatalf("keys %v, want %v", keys, want)
 	}
 }
 
-// Nodes that start while the cloud doesn't answer judge submissions by the
-// catalogue that a leader left.
+// Controllers that start while the cloud is out validate submissions by the catalogue that a leader
+// stored.
 func TestSubmissionsAreAcceptedWhenControllersStartWithoutCloud(t *testing.T) {
 	w := NewWorld(6)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
@@ -48,6 +48,6 @@
 	j := d.Submit(array("job-000001", "open", 1, 2, 5), 5*clock.Second, false)
 	w.Run(w.Now() + 2*clock.Second)
 	if !j.accepted() {
-		t.Fatal("not accepted")
+		t.Fatal("the job isn't accepted, want it within 2 s")
 	}
 }
--- a/internal/testkit/rules_test.go
+++ b/internal/testkit/rules_test.go
@@ -431,35 +431,35 @@
 	}
 }
 
-// Whole controllers keep every rule through crashes, cuts, outages, hung
-// machines and late messages, and get all accepted work done afterwards.
+// Whole controllers keep every rule through crashes, partitions, outages, hung workers and late
+// messages, and get all accepted jobs done afterwards.
 func TestRulesHoldUnderRandomFaults(t *testing.T) {
 	for seed := range seeds(60) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			d := play(seed)
 			if len(d.World.Broken) > 0 {
-				t.Fatalf("broken rules:\n%s", strings.Join(d.World.Broken, "\n"))
+				t.Fatalf("broken rules, want none:\n%s", strings.Join(d.World.Broken, "\n"))
 			}
 			if left := d.Unfinished(); len(left) > 0 {
-				t.Fatalf("accepted but not done: %v", left)
+				t.Fatalf("accepted but not done: %v, want none", left)
 			}
 			for _, j := range d.Jobs() {
 				if j.wantsEnd && j.accepted() && j.told == "" {
-					t.Fatalf("%s was never told cancelled", j.spec.ID)
+					t.Fatalf("%s was told no end, want %q", j.spec.ID, protocol.StatusCancelled)
 				}
 			}
 		})
 	}
 }
 
-// The same seed gives the same course of events: what a failing day shows can
-// be looked at again.
+// The same seed gives the same course of events, so that a failing simulation can be repeated.
 func TestSameSeedGivesSameSimulation(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 5, 21} { // some of them with outages of the state service
 		a, b := play(seed), play(seed)
 		if a.World.seq != b.World.seq || a.State.revision != b.State.revision || a.State.Changes != b.State.Changes {
-			t.Errorf("seed %d: events %d and %d, revisions %d and %d", seed, a.World.seq, b.World.seq, a.State.revision, b.State.revision)
+			t.Errorf("seed %d: events %d and %d, revisions %d and %d, changes %d and %d, want the same",
+				seed, a.World.seq, b.World.seq, a.State.revision, b.State.revision, a.State.Changes, b.State.Changes)
 		}
 	}
 }
--- a/internal/testkit/scale_test.go
+++ b/internal/testkit/scale_test.go
@@ -10,10 +10,9 @@
 	"testing"
 )
 
-// Several hundred machines and thousands of tasks, a quarter of the machines cut
-// off for a while and all controllers restarted on top: the work is done, the
-// largest jobs begin within four minutes, every job stays known, and what all
-// nodes ask of the state service, the cloud and the workers stays within the
+// Several hundred workers and thousands of tasks, a quarter of the workers partitioned for a while and
+// all controllers restarted: all jobs get done, the largest start within four minutes, every job stays
+// known, and the requests of all controllers to the store, the cloud and the workers stay within the
 // settings' limits and in proportion to the tasks.
 func TestLargeDeploymentStaysWithinRequestBudgets(t *testing.T) {
 	t.Parallel()
@@ -24,15 +23,17 @@
 	d := NewDeployment(w, set, testTypes(), 0)
 	d.State.Kept, d.State.Page = 10_000, 500
 	d.Cloud.Capacity = map[fleet.Kind]int{
-		{Type: "small", Zone: "a"}: 150, {Type: "small", Zone: "b"}: 100, {Type: "small", Zone: "a", Spot: true}: 50,
-		{Type: "big", Zone: "a"}: 40, {Type: "big", Zone: "b"}: 20,
+		{Type: "small", Zone: "a"}: 150, {Type: "small", Zone: "b"}: 100,
+		{Type: "small", Zone: "a", Spot: true}: 50,
+		{Type: "big", Zone: "a"}:               40, {Type: "big", Zone: "b"}: 20,
 	}
 	tasks := 0
 	submit := func(at clock.Micros, shape string, n int, cpus float64, run clock.Micros) {
 		tasks += n
 		w.After(at, func() {
-			d.Submit(protocol.JobSpec{ID: fmt.Sprintf("job-%06d", len(d.order)), Class: shape, Team: "open", Shape: shape, Rank: "normal",
-				Tasks: n, Cpus: cpus, MemoryGB: 1, Image: "i", Spot: true, EstimateS: run.Seconds(), CheckpointS: 10, SaveS: 1}, run, false)
+			spec := array(d.nextID(), "open", n, cpus, run.Seconds())
+			spec.Class, spec.Shape, spec.Spot, spec.CheckpointS, spec.SaveS = shape, shape, true, 10, 1
+			d.Submit(spec, run, false)
 		})
 	}
 	for i := range clock.Micros(8) {
@@ -44,8 +45,9 @@
 	w.After(60*clock.Second, func() {
 		for i, m := range d.Workers() {
 			if i%4 == 0 {
-				m.Link.Cut, m.Commands.Cut, m.Link.Hold = true, true, true
-				w.After(15*clock.Second, func() { m.Link.Heal(); m.Commands.Heal() })
+				m.partition()
+				m.Link.Hold = true
+				w.After(15*clock.Second, m.heal)
 			}
 		}
 	})
@@ -60,32 +62,34 @@
 	w.Run(day)
 
 	if len(w.Broken) > 0 {
-		t.Fatalf("broken rules: %v", w.Broken[:min(len(w.Broken), 5)])
+		t.Fatalf("broken rules, want none: %v", w.Broken[:min(len(w.Broken), 5)])
 	}
 	if left := d.Unfinished(); len(left) > 0 {
-		t.Fatalf("accepted but not done: %v", left)
+		t.Fatalf("accepted but not done: %v, want none", left)
 	}
 	for _, j := range d.Jobs() {
 		if j.began-j.submitted > 240*clock.Second {
-			t.Errorf("%s of %d tasks began after %.0f s", j.spec.ID, j.spec.Tasks, (j.began - j.submitted).Seconds())
+			t.Errorf("%s of %d tasks began after %.0f s, want 240 s at most",
+				j.spec.ID, j.spec.Tasks, (j.began - j.submitted).Seconds())
 		}
 	}
 	if up := len(d.Cloud.all); up < 250 {
-		t.Errorf("only %d machines were rented", up)
+		t.Errorf("%d machines were rented, want at least 250", up)
 	}
 	// The settings allow 12,000, 30,000 and 2,400. What this day needs is less by
 	// far, and a change that needs a third more is one to be noticed.
 	d.mustHaveUsed(t, used{changes: 3000, requests: 7500, calls: 400, plans: 4500, commands: tasks})
 }
 
-// used bounds what a day may need: changes of records, requests to the state
-// service, calls to the cloud, plans of the last leader, and direct commands.
+// used bounds what a simulation may need: changes of records, requests to the store and the cloud,
+// plans of the last leader, and direct commands.
 type used struct{ changes, requests, calls, plans, commands int }
 
+// mustHaveUsed fails the test if the deployment needed more.
 func (d *Deployment) mustHaveUsed(t *testing.T, most used) {
 	t.Helper()
 	plans := 0
-	d.Nodes[leading(t, d)].Dispatch.Overview(func(o any) { plans = o.(dispatch.Overview).Plans })
+	mustLead(t, d).Dispatch.Overview(func(o any) { plans = o.(dispatch.Overview).Plans })
 	d.World.Run(d.World.Now() + clock.Millisecond)
 	for _, x := range []struct {
 		what    string
@@ -99,16 +103,27 @@
 	} {
 		t.Logf("%s: %d of %d", x.what, x.n, x.most)
 		if x.n > x.most {
-			t.Errorf("%s: %d, more than %d", x.what, x.n, x.most)
+			t.Errorf("%s: %d, want %d at most", x.what, x.n, x.most)
 		}
 	}
 }
 
-// A whole fleet of two thousand machines: a zone is cut off for longer than a
-// lease, a hundred machines die meanwhile, and before it is back all controllers are
-// restarted, so that everybody returns at once. The work is done, every job stays
-// known, no machine loses its lease but those that were cut off or died, and what is
-// asked of the outside systems stays in proportion.
+// nextID is an id that no job of the deployment has yet.
+func (d *Deployment) nextID() string { return fmt.Sprintf("job-%06d", len(d.order)) }
+
+// mustFinish fails the test if a rule was broken or an accepted job isn't done.
+func mustFinish(t *testing.T, d *Deployment) {
+	t.Helper()
+	broken := d.World.Broken
+	if left := d.Unfinished(); len(broken) > 0 || len(left) > 0 {
+		t.Fatalf("broken rules %v, accepted but not done %v, want none", broken[:min(len(broken), 5)], left)
+	}
+}
+
+// Two thousand workers: a zone is partitioned for longer than a lease, a hundred workers die meanwhile,
+// and before it is back all controllers are restarted, so that all workers return at once. All jobs get
+// done, every job stays known, no leases expire but those of workers that were partitioned or died, and
+// the requests to the outside systems stay in proportion.
 func TestTwoThousandWorkersReturnAtOnce(t *testing.T) {
 	t.Parallel()
 	w := NewWorld(18)
@@ -122,21 +137,21 @@
 	for i := range clock.Micros(8) {
 		const n = 1000
 		w.After(i*2*clock.Second, func() {
-			d.Submit(protocol.JobSpec{ID: fmt.Sprintf("job-%06d", len(d.order)), Class: "c", Team: "open", Shape: protocol.ShapeArray,
-				Rank: "normal", Tasks: n, Cpus: 2, MemoryGB: 1, Image: "i", EstimateS: 150}, 150*clock.Second, false)
+			d.Submit(array(d.nextID(), "open", n, 2, 150), 150*clock.Second, false)
 		})
 	}
 	excused := map[*Worker]bool{}
 	w.After(80*clock.Second, func() {
 		if up := len(d.Workers()); up < 1800 {
-			t.Errorf("only %d machines are up", up)
+			t.Errorf("%d workers are up, want at least 1800", up)
 		}
 		for i, m := range d.Workers() {
 			switch {
 			case m.zone == "b":
 				excused[m] = true
-				m.Link.Cut, m.Commands.Cut, m.Link.Hold = true, true, true
-				w.After(45*clock.Second, func() { m.Link.Heal(); m.Commands.Heal() })
+				m.partition()
+				m.Link.Hold = true
+				w.After(45*clock.Second, m.heal)
 			case i%15 == 0:
 				excused[m] = true
 				w.After(15*clock.Second, m.Die)
@@ -152,12 +167,10 @@
 	w.After(130*clock.Second, d.WatchAnswers)
 	w.Run(450 * clock.Second)
 
-	if left := d.Unfinished(); len(w.Broken) > 0 || len(left) > 0 {
-		t.Fatalf("broken %v, accepted but not done %v", w.Broken[:min(len(w.Broken), 5)], left)
-	}
+	mustFinish(t, d)
 	for _, m := range d.Cloud.all {
 		if m.session > 1 && !excused[m] {
-			t.Errorf("%s lost its lease", m.name)
+			t.Errorf("the lease of %s expired, want it kept", m.name)
 		}
 	}
 	d.mustHaveUsed(t, used{changes: 2600, requests: 5500, calls: 1100, plans: 3500, commands: 5700})
--- a/internal/testkit/scalefailover_test.go
+++ b/internal/testkit/scalefailover_test.go
@@ -1,7 +1,6 @@
 package testkit
 
 import (
-	"fmt"
 	"postpoint/internal/clock"
 	"postpoint/internal/fleet"
 	"postpoint/internal/protocol"
@@ -9,11 +8,10 @@
 	"testing"
 )
 
-// Six hundred machines on controllers whose processor is short: each message takes 2 ms,
-// half of it for reports alone while nothing happens. A burst of jobs comes, and the
-// leader ends with all of them at work. No reachable worker loses its lease, submissions
-// are accepted within two seconds, and the next leader has heard of every machine, and
-// has work started, within 15 s of the end.
+// Six hundred workers on controllers that are short of processor time: each message takes 2 ms, and
+// heartbeats alone take half of it. Many jobs are submitted at once, and the leader crashes while all of
+// them run. No reachable worker's lease expires, submissions are accepted within two seconds, and the
+// next leader has responded to every worker, and starts jobs, within 15 s of the crash.
 func TestSmallControllersKeepLeases(t *testing.T) {
 	t.Parallel()
 	w := NewWorld(19)
@@ -27,8 +25,7 @@
 	d.Cloud.Capacity = map[fleet.Kind]int{{Type: "small", Zone: "a"}: 400, {Type: "small", Zone: "b"}: 200}
 	w.MessageCost = 2 * clock.Millisecond
 	submit := func(tasks int, run clock.Micros) {
-		d.Submit(protocol.JobSpec{ID: fmt.Sprintf("job-%06d", len(d.order)), Class: "c", Team: "open", Shape: protocol.ShapeArray,
-			Rank: "normal", Tasks: tasks, Cpus: 2, MemoryGB: 1, Image: "i", EstimateS: run.Seconds()}, run, false)
+		d.Submit(array(d.nextID(), "open", tasks, 2, run.Seconds()), run, false)
 	}
 	for i := range clock.Micros(5) {
 		w.After(i*clock.Second, func() { submit(400, 120*clock.Second) })
@@ -39,14 +36,14 @@
 	const end = 90 * clock.Second
 	w.After(end, func() {
 		if up := len(d.Workers()); up < 550 {
-			t.Errorf("only %d machines are up", up)
+			t.Errorf("%d workers are up, want at least 550", up)
 		}
-		old := d.Nodes[leading(t, d)]
+		old := mustLead(t, d)
 		old.Crash()
 		w.After(6*clock.Second, func() { d.StartNode(old) })
 	})
 	w.After(end+15*clock.Second, func() {
-		heir := d.Nodes[leading(t, d)]
+		heir := mustLead(t, d)
 		heard := 0
 		for _, m := range d.Workers() {
 			if heir.Dispatch.Knows(m.name) && m.epoch > 1 {
@@ -54,33 +51,31 @@
 			}
 		}
 		if all := len(d.Workers()); heard < all {
-			t.Errorf("the next leader has answered %d of %d machines after 15 s", heard, all)
+			t.Errorf("the next leader has responded to %d of %d workers after 15 s, want all", heard, all)
 		}
 		submit(10, 20*clock.Second)
 	})
 	w.Run(400 * clock.Second)
-	if left := d.Unfinished(); len(w.Broken) > 0 || len(left) > 0 {
-		t.Fatalf("broken %v, accepted but not done %v", w.Broken[:min(len(w.Broken), 5)], left)
-	}
+	mustFinish(t, d)
 	for _, m := range d.Cloud.all {
 		if m.session > 1 {
-			t.Errorf("%s lost its lease", m.name)
+			t.Errorf("the lease of %s expired, want it kept", m.name)
 		}
 	}
 	for _, j := range d.order {
 		if took := j.acceptedAt - j.submitted; took > 2*clock.Second {
-			t.Errorf("%s was accepted after %.1f s", j.spec.ID, took.Seconds())
+			t.Errorf("%s was accepted after %.1f s, want 2 s at most", j.spec.ID, took.Seconds())
 		}
 	}
 	if last := d.order[len(d.order)-1]; last.began-last.submitted > 30*clock.Second {
-		t.Errorf("a job submitted to the next leader began after %.1f s", (last.began - last.submitted).Seconds())
+		t.Errorf("a job submitted to the next leader began after %.1f s, want 30 s at most",
+			(last.began - last.submitted).Seconds())
 	}
 }
 
-// Four thousand machines with services among the work: the leader ends, and before the next
-// has heard of everybody a zone of a thousand machines is gone for good. Replicas that ran
-// there run elsewhere, each once, all work is done, and what is asked of the outside systems
-// stays in proportion.
+// Four thousand workers with services among the jobs: the leader crashes, and before its successor has
+// heard of all workers a zone of a thousand is lost for good. Replicas that ran there run elsewhere, each
+// once, all jobs get done, and the requests to the outside systems stay in proportion.
 func TestFourThousandWorkersLoseAZone(t *testing.T) {
 	t.Parallel()
 	w := NewWorld(20)
@@ -94,21 +89,24 @@
 	d.Cloud.Capacity = map[fleet.Kind]int{{Type: "small", Zone: "a"}: 3000, {Type: "small", Zone: "b"}: 1000}
 	d.State.Limit(set.Deployment.State.Tightest(), false)
 	submit := func(shape, rank string, tasks int, cpus float64, run clock.Micros) *Job {
-		return d.Submit(protocol.JobSpec{ID: fmt.Sprintf("job-%06d", len(d.order)), Class: shape, Team: "open", Shape: shape,
-			Rank: rank, Tasks: tasks, Cpus: cpus, MemoryGB: 1, Image: "i", Spread: shape == protocol.ShapeService, EstimateS: run.Seconds()}, run, false)
+		spec := array(d.nextID(), "open", tasks, cpus, run.Seconds())
+		spec.Class, spec.Shape, spec.Rank, spec.Spread = shape, shape, rank, shape == protocol.ShapeService
+		return d.Submit(spec, run, false)
 	}
 	for i := range clock.Micros(8) {
 		w.After(i*2*clock.Second, func() { submit(protocol.ShapeArray, "normal", 975, 4, 150*clock.Second) })
 	}
 	var services []*Job
 	for i := range clock.Micros(20) {
-		w.After(60*clock.Second+i*clock.Second, func() { services = append(services, submit(protocol.ShapeService, "prod", 6, 1, 0)) })
+		w.After(60*clock.Second+i*clock.Second, func() {
+			services = append(services, submit(protocol.ShapeService, "prod", 6, 1, 0))
+		})
 	}
 	w.After(120*clock.Second, func() {
 		if up := len(d.Workers()); up < 3900 {
-			t.Errorf("only %d machines are up", up)
+			t.Errorf("%d workers are up, want at least 3900", up)
 		}
-		old := d.Nodes[leading(t, d)]
+		old := mustLead(t, d)
 		old.Crash()
 		w.After(3*clock.Second, func() { d.StartNode(old) })
 	})
@@ -128,12 +126,10 @@
 		}
 		// Spread lets half of them, rounded up, be in the zone that is left.
 		if running < 3 {
-			t.Errorf("%s: %d replicas run 76 s after the zone was lost", j.spec.ID, running)
+			t.Errorf("%s: %d replicas run 76 s after the zone was lost, want at least 3", j.spec.ID, running)
 		}
 	}
 	w.Run(600 * clock.Second)
-	if left := d.Unfinished(); len(w.Broken) > 0 || len(left) > 0 {
-		t.Fatalf("broken %v, accepted but not done %v", w.Broken[:min(len(w.Broken), 5)], left)
-	}
+	mustFinish(t, d)
 	d.mustHaveUsed(t, used{changes: 3400, requests: 8000, calls: 1200, plans: 2900, commands: 8500})
 }
--- a/internal/testkit/services_test.go
+++ b/internal/testkit/services_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Replicas that end by themselves run again, the service is never told done, and once it
-// is cancelled nothing of it is left.
+// Replicas that end by themselves are restarted, the service is never reported done, and once it is
+// cancelled none of its replicas is left.
 func TestServicesRunUntilCancelled(t *testing.T) {
 	t.Parallel()
 	w := NewWorld(260)
@@ -28,23 +28,23 @@
 	})
 	w.Run(400 * clock.Second)
 	if j.told != "" {
-		t.Fatalf("its user was told %q", j.told)
+		t.Fatalf("the user was told %q, want no end", j.told)
 	}
 	if served*100 < samples*85 {
-		t.Errorf("%d of %d replica seconds were served", served, samples)
+		t.Errorf("%d of %d replica seconds were served, want 85 in 100", served, samples)
 	}
 	confirmCancel(w, d, j)
 	w.Run(w.Now() + 60*clock.Second)
 	mustKeepRules(t, w)
 	for n, on := range j.places {
 		if len(on) > 0 {
-			t.Errorf("replica %d still runs", n)
+			t.Errorf("replica %d still runs, want it stopped", n)
 		}
 	}
 }
 
-// Machines with replicas hang or are cut off: the replicas run elsewhere well before their
-// leases have ended, each of them once.
+// A worker with replicas hangs: the replicas run elsewhere well before its lease expires, each of them
+// once.
 func TestReplicasOfSilentWorkersAreReplacedSoon(t *testing.T) {
 	t.Parallel()
 	w := NewWorld(261)
@@ -77,7 +77,7 @@
 		w.Run(w.Now() + 100*clock.Millisecond)
 	}
 	if took := w.Now() - at; took > 20*clock.Second {
-		t.Errorf("all replicas run again after %.1f s", took.Seconds())
+		t.Errorf("all replicas run again after %.1f s, want 20 s at most", took.Seconds())
 	}
 	lost.Resume()
 	w.Run(w.Now() + 60*clock.Second)
--- a/internal/testkit/storeoutage_test.go
+++ b/internal/testkit/storeoutage_test.go
@@ -8,17 +8,16 @@
 	"testing"
 )
 
-// The gap: the state service refuses the leader alone, another node confirms a
-// cancellation, and then it is out for everybody for longer than cancel_s, while the
-// workers report to the old leader. What was cancelled is gone in time, also from a
-// machine that hangs, and what wasn't runs on: the nodes vouch for what they told.
-// If one of them can't be asked, or has started since, nobody vouches, and the leader
-// lets everything go in time.
+// The store refuses the leader alone, another controller confirms a cancellation, and then the store is
+// out for everybody for longer than cancel_s, while the workers send heartbeats to the old leader. The
+// cancelled tasks end in time, also on a worker that hangs, and the others continue: the controllers
+// attest what they have confirmed. If one of them can't be asked, or has started since, there is no
+// attestation, and the leader lets all leases expire in time.
 func TestCancelledTasksEndWhenLeaderIsRefusedBeforeStoreOutage(t *testing.T) {
 	for _, silent := range []string{"nobody", "a peer", "a young peer"} {
 		for seed := uint64(31); seed < 36; seed++ {
 			w, d, j, other := twoJobs(t, seed, 300*clock.Second)
-			leader := d.Nodes[leading(t, d)]
+			leader := mustLead(t, d)
 			leader.State.Refused = true
 			w.Run(w.Now() + w.Between(0, 500*clock.Millisecond))
 			confirmCancel(w, d, j)
@@ -41,16 +40,16 @@
 			w.Run(w.Now() + 45*clock.Second)
 			mustKeepRules(t, w)
 			if silent != "nobody" {
-				if lost(d) == 0 {
-					t.Fatalf("%s is silent and tasks are kept for 45 s", silent)
+				if expired(d) == 0 {
+					t.Fatalf("%s is silent and no worker's lease expired within 45 s, want some", silent)
 				}
 				continue
 			}
 			if !hung.ended {
-				t.Fatalf("%s hangs with cancelled tasks and is kept", hung.name)
+				t.Fatalf("%s hangs with cancelled tasks and is kept, want it released", hung.name)
 			}
-			if lost(d) > 0 {
-				t.Fatalf("%d machines lost their tasks though all nodes vouch", lost(d))
+			if expired(d) > 0 {
+				t.Fatalf("%d workers lost their tasks though all controllers attest, want none", expired(d))
 			}
 			d.State.Outage(false)
 			leader.State.Refused = false
@@ -60,11 +59,11 @@
 	}
 }
 
-// A leader that was elected and can't read the records knows of no cancellation: an
-// outage that begins with its election lets all tasks go in time.
+// A leader that was elected and can't read the records knows of no cancellation: in an outage that
+// begins with its election it lets all leases expire in time.
 func TestLeaderWithoutRecordsRenewsNoLeases(t *testing.T) {
 	w, d, j, _ := twoJobs(t, 41, 300*clock.Second)
-	first := d.Nodes[leading(t, d)]
+	first := mustLead(t, d)
 	epoch := d.State.keys[leadership.Key].version
 	first.State.Refused = true
 	confirmCancel(w, d, j)
@@ -72,17 +71,17 @@
 	for d.State.keys[leadership.Key].version <= epoch {
 		w.Run(w.Now() + 200)
 	}
-	d.State.Outage(true) // its election's answer is on its way
+	d.State.Outage(true) // the response to its campaign is on its way
 	w.Run(w.Now() + 60*clock.Second)
 	mustKeepRules(t, w)
 }
 
-// A leader that is refused by the state service learns from the others, long before
-// its allowance ends, that one of them was elected, and sends the workers on, also if
-// these hear nothing of the next leader.
+// A leader that the store refuses learns from the other controllers, long before it has to stop
+// renewing leases, that one of them was elected, and redirects the workers, also if these can't reach
+// the new leader.
 func TestRefusedLeaderLearnsOfItsSuccessor(t *testing.T) {
 	w, d, j, _ := twoJobs(t, 45, 300*clock.Second)
-	old := d.Nodes[leading(t, d)]
+	old := mustLead(t, d)
 	old.State.Refused = true
 	for _, n := range d.Nodes {
 		n.Workers.Cut = n != old
@@ -100,23 +99,24 @@
 		}
 	}
 	if took := w.Now() - refusedAt; took > 8*clock.Second {
-		t.Fatalf("it answers reports for %.1f s", took.Seconds())
+		t.Fatalf("it accepts heartbeats for %.1f s, want 8 s at most", took.Seconds())
 	}
 	d.Cancel(j)
 	w.Run(w.Now() + 60*clock.Second)
 	mustKeepRules(t, w)
 }
 
-// Placements whose transaction gets no answer and is carried out after newer ones are
-// still counted: a team's other jobs don't get their room meanwhile.
+// Placements whose transaction gets no response and is executed after newer ones count against the
+// quota: the team's other jobs don't get their resources meanwhile.
 func TestPlacementsOfLateTransactionsCount(t *testing.T) {
 	for seed := uint64(61); seed < 65; seed++ {
 		w := NewWorld(seed)
 		d := NewDeployment(w, testSettings(), testTypes(), 0)
-		keep := d.Submit(array("job-000001", "open", 6, 6, 300), 300*clock.Second, false) // machines, with room left
+		// It keeps workers up, with room left.
+		keep := d.Submit(array("job-000001", "open", 6, 6, 300), 300*clock.Second, false)
 		w.Run(40 * clock.Second)
 		if len(keep.places) == 0 {
-			t.Fatal("nothing runs")
+			t.Fatal("no task runs, want six")
 		}
 		d.State.LateWrites = 0.5
 		for i := range 6 {
@@ -127,8 +127,6 @@
 		d.State.LateWrites = 0
 		w.Run(w.Now() + 300*clock.Second)
 		mustKeepRules(t, w)
-		if left := d.Unfinished(); len(left) > 1 {
-			t.Fatalf("left: %v", left)
-		}
+		mustHaveUnfinished(t, d, 1)
 	}
 }
--- a/internal/testkit/transfer_test.go
+++ b/internal/testkit/transfer_test.go
@@ -12,9 +12,9 @@
 	"testing"
 )
 
-// transfer is two cells, the first of which has no machines: all of its job's tasks go to the
-// second, which has few. Some time later the first gets machines, for a short job, and what
-// waits comes back.
+// transfer is a delegation between two cells. The first has no machines, so that all of its job's tasks
+// go to the second, which has few. Later the first gets machines for a short job, and the tasks that
+// wait return to it.
 type transfer struct {
 	w          *World
 	home, host *Deployment
@@ -49,7 +49,7 @@
 	return x
 }
 
-// steps are the states that a transfer goes through, each with how it shows.
+// steps are the states of a delegation in their order, each with a check for whether it is reached.
 var steps = []struct {
 	name    string
 	reached func(x *transfer) bool
@@ -66,7 +66,9 @@
 	{"closed", func(x *transfer) bool { return x.guest() != nil && x.guest().Guest.Closed }, false},
 	{"over for the host", func(x *transfer) bool { return x.guest() != nil && x.guest().Final() }, true},
 	{"forgotten by home", func(x *transfer) bool { return x.guest() != nil && !x.delegated() }, true},
-	{"forgotten by the host", func(x *transfer) bool { return x.done() > 0 && x.guest() == nil && !x.delegated() }, true},
+	{"forgotten by the host", func(x *transfer) bool {
+		return x.done() > 0 && x.guest() == nil && !x.delegated()
+	}, true},
 }
 
 func (x *transfer) elsewhere() int {
@@ -121,18 +123,12 @@
 	return nil
 }
 
-// runTo plays until a step is reached, or until it is too late for it.
+// runTo runs until a step is reached and reports whether it was in time.
 func (x *transfer) runTo(reached func(x *transfer) bool) bool {
-	for x.w.Now() < 200*clock.Second {
-		if reached(x) {
-			return true
-		}
-		x.w.Run(x.w.Now() + 5*clock.Millisecond)
-	}
-	return false
+	return runUntil(x.w, 200*clock.Second, 5*clock.Millisecond, func() bool { return reached(x) })
 }
 
-// finish plays to the end and judges.
+// finish runs to the end and checks that the job ended properly and the delegation is gone.
 func (x *transfer) finish(t *testing.T, step string) {
 	t.Helper()
 	x.w.Run(x.w.Now() + 300*clock.Second)
@@ -149,6 +145,6 @@
 		}
 	}
 	if len(wrong) > 0 {
-		t.Errorf("%s: %v", step, wrong)
+		t.Errorf("%s: want the job ended once and no delegation left: %v", step, wrong)
 	}
 }
--- a/internal/testkit/upgrade_test.go
+++ b/internal/testkit/upgrade_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// tighteningSettings announce limits of which a large array fills many values.
+// tighteningSettings announce store limits so low that a large array needs many values.
 func tighteningSettings() *settings.Settings {
 	set := testSettings()
 	valueKb, txnOps, writeRps := 2.0, 4, 28.0
@@ -20,8 +20,8 @@
 	return set
 }
 
-// oldDay is a deployment of the version before with an array of 200 tasks at work.
-func oldDay(seed uint64, run clock.Micros) (w *World, d *Deployment, j *Job) {
+// oldDeployment is a deployment of the previous version that runs an array of 200 tasks.
+func oldDeployment(seed uint64, run clock.Micros) (w *World, d *Deployment, j *Job) {
 	w = NewWorld(seed)
 	d = NewOldDeployment(w, tighteningSettings(), testTypes(), 0)
 	d.State.Limit(d.Settings.Deployment.State, false)
@@ -31,8 +31,8 @@
 	return w, d, j
 }
 
-// parts are the keys of all parts that are stored.
-func (s *State) parts() []string {
+// shards are the keys of all shards of records that are stored.
+func (s *State) shards() []string {
 	var keys []string
 	for key := range s.keys {
 		if strings.HasPrefix(key, ledger.PartsPrefix) {
@@ -43,17 +43,16 @@
 	return keys
 }
 
-// The leader ends at any instant while a running array's record is divided after an
-// upgrade, and the state service's limits come as well: nothing runs twice, all of it gets
-// done, and no part is left over.
+// The leader crashes at any instant while a running array's record is sharded after an upgrade, and the
+// store's limits tighten as well: no task runs twice, the array gets done, and no shard is left.
 func TestLeaderCrashWhileARecordIsSharded(t *testing.T) {
 	t.Parallel()
 	divided := 0
 	for step := range clock.Micros(40) {
-		w, d, j := oldDay(uint64(200+step), 60*clock.Second)
+		w, d, j := oldDeployment(uint64(200+step), 60*clock.Second)
 		d.Upgrade(2*clock.Second, 500*clock.Millisecond)
 		w.Run(44*clock.Second + 800*clock.Millisecond + step*60*clock.Millisecond)
-		if len(d.State.parts()) > 0 {
+		if len(d.State.shards()) > 0 {
 			divided++
 		}
 		for _, n := range d.Nodes {
@@ -66,22 +65,22 @@
 		w.Run(400 * clock.Second)
 		mustKeepRules(t, w)
 		mustBeDone(t, w, j)
-		if left := d.State.parts(); len(left) > 0 {
-			t.Fatalf("step %d: parts are left: %v", step, left)
+		if left := d.State.shards(); len(left) > 0 {
+			t.Fatalf("step %d: shards are left: %v, want none", step, left)
 		}
 	}
 	if divided < 5 {
-		t.Errorf("only %d of the leaders had written parts", divided)
+		t.Errorf("%d of the leaders had written shards, want at least 5", divided)
 	}
 }
 
-// One controller is left behind on the version before, the limits come all the same, and
-// the leader ends: what is accepted stays known and goes on as far as records allow, a
-// cancellation is carried out, services are put off with a time to come back, and once the
-// last controller is new all of it gets done.
+// One controller still runs the previous version, the store's limits tighten nevertheless, and the
+// leader crashes: accepted jobs stay known and continue as far as their records allow, a cancellation
+// takes effect, services are refused with a retry time, and once the last controller is upgraded all
+// jobs get done.
 func TestLimitsTightenWhileOneControllerIsOld(t *testing.T) {
 	t.Parallel()
-	w, d, j := oldDay(250, 30*clock.Second)
+	w, d, j := oldDeployment(250, 30*clock.Second)
 	other := d.Submit(array("job-000002", "open", 200, 1, 300), 300*clock.Second, false)
 	w.Run(70 * clock.Second)
 	behind := d.Nodes[2]
@@ -106,13 +105,13 @@
 	w.Run(w.Now() + 60*clock.Second)
 	mustKeepRules(t, w)
 	if service.accepted() {
-		t.Fatal("a service is accepted while a controller would take it for an array")
+		t.Fatal("a service is accepted while a controller would take it for an array, want it refused")
 	}
 	missing := []string{}
 	d.Nodes[0].Dispatch.Overview(func(o any) { missing = o.(dispatch.Overview).Missing })
 	w.Run(w.Now() + clock.Second)
 	if !slices.Equal(missing, []string{behind.Name}) {
-		t.Errorf("missing: %v", missing)
+		t.Errorf("controllers without the format: %v, want only %s", missing, behind.Name)
 	}
 	behind.Old = false
 	behind.Crash()
@@ -122,18 +121,19 @@
 		w.Run(w.Now() + 500*clock.Millisecond)
 	}
 	if !service.accepted() || w.Now() > opened+8*clock.Second {
-		t.Errorf("the service is accepted %.1f s after the last controller's start", (w.Now() - opened).Seconds())
+		t.Errorf("the service is accepted: %v, %.1f s after the last controller's start; want it within 8 s",
+			service.accepted(), (w.Now() - opened).Seconds())
 	}
 	w.Run(w.Now() + 300*clock.Second)
 	mustKeepRules(t, w)
 	mustBeDone(t, w, j)
 }
 
-// A day's roll: all controllers are replaced one after another while services and arrays
-// run. Elections are few, and nothing that runs is lost to them.
+// All controllers are upgraded one after another while an array runs: there are few elections, and no
+// task is lost to them.
 func TestRollingUpgradeLosesNoTask(t *testing.T) {
 	t.Parallel()
-	w, d, j := oldDay(262, 100*clock.Second)
+	w, d, j := oldDeployment(262, 100*clock.Second)
 	d.Upgrade(10*clock.Second, 3*clock.Second)
 	elections, leaderless := 0, 0
 	epoch := int64(0)
@@ -153,10 +153,11 @@
 	w.Run(w.Now() + 60*clock.Second)
 	t.Logf("%d elections, %.1f s without a leader", elections-1, float64(leaderless)/10)
 	if elections-1 > 3 || leaderless > 150 {
-		t.Errorf("%d elections, %.1f s without a leader", elections-1, float64(leaderless)/10)
+		t.Errorf("%d elections, want 3 at most; %.1f s without a leader, want 15 s at most",
+			elections-1, float64(leaderless)/10)
 	}
-	if n := lost(d); n > 0 {
-		t.Errorf("%d machines lost their sessions", n)
+	if n := expired(d); n > 0 {
+		t.Errorf("%d workers lost their tasks, want none", n)
 	}
 	w.Run(w.Now() + 300*clock.Second)
 	mustKeepRules(t, w)
@@ -166,7 +167,7 @@
 			continue
 		}
 		if size := protocol.JSONSize(d.State.keys[key].value); size > 2<<10 {
-			t.Errorf("%s has %d bytes", key, size)
+			t.Errorf("%s has %d bytes, want 2048 at most", key, size)
 		}
 	}
 }
--- a/internal/testkit/zonefixture_test.go
+++ b/internal/testkit/zonefixture_test.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// zoneDay is a deployment of two zones with recoveries switched on.
-func zoneDay(seed uint64, change func(*settings.Settings)) (*World, *Deployment, *History) {
+// twoZones is a deployment of two zones with zone recovery switched on.
+func twoZones(seed uint64, change func(*settings.Settings)) (*World, *Deployment, *History) {
 	w := NewWorld(seed)
 	set := testSettings()
 	set.Deployment.Zones = []string{"a", "b"}
@@ -30,7 +30,7 @@
 	return w, d, NewHistory(w, d)
 }
 
-// capacity makes a deployment of so many small machines in each zone.
+// capacity limits the cloud to so many small machines in each zone.
 func (d *Deployment) capacity(machines int) {
 	clear(d.Cloud.Capacity)
 	for _, zone := range []string{"a", "b"} {
@@ -38,7 +38,7 @@
 	}
 }
 
-// zones is what the leader says of them, by name.
+// zones is the leader's overview of the zones by name.
 func (d *Deployment) zones() map[string]dispatch.ZoneOverview {
 	all := map[string]dispatch.ZoneOverview{}
 	if n := d.Leader(); n != nil {
@@ -52,7 +52,7 @@
 	return all
 }
 
-// awaitPhase plays until the leader has a zone in a phase.
+// awaitPhase runs until a zone is in a phase by the leader's overview.
 func (d *Deployment) awaitPhase(t *testing.T, zone string, p recovery.Phase, most clock.Micros) {
 	t.Helper()
 	for until := d.World.now + most; d.World.now < until; d.World.Run(d.World.now + 100*clock.Millisecond) {
@@ -60,7 +60,7 @@
 			return
 		}
 	}
-	t.Fatalf("zone %s isn't %s after %.0f s: %+v", zone, p, most.Seconds(), d.zones()[zone])
+	t.Fatalf("zone %s is %+v after %.0f s, want %s", zone, d.zones()[zone], most.Seconds(), p)
 }
 
 // watchGangs sees to it that no gang is in pieces for long: placed in part, by its record, for
@@ -85,13 +85,16 @@
 	})
 }
 
+// gang is the specification of a gang that saves checkpoints.
 func gang(id string, tasks int, seconds float64) protocol.JobSpec {
 	s := array(id, "open", tasks, 4, seconds)
 	s.Shape, s.CheckpointS, s.SaveS = protocol.ShapeGang, 5, 1
 	return s
 }
 
-func mustBeJudged(t *testing.T, what string, w *World, h *History, jobs ...*Job) {
+// checkJobs reports broken rules, jobs without an end, and tasks of the jobs that didn't complete
+// exactly once.
+func checkJobs(t *testing.T, what string, w *World, h *History, jobs ...*Job) {
 	t.Helper()
 	wrong := append([]string(nil), w.Broken...)
 	for _, j := range jobs {
@@ -103,11 +106,11 @@
 		wrong = h.Judge(jobs)
 	}
 	if len(wrong) > 0 {
-		t.Errorf("%s: %s", what, strings.Join(wrong, "\n"))
+		t.Errorf("%s: want rules kept and each task completed once:\n%s", what, strings.Join(wrong, "\n"))
 	}
 }
 
-// count is how many of a job's tasks are in a state on machines.
+// count is how many of a job's tasks on workers have a status.
 func (d *Deployment) count(j *Job, status string) int {
 	n := 0
 	for _, m := range d.Cloud.all {
@@ -120,8 +123,8 @@
 	return n
 }
 
-// mustBeJudgedIfDone leaves jobs out that were cancelled.
-func mustBeJudgedIfDone(t *testing.T, what string, w *World, h *History, jobs []*Job) {
+// checkUncancelledJobs is checkJobs without the jobs that were cancelled.
+func checkUncancelledJobs(t *testing.T, what string, w *World, h *History, jobs []*Job) {
 	t.Helper()
 	var done []*Job
 	for _, j := range jobs {
@@ -129,14 +132,15 @@
 			done = append(done, j)
 		}
 	}
-	mustBeJudged(t, what, w, h, done...)
+	checkJobs(t, what, w, h, done...)
 }
 
-// displaced are open jobs that are marked as having lost tasks with a zone though none is missing.
+// displaced are the unfinished jobs marked as having lost tasks with a zone though no task is missing.
 func (d *Deployment) displaced() []string {
 	var ids []string
 	for _, j := range d.order {
-		if r := d.State.wholeRecord(j.spec.ID); r != nil && !r.Final() && r.Displaced != "" && r.PendingCount() == 0 {
+		r := d.State.wholeRecord(j.spec.ID)
+		if r != nil && !r.Final() && r.Displaced != "" && r.PendingCount() == 0 {
 			ids = append(ids, j.spec.ID)
 		}
 	}
--- a/internal/testkit/zoneloss_test.go
+++ b/internal/testkit/zoneloss_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// A zone's sockets are cut at every step of a gang's rebuild, for less than a lease, for longer and
-// for several: each gang ends whole, nothing runs twice, also once the zone is back with what it
-// believes to own.
+// A zone is partitioned at every step of a gang's restart, for less than a lease, for longer and for
+// several: each gang ends whole, and no task runs twice, also once the zone is back with the tasks that
+// it still runs.
 func TestZonePartitionAtEveryStepOfAGangRestart(t *testing.T) {
 	steps := []struct {
 		name    string
@@ -22,15 +22,17 @@
 		{"fetching", func(d *Deployment, j *Job) bool { return d.count(j, protocol.TaskFetching) > 0 }},
 		{"waiting", func(d *Deployment, j *Job) bool { return d.count(j, protocol.TaskWaiting) > 0 }},
 		{"running", func(d *Deployment, j *Job) bool { return d.count(j, protocol.TaskRunning) == j.spec.Tasks }},
-		{"running for long", func(d *Deployment, j *Job) bool { return j.began != 0 && d.World.now > j.began+12*clock.Second }},
-		{"rebuilt", func(d *Deployment, j *Job) bool { r := d.State.wholeRecord(j.spec.ID); return r.NextAttempt > 1 }},
+		{"running for long", func(d *Deployment, j *Job) bool {
+			return j.began != 0 && d.World.now > j.began+12*clock.Second
+		}},
+		{"rebuilt", func(d *Deployment, j *Job) bool { return d.State.wholeRecord(j.spec.ID).NextAttempt > 1 }},
 	}
 	for i, step := range steps {
 		t.Run(step.name, func(t *testing.T) {
 			t.Parallel()
 			for k, long := range []clock.Micros{5 * clock.Second, 20 * clock.Second, 70 * clock.Second} {
 				for _, zone := range []string{"a", "b"} {
-					w, d, h := zoneDay(uint64(5000+10*i+k), nil)
+					w, d, h := twoZones(uint64(5000+10*i+k), nil)
 					d.capacity(4)
 					d.watchGangs()
 					w.Run(20 * clock.Second)
@@ -44,15 +46,15 @@
 					}
 					w.After(long, d.CutZone(zone, k%2 == 0))
 					w.Run(w.Now() + 400*clock.Second)
-					mustBeJudged(t, fmt.Sprintf("zone %s, %.0f s", zone, long.Seconds()), w, h, j, other)
+					checkJobs(t, fmt.Sprintf("zone %s, %.0f s", zone, long.Seconds()), w, h, j, other)
 				}
 			}
 		})
 	}
 }
 
-// What else fails while a zone is lost: the cloud, the state service, the leader again and again, an
-// upgrade; a cancellation is confirmed while its tasks are in the dark zone.
+// While a zone is lost the cloud or the store fails, the leader crashes again and again, controllers are
+// upgraded, or a cancellation is confirmed whose tasks are in the lost zone.
 func TestFaultsDuringZoneLoss(t *testing.T) {
 	t.Parallel()
 	for name, trouble := range map[string]func(d *Deployment, j *Job){
@@ -66,7 +68,7 @@
 		},
 		"leaders": func(d *Deployment, _ *Job) {
 			for i := range clock.Micros(6) {
-				d.World.After(i*9*clock.Second, func() { d.endLeader(2 * clock.Second) })
+				d.World.After(i*9*clock.Second, func() { d.crashLeader(2 * clock.Second) })
 			}
 		},
 		"upgrade":      func(d *Deployment, _ *Job) { d.Upgrade(8*clock.Second, 2*clock.Second) },
@@ -78,7 +80,7 @@
 		"nothing else": func(*Deployment, *Job) {},
 	} {
 		for i, delay := range []clock.Micros{0, 4 * clock.Second, 12 * clock.Second, 26 * clock.Second} {
-			w, d, h := zoneDay(uint64(5600+i), nil)
+			w, d, h := twoZones(uint64(5600+i), nil)
 			d.capacity(5)
 			d.WatchService()
 			d.watchGangs()
@@ -90,31 +92,31 @@
 			w.Run(w.Now() + delay)
 			trouble(d, jobs[0])
 			w.Run(600 * clock.Second)
-			mustBeJudgedIfDone(t, fmt.Sprintf("%s after %.0f s", name, delay.Seconds()), w, h, jobs)
+			checkUncancelledJobs(t, fmt.Sprintf("%s after %.0f s", name, delay.Seconds()), w, h, jobs)
 			if left := d.displaced(); len(left) > 0 {
-				t.Errorf("%s: %v are still marked as displaced", name, left)
+				t.Errorf("%s: %v are still marked as displaced, want none", name, left)
 			}
 		}
 	}
 }
 
-// Work that another cell runs survives the loss of a zone there: the host recovers it like its own.
+// Offloaded tasks survive the loss of a zone of the host cell, which recovers them like its own.
 func TestOffloadedTasksSurviveZoneLoss(t *testing.T) {
 	t.Parallel()
 	x := newTransfer(5700, false)
 	s := recovery.Defaults()
 	x.host.Recovery = &s
-	x.host.restart(100 * clock.Millisecond)
+	x.host.crashAll(100 * clock.Millisecond)
 	x.host.Cloud.Capacity[fleet.Kind{Type: "small", Zone: "b"}] = 2
 	if !x.runTo(steps[5].reached) {
-		t.Fatal("nothing is done elsewhere")
+		t.Fatal("no task was completed by the host cell")
 	}
 	x.w.After(60*clock.Second, x.host.CutZone("a", false))
 	x.finish(t, "zone of the host")
 }
 
-// Days of random troubles with recoveries switched on, cuts of zones among them: every rule holds,
-// no gang stays in pieces, and all accepted work gets done.
+// Random faults with zone recovery switched on, partitions of zones among them: every rule holds, no
+// gang stays incomplete, and all accepted jobs get done.
 func TestZoneRecoveryKeepsRulesUnderRandomFaults(t *testing.T) {
 	for seed := range seeds(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -132,16 +134,17 @@
 				for range 3 {
 					w.After(w.Between(30*clock.Second, 240*clock.Second), func() {
 						losses++
-						w.After(w.Between(2*clock.Second, 60*clock.Second), d.CutZone([]string{"a", "b"}[w.Rand.IntN(2)], w.chance(0.5)))
+						long := w.Between(2*clock.Second, 60*clock.Second)
+						w.After(long, d.CutZone([]string{"a", "b"}[w.Rand.IntN(2)], w.chance(0.5)))
 					})
 				}
 			})
 			mustKeepRules(t, d.World)
 			if left := d.Unfinished(); len(left) > 0 {
-				t.Fatalf("accepted but not done: %v", left)
+				t.Fatalf("accepted but not done: %v, want none", left)
 			}
 			if left := d.displaced(); len(left) > 0 {
-				t.Errorf("%v are still marked as displaced", left)
+				t.Errorf("%v are still marked as displaced, want none", left)
 			}
 		})
 	}
--- a/internal/testkit/zonerecovery_test.go
+++ b/internal/testkit/zonerecovery_test.go
@@ -10,13 +10,13 @@
 	"testing"
 )
 
-// A lost zone is told from a leader that is alone, keeps its number through leaders that end in
-// each phase, and is healthy again once it has been back for long enough.
+// The loss of a zone is told from the isolation of the leader, keeps its number through failovers in each
+// phase, and the zone is healthy again once it has been back for long enough.
 func TestZoneRecoverySurvivesFailover(t *testing.T) {
 	t.Parallel()
 	for _, phase := range []recovery.Phase{recovery.Suspect, recovery.Lost, recovery.Returning} {
 		for zone, k := range map[string]int{"a": 0, "b": 1} { // with the leader inside, or most controllers
-			w, d, h := zoneDay(uint64(5200+k), nil)
+			w, d, h := twoZones(uint64(5200+k), nil)
 			d.capacity(4)
 			w.Run(20 * clock.Second)
 			j := d.Submit(array("job-000001", "open", 24, 2, 60), 60*clock.Second, false)
@@ -24,26 +24,26 @@
 			heal := d.CutZone(zone, false)
 			w.After(60*clock.Second, heal)
 			d.awaitPhase(t, zone, phase, 100*clock.Second)
-			d.endLeader(3 * clock.Second)
+			d.crashLeader(3 * clock.Second)
 			w.Run(w.Now() + clock.Second)
 			for until := w.Now() + 30*clock.Second; d.Leader() == nil && w.Now() < until; {
 				w.Run(w.Now() + 100*clock.Millisecond)
 			}
 			if z := d.zones()[zone]; phase == recovery.Lost && z.Phase != recovery.Lost {
-				t.Errorf("zone %s, %s: the next leader has it %+v", zone, phase, z)
+				t.Errorf("zone %s, %s: the next leader has it %+v, want %s", zone, phase, z, phase)
 			}
 			w.Run(200 * clock.Second)
 			if z := d.zones()[zone]; z.Phase != recovery.Healthy || z.Number != 1 {
-				t.Errorf("zone %s, leader ended while %s: %+v", zone, phase, z)
+				t.Errorf("zone %s, failover while %s: %+v, want %s and loss 1", zone, phase, z, recovery.Healthy)
 			}
 			w.Run(500 * clock.Second)
-			mustBeJudged(t, string(phase), w, h, j)
+			checkJobs(t, string(phase), w, h, j)
 		}
 	}
 }
 
-// Zones that flap cost little: no work is moved for cuts that are shorter than a verdict, and the
-// more often it flaps the longer it gets nothing. Elections and rentals are bounded.
+// A zone that flaps costs little: no task is moved for partitions shorter than a verdict, and the more
+// often it flaps the longer it gets no tasks. Elections and rentals are bounded.
 func TestFlappingZoneCostsLittle(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -55,7 +55,7 @@
 		"each few seconds for ten minutes": {75, 8 * clock.Second, 4 * clock.Second, 0, 3},
 		"often and for long":               {10, 60 * clock.Second, 25 * clock.Second, 5, 8},
 	} {
-		w, d, h := zoneDay(5300, nil)
+		w, d, h := twoZones(5300, nil)
 		d.capacity(2)
 		w.Run(20 * clock.Second)
 		j := d.Submit(array("job-000001", "open", 16, 2, 2000), 1000*clock.Second, false)
@@ -73,25 +73,27 @@
 		w.Run(w.Now() + c.cuts*c.every + 150*clock.Second)
 		z := d.zones()[zone]
 		if z.Number > c.losses || z.Phase != recovery.Healthy {
-			t.Errorf("%s: %d losses, %s", name, z.Number, z.Phase)
+			t.Errorf("%s: %d losses, want %d at most; %s, want %s",
+				name, z.Number, c.losses, z.Phase, recovery.Healthy)
 		}
 		if n := len(d.Cloud.all) - machines; n > c.rentals {
-			t.Errorf("%s: %d machines rented, at most %d expected", name, n, c.rentals)
+			t.Errorf("%s: %d machines rented, want %d at most", name, n, c.rentals)
 		}
 		if e := d.State.keys["lead/controller"].version; e != epoch {
-			t.Errorf("%s: another leader was elected", name)
+			t.Errorf("%s: epoch %d, want %d: no other leader", name, e, epoch)
 		}
 		_, runs := h.Elsewhere()
-		t.Logf("%s: %d losses, %d machines rented, %d runs of %d tasks", name, z.Number, len(d.Cloud.all)-machines, runs, j.spec.Tasks)
+		t.Logf("%s: %d losses, %d machines rented, %d runs of %d tasks",
+			name, z.Number, len(d.Cloud.all)-machines, runs, j.spec.Tasks)
 		mustKeepRules(t, w)
 	}
 }
 
-// With little room left, a lost zone's work starts in the written order, and what can't start is
-// named with its reason.
+// With little room left, a lost zone's jobs restart in the configured order, and a job that can't start
+// is listed with its reason.
 func TestZoneRecoveryKeepsItsOrder(t *testing.T) {
 	t.Parallel()
-	w, d, _ := zoneDay(5400, func(s *settings.Settings) { s.Deployment.Workers.GangWaitS = 60 })
+	w, d, _ := twoZones(5400, func(s *settings.Settings) { s.Deployment.Workers.GangWaitS = 60 })
 	d.Recovery.TasksPerS = 2
 	clear(d.Cloud.Capacity)
 	d.Cloud.Capacity[fleet.Kind{Type: "small", Zone: "a"}] = 12
@@ -101,8 +103,12 @@
 	stays.Zone = "b"
 	d.Submit(stays, 600*clock.Second, false)
 	deadline := 4000.0
-	service, due, whole, plain := array("job-000004", "open", 4, 4, 0), array("job-000003", "open", 4, 4, 60), gang("job-000002", 4, 60), array("job-000001", "open", 8, 4, 60)
-	service.Shape, due.DeadlineS = protocol.ShapeService, &deadline
+	service := array("job-000004", "open", 4, 4, 0)
+	service.Shape = protocol.ShapeService
+	due := array("job-000003", "open", 4, 4, 60)
+	due.DeadlineS = &deadline
+	whole := gang("job-000002", 4, 60)
+	plain := array("job-000001", "open", 8, 4, 60)
 	bound := array("job-000005", "open", 2, 4, 60)
 	bound.Zone = "a"
 	var jobs []*Job
@@ -132,30 +138,31 @@
 	order := []string{service.ID, due.ID, whole.ID, plain.ID}
 	for i := 1; i < len(order); i++ {
 		if turns[order[i]] < turns[order[i-1]] || turns[plain.ID] == 0 {
-			t.Errorf("%s waits until %.1f s, %s until %.1f s", order[i-1], turns[order[i-1]].Seconds(), order[i], turns[order[i]].Seconds())
+			t.Errorf("%s waits until %.1f s, %s until %.1f s, want both to wait and in this order",
+				order[i-1], turns[order[i-1]].Seconds(), order[i], turns[order[i]].Seconds())
 		}
 	}
 	if reason != "its zone" {
-		t.Errorf("what is bound to the lost zone waits for %q", reason)
+		t.Errorf("the job bound to the lost zone waits for %q, want %q", reason, "its zone")
 	}
 	for i, j := range jobs[:4] {
 		for task := range j.spec.Tasks {
 			if len(j.places[task]) == 0 {
-				t.Errorf("task %d of job %d doesn't run", task, i)
+				t.Errorf("task %d of job %d doesn't run, want it running", task, i)
 			}
 		}
 	}
 	mustKeepRules(t, w)
 }
 
-// Nothing is rented in a zone that isn't well, machines for its work boot before its tasks are
-// proven gone, and all of it runs again sooner than without.
+// No machine is rented in a lost zone, machines for its jobs boot before its tasks are proven gone, and
+// all tasks run again sooner than without zone recovery.
 func TestZoneRecoveryIsFasterThanNone(t *testing.T) {
 	t.Parallel()
 	took := map[bool]clock.Micros{}
 	for i := range uint64(16) {
 		on := i%2 == 1
-		w, d, h := zoneDay(5500+i/2, nil)
+		w, d, h := twoZones(5500+i/2, nil)
 		if !on {
 			d.Recovery = nil
 			for _, n := range d.Nodes {
@@ -194,13 +201,15 @@
 			}
 		}
 		if on && there > 0 {
-			t.Errorf("%d machines were rented in the lost zone", there)
+			t.Errorf("%d machines were rented in the lost zone, want none", there)
 		}
 		w.Run(900 * clock.Second)
-		mustBeJudged(t, fmt.Sprint(on), w, h, j)
+		checkJobs(t, fmt.Sprint(on), w, h, j)
 	}
-	t.Logf("all tasks run again after %.1f s, without recoveries after %.1f s", took[true].Seconds(), took[false].Seconds())
+	t.Logf("all tasks run again after %.1f s, without zone recovery after %.1f s",
+		took[true].Seconds(), took[false].Seconds())
 	if took[true] > took[false] {
-		t.Errorf("all tasks run again after %.1f s, without recoveries after %.1f s", took[true].Seconds(), took[false].Seconds())
+		t.Errorf("all tasks run again after %.1f s, want no later than without zone recovery (%.1f s)",
+			took[true].Seconds(), took[false].Seconds())
 	}
 }
