--- a/cmd/loadtool/cellsday.go
+++ b/cmd/loadtool/cellsday.go
@@ -147,8 +147,8 @@
 func submitNext(d *testkit.Deployment, jobs *[]*testkit.Job) {
 	number := len(*jobs)
 	spec := protocol.JobSpec{
-		ID: fmt.Sprintf("job-%06d", number), Class: "array", Team: "open", Shape: protocol.ShapeArray, Rank: "normal",
-		Tasks: 8, Cpus: 2, MemoryGB: 2, Image: "i", ImageGB: 1, Spot: true, EstimateS: jobDuration.Seconds(),
+		ID: fmt.Sprintf("job-%06d", number), Class: "array", Team: "open",
+		Shape: protocol.ShapeArray, Rank: "normal", Tasks: 8, Cpus: 2, MemoryGB: 2, Image: "i", ImageGB: 1, Spot: true, EstimateS: jobDuration.Seconds(),
 	}
 	if number%gangEvery == gangEvery-1 {
 		spec.Class, spec.Shape, spec.Tasks = "gang", protocol.ShapeGang, 4
--- a/internal/report/page_test.go
+++ b/internal/report/page_test.go
@@ -18,7 +18,8 @@
 	if err := r.Lines("Third", "", "x", "y", line, Distribution("share", []float64{1, 2})); err != nil {
 		t.Fatal(err)
 	}
-	if err := r.Spans("Fourth", "", "x", []Bar{{Name: "upper", From: 0, To: 2}, {Name: "lower", From: 1, To: 3, Kind: 1}}); err != nil {
+	bars := []Bar{{Name: "upper", From: 0, To: 2}, {Name: "lower", From: 1, To: 3, Kind: 1}}
+	if err := r.Spans("Fourth", "", "x", bars); err != nil {
 		t.Fatal(err)
 	}
 	file := filepath.Join(t.TempDir(), "report.html")
@@ -29,7 +30,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"<h1>Title</h1>", "text &lt;&amp;&gt;", "<th>b</th>", "<td>&lt;2&gt;</td>", "line", "share", "upper", "lower"} {
+	for _, want := range []string{
+		"<h1>Title</h1>", "text &lt;&amp;&gt;", "<th>b</th>", "<td>&lt;2&gt;</td>", "line", "share", "upper", "lower",
+	} {
 		if !strings.Contains(string(page), want) {
 			t.Errorf("the page lacks %q", want)
 		}
