--- a/internal/testkit/cells.go
+++ b/internal/testkit/cells.go
@@ -128,7 +128,7 @@
 	x.n.Cells.call(x.p, clock.Second, func(answer func(func())) {
 		report, err := delegation.DecodeReport(raw)
 		if err != nil {
-			x.d.World.Break("exchange", "%v", err)
+			x.d.World.Break(badExchange, "%v", err)
 			return
 		}
 		if target == nil || !target.Up() || target.Cells.Cut {
@@ -146,7 +146,7 @@
 				answered, err := delegation.DecodeAnswer(a.Encode())
 				if err != nil {
 					fmt.Printf("%+v\n", a)
-					x.d.World.Break("exchange", "%v", err)
+					x.d.World.Break(badExchange, "%v", err)
 				}
 				target.proc.leaves(func() { answer(func() { done(answered, err == nil) }) })
 			})
--- /dev/null
+++ b/internal/testkit/cloudclient.go
@@ -0,0 +1,95 @@
+package testkit
+
+import (
+	"math"
+	"net/http"
+
+	"postpoint/internal/clock"
+	"postpoint/internal/cloud"
+	"postpoint/internal/fleet"
+	"postpoint/internal/protocol"
+	"postpoint/internal/transport"
+)
+
+// cloudTimeout is how long a client waits for a response.
+const cloudTimeout = 4 * clock.Second
+
+// For returns the cloud as one process reaches it over a link.
+func (c *Cloud) For(p *Process, l *Link) cloud.API { return &cloudClient{c, p, l} }
+
+// cloudClient is a process's connection to the cloud.
+type cloudClient struct {
+	cloud *Cloud
+	p     *Process
+	link  *Link
+}
+
+// call sends a request that may leave at any time.
+func (x *cloudClient) call(done func(int), execute func() int) {
+	x.callUntil(math.MaxInt64, done, execute)
+}
+
+// callUntil sends a request unless it is later than a deadline when it leaves the process, which may
+// have paused before.
+func (x *cloudClient) callUntil(until clock.Micros, done func(int), execute func() int) {
+	x.p.leavesUntil(until, func() { x.send(done, execute) }, func() { done(transport.NotSent) })
+}
+
+func (x *cloudClient) send(done func(int), execute func() int) {
+	x.link.call(x.p, cloudTimeout, func(answer func(func())) {
+		x.cloud.Calls++
+		status := http.StatusServiceUnavailable
+		if !x.cloud.Outage {
+			status = execute()
+		}
+		answer(func() { done(status) })
+	}, func() { done(0) })
+}
+
+// Catalogue reads the machine types.
+func (x *cloudClient) Catalogue(done func(int, protocol.Catalogue)) {
+	x.call(func(s int) { done(s, protocol.Catalogue{Types: x.cloud.Types}) }, func() int { return http.StatusOK })
+}
+
+// Rent rents machines; a repeated request gets the response of the first.
+func (x *cloudClient) Rent(r protocol.Rental, until clock.Micros, done func(int, protocol.RentalAnswer)) {
+	var answer protocol.RentalAnswer
+	x.callUntil(until, func(status int) { done(status, answer) }, func() int {
+		if names, ok := x.cloud.rented[r.Booking]; ok {
+			answer.Machines = names
+			return http.StatusOK
+		}
+		k := fleet.Kind{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
+		count := min(r.Count, x.cloud.Capacity[k])
+		if count == 0 {
+			answer.Error = protocol.NoCapacity
+			return http.StatusServiceUnavailable
+		}
+		answer.Machines = append(answer.Machines, x.cloud.rent(k, count)...)
+		x.cloud.rented[r.Booking] = answer.Machines
+		return http.StatusOK
+	})
+}
+
+// Release ends machines.
+func (x *cloudClient) Release(names []string, until clock.Micros, done func(int)) {
+	x.callUntil(until, done, func() int {
+		for _, name := range names {
+			x.cloud.Remove(name)
+		}
+		return http.StatusOK
+	})
+}
+
+// List reads the machines after a name; the list lags.
+func (x *cloudClient) List(from string, done func(int, protocol.MachineList)) {
+	var list protocol.MachineList
+	x.call(func(status int) { done(status, list) }, func() int {
+		for _, m := range x.cloud.laggingList() {
+			if m.Name > from {
+				list.Machines = append(list.Machines, m)
+			}
+		}
+		return http.StatusOK
+	})
+}
--- a/internal/testkit/commands.go
+++ b/internal/testkit/commands.go
@@ -3,29 +3,14 @@
 import (
 	"net/http"
 
+	"postpoint/internal/agent"
 	"postpoint/internal/clock"
-	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
 	"postpoint/internal/transport"
 )
 
-// send carries a message from the machine; a cut that holds delivers it late.
-func (m *Worker) send(arrive func()) {
-	switch {
-	case m.Link.Cut && m.Link.Hold:
-		m.Link.held = append(m.Link.held, arrive)
-	case m.Link.Cut || m.d.World.chance(m.Link.Loss):
-	default:
-		m.d.World.After(m.Link.delay(), arrive)
-	}
-}
-
-func (m *Worker) adopt(epoch int64) {
-	if epoch > m.epoch {
-		m.epoch = epoch
-		m.change()
-	}
-}
+// commandTimeout is how long a controller waits for the response to a direct command.
+const commandTimeout = 3 * clock.Second
 
 // command executes a direct command.
 func (m *Worker) command(c protocol.Commands) (int, protocol.Report) {
@@ -37,43 +22,44 @@
 	return http.StatusOK, m.snapshot()
 }
 
-// agentClient is how one process reaches the workers.
+// agentClient is one process's connection to the workers.
 type agentClient struct {
 	d *Deployment
 	p *Process
 	n *Node
 }
 
-func (a *agentClient) Commands(addr string, c protocol.Commands, until clock.Micros, done func(int, protocol.Report)) {
+var _ agent.API = (*agentClient)(nil)
+
+// Commands sends commands to the worker at an address, unless they leave later than a deadline.
+func (a *agentClient) Commands(
+	addr string, c protocol.Commands, until clock.Micros, done func(int, protocol.Report),
+) {
 	a.d.Commands++
 	a.p.leavesUntil(until, func() {
-		a.d.checkLease(a.n, c.Epoch, c.Orders)
+		a.d.checkCommands(a.n, c.Epoch, c.Orders)
 		a.send(a.d.byAddr[addr], c, done)
 	}, func() { done(transport.NotSent, protocol.Report{}) })
 }
 
-// checkLease sees to it that nobody gives orders without the leader's lease, but to
-// stop what by its record is over: that ends nothing that a later leader could want.
-func (d *Deployment) checkLease(n *Node, epoch int64, orders []protocol.Order) {
-	for _, o := range orders {
-		id, _, _ := protocol.ParseTask(o.Task)
-		if j := d.find(id); o.Verb == protocol.VerbStart && j != nil && j.cancelled != 0 && d.World.now > j.cancelled+startGrace {
-			d.World.Break("started_cancelled", "%s starts %s, cancelled since %.3f s", n.Name, o.Task, j.cancelled.Seconds())
-		}
-	}
-	if d.State.holds(epoch) {
+func (a *agentClient) send(m *Worker, c protocol.Commands, done func(int, protocol.Report)) {
+	silent := func() { done(0, protocol.Report{}) }
+	if m == nil || m.Unheeding || a.n.Workers.Cut {
+		a.p.After(commandTimeout, silent)
 		return
 	}
-	for _, o := range orders {
-		id, _, ok := protocol.ParseTask(o.Task)
-		// A guest that its home no longer permits ends without its record saying so.
-		_, _, _, guest := ledger.ParseGuestID(id)
-		if o.Verb != protocol.VerbStop || !ok || !guest && !d.State.over(id) {
-			d.World.Break("no_lease", "%s gives the order %v for epoch %d", n.Name, o, epoch)
+	m.Commands.call(a.p, commandTimeout, func(answer func(func())) {
+		if !m.up {
+			return
 		}
-	}
+		// A hung machine executes it when it continues, however late.
+		a.d.passes(a.n.Zone, m.zone, func() {
+			m.do(func() {
+				status, r := m.command(c)
+				if _, severed := a.d.severed(a.n.Zone, m.zone); !severed {
+					answer(func() { done(status, r) })
+				}
+			})
+		})
+	}, silent)
 }
-
-// startGrace is how old what a leader knows of the records may be, a little drift
-// included.
-const startGrace = 6100 * clock.Millisecond
--- a/internal/testkit/deployment.go
+++ b/internal/testkit/deployment.go
@@ -220,56 +220,6 @@
 	}, func() { done(intake.Answer{}, false) })
 }
 
-// arrived is where a task gets its image: the rules of starts are judged here.
-func (d *Deployment) arrived(k taskKey, m *Worker) {
-	j := d.find(k.job)
-	d = j.home // whose rules are judged
-	for other := range j.places[k.task] {
-		if other != m {
-			d.World.Break("ran_twice", "%s/%d on %s and %s", k.job, k.task, other.name, m.name)
-		}
-	}
-	if j.cancelled != 0 && d.World.now > j.cancelled+clock.FromSeconds(d.Settings.Deployment.Workers.CancelS) {
-		d.World.Break("ran_cancelled", "%s/%d starts", k.job, k.task)
-	}
-	zones := map[string]int{}
-	for t, ws := range j.places {
-		if t != k.task {
-			for w := range ws {
-				zones[w.d.name+w.zone]++
-			}
-		}
-	}
-	if !planner.Allowed(&j.spec, m.typ, m.zone, m.spot) || !planner.ZoneAllowed(&j.spec, zones, m.d.name+m.zone) {
-		d.World.Break("wrong_place", "%s/%d on %s %s", k.job, k.task, m.typ, m.zone)
-	}
-	if j.began == 0 {
-		j.began = d.World.now
-	}
-	if j.places[k.task] == nil {
-		j.places[k.task] = map[*Worker]bool{}
-	}
-	j.places[k.task][m] = true
-	d.History.began(j, k.task, m)
-	used := d.used[j.spec.Team].Plus(j.needs())
-	d.used[j.spec.Team] = used
-	if j.gone[k.task] {
-		return // it has its result and exits at this very moment: nothing is used
-	}
-	team, _ := d.Settings.Deployment.Team(j.spec.Team)
-	if team.CpusMax > 0 && used.Cpus > team.CpusMax+1e-6 || team.GpusMax > 0 && used.Gpus > team.GpusMax+1e-6 {
-		d.World.Break("quota", "%s uses %v", j.spec.Team, used)
-	}
-}
-
-func (d *Deployment) left(k taskKey, m *Worker) {
-	j := d.find(k.job)
-	d = j.home
-	delete(j.places[k.task], m)
-	d.History.ended(j, k.task, m)
-	d.used[j.spec.Team] = d.used[j.spec.Team].Minus(j.needs())
-}
-
 // sortedKeys are the machines of a set by their names.
 func sortedKeys(set map[*Worker]bool) []*Worker {
 	return slices.SortedFunc(maps.Keys(set), func(a, b *Worker) int { return cmp.Or(cmp.Compare(a.d.name, b.d.name), cmp.Compare(a.name, b.name)) })
@@ -285,23 +235,3 @@
 		})
 	}
 }
-
-// Workers gives the machines that are up.
-func (d *Deployment) Workers() []*Worker {
-	var up []*Worker
-	for _, m := range d.sortedWorkers() {
-		if m.up {
-			up = append(up, m)
-		}
-	}
-	return up
-}
-
-// Recall announces that the cloud takes a machine, and takes it.
-func (d *Deployment) Recall(m *Worker, notice clock.Micros) {
-	if notice > 0 {
-		m.recallAt = d.World.now + notice
-		m.change()
-	}
-	d.World.After(notice, func() { d.Cloud.Remove(m.name) })
-}
--- a/internal/testkit/gangs.go
+++ b/internal/testkit/gangs.go
@@ -2,12 +2,13 @@
 
 import "postpoint/internal/protocol"
 
+// member is a task of a gang with its machine.
 type member struct {
 	m *Worker
 	t *task
 }
 
-// gang are the tasks of one attempt that are on machines, by the id under which they run.
+// gang lists the tasks of one attempt that are on machines, by the id under which they run.
 func (d *Deployment) gang(id string, attempt int64) []member {
 	j := d.find(id)
 	var all []member
@@ -36,10 +37,11 @@
 	}
 }
 
+// gangDone completes all tasks of a gang together, unless one is gone: the others notice that later.
 func (d *Deployment) gangDone(id string, attempt int64) {
 	all := d.gang(id, attempt)
 	if len(all) != d.find(id).spec.Tasks {
-		return // a task is gone: the others will notice
+		return
 	}
 	for _, x := range all {
 		if x.t.status != protocol.TaskRunning || x.m.Hung {
@@ -51,24 +53,38 @@
 	}
 }
 
-// checkGangs ends running gangs that have lost a task.
-func (d *Deployment) checkGangs() {
+// notice lets the running tasks of gangs notice later that others are gone.
+func (d *Deployment) notice() {
+	d.World.After(d.Settings.Deployment.Workers.GangPeer(), d.endIncompleteGangs)
+}
+
+// endIncompleteGangs ends the running tasks of gangs that have lost a task.
+func (d *Deployment) endIncompleteGangs() {
 	for _, j := range d.group.jobs(d) {
 		if !j.spec.Gang() || j.Done() {
 			continue
 		}
 		for n := range j.spec.Tasks {
 			for _, m := range sortedKeys(j.places[n]) {
-				for _, t := range m.tasks {
-					if t.task == n && d.find(t.job) == j && t.onIt && t.status == protocol.TaskRunning && len(d.gang(t.job, t.attempt)) < j.spec.Tasks {
-						m.do(func() {
-							if t.status == protocol.TaskRunning {
-								m.exit(t, protocol.CausePeers)
-							}
-						})
-					}
-				}
+				d.endIncompleteGang(j, n, m)
 			}
 		}
 	}
 }
+
+// endIncompleteGang ends a task of a gang that runs on the machine if others of its attempt are gone.
+func (d *Deployment) endIncompleteGang(j *Job, n int, m *Worker) {
+	for _, t := range m.tasks {
+		if t.task != n || d.find(t.job) != j || !t.onIt || t.status != protocol.TaskRunning {
+			continue
+		}
+		if len(d.gang(t.job, t.attempt)) >= j.spec.Tasks {
+			continue
+		}
+		m.do(func() {
+			if t.status == protocol.TaskRunning {
+				m.exit(t, protocol.CausePeers)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/testkit/heartbeats.go
@@ -0,0 +1,198 @@
+package testkit
+
+import (
+	"net/http"
+
+	"postpoint/internal/clock"
+	"postpoint/internal/protocol"
+)
+
+const (
+	// heartbeatTimeout is how long a worker waits for the response to a heartbeat.
+	heartbeatTimeout = 4 * clock.Second
+	// retryPause is how long it waits before it tries another controller.
+	retryPause = clock.Second
+	// changePause is the least time between heartbeats about changes.
+	changePause = 500 * clock.Millisecond
+	// Late copies of heartbeats arrive after this, and up to this many leases later.
+	minCopyDelay       = clock.Second
+	maxCopyDelayLeases = 3
+)
+
+// reportRegularly sends heartbeats in about the period of the settings.
+func (m *Worker) reportRegularly() {
+	w := m.d.World
+	period := m.d.Settings.Deployment.Workers.Report()
+	w.After(w.Between(period*3/4, period*5/4), func() {
+		if !m.ended {
+			m.do(m.report)
+			m.reportRegularly()
+		}
+	})
+}
+
+// change schedules a heartbeat about a change.
+func (m *Worker) change() {
+	if m.changed || m.ended {
+		return
+	}
+	m.changed = true
+	m.d.World.After(changePause, func() {
+		m.changed = false
+		m.do(m.report)
+	})
+}
+
+// snapshot is a new heartbeat.
+func (m *Worker) snapshot() protocol.Report {
+	m.counter++
+	r := protocol.Report{
+		Machine: m.name, Address: m.addr, Type: m.typ, Zone: m.zone, Spot: m.spot,
+		Session: m.session, Counter: m.counter, Epoch: m.epoch,
+	}
+	if m.recallAt != 0 {
+		left := (m.recallAt - m.d.World.now).Seconds()
+		r.RecallS = &left
+	}
+	for _, t := range m.tasks {
+		r.Tasks = append(r.Tasks, protocol.TaskReport{
+			Task: protocol.TaskName(t.job, t.task), Attempt: t.attempt,
+			Status: t.status, Cause: t.cause, Saved: t.saved,
+		})
+	}
+	return r
+}
+
+// report sends a heartbeat unless one is under way.
+func (m *Worker) report() {
+	if m.inFlight || m.ended {
+		return
+	}
+	w := m.d.World
+	m.inFlight = true
+	e := &exchange{
+		m: m, n: m.d.Nodes[m.node], sent: w.now, session: m.session,
+		another: (m.node + 1) % len(m.d.Nodes),
+	}
+	r := m.snapshot()
+	w.After(heartbeatTimeout, func() { e.finish(e.another, retryPause) })
+	m.send(func() { m.d.passes(m.zone, e.n.Zone, func() { e.arrive(r) }) })
+	if w.chance(m.Late) {
+		e.sendLateCopy(r)
+	}
+}
+
+// send carries a message from the machine; a cut that holds delivers it late.
+func (m *Worker) send(arrive func()) {
+	switch {
+	case m.Link.Cut && m.Link.Hold:
+		m.Link.held = append(m.Link.held, arrive)
+	case m.Link.Cut || m.d.World.chance(m.Link.Loss):
+	default:
+		m.d.World.After(m.Link.delay(), arrive)
+	}
+}
+
+// receive carries a response to the machine once it has left the controller.
+func (m *Worker) receive(from *Process, arrive func()) {
+	from.leaves(func() { m.d.World.After(m.Link.delay(), arrive) })
+}
+
+// adopt takes a leader's epoch that is higher than all before.
+func (m *Worker) adopt(epoch int64) {
+	if epoch > m.epoch {
+		m.epoch = epoch
+		m.change()
+	}
+}
+
+// exchange is one heartbeat with its response.
+type exchange struct {
+	m       *Worker
+	n       *Node
+	sent    clock.Micros
+	session int64
+	another int // the controller that is tried next if this one doesn't respond
+	over    bool
+}
+
+// sameNode stays with the controller that responded.
+const sameNode = -1
+
+// finish ends the exchange, to continue with another controller after a pause.
+func (e *exchange) finish(next int, pause clock.Micros) {
+	if e.over {
+		return
+	}
+	e.over = true
+	e.m.inFlight = false
+	if next != sameNode {
+		e.m.node = next
+		e.m.d.World.After(pause, func() { e.m.do(e.m.report) })
+	}
+}
+
+// sendLateCopy delivers the heartbeat once more, much later. The response to a copy is lost and counts
+// for nothing.
+func (e *exchange) sendLateCopy(r protocol.Report) {
+	w := e.m.d.World
+	longest := maxCopyDelayLeases * e.m.d.Settings.Deployment.Workers.Lease()
+	w.After(w.Between(minCopyDelay, longest), func() {
+		if e.reaches() {
+			e.n.reports.Heartbeat(r, func(int, any) {})
+		}
+	})
+}
+
+// reaches reports whether the controller can be reached now.
+func (e *exchange) reaches() bool {
+	return e.n.proc != nil && e.n.proc.alive && !e.n.Workers.Cut && !e.m.Mute
+}
+
+// arrive hands the heartbeat to the controller and carries its response back.
+func (e *exchange) arrive(r protocol.Report) {
+	if !e.reaches() {
+		return
+	}
+	m, proc := e.m, e.n.proc
+	e.n.reports.Heartbeat(r, func(status int, body any) {
+		if a, ok := body.(protocol.HeartbeatAnswer); ok {
+			m.d.checkCommands(e.n, a.Epoch, a.Orders)
+		}
+		if m.Link.Cut || m.Unheeding || e.n.Workers.Cut || m.d.World.chance(m.Link.Loss) {
+			return
+		}
+		m.receive(proc, func() {
+			m.d.passes(e.n.Zone, m.zone, func() { m.do(func() { e.answered(status, body) }) })
+		})
+	})
+}
+
+// answered handles the controller's response.
+func (e *exchange) answered(status int, body any) {
+	m := e.m
+	if e.over || m.ended {
+		return
+	}
+	if status != http.StatusOK {
+		e.finish(e.redirected(body), retryPause)
+		return
+	}
+	e.finish(sameNode, 0)
+	a := body.(protocol.HeartbeatAnswer)
+	if e.session != m.session || a.Epoch < m.epoch {
+		return
+	}
+	m.adopt(a.Epoch)
+	m.answeredSent = e.sent
+	m.watchLease()
+	m.carryOut(a.Orders)
+}
+
+// redirected is the controller that a response names, or another one.
+func (e *exchange) redirected(body any) int {
+	if hint, ok := body.(protocol.Redirect); ok && hint.Node != "" {
+		return e.m.d.nodeIndex(hint.Node, e.another)
+	}
+	return e.another
+}
--- /dev/null
+++ b/internal/testkit/storeclient.go
@@ -0,0 +1,172 @@
+package testkit
+
+import (
+	"net/http"
+
+	"postpoint/internal/clock"
+	"postpoint/internal/leadership"
+	"postpoint/internal/protocol"
+	"postpoint/internal/statestore"
+)
+
+const (
+	// storeTimeout is how long a client waits for a response.
+	storeTimeout = 1500 * clock.Millisecond
+	// Late writes are executed this much later.
+	minWriteDelay = 2 * clock.Second
+	maxWriteDelay = 12 * clock.Second
+)
+
+// For returns the store as one process reaches it over a link.
+func (s *State) For(p *Process, l *Link) statestore.Store { return &storeClient{s, p, l} }
+
+// storeClient is a process's connection to the store.
+type storeClient struct {
+	store *State
+	p     *Process
+	link  *Link
+}
+
+// served reports whether the store takes requests of this client.
+func (c *storeClient) served() bool { return !c.store.outage && !c.link.Refused }
+
+// request carries a request to the store, which may refuse it, and its response back.
+func request[T any](
+	c *storeClient, done func(statestore.Reply[T]), execute func() statestore.Reply[T],
+) {
+	c.link.call(c.p, storeTimeout, func(answer func(func())) {
+		c.store.Requests++
+		if !c.served() {
+			answer(func() { done(statestore.Reply[T]{Status: http.StatusServiceUnavailable}) })
+			return
+		}
+		if c.store.w.chance(c.link.Loss / 2) {
+			answer(func() { done(statestore.Reply[T]{Status: http.StatusTooManyRequests}) })
+			return
+		}
+		r := execute()
+		answer(func() { done(r) })
+	}, func() { done(statestore.Reply[T]{}) })
+}
+
+// Get reads one value.
+func (c *storeClient) Get(key string, done func(statestore.Reply[protocol.Item])) {
+	request(c, done, func() statestore.Reply[protocol.Item] {
+		e, ok := c.store.keys[key]
+		if !ok {
+			return statestore.Reply[protocol.Item]{Status: http.StatusNotFound}
+		}
+		item := protocol.Item{Key: key, Value: e.value, Version: e.version}
+		return statestore.Reply[protocol.Item]{Status: http.StatusOK, Value: item}
+	})
+}
+
+// List reads a page of the values whose keys have a prefix, after another key.
+func (c *storeClient) List(prefix, from string, done func(statestore.Reply[protocol.ItemList])) {
+	request(c, done, func() statestore.Reply[protocol.ItemList] {
+		s := c.store
+		keys := s.keysAfter(prefix, from)
+		list := protocol.ItemList{Revision: s.revision, More: len(keys) > s.Page}
+		for _, key := range keys[:min(s.Page, len(keys))] {
+			e := s.keys[key]
+			list.Items = append(list.Items, protocol.Item{Key: key, Value: e.value, Version: e.version})
+		}
+		return statestore.Reply[protocol.ItemList]{Status: http.StatusOK, Value: list}
+	})
+}
+
+// Commit executes a transaction, or on some days much later, without a response.
+func (c *storeClient) Commit(
+	use statestore.Use, t protocol.Txn, done func(statestore.Reply[protocol.TxnAnswer]),
+) {
+	c.checkGuards(use, t)
+	if c.store.w.chance(c.store.LateWrites) {
+		c.commitLate(t)
+		c.p.After(storeTimeout, func() { done(statestore.Reply[protocol.TxnAnswer]{}) })
+		return
+	}
+	request(c, done, func() statestore.Reply[protocol.TxnAnswer] { return c.store.commit(t) })
+}
+
+// commitLate executes a transaction after newer ones, if the store serves the client then.
+func (c *storeClient) commitLate(t protocol.Txn) {
+	c.p.leaves(func() {
+		c.store.w.After(c.store.w.Between(minWriteDelay, maxWriteDelay), func() {
+			if c.served() {
+				c.store.commit(t)
+			}
+		})
+	})
+}
+
+// checkGuards checks that a transaction guards each key that it changes, and the leader's key if a
+// leader sends it.
+func (c *storeClient) checkGuards(use statestore.Use, t protocol.Txn) {
+	guarded := map[string]bool{}
+	for _, g := range t.Guards {
+		guarded[g.Key] = true
+	}
+	for _, x := range t.Changes {
+		if !guarded[x.Put+x.Delete] {
+			c.store.w.Break(unguarded, "a change of %s", x.Put+x.Delete)
+		}
+	}
+	if use == statestore.ForLeader && !guarded[leadership.Key] {
+		c.store.w.Break(unguarded, "a leader's change without the leader's key")
+	}
+}
+
+// Follow waits for changes of keys with a prefix after a revision, for a time at most.
+func (c *storeClient) Follow(
+	prefix string, from int64, block clock.Micros, done func(statestore.Reply[protocol.FollowAnswer]),
+) {
+	c.link.call(c.p, block+storeTimeout, func(answer func(func())) {
+		s := c.store
+		s.Requests++
+		respond := func(status int, value protocol.FollowAnswer) {
+			answer(func() { done(statestore.Reply[protocol.FollowAnswer]{Status: status, Value: value}) })
+		}
+		switch {
+		case !c.served():
+			respond(http.StatusServiceUnavailable, protocol.FollowAnswer{})
+		case len(s.log) > 0 && s.revision-from > s.Kept:
+			respond(http.StatusGone, protocol.FollowAnswer{})
+		default:
+			c.watch(prefix, from, block, func() {
+				respond(http.StatusOK, protocol.FollowAnswer{Revision: s.revision, Events: s.eventsSince(prefix, from)})
+			})
+		}
+	}, func() { done(statestore.Reply[protocol.FollowAnswer]{}) })
+}
+
+// watch replies once there are changes, or when the time is over.
+func (c *storeClient) watch(prefix string, from int64, block clock.Micros, reply func()) {
+	x := &watcher{prefix: prefix, from: from, link: c.link, reply: reply}
+	c.store.watchers = append(c.store.watchers, x)
+	c.store.w.After(block, func() {
+		if !x.done && c.served() {
+			x.done = true
+			x.reply()
+		}
+	})
+	c.store.notifyWatchers()
+}
+
+// Grant creates a lease.
+func (c *storeClient) Grant(ttl clock.Micros, done func(statestore.Reply[protocol.LeaseAnswer])) {
+	request(c, done, func() statestore.Reply[protocol.LeaseAnswer] {
+		answer := protocol.LeaseAnswer{Lease: c.store.grantLease(ttl)}
+		return statestore.Reply[protocol.LeaseAnswer]{Status: http.StatusOK, Value: answer}
+	})
+}
+
+// Renew gives a lease its full time again.
+func (c *storeClient) Renew(id int64, done func(statestore.Reply[protocol.LeaseAnswer])) {
+	request(c, done, func() statestore.Reply[protocol.LeaseAnswer] {
+		if c.store.leases[id] == nil {
+			return statestore.Reply[protocol.LeaseAnswer]{Status: http.StatusNotFound}
+		}
+		c.store.renewLease(id)
+		return statestore.Reply[protocol.LeaseAnswer]{Status: http.StatusOK}
+	})
+}
--- /dev/null
+++ b/internal/testkit/storetxn.go
@@ -0,0 +1,104 @@
+package testkit
+
+import (
+	"net/http"
+	"strings"
+
+	"postpoint/internal/clock"
+	"postpoint/internal/delegation"
+	"postpoint/internal/protocol"
+	"postpoint/internal/settings"
+	"postpoint/internal/statestore"
+)
+
+// guardsPerChange is how many conditions a transaction may have for each change that it may have.
+const guardsPerChange = 4
+
+// Limit sets the limits of the settings, the rate of changes only if asked for.
+func (s *State) Limit(l settings.State, rate bool) {
+	s.ValueBytes, s.TxnOps = l.ValueBytes(), l.TxnOps
+	if rate {
+		s.ChangesPerS = int(l.WriteRps)
+	}
+}
+
+// limitExceeded returns the status with which the limits refuse a transaction, 0 if they allow it.
+func (s *State) limitExceeded(t protocol.Txn) int {
+	if s.TxnOps > 0 && (len(t.Changes) > s.TxnOps || len(t.Guards) > guardsPerChange*s.TxnOps) {
+		return http.StatusBadRequest
+	}
+	for _, c := range t.Changes {
+		if s.ValueBytes > 0 && c.Put != "" && protocol.JSONSize(c.Value) > s.ValueBytes {
+			return http.StatusBadRequest
+		}
+	}
+	if second := s.w.now / clock.Second; second != s.second {
+		s.second, s.changesNow = second, 0
+	}
+	s.changesNow += len(t.Changes)
+	if s.ChangesPerS > 0 && s.changesNow > s.ChangesPerS {
+		return http.StatusTooManyRequests
+	}
+	return 0
+}
+
+// failedGuards lists the keys that don't have the versions which a transaction requires.
+func (s *State) failedGuards(t protocol.Txn) []string {
+	var failed []string
+	for _, g := range t.Guards {
+		if s.keys[g.Key].version != g.Version {
+			failed = append(failed, g.Key)
+		}
+	}
+	return failed
+}
+
+// leasesExist reports whether there are all leases to which a transaction binds entries.
+func (s *State) leasesExist(t protocol.Txn) bool {
+	for _, c := range t.Changes {
+		if c.Lease != 0 && s.leases[c.Lease] == nil {
+			return false
+		}
+	}
+	return true
+}
+
+// commit executes a compare-and-swap transaction, or refuses it as a whole.
+func (s *State) commit(t protocol.Txn) statestore.Reply[protocol.TxnAnswer] {
+	respond := func(status int, answer protocol.TxnAnswer) statestore.Reply[protocol.TxnAnswer] {
+		return statestore.Reply[protocol.TxnAnswer]{Status: status, Value: answer}
+	}
+	if status := s.limitExceeded(t); status != 0 {
+		return respond(status, protocol.TxnAnswer{})
+	}
+	if !s.leasesExist(t) {
+		return respond(http.StatusBadRequest, protocol.TxnAnswer{Error: "no such lease"})
+	}
+	if failed := s.failedGuards(t); len(failed) > 0 {
+		return respond(http.StatusConflict, protocol.TxnAnswer{Revision: s.revision, Failed: failed})
+	}
+	s.apply(t.Changes)
+	s.notifyWatchers()
+	return respond(http.StatusOK, protocol.TxnAnswer{Revision: s.revision})
+}
+
+// apply makes the changes of a transaction at a new revision.
+func (s *State) apply(changes []protocol.Change) {
+	if len(changes) > 0 {
+		s.revision++
+	}
+	for _, c := range changes {
+		s.Changes++
+		if c.Put == "" {
+			s.remove(c.Delete)
+			continue
+		}
+		if s.CheckPut != nil {
+			s.CheckPut(c.Put, c.Value)
+		}
+		if strings.HasPrefix(c.Put, delegation.Prefix) && s.keys[c.Put].version == 0 {
+			s.delegationsStored++
+		}
+		s.put(c.Put, c.Value, c.Lease)
+	}
+}
--- a/internal/testkit/tasks.go
+++ b/internal/testkit/tasks.go
@@ -7,25 +7,32 @@
 	"postpoint/internal/protocol"
 )
 
+// maxFetchTime is how long an image takes at most.
+const maxFetchTime = 4 * clock.Second
+
+// taskKey is a task of a job, by the id under which the machine knows the job.
 type taskKey struct {
 	job  string
 	task int
 }
 
+// taskRef is one attempt of a task.
 type taskRef struct {
 	taskKey
 	attempt int64
 }
 
+// task is an attempt on a machine, until the machine forgets it.
 type task struct {
 	taskKey
 	attempt int64
 	status  string
-	cause   string
+	cause   string // of its exit
 	saved   bool
 	onIt    bool // has its image and hasn't ended
 }
 
+// killAll ends all tasks at once; nothing of them is left to report.
 func (m *Worker) killAll() {
 	for _, t := range m.tasks {
 		m.leave(t)
@@ -34,6 +41,7 @@
 	m.d.notice()
 }
 
+// leave notes that a task isn't on the machine any more.
 func (m *Worker) leave(t *task) {
 	if t.onIt {
 		t.onIt = false
@@ -41,50 +49,56 @@
 	}
 }
 
-func (m *Worker) carryOut(orders []protocol.Order) {
-	for _, o := range orders {
-		id, n, _ := protocol.ParseTask(o.Task)
+// find is an attempt on the machine, or nil.
+func (m *Worker) find(k taskKey, attempt int64) *task {
+	for _, t := range m.tasks {
+		if t.taskKey == k && t.attempt == attempt {
+			return t
+		}
+	}
+	return nil
+}
+
+// carryOut executes a controller's commands.
+func (m *Worker) carryOut(commands []protocol.Order) {
+	for _, c := range commands {
+		id, n, _ := protocol.ParseTask(c.Task)
 		key := taskKey{id, n}
-		switch o.Verb {
+		switch c.Verb {
 		case protocol.VerbStart:
-			m.start(key, o.Attempt)
+			m.start(key, c.Attempt)
 		case protocol.VerbStop:
-			if t := m.find(key, o.Attempt); t != nil && t.status != protocol.TaskExited {
-				m.stop(t, o.GraceS)
+			if t := m.find(key, c.Attempt); t != nil && t.status != protocol.TaskExited {
+				m.stop(t, c.GraceS)
 			}
 		case protocol.VerbForget:
-			for i, t := range m.tasks {
-				if t.taskKey == key && t.attempt == o.Attempt && t.status == protocol.TaskExited {
-					m.tasks = append(m.tasks[:i:i], m.tasks[i+1:]...)
-					m.forgotten[taskRef{key, o.Attempt}] = true
-					if m.d.State.placed(key, o.Attempt, m.name) {
-						m.d.World.Break("forgot_early", "%s try %d: its end is not in the record", o.Task, o.Attempt)
-					}
-					break
-				}
-			}
+			m.forget(key, c.Attempt)
 		}
 	}
 }
 
-func (m *Worker) find(k taskKey, attempt int64) *task {
-	for _, t := range m.tasks {
-		if t.taskKey == k && t.attempt == attempt {
-			return t
+// forget drops an attempt that has exited; its end must be in the record by then.
+func (m *Worker) forget(k taskKey, attempt int64) {
+	for i, t := range m.tasks {
+		if t.taskKey != k || t.attempt != attempt || t.status != protocol.TaskExited {
+			continue
 		}
+		m.tasks = append(m.tasks[:i:i], m.tasks[i+1:]...)
+		m.forgotten[taskRef{k, attempt}] = true
+		if m.d.State.assigned(k, attempt, m.name) {
+			m.d.World.Break(forgotEarly, "%s attempt %d: its end is not in the record",
+				protocol.TaskName(k.job, k.task), attempt)
+		}
+		return
 	}
-	return nil
 }
 
+// start begins an attempt: it fetches its image unless the machine refuses it.
 func (m *Worker) start(k taskKey, attempt int64) {
 	if m.find(k, attempt) != nil {
 		return
 	}
-	// A gang's replacement may come back with the same attempt, but only by record.
-	// What is done has kept its result and doesn't run again.
-	if j := m.d.find(k.job); m.forgotten[taskRef{k, attempt}] && !j.gone[k.task] && !m.d.State.placed(k, attempt, m.name) {
-		m.d.World.Break("started_again", "%s/%d attempt %d after it was forgotten", k.job, k.task, attempt)
-	}
+	m.checkRestart(k, attempt)
 	t := &task{taskKey: k, attempt: attempt, status: protocol.TaskExited}
 	m.tasks = append(m.tasks, t)
 	m.change()
@@ -93,7 +107,7 @@
 	}
 	t.status = protocol.TaskFetching
 	session := m.session
-	m.d.World.After(m.d.World.Between(0, 4*clock.Second), func() {
+	m.d.World.After(m.d.World.Between(0, maxFetchTime), func() {
 		m.do(func() {
 			if m.session == session && t.status == protocol.TaskFetching && m.find(k, attempt) == t {
 				m.fetched(t)
@@ -102,13 +116,22 @@
 	})
 }
 
-// refuses says why a start is refused, or nothing.
+// checkRestart checks that a forgotten attempt doesn't start again. A gang's replacement may have the
+// same attempt, but only by the record; a completed task has kept its result and doesn't run again.
+func (m *Worker) checkRestart(k taskKey, attempt int64) {
+	j := m.d.find(k.job)
+	if m.forgotten[taskRef{k, attempt}] && !j.gone[k.task] && !m.d.State.assigned(k, attempt, m.name) {
+		m.d.World.Break(startedAgain, "%s/%d attempt %d after it was forgotten", k.job, k.task, attempt)
+	}
+}
+
+// refuses is the cause for which a start is refused, empty if it isn't.
 func (m *Worker) refuses(k taskKey, attempt int64) string {
 	j := m.d.find(k.job)
 	switch {
 	case j == nil:
 		return protocol.CauseNoSuch
-	case !m.fits(j):
+	case !j.needs().Fits(m.free()):
 		return protocol.CauseNoRoom
 	}
 	for _, other := range m.tasks {
@@ -119,7 +142,23 @@
 	return ""
 }
 
-// fetched goes on with a task that has its image.
+// free is what the tasks on the machine leave of it.
+func (m *Worker) free() planner.Amounts {
+	var free planner.Amounts
+	for _, ty := range m.d.Cloud.Types {
+		if ty.Name == m.typ {
+			free = fleet.Whole(ty)
+		}
+	}
+	for _, t := range m.tasks {
+		if o := m.d.find(t.job); o != nil && t.status != protocol.TaskExited {
+			free = free.Minus(o.needs())
+		}
+	}
+	return free
+}
+
+// fetched continues with a task that has its image.
 func (m *Worker) fetched(t *task) {
 	j := m.d.find(t.job)
 	t.onIt = true
@@ -137,7 +176,7 @@
 	}
 }
 
-// wait lets a gang's task wait for the others, but not for ever.
+// wait lets a gang's task wait for the others, for a time at most.
 func (m *Worker) wait(t *task) {
 	t.status = protocol.TaskWaiting
 	m.change()
@@ -150,76 +189,59 @@
 	})
 }
 
-func (m *Worker) fits(j *Job) bool { return j.needs().Fits(m.free()) }
-
-// free is what the tasks on the machine leave of it.
-func (m *Worker) free() planner.Amounts {
-	var free planner.Amounts
-	for _, ty := range m.d.Cloud.Types {
-		if ty.Name == m.typ {
-			free = fleet.Whole(ty)
-		}
-	}
-	for _, t := range m.tasks {
-		if o := m.d.find(t.job); o != nil && t.status != protocol.TaskExited {
-			free = free.Minus(o.needs())
-		}
-	}
-	return free
-}
-
+// run lets a task run for a random time about its job's, or until it is stopped.
 func (m *Worker) run(t *task, j *Job) {
 	t.status = protocol.TaskRunning
 	m.change()
 	if j.spec.Service() && j.run == 0 {
-		return // it runs until it is stopped
+		return
 	}
 	m.d.World.After(m.d.World.Between(j.run/2, j.run*3/2), func() {
 		m.do(func() {
-			if t.status == protocol.TaskRunning && t.onIt {
-				if j.spec.Gang() {
-					m.d.gangDone(t.job, t.attempt)
-				} else {
-					m.exit(t, protocol.CauseDone)
-				}
+			switch {
+			case t.status != protocol.TaskRunning || !t.onIt:
+			case j.spec.Gang():
+				m.d.gangDone(t.job, t.attempt)
+			default:
+				m.exit(t, protocol.CauseDone)
 			}
 		})
 	})
 }
 
+// exit ends a task.
 func (m *Worker) exit(t *task, cause string) {
 	t.status, t.cause = protocol.TaskExited, cause
 	if j := m.d.find(t.job); cause == protocol.CauseDone && !j.spec.Service() {
-		was := j.Done()
-		if !j.gone[t.task] {
-			j.home.History.completed(j, t.task)
-		}
-		j.gone[t.task] = true
-		if !was && j.Done() && m.d.World.chance(m.d.CancelAtEnd) {
-			j.home.Cancel(j)
-		}
+		j.complete(t.task, m.d.CancelAtEnd)
 	}
 	m.leave(t)
 	m.change()
 }
 
-func (m *Worker) stop(t *task, grace float64) {
-	j := m.d.find(t.job)
-	if t.status == protocol.TaskRunning && j.spec.CheckpointS > 0 && grace >= j.spec.SaveS {
-		t.status = protocol.TaskSaving
-		m.change()
-		m.d.World.After(clock.FromSeconds(j.spec.SaveS), func() {
-			m.do(func() {
-				if t.status == protocol.TaskSaving {
-					t.saved = true
-					m.exit(t, protocol.CauseStopped)
-				}
-			})
-		})
+// stop ends a task, after it has saved a checkpoint if it can within the grace period.
+func (m *Worker) stop(t *task, graceS float64) {
+	spec := &m.d.find(t.job).spec
+	if t.status == protocol.TaskRunning && spec.CheckpointS > 0 && graceS >= spec.SaveS {
+		m.save(t, clock.FromSeconds(spec.SaveS))
 		return
 	}
-	if t.status == protocol.TaskSaving && grace > 0 {
+	if t.status == protocol.TaskSaving && graceS > 0 {
 		return
 	}
 	m.exit(t, protocol.CauseStopped)
 }
+
+// save lets a task save a checkpoint and exit.
+func (m *Worker) save(t *task, duration clock.Micros) {
+	t.status = protocol.TaskSaving
+	m.change()
+	m.d.World.After(duration, func() {
+		m.do(func() {
+			if t.status == protocol.TaskSaving {
+				t.saved = true
+				m.exit(t, protocol.CauseStopped)
+			}
+		})
+	})
+}
--- a/internal/testkit/users.go
+++ b/internal/testkit/users.go
@@ -38,6 +38,18 @@
 // Done tells whether every task has completed.
 func (j *Job) Done() bool { return len(j.gone) == j.spec.Tasks && !j.spec.Service() }
 
+// complete notes that a task has completed. A share of users cancel the job at the moment of its end.
+func (j *Job) complete(task int, cancelShare float64) {
+	d, was := j.home, j.Done()
+	if !j.gone[task] {
+		d.History.completed(j, task)
+	}
+	j.gone[task] = true
+	if !was && j.Done() && d.World.chance(cancelShare) {
+		d.Cancel(j)
+	}
+}
+
 // ask sends a user's request to any node; no answer within the user's time is
 // status 0.
 func (d *Deployment) ask(r intake.Request, done func(status int, s protocol.JobStatus)) {
@@ -94,12 +106,12 @@
 			if first {
 				j.acceptedAt = d.World.now
 			}
-			d.told(j, before, s)
+			d.checkStatus(j, before, s)
 			if first {
 				d.poll(j)
 			}
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
-			d.World.Break("forgotten", "%s answered %d", j.spec.ID, status)
+			d.World.Break(forgotten, "%s answered %d", j.spec.ID, status)
 		default:
 			d.World.After(clock.Second, func() { d.submit(j) })
 		}
@@ -110,7 +122,7 @@
 func (d *Deployment) Refused(body []byte) {
 	d.ask(intake.Request{Kind: intake.Submit, Body: body}, func(status int, _ protocol.JobStatus) {
 		if status == http.StatusOK || status == http.StatusCreated {
-			d.World.Break("accepted", "answered %d: %x", status, body)
+			d.World.Break(acceptedInvalid, "answered %d: %x", status, body)
 		}
 	})
 }
@@ -120,11 +132,11 @@
 		before := j.told
 		d.ask(intake.Request{Kind: intake.Show, ID: j.spec.ID}, func(status int, s protocol.JobStatus) {
 			if status == http.StatusNotFound {
-				d.World.Break("forgotten", "%s answered 404", j.spec.ID)
+				d.World.Break(forgotten, "%s answered 404", j.spec.ID)
 			}
 			if status == http.StatusOK {
 				j.heardAt = d.World.now
-				d.told(j, before, s)
+				d.checkStatus(j, before, s)
 			}
 			if j.told == "" || d.World.chance(0.3) {
 				d.poll(j)
@@ -145,46 +157,13 @@
 	before := j.told
 	d.ask(intake.Request{Kind: intake.Cancel, ID: j.spec.ID}, func(status int, s protocol.JobStatus) {
 		if status == http.StatusOK {
-			d.told(j, before, s)
+			d.checkStatus(j, before, s)
 			return
 		}
 		d.World.After(clock.Second, func() { d.Cancel(j) })
 	})
 }
 
-// told judges an answer by what the user had been told when asking.
-func (d *Deployment) told(j *Job, before string, s protocol.JobStatus) {
-	final := s.Status == protocol.StatusDone || s.Status == protocol.StatusCancelled
-	if before != "" && s.Status != before || s.Status == protocol.StatusCancelled && !j.wantsEnd {
-		d.World.Break("went_back", "%s was %q, is %q", j.spec.ID, before, s.Status)
-	}
-	if s.Status == protocol.StatusDone && !j.Done() {
-		d.World.Break("not_done", "%s with %d of %d", j.spec.ID, len(j.gone), j.spec.Tasks)
-	}
-	if !final || j.told != "" {
-		return
-	}
-	j.told, j.toldAt = s.Status, d.World.now
-	if s.Status == protocol.StatusCancelled {
-		j.cancelled = d.World.now
-		d.World.After(clock.FromSeconds(d.Settings.Deployment.Workers.CancelS)+1, func() {
-			for t, ws := range j.places {
-				if len(ws) > 0 {
-					d.World.Break("ran_cancelled", "%s/%d is still there", j.spec.ID, t)
-				}
-			}
-			for _, m := range d.group.machines(d) {
-				// Its lease had not ended before: that would have proven it gone.
-				for id, at := range m.ghosts {
-					if m.d.find(id) == j && at > j.cancelled && d.World.now > max(d.disturbedAt, m.d.disturbedAt)+returnable {
-						d.World.Break("ran_cancelled", "%s is still on %s, which hangs", j.spec.ID, m.name)
-					}
-				}
-			}
-		})
-	}
-}
-
 // Jobs gives all jobs in the order of their submission.
 func (d *Deployment) Jobs() []*Job { return d.order }
 
--- a/internal/testkit/watch.go
+++ b/internal/testkit/watch.go
@@ -14,7 +14,7 @@
 	d.World.Every(5*clock.Second, func() {
 		for _, j := range d.order {
 			if j.accepted() && !j.wantsEnd && j.told == "" && d.World.now > max(j.heardAt, began)+longest {
-				d.World.Break("unanswered", "%s since %.0f s", j.spec.ID, j.heardAt.Seconds())
+				d.World.Break(unanswered, "%s since %.0f s", j.spec.ID, j.heardAt.Seconds())
 			}
 		}
 	})
@@ -54,7 +54,7 @@
 			if !j.accepted() || j.wantsEnd || j.told != "" || j.mistaken || d.onMachines(j) || !d.roomFor(j) {
 				j.idleAt = d.World.now
 			} else if d.World.now > max(j.idleAt, began)+longest {
-				d.World.Break("left_waiting", "%s since %.0f s", j.spec.ID, j.idleAt.Seconds())
+				d.World.Break(leftWaiting, "%s since %.0f s", j.spec.ID, j.idleAt.Seconds())
 			}
 		}
 	})
@@ -113,7 +113,7 @@
 				} else if awaySince[k] == 0 {
 					awaySince[k] = d.World.now
 				} else if d.World.now > awaySince[k]+longest {
-					d.World.Break("unserved", "%s/%d since %.0f s", k.job, n, awaySince[k].Seconds())
+					d.World.Break(unserved, "%s/%d since %.0f s", k.job, n, awaySince[k].Seconds())
 					awaySince[k] = d.World.now
 				}
 			}
--- a/internal/testkit/world.go
+++ b/internal/testkit/world.go
@@ -6,7 +6,6 @@
 
 import (
 	"container/heap"
-	"fmt"
 	"math/rand/v2"
 
 	"postpoint/internal/clock"
@@ -76,11 +75,6 @@
 // Now is the simulated time.
 func (w *World) Now() clock.Micros { return w.now }
 
-// Break notes a broken rule.
-func (w *World) Break(rule, format string, args ...any) {
-	w.Broken = append(w.Broken, fmt.Sprintf("%.3f %s: %s", w.now.Seconds(), rule, fmt.Sprintf(format, args...)))
-}
-
 // Between draws a time.
 func (w *World) Between(lo, hi clock.Micros) clock.Micros {
 	return lo + clock.Micros(w.Rand.Int64N(int64(hi-lo)+1))
