--- a/internal/testkit/delegationfaults_test.go
+++ b/internal/testkit/delegationfaults_test.go
@@ -36,12 +36,12 @@
 	},
 	"host's leader stands still": func(x *transfer, long clock.Micros) {
 		if n := x.host.Leader(); n != nil {
-			n.proc.Stand(long)
+			n.proc.Pause(long)
 		}
 	},
 	"home's leader stands still": func(x *transfer, long clock.Micros) {
 		if n := x.home.Leader(); n != nil {
-			n.proc.Stand(long)
+			n.proc.Pause(long)
 		}
 	},
 	"the job is cancelled": func(x *transfer, _ clock.Micros) { x.home.Cancel(x.job) },
@@ -82,7 +82,7 @@
 				x.runTo(steps[0].reached)
 				d := []*Deployment{x.home, x.host}[i]
 				n := d.Leader()
-				n.proc.EndAfter = k
+				n.proc.CrashAfter = k
 				x.w.After(60*clock.Second, func() { d.StartNode(n) })
 				x.finish(t, fmt.Sprintf("request %d", k))
 			}
@@ -98,7 +98,7 @@
 		"nothing more":    func(*transfer) {},
 		"state outage":    func(x *transfer) { x.host.State.Outage(true) },
 		"leader ends":     func(x *transfer) { x.host.crashLeader(5 * clock.Second) },
-		"leader stands":   func(x *transfer) { x.host.Leader().proc.Stand(35 * clock.Second) },
+		"leader stands":   func(x *transfer) { x.host.Leader().proc.Pause(35 * clock.Second) },
 		"all controllers": func(x *transfer) { x.host.crashAll(200 * clock.Second) },
 		"machines hang":   func(x *transfer) { x.hang() },
 		"hang, leader ends": func(x *transfer) {
--- a/internal/testkit/failover_test.go
+++ b/internal/testkit/failover_test.go
@@ -115,7 +115,7 @@
 				w, d, j := eightTasks(t, uint64(100+step), 30*clock.Second)
 				leader := mustLead(t, d)
 				stand := func(n *Node, from int) {
-					n.proc.StandFor, n.proc.StandAfter = length, from
+					n.proc.PauseFor, n.proc.PauseAfter = length, from
 				}
 				d.Submit(array("job-000002", "open", 6, 4, 10), 10*clock.Second, false)
 				if electing {
--- a/internal/testkit/history.go
+++ b/internal/testkit/history.go
@@ -6,25 +6,27 @@
 	"postpoint/internal/clock"
 )
 
-// History is what ran when, over all cells, and judges it without knowing how it came about:
-// no two runs of a task overlap, and a task's result is computed once.
+// History records what ran when, over all cells, and judges it independently of the controllers: no two runs
+// of a task overlap, and each task is completed once. A nil History records nothing.
 type History struct {
 	w    *World
 	runs map[taskOf][]run
 	done map[taskOf]int
 }
 
+// taskOf is a task of a job, wherever it runs.
 type taskOf struct {
 	job  *Job
 	task int
 }
 
+// run is the time of one attempt on a machine.
 type run struct {
 	on       *Worker
-	from, to clock.Micros // to is 0 while it goes on
+	from, to clock.Micros // to is 0 while it runs
 }
 
-// NewHistory watches the given cells.
+// NewHistory returns a History of the given cells.
 func NewHistory(w *World, watched ...*Deployment) *History {
 	h := &History{w: w, runs: map[taskOf][]run{}, done: map[taskOf]int{}}
 	for _, d := range watched {
@@ -33,6 +35,7 @@
 	return h
 }
 
+// began notes that a run begins.
 func (h *History) began(j *Job, task int, on *Worker) {
 	if h != nil {
 		k := taskOf{j, task}
@@ -40,6 +43,7 @@
 	}
 }
 
+// ended notes that the last run on the machine ends.
 func (h *History) ended(j *Job, task int, on *Worker) {
 	if h == nil {
 		return
@@ -53,6 +57,7 @@
 	}
 }
 
+// completed notes that a task is completed.
 func (h *History) completed(j *Job, task int) {
 	if h != nil {
 		h.done[taskOf{j, task}]++
@@ -66,22 +71,34 @@
 		for task := range j.spec.Tasks {
 			k := taskOf{j, task}
 			if h.done[k] != 1 {
-				wrong = append(wrong, fmt.Sprintf("%s/%d of %s was completed %d times", j.spec.ID, task, j.home.name, h.done[k]))
+				wrong = append(wrong, fmt.Sprintf("%s was completed %d times", k, h.done[k]))
 			}
-			for i, a := range h.runs[k] {
-				for _, b := range h.runs[k][i+1:] {
-					if a.to == 0 || a.to > b.from {
-						wrong = append(wrong, fmt.Sprintf("%s/%d of %s ran on %s from %.3f and on %s from %.3f",
-							j.spec.ID, task, j.home.name, a.on.name, a.from.Seconds(), b.on.name, b.from.Seconds()))
-					}
-				}
+			wrong = append(wrong, h.overlaps(k)...)
+		}
+	}
+	return wrong
+}
+
+// overlaps lists the pairs of runs of a task that overlap.
+func (h *History) overlaps(k taskOf) []string {
+	var wrong []string
+	for i, a := range h.runs[k] {
+		for _, b := range h.runs[k][i+1:] {
+			if a.to == 0 || a.to > b.from {
+				wrong = append(wrong, fmt.Sprintf("%s ran on %s from %.3f and on %s from %.3f",
+					k, a.on.name, a.from.Seconds(), b.on.name, b.from.Seconds()))
 			}
 		}
 	}
 	return wrong
 }
 
-// Elsewhere counts the runs that took place outside the jobs' own cells, and all of them.
+// String names the task with its cell.
+func (k taskOf) String() string {
+	return fmt.Sprintf("%s/%d of %s", k.job.spec.ID, k.task, k.job.home.name)
+}
+
+// Elsewhere counts the runs outside the jobs' origin cells, and all runs.
 func (h *History) Elsewhere() (elsewhere, all int) {
 	for k, runs := range h.runs {
 		for _, r := range runs {
--- /dev/null
+++ b/internal/testkit/loopbackserver.go
@@ -0,0 +1,120 @@
+package testkit
+
+import (
+	"io"
+	"math"
+	"net"
+	"net/http"
+	"postpoint/internal/clock"
+	"postpoint/internal/protocol"
+	"postpoint/internal/statestore"
+	"strconv"
+)
+
+// Serve serves the store, the cloud and the workers on the given listeners.
+func (l *Loopback) Serve(state, cloud, workers net.Listener) {
+	go http.Serve(state, l.storeService())
+	go http.Serve(cloud, l.cloudService())
+	go http.Serve(workers, l.workerService())
+}
+
+// handler executes a decoded request in the world and responds, at once or later.
+type handler[Q any] func(r *http.Request, q Q, answer func(status int, body any))
+
+// serve decodes requests, has them handled and sends the responses.
+func serve[Q any](l *Loopback, handle handler[Q]) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		var q Q
+		raw, err := io.ReadAll(r.Body)
+		if err == nil && len(raw) > 0 {
+			err = protocol.Decode(raw, &q)
+		}
+		if err != nil {
+			w.WriteHeader(http.StatusBadRequest)
+			return
+		}
+		done := make(chan func(), 1)
+		l.Do(func() {
+			handle(r, q, func(status int, body any) {
+				encoded := protocol.Encode(body)
+				done <- func() {
+					w.WriteHeader(status)
+					_, _ = w.Write(encoded)
+				}
+			})
+		})
+		(<-done)()
+	}
+}
+
+// nothing is an empty message.
+type nothing struct{}
+
+// reply sends a response of the store.
+func reply[T any](answer func(int, any)) func(statestore.Reply[T]) {
+	return func(x statestore.Reply[T]) { answer(x.Status, x.Value) }
+}
+
+func (l *Loopback) storeService() http.Handler {
+	store := l.Deployment.State.For(l.node.proc, &l.node.State)
+	mux := http.NewServeMux()
+	mux.Handle("GET /kv/{key...}", serve(l, func(r *http.Request, _ nothing, answer func(int, any)) {
+		store.Get(r.PathValue("key"), reply[protocol.Item](answer))
+	}))
+	mux.Handle("GET /kv", serve(l, func(r *http.Request, _ nothing, answer func(int, any)) {
+		q := r.URL.Query()
+		store.List(q.Get("Prefix"), q.Get("From"), reply[protocol.ItemList](answer))
+	}))
+	mux.Handle("POST /multi", serve(l, func(_ *http.Request, t protocol.Txn, answer func(int, any)) {
+		store.Commit(statestore.ForUser, t, reply[protocol.TxnAnswer](answer))
+	}))
+	mux.Handle("GET /follow", serve(l, func(r *http.Request, _ nothing, answer func(int, any)) {
+		q := r.URL.Query()
+		from, _ := strconv.ParseInt(q.Get("From"), 10, 64)
+		block, _ := strconv.ParseInt(q.Get("BlockMs"), 10, 64)
+		store.Follow(q.Get("Prefix"), from, clock.Micros(block)*clock.Millisecond,
+			reply[protocol.FollowAnswer](answer))
+	}))
+	mux.Handle("POST /leases", serve(l, func(_ *http.Request, q protocol.LeaseRequest, answer func(int, any)) {
+		ttl := clock.Micros(q.TTLMs) * clock.Millisecond
+		store.Grant(ttl, reply[protocol.LeaseAnswer](answer))
+	}))
+	mux.Handle("POST /leases/{id}/touch", serve(l, func(r *http.Request, _ nothing, answer func(int, any)) {
+		id, _ := strconv.ParseInt(r.PathValue("id"), 10, 64)
+		store.Renew(id, reply[protocol.LeaseAnswer](answer))
+	}))
+	return mux
+}
+
+func (l *Loopback) cloudService() http.Handler {
+	client := l.Deployment.Cloud.For(l.node.proc, &l.node.Clouds)
+	mux := http.NewServeMux()
+	mux.Handle("GET /catalog", serve(l, func(_ *http.Request, _ nothing, answer func(int, any)) {
+		client.Catalogue(func(status int, c protocol.Catalogue) { answer(status, c) })
+	}))
+	mux.Handle("POST /hosts", serve(l, func(_ *http.Request, q protocol.Rental, answer func(int, any)) {
+		client.Rent(q, math.MaxInt64, func(status int, a protocol.RentalAnswer) { answer(status, a) })
+	}))
+	mux.Handle("POST /hosts/release", serve(l, func(_ *http.Request, q protocol.MachineNames, answer func(int, any)) {
+		client.Release(q.Machines, math.MaxInt64, func(status int) { answer(status, nothing{}) })
+	}))
+	mux.Handle("GET /hosts", serve(l, func(r *http.Request, _ nothing, answer func(int, any)) {
+		client.List(r.URL.Query().Get("From"), func(status int, m protocol.MachineList) { answer(status, m) })
+	}))
+	return mux
+}
+
+func (l *Loopback) workerService() http.Handler {
+	mux := http.NewServeMux()
+	mux.Handle("POST /commands", serve(l, func(r *http.Request, c protocol.Commands, answer func(int, any)) {
+		m := l.Deployment.byAddr[r.Host]
+		if m == nil || !m.up {
+			answer(http.StatusServiceUnavailable, nothing{})
+			return
+		}
+		l.countStarts(c.Orders)
+		status, report := m.command(c)
+		answer(status, report)
+	}))
+	return mux
+}
--- /dev/null
+++ b/internal/testkit/realtime.go
@@ -0,0 +1,31 @@
+package testkit
+
+import (
+	"context"
+	"postpoint/internal/clock"
+	"sync"
+	"time"
+)
+
+// RealTime runs a world in real time, for controllers in other processes.
+type RealTime struct {
+	World *World
+	mu    sync.Mutex // guards the world and everything in it
+	began time.Time
+}
+
+// Run lets the world's time follow real time until the context ends.
+func (x *RealTime) Run(ctx context.Context) {
+	x.began = time.Now().Add(-x.World.now.Duration())
+	for ctx.Err() == nil {
+		x.Do(func() { x.World.Run(clock.Micros(time.Since(x.began).Microseconds())) })
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// Do runs a function while nothing else happens in the world.
+func (x *RealTime) Do(f func()) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	f()
+}
--- a/internal/testkit/rules_test.go
+++ b/internal/testkit/rules_test.go
@@ -184,9 +184,9 @@
 	case 12, 13:
 		// A node stands still, its clocks run on: for less than any lease, or
 		// for longer than the workers'.
-		n.proc.Stand(w.Between(500*clock.Millisecond, 4*clock.Second))
+		n.proc.Pause(w.Between(500*clock.Millisecond, 4*clock.Second))
 	case 14:
-		n.proc.Stand(long)
+		n.proc.Pause(long)
 	case 7, 8:
 		// A node is left with the workers, the others with everything else.
 		cut(&n.State, w.chance(0.5), long)
--- a/internal/testkit/watch.go
+++ b/internal/testkit/watch.go
@@ -4,63 +4,78 @@
 	"postpoint/internal/clock"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
+	"slices"
 )
 
-// WatchAnswers sees to it that from now on no accepted, uncancelled job goes
-// without an answer for 75 s, as the users check it once all troubles are over.
+const (
+	// longestSilence is how long users may get no response about an accepted job.
+	longestSilence = 75 * clock.Second
+	// longestWait is how long a job may wait though there is room for it.
+	longestWait = 90 * clock.Second
+	// longestAbsence of a replica is more than it takes to prove a machine gone and boot another.
+	longestAbsence = 60 * clock.Second
+	// returnable is how much time without disturbance suffices to release a machine that hangs.
+	returnable = 12 * clock.Second
+	// hardlyAnswered, each way, is about as long as a controller waits for a response: a new leader
+	// needs as long to read the records as if it were refused.
+	hardlyAnswered = 700 * clock.Millisecond
+)
+
+// WatchAnswers checks from now on, after all faults, that users get responses about all accepted jobs that
+// they haven't cancelled.
 func (d *Deployment) WatchAnswers() {
-	const longest = 75 * clock.Second
 	began := d.World.now
 	d.World.Every(5*clock.Second, func() {
 		for _, j := range d.order {
-			if j.accepted() && !j.wantsEnd && j.told == "" && d.World.now > max(j.heardAt, began)+longest {
+			if j.accepted() && !j.wantsEnd && j.told == "" && d.World.now > max(j.heardAt, began)+longestSilence {
 				d.World.Break(unanswered, "%s since %.0f s", j.spec.ID, j.heardAt.Seconds())
 			}
 		}
 	})
 }
 
-// WatchService notes when nodes, the state service or the cloud are troubled. A machine
-// that hangs can only be rid of what was cancelled by returning it, which takes a
-// leader and the cloud: that much of quiet before the time is over must suffice.
+// WatchService notes when faults affect controllers, the store or the cloud. Cancelled tasks on a machine
+// that hangs end only by its release, which takes a leader and the cloud: the rule about them holds only
+// if there was enough time without such faults.
 func (d *Deployment) WatchService() {
 	d.World.Every(250*clock.Millisecond, func() {
-		troubled := d.Cloud.Outage || d.State.outage || d.State.LateWrites > 0
-		for _, n := range d.Nodes {
-			troubled = troubled || !n.proc.alive || n.proc.still || n.State.Cut || n.State.Refused || n.Clouds.Cut || n.Workers.Cut ||
-				n.State.Slow >= hardlyAnswered
-		}
-		if troubled {
+		if d.disturbed() {
 			d.disturbedAt = d.World.now
 		}
 	})
 }
 
-const (
-	returnable = 12 * clock.Second
-	// hardlyAnswered, each way, is about as long as a node waits for an answer: one that is
-	// elected takes as long to read the records as if it were refused.
-	hardlyAnswered = 700 * clock.Millisecond
-)
+// disturbed reports whether a fault affects what is needed to release a machine.
+func (d *Deployment) disturbed() bool {
+	if d.Cloud.Outage || d.State.outage || d.State.LateWrites > 0 {
+		return true
+	}
+	return slices.ContainsFunc(d.Nodes, (*Node).disturbed)
+}
+
+// disturbed reports whether a fault affects the controller.
+func (n *Node) disturbed() bool {
+	return !n.proc.alive || n.proc.paused || n.Clouds.Cut || n.Workers.Cut ||
+		n.State.Cut || n.State.Refused || n.State.Slow >= hardlyAnswered
+}
 
-// WatchRoom sees to it that from now on no job waits for 90 s while machines that
-// fit have room for it and its team is under its limit. What zones of several tasks
-// allow depends on each other, so that only jobs without such wishes are watched.
+// WatchRoom checks from now on that no job waits long while machines that fit have room for it and its team
+// is within its limits. Jobs whose tasks have constraints about each other's zones aren't watched.
 func (d *Deployment) WatchRoom() {
-	const longest = 90 * clock.Second
 	began := d.World.now
 	d.World.Every(2*clock.Second, func() {
 		for _, j := range d.order {
-			if !j.accepted() || j.wantsEnd || j.told != "" || j.mistaken || d.onMachines(j) || !d.roomFor(j) {
+			waits := j.accepted() && !j.wantsEnd && j.told == "" && !j.mistaken
+			if !waits || d.onMachines(j) || !d.roomFor(j) {
 				j.idleAt = d.World.now
-			} else if d.World.now > max(j.idleAt, began)+longest {
+			} else if d.World.now > max(j.idleAt, began)+longestWait {
 				d.World.Break(leftWaiting, "%s since %.0f s", j.spec.ID, j.idleAt.Seconds())
 			}
 		}
 	})
 }
 
-// onMachines tells that something of a job runs, waits or is being fetched.
+// onMachines reports whether a task of a job runs, waits or fetches its image.
 func (d *Deployment) onMachines(j *Job) bool {
 	for _, m := range d.group.machines(d) {
 		for _, t := range m.tasks {
@@ -72,7 +87,7 @@
 	return false
 }
 
-// roomFor tells that a task of an array, or all of a gang, fit on machines that are up.
+// roomFor reports whether a task of an array, or all of a gang, fit on machines that are up.
 func (d *Deployment) roomFor(j *Job) bool {
 	s := &j.spec
 	missing := 1
@@ -82,9 +97,7 @@
 	if s.OneZone || s.Spread {
 		return false
 	}
-	team, _ := d.Settings.Deployment.Team(s.Team)
-	all := d.used[s.Team].Plus(j.needs().Times(float64(missing)))
-	if team.CpusMax > 0 && all.Cpus > team.CpusMax || team.GpusMax > 0 && all.Gpus > team.GpusMax {
+	if !d.withinLimits(s.Team, j.needs().Times(float64(missing))) {
 		return false
 	}
 	for _, m := range d.Workers() {
@@ -98,21 +111,26 @@
 	return missing == 0
 }
 
-// WatchReplicas sees to it that from now on no replica of a service that doesn't end by
-// itself is away for a minute: longer than a machine takes to be proven gone and another
-// to boot.
+// withinLimits reports whether a team may use so much more.
+func (d *Deployment) withinLimits(name string, more planner.Amounts) bool {
+	team, _ := d.Settings.Deployment.Team(name)
+	all := d.used[name].Plus(more)
+	return (team.CpusMax <= 0 || all.Cpus <= team.CpusMax) && (team.GpusMax <= 0 || all.Gpus <= team.GpusMax)
+}
+
+// WatchReplicas checks from now on that no replica is absent for long, of services whose replicas don't end by
+// themselves.
 func (d *Deployment) WatchReplicas() {
-	const longest = 60 * clock.Second
 	awaySince := map[taskKey]clock.Micros{}
 	d.World.Every(2*clock.Second, func() {
 		for _, j := range d.order {
 			for n := range j.spec.Tasks {
 				k := taskKey{j.spec.ID, n}
-				if !j.spec.Service() || j.run > 0 || j.wantsEnd || j.mistaken || !j.accepted() || len(j.places[n]) > 0 {
+				if !j.mustServe() || len(j.places[n]) > 0 {
 					delete(awaySince, k)
 				} else if awaySince[k] == 0 {
 					awaySince[k] = d.World.now
-				} else if d.World.now > awaySince[k]+longest {
+				} else if d.World.now > awaySince[k]+longestAbsence {
 					d.World.Break(unserved, "%s/%d since %.0f s", k.job, n, awaySince[k].Seconds())
 					awaySince[k] = d.World.now
 				}
@@ -120,3 +138,8 @@
 		}
 	})
 }
+
+// mustServe reports whether all replicas of the job have to run.
+func (j *Job) mustServe() bool {
+	return j.spec.Service() && j.run == 0 && !j.wantsEnd && !j.mistaken && j.accepted()
+}
--- a/internal/testkit/zones.go
+++ b/internal/testkit/zones.go
@@ -1,40 +1,51 @@
 package testkit
 
-// cutZone is a zone that is cut off from everything outside. Inside, workers and nodes reach each
-// other.
+import "postpoint/internal/clock"
+
+// maxHealDelay is how long after a partition held messages arrive at most.
+const maxHealDelay = 500 * clock.Millisecond
+
+// cutZone is a zone that is partitioned from everything outside. Inside, workers and controllers reach
+// each other.
 type cutZone struct {
 	hold bool
 	held []func()
 }
 
-// CutZone cuts a zone off until the returned function is called. What is sent out of it or into it
-// is lost, or held and delivered then.
+// CutZone partitions a zone until the returned function is called. Messages out of it or into it are lost,
+// or held and delivered then.
 func (d *Deployment) CutZone(zone string, hold bool) (heal func()) {
 	if d.cut[zone] != nil {
 		return func() {}
 	}
 	c := &cutZone{hold: hold}
 	d.cut[zone] = c
-	links := func(do func(*Link)) {
-		for _, n := range d.Nodes {
-			if n.Zone == zone {
-				for _, l := range []*Link{&n.State, &n.Clouds, &n.Peers, &n.Cells} {
-					do(l)
-				}
-			}
-		}
+	for _, l := range d.outsideLinks(zone) {
+		l.Cut, l.Hold = true, hold
 	}
-	links(func(l *Link) { l.Cut, l.Hold = true, hold })
 	return func() {
 		delete(d.cut, zone)
-		links((*Link).Heal)
+		for _, l := range d.outsideLinks(zone) {
+			l.Heal()
+		}
 		for _, arrive := range c.held {
-			d.World.After(d.World.Between(0, 500_000), arrive)
+			d.World.After(d.World.Between(0, maxHealDelay), arrive)
+		}
+	}
+}
+
+// outsideLinks are the links of a zone's controllers out of it.
+func (d *Deployment) outsideLinks(zone string) []*Link {
+	var links []*Link
+	for _, n := range d.Nodes {
+		if n.Zone == zone {
+			links = append(links, &n.State, &n.Clouds, &n.Peers, &n.Cells)
 		}
 	}
+	return links
 }
 
-// severed tells that nothing passes between two zones, and what holds it back, if anything does.
+// severed reports whether two zones are partitioned from each other, and by which partition.
 func (d *Deployment) severed(a, b string) (by *cutZone, yes bool) {
 	if a == b {
 		return nil, false
@@ -47,7 +58,7 @@
 	return nil, false
 }
 
-// passes carries something from one zone to another, now or once a cut that holds it is over.
+// passes delivers a message from one zone to another, now or once a partition that holds it is over.
 func (d *Deployment) passes(from, to string, arrive func()) {
 	by, severed := d.severed(from, to)
 	switch {
