--- a/internal/testkit/helpers_test.go
+++ b/internal/testkit/helpers_test.go
@@ -7,12 +7,6 @@
 	"testing"
 )
 
-// array is the specification of a job array without placement constraints.
-func array(id, team string, tasks int, cpus, seconds float64) protocol.JobSpec {
-	return protocol.JobSpec{ID: id, Class: "c", Team: team, Shape: protocol.ShapeArray, Rank: "normal",
-		Tasks: tasks, Cpus: cpus, MemoryGB: 1, Image: "i", EstimateS: seconds}
-}
-
 // twoJobs is a deployment that runs two long jobs, one to be cancelled and one to continue.
 func twoJobs(t *testing.T, seed uint64, run clock.Micros) (w *World, d *Deployment, cancelled, other *Job) {
 	t.Helper()
@@ -138,23 +132,3 @@
 	}
 	return false
 }
-
-// crashFor ends a controller's process and starts a new one after a while.
-func (d *Deployment) crashFor(n *Node, down clock.Micros) {
-	n.Crash()
-	d.World.After(down, func() { d.StartNode(n) })
-}
-
-// crashLeader does so with the leader, if there is one.
-func (d *Deployment) crashLeader(down clock.Micros) {
-	if n := d.Leader(); n != nil {
-		d.crashFor(n, down)
-	}
-}
-
-// crashAll does so with all controllers.
-func (d *Deployment) crashAll(down clock.Micros) {
-	for _, n := range d.Nodes {
-		d.crashFor(n, down)
-	}
-}
--- a/internal/testkit/zonefixture_test.go
+++ b/internal/testkit/zonefixture_test.go
@@ -63,28 +63,6 @@
 	t.Fatalf("zone %s is %+v after %.0f s, want %s", zone, d.zones()[zone], most.Seconds(), p)
 }
 
-// watchGangs sees to it that no gang is in pieces for long: placed in part, by its record, for
-// longer than a gang waits for its tasks, a lease and the time to notice; while the nodes or what
-// they need are troubled the record may be behind.
-func (d *Deployment) watchGangs() {
-	workers := d.Settings.Deployment.Workers
-	longest := clock.FromSeconds(workers.GangWaitS+workers.LeaseS+workers.GangPeerS) + workers.KeepAlive() + 10*clock.Second
-	since := map[string]clock.Micros{}
-	d.World.Every(clock.Second, func() {
-		for _, j := range d.order {
-			r := d.State.wholeRecord(j.spec.ID)
-			if r == nil || !j.spec.Gang() || r.Final() || len(r.Placed) == 0 || len(r.Placed) == j.spec.Tasks {
-				delete(since, j.spec.ID)
-			} else if since[j.spec.ID] == 0 {
-				since[j.spec.ID] = d.World.now
-			} else if d.World.now > max(since[j.spec.ID], d.disturbedAt)+longest {
-				d.World.Break("gang_in_pieces", "%s: %d of %d tasks", j.spec.ID, len(r.Placed), j.spec.Tasks)
-				since[j.spec.ID] = d.World.now
-			}
-		}
-	})
-}
-
 // gang is the specification of a gang that saves checkpoints.
 func gang(id string, tasks int, seconds float64) protocol.JobSpec {
 	s := array(id, "open", tasks, 4, seconds)
--- a/internal/testkit/zoneloss_test.go
+++ b/internal/testkit/zoneloss_test.go
@@ -121,7 +121,6 @@
 	for seed := range seeds(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			losses := 0
 			d := play(7000+seed, func(d *Deployment) {
 				s := recovery.Defaults()
 				d.Recovery = &s
@@ -130,14 +129,7 @@
 					d.StartNode(n)
 				}
 				d.watchGangs()
-				w := d.World
-				for range 3 {
-					w.After(w.Between(30*clock.Second, 240*clock.Second), func() {
-						losses++
-						long := w.Between(2*clock.Second, 60*clock.Second)
-						w.After(long, d.CutZone([]string{"a", "b"}[w.Rand.IntN(2)], w.chance(0.5)))
-					})
-				}
+				d.cutZonesSometimes()
 			})
 			mustKeepRules(t, d.World)
 			if left := d.Unfinished(); len(left) > 0 {
