--- a/internal/testkit/cells.go
+++ b/internal/testkit/cells.go
@@ -5,8 +5,6 @@
 	"strings"
 
 	"postpoint/internal/cells"
-	"postpoint/internal/clock"
-	"postpoint/internal/delegation"
 	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
 	"postpoint/internal/settings"
@@ -15,43 +13,46 @@
 // Group is several cells in one world.
 type Group struct {
 	Cells []*Deployment
-	// File is what stands in the cells file after the controllers' own cell.
+	// File is the cells file after its first line, which names the controller's own cell.
 	File string
 }
 
-// NewGroup starts cells with the given settings, named after the letters of the Greek
-// alphabet. rules are the spill rules of the cells file; guests is what each cell takes.
-func NewGroup(w *World, sets []*settings.Settings, types []protocol.MachineType, guests, rules string, loss float64) *Group {
+var cellNames = []string{"alpha", "beta", "gamma", "delta"}
+
+// NewGroup starts cells with the given settings, named after the letters of the Greek alphabet. rules are
+// the offloading rules of the cells file, guests the limits of hosted jobs of each cell.
+func NewGroup(
+	w *World, sets []*settings.Settings, types []protocol.MachineType, guests, rules string, loss float64,
+) *Group {
 	g := &Group{}
 	for i, set := range sets {
 		d := prepare(w, set, types, loss, false)
-		d.group, d.name = g, []string{"alpha", "beta", "gamma", "delta"}[i]
+		d.group, d.name = g, cellNames[i]
 		g.Cells = append(g.Cells, d)
-		g.File += fmt.Sprintf("[[cells]]\nname = %q\nlease_s = %f\n%s\n", d.name, set.Deployment.Workers.LeaseS, guests)
-		for k, n := range d.Nodes {
-			g.File += fmt.Sprintf("[[cells.controllers]]\nnode = %q\naddress = \"10.0.%d.%d:8082\"\n", n.Name, i, k+1)
-		}
+		g.File += cellEntry(d, i, guests)
 	}
 	g.File += rules
 	for _, d := range g.Cells {
-		for _, n := range d.Nodes {
-			d.StartNode(n)
-		}
+		d.startNodes()
 	}
 	return g
 }
 
-// Leader is the node of the cell that leads, or nil.
-func (d *Deployment) Leader() *Node {
-	for _, n := range d.Nodes {
-		if n.Up() && n.Dispatch.Leads() {
-			return n
-		}
+// cellPort ends the addresses of controllers for other cells.
+const cellPort = ":8082"
+
+// cellEntry describes a cell in the cells file.
+func cellEntry(d *Deployment, cell int, guests string) string {
+	entry := fmt.Sprintf("[[cells]]\nname = %q\nlease_s = %f\n%s\n",
+		d.name, d.Settings.Deployment.Workers.LeaseS, guests)
+	for i, n := range d.Nodes {
+		address := fmt.Sprintf("10.0.%d.%d%s", cell, i+1, cellPort)
+		entry += fmt.Sprintf("[[cells.controllers]]\nnode = %q\naddress = %q\n", n.Name, address)
 	}
-	return nil
+	return entry
 }
 
-// CutOff cuts a cell off from the others until the returned function is called.
+// CutOff partitions a cell from the others until the returned function is called.
 func (d *Deployment) CutOff(hold bool) (heal func()) {
 	for _, n := range d.Nodes {
 		n.Cells.Cut, n.Cells.Hold = true, hold
@@ -63,7 +64,7 @@
 	}
 }
 
-// directory is what a node reads in the cells file.
+// directory is the cells file as a controller reads it, nil if it has none.
 func (g *Group) directory(d *Deployment, n *Node, set *settings.Settings) *cells.Directory {
 	if g == nil || n.Old || n.WithoutCells {
 		return nil
@@ -75,7 +76,7 @@
 	return c
 }
 
-// jobs are those of all cells.
+// jobs are the jobs of all cells.
 func (g *Group) jobs(own *Deployment) []*Job {
 	if g == nil {
 		return own.order
@@ -87,7 +88,7 @@
 	return all
 }
 
-// machines likewise.
+// machines are the machines of all cells.
 func (g *Group) machines(own *Deployment) []*Worker {
 	if g == nil {
 		return own.Cloud.all
@@ -99,68 +100,29 @@
 	return all
 }
 
-// find is the job that a worker of the cell runs under an id, or nil: it gets the description
-// of a guest from where its home's users left it.
+// find is the job that a worker of the cell runs under an id, or nil. A hosted job is that of its origin
+// cell.
 func (d *Deployment) find(id string) *Job {
-	home, job, _, guest := ledger.ParseGuestID(id)
-	if !guest || d.group == nil {
+	origin, job, _, hosted := ledger.ParseGuestID(id)
+	if !hosted || d.group == nil {
 		return d.jobs[id]
 	}
 	for _, o := range d.group.Cells {
-		if o.name == home {
+		if o.name == origin {
 			return o.jobs[job]
 		}
 	}
 	return nil
 }
 
-// cellClient is how one process reaches other cells.
-type cellClient struct {
-	d *Deployment
-	n *Node
-	p *Process
-}
-
-// Exchange carries a report in the form that it has between cells.
-func (x *cellClient) Exchange(address string, r delegation.Report, done func(delegation.Answer, bool)) {
-	target := x.d.group.at(address)
-	raw := r.Encode()
-	x.n.Cells.call(x.p, clock.Second, func(answer func(func())) {
-		report, err := delegation.DecodeReport(raw)
-		if err != nil {
-			x.d.World.Break(badExchange, "%v", err)
-			return
-		}
-		if target == nil || !target.Up() || target.Cells.Cut {
-			return
-		}
-		target.proc.run(func() {
-			target.exchanges.Exchange(report, func(a delegation.Answer, ok bool) {
-				if target.Cells.Cut || x.n.Unanswered {
-					return
-				}
-				if !ok {
-					answer(func() { done(a, false) })
-					return
-				}
-				answered, err := delegation.DecodeAnswer(a.Encode())
-				if err != nil {
-					fmt.Printf("%+v\n", a)
-					x.d.World.Break(badExchange, "%v", err)
-				}
-				target.proc.leaves(func() { answer(func() { done(answered, err == nil) }) })
-			})
-		})
-	}, func() { done(delegation.Answer{}, false) })
-}
-
-// at finds the node with an address.
+// at is the controller with an address, or nil.
 func (g *Group) at(address string) *Node {
-	var i, k int
-	if _, err := fmt.Sscanf(strings.TrimSuffix(address, ":8082"), "10.0.%d.%d", &i, &k); err != nil || i >= len(g.Cells) {
+	var cell, number int
+	_, err := fmt.Sscanf(strings.TrimSuffix(address, cellPort), "10.0.%d.%d", &cell, &number)
+	if err != nil || cell >= len(g.Cells) {
 		return nil
 	}
-	return g.Cells[i].Nodes[k-1]
+	return g.Cells[cell].Nodes[number-1]
 }
 
 // SwitchOff restarts all controllers without a cells file.
@@ -175,7 +137,7 @@
 	}
 }
 
-// Lose ends a cell for good: its controllers, its machines and whatever comes from it.
+// Lose ends a cell for good: its controllers, its machines and its connections.
 func (d *Deployment) Lose() {
 	d.CutOff(false)
 	for _, n := range d.Nodes {
@@ -186,7 +148,7 @@
 	}
 }
 
-// Lent counts, by cell, the tasks that by the records are with other cells.
+// Lent counts the tasks that other cells run by the records, by cell.
 func (d *Deployment) Lent() map[string]int {
 	lent := map[string]int{}
 	for key := range d.State.keys {
@@ -201,5 +163,5 @@
 	return lent
 }
 
-// Delegations counts those that have been stored.
+// Delegations counts the delegations that were stored.
 func (d *Deployment) Delegations() int { return d.State.delegationsStored }
--- a/internal/testkit/cloudclient.go
+++ b/internal/testkit/cloudclient.go
@@ -48,7 +48,8 @@
 
 // Catalogue reads the machine types.
 func (x *cloudClient) Catalogue(done func(int, protocol.Catalogue)) {
-	x.call(func(s int) { done(s, protocol.Catalogue{Types: x.cloud.Types}) }, func() int { return http.StatusOK })
+	x.call(func(status int) { done(status, protocol.Catalogue{Types: x.cloud.Types}) },
+		func() int { return http.StatusOK })
 }
 
 // Rent rents machines; a repeated request gets the response of the first.
--- a/internal/testkit/formatcheck.go
+++ b/internal/testkit/formatcheck.go
@@ -12,18 +12,18 @@
 	"postpoint/internal/protocol"
 )
 
-// checkFormat sees to it that nothing but the first format is stored until all controllers
-// have published that they read the next.
+// checkFormat checks that only the first format is stored until all controllers have published that they
+// read the next.
 func (d *Deployment) checkFormat(key string, value []byte) {
 	if _, open := d.State.keys["rollout/gate"]; open {
 		return
 	}
 	if strings.HasPrefix(key, ledger.PartsPrefix) {
-		d.World.Break("old_format", "%s", key)
+		d.World.Break(oldFormat, "%s", key)
 	}
 	if strings.HasPrefix(key, ledger.Prefix) {
 		if err := readFirstFormat(value); err != nil {
-			d.World.Break("old_format", "%s: %v", key, err)
+			d.World.Break(oldFormat, "%s: %v", key, err)
 		}
 	}
 }
@@ -39,8 +39,10 @@
 	Placed []string `msgpack:"placed"`
 }
 
-// readFirstFormat reads a record as strictly as the first version does: four fields in
-// each placement.
+// placementFields is the number of fields of a placement in the first format.
+const placementFields = 4
+
+// readFirstFormat reads a record as strictly as the first version does.
 func readFirstFormat(value []byte) error {
 	var r firstFormat
 	if err := msgpack.Unmarshal(value, &r); err != nil {
@@ -51,7 +53,7 @@
 	}
 	for _, text := range r.Placed {
 		fields := strings.Fields(text)
-		if len(fields) != 4 {
+		if len(fields) != placementFields {
 			return fmt.Errorf("placement %q", text)
 		}
 		for _, number := range fields[1:3] {
--- a/internal/testkit/kinds.go
+++ b/internal/testkit/kinds.go
@@ -8,17 +8,17 @@
 	"postpoint/internal/settings"
 )
 
-// Kind is a kind of days of random load and random failures.
+// Kind is a kind of simulation with random load and random faults.
 type Kind struct {
 	Name string
 	// play plays a day, and returns the deployments. Some kinds differ for odd seeds.
 	play func(w *World, odd bool) []*Deployment
 }
 
-// longestTask is what a task runs at most.
+// longestTask is the longest run time of a task.
 const longestTask = 300 * clock.Second
 
-// Kinds are all kinds of days.
+// Kinds are all kinds of simulations.
 var Kinds = []Kind{
 	{"plain", playPlain},
 	{"services", playServices},
@@ -28,8 +28,7 @@
 	{"upgrade", playUpgrade},
 }
 
-// Play plays the day with a seed and tells the recorder of all messages, and in the end of all
-// that the state services keep.
+// Play runs the simulation with a seed and records all messages, and finally all values of the stores.
 func (k Kind) Play(seed uint64, r Recorder) *World {
 	w := NewWorld(seed)
 	w.Recorder = r
@@ -54,8 +53,8 @@
 	return []*Deployment{d}
 }
 
-// withDeadlines gives some jobs a deadline, which not all of them can keep, and some an estimate
-// that is far too long.
+// withDeadlines draws jobs of which some have a deadline, which not all of them can meet, and some an
+// estimate that is far too long.
 func withDeadlines(w *World, n int) protocol.JobSpec {
 	s := randomSpec(w, n)
 	if w.chance(0.4) {
@@ -68,7 +67,7 @@
 	return s
 }
 
-// playServices plays mostly services, and has the cloud announce which machines it takes.
+// playServices plays mostly services, and has the cloud recall machines.
 func playServices(w *World, _ bool) []*Deployment {
 	d := NewDeployment(w, testSettings(), testTypes(), 0.01)
 	d.State.Limit(d.Settings.Deployment.State, false)
@@ -84,9 +83,9 @@
 	return []*Deployment{d}
 }
 
-// playDivided plays large jobs whose records have to be divided for the small values that the
-// state service takes. It takes less still some time later, and then less than was announced,
-// and leaders end while they divide records.
+// playDivided plays large jobs whose records have to be sharded for the small values that the store takes.
+// Its limits tighten some time later, and then beyond what was announced, and leaders crash while they
+// shard records.
 func playDivided(w *World, _ bool) []*Deployment {
 	set := testSettings()
 	set.Deployment.State.ValueKb = 4
@@ -103,21 +102,19 @@
 	return []*Deployment{d}
 }
 
-// mostlyLarge makes half of the jobs large arrays of small tasks.
+// mostlyLarge draws jobs of which half are large arrays of small tasks.
 func mostlyLarge(w *World, n int) protocol.JobSpec {
 	s := randomSpec(w, n)
 	if w.chance(0.5) {
-		s.Shape, s.Team, s.Tasks = protocol.ShapeArray, "open", 60+w.Rand.IntN(300)
-		s.Cpus, s.MemoryGB, s.Gpus = 1, 1, 0
-		s.OneZone, s.Spread, s.Zone = false, false, ""
+		makeLarge(&s, 60+w.Rand.IntN(300))
 	}
 	return s
 }
 
-// tightGuests let cells take little, and keep some room for themselves.
+// tightGuests lets cells host few tasks, and reserve some room for their own.
 const tightGuests = "guests = { cpus = 24.0, gpus = 1.0 }\nreserve = { cpus = 6.0 }"
 
-// playCells plays three cells that take work of each other, on odd days little of it.
+// playCells plays three cells that offload tasks to each other, with odd seeds few.
 func playCells(w *World, odd bool) []*Deployment {
 	guests := groupGuests
 	if odd {
@@ -134,10 +131,10 @@
 	return g.Cells
 }
 
-// recoveryFile keeps some room for the loss of a zone, and lets lost work start slowly.
+// recoveryFile reserves some room for the loss of a zone, and lets lost tasks restart slowly.
 const recoveryFile = "tasks_per_s = 4\n[reserve]\nshare = 0.3\n"
 
-// recoveryOn are the settings of recoveries, or those of the file.
+// recoveryOn are the default settings of zone recovery, or those of the file.
 func recoveryOn(set *settings.Settings, fromFile bool) *recovery.Settings {
 	if !fromFile {
 		s := recovery.Defaults()
@@ -150,8 +147,8 @@
 	return parsed
 }
 
-// playRecovery plays zones that are lost and come back, with recoveries switched on, and leaders
-// that end meanwhile.
+// playRecovery plays zones that are lost and come back, with zone recovery switched on, and leaders that
+// crash meanwhile.
 func playRecovery(w *World, odd bool) []*Deployment {
 	set := testSettings()
 	set.Deployment.Zones = []string{"a", "b"}
@@ -170,8 +167,7 @@
 	return []*Deployment{d}
 }
 
-// playUpgrade plays a deployment of which controllers of the version before are replaced one
-// after another, with some time on their own in between.
+// playUpgrade plays a deployment whose controllers are upgraded one after another, with some time in between.
 func playUpgrade(w *World, odd bool) []*Deployment {
 	set := testSettings()
 	announceTighterLimits(set)
@@ -192,7 +188,7 @@
 	return []*Deployment{d}
 }
 
-// cutZonesSometimes cuts a zone off three times a day.
+// cutZonesSometimes partitions a zone three times.
 func (d *Deployment) cutZonesSometimes() {
 	w := d.World
 	for range 3 {
@@ -203,7 +199,7 @@
 	}
 }
 
-// endLeaders ends so many leaders at random times.
+// endLeaders crashes so many leaders at random times.
 func (d *Deployment) endLeaders(n int) {
 	w := d.World
 	for range n {
@@ -213,13 +209,13 @@
 	}
 }
 
-// writeLate has the state service carry many transactions out late, from a time on for a while.
+// writeLate has the store execute many transactions late, from a time on for a while.
 func (d *Deployment) writeLate(from clock.Micros) {
 	d.World.After(from, func() { d.State.LateWrites = 0.2 })
 	d.World.After(from+90*clock.Second, func() { d.State.LateWrites = 0 })
 }
 
-// inspect asks every controller now and again what operators, load balancers and users ask.
+// inspect asks every controller regularly what operators, load balancers and users ask.
 func (d *Deployment) inspect() {
 	const period = 10 * clock.Second
 	asked := 0
@@ -235,7 +231,7 @@
 	})
 }
 
-// inspectNode asks one controller, and about the job whose turn it is or one that doesn't exist.
+// inspectNode asks one controller, also about the next of the jobs or about one that doesn't exist.
 func (d *Deployment) inspectNode(n *Node, asked int) {
 	if d.World.Recorder != nil {
 		of := d.recordingOf(n)
--- a/internal/testkit/loopbackserver.go
+++ b/internal/testkit/loopbackserver.go
@@ -95,9 +95,10 @@
 	mux.Handle("POST /hosts", serve(l, func(_ *http.Request, q protocol.Rental, answer func(int, any)) {
 		client.Rent(q, math.MaxInt64, func(status int, a protocol.RentalAnswer) { answer(status, a) })
 	}))
-	mux.Handle("POST /hosts/release", serve(l, func(_ *http.Request, q protocol.MachineNames, answer func(int, any)) {
+	release := func(_ *http.Request, q protocol.MachineNames, answer func(int, any)) {
 		client.Release(q.Machines, math.MaxInt64, func(status int) { answer(status, nothing{}) })
-	}))
+	}
+	mux.Handle("POST /hosts/release", serve(l, release))
 	mux.Handle("GET /hosts", serve(l, func(r *http.Request, _ nothing, answer func(int, any)) {
 		client.List(r.URL.Query().Get("From"), func(status int, m protocol.MachineList) { answer(status, m) })
 	}))
--- /dev/null
+++ b/internal/testkit/nodes.go
@@ -0,0 +1,154 @@
+package testkit
+
+import (
+	"fmt"
+	"postpoint/internal/actor"
+	"postpoint/internal/clock"
+	"postpoint/internal/delegation"
+	"postpoint/internal/dispatch"
+	"postpoint/internal/intake"
+	"postpoint/internal/leadership"
+	"postpoint/internal/node"
+	"postpoint/internal/protocol"
+	"postpoint/internal/settings"
+	"postpoint/internal/statestore"
+)
+
+// Node is a controller with its links to the fakes and to other controllers.
+type Node struct {
+	Name string
+	Zone string
+	// proc is its present or last process, runs how many there have been.
+	proc *Process
+	runs int
+	// State, Clouds, Workers, Peers and Cells are its links to the store, the cloud, the workers, the other
+	// controllers and the other cells.
+	State, Clouds, Workers, Peers, Cells Link
+	// Unanswered controllers' reports arrive in other cells, whose responses are lost.
+	Unanswered bool
+	// WithoutCells controllers are started without a cells file.
+	WithoutCells bool
+	// Old controllers publish no format, like the previous version: the others keep to the first format
+	// for their sake.
+	Old bool
+
+	// Dispatch and Intake are the actors of the present process.
+	Dispatch *dispatch.Dispatch
+	Intake   *intake.Intake
+	// The handlers are the controller as workers, users, other controllers and other cells reach it.
+	reports   reportHandler
+	requests  requestHandler
+	peers     requestHandler
+	exchanges exchangeHandler
+}
+
+// reportHandler responds to workers' heartbeats.
+type reportHandler interface {
+	Heartbeat(r protocol.Report, reply func(status int, body any))
+}
+
+// requestHandler responds to users' requests.
+type requestHandler interface {
+	Handle(r intake.Request, reply func(intake.Answer))
+}
+
+// exchangeHandler responds to other cells.
+type exchangeHandler interface {
+	Exchange(r delegation.Report, reply func(a delegation.Answer, ok bool))
+}
+
+// Leader is the controller that leads, or nil.
+func (d *Deployment) Leader() *Node {
+	for _, n := range d.Nodes {
+		if n.Up() && n.Dispatch.Leads() {
+			return n
+		}
+	}
+	return nil
+}
+
+// Crash ends the controller's process.
+func (n *Node) Crash() { n.proc.alive = false }
+
+// crashFor ends a controller's process and starts a new one after a while.
+func (d *Deployment) crashFor(n *Node, down clock.Micros) {
+	n.Crash()
+	d.World.After(down, func() { d.StartNode(n) })
+}
+
+// crashLeader crashes and restarts the leader, if there is one.
+func (d *Deployment) crashLeader(down clock.Micros) {
+	if n := d.Leader(); n != nil {
+		d.crashFor(n, down)
+	}
+}
+
+// crashAll crashes and restarts all controllers.
+func (d *Deployment) crashAll(down clock.Micros) {
+	for _, n := range d.Nodes {
+		d.crashFor(n, down)
+	}
+}
+
+// Up reports whether a process runs.
+func (n *Node) Up() bool { return n.proc.alive }
+
+// leaseTTL is that of the leader's lease.
+const leaseTTL = 4 * clock.Second
+
+// StartNode starts a new process of the controller, if none runs.
+func (d *Deployment) StartNode(n *Node) {
+	if n.proc != nil && n.proc.alive {
+		return
+	}
+	n.proc = d.World.process()
+	n.runs++
+	environment := d.environment(n, n.proc)
+	if d.World.Recorder != nil {
+		d.recordingOf(n).requestsOf(&environment)
+	}
+	actors := node.New(environment)
+	n.Dispatch, n.Intake = actors.Dispatch, actors.Intake
+	n.reports, n.requests, n.peers, n.exchanges = n.Dispatch, n.Intake, n.Intake, n.Dispatch
+	if d.World.Recorder != nil {
+		d.recordingOf(n).requestsTo(n)
+	}
+	if n.Old {
+		actors.StartUnpublished()
+	} else {
+		actors.Start()
+	}
+}
+
+// environment connects a process of a controller to the fakes.
+func (d *Deployment) environment(n *Node, p *Process) node.Environment {
+	set := d.settingsOf(n)
+	everyone := func(_ *intake.Intake, r intake.Request, done func([]intake.Answer, bool)) {
+		d.everyone(n, r, done)
+	}
+	return node.Environment{
+		Settings:   set,
+		Cells:      d.group.directory(d, n, set),
+		Exchange:   &cellClient{d, n, p},
+		Leadership: leadership.Config{Node: n.Name, Incarnation: fmt.Sprint(n.runs), TTL: leaseTTL},
+		Mailboxes:  node.Mailboxes{Dispatch: p, Leadership: p, Intake: p, Rollout: p},
+		Store:      func(actor.Mailbox) statestore.Store { return d.State.For(p, &n.State) },
+		Cloud:      d.Cloud.For(p, &n.Clouds),
+		Agent:      &agentClient{d, p, n},
+		Forward:    func(r intake.Request, done func(intake.Answer, bool)) { d.forward(n, r, done) },
+		Recovery:   d.Recovery,
+		Everyone:   everyone,
+	}
+}
+
+// settingsOf are the deployment's settings as one controller gets them.
+func (d *Deployment) settingsOf(n *Node) *settings.Settings {
+	set := *d.Settings
+	set.Node, set.Domain, set.Known = n.Name, n.Zone, nil
+	for _, o := range d.Nodes {
+		if o != n {
+			set.Known = append(set.Known, settings.Peer{Node: o.Name, Domain: o.Zone})
+		}
+	}
+	return &set
+}
--- /dev/null
+++ b/internal/testkit/peers.go
@@ -0,0 +1,55 @@
+package testkit
+
+import (
+	"postpoint/internal/clock"
+	"postpoint/internal/intake"
+)
+
+// forward passes a request to any other controller that is up.
+func (d *Deployment) forward(n *Node, r intake.Request, done func(intake.Answer, bool)) {
+	var others []*Node
+	for _, o := range d.Nodes {
+		if o != n && o.proc != nil && o.proc.alive {
+			others = append(others, o)
+		}
+	}
+	if len(others) == 0 {
+		n.proc.Post(func() { done(intake.Answer{}, false) })
+		return
+	}
+	r.Forwarded = true
+	n.asks(others[d.World.Rand.IntN(len(others))], r, done)
+}
+
+// everyone asks all controllers, the asking one included.
+func (d *Deployment) everyone(n *Node, r intake.Request, done func([]intake.Answer, bool)) {
+	p, left := n.proc, len(d.Nodes)
+	var answers []intake.Answer
+	collect := func(a intake.Answer, ok bool) {
+		if ok {
+			answers = append(answers, a)
+		}
+		if left--; left == 0 {
+			done(answers, len(answers) == len(d.Nodes))
+		}
+	}
+	for _, o := range d.Nodes {
+		if o == n {
+			n.Intake.Handle(r, func(a intake.Answer) { p.Post(func() { collect(a, true) }) })
+			continue
+		}
+		n.asks(o, r, collect)
+	}
+}
+
+// peerTimeout is how long a controller waits for another's response.
+const peerTimeout = clock.Second
+
+// asks passes a request to another controller and reports whether it responded.
+func (n *Node) asks(o *Node, r intake.Request, done func(a intake.Answer, ok bool)) {
+	n.Peers.call(n.proc, peerTimeout, func(answer func(func())) {
+		if !o.Peers.Cut {
+			o.peers.Handle(r, func(a intake.Answer) { answer(func() { done(a, true) }) })
+		}
+	}, func() { done(intake.Answer{}, false) })
+}
--- a/internal/testkit/record.go
+++ b/internal/testkit/record.go
@@ -18,16 +18,16 @@
 	"postpoint/internal/statestore"
 )
 
-// Recorder is told of every message that a controller sends or gets, and of every answer, at
-// the moment and in the order in which the controller does.
+// Recorder is told of every message and every response that a controller sends or receives, at that moment
+// and in their order.
 type Recorder interface {
 	// Record gets the simulated time, the controller's name, the kind of the message, and its
 	// content in wire form.
 	Record(at clock.Micros, controller, kind string, content []byte)
 }
 
-// recording wraps the connections of one controller so that a world's Recorder is told of
-// what passes over them. Without a Recorder nothing is wrapped.
+// recording wraps the connections of one controller to tell a world's Recorder what passes over them.
+// Without a Recorder nothing is wrapped.
 type recording struct {
 	world      *World
 	controller string
@@ -37,7 +37,7 @@
 	return &recording{d.World, d.name + "/" + n.Name}
 }
 
-// record passes a message on whose parts are encoded here and now, as their owners may change them.
+// record encodes the parts of a message at once, as their owners may change them, and passes them on.
 func (r *recording) record(kind string, parts ...any) {
 	r.world.Recorder.Record(r.world.now, r.controller, kind, protocol.Encode(parts))
 }
@@ -76,13 +76,13 @@
 	n.exchanges = &recordedExchanges{r, n.exchanges}
 }
 
-// recordedStore records the requests to the state service and their answers.
+// recordedStore records the requests to the store and their responses.
 type recordedStore struct {
 	*recording
 	store statestore.Store
 }
 
-// answered records an answer of the state service before it is handled.
+// answered records a response of the store before it is handled.
 func answered[T any](r *recording, kind string, done func(statestore.Reply[T])) func(statestore.Reply[T]) {
 	return func(reply statestore.Reply[T]) {
 		r.record(kind+" answered", reply.Status, reply.Value)
@@ -124,7 +124,7 @@
 	s.store.Renew(lease, answered(s.recording, "renew", done))
 }
 
-// recordedCloud records the calls to the cloud and their answers.
+// recordedCloud records the requests to the cloud and their responses.
 type recordedCloud struct {
 	*recording
 	cloud cloud.API
@@ -162,7 +162,7 @@
 	})
 }
 
-// recordedAgent records the commands to workers and their answers.
+// recordedAgent records the commands to workers and their responses.
 type recordedAgent struct {
 	*recording
 	agent agent.API
@@ -178,7 +178,7 @@
 	})
 }
 
-// recordedExchanger records the reports to other cells and their answers.
+// recordedExchanger records the reports to other cells and their responses.
 type recordedExchanger struct {
 	*recording
 	exchanger dispatch.Exchanger
@@ -194,7 +194,7 @@
 	})
 }
 
-// recordedReports records workers' reports and what the controller answers.
+// recordedReports records workers' heartbeats and the controller's responses.
 type recordedReports struct {
 	*recording
 	reports reportHandler
@@ -208,8 +208,7 @@
 	})
 }
 
-// recordedRequests records the requests of users, or of other nodes, and what the controller
-// answers.
+// recordedRequests records the requests of users, or of other controllers, and the responses.
 type recordedRequests struct {
 	*recording
 	requests requestHandler
@@ -224,7 +223,7 @@
 	})
 }
 
-// recordedExchanges records other cells' reports and what the controller answers.
+// recordedExchanges records other cells' reports and the controller's responses.
 type recordedExchanges struct {
 	*recording
 	exchanges exchangeHandler
@@ -238,16 +237,16 @@
 	})
 }
 
-// recordOverview records what the controller shows its operators.
+// recordOverview records the overview for operators.
 func (r *recording) recordOverview(o any) {
 	text, err := json.Marshal(o)
 	if err != nil {
-		r.world.Break("overview", "%v", err)
+		r.world.Break(badOverview, "%v", err)
 	}
 	r.record("overview", text)
 }
 
-// recordStored records all that a deployment's state service keeps.
+// recordStored records all values of a deployment's store.
 func (d *Deployment) recordStored() {
 	r := &recording{d.World, d.name}
 	for _, key := range slices.Sorted(maps.Keys(d.State.keys)) {
--- a/internal/testkit/requests_test.go
+++ b/internal/testkit/requests_test.go
@@ -16,7 +16,7 @@
 	w, d, j := eightTasks(t, 72, 30*clock.Second)
 	done := d.Submit(array("job-000003", "open", 1, 1, 5), 5*clock.Second, false)
 	for range 30 {
-		oddRequests(d)
+		sendInvalidRequests(d)
 		d.ask(intake.Request{Kind: intake.Show, ID: "job-999999"}, func(status int, _ protocol.JobStatus) {
 			if status != http.StatusNotFound {
 				w.Break("invented", "answered %d", status)
--- a/internal/testkit/rules.go
+++ b/internal/testkit/rules.go
@@ -36,7 +36,7 @@
 	startedAgain rule = "started_again"
 	// startedCancelled: a start command for a job that was cancelled a while ago.
 	startedCancelled rule = "started_cancelled"
-	// accepted: an invalid submission is accepted.
+	// acceptedInvalid: an invalid submission is accepted.
 	acceptedInvalid rule = "accepted"
 	// unanswered: an accepted job's user gets no response for long.
 	unanswered rule = "unanswered"
@@ -44,6 +44,12 @@
 	leftWaiting rule = "left_waiting"
 	// unserved: a replica doesn't run for long.
 	unserved rule = "unserved"
+	// oldFormat: a value that a controller of the previous version can't read.
+	oldFormat rule = "old_format"
+	// incompleteGang: a gang that is placed in part for long.
+	incompleteGang rule = "gang_in_pieces"
+	// badOverview: an overview that can't be encoded.
+	badOverview rule = "overview"
 	// badRecord: a record that can't be decoded.
 	badRecord rule = "record"
 	// badExchange: a message between cells that can't be decoded.
@@ -139,7 +145,8 @@
 		id, _, _ := protocol.ParseTask(c.Task)
 		j := d.find(id)
 		if c.Verb == protocol.VerbStart && j != nil && j.cancelled != 0 && d.World.now > j.cancelled+startGrace {
-			d.World.Break(startedCancelled, "%s starts %s, cancelled since %.3f s", n.Name, c.Task, j.cancelled.Seconds())
+			d.World.Break(startedCancelled, "%s starts %s, cancelled since %.3f s",
+				n.Name, c.Task, j.cancelled.Seconds())
 		}
 	}
 	if d.State.leads(epoch) {
--- a/internal/testkit/rules_test.go
+++ b/internal/testkit/rules_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// play runs a day of troubles, after the guards have seen the deployment.
+// play runs a day of random faults, after preparations of the deployment.
 func play(seed uint64, guards ...func(*Deployment)) *Deployment {
 	d := dayOfUpgrade(NewWorld(seed))
 	for _, g := range guards {
@@ -57,10 +57,11 @@
 // The same seed gives the same course of events, so that a failing simulation can be repeated.
 func TestSameSeedGivesSameSimulation(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 5, 21} { // some of them with outages of the state service
-		a, b := play(seed), play(seed)
-		if a.World.seq != b.World.seq || a.State.revision != b.State.revision || a.State.Changes != b.State.Changes {
+		first, second := play(seed), play(seed)
+		a, b := first.State, second.State
+		if first.World.seq != second.World.seq || a.revision != b.revision || a.Changes != b.Changes {
 			t.Errorf("seed %d: events %d and %d, revisions %d and %d, changes %d and %d, want the same",
-				seed, a.World.seq, b.World.seq, a.State.revision, b.State.revision, a.State.Changes, b.State.Changes)
+				seed, first.World.seq, second.World.seq, a.revision, b.revision, a.Changes, b.Changes)
 		}
 	}
 }
--- a/internal/testkit/watch.go
+++ b/internal/testkit/watch.go
@@ -118,8 +118,8 @@
 	return (team.CpusMax <= 0 || all.Cpus <= team.CpusMax) && (team.GpusMax <= 0 || all.Gpus <= team.GpusMax)
 }
 
-// WatchReplicas checks from now on that no replica is absent for long, of services whose replicas don't end by
-// themselves.
+// WatchReplicas checks from now on that no replica is absent for long, of services whose replicas don't end
+// by themselves.
 func (d *Deployment) WatchReplicas() {
 	awaySince := map[taskKey]clock.Micros{}
 	d.World.Every(2*clock.Second, func() {
@@ -143,3 +143,26 @@
 func (j *Job) mustServe() bool {
 	return j.spec.Service() && j.run == 0 && !j.wantsEnd && !j.mistaken && j.accepted()
 }
+
+// watchGangs checks from now on that no gang is placed in part, by its record, for longer than a gang waits
+// for its tasks, a lease and the time to notice. While faults affect the controllers the record may lag.
+func (d *Deployment) watchGangs() {
+	workers := d.Settings.Deployment.Workers
+	longest := clock.FromSeconds(workers.GangWaitS+workers.LeaseS+workers.GangPeerS) +
+		workers.KeepAlive() + 10*clock.Second
+	since := map[string]clock.Micros{}
+	d.World.Every(clock.Second, func() {
+		for _, j := range d.order {
+			r := d.State.wholeRecord(j.spec.ID)
+			whole := r == nil || r.Final() || len(r.Placed) == 0 || len(r.Placed) == j.spec.Tasks
+			if whole || !j.spec.Gang() {
+				delete(since, j.spec.ID)
+			} else if since[j.spec.ID] == 0 {
+				since[j.spec.ID] = d.World.now
+			} else if d.World.now > max(since[j.spec.ID], d.disturbedAt)+longest {
+				d.World.Break(incompleteGang, "%s: %d of %d tasks", j.spec.ID, len(r.Placed), j.spec.Tasks)
+				since[j.spec.ID] = d.World.now
+			}
+		}
+	})
+}
--- a/internal/testkit/workload.go
+++ b/internal/testkit/workload.go
@@ -8,6 +8,7 @@
 	"postpoint/internal/settings"
 )
 
+// testSettings are the settings of most simulated deployments.
 func testSettings() *settings.Settings {
 	s := &settings.Settings{}
 	s.Deployment = settings.Deployment{
@@ -24,27 +25,33 @@
 	return s
 }
 
+// testTypes are the machine types of most simulated clouds.
 func testTypes() []protocol.MachineType {
-	return []protocol.MachineType{
-		{Name: "small", Cpus: 8, MemoryGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 8, Zones: []string{"a", "b"}},
-		{Name: "big", Cpus: 32, Gpus: 4, MemoryGB: 128, CacheGB: 20, FetchGBPerS: 1, Price: 8, SpotPrice: 3, BootS: 8, Zones: []string{"a", "b"}},
+	small := protocol.MachineType{
+		Name: "small", Cpus: 8, MemoryGB: 32, CacheGB: 20, FetchGBPerS: 1,
+		Price: 1, SpotPrice: 0.3, BootS: 8, Zones: []string{"a", "b"},
 	}
+	big := protocol.MachineType{
+		Name: "big", Cpus: 32, Gpus: 4, MemoryGB: 128, CacheGB: 20, FetchGBPerS: 1,
+		Price: 8, SpotPrice: 3, BootS: 8, Zones: []string{"a", "b"},
+	}
+	return []protocol.MachineType{small, big}
 }
 
-// array is a job of independent tasks that nothing is wished for.
+// array is the specification of a job array without placement constraints.
 func array(id, team string, tasks int, cpus, seconds float64) protocol.JobSpec {
 	return protocol.JobSpec{ID: id, Class: "c", Team: team, Shape: protocol.ShapeArray, Rank: "normal",
 		Tasks: tasks, Cpus: cpus, MemoryGB: 1, Image: "i", EstimateS: seconds}
 }
 
-// randomSpec draws jobs of all shapes and ranks, gangs of several tasks,
-// zones, spreading and teams: a mix of neither deployment.
+// randomSpec draws an array or a gang of any rank, with constraints on zones, for one of the teams.
 func randomSpec(w *World, n int) protocol.JobSpec {
 	r := w.Rand
 	s := protocol.JobSpec{
 		ID: fmt.Sprintf("job-%06d", n), Class: "c", Team: []string{"limited", "open"}[r.IntN(2)],
 		Shape: protocol.ShapeArray, Rank: protocol.Ranks[r.IntN(4)], Tasks: 1 + r.IntN(10),
-		Cpus: float64(1 + r.IntN(4)), MemoryGB: float64(1 + r.IntN(8)), Image: fmt.Sprintf("img-%d", r.IntN(3)), ImageGB: 1,
+		Cpus: float64(1 + r.IntN(4)), MemoryGB: float64(1 + r.IntN(8)),
+		Image: fmt.Sprintf("img-%d", r.IntN(3)), ImageGB: 1,
 		Spot: w.chance(0.6), EstimateS: 20, SaveS: 1,
 	}
 	if w.chance(0.4) {
@@ -65,13 +72,19 @@
 		s.Zone = "b"
 	}
 	if w.chance(0.1) {
-		// More tasks than one value of the tightest limits has room for.
-		s.Shape, s.Team, s.Tasks, s.Cpus, s.MemoryGB, s.Gpus = protocol.ShapeArray, "open", 40+r.IntN(100), 1, 1, 0
-		s.OneZone, s.Spread, s.Zone = false, false, ""
+		// More tasks than one value within the tightest limits has room for.
+		makeLarge(&s, 40+r.IntN(100))
 	}
 	return s
 }
 
+// makeLarge turns a job into an array of many small tasks.
+func makeLarge(s *protocol.JobSpec, tasks int) {
+	s.Shape, s.Team, s.Tasks = protocol.ShapeArray, "open", tasks
+	s.Cpus, s.MemoryGB, s.Gpus = 1, 1, 0
+	s.OneZone, s.Spread, s.Zone = false, false, ""
+}
+
 // randomService draws a service whose replicas mostly run until they are stopped.
 func randomService(w *World, n int) (s protocol.JobSpec, run clock.Micros) {
 	s = randomSpec(w, n)
