--- a/internal/testkit/cancellation_test.go
+++ b/internal/testkit/cancellation_test.go
@@ -15,8 +15,8 @@
 	spec := array("job-000001", "open", 4, 2, 500)
 	j := d.Submit(spec, 500*clock.Second, false)
 	w.Run(40 * clock.Second)
-	if len(j.places) != 4 {
-		t.Fatalf("%d tasks run, want 4", len(j.places))
+	if len(j.machines) != 4 {
+		t.Fatalf("%d tasks run, want 4", len(j.machines))
 	}
 	leader := mustLead(t, d)
 	for _, n := range d.Nodes {
@@ -37,16 +37,16 @@
 // Direct commands reach it only after the leader's lease expired; they still stop what is cancelled.
 func TestRefusedLeaderStopsCancelledTasksByCommand(t *testing.T) {
 	w, d, j, _ := twoJobs(t, 37, 300*clock.Second)
-	mustLead(t, d).State.Refused = true
-	mute := sortedKeys(j.places[0])[0]
-	mute.Mute, mute.Commands.Cut = true, true
+	mustLead(t, d).State.StoreRefuses = true
+	mute := sortedKeys(j.machines[0])[0]
+	mute.HeartbeatsLost, mute.Commands.Cut = true, true
 	confirmCancel(w, d, j)
 	d.State.Outage(true)
 	w.Run(w.Now() + 4*clock.Second)
 	mute.Commands.Heal()
 	w.Run(w.Now() + 5*clock.Second)
-	if mute.runs(j) || mute.session != 1 {
-		t.Fatalf("the cancelled job runs: %v, want false; incarnation %d, want 1", mute.runs(j), mute.session)
+	if mute.runs(j) || mute.incarnation != 1 {
+		t.Fatalf("the cancelled job runs: %v, want false; incarnation %d, want 1", mute.runs(j), mute.incarnation)
 	}
 	w.Run(w.Now() + 40*clock.Second)
 	mustKeepRules(t, w)
@@ -56,7 +56,7 @@
 // from the time in the job's record, so none delays the worker's release.
 func TestFailoversDontDelayReleaseOfHungWorkers(t *testing.T) {
 	w, d, j, other := twoJobs(t, 42, 200*clock.Second)
-	hung := sortedKeys(j.places[0])[0]
+	hung := sortedKeys(j.machines[0])[0]
 	d.Cancel(j)
 	w.Run(w.Now() + 3*clock.Millisecond) // before any command has reached it
 	hung.Hung = true
@@ -72,8 +72,9 @@
 	}
 	w.Run(w.Now() + 20*clock.Second)
 	mustKeepRules(t, w)
-	if j.told != protocol.StatusCancelled || !hung.ended {
-		t.Fatalf("told %q, want %q; worker released: %v, want true", j.told, protocol.StatusCancelled, hung.ended)
+	if j.finalStatus != protocol.StatusCancelled || !hung.ended {
+		t.Fatalf("told %q, want %q; worker released: %v, want true",
+			j.finalStatus, protocol.StatusCancelled, hung.ended)
 	}
 	w.Run(w.Now() + 600*clock.Second)
 	mustBeDone(t, w, other)
@@ -83,7 +84,7 @@
 // until the cloud responds, before any other request.
 func TestRefusedReleasesAreRetried(t *testing.T) {
 	w, d, j, _ := twoJobs(t, 43, 300*clock.Second)
-	hung := sortedKeys(j.places[0])[0]
+	hung := sortedKeys(j.machines[0])[0]
 	d.Cancel(j)
 	w.Run(w.Now() + 3*clock.Millisecond)
 	hung.Hung = true
@@ -100,7 +101,7 @@
 func TestCancellationSurvivesLossOfAllControllers(t *testing.T) {
 	w, d, j, other := twoJobs(t, 47, 100*clock.Second)
 	d.Cancel(j)
-	for j.told == "" {
+	for j.finalStatus == "" {
 		w.Run(w.Now() + 500)
 	}
 	for _, n := range d.Nodes {
@@ -119,12 +120,12 @@
 		w := NewWorld(seed)
 		d := NewDeployment(w, testSettings(), testTypes(), 0)
 		j := d.Submit(array("job-000001", "limited", 6, 4, 300), 300*clock.Second, false)
-		for w.Now() < 100*clock.Second && len(j.places) < 6 {
+		for w.Now() < 100*clock.Second && len(j.machines) < 6 {
 			w.Run(w.Now() + 100*clock.Millisecond)
 		}
 		d.Submit(array("job-000002", "limited", 6, 4, 20), 20*clock.Second, false)
 		d.Submit(array("job-000003", "open", 2, 4, 300), 300*clock.Second, false) // keeps room up
-		for _, m := range sortedKeys(j.places[0]) {
+		for _, m := range sortedKeys(j.machines[0]) {
 			m.partition()
 		}
 		leader := mustLead(t, d)
@@ -154,7 +155,7 @@
 	for w.Now() < 300*clock.Second {
 		w.Run(w.Now() + 500*clock.Millisecond)
 		for _, j := range jobs {
-			if j.Done() && j.told == "" {
+			if j.Done() && j.finalStatus == "" {
 				d.submit(j)
 			}
 		}
@@ -162,10 +163,10 @@
 	mustKeepRules(t, w)
 	told := map[string]int{}
 	for _, j := range jobs {
-		told[j.told]++
-		if record := d.State.record(j.spec.ID); record.Status != j.told || len(record.Placed) > 0 {
+		told[j.finalStatus]++
+		if record := d.State.record(j.spec.ID); record.Status != j.finalStatus || len(record.Placed) > 0 {
 			t.Fatalf("%s was told %q, its record says %q, want the same; placements %v, want none",
-				j.spec.ID, j.told, record.Status, record.Placed)
+				j.spec.ID, j.finalStatus, record.Status, record.Placed)
 		}
 	}
 	if told[""] > 0 || told[protocol.StatusCancelled] == 0 {
--- a/internal/testkit/cellclient.go
+++ b/internal/testkit/cellclient.go
@@ -22,11 +22,11 @@
 	x.n.Cells.call(x.p, cellTimeout, func(answer func(func())) {
 		report, err := delegation.DecodeReport(raw)
 		if err != nil {
-			x.d.World.Break(badExchange, "%v", err)
+			x.d.World.Violate(badExchange, "%v", err)
 			return
 		}
 		if target != nil && target.Up() && !target.Cells.Cut {
-			target.proc.run(func() { x.deliver(target, report, answer, done) })
+			target.process.run(func() { x.deliver(target, report, answer, done) })
 		}
 	}, func() { done(delegation.Answer{}, false) })
 }
@@ -43,9 +43,9 @@
 		default:
 			decoded, err := delegation.DecodeAnswer(a.Encode())
 			if err != nil {
-				x.d.World.Break(badExchange, "%v: %+v", err, a)
+				x.d.World.Violate(badExchange, "%v: %+v", err, a)
 			}
-			target.proc.leaves(func() { answer(func() { done(decoded, err == nil) }) })
+			target.process.send(func() { answer(func() { done(decoded, err == nil) }) })
 		}
 	})
 }
--- a/internal/testkit/celloperations_test.go
+++ b/internal/testkit/celloperations_test.go
@@ -45,33 +45,33 @@
 func TestCellsAreSwitchedOnAndOffDuringADelegation(t *testing.T) {
 	t.Parallel()
 	x := newTransfer(4500, false)
-	behind := x.home.Nodes[2]
+	behind := x.origin.Nodes[2]
 	behind.WithoutCells = true
 	behind.Crash()
 	// As if that one had never had it.
-	for key := range x.home.State.keys {
+	for key := range x.origin.State.entries {
 		if strings.HasPrefix(key, "rollout/") {
-			delete(x.home.State.keys, key)
+			delete(x.origin.State.entries, key)
 		}
 	}
-	x.home.crashAll(100 * clock.Millisecond)
+	x.origin.crashAll(100 * clock.Millisecond)
 	x.w.Run(50 * clock.Second)
 	if x.elsewhere() > 0 {
 		t.Fatal("tasks are delegated while a controller can't read such records, want none")
 	}
 	behind.WithoutCells = false
 	behind.Crash()
-	x.home.StartNode(behind)
+	x.origin.StartNode(behind)
 	if !x.runTo(steps[4].reached) {
 		t.Fatal("no task runs in the host cell once all controllers have the file")
 	}
-	for _, n := range x.home.Nodes {
+	for _, n := range x.origin.Nodes {
 		n.WithoutCells = true
 	}
-	x.home.crashAll(100 * clock.Millisecond)
+	x.origin.crashAll(100 * clock.Millisecond)
 	x.w.Run(x.w.Now() + 300*clock.Second)
 	mustJudge(t, x.w, x.history, []*Job{x.job})
-	if x.delegated() || x.guest() == nil || !x.guest().Final() {
+	if x.delegated() || x.hosted() == nil || !x.hosted().Final() {
 		t.Error("the origin still has a delegation, want none; or the host has no final record, want one")
 	}
 	for _, n := range x.host.Nodes {
@@ -79,7 +79,7 @@
 	}
 	x.host.crashAll(100 * clock.Millisecond)
 	x.w.Run(x.w.Now() + 60*clock.Second)
-	if x.guest() != nil {
+	if x.hosted() != nil {
 		t.Error("the host keeps the final record without a cells file, want it removed")
 	}
 }
@@ -105,7 +105,7 @@
 					for i := range delegation.MaxReported {
 						r.Tasks = append(r.Tasks, delegation.Status{Number: int64(i), Job: "job-000001", Closed: true})
 					}
-					n.proc.run(func() { n.Dispatch.Exchange(r, func(delegation.Answer, bool) {}) })
+					n.process.run(func() { n.Dispatch.Exchange(r, func(delegation.Answer, bool) {}) })
 				}
 			})
 		},
@@ -120,10 +120,10 @@
 		w.Run(300 * clock.Second)
 		mustKeepRules(t, w)
 		for _, j := range jobs {
-			if j.told != protocol.StatusDone {
-				t.Errorf("%s: %s was told %q, want %q", name, j.spec.ID, j.told, protocol.StatusDone)
+			if j.finalStatus != protocol.StatusDone {
+				t.Errorf("%s: %s was told %q, want %q", name, j.spec.ID, j.finalStatus, protocol.StatusDone)
 			}
-			starts[name] += j.began - j.submitted
+			starts[name] += j.startedAt - j.submittedAt
 		}
 	}
 	for name, sum := range starts {
@@ -143,8 +143,9 @@
 		t.Fatal("no task runs in the host cell")
 	}
 	x.w.Run(x.w.Now() + 3*clock.Second)
-	x.home.group.File = strings.Replace(x.home.group.File, "name = \"beta\"", "name = \"beta\"\ndrain = true", 1)
-	for _, d := range []*Deployment{x.host, x.home} {
+	group := x.origin.group
+	group.File = strings.Replace(group.File, "name = \"beta\"", "name = \"beta\"\ndrain = true", 1)
+	for _, d := range []*Deployment{x.host, x.origin} {
 		for i, n := range d.Nodes {
 			x.w.After(clock.Micros(i)*5*clock.Second, func() {
 				n.Crash()
@@ -153,9 +154,9 @@
 		}
 	}
 	x.w.Run(x.w.Now() + 60*clock.Second)
-	if x.elsewhere() > 0 || x.delegated() || x.guest() != nil {
+	if x.elsewhere() > 0 || x.delegated() || x.hosted() != nil {
 		t.Errorf("a minute later %d tasks are with the host, delegated %v, hosted job %v, want none of it",
-			x.elsewhere(), x.delegated(), x.guest())
+			x.elsewhere(), x.delegated(), x.hosted())
 	}
 	x.finish(t, "drained")
 	if elsewhere, _ := x.history.Elsewhere(); elsewhere != x.job.spec.Tasks {
@@ -176,7 +177,7 @@
 			check(key, value)
 			known := slices.ContainsFunc(prefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
 			if !known || strings.Contains(string(value), "cell ") || strings.Contains(string(value), "guest ") {
-				d.World.Break("cells", "%s: %q", key, value)
+				d.World.Violate("cells", "%s: %q", key, value)
 			}
 			var published struct {
 				Format int `msgpack:"format"`
@@ -185,7 +186,7 @@
 				return
 			}
 			if protocol.Decode(value, &published) != nil || published.Format != 2 {
-				d.World.Break("cells", "format %d is published", published.Format)
+				d.World.Violate("cells", "format %d is published", published.Format)
 			}
 		}
 	})
--- a/internal/testkit/cells.go
+++ b/internal/testkit/cells.go
@@ -89,11 +89,11 @@
 }
 
 // machines are the machines of all cells.
-func (g *Group) machines(own *Deployment) []*Worker {
+func (g *Group) machines(own *Deployment) []*FakeWorker {
 	if g == nil {
 		return own.Cloud.all
 	}
-	var all []*Worker
+	var all []*FakeWorker
 	for _, d := range g.Cells {
 		all = append(all, d.Cloud.all...)
 	}
@@ -128,7 +128,7 @@
 // SwitchOff restarts all controllers without a cells file.
 func (g *Group) SwitchOff() {
 	for _, d := range g.Cells {
-		clear(d.State.keys)
+		clear(d.State.entries)
 		for _, n := range d.Nodes {
 			n.WithoutCells = true
 			n.Crash()
@@ -151,7 +151,7 @@
 // Lent counts the tasks that other cells run by the records, by cell.
 func (d *Deployment) Lent() map[string]int {
 	lent := map[string]int{}
-	for key := range d.State.keys {
+	for key := range d.State.entries {
 		if id, isJob := strings.CutPrefix(key, ledger.Prefix); isJob {
 			for _, p := range d.State.record(id).Placed {
 				if host := p.Host(); host != "" {
--- a/internal/testkit/cells_test.go
+++ b/internal/testkit/cells_test.go
@@ -68,7 +68,7 @@
 					t.Errorf("%s: accepted but not done: %v", d.name, left)
 				}
 				for _, j := range d.Jobs() {
-					if j.told == protocol.StatusDone {
+					if j.finalStatus == protocol.StatusDone {
 						jobs = append(jobs, j)
 					}
 				}
@@ -85,9 +85,9 @@
 }
 
 // delegations are the keys that only delegations leave, guests' records included.
-func (s *State) delegations() []string {
+func (s *FakeStore) delegations() []string {
 	var keys []string
-	for key := range s.keys {
+	for key := range s.entries {
 		_, _, _, guest := ledger.ParseGuestID(strings.TrimPrefix(key, ledger.Prefix))
 		if guest || strings.HasPrefix(key, delegation.Prefix) {
 			keys = append(keys, key)
--- a/internal/testkit/cloud.go
+++ b/internal/testkit/cloud.go
@@ -18,8 +18,8 @@
 	listInterval = clock.Second
 )
 
-// Cloud is a fake of the cloud's rental service. Controllers reach it by the clients that For returns.
-type Cloud struct {
+// FakeCloud is a fake of the cloud's rental service. Controllers reach it by the clients that For returns.
+type FakeCloud struct {
 	w *World
 	d *Deployment
 	// Types is the catalogue.
@@ -34,15 +34,15 @@
 	Calls int
 	// rented are the machines that a request rented, by its idempotency key.
 	rented   map[string][]string
-	machines map[string]*Worker // those that are rented now
-	all      []*Worker
+	machines map[string]*FakeWorker // those that are rented now
+	all      []*FakeWorker
 	lists    [][]protocol.ListedMachine // copies of the list, the newest last
 }
 
-func newCloud(d *Deployment, types []protocol.MachineType) *Cloud {
-	c := &Cloud{
+func newCloud(d *Deployment, types []protocol.MachineType) *FakeCloud {
+	c := &FakeCloud{
 		w: d.World, d: d, Types: types,
-		Capacity: map[fleet.Kind]int{}, rented: map[string][]string{}, machines: map[string]*Worker{},
+		Capacity: map[fleet.Kind]int{}, rented: map[string][]string{}, machines: map[string]*FakeWorker{},
 	}
 	for _, t := range types {
 		for _, z := range t.Zones {
@@ -55,7 +55,7 @@
 }
 
 // copyList keeps a copy of the list of machines in regular intervals.
-func (c *Cloud) copyList() {
+func (c *FakeCloud) copyList() {
 	var list []protocol.ListedMachine
 	for _, m := range c.sorted() {
 		list = append(list, protocol.ListedMachine{
@@ -68,15 +68,15 @@
 }
 
 // laggingList is a copy of the list from up to twice the announced lag ago.
-func (c *Cloud) laggingList() []protocol.ListedMachine {
+func (c *FakeCloud) laggingList() []protocol.ListedMachine {
 	most := min(2*int(c.d.Settings.Deployment.Cloud.ListLagS), len(c.lists)-1)
 	lag := c.w.Rand.IntN(1 + most)
 	return c.lists[len(c.lists)-1-lag]
 }
 
 // sorted are the machines that are rented now, by name.
-func (c *Cloud) sorted() []*Worker {
-	var all []*Worker
+func (c *FakeCloud) sorted() []*FakeWorker {
+	var all []*FakeWorker
 	for _, m := range c.machines {
 		all = append(all, m)
 	}
@@ -85,7 +85,7 @@
 }
 
 // rent boots as many machines as there are, up to a number, and returns their names.
-func (c *Cloud) rent(k fleet.Kind, count int) []string {
+func (c *FakeCloud) rent(k fleet.Kind, count int) []string {
 	var names []string
 	c.Capacity[k] -= count
 	for range count {
@@ -99,7 +99,7 @@
 }
 
 // Remove ends a machine at once, because it was released or the cloud takes it back.
-func (c *Cloud) Remove(name string) {
+func (c *FakeCloud) Remove(name string) {
 	if m := c.machines[name]; m != nil {
 		m.end()
 		delete(c.machines, name)
--- a/internal/testkit/cloudclient.go
+++ b/internal/testkit/cloudclient.go
@@ -15,11 +15,11 @@
 const cloudTimeout = 4 * clock.Second
 
 // For returns the cloud as one process reaches it over a link.
-func (c *Cloud) For(p *Process, l *Link) cloud.API { return &cloudClient{c, p, l} }
+func (c *FakeCloud) For(p *Process, l *Link) cloud.API { return &cloudClient{c, p, l} }
 
 // cloudClient is a process's connection to the cloud.
 type cloudClient struct {
-	cloud *Cloud
+	cloud *FakeCloud
 	p     *Process
 	link  *Link
 }
@@ -32,7 +32,7 @@
 // callUntil sends a request unless it is later than a deadline when it leaves the process, which may
 // have paused before.
 func (x *cloudClient) callUntil(until clock.Micros, done func(int), execute func() int) {
-	x.p.leavesUntil(until, func() { x.send(done, execute) }, func() { done(transport.NotSent) })
+	x.p.sendUntil(until, func() { x.send(done, execute) }, func() { done(transport.NotSent) })
 }
 
 func (x *cloudClient) send(done func(int), execute func() int) {
--- a/internal/testkit/commands.go
+++ b/internal/testkit/commands.go
@@ -13,13 +13,13 @@
 const commandTimeout = 3 * clock.Second
 
 // command executes a direct command.
-func (m *Worker) command(c protocol.Commands) (int, protocol.Report) {
-	if c.Epoch < m.epoch || c.Session != m.session {
-		return http.StatusConflict, m.snapshot()
+func (m *FakeWorker) command(c protocol.Commands) (int, protocol.Report) {
+	if c.Epoch < m.epoch || c.Session != m.incarnation {
+		return http.StatusConflict, m.newHeartbeat()
 	}
 	m.adopt(c.Epoch)
-	m.carryOut(c.Orders)
-	return http.StatusOK, m.snapshot()
+	m.execute(c.Orders)
+	return http.StatusOK, m.newHeartbeat()
 }
 
 // agentClient is one process's connection to the workers.
@@ -36,15 +36,15 @@
 	addr string, c protocol.Commands, until clock.Micros, done func(int, protocol.Report),
 ) {
 	a.d.Commands++
-	a.p.leavesUntil(until, func() {
+	a.p.sendUntil(until, func() {
 		a.d.checkCommands(a.n, c.Epoch, c.Orders)
 		a.send(a.d.byAddr[addr], c, done)
 	}, func() { done(transport.NotSent, protocol.Report{}) })
 }
 
-func (a *agentClient) send(m *Worker, c protocol.Commands, done func(int, protocol.Report)) {
+func (a *agentClient) send(m *FakeWorker, c protocol.Commands, done func(int, protocol.Report)) {
 	silent := func() { done(0, protocol.Report{}) }
-	if m == nil || m.Unheeding || a.n.Workers.Cut {
+	if m == nil || m.ResponsesLost || a.n.Workers.Cut {
 		a.p.After(commandTimeout, silent)
 		return
 	}
@@ -53,10 +53,10 @@
 			return
 		}
 		// A hung machine executes it when it continues, however late.
-		a.d.passes(a.n.Zone, m.zone, func() {
+		a.d.deliver(a.n.Zone, m.zone, func() {
 			m.do(func() {
 				status, r := m.command(c)
-				if _, severed := a.d.severed(a.n.Zone, m.zone); !severed {
+				if _, severed := a.d.partitioned(a.n.Zone, m.zone); !severed {
 					answer(func() { done(status, r) })
 				}
 			})
--- a/internal/testkit/days.go
+++ b/internal/testkit/days.go
@@ -107,7 +107,7 @@
 		run = w.Between(40*clock.Second, l.longest)
 	}
 	j := d.Submit(l.class(l.spec(w, number)), run, w.chance(0.05))
-	if w.chance(0.25) || j.mistaken {
+	if w.chance(0.25) || j.failing {
 		w.After(w.Between(0, 40*clock.Second), func() { d.Cancel(j) })
 	}
 }
@@ -116,7 +116,7 @@
 	w := d.World
 	s, run := randomService(w, number)
 	j := d.Submit(l.class(s), run, w.chance(0.1))
-	if w.chance(0.6) || j.mistaken {
+	if w.chance(0.6) || j.failing {
 		w.After(w.Between(0, dayLength), func() { d.Cancel(j) })
 	}
 }
--- a/internal/testkit/delegationfaults_test.go
+++ b/internal/testkit/delegationfaults_test.go
@@ -8,20 +8,20 @@
 
 // faults are injected at every step of a delegation.
 var faults = map[string]func(x *transfer, long clock.Micros){
-	"home's leader ends": func(x *transfer, long clock.Micros) { x.home.crashLeader(long) },
-	"host's leader ends": func(x *transfer, long clock.Micros) { x.host.crashLeader(long) },
+	"origin's leader ends": func(x *transfer, long clock.Micros) { x.origin.crashLeader(long) },
+	"host's leader ends":   func(x *transfer, long clock.Micros) { x.host.crashLeader(long) },
 	"both leaders end": func(x *transfer, long clock.Micros) {
-		x.home.crashLeader(long)
+		x.origin.crashLeader(long)
 		x.host.crashLeader(long)
 	},
-	"home restarts": func(x *transfer, long clock.Micros) { x.home.crashAll(long) },
+	"origin restarts": func(x *transfer, long clock.Micros) { x.origin.crashAll(long) },
 	"both cells restart": func(x *transfer, long clock.Micros) {
-		x.home.crashAll(long)
+		x.origin.crashAll(long)
 		x.host.crashAll(long)
 	},
-	"home's state service is out": func(x *transfer, long clock.Micros) {
-		x.home.State.Outage(true)
-		x.w.After(long, func() { x.home.State.Outage(false) })
+	"origin's state service is out": func(x *transfer, long clock.Micros) {
+		x.origin.State.Outage(true)
+		x.w.After(long, func() { x.origin.State.Outage(false) })
 	},
 	"host's state service is out": func(x *transfer, long clock.Micros) {
 		x.host.State.Outage(true)
@@ -36,18 +36,18 @@
 	},
 	"host's leader stands still": func(x *transfer, long clock.Micros) {
 		if n := x.host.Leader(); n != nil {
-			n.proc.Pause(long)
+			n.process.Pause(long)
 		}
 	},
-	"home's leader stands still": func(x *transfer, long clock.Micros) {
-		if n := x.home.Leader(); n != nil {
-			n.proc.Pause(long)
+	"origin's leader stands still": func(x *transfer, long clock.Micros) {
+		if n := x.origin.Leader(); n != nil {
+			n.process.Pause(long)
 		}
 	},
-	"the job is cancelled": func(x *transfer, _ clock.Micros) { x.home.Cancel(x.job) },
+	"the job is cancelled": func(x *transfer, _ clock.Micros) { x.origin.Cancel(x.job) },
 	"cut and cancelled": func(x *transfer, long clock.Micros) {
 		x.w.After(long, x.host.CutOff(false))
-		x.home.Cancel(x.job)
+		x.origin.Cancel(x.job)
 	},
 }
 
@@ -74,15 +74,15 @@
 
 // A leader crashes after any one request that it sends during a delegation.
 func TestLeaderCrashAfterAnyRequestOfADelegation(t *testing.T) {
-	for i, name := range []string{"home", "host"} {
+	for i, name := range []string{"origin", "host"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for k := 1; k <= 60; k++ {
 				x := newTransfer(uint64(4200+k), k%3 == 0)
 				x.runTo(steps[0].reached)
-				d := []*Deployment{x.home, x.host}[i]
+				d := []*Deployment{x.origin, x.host}[i]
 				n := d.Leader()
-				n.proc.CrashAfter = k
+				n.process.CrashAfter = k
 				x.w.After(60*clock.Second, func() { d.StartNode(n) })
 				x.finish(t, fmt.Sprintf("request %d", k))
 			}
@@ -98,18 +98,18 @@
 		"nothing more":    func(*transfer) {},
 		"state outage":    func(x *transfer) { x.host.State.Outage(true) },
 		"leader ends":     func(x *transfer) { x.host.crashLeader(5 * clock.Second) },
-		"leader stands":   func(x *transfer) { x.host.Leader().proc.Pause(35 * clock.Second) },
+		"leader stands":   func(x *transfer) { x.host.Leader().process.Pause(35 * clock.Second) },
 		"all controllers": func(x *transfer) { x.host.crashAll(200 * clock.Second) },
 		"machines hang":   func(x *transfer) { x.hang() },
 		"hang, leader ends": func(x *transfer) {
 			x.hang()
 			x.host.crashLeader(5 * clock.Second)
 		},
-		"commands don't go":  func(x *transfer) { x.hold() },
-		"home's leader ends": func(x *transfer) { x.home.crashLeader(5 * clock.Second) },
-		"home's state": func(x *transfer) {
-			x.w.After(clock.Second, func() { x.home.State.Outage(true) })
-			x.w.After(80*clock.Second, func() { x.home.State.Outage(false) })
+		"commands don't go":    func(x *transfer) { x.hold() },
+		"origin's leader ends": func(x *transfer) { x.origin.crashLeader(5 * clock.Second) },
+		"origin's state": func(x *transfer) {
+			x.w.After(clock.Second, func() { x.origin.State.Outage(true) })
+			x.w.After(80*clock.Second, func() { x.origin.State.Outage(false) })
 		},
 	} {
 		for delay := range clock.Micros(4) {
@@ -122,11 +122,11 @@
 			heal := x.host.CutOff(false)
 			fault(x)
 			x.w.Run(x.w.Now() + delay*700*clock.Millisecond)
-			confirmCancel(x.w, x.home, x.job)
+			confirmCancel(x.w, x.origin, x.job)
 			x.w.Run(x.w.Now() + 31*clock.Second)
 			for _, m := range x.host.Cloud.all {
 				for _, task := range m.tasks {
-					if task.onIt && !m.Hung && x.host.find(task.job) == x.job {
+					if task.resident && !m.Hung && x.host.find(task.job) == x.job {
 						t.Errorf("%s: %s still runs %s, want it ended", name, m.name, task.job)
 					}
 				}
@@ -140,7 +140,7 @@
 
 // hang freezes the workers that run the job's tasks.
 func (x *transfer) hang() {
-	for _, places := range x.job.places {
+	for _, places := range x.job.machines {
 		for m := range places {
 			m.Hung = true
 		}
--- a/internal/testkit/deployment.go
+++ b/internal/testkit/deployment.go
@@ -20,8 +20,8 @@
 	name     string // of the cell
 	World    *World
 	Settings *settings.Settings
-	State    *State
-	Cloud    *Cloud
+	State    *FakeStore
+	Cloud    *FakeCloud
 	Nodes    []*Node
 	// Loss is the chance that a message is lost.
 	Loss float64
@@ -33,12 +33,12 @@
 	// Recovery has the settings of zone recovery, nil if it is switched off.
 	Recovery *recovery.Settings
 	// cut are the zones that are partitioned, with the messages held meanwhile.
-	cut map[string]*cutZone
+	cut map[string]*partitionedZone
 	// History records what runs when, if set.
 	History *History
 	jobs    map[string]*Job
 	order   []*Job // in the order of their submission
-	byAddr  map[string]*Worker
+	byAddr  map[string]*FakeWorker
 	used    map[string]planner.Amounts // by team, on machines
 	// Commands counts direct commands.
 	Commands int
@@ -74,8 +74,8 @@
 	w *World, set *settings.Settings, types []protocol.MachineType, loss float64, old bool,
 ) *Deployment {
 	d := &Deployment{
-		World: w, Settings: set, State: NewState(w), Loss: loss,
-		cut: map[string]*cutZone{}, jobs: map[string]*Job{}, byAddr: map[string]*Worker{},
+		World: w, Settings: set, State: NewFakeStore(w), Loss: loss,
+		cut: map[string]*partitionedZone{}, jobs: map[string]*Job{}, byAddr: map[string]*FakeWorker{},
 		used:    map[string]planner.Amounts{},
 		address: func(name string) string { return name + ":9000" },
 	}
@@ -108,8 +108,8 @@
 }
 
 // sortedKeys are the machines of a set by cell and name.
-func sortedKeys(set map[*Worker]bool) []*Worker {
-	return slices.SortedFunc(maps.Keys(set), func(a, b *Worker) int {
+func sortedKeys(set map[*FakeWorker]bool) []*FakeWorker {
+	return slices.SortedFunc(maps.Keys(set), func(a, b *FakeWorker) int {
 		return cmp.Or(cmp.Compare(a.d.name, b.d.name), cmp.Compare(a.name, b.name))
 	})
 }
--- a/internal/testkit/failover_test.go
+++ b/internal/testkit/failover_test.go
@@ -81,7 +81,7 @@
 			w.Run(w.Now() + clock.Second)
 		}
 		status, redirect := 0, ""
-		lone.Dispatch.Heartbeat(d.Workers()[0].snapshot(), func(s int, body any) {
+		lone.Dispatch.Heartbeat(d.Workers()[0].newHeartbeat(), func(s int, body any) {
 			status = s
 			if r, ok := body.(protocol.Redirect); ok {
 				redirect = r.Node
@@ -115,7 +115,7 @@
 				w, d, j := eightTasks(t, uint64(100+step), 30*clock.Second)
 				leader := mustLead(t, d)
 				stand := func(n *Node, from int) {
-					n.proc.PauseFor, n.proc.PauseAfter = length, from
+					n.process.PauseFor, n.process.PauseAfter = length, from
 				}
 				d.Submit(array("job-000002", "open", 6, 4, 10), 10*clock.Second, false)
 				if electing {
--- a/internal/testkit/faults.go
+++ b/internal/testkit/faults.go
@@ -21,8 +21,8 @@
 type fault struct {
 	d        *Deployment
 	w        *World
-	node     *Node   // the controller that it hits
-	worker   *Worker // the worker that another fault hits at the same time; nil if none is up
+	node     *Node       // the controller that it hits
+	worker   *FakeWorker // the worker that another fault hits at the same time; nil if none is up
 	duration clock.Micros
 }
 
@@ -82,7 +82,7 @@
 	}
 	if w.chance(leaderShare) {
 		for _, n := range d.Nodes {
-			if n.proc.alive && n.Dispatch.Leads() {
+			if n.process.alive && n.Dispatch.Leads() {
 				f.node = n
 			}
 		}
@@ -133,11 +133,11 @@
 
 // pauseShortly pauses a controller for less than any lease, while its clocks go on.
 func (f *fault) pauseShortly() {
-	f.node.proc.Pause(f.w.Between(500*clock.Millisecond, 4*clock.Second))
+	f.node.process.Pause(f.w.Between(500*clock.Millisecond, 4*clock.Second))
 }
 
 // pause does so for as long as the fault lasts, which may be longer than the workers' lease.
-func (f *fault) pause() { f.node.proc.Pause(f.duration) }
+func (f *fault) pause() { f.node.process.Pause(f.duration) }
 
 func (f *fault) cutStore() { f.cut(&f.node.State, f.w.chance(0.5)) }
 
--- a/internal/testkit/formatcheck.go
+++ b/internal/testkit/formatcheck.go
@@ -15,15 +15,15 @@
 // checkFormat checks that only the first format is stored until all controllers have published that they
 // read the next.
 func (d *Deployment) checkFormat(key string, value []byte) {
-	if _, open := d.State.keys["rollout/gate"]; open {
+	if _, open := d.State.entries["rollout/gate"]; open {
 		return
 	}
 	if strings.HasPrefix(key, ledger.PartsPrefix) {
-		d.World.Break(oldFormat, "%s", key)
+		d.World.Violate(oldFormat, "%s", key)
 	}
 	if strings.HasPrefix(key, ledger.Prefix) {
 		if err := readFirstFormat(value); err != nil {
-			d.World.Break(oldFormat, "%s: %v", key, err)
+			d.World.Violate(oldFormat, "%s: %v", key, err)
 		}
 	}
 }
--- a/internal/testkit/gangs.go
+++ b/internal/testkit/gangs.go
@@ -4,7 +4,7 @@
 
 // member is a task of a gang with its machine.
 type member struct {
-	m *Worker
+	m *FakeWorker
 	t *task
 }
 
@@ -13,8 +13,8 @@
 	j := d.find(id)
 	var all []member
 	for n := range j.spec.Tasks {
-		for m := range j.places[n] {
-			if t := m.find(taskKey{id, n}, attempt); t != nil && t.onIt {
+		for m := range j.machines[n] {
+			if t := m.find(taskKey{id, n}, attempt); t != nil && t.resident {
 				all = append(all, member{m, t})
 			}
 		}
@@ -22,8 +22,8 @@
 	return all
 }
 
-// gather starts a gang once all its tasks wait.
-func (d *Deployment) gather(id string, attempt int64) {
+// startGang starts a gang once all its tasks wait.
+func (d *Deployment) startGang(id string, attempt int64) {
 	j, all := d.find(id), d.gang(id, attempt)
 	for _, x := range all {
 		if x.t.status != protocol.TaskWaiting {
@@ -37,8 +37,8 @@
 	}
 }
 
-// gangDone completes all tasks of a gang together, unless one is gone: the others notice that later.
-func (d *Deployment) gangDone(id string, attempt int64) {
+// completeGang completes all tasks of a gang together, unless one is gone: the others notice that later.
+func (d *Deployment) completeGang(id string, attempt int64) {
 	all := d.gang(id, attempt)
 	if len(all) != d.find(id).spec.Tasks {
 		return
@@ -53,8 +53,8 @@
 	}
 }
 
-// notice lets the running tasks of gangs notice later that others are gone.
-func (d *Deployment) notice() {
+// noticeLostTasks has the running tasks of gangs notice after a while that others are gone.
+func (d *Deployment) noticeLostTasks() {
 	d.World.After(d.Settings.Deployment.Workers.GangPeer(), d.endIncompleteGangs)
 }
 
@@ -65,7 +65,7 @@
 			continue
 		}
 		for n := range j.spec.Tasks {
-			for _, m := range sortedKeys(j.places[n]) {
+			for _, m := range sortedKeys(j.machines[n]) {
 				d.endIncompleteGang(j, n, m)
 			}
 		}
@@ -73,9 +73,9 @@
 }
 
 // endIncompleteGang ends a task of a gang that runs on the machine if others of its attempt are gone.
-func (d *Deployment) endIncompleteGang(j *Job, n int, m *Worker) {
+func (d *Deployment) endIncompleteGang(j *Job, n int, m *FakeWorker) {
 	for _, t := range m.tasks {
-		if t.task != n || d.find(t.job) != j || !t.onIt || t.status != protocol.TaskRunning {
+		if t.task != n || d.find(t.job) != j || !t.resident || t.status != protocol.TaskRunning {
 			continue
 		}
 		if len(d.gang(t.job, t.attempt)) >= j.spec.Tasks {
--- a/internal/testkit/gangs_test.go
+++ b/internal/testkit/gangs_test.go
@@ -20,11 +20,11 @@
 	spec.Shape = protocol.ShapeGang
 	j := d.Submit(spec, 20*clock.Second, false)
 	// Until one waits and another still fetches.
-	var dying *Worker
+	var dying *FakeWorker
 	for dying == nil && w.Now() < 60*clock.Second {
 		w.Run(w.Now() + 50*clock.Millisecond)
 		waiting := false
-		var fetching *Worker
+		var fetching *FakeWorker
 		for _, m := range d.Workers() {
 			for _, x := range m.tasks {
 				waiting = waiting || x.status == protocol.TaskWaiting
@@ -42,7 +42,7 @@
 	}
 	dying.Die()
 	w.Run(w.Now() + 150*clock.Second)
-	record, err := ledger.Decode(d.State.keys[ledger.Key(spec.ID)].value)
+	record, err := ledger.Decode(d.State.entries[ledger.Key(spec.ID)].value)
 	if err != nil || record.Status != protocol.StatusDone || record.NextAttempt != 2 {
 		t.Fatalf("record %+v, want %q and next attempt 2; error %v", record, protocol.StatusDone, err)
 	}
@@ -66,7 +66,7 @@
 	d.Cloud.Capacity = map[fleet.Kind]int{{Type: "small", Zone: "a"}: 4} // one may not come up
 	spec.ID, spec.Shape, spec.Tasks = "job-000002", protocol.ShapeGang, 3
 	gang := d.Submit(spec, 20*clock.Second, false)
-	for gang.told == "" && w.Now() < 200*clock.Second {
+	for gang.finalStatus == "" && w.Now() < 200*clock.Second {
 		w.Run(w.Now() + 100*clock.Millisecond)
 		holding := 0
 		for _, m := range d.Workers() {
@@ -109,15 +109,15 @@
 		return n
 	}
 	w.Run(80 * clock.Second)
-	if gang.began == 0 || costly() == 0 {
+	if gang.startedAt == 0 || costly() == 0 {
 		t.Fatalf("the gang began at %.0f s, want before 80 s; %d costly workers are up, want some",
-			gang.began.Seconds(), costly())
+			gang.startedAt.Seconds(), costly())
 	}
 	w.Run(180 * clock.Second)
-	record, err := ledger.Decode(d.State.keys[ledger.Key(spec.ID)].value)
-	if err != nil || costly() > 0 || len(gang.places) != 2 || record.NextAttempt != 2 {
+	record, err := ledger.Decode(d.State.entries[ledger.Key(spec.ID)].value)
+	if err != nil || costly() > 0 || len(gang.machines) != 2 || record.NextAttempt != 2 {
 		t.Fatalf("%d costly workers are up, want 0; %d tasks began, want 2; record %+v, want next attempt 2; %v",
-			costly(), len(gang.places), record, err)
+			costly(), len(gang.machines), record, err)
 	}
 	w.Run(1500 * clock.Second)
 	mustBeDone(t, w, gang)
--- a/internal/testkit/heartbeats.go
+++ b/internal/testkit/heartbeats.go
@@ -19,36 +19,36 @@
 	maxCopyDelayLeases = 3
 )
 
-// reportRegularly sends heartbeats in about the period of the settings.
-func (m *Worker) reportRegularly() {
+// sendHeartbeats sends heartbeats in about the period of the settings.
+func (m *FakeWorker) sendHeartbeats() {
 	w := m.d.World
 	period := m.d.Settings.Deployment.Workers.Report()
 	w.After(w.Between(period*3/4, period*5/4), func() {
 		if !m.ended {
-			m.do(m.report)
-			m.reportRegularly()
+			m.do(m.sendHeartbeat)
+			m.sendHeartbeats()
 		}
 	})
 }
 
-// change schedules a heartbeat about a change.
-func (m *Worker) change() {
+// scheduleHeartbeat schedules a heartbeat about a change.
+func (m *FakeWorker) scheduleHeartbeat() {
 	if m.changed || m.ended {
 		return
 	}
 	m.changed = true
 	m.d.World.After(changePause, func() {
 		m.changed = false
-		m.do(m.report)
+		m.do(m.sendHeartbeat)
 	})
 }
 
-// snapshot is a new heartbeat.
-func (m *Worker) snapshot() protocol.Report {
+// newHeartbeat is a heartbeat with the present state.
+func (m *FakeWorker) newHeartbeat() protocol.Report {
 	m.counter++
 	r := protocol.Report{
 		Machine: m.name, Address: m.addr, Type: m.typ, Zone: m.zone, Spot: m.spot,
-		Session: m.session, Counter: m.counter, Epoch: m.epoch,
+		Session: m.incarnation, Counter: m.counter, Epoch: m.epoch,
 	}
 	if m.recallAt != 0 {
 		left := (m.recallAt - m.d.World.now).Seconds()
@@ -63,27 +63,27 @@
 	return r
 }
 
-// report sends a heartbeat unless one is under way.
-func (m *Worker) report() {
+// sendHeartbeat sends a heartbeat unless one is under way.
+func (m *FakeWorker) sendHeartbeat() {
 	if m.inFlight || m.ended {
 		return
 	}
 	w := m.d.World
 	m.inFlight = true
-	e := &exchange{
-		m: m, n: m.d.Nodes[m.node], sent: w.now, session: m.session,
+	e := &heartbeatCall{
+		m: m, n: m.d.Nodes[m.node], sent: w.now, session: m.incarnation,
 		another: (m.node + 1) % len(m.d.Nodes),
 	}
-	r := m.snapshot()
+	r := m.newHeartbeat()
 	w.After(heartbeatTimeout, func() { e.finish(e.another, retryPause) })
-	m.send(func() { m.d.passes(m.zone, e.n.Zone, func() { e.arrive(r) }) })
+	m.send(func() { m.d.deliver(m.zone, e.n.Zone, func() { e.arrive(r) }) })
 	if w.chance(m.Late) {
 		e.sendLateCopy(r)
 	}
 }
 
 // send carries a message from the machine; a cut that holds delivers it late.
-func (m *Worker) send(arrive func()) {
+func (m *FakeWorker) send(arrive func()) {
 	switch {
 	case m.Link.Cut && m.Link.Hold:
 		m.Link.held = append(m.Link.held, arrive)
@@ -94,21 +94,21 @@
 }
 
 // receive carries a response to the machine once it has left the controller.
-func (m *Worker) receive(from *Process, arrive func()) {
-	from.leaves(func() { m.d.World.After(m.Link.delay(), arrive) })
+func (m *FakeWorker) receive(from *Process, arrive func()) {
+	from.send(func() { m.d.World.After(m.Link.delay(), arrive) })
 }
 
 // adopt takes a leader's epoch that is higher than all before.
-func (m *Worker) adopt(epoch int64) {
+func (m *FakeWorker) adopt(epoch int64) {
 	if epoch > m.epoch {
 		m.epoch = epoch
-		m.change()
+		m.scheduleHeartbeat()
 	}
 }
 
-// exchange is one heartbeat with its response.
-type exchange struct {
-	m       *Worker
+// heartbeatCall is one heartbeat with its response.
+type heartbeatCall struct {
+	m       *FakeWorker
 	n       *Node
 	sent    clock.Micros
 	session int64
@@ -120,7 +120,7 @@
 const sameNode = -1
 
 // finish ends the exchange, to continue with another controller after a pause.
-func (e *exchange) finish(next int, pause clock.Micros) {
+func (e *heartbeatCall) finish(next int, pause clock.Micros) {
 	if e.over {
 		return
 	}
@@ -128,13 +128,13 @@
 	e.m.inFlight = false
 	if next != sameNode {
 		e.m.node = next
-		e.m.d.World.After(pause, func() { e.m.do(e.m.report) })
+		e.m.d.World.After(pause, func() { e.m.do(e.m.sendHeartbeat) })
 	}
 }
 
 // sendLateCopy delivers the heartbeat once more, much later. The response to a copy is lost and counts
 // for nothing.
-func (e *exchange) sendLateCopy(r protocol.Report) {
+func (e *heartbeatCall) sendLateCopy(r protocol.Report) {
 	w := e.m.d.World
 	longest := maxCopyDelayLeases * e.m.d.Settings.Deployment.Workers.Lease()
 	w.After(w.Between(minCopyDelay, longest), func() {
@@ -145,52 +145,52 @@
 }
 
 // reaches reports whether the controller can be reached now.
-func (e *exchange) reaches() bool {
-	return e.n.proc != nil && e.n.proc.alive && !e.n.Workers.Cut && !e.m.Mute
+func (e *heartbeatCall) reaches() bool {
+	return e.n.process != nil && e.n.process.alive && !e.n.Workers.Cut && !e.m.HeartbeatsLost
 }
 
 // arrive hands the heartbeat to the controller and carries its response back.
-func (e *exchange) arrive(r protocol.Report) {
+func (e *heartbeatCall) arrive(r protocol.Report) {
 	if !e.reaches() {
 		return
 	}
-	m, proc := e.m, e.n.proc
+	m, proc := e.m, e.n.process
 	e.n.reports.Heartbeat(r, func(status int, body any) {
 		if a, ok := body.(protocol.HeartbeatAnswer); ok {
 			m.d.checkCommands(e.n, a.Epoch, a.Orders)
 		}
-		if m.Link.Cut || m.Unheeding || e.n.Workers.Cut || m.d.World.chance(m.Link.Loss) {
+		if m.Link.Cut || m.ResponsesLost || e.n.Workers.Cut || m.d.World.chance(m.Link.Loss) {
 			return
 		}
 		m.receive(proc, func() {
-			m.d.passes(e.n.Zone, m.zone, func() { m.do(func() { e.answered(status, body) }) })
+			m.d.deliver(e.n.Zone, m.zone, func() { m.do(func() { e.handleResponse(status, body) }) })
 		})
 	})
 }
 
-// answered handles the controller's response.
-func (e *exchange) answered(status int, body any) {
+// handleResponse handles the controller's response.
+func (e *heartbeatCall) handleResponse(status int, body any) {
 	m := e.m
 	if e.over || m.ended {
 		return
 	}
 	if status != http.StatusOK {
-		e.finish(e.redirected(body), retryPause)
+		e.finish(e.nextNode(body), retryPause)
 		return
 	}
 	e.finish(sameNode, 0)
 	a := body.(protocol.HeartbeatAnswer)
-	if e.session != m.session || a.Epoch < m.epoch {
+	if e.session != m.incarnation || a.Epoch < m.epoch {
 		return
 	}
 	m.adopt(a.Epoch)
-	m.answeredSent = e.sent
+	m.leaseStart = e.sent
 	m.watchLease()
-	m.carryOut(a.Orders)
+	m.execute(a.Orders)
 }
 
-// redirected is the controller that a response names, or another one.
-func (e *exchange) redirected(body any) int {
+// nextNode is the controller that a response names, or another one.
+func (e *heartbeatCall) nextNode(body any) int {
 	if hint, ok := body.(protocol.Redirect); ok && hint.Node != "" {
 		return e.m.d.nodeIndex(hint.Node, e.another)
 	}
--- a/internal/testkit/helpers_test.go
+++ b/internal/testkit/helpers_test.go
@@ -15,11 +15,11 @@
 	cancelled = d.Submit(array("job-000001", "open", 6, 4, run.Seconds()), run, false)
 	other = d.Submit(array("job-000002", "open", 6, 4, run.Seconds()), run, false)
 	runUntil(w, 100*clock.Second, 100*clock.Millisecond, func() bool {
-		return len(cancelled.places) >= 6 && len(other.places) >= 6
+		return len(cancelled.machines) >= 6 && len(other.machines) >= 6
 	})
 	w.Run(w.Now() + 10*clock.Second)
-	if len(cancelled.places) < 6 || len(other.places) < 6 {
-		t.Fatalf("%d and %d tasks run, want 6 each", len(cancelled.places), len(other.places))
+	if len(cancelled.machines) < 6 || len(other.machines) < 6 {
+		t.Fatalf("%d and %d tasks run, want 6 each", len(cancelled.machines), len(other.machines))
 	}
 	return w, d, cancelled, other
 }
@@ -32,8 +32,8 @@
 	spec := array("job-000001", "open", 8, 4, run.Seconds())
 	j := d.Submit(spec, run, false)
 	w.Run(40 * clock.Second)
-	if len(j.places) != 8 {
-		t.Fatalf("%d tasks run, want 8", len(j.places))
+	if len(j.machines) != 8 {
+		t.Fatalf("%d tasks run, want 8", len(j.machines))
 	}
 	return w, d, j
 }
@@ -41,7 +41,7 @@
 // confirmCancel has the user cancel the job and runs until the cancellation is confirmed.
 func confirmCancel(w *World, d *Deployment, j *Job) {
 	d.Cancel(j)
-	for j.told == "" {
+	for j.finalStatus == "" {
 		w.Run(w.Now() + 10*clock.Millisecond)
 	}
 }
@@ -57,17 +57,17 @@
 // mustBeDone fails the test unless the user was told that the job is done and no rule was broken.
 func mustBeDone(t *testing.T, w *World, j *Job) {
 	t.Helper()
-	if j.told != protocol.StatusDone || len(w.Broken) > 0 {
+	if j.finalStatus != protocol.StatusDone || len(w.Broken) > 0 {
 		t.Fatalf("%s: told %q, want %q; broken rules %v, want none",
-			j.spec.ID, j.told, protocol.StatusDone, w.Broken)
+			j.spec.ID, j.finalStatus, protocol.StatusDone, w.Broken)
 	}
 }
 
 // mustBeCancelled fails the test unless the user was told that the job is cancelled.
 func mustBeCancelled(t *testing.T, j *Job) {
 	t.Helper()
-	if j.told != protocol.StatusCancelled {
-		t.Fatalf("%s: told %q, want %q", j.spec.ID, j.told, protocol.StatusCancelled)
+	if j.finalStatus != protocol.StatusCancelled {
+		t.Fatalf("%s: told %q, want %q", j.spec.ID, j.finalStatus, protocol.StatusCancelled)
 	}
 }
 
@@ -92,10 +92,10 @@
 }
 
 // partition cuts a worker off in both directions.
-func (m *Worker) partition() { m.Link.Cut, m.Commands.Cut = true, true }
+func (m *FakeWorker) partition() { m.Link.Cut, m.Commands.Cut = true, true }
 
 // heal ends a worker's partition.
-func (m *Worker) heal() {
+func (m *FakeWorker) heal() {
 	m.Link.Heal()
 	m.Commands.Heal()
 }
@@ -116,7 +116,7 @@
 func expired(d *Deployment) int {
 	n := 0
 	for _, m := range d.Workers() {
-		if m.session > 1 {
+		if m.incarnation > 1 {
 			n++
 		}
 	}
@@ -124,9 +124,9 @@
 }
 
 // runs reports whether a task of the job is on the worker.
-func (m *Worker) runs(j *Job) bool {
+func (m *FakeWorker) runs(j *Job) bool {
 	for _, t := range m.tasks {
-		if t.job == j.spec.ID && t.onIt {
+		if t.job == j.spec.ID && t.resident {
 			return true
 		}
 	}
--- a/internal/testkit/history.go
+++ b/internal/testkit/history.go
@@ -22,7 +22,7 @@
 
 // run is the time of one attempt on a machine.
 type run struct {
-	on       *Worker
+	on       *FakeWorker
 	from, to clock.Micros // to is 0 while it runs
 }
 
@@ -35,16 +35,16 @@
 	return h
 }
 
-// began notes that a run begins.
-func (h *History) began(j *Job, task int, on *Worker) {
+// runBegan notes that a run begins.
+func (h *History) runBegan(j *Job, task int, on *FakeWorker) {
 	if h != nil {
 		k := taskOf{j, task}
 		h.runs[k] = append(h.runs[k], run{on: on, from: h.w.now})
 	}
 }
 
-// ended notes that the last run on the machine ends.
-func (h *History) ended(j *Job, task int, on *Worker) {
+// runEnded notes that the last run on the machine ends.
+func (h *History) runEnded(j *Job, task int, on *FakeWorker) {
 	if h == nil {
 		return
 	}
@@ -57,8 +57,8 @@
 	}
 }
 
-// completed notes that a task is completed.
-func (h *History) completed(j *Job, task int) {
+// taskCompleted notes that a task is completed.
+func (h *History) taskCompleted(j *Job, task int) {
 	if h != nil {
 		h.done[taskOf{j, task}]++
 	}
@@ -95,7 +95,7 @@
 
 // String names the task with its cell.
 func (k taskOf) String() string {
-	return fmt.Sprintf("%s/%d of %s", k.job.spec.ID, k.task, k.job.home.name)
+	return fmt.Sprintf("%s/%d of %s", k.job.spec.ID, k.task, k.job.origin.name)
 }
 
 // Elsewhere counts the runs outside the jobs' origin cells, and all runs.
@@ -103,7 +103,7 @@
 	for k, runs := range h.runs {
 		for _, r := range runs {
 			all++
-			if r.on.d != k.job.home {
+			if r.on.d != k.job.origin {
 				elsewhere++
 			}
 		}
--- a/internal/testkit/jobs.go
+++ b/internal/testkit/jobs.go
@@ -8,34 +8,34 @@
 
 // Job is a user's job, what runs of it, and what its user was told.
 type Job struct {
-	home *Deployment
-	spec protocol.JobSpec
-	run  clock.Micros // about how long a task runs; 0 for replicas that run until they are stopped
-	// mistaken jobs' tasks fail.
-	mistaken bool
+	origin *Deployment
+	spec   protocol.JobSpec
+	run    clock.Micros // about how long a task runs; 0 for replicas that run until they are stopped
+	// failing: its tasks fail.
+	failing bool
 
-	submitted  clock.Micros
-	acceptedAt clock.Micros
-	began      clock.Micros // when its first task had its image
-	heardAt    clock.Micros // when its user last got a response
-	idleAt     clock.Micros // when it last ran, or couldn't have: see WatchRoom
+	submittedAt    clock.Micros
+	acceptedAt     clock.Micros
+	startedAt      clock.Micros // when its first task had its image
+	lastResponseAt clock.Micros // when its user last got a response
+	idleAt         clock.Micros // when it last ran, or couldn't have: see WatchRoom
 
-	// wantsEnd: its user has cancelled it. cancelled is when that was confirmed.
-	wantsEnd  bool
-	cancelled clock.Micros
-	// told is the final status that its user was told, toldAt when that was.
-	told   string
-	toldAt clock.Micros
+	// cancelRequested: its user has cancelled it. cancelledAt is when that was confirmed.
+	cancelRequested bool
+	cancelledAt     clock.Micros
+	// finalStatus is the final status that its user was told, finalAt when that was.
+	finalStatus string
+	finalAt     clock.Micros
 
-	// gone are the completed tasks, places the machines that each task is on.
-	gone   map[int]bool
-	places map[int]map[*Worker]bool
+	// completed are the completed tasks, machines those that each task is on.
+	completed map[int]bool
+	machines  map[int]map[*FakeWorker]bool
 }
 
-func newJob(d *Deployment, spec protocol.JobSpec, run clock.Micros, mistaken bool) *Job {
+func newJob(d *Deployment, spec protocol.JobSpec, run clock.Micros, failing bool) *Job {
 	return &Job{
-		home: d, spec: spec, run: run, mistaken: mistaken, submitted: d.World.now,
-		gone: map[int]bool{}, places: map[int]map[*Worker]bool{},
+		origin: d, spec: spec, run: run, failing: failing, submittedAt: d.World.now,
+		completed: map[int]bool{}, machines: map[int]map[*FakeWorker]bool{},
 	}
 }
 
@@ -46,28 +46,28 @@
 func (j *Job) needs() planner.Amounts { return planner.Needs(&j.spec) }
 
 // Done reports whether every task has completed.
-func (j *Job) Done() bool { return len(j.gone) == j.spec.Tasks && !j.spec.Service() }
+func (j *Job) Done() bool { return len(j.completed) == j.spec.Tasks && !j.spec.Service() }
 
 // complete notes that a task has completed. A share of users cancel the job at the moment of its end.
 func (j *Job) complete(task int, cancelShare float64) {
-	d, was := j.home, j.Done()
-	if !j.gone[task] {
-		d.History.completed(j, task)
+	d, was := j.origin, j.Done()
+	if !j.completed[task] {
+		d.History.taskCompleted(j, task)
 	}
-	j.gone[task] = true
+	j.completed[task] = true
 	if !was && j.Done() && d.World.chance(cancelShare) {
 		d.Cancel(j)
 	}
 }
 
 // Told is the final status that the user was told, empty before.
-func (j *Job) Told() string { return j.told }
+func (j *Job) Told() string { return j.finalStatus }
 
 // Began is how long after its submission the job's first task had its image, or never.
-func (j *Job) Began() clock.Micros { return since(j.submitted, j.began) }
+func (j *Job) Began() clock.Micros { return since(j.submittedAt, j.startedAt) }
 
 // Ended is how long after its submission its user was told its end, or never.
-func (j *Job) Ended() clock.Micros { return since(j.submitted, j.toldAt) }
+func (j *Job) Ended() clock.Micros { return since(j.submittedAt, j.finalAt) }
 
 // never is longer than any simulation.
 const never = 100_000 * clock.Second
--- a/internal/testkit/kinds.go
+++ b/internal/testkit/kinds.go
@@ -22,7 +22,7 @@
 var Kinds = []Kind{
 	{"plain", playPlain},
 	{"services", playServices},
-	{"divided", playDivided},
+	{"divided", playSharded},
 	{"cells", playCells},
 	{"recovery", playRecovery},
 	{"upgrade", playUpgrade},
@@ -83,10 +83,10 @@
 	return []*Deployment{d}
 }
 
-// playDivided plays large jobs whose records have to be sharded for the small values that the store takes.
+// playSharded plays large jobs whose records have to be sharded for the small values that the store takes.
 // Its limits tighten some time later, and then beyond what was announced, and leaders crash while they
 // shard records.
-func playDivided(w *World, _ bool) []*Deployment {
+func playSharded(w *World, _ bool) []*Deployment {
 	set := testSettings()
 	set.Deployment.State.ValueKb = 4
 	announceTighterLimits(set)
@@ -96,7 +96,7 @@
 		d.State.Limit(set.Deployment.State.Tightest(), true)
 		w.After(w.Between(0, 60*clock.Second), func() { d.State.ValueBytes, d.State.TxnOps = 1500, 3 })
 	})
-	d.endLeaders(6)
+	d.crashLeaders(6)
 	d.inspect()
 	workload{services: 0.05, spec: mostlyLarge, longest: longestTask}.play(d)
 	return []*Deployment{d}
@@ -159,7 +159,7 @@
 	}
 	d.inspect()
 	d.cutZonesSometimes()
-	d.endLeaders(4)
+	d.crashLeaders(4)
 	if odd {
 		d.writeLate(w.Between(20*clock.Second, dayLength))
 	}
@@ -178,7 +178,7 @@
 	w.After(upgrade, func() {
 		d.Upgrade(w.Between(5*clock.Second, 40*clock.Second), w.Between(50*clock.Millisecond, 6*clock.Second))
 	})
-	d.endLeaders(4)
+	d.crashLeaders(4)
 	if odd {
 		d.writeLate(upgrade)
 	}
@@ -199,8 +199,8 @@
 	}
 }
 
-// endLeaders crashes so many leaders at random times.
-func (d *Deployment) endLeaders(n int) {
+// crashLeaders crashes so many leaders at random times.
+func (d *Deployment) crashLeaders(n int) {
 	w := d.World
 	for range n {
 		w.After(w.Between(20*clock.Second, dayLength), func() {
--- a/internal/testkit/link.go
+++ b/internal/testkit/link.go
@@ -20,11 +20,11 @@
 	Cut, Hold bool
 	// Loss is the chance that a request or its response is lost.
 	Loss float64
-	// Refused has the store refuse what comes over this link, and no other.
-	Refused bool
-	// Slow is an additional delay of each way.
-	Slow clock.Micros
-	held []func()
+	// StoreRefuses has the store refuse what comes over this link, and no other.
+	StoreRefuses bool
+	// Delay is an additional delay of each way.
+	Delay clock.Micros
+	held  []func()
 }
 
 // call is a request that is under way, or its response.
@@ -41,7 +41,7 @@
 func (l *Link) call(p *Process, timeout clock.Micros, request func(answer func(func())), silent func()) {
 	c := &call{link: l, p: p, request: request}
 	p.After(timeout, func() { c.settle(silent) })
-	p.leaves(c.send)
+	p.send(c.send)
 }
 
 // settle ends the call, once.
@@ -85,9 +85,9 @@
 // delay draws how long a message takes.
 func (l *Link) delay() clock.Micros {
 	if l.w.chance(slowShare) {
-		return l.Slow + l.w.Between(minSlowDelay, maxSlowDelay)
+		return l.Delay + l.w.Between(minSlowDelay, maxSlowDelay)
 	}
-	return l.Slow + l.w.Between(minDelay, maxDelay)
+	return l.Delay + l.w.Between(minDelay, maxDelay)
 }
 
 // Heal ends a cut; held messages arrive now, however old.
--- a/internal/testkit/loopback.go
+++ b/internal/testkit/loopback.go
@@ -87,7 +87,7 @@
 
 // remoteNode is a node whose process is elsewhere.
 func remoteNode(w *World, name string, at *remoteController) *Node {
-	n := &Node{Name: name, proc: w.process(), reports: at, requests: at}
+	n := &Node{Name: name, process: w.process(), reports: at, requests: at}
 	for _, link := range []*Link{&n.State, &n.Clouds, &n.Workers, &n.Peers} {
 		link.w = w
 	}
--- a/internal/testkit/loopbackserver.go
+++ b/internal/testkit/loopbackserver.go
@@ -56,7 +56,7 @@
 }
 
 func (l *Loopback) storeService() http.Handler {
-	store := l.Deployment.State.For(l.node.proc, &l.node.State)
+	store := l.Deployment.State.For(l.node.process, &l.node.State)
 	mux := http.NewServeMux()
 	mux.Handle("GET /kv/{key...}", serve(l, func(r *http.Request, _ nothing, answer func(int, any)) {
 		store.Get(r.PathValue("key"), reply[protocol.Item](answer))
@@ -87,7 +87,7 @@
 }
 
 func (l *Loopback) cloudService() http.Handler {
-	client := l.Deployment.Cloud.For(l.node.proc, &l.node.Clouds)
+	client := l.Deployment.Cloud.For(l.node.process, &l.node.Clouds)
 	mux := http.NewServeMux()
 	mux.Handle("GET /catalog", serve(l, func(_ *http.Request, _ nothing, answer func(int, any)) {
 		client.Catalogue(func(status int, c protocol.Catalogue) { answer(status, c) })
--- a/internal/testkit/nodes.go
+++ b/internal/testkit/nodes.go
@@ -18,9 +18,9 @@
 type Node struct {
 	Name string
 	Zone string
-	// proc is its present or last process, runs how many there have been.
-	proc *Process
-	runs int
+	// process is its present or last process, runs how many there have been.
+	process *Process
+	runs    int
 	// State, Clouds, Workers, Peers and Cells are its links to the store, the cloud, the workers, the other
 	// controllers and the other cells.
 	State, Clouds, Workers, Peers, Cells Link
@@ -68,7 +68,7 @@
 }
 
 // Crash ends the controller's process.
-func (n *Node) Crash() { n.proc.alive = false }
+func (n *Node) Crash() { n.process.alive = false }
 
 // crashFor ends a controller's process and starts a new one after a while.
 func (d *Deployment) crashFor(n *Node, down clock.Micros) {
@@ -91,19 +91,19 @@
 }
 
 // Up reports whether a process runs.
-func (n *Node) Up() bool { return n.proc.alive }
+func (n *Node) Up() bool { return n.process.alive }
 
 // leaseTTL is that of the leader's lease.
 const leaseTTL = 4 * clock.Second
 
 // StartNode starts a new process of the controller, if none runs.
 func (d *Deployment) StartNode(n *Node) {
-	if n.proc != nil && n.proc.alive {
+	if n.process != nil && n.process.alive {
 		return
 	}
-	n.proc = d.World.process()
+	n.process = d.World.process()
 	n.runs++
-	environment := d.environment(n, n.proc)
+	environment := d.environment(n, n.process)
 	if d.World.Recorder != nil {
 		d.recordingOf(n).requestsOf(&environment)
 	}
--- a/internal/testkit/peers.go
+++ b/internal/testkit/peers.go
@@ -9,12 +9,12 @@
 func (d *Deployment) forward(n *Node, r intake.Request, done func(intake.Answer, bool)) {
 	var others []*Node
 	for _, o := range d.Nodes {
-		if o != n && o.proc != nil && o.proc.alive {
+		if o != n && o.process != nil && o.process.alive {
 			others = append(others, o)
 		}
 	}
 	if len(others) == 0 {
-		n.proc.Post(func() { done(intake.Answer{}, false) })
+		n.process.Post(func() { done(intake.Answer{}, false) })
 		return
 	}
 	r.Forwarded = true
@@ -23,7 +23,7 @@
 
 // everyone asks all controllers, the asking one included.
 func (d *Deployment) everyone(n *Node, r intake.Request, done func([]intake.Answer, bool)) {
-	p, left := n.proc, len(d.Nodes)
+	p, left := n.process, len(d.Nodes)
 	var answers []intake.Answer
 	collect := func(a intake.Answer, ok bool) {
 		if ok {
@@ -47,7 +47,7 @@
 
 // asks passes a request to another controller and reports whether it responded.
 func (n *Node) asks(o *Node, r intake.Request, done func(a intake.Answer, ok bool)) {
-	n.Peers.call(n.proc, peerTimeout, func(answer func(func())) {
+	n.Peers.call(n.process, peerTimeout, func(answer func(func())) {
 		if !o.Peers.Cut {
 			o.peers.Handle(r, func(a intake.Answer) { answer(func() { done(a, true) }) })
 		}
--- a/internal/testkit/placement_test.go
+++ b/internal/testkit/placement_test.go
@@ -77,7 +77,7 @@
 	for _, j := range small {
 		mustBeDone(t, w, j)
 	}
-	if len(huge.gone) < 500 {
-		t.Errorf("%d tasks of the largest array are done, want at least 500", len(huge.gone))
+	if len(huge.completed) < 500 {
+		t.Errorf("%d tasks of the largest array are done, want at least 500", len(huge.completed))
 	}
 }
--- a/internal/testkit/process.go
+++ b/internal/testkit/process.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// leaves sends something out of the process, which may pause before that or crash afterwards.
-func (p *Process) leaves(send func()) {
+// send sends something out of the process, which may pause before that or crash afterwards.
+func (p *Process) send(send func()) {
 	if p.PauseAfter > 0 {
 		if p.PauseAfter--; p.PauseAfter == 0 {
 			p.Pause(p.PauseFor)
@@ -77,9 +77,9 @@
 	return &Process{w: w, alive: true, start: w.now, drift: 1 + w.Rand.Float64()*maxClockDrift}
 }
 
-// leavesUntil sends a request out unless that is later than a deadline, as transport.CallUntil does.
-func (p *Process) leavesUntil(until clock.Micros, send, late func()) {
-	p.leaves(func() {
+// sendUntil sends a request out unless that is later than a deadline, as transport.CallUntil does.
+func (p *Process) sendUntil(until clock.Micros, send, late func()) {
+	p.send(func() {
 		if p.Steady() >= until {
 			p.Post(late)
 			return
--- a/internal/testkit/record.go
+++ b/internal/testkit/record.go
@@ -241,7 +241,7 @@
 func (r *recording) recordOverview(o any) {
 	text, err := json.Marshal(o)
 	if err != nil {
-		r.world.Break(badOverview, "%v", err)
+		r.world.Violate(badOverview, "%v", err)
 	}
 	r.record("overview", text)
 }
@@ -249,8 +249,8 @@
 // recordStored records all values of a deployment's store.
 func (d *Deployment) recordStored() {
 	r := &recording{d.World, d.name}
-	for _, key := range slices.Sorted(maps.Keys(d.State.keys)) {
-		e := d.State.keys[key]
+	for _, key := range slices.Sorted(maps.Keys(d.State.entries)) {
+		e := d.State.entries[key]
 		r.record("stored", key, e.value, e.version, e.lease)
 	}
 }
--- a/internal/testkit/record_test.go
+++ b/internal/testkit/record_test.go
@@ -28,7 +28,7 @@
 
 // recordShortDay plays a job for a minute. In the first message of the kind to be changed, if any,
 // another last byte is recorded; change may do something to the state service in the end.
-func recordShortDay(seed uint64, changedKind string, change func(*State)) (*hashRecorder, string) {
+func recordShortDay(seed uint64, changedKind string, change func(*FakeStore)) (*hashRecorder, string) {
 	h := &hashRecorder{sha256.New(), map[string]int{}, changedKind}
 	w := NewWorld(seed)
 	w.Recorder = h
@@ -68,11 +68,11 @@
 			t.Errorf("a changed byte of a message of kind %q doesn't show", kind)
 		}
 	}
-	_, changed := recordShortDay(1, "", func(s *State) {
-		e := s.keys[ledger.Key("job-000001")]
+	_, changed := recordShortDay(1, "", func(s *FakeStore) {
+		e := s.entries[ledger.Key("job-000001")]
 		e.value = append([]byte(nil), e.value...)
 		e.value[len(e.value)-1] ^= 1
-		s.keys[ledger.Key("job-000001")] = e
+		s.entries[ledger.Key("job-000001")] = e
 	})
 	if changed == first {
 		t.Error("a changed byte of a stored value isn't recorded")
--- a/internal/testkit/requests_test.go
+++ b/internal/testkit/requests_test.go
@@ -19,7 +19,7 @@
 		sendInvalidRequests(d)
 		d.ask(intake.Request{Kind: intake.Show, ID: "job-999999"}, func(status int, _ protocol.JobStatus) {
 			if status != http.StatusNotFound {
-				w.Break("invented", "answered %d", status)
+				w.Violate("invented", "answered %d", status)
 			}
 		})
 		w.Run(w.Now() + 4*clock.Second)
@@ -28,7 +28,7 @@
 	mustBeDone(t, w, done)
 	want := []string{"catalogue", "jobs/job-000001", "jobs/job-000003", "lead/controller",
 		"rollout/gate", "rollout/node/worker-0", "rollout/node/worker-1", "rollout/node/worker-2"}
-	if keys := slices.Sorted(maps.Keys(d.State.keys)); !slices.Equal(keys, want) {
+	if keys := slices.Sorted(maps.Keys(d.State.entries)); !slices.Equal(keys, want) {
 		t.Fatalf("keys %v, want %v", keys, want)
 	}
 }
--- a/internal/testkit/rules.go
+++ b/internal/testkit/rules.go
@@ -56,8 +56,8 @@
 	badExchange rule = "exchange"
 )
 
-// Break notes that a rule was broken.
-func (w *World) Break(broken rule, format string, args ...any) {
+// Violate notes that a rule was broken.
+func (w *World) Violate(broken rule, format string, args ...any) {
 	message := fmt.Sprintf(format, args...)
 	w.Broken = append(w.Broken, fmt.Sprintf("%.3f %s: %s", w.now.Seconds(), broken, message))
 }
@@ -65,56 +65,56 @@
 // limitTolerance is for sums of fractions that reach a limit.
 const limitTolerance = 1e-6
 
-// arrived notes that a task has its image on a machine, and checks whether it may be there.
-func (d *Deployment) arrived(k taskKey, m *Worker) {
+// taskStarted notes that a task has its image on a machine, and checks whether it may be there.
+func (d *Deployment) taskStarted(k taskKey, m *FakeWorker) {
 	j := d.find(k.job)
-	d = j.home // whose rules count
+	d = j.origin // whose rules count
 	d.checkStart(j, k, m)
-	if j.began == 0 {
-		j.began = d.World.now
+	if j.startedAt == 0 {
+		j.startedAt = d.World.now
 	}
-	if j.places[k.task] == nil {
-		j.places[k.task] = map[*Worker]bool{}
+	if j.machines[k.task] == nil {
+		j.machines[k.task] = map[*FakeWorker]bool{}
 	}
-	j.places[k.task][m] = true
-	d.History.began(j, k.task, m)
+	j.machines[k.task][m] = true
+	d.History.runBegan(j, k.task, m)
 	d.used[j.spec.Team] = d.used[j.spec.Team].Plus(j.needs())
-	if !j.gone[k.task] { // or it exits at once with its earlier result, and uses nothing
+	if !j.completed[k.task] { // or it exits at once with its earlier result, and uses nothing
 		d.checkQuota(j.spec.Team)
 	}
 }
 
-// left notes that a task isn't on a machine any more.
-func (d *Deployment) left(k taskKey, m *Worker) {
+// taskEnded notes that a task isn't on a machine any more.
+func (d *Deployment) taskEnded(k taskKey, m *FakeWorker) {
 	j := d.find(k.job)
-	d = j.home
-	delete(j.places[k.task], m)
-	d.History.ended(j, k.task, m)
+	d = j.origin
+	delete(j.machines[k.task], m)
+	d.History.runEnded(j, k.task, m)
 	d.used[j.spec.Team] = d.used[j.spec.Team].Minus(j.needs())
 }
 
 // checkStart checks that a task starts nowhere else, in time before a cancellation, and on a machine
 // and in a zone that its job allows.
-func (d *Deployment) checkStart(j *Job, k taskKey, m *Worker) {
-	for other := range j.places[k.task] {
+func (d *Deployment) checkStart(j *Job, k taskKey, m *FakeWorker) {
+	for other := range j.machines[k.task] {
 		if other != m {
-			d.World.Break(ranTwice, "%s/%d on %s and %s", k.job, k.task, other.name, m.name)
+			d.World.Violate(ranTwice, "%s/%d on %s and %s", k.job, k.task, other.name, m.name)
 		}
 	}
 	cancelTime := clock.FromSeconds(d.Settings.Deployment.Workers.CancelS)
-	if j.cancelled != 0 && d.World.now > j.cancelled+cancelTime {
-		d.World.Break(ranCancelled, "%s/%d starts", k.job, k.task)
+	if j.cancelledAt != 0 && d.World.now > j.cancelledAt+cancelTime {
+		d.World.Violate(ranCancelled, "%s/%d starts", k.job, k.task)
 	}
 	zone := m.d.name + m.zone
 	if !planner.Allowed(&j.spec, m.typ, m.zone, m.spot) || !planner.ZoneAllowed(&j.spec, j.zones(k.task), zone) {
-		d.World.Break(wrongPlace, "%s/%d on %s %s", k.job, k.task, m.typ, m.zone)
+		d.World.Violate(wrongPlace, "%s/%d on %s %s", k.job, k.task, m.typ, m.zone)
 	}
 }
 
 // zones counts the machines with other tasks of the job by zone.
 func (j *Job) zones(except int) map[string]int {
 	zones := map[string]int{}
-	for task, machines := range j.places {
+	for task, machines := range j.machines {
 		if task == except {
 			continue
 		}
@@ -131,7 +131,7 @@
 	used := d.used[name]
 	if team.CpusMax > 0 && used.Cpus > team.CpusMax+limitTolerance ||
 		team.GpusMax > 0 && used.Gpus > team.GpusMax+limitTolerance {
-		d.World.Break(overQuota, "%s uses %v", name, used)
+		d.World.Violate(overQuota, "%s uses %v", name, used)
 	}
 }
 
@@ -144,9 +144,10 @@
 	for _, c := range commands {
 		id, _, _ := protocol.ParseTask(c.Task)
 		j := d.find(id)
-		if c.Verb == protocol.VerbStart && j != nil && j.cancelled != 0 && d.World.now > j.cancelled+startGrace {
-			d.World.Break(startedCancelled, "%s starts %s, cancelled since %.3f s",
-				n.Name, c.Task, j.cancelled.Seconds())
+		cancelled := j != nil && j.cancelledAt != 0 && d.World.now > j.cancelledAt+startGrace
+		if c.Verb == protocol.VerbStart && cancelled {
+			d.World.Violate(startedCancelled, "%s starts %s, cancelled since %.3f s",
+				n.Name, c.Task, j.cancelledAt.Seconds())
 		}
 	}
 	if d.State.leads(epoch) {
@@ -154,7 +155,7 @@
 	}
 	for _, c := range commands {
 		if !d.mayStopWithoutLease(c) {
-			d.World.Break(noLease, "%s gives the order %v for epoch %d", n.Name, c, epoch)
+			d.World.Violate(noLease, "%s gives the order %v for epoch %d", n.Name, c, epoch)
 		}
 	}
 }
@@ -171,18 +172,18 @@
 // of the job.
 func (d *Deployment) checkStatus(j *Job, before string, s protocol.JobStatus) {
 	final := s.Status == protocol.StatusDone || s.Status == protocol.StatusCancelled
-	if before != "" && s.Status != before || s.Status == protocol.StatusCancelled && !j.wantsEnd {
-		d.World.Break(wentBack, "%s was %q, is %q", j.spec.ID, before, s.Status)
+	if before != "" && s.Status != before || s.Status == protocol.StatusCancelled && !j.cancelRequested {
+		d.World.Violate(wentBack, "%s was %q, is %q", j.spec.ID, before, s.Status)
 	}
 	if s.Status == protocol.StatusDone && !j.Done() {
-		d.World.Break(notDone, "%s with %d of %d", j.spec.ID, len(j.gone), j.spec.Tasks)
+		d.World.Violate(notDone, "%s with %d of %d", j.spec.ID, len(j.completed), j.spec.Tasks)
 	}
-	if !final || j.told != "" {
+	if !final || j.finalStatus != "" {
 		return
 	}
-	j.told, j.toldAt = s.Status, d.World.now
+	j.finalStatus, j.finalAt = s.Status, d.World.now
 	if s.Status == protocol.StatusCancelled {
-		j.cancelled = d.World.now
+		j.cancelledAt = d.World.now
 		cancelTime := clock.FromSeconds(d.Settings.Deployment.Workers.CancelS)
 		d.World.After(cancelTime+1, func() { d.checkCancelled(j) })
 	}
@@ -190,17 +191,17 @@
 
 // checkCancelled checks that nothing of a cancelled job is on a machine any more.
 func (d *Deployment) checkCancelled(j *Job) {
-	for task, machines := range j.places {
+	for task, machines := range j.machines {
 		if len(machines) > 0 {
-			d.World.Break(ranCancelled, "%s/%d is still there", j.spec.ID, task)
+			d.World.Violate(ranCancelled, "%s/%d is still there", j.spec.ID, task)
 		}
 	}
 	for _, m := range d.group.machines(d) {
 		// If its lease had ended before the cancellation, that would have proven it gone.
-		for id, at := range m.ghosts {
+		for id, at := range m.expiredJobs {
 			undisturbed := d.World.now > max(d.disturbedAt, m.d.disturbedAt)+returnable
-			if m.d.find(id) == j && at > j.cancelled && undisturbed {
-				d.World.Break(ranCancelled, "%s is still on %s, which hangs", j.spec.ID, m.name)
+			if m.d.find(id) == j && at > j.cancelledAt && undisturbed {
+				d.World.Violate(ranCancelled, "%s is still on %s, which hangs", j.spec.ID, m.name)
 			}
 		}
 	}
--- a/internal/testkit/rules_test.go
+++ b/internal/testkit/rules_test.go
@@ -46,7 +46,7 @@
 				t.Fatalf("accepted but not done: %v, want none", left)
 			}
 			for _, j := range d.Jobs() {
-				if j.wantsEnd && j.accepted() && j.told == "" {
+				if j.cancelRequested && j.accepted() && j.finalStatus == "" {
 					t.Fatalf("%s was told no end, want %q", j.spec.ID, protocol.StatusCancelled)
 				}
 			}
--- a/internal/testkit/scale_test.go
+++ b/internal/testkit/scale_test.go
@@ -68,9 +68,9 @@
 		t.Fatalf("accepted but not done: %v, want none", left)
 	}
 	for _, j := range d.Jobs() {
-		if j.began-j.submitted > 240*clock.Second {
+		if j.startedAt-j.submittedAt > 240*clock.Second {
 			t.Errorf("%s of %d tasks began after %.0f s, want 240 s at most",
-				j.spec.ID, j.spec.Tasks, (j.began - j.submitted).Seconds())
+				j.spec.ID, j.spec.Tasks, (j.startedAt - j.submittedAt).Seconds())
 		}
 	}
 	if up := len(d.Cloud.all); up < 250 {
@@ -140,7 +140,7 @@
 			d.Submit(array(d.nextID(), "open", n, 2, 150), 150*clock.Second, false)
 		})
 	}
-	excused := map[*Worker]bool{}
+	excused := map[*FakeWorker]bool{}
 	w.After(80*clock.Second, func() {
 		if up := len(d.Workers()); up < 1800 {
 			t.Errorf("%d workers are up, want at least 1800", up)
@@ -169,7 +169,7 @@
 
 	mustFinish(t, d)
 	for _, m := range d.Cloud.all {
-		if m.session > 1 && !excused[m] {
+		if m.incarnation > 1 && !excused[m] {
 			t.Errorf("the lease of %s expired, want it kept", m.name)
 		}
 	}
--- a/internal/testkit/scalefailover_test.go
+++ b/internal/testkit/scalefailover_test.go
@@ -58,18 +58,18 @@
 	w.Run(400 * clock.Second)
 	mustFinish(t, d)
 	for _, m := range d.Cloud.all {
-		if m.session > 1 {
+		if m.incarnation > 1 {
 			t.Errorf("the lease of %s expired, want it kept", m.name)
 		}
 	}
 	for _, j := range d.order {
-		if took := j.acceptedAt - j.submitted; took > 2*clock.Second {
+		if took := j.acceptedAt - j.submittedAt; took > 2*clock.Second {
 			t.Errorf("%s was accepted after %.1f s, want 2 s at most", j.spec.ID, took.Seconds())
 		}
 	}
-	if last := d.order[len(d.order)-1]; last.began-last.submitted > 30*clock.Second {
+	if last := d.order[len(d.order)-1]; last.startedAt-last.submittedAt > 30*clock.Second {
 		t.Errorf("a job submitted to the next leader began after %.1f s, want 30 s at most",
-			(last.began - last.submitted).Seconds())
+			(last.startedAt - last.submittedAt).Seconds())
 	}
 }
 
@@ -121,7 +121,7 @@
 	w.Run(200 * clock.Second)
 	for _, j := range services {
 		running := 0
-		for _, on := range j.places {
+		for _, on := range j.machines {
 			running += len(on)
 		}
 		// Spread lets half of them, rounded up, be in the zone that is left.
--- a/internal/testkit/servicefaults.go
+++ b/internal/testkit/servicefaults.go
@@ -28,8 +28,8 @@
 // refuse has the store refuse one controller.
 func (f *fault) refuse() {
 	n := f.node
-	n.State.Refused = true
-	f.w.After(f.duration, func() { n.State.Refused = false })
+	n.State.StoreRefuses = true
+	f.w.After(f.duration, func() { n.State.StoreRefuses = false })
 }
 
 // refuseBeforeOutage has the store refuse one controller while users cancel jobs through the others, and
@@ -52,12 +52,12 @@
 // slowStore has the store respond slowly, to one controller hardly ever in time.
 func (f *fault) slowStore() {
 	for _, n := range f.d.Nodes {
-		n.State.Slow = f.w.Between(100*clock.Millisecond, 500*clock.Millisecond)
+		n.State.Delay = f.w.Between(100*clock.Millisecond, 500*clock.Millisecond)
 	}
-	f.node.State.Slow = hardlyServed
+	f.node.State.Delay = hardlyServed
 	f.w.After(f.duration, func() {
 		for _, n := range f.d.Nodes {
-			n.State.Slow = 0
+			n.State.Delay = 0
 		}
 	})
 }
--- a/internal/testkit/services_test.go
+++ b/internal/testkit/services_test.go
@@ -18,17 +18,17 @@
 	served, samples := 0, 0
 	w.Run(60 * clock.Second)
 	w.Every(clock.Second, func() {
-		if j.wantsEnd {
+		if j.cancelRequested {
 			return
 		}
 		samples += spec.Tasks
 		for n := range spec.Tasks {
-			served += min(len(j.places[n]), 1)
+			served += min(len(j.machines[n]), 1)
 		}
 	})
 	w.Run(400 * clock.Second)
-	if j.told != "" {
-		t.Fatalf("the user was told %q, want no end", j.told)
+	if j.finalStatus != "" {
+		t.Fatalf("the user was told %q, want no end", j.finalStatus)
 	}
 	if served*100 < samples*85 {
 		t.Errorf("%d of %d replica seconds were served, want 85 in 100", served, samples)
@@ -36,7 +36,7 @@
 	confirmCancel(w, d, j)
 	w.Run(w.Now() + 60*clock.Second)
 	mustKeepRules(t, w)
-	for n, on := range j.places {
+	for n, on := range j.machines {
 		if len(on) > 0 {
 			t.Errorf("replica %d still runs, want it stopped", n)
 		}
@@ -57,8 +57,8 @@
 	j := d.Submit(spec, 0, false)
 	d.Submit(array("job-000002", "open", 8, 4, 600), 600*clock.Second, false)
 	w.Run(80 * clock.Second)
-	var lost *Worker
-	for _, on := range j.places {
+	var lost *FakeWorker
+	for _, on := range j.machines {
 		for m := range on {
 			lost = m
 		}
@@ -67,7 +67,7 @@
 	at := w.Now()
 	away := func() bool {
 		for n := range spec.Tasks {
-			if len(j.places[n]) == 0 || j.places[n][lost] {
+			if len(j.machines[n]) == 0 || j.machines[n][lost] {
 				return true
 			}
 		}
--- a/internal/testkit/store.go
+++ b/internal/testkit/store.go
@@ -41,11 +41,11 @@
 	maxExpiryDelay = 100 * clock.Millisecond
 )
 
-// State is a fake of the consensus-backed key-value store: one linearizable copy, without replicas.
+// FakeStore is a fake of the consensus-backed key-value store: one linearizable copy, without replicas.
 // Controllers reach it by the clients that For returns.
-type State struct {
+type FakeStore struct {
 	w        *World
-	keys     map[string]entry
+	entries  map[string]entry
 	leases   map[int64]*lease
 	log      []protocol.Event
 	revision int64
@@ -73,16 +73,16 @@
 	Page int
 }
 
-// NewState returns an empty store.
-func NewState(w *World) *State {
-	return &State{
-		w: w, keys: map[string]entry{}, leases: map[int64]*lease{},
+// NewFakeStore returns an empty store.
+func NewFakeStore(w *World) *FakeStore {
+	return &FakeStore{
+		w: w, entries: map[string]entry{}, leases: map[int64]*lease{},
 		Kept: defaultKeptRevisions, Page: defaultPageSize,
 	}
 }
 
 // Outage makes the store refuse every request, or serve again; then leases have their full time.
-func (s *State) Outage(on bool) {
+func (s *FakeStore) Outage(on bool) {
 	s.outage = on
 	if on {
 		return
@@ -94,7 +94,7 @@
 }
 
 // grantLease creates a lease and returns its id.
-func (s *State) grantLease(ttl clock.Micros) int64 {
+func (s *FakeStore) grantLease(ttl clock.Micros) int64 {
 	s.leaseSeq++
 	s.leases[s.leaseSeq] = &lease{ttl: ttl}
 	s.renewLease(s.leaseSeq)
@@ -102,7 +102,7 @@
 }
 
 // renewLease gives a lease its full time from now on and schedules its expiry.
-func (s *State) renewLease(id int64) {
+func (s *FakeStore) renewLease(id int64) {
 	l := s.leases[id]
 	l.expiresAt = s.w.now + l.ttl
 	due := l.expiresAt
@@ -114,10 +114,10 @@
 }
 
 // expireLease removes a lease with all entries bound to it.
-func (s *State) expireLease(id int64) {
+func (s *FakeStore) expireLease(id int64) {
 	delete(s.leases, id)
 	var bound []string
-	for key, e := range s.keys {
+	for key, e := range s.entries {
 		if e.lease == id {
 			bound = append(bound, key)
 		}
@@ -133,26 +133,26 @@
 }
 
 // put stores a value at the present revision.
-func (s *State) put(key string, value []byte, lease int64) {
-	s.keys[key] = entry{value, s.revision, lease}
+func (s *FakeStore) put(key string, value []byte, lease int64) {
+	s.entries[key] = entry{value, s.revision, lease}
 	s.log = append(s.log, protocol.Event{Put: key, Value: value, Version: s.revision})
 }
 
 // remove deletes a key at the present revision.
-func (s *State) remove(key string) {
-	delete(s.keys, key)
+func (s *FakeStore) remove(key string) {
+	delete(s.entries, key)
 	s.log = append(s.log, protocol.Event{Delete: key, Version: s.revision})
 }
 
 // notifyWatchers responds to the watchers for which there are changes.
-func (s *State) notifyWatchers() {
+func (s *FakeStore) notifyWatchers() {
 	if s.outage {
 		return
 	}
 	waiting := s.watchers
 	s.watchers = nil
 	for _, x := range waiting {
-		if !x.link.Refused && len(s.eventsSince(x.prefix, x.from)) > 0 {
+		if !x.link.StoreRefuses && len(s.eventsSince(x.prefix, x.from)) > 0 {
 			x.done = true
 			x.reply()
 		} else if !x.done {
@@ -162,7 +162,7 @@
 }
 
 // eventsSince lists the changes of keys with a prefix after a revision.
-func (s *State) eventsSince(prefix string, revision int64) []protocol.Event {
+func (s *FakeStore) eventsSince(prefix string, revision int64) []protocol.Event {
 	var events []protocol.Event
 	for i := len(s.log) - 1; i >= 0 && s.log[i].Version > revision; i-- {
 		if e := s.log[i]; strings.HasPrefix(e.Put+e.Delete, prefix) {
@@ -174,9 +174,9 @@
 }
 
 // keysAfter lists the keys with a prefix that follow another in their order.
-func (s *State) keysAfter(prefix, after string) []string {
+func (s *FakeStore) keysAfter(prefix, after string) []string {
 	var keys []string
-	for key := range s.keys {
+	for key := range s.entries {
 		if strings.HasPrefix(key, prefix) && key > after {
 			keys = append(keys, key)
 		}
--- a/internal/testkit/storeclient.go
+++ b/internal/testkit/storeclient.go
@@ -18,17 +18,17 @@
 )
 
 // For returns the store as one process reaches it over a link.
-func (s *State) For(p *Process, l *Link) statestore.Store { return &storeClient{s, p, l} }
+func (s *FakeStore) For(p *Process, l *Link) statestore.Store { return &storeClient{s, p, l} }
 
 // storeClient is a process's connection to the store.
 type storeClient struct {
-	store *State
+	store *FakeStore
 	p     *Process
 	link  *Link
 }
 
 // served reports whether the store takes requests of this client.
-func (c *storeClient) served() bool { return !c.store.outage && !c.link.Refused }
+func (c *storeClient) served() bool { return !c.store.outage && !c.link.StoreRefuses }
 
 // request carries a request to the store, which may refuse it, and its response back.
 func request[T any](
@@ -52,7 +52,7 @@
 // Get reads one value.
 func (c *storeClient) Get(key string, done func(statestore.Reply[protocol.Item])) {
 	request(c, done, func() statestore.Reply[protocol.Item] {
-		e, ok := c.store.keys[key]
+		e, ok := c.store.entries[key]
 		if !ok {
 			return statestore.Reply[protocol.Item]{Status: http.StatusNotFound}
 		}
@@ -68,7 +68,7 @@
 		keys := s.keysAfter(prefix, from)
 		list := protocol.ItemList{Revision: s.revision, More: len(keys) > s.Page}
 		for _, key := range keys[:min(s.Page, len(keys))] {
-			e := s.keys[key]
+			e := s.entries[key]
 			list.Items = append(list.Items, protocol.Item{Key: key, Value: e.value, Version: e.version})
 		}
 		return statestore.Reply[protocol.ItemList]{Status: http.StatusOK, Value: list}
@@ -90,7 +90,7 @@
 
 // commitLate executes a transaction after newer ones, if the store serves the client then.
 func (c *storeClient) commitLate(t protocol.Txn) {
-	c.p.leaves(func() {
+	c.p.send(func() {
 		c.store.w.After(c.store.w.Between(minWriteDelay, maxWriteDelay), func() {
 			if c.served() {
 				c.store.commit(t)
@@ -108,11 +108,11 @@
 	}
 	for _, x := range t.Changes {
 		if !guarded[x.Put+x.Delete] {
-			c.store.w.Break(unguarded, "a change of %s", x.Put+x.Delete)
+			c.store.w.Violate(unguarded, "a change of %s", x.Put+x.Delete)
 		}
 	}
 	if use == statestore.ForLeader && !guarded[leadership.Key] {
-		c.store.w.Break(unguarded, "a leader's change without the leader's key")
+		c.store.w.Violate(unguarded, "a leader's change without the leader's key")
 	}
 }
 
--- a/internal/testkit/storeoutage_test.go
+++ b/internal/testkit/storeoutage_test.go
@@ -18,7 +18,7 @@
 		for seed := uint64(31); seed < 36; seed++ {
 			w, d, j, other := twoJobs(t, seed, 300*clock.Second)
 			leader := mustLead(t, d)
-			leader.State.Refused = true
+			leader.State.StoreRefuses = true
 			w.Run(w.Now() + w.Between(0, 500*clock.Millisecond))
 			confirmCancel(w, d, j)
 			d.State.Outage(true)
@@ -35,7 +35,7 @@
 				}
 				break
 			}
-			hung := sortedKeys(j.places[0])[0]
+			hung := sortedKeys(j.machines[0])[0]
 			hung.Hung = silent == "nobody"
 			w.Run(w.Now() + 45*clock.Second)
 			mustKeepRules(t, w)
@@ -52,7 +52,7 @@
 				t.Fatalf("%d workers lost their tasks though all controllers attest, want none", expired(d))
 			}
 			d.State.Outage(false)
-			leader.State.Refused = false
+			leader.State.StoreRefuses = false
 			w.Run(w.Now() + 600*clock.Second)
 			mustBeDone(t, w, other)
 		}
@@ -64,11 +64,11 @@
 func TestLeaderWithoutRecordsRenewsNoLeases(t *testing.T) {
 	w, d, j, _ := twoJobs(t, 41, 300*clock.Second)
 	first := mustLead(t, d)
-	epoch := d.State.keys[leadership.Key].version
-	first.State.Refused = true
+	epoch := d.State.entries[leadership.Key].version
+	first.State.StoreRefuses = true
 	confirmCancel(w, d, j)
 	first.Crash()
-	for d.State.keys[leadership.Key].version <= epoch {
+	for d.State.entries[leadership.Key].version <= epoch {
 		w.Run(w.Now() + 200)
 	}
 	d.State.Outage(true) // the response to its campaign is on its way
@@ -82,7 +82,7 @@
 func TestRefusedLeaderLearnsOfItsSuccessor(t *testing.T) {
 	w, d, j, _ := twoJobs(t, 45, 300*clock.Second)
 	old := mustLead(t, d)
-	old.State.Refused = true
+	old.State.StoreRefuses = true
 	for _, n := range d.Nodes {
 		n.Workers.Cut = n != old
 	}
@@ -92,7 +92,7 @@
 	}
 	for ; w.Now() < refusedAt+30*clock.Second; w.Run(w.Now() + 100*clock.Millisecond) {
 		status := 0
-		old.Dispatch.Heartbeat(d.Workers()[0].snapshot(), func(s int, _ any) { status = s })
+		old.Dispatch.Heartbeat(d.Workers()[0].newHeartbeat(), func(s int, _ any) { status = s })
 		w.Run(w.Now() + clock.Millisecond)
 		if status == http.StatusMisdirectedRequest {
 			break
@@ -115,7 +115,7 @@
 		// It keeps workers up, with room left.
 		keep := d.Submit(array("job-000001", "open", 6, 6, 300), 300*clock.Second, false)
 		w.Run(40 * clock.Second)
-		if len(keep.places) == 0 {
+		if len(keep.machines) == 0 {
 			t.Fatal("no task runs, want six")
 		}
 		d.State.LateWrites = 0.5
--- a/internal/testkit/storerecords.go
+++ b/internal/testkit/storerecords.go
@@ -6,11 +6,11 @@
 )
 
 // leads reports whether the epoch is that of the leader by the store.
-func (s *State) leads(epoch int64) bool { return s.keys[leadership.Key].version == epoch }
+func (s *FakeStore) leads(epoch int64) bool { return s.entries[leadership.Key].version == epoch }
 
 // record decodes a job's record, without its shards; nil if there is none.
-func (s *State) record(job string) *ledger.Job {
-	e, ok := s.keys[ledger.Key(job)]
+func (s *FakeStore) record(job string) *ledger.Job {
+	e, ok := s.entries[ledger.Key(job)]
 	if !ok {
 		return nil
 	}
@@ -22,15 +22,15 @@
 }
 
 // wholeRecord decodes a job's record with its shards; nil if there is none.
-func (s *State) wholeRecord(job string) *ledger.Job {
+func (s *FakeStore) wholeRecord(job string) *ledger.Job {
 	j := s.record(job)
 	if j == nil {
 		return nil
 	}
 	for part := range j.Parts() {
-		if e, ok := s.keys[ledger.PartKey(job, part)]; ok {
+		if e, ok := s.entries[ledger.PartKey(job, part)]; ok {
 			if err := j.ApplyPart(part, e.value); err != nil {
-				s.w.Break(badRecord, "part %d of %s: %v", part, job, err)
+				s.w.Violate(badRecord, "part %d of %s: %v", part, job, err)
 			}
 		}
 	}
@@ -38,13 +38,13 @@
 }
 
 // assigned reports whether a job's record has an attempt on a machine.
-func (s *State) assigned(k taskKey, attempt int64, machine string) bool {
+func (s *FakeStore) assigned(k taskKey, attempt int64, machine string) bool {
 	j := s.wholeRecord(k.job)
 	return j != nil && j.Placed[k.task].Attempt == attempt && j.Placed[k.task].Machine == machine
 }
 
 // final reports whether a job's record is final.
-func (s *State) final(job string) bool {
+func (s *FakeStore) final(job string) bool {
 	j := s.record(job)
 	return j != nil && j.Final()
 }
--- a/internal/testkit/storetxn.go
+++ b/internal/testkit/storetxn.go
@@ -15,7 +15,7 @@
 const guardsPerChange = 4
 
 // Limit sets the limits of the settings, the rate of changes only if asked for.
-func (s *State) Limit(l settings.State, rate bool) {
+func (s *FakeStore) Limit(l settings.State, rate bool) {
 	s.ValueBytes, s.TxnOps = l.ValueBytes(), l.TxnOps
 	if rate {
 		s.ChangesPerS = int(l.WriteRps)
@@ -23,7 +23,7 @@
 }
 
 // limitExceeded returns the status with which the limits refuse a transaction, 0 if they allow it.
-func (s *State) limitExceeded(t protocol.Txn) int {
+func (s *FakeStore) limitExceeded(t protocol.Txn) int {
 	if s.TxnOps > 0 && (len(t.Changes) > s.TxnOps || len(t.Guards) > guardsPerChange*s.TxnOps) {
 		return http.StatusBadRequest
 	}
@@ -43,10 +43,10 @@
 }
 
 // failedGuards lists the keys that don't have the versions which a transaction requires.
-func (s *State) failedGuards(t protocol.Txn) []string {
+func (s *FakeStore) failedGuards(t protocol.Txn) []string {
 	var failed []string
 	for _, g := range t.Guards {
-		if s.keys[g.Key].version != g.Version {
+		if s.entries[g.Key].version != g.Version {
 			failed = append(failed, g.Key)
 		}
 	}
@@ -54,7 +54,7 @@
 }
 
 // leasesExist reports whether there are all leases to which a transaction binds entries.
-func (s *State) leasesExist(t protocol.Txn) bool {
+func (s *FakeStore) leasesExist(t protocol.Txn) bool {
 	for _, c := range t.Changes {
 		if c.Lease != 0 && s.leases[c.Lease] == nil {
 			return false
@@ -64,7 +64,7 @@
 }
 
 // commit executes a compare-and-swap transaction, or refuses it as a whole.
-func (s *State) commit(t protocol.Txn) statestore.Reply[protocol.TxnAnswer] {
+func (s *FakeStore) commit(t protocol.Txn) statestore.Reply[protocol.TxnAnswer] {
 	respond := func(status int, answer protocol.TxnAnswer) statestore.Reply[protocol.TxnAnswer] {
 		return statestore.Reply[protocol.TxnAnswer]{Status: status, Value: answer}
 	}
@@ -83,7 +83,7 @@
 }
 
 // apply makes the changes of a transaction at a new revision.
-func (s *State) apply(changes []protocol.Change) {
+func (s *FakeStore) apply(changes []protocol.Change) {
 	if len(changes) > 0 {
 		s.revision++
 	}
@@ -96,7 +96,7 @@
 		if s.CheckPut != nil {
 			s.CheckPut(c.Put, c.Value)
 		}
-		if strings.HasPrefix(c.Put, delegation.Prefix) && s.keys[c.Put].version == 0 {
+		if strings.HasPrefix(c.Put, delegation.Prefix) && s.entries[c.Put].version == 0 {
 			s.delegationsStored++
 		}
 		s.put(c.Put, c.Value, c.Lease)
--- a/internal/testkit/tasks.go
+++ b/internal/testkit/tasks.go
@@ -25,32 +25,32 @@
 // task is an attempt on a machine, until the machine forgets it.
 type task struct {
 	taskKey
-	attempt int64
-	status  string
-	cause   string // of its exit
-	saved   bool
-	onIt    bool // has its image and hasn't ended
+	attempt  int64
+	status   string
+	cause    string // of its exit
+	saved    bool
+	resident bool // has its image and hasn't ended
 }
 
 // killAll ends all tasks at once; nothing of them is left to report.
-func (m *Worker) killAll() {
+func (m *FakeWorker) killAll() {
 	for _, t := range m.tasks {
 		m.leave(t)
 	}
 	m.tasks = nil
-	m.d.notice()
+	m.d.noticeLostTasks()
 }
 
 // leave notes that a task isn't on the machine any more.
-func (m *Worker) leave(t *task) {
-	if t.onIt {
-		t.onIt = false
-		m.d.left(t.taskKey, m)
+func (m *FakeWorker) leave(t *task) {
+	if t.resident {
+		t.resident = false
+		m.d.taskEnded(t.taskKey, m)
 	}
 }
 
 // find is an attempt on the machine, or nil.
-func (m *Worker) find(k taskKey, attempt int64) *task {
+func (m *FakeWorker) find(k taskKey, attempt int64) *task {
 	for _, t := range m.tasks {
 		if t.taskKey == k && t.attempt == attempt {
 			return t
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// carryOut executes a controller's commands.
-func (m *Worker) carryOut(commands []protocol.Order) {
+// execute executes a controller's commands.
+func (m *FakeWorker) execute(commands []protocol.Order) {
 	for _, c := range commands {
 		id, n, _ := protocol.ParseTask(c.Task)
 		key := taskKey{id, n}
@@ -78,7 +78,7 @@
 }
 
 // forget drops an attempt that has exited; its end must be in the record by then.
-func (m *Worker) forget(k taskKey, attempt int64) {
+func (m *FakeWorker) forget(k taskKey, attempt int64) {
 	for i, t := range m.tasks {
 		if t.taskKey != k || t.attempt != attempt || t.status != protocol.TaskExited {
 			continue
@@ -86,7 +86,7 @@
 		m.tasks = append(m.tasks[:i:i], m.tasks[i+1:]...)
 		m.forgotten[taskRef{k, attempt}] = true
 		if m.d.State.assigned(k, attempt, m.name) {
-			m.d.World.Break(forgotEarly, "%s attempt %d: its end is not in the record",
+			m.d.World.Violate(forgotEarly, "%s attempt %d: its end is not in the record",
 				protocol.TaskName(k.job, k.task), attempt)
 		}
 		return
@@ -94,22 +94,22 @@
 }
 
 // start begins an attempt: it fetches its image unless the machine refuses it.
-func (m *Worker) start(k taskKey, attempt int64) {
+func (m *FakeWorker) start(k taskKey, attempt int64) {
 	if m.find(k, attempt) != nil {
 		return
 	}
 	m.checkRestart(k, attempt)
 	t := &task{taskKey: k, attempt: attempt, status: protocol.TaskExited}
 	m.tasks = append(m.tasks, t)
-	m.change()
-	if t.cause = m.refuses(k, attempt); t.cause != "" {
+	m.scheduleHeartbeat()
+	if t.cause = m.refusal(k, attempt); t.cause != "" {
 		return
 	}
 	t.status = protocol.TaskFetching
-	session := m.session
+	session := m.incarnation
 	m.d.World.After(m.d.World.Between(0, maxFetchTime), func() {
 		m.do(func() {
-			if m.session == session && t.status == protocol.TaskFetching && m.find(k, attempt) == t {
+			if m.incarnation == session && t.status == protocol.TaskFetching && m.find(k, attempt) == t {
 				m.fetched(t)
 			}
 		})
@@ -118,15 +118,15 @@
 
 // checkRestart checks that a forgotten attempt doesn't start again. A gang's replacement may have the
 // same attempt, but only by the record; a completed task has kept its result and doesn't run again.
-func (m *Worker) checkRestart(k taskKey, attempt int64) {
+func (m *FakeWorker) checkRestart(k taskKey, attempt int64) {
 	j := m.d.find(k.job)
-	if m.forgotten[taskRef{k, attempt}] && !j.gone[k.task] && !m.d.State.assigned(k, attempt, m.name) {
-		m.d.World.Break(startedAgain, "%s/%d attempt %d after it was forgotten", k.job, k.task, attempt)
+	if m.forgotten[taskRef{k, attempt}] && !j.completed[k.task] && !m.d.State.assigned(k, attempt, m.name) {
+		m.d.World.Violate(startedAgain, "%s/%d attempt %d after it was forgotten", k.job, k.task, attempt)
 	}
 }
 
-// refuses is the cause for which a start is refused, empty if it isn't.
-func (m *Worker) refuses(k taskKey, attempt int64) string {
+// refusal is the cause for which a start is refused, empty if it isn't.
+func (m *FakeWorker) refusal(k taskKey, attempt int64) string {
 	j := m.d.find(k.job)
 	switch {
 	case j == nil:
@@ -143,7 +143,7 @@
 }
 
 // free is what the tasks on the machine leave of it.
-func (m *Worker) free() planner.Amounts {
+func (m *FakeWorker) free() planner.Amounts {
 	var free planner.Amounts
 	for _, ty := range m.d.Cloud.Types {
 		if ty.Name == m.typ {
@@ -159,27 +159,27 @@
 }
 
 // fetched continues with a task that has its image.
-func (m *Worker) fetched(t *task) {
+func (m *FakeWorker) fetched(t *task) {
 	j := m.d.find(t.job)
-	t.onIt = true
-	m.d.arrived(t.taskKey, m)
+	t.resident = true
+	m.d.taskStarted(t.taskKey, m)
 	switch {
-	case m.Faulty || j.mistaken:
+	case m.Faulty || j.failing:
 		m.exit(t, protocol.CauseError)
-	case j.gone[t.task]:
+	case j.completed[t.task]:
 		m.exit(t, protocol.CauseDone)
 	case j.spec.Gang():
-		m.wait(t)
-		m.d.gather(t.job, t.attempt)
+		m.waitForGang(t)
+		m.d.startGang(t.job, t.attempt)
 	default:
 		m.run(t, j)
 	}
 }
 
-// wait lets a gang's task wait for the others, for a time at most.
-func (m *Worker) wait(t *task) {
+// waitForGang lets a gang's task wait for the others, for a time at most.
+func (m *FakeWorker) waitForGang(t *task) {
 	t.status = protocol.TaskWaiting
-	m.change()
+	m.scheduleHeartbeat()
 	m.d.World.After(clock.FromSeconds(m.d.Settings.Deployment.Workers.GangWaitS), func() {
 		m.do(func() {
 			if t.status == protocol.TaskWaiting {
@@ -190,18 +190,18 @@
 }
 
 // run lets a task run for a random time about its job's, or until it is stopped.
-func (m *Worker) run(t *task, j *Job) {
+func (m *FakeWorker) run(t *task, j *Job) {
 	t.status = protocol.TaskRunning
-	m.change()
+	m.scheduleHeartbeat()
 	if j.spec.Service() && j.run == 0 {
 		return
 	}
 	m.d.World.After(m.d.World.Between(j.run/2, j.run*3/2), func() {
 		m.do(func() {
 			switch {
-			case t.status != protocol.TaskRunning || !t.onIt:
+			case t.status != protocol.TaskRunning || !t.resident:
 			case j.spec.Gang():
-				m.d.gangDone(t.job, t.attempt)
+				m.d.completeGang(t.job, t.attempt)
 			default:
 				m.exit(t, protocol.CauseDone)
 			}
@@ -210,17 +210,17 @@
 }
 
 // exit ends a task.
-func (m *Worker) exit(t *task, cause string) {
+func (m *FakeWorker) exit(t *task, cause string) {
 	t.status, t.cause = protocol.TaskExited, cause
 	if j := m.d.find(t.job); cause == protocol.CauseDone && !j.spec.Service() {
 		j.complete(t.task, m.d.CancelAtEnd)
 	}
 	m.leave(t)
-	m.change()
+	m.scheduleHeartbeat()
 }
 
 // stop ends a task, after it has saved a checkpoint if it can within the grace period.
-func (m *Worker) stop(t *task, graceS float64) {
+func (m *FakeWorker) stop(t *task, graceS float64) {
 	spec := &m.d.find(t.job).spec
 	if t.status == protocol.TaskRunning && spec.CheckpointS > 0 && graceS >= spec.SaveS {
 		m.save(t, clock.FromSeconds(spec.SaveS))
@@ -233,9 +233,9 @@
 }
 
 // save lets a task save a checkpoint and exit.
-func (m *Worker) save(t *task, duration clock.Micros) {
+func (m *FakeWorker) save(t *task, duration clock.Micros) {
 	t.status = protocol.TaskSaving
-	m.change()
+	m.scheduleHeartbeat()
 	m.d.World.After(duration, func() {
 		m.do(func() {
 			if t.status == protocol.TaskSaving {
--- a/internal/testkit/transfer_test.go
+++ b/internal/testkit/transfer_test.go
@@ -16,19 +16,19 @@
 // go to the second, which has few. Later the first gets machines for a short job, and the tasks that
 // wait return to it.
 type transfer struct {
-	w          *World
-	home, host *Deployment
-	job        *Job
-	history    *History
+	w            *World
+	origin, host *Deployment
+	job          *Job
+	history      *History
 }
 
-const homeGrowsAt = 45 * clock.Second
+const originGrowsAt = 45 * clock.Second
 
 func newTransfer(seed uint64, gang bool) *transfer {
 	w := NewWorld(seed)
 	g := NewGroup(w, []*settings.Settings{testSettings(), testSettings()}, testTypes()[:1], groupGuests,
 		"[[spill]]\nfrom = \"alpha\"\nto = [\"beta\"]\n", 0)
-	x := &transfer{w: w, home: g.Cells[0], host: g.Cells[1]}
+	x := &transfer{w: w, origin: g.Cells[0], host: g.Cells[1]}
 	x.history = NewHistory(w, g.Cells...)
 	for _, d := range g.Cells {
 		d.Cloud.Reliable = true
@@ -40,11 +40,11 @@
 	if gang {
 		spec.Shape, spec.Tasks, spec.CheckpointS, spec.SaveS = protocol.ShapeGang, 4, 5, 1
 	}
-	x.job = x.home.Submit(spec, 25*clock.Second, false)
+	x.job = x.origin.Submit(spec, 25*clock.Second, false)
 	x.host.Submit(array("job-000001", "open", 1, 4, 20), 20*clock.Second, false) // the same id
-	w.After(homeGrowsAt, func() {
-		x.home.Cloud.Capacity[fleet.Kind{Type: "small", Zone: "b"}] = 4
-		x.home.Submit(array("job-000002", "open", 8, 4, 3), 3*clock.Second, false)
+	w.After(originGrowsAt, func() {
+		x.origin.Cloud.Capacity[fleet.Kind{Type: "small", Zone: "b"}] = 4
+		x.origin.Submit(array("job-000002", "open", 8, 4, 3), 3*clock.Second, false)
 	})
 	return x
 }
@@ -57,23 +57,23 @@
 }{
 	{"placed with the host", func(x *transfer) bool { return x.elsewhere() > 0 }, true},
 	{"offered", func(x *transfer) bool { return x.inState(delegation.Offered) }, true},
-	{"recorded by the host", func(x *transfer) bool { return x.guest() != nil }, true},
+	{"recorded by the host", func(x *transfer) bool { return x.hosted() != nil }, true},
 	{"accepted", func(x *transfer) bool { return x.inState(delegation.Accepted) }, true},
-	{"running", func(x *transfer) bool { return len(x.job.places) > 0 }, true},
-	{"partly done", func(x *transfer) bool { return len(x.job.gone) > 0 }, false},
-	{"done tasks at home", func(x *transfer) bool { return x.done() > 0 }, true},
+	{"running", func(x *transfer) bool { return len(x.job.machines) > 0 }, true},
+	{"partly done", func(x *transfer) bool { return len(x.job.completed) > 0 }, false},
+	{"done tasks at the origin", func(x *transfer) bool { return x.done() > 0 }, true},
 	{"recalled", func(x *transfer) bool { return x.inState(delegation.Recalled) }, false},
-	{"closed", func(x *transfer) bool { return x.guest() != nil && x.guest().Guest.Closed }, false},
-	{"over for the host", func(x *transfer) bool { return x.guest() != nil && x.guest().Final() }, true},
-	{"forgotten by home", func(x *transfer) bool { return x.guest() != nil && !x.delegated() }, true},
+	{"closed", func(x *transfer) bool { return x.hosted() != nil && x.hosted().Guest.Closed }, false},
+	{"over for the host", func(x *transfer) bool { return x.hosted() != nil && x.hosted().Final() }, true},
+	{"forgotten by the origin", func(x *transfer) bool { return x.hosted() != nil && !x.delegated() }, true},
 	{"forgotten by the host", func(x *transfer) bool {
-		return x.done() > 0 && x.guest() == nil && !x.delegated()
+		return x.done() > 0 && x.hosted() == nil && !x.delegated()
 	}, true},
 }
 
 func (x *transfer) elsewhere() int {
 	n := 0
-	if j := x.home.State.record(x.job.spec.ID); j != nil {
+	if j := x.origin.State.record(x.job.spec.ID); j != nil {
 		for _, p := range j.Placed {
 			if p.Host() != "" {
 				n++
@@ -84,7 +84,7 @@
 }
 
 func (x *transfer) done() int {
-	if j := x.home.State.record(x.job.spec.ID); j != nil {
+	if j := x.origin.State.record(x.job.spec.ID); j != nil {
 		return j.Done.Len()
 	}
 	return 0
@@ -92,7 +92,7 @@
 
 func (x *transfer) records() []delegation.Record {
 	var records []delegation.Record
-	for key, e := range x.home.State.keys {
+	for key, e := range x.origin.State.entries {
 		if strings.HasPrefix(key, delegation.Prefix) {
 			if r, err := delegation.DecodeRecord(key, e.value); err == nil {
 				records = append(records, r)
@@ -113,8 +113,8 @@
 	return false
 }
 
-func (x *transfer) guest() *ledger.Job {
-	for key := range x.host.State.keys {
+func (x *transfer) hosted() *ledger.Job {
+	for key := range x.host.State.entries {
 		id := strings.TrimPrefix(key, ledger.Prefix)
 		if _, _, _, guest := ledger.ParseGuestID(id); guest {
 			return x.host.State.record(id)
@@ -133,13 +133,13 @@
 	t.Helper()
 	x.w.Run(x.w.Now() + 300*clock.Second)
 	wrong := x.w.Broken
-	if x.job.told == protocol.StatusDone {
+	if x.job.finalStatus == protocol.StatusDone {
 		wrong = append(wrong, x.history.Judge([]*Job{x.job})...)
 	}
-	if x.job.told == "" {
+	if x.job.finalStatus == "" {
 		wrong = append(wrong, fmt.Sprintf("%d of %d tasks are done", x.done(), x.job.spec.Tasks))
 	}
-	for _, d := range []*Deployment{x.home, x.host} {
+	for _, d := range []*Deployment{x.origin, x.host} {
 		if left := d.State.delegations(); len(left) > 0 {
 			wrong = append(wrong, fmt.Sprintf("%s still has %v", d.name, left))
 		}
--- a/internal/testkit/upgrade_test.go
+++ b/internal/testkit/upgrade_test.go
@@ -32,9 +32,9 @@
 }
 
 // shards are the keys of all shards of records that are stored.
-func (s *State) shards() []string {
+func (s *FakeStore) shards() []string {
 	var keys []string
-	for key := range s.keys {
+	for key := range s.entries {
 		if strings.HasPrefix(key, ledger.PartsPrefix) {
 			keys = append(keys, key)
 		}
@@ -145,7 +145,7 @@
 		if !leads {
 			leaderless++
 		}
-		if e := d.State.keys["lead/controller"].version; e != 0 && e != epoch {
+		if e := d.State.entries["lead/controller"].version; e != 0 && e != epoch {
 			epoch = e
 			elections++
 		}
@@ -162,11 +162,11 @@
 	w.Run(w.Now() + 300*clock.Second)
 	mustKeepRules(t, w)
 	mustBeDone(t, w, j)
-	for key := range d.State.keys {
+	for key := range d.State.entries {
 		if strings.HasPrefix(key, "rollout/") {
 			continue
 		}
-		if size := protocol.JSONSize(d.State.keys[key].value); size > 2<<10 {
+		if size := protocol.JSONSize(d.State.entries[key].value); size > 2<<10 {
 			t.Errorf("%s has %d bytes, want 2048 at most", key, size)
 		}
 	}
--- a/internal/testkit/userfaults.go
+++ b/internal/testkit/userfaults.go
@@ -18,13 +18,13 @@
 	w := d.World
 	hung := 0
 	for _, j := range d.Jobs() {
-		if n == 0 || !j.accepted() || j.wantsEnd || j.told != "" || !d.onMachines(j) {
+		if n == 0 || !j.accepted() || j.cancelRequested || j.finalStatus != "" || !d.onMachines(j) {
 			continue
 		}
 		n--
 		w.After(w.Between(0, 200*clock.Millisecond), func() { d.Cancel(j) })
 		for t := range j.spec.Tasks {
-			for _, m := range sortedKeys(j.places[t]) {
+			for _, m := range sortedKeys(j.machines[t]) {
 				if hung++; hang > 0 && hung <= maxHung && !m.Hung {
 					m.Hung = true
 					w.After(hang, m.Resume)
@@ -39,9 +39,9 @@
 func sendInvalidRequests(d *Deployment) {
 	for i, j := range d.Jobs() {
 		switch {
-		case j.accepted() && j.told == "":
+		case j.accepted() && j.finalStatus == "":
 			d.submit(j)
-		case j.told == protocol.StatusDone && i%3 == 0:
+		case j.finalStatus == protocol.StatusDone && i%3 == 0:
 			d.Cancel(j)
 		}
 	}
@@ -51,10 +51,10 @@
 	greedy.Shape, greedy.Tasks, greedy.Gpus = protocol.ShapeGang, 5, 1
 	unknown.Team = "nobody"
 	for _, s := range []protocol.JobSpec{huge, greedy, unknown} {
-		d.Refused(protocol.Encode(s))
+		d.SubmitInvalid(protocol.Encode(s))
 	}
 	for _, field := range submissionFields {
-		d.Refused(withoutField(good, field))
+		d.SubmitInvalid(withoutField(good, field))
 	}
 }
 
--- a/internal/testkit/users.go
+++ b/internal/testkit/users.go
@@ -46,24 +46,24 @@
 		done(status, s)
 	}
 	d.World.After(userTimeout, func() { finish(0, nil) })
-	if !n.proc.alive || d.cut[n.Zone] != nil {
+	if !n.process.alive || d.cut[n.Zone] != nil {
 		return
 	}
-	proc := n.proc
+	proc := n.process
 	d.World.After(userLatency, func() {
 		if !proc.alive {
 			return
 		}
 		n.requests.Handle(r, func(a intake.Answer) {
-			proc.leaves(func() { d.World.After(userLatency, func() { finish(a.Status, a.Body) }) })
+			proc.send(func() { d.World.After(userLatency, func() { finish(a.Status, a.Body) }) })
 		})
 	})
 }
 
 // Submit has a user submit a job, ask about it until it is over and now and then repeat the submission.
-// Tasks of mistaken jobs fail.
-func (d *Deployment) Submit(spec protocol.JobSpec, run clock.Micros, mistaken bool) *Job {
-	j := newJob(d, spec, run, mistaken)
+// The tasks of failing jobs fail.
+func (d *Deployment) Submit(spec protocol.JobSpec, run clock.Micros, failing bool) *Job {
+	j := newJob(d, spec, run, failing)
 	d.jobs[spec.ID] = j
 	d.order = append(d.order, j)
 	d.submit(j)
@@ -72,14 +72,14 @@
 
 // submit sends the job's submission until a controller accepts it.
 func (d *Deployment) submit(j *Job) {
-	before := j.told
+	before := j.finalStatus
 	request := intake.Request{Kind: intake.Submit, Body: protocol.Encode(j.spec)}
 	d.ask(request, func(status int, s protocol.JobStatus) {
 		switch status {
 		case http.StatusCreated, http.StatusOK:
 			d.submitted(j, before, s)
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
-			d.World.Break(forgotten, "%s answered %d", j.spec.ID, status)
+			d.World.Violate(forgotten, "%s answered %d", j.spec.ID, status)
 		default:
 			d.World.After(retryInterval, func() { d.submit(j) })
 		}
@@ -98,11 +98,11 @@
 	}
 }
 
-// Refused has a user submit something that must not be accepted.
-func (d *Deployment) Refused(body []byte) {
+// SubmitInvalid has a user submit something that must not be accepted.
+func (d *Deployment) SubmitInvalid(body []byte) {
 	d.ask(intake.Request{Kind: intake.Submit, Body: body}, func(status int, _ protocol.JobStatus) {
 		if status == http.StatusOK || status == http.StatusCreated {
-			d.World.Break(acceptedInvalid, "answered %d: %x", status, body)
+			d.World.Violate(acceptedInvalid, "answered %d: %x", status, body)
 		}
 	})
 }
@@ -110,16 +110,16 @@
 // poll has the user ask about the job after a while.
 func (d *Deployment) poll(j *Job) {
 	d.World.After(d.World.Between(minPollInterval, maxPollInterval), func() {
-		before := j.told
+		before := j.finalStatus
 		d.ask(intake.Request{Kind: intake.Show, ID: j.spec.ID}, func(status int, s protocol.JobStatus) {
 			if status == http.StatusNotFound {
-				d.World.Break(forgotten, "%s answered 404", j.spec.ID)
+				d.World.Violate(forgotten, "%s answered 404", j.spec.ID)
 			}
 			if status == http.StatusOK {
-				j.heardAt = d.World.now
+				j.lastResponseAt = d.World.now
 				d.checkStatus(j, before, s)
 			}
-			if j.told == "" || d.World.chance(pollAfterEnd) {
+			if j.finalStatus == "" || d.World.chance(pollAfterEnd) {
 				d.poll(j)
 			}
 			if d.World.chance(resubmission) {
@@ -134,8 +134,8 @@
 	if !j.accepted() {
 		return
 	}
-	j.wantsEnd = true
-	before := j.told
+	j.cancelRequested = true
+	before := j.finalStatus
 	d.ask(intake.Request{Kind: intake.Cancel, ID: j.spec.ID}, func(status int, s protocol.JobStatus) {
 		if status == http.StatusOK {
 			d.checkStatus(j, before, s)
@@ -152,8 +152,8 @@
 func (d *Deployment) Unfinished() []string {
 	var ids []string
 	for _, j := range d.order {
-		if !j.wantsEnd && j.told != protocol.StatusDone && !j.mistaken && !j.spec.Service() {
-			ids = append(ids, fmt.Sprintf("%s (%d of %d)", j.spec.ID, len(j.gone), j.spec.Tasks))
+		if !j.cancelRequested && j.finalStatus != protocol.StatusDone && !j.failing && !j.spec.Service() {
+			ids = append(ids, fmt.Sprintf("%s (%d of %d)", j.spec.ID, len(j.completed), j.spec.Tasks))
 		}
 	}
 	sort.Strings(ids)
--- a/internal/testkit/watch.go
+++ b/internal/testkit/watch.go
@@ -27,8 +27,9 @@
 	began := d.World.now
 	d.World.Every(5*clock.Second, func() {
 		for _, j := range d.order {
-			if j.accepted() && !j.wantsEnd && j.told == "" && d.World.now > max(j.heardAt, began)+longestSilence {
-				d.World.Break(unanswered, "%s since %.0f s", j.spec.ID, j.heardAt.Seconds())
+			waits := j.accepted() && !j.cancelRequested && j.finalStatus == ""
+			if waits && d.World.now > max(j.lastResponseAt, began)+longestSilence {
+				d.World.Violate(unanswered, "%s since %.0f s", j.spec.ID, j.lastResponseAt.Seconds())
 			}
 		}
 	})
@@ -55,8 +56,8 @@
 
 // disturbed reports whether a fault affects the controller.
 func (n *Node) disturbed() bool {
-	return !n.proc.alive || n.proc.paused || n.Clouds.Cut || n.Workers.Cut ||
-		n.State.Cut || n.State.Refused || n.State.Slow >= hardlyAnswered
+	return !n.process.alive || n.process.paused || n.Clouds.Cut || n.Workers.Cut ||
+		n.State.Cut || n.State.StoreRefuses || n.State.Delay >= hardlyAnswered
 }
 
 // WatchRoom checks from now on that no job waits long while machines that fit have room for it and its team
@@ -65,11 +66,11 @@
 	began := d.World.now
 	d.World.Every(2*clock.Second, func() {
 		for _, j := range d.order {
-			waits := j.accepted() && !j.wantsEnd && j.told == "" && !j.mistaken
+			waits := j.accepted() && !j.cancelRequested && j.finalStatus == "" && !j.failing
 			if !waits || d.onMachines(j) || !d.roomFor(j) {
 				j.idleAt = d.World.now
 			} else if d.World.now > max(j.idleAt, began)+longestWait {
-				d.World.Break(leftWaiting, "%s since %.0f s", j.spec.ID, j.idleAt.Seconds())
+				d.World.Violate(leftWaiting, "%s since %.0f s", j.spec.ID, j.idleAt.Seconds())
 			}
 		}
 	})
@@ -126,12 +127,12 @@
 		for _, j := range d.order {
 			for n := range j.spec.Tasks {
 				k := taskKey{j.spec.ID, n}
-				if !j.mustServe() || len(j.places[n]) > 0 {
+				if !j.mustServe() || len(j.machines[n]) > 0 {
 					delete(awaySince, k)
 				} else if awaySince[k] == 0 {
 					awaySince[k] = d.World.now
 				} else if d.World.now > awaySince[k]+longestAbsence {
-					d.World.Break(unserved, "%s/%d since %.0f s", k.job, n, awaySince[k].Seconds())
+					d.World.Violate(unserved, "%s/%d since %.0f s", k.job, n, awaySince[k].Seconds())
 					awaySince[k] = d.World.now
 				}
 			}
@@ -141,7 +142,7 @@
 
 // mustServe reports whether all replicas of the job have to run.
 func (j *Job) mustServe() bool {
-	return j.spec.Service() && j.run == 0 && !j.wantsEnd && !j.mistaken && j.accepted()
+	return j.spec.Service() && j.run == 0 && !j.cancelRequested && !j.failing && j.accepted()
 }
 
 // watchGangs checks from now on that no gang is placed in part, by its record, for longer than a gang waits
@@ -160,7 +161,7 @@
 			} else if since[j.spec.ID] == 0 {
 				since[j.spec.ID] = d.World.now
 			} else if d.World.now > max(since[j.spec.ID], d.disturbedAt)+longest {
-				d.World.Break(incompleteGang, "%s: %d of %d tasks", j.spec.ID, len(r.Placed), j.spec.Tasks)
+				d.World.Violate(incompleteGang, "%s: %d of %d tasks", j.spec.ID, len(r.Placed), j.spec.Tasks)
 				since[j.spec.ID] = d.World.now
 			}
 		}
--- a/internal/testkit/worker.go
+++ b/internal/testkit/worker.go
@@ -18,8 +18,8 @@
 	failureDelay = 30 * clock.Second
 )
 
-// Worker is a fake of one machine with its agent: it runs tasks under a lease that heartbeats renew.
-type Worker struct {
+// FakeWorker is a fake of one machine with its agent: it runs tasks under a lease that heartbeats renew.
+type FakeWorker struct {
 	d          *Deployment
 	name, addr string
 	typ, zone  string
@@ -28,31 +28,31 @@
 	rentedAt   clock.Micros
 	up, ended  bool
 
-	// session counts the agent's incarnations, counter its heartbeats; epoch is the highest that it
+	// incarnation counts the agent's incarnations, counter its heartbeats; epoch is the highest that it
 	// has seen.
-	session, counter, epoch int64
-	tasks                   []*task
+	incarnation, counter, epoch int64
+	tasks                       []*task
 	// node is the index of the controller to which heartbeats go.
 	node int
-	// answeredSent is when the last heartbeat with a response was sent: the lease counts from then.
-	answeredSent clock.Micros
-	inFlight     bool
+	// leaseStart is when the last heartbeat with a response was sent: the lease counts from then.
+	leaseStart clock.Micros
+	inFlight   bool
 	// changed tells that a heartbeat about a change is scheduled.
 	changed  bool
 	recallAt clock.Micros
 	// Hung machines do nothing until they continue, but their leases expire.
 	Hung bool
-	// frozen is what a hung machine has still to do.
-	frozen []func()
-	// ghosts are the jobs with tasks on the machine when its lease expired while it hung, and when
+	// deferred is what a hung machine has still to do.
+	deferred []func()
+	// expiredJobs are the jobs with tasks on the machine when its lease expired while it hung, and when
 	// that was: the tasks are there until it continues.
-	ghosts map[string]clock.Micros
+	expiredJobs map[string]clock.Micros
 	// Link carries heartbeats and their responses, Commands what controllers send directly.
 	Link, Commands Link
-	// Mute machines reach no controller; what controllers send directly reaches them.
-	Mute bool
-	// Unheeding machines send heartbeats, but neither responses nor commands reach them.
-	Unheeding bool
+	// HeartbeatsLost machines reach no controller; what controllers send directly reaches them.
+	HeartbeatsLost bool
+	// ResponsesLost machines send heartbeats, but neither responses nor commands reach them.
+	ResponsesLost bool
 	// Late is the chance that a copy of a heartbeat arrives long after it.
 	Late float64
 	// forgotten are the attempts of this incarnation that may not start again.
@@ -62,8 +62,8 @@
 }
 
 // boot starts a machine that comes up some time later.
-func (d *Deployment) boot(name string, k fleet.Kind) *Worker {
-	m := &Worker{
+func (d *Deployment) boot(name string, k fleet.Kind) *FakeWorker {
+	m := &FakeWorker{
 		d: d, name: name, addr: d.address(name), typ: k.Type, zone: k.Zone, spot: k.Spot,
 		status: protocol.MachineStarting, rentedAt: d.World.now,
 		Link: Link{w: d.World, Loss: d.Loss}, Commands: Link{w: d.World, Loss: d.Loss},
@@ -82,30 +82,30 @@
 }
 
 // comeUp begins the agent's first incarnation.
-func (m *Worker) comeUp() {
-	m.up, m.status, m.session = true, protocol.MachineRunning, 1
-	m.answeredSent = m.d.World.now
+func (m *FakeWorker) comeUp() {
+	m.up, m.status, m.incarnation = true, protocol.MachineRunning, 1
+	m.leaseStart = m.d.World.now
 	m.node = m.d.World.Rand.IntN(len(m.d.Nodes))
 	m.watchLease()
-	m.reportRegularly()
+	m.sendHeartbeats()
 }
 
 // end stops the machine and all its tasks.
-func (m *Worker) end() {
-	m.ended, m.up, m.ghosts = true, false, nil
+func (m *FakeWorker) end() {
+	m.ended, m.up, m.expiredJobs = true, false, nil
 	m.killAll()
 }
 
 // Die stops the machine without telling anyone; it stays listed as running for a while.
-func (m *Worker) Die() {
+func (m *FakeWorker) Die() {
 	m.end()
 	m.d.World.After(failureDelay, func() { m.status = protocol.MachineFailed })
 }
 
 // do runs something on the machine, once it continues if it hangs.
-func (m *Worker) do(f func()) {
+func (m *FakeWorker) do(f func()) {
 	if m.Hung {
-		m.frozen = append(m.frozen, f)
+		m.deferred = append(m.deferred, f)
 		return
 	}
 	if !m.ended {
@@ -114,69 +114,69 @@
 }
 
 // Resume lets a hung machine continue with what it had to do.
-func (m *Worker) Resume() {
-	m.Hung, m.ghosts = false, nil
-	frozen := m.frozen
-	m.frozen = nil
+func (m *FakeWorker) Resume() {
+	m.Hung, m.expiredJobs = false, nil
+	frozen := m.deferred
+	m.deferred = nil
 	for _, f := range frozen {
 		m.do(f)
 	}
 }
 
-// StartOver lets the agent count its incarnations and heartbeats from one again, with its tasks or
+// RestartCounters lets the agent count its incarnations and heartbeats from one again, with its tasks or
 // without. Its lease and the highest epoch stay.
-func (m *Worker) StartOver(empty bool) {
+func (m *FakeWorker) RestartCounters(empty bool) {
 	if !m.up || m.ended {
 		return
 	}
 	if empty {
 		m.killAll()
 	}
-	m.session, m.counter = 1, 0
-	m.change()
+	m.incarnation, m.counter = 1, 0
+	m.scheduleHeartbeat()
 }
 
 // watchLease ends the incarnation when its lease expires, also if the machine hangs.
-func (m *Worker) watchLease() {
+func (m *FakeWorker) watchLease() {
 	w := m.d.World
 	lease := m.d.Settings.Deployment.Workers.Lease()
-	due := m.answeredSent + lease
+	due := m.leaseStart + lease
 	w.After(due-w.now+1, func() {
-		if !m.ended && m.answeredSent+lease == due {
+		if !m.ended && m.leaseStart+lease == due {
 			m.expire()
 		}
 	})
 }
 
 // expire ends all tasks and begins the next incarnation.
-func (m *Worker) expire() {
+func (m *FakeWorker) expire() {
 	if m.Hung {
-		m.keepGhosts()
+		m.keepExpiredJobs()
 	}
 	m.killAll()
-	m.session++
+	m.incarnation++
 	clear(m.forgotten)
-	m.answeredSent = m.d.World.now
+	m.leaseStart = m.d.World.now
 	m.watchLease()
 }
 
-// keepGhosts remembers the jobs whose tasks a hung machine can't end.
-func (m *Worker) keepGhosts() {
-	if m.ghosts == nil {
-		m.ghosts = map[string]clock.Micros{}
+// keepExpiredJobs remembers the jobs whose tasks a hung machine can't end.
+func (m *FakeWorker) keepExpiredJobs() {
+	if m.expiredJobs == nil {
+		m.expiredJobs = map[string]clock.Micros{}
 	}
 	for _, t := range m.tasks {
-		if t.onIt {
-			m.ghosts[t.job] = m.d.World.now
+		if t.resident {
+			m.expiredJobs[t.job] = m.d.World.now
 		}
 	}
 }
 
 // Workers are the machines that are up, by name.
-func (d *Deployment) Workers() []*Worker {
-	all := append([]*Worker(nil), d.Cloud.all...)
+func (d *Deployment) Workers() []*FakeWorker {
+	all := append([]*FakeWorker(nil), d.Cloud.all...)
 	sort.Slice(all, func(i, j int) bool { return all[i].name < all[j].name })
-	var up []*Worker
+	var up []*FakeWorker
 	for _, m := range all {
 		if m.up {
 			up = append(up, m)
@@ -186,10 +186,10 @@
 }
 
 // Recall has the cloud announce that it takes a machine back, and take it when the notice is over.
-func (d *Deployment) Recall(m *Worker, notice clock.Micros) {
+func (d *Deployment) Recall(m *FakeWorker, notice clock.Micros) {
 	if notice > 0 {
 		m.recallAt = d.World.now + notice
-		m.change()
+		m.scheduleHeartbeat()
 	}
 	d.World.After(notice, func() { d.Cloud.Remove(m.name) })
 }
--- a/internal/testkit/workerfaults.go
+++ b/internal/testkit/workerfaults.go
@@ -27,11 +27,11 @@
 }
 
 func (f *fault) loseResponses() {
-	f.worker.Unheeding = true
-	f.w.After(f.duration, func() { f.worker.Unheeding = false })
+	f.worker.ResponsesLost = true
+	f.w.After(f.duration, func() { f.worker.ResponsesLost = false })
 }
 
 func (f *fault) loseHeartbeats() {
-	f.worker.Mute = true
-	f.w.After(f.duration, func() { f.worker.Mute = false })
+	f.worker.HeartbeatsLost = true
+	f.w.After(f.duration, func() { f.worker.HeartbeatsLost = false })
 }
--- a/internal/testkit/workerloss_test.go
+++ b/internal/testkit/workerloss_test.go
@@ -17,21 +17,21 @@
 	d.Cloud.Capacity = map[fleet.Kind]int{{Type: "small", Zone: "a"}: 1} // there is no other
 	long := d.Submit(array("job-000001", "open", 1, 2, 90), 90*clock.Second, false)
 	w.Run(40 * clock.Second)
-	if len(long.places) != 1 {
-		t.Fatalf("%d tasks run, want 1", len(long.places))
+	if len(long.machines) != 1 {
+		t.Fatalf("%d tasks run, want 1", len(long.machines))
 	}
 	m := d.Workers()[0]
-	m.Mute = true
+	m.HeartbeatsLost = true
 	for i := range 20 {
 		d.Submit(array(fmt.Sprintf("job-1%05d", i), "open", 1, 1, 4), 4*clock.Second, false)
 		for until := w.Now() + 3*clock.Second; w.Now() < until; {
 			w.Run(w.Now() + 100*clock.Millisecond)
-			if m.session > 1 && len(m.tasks) > 0 {
-				t.Fatalf("%s got %d tasks in incarnation %d, want none", m.name, len(m.tasks), m.session)
+			if m.incarnation > 1 && len(m.tasks) > 0 {
+				t.Fatalf("%s got %d tasks in incarnation %d, want none", m.name, len(m.tasks), m.incarnation)
 			}
 		}
 	}
-	m.Mute = false
+	m.HeartbeatsLost = false
 	w.Run(w.Now() + 400*clock.Second)
 	mustKeepRules(t, w)
 	mustHaveUnfinished(t, d, 0)
@@ -58,10 +58,10 @@
 func TestWorkerThatReceivesNoResponsesIsReplaced(t *testing.T) {
 	w, d, j := eightTasks(t, 11, 60*clock.Second)
 	m := d.Workers()[0]
-	m.Unheeding = true
+	m.ResponsesLost = true
 	w.Run(w.Now() + 60*clock.Second)
 	if !m.ended {
-		t.Fatalf("%s is kept in incarnation %d, want it released", m.name, m.session)
+		t.Fatalf("%s is kept in incarnation %d, want it released", m.name, m.incarnation)
 	}
 	w.Run(w.Now() + 120*clock.Second)
 	mustBeDone(t, w, j)
@@ -72,9 +72,9 @@
 	w, d, j := eightTasks(t, 11, 200*clock.Second)
 	d.Cloud.Capacity = map[fleet.Kind]int{} // there is no other
 	m := d.Workers()[0]
-	m.Unheeding = true
+	m.ResponsesLost = true
 	w.Run(w.Now() + 14*clock.Second) // one lease
-	m.Unheeding = false
+	m.ResponsesLost = false
 	w.Run(w.Now() + 60*clock.Second)
 	if m.ended || len(m.tasks) == 0 {
 		t.Fatalf("released: %v, want false; %d tasks, want some", m.ended, len(m.tasks))
@@ -95,15 +95,15 @@
 		m.heal()
 		w.Run(w.Now() + 15*clock.Second)
 		d.Cloud.Outage = false
-		if m.session < 2 || len(m.tasks) == 0 {
-			t.Fatalf("incarnation %d, want at least 2; %d tasks, want some", m.session, len(m.tasks))
+		if m.incarnation < 2 || len(m.tasks) == 0 {
+			t.Fatalf("incarnation %d, want at least 2; %d tasks, want some", m.incarnation, len(m.tasks))
 		}
 		if next {
 			n := mustLead(t, d)
 			n.Crash()
 			w.After(3*clock.Second, func() { d.StartNode(n) })
 		}
-		m.StartOver(next)
+		m.RestartCounters(next)
 		w.Run(w.Now() + 60*clock.Second)
 		if !m.ended {
 			t.Fatalf("%s is kept (next leader: %v), want it released", m.name, next)
@@ -118,7 +118,7 @@
 func TestLateHeartbeatCopiesDontReviveReleasedWorkers(t *testing.T) {
 	w, d, j := eightTasks(t, 13, 100*clock.Second)
 	m := d.Workers()[0]
-	old := m.snapshot()
+	old := m.newHeartbeat()
 	d.Cloud.Remove(m.name)
 	w.Run(w.Now() + 30*clock.Second)
 	n := mustLead(t, d)
--- a/internal/testkit/zonefixture_test.go
+++ b/internal/testkit/zonefixture_test.go
@@ -76,8 +76,9 @@
 	t.Helper()
 	wrong := append([]string(nil), w.Broken...)
 	for _, j := range jobs {
-		if j.told == "" {
-			wrong = append(wrong, fmt.Sprintf("%s: %d of %d tasks are done", j.spec.ID, len(j.gone), j.spec.Tasks))
+		if j.finalStatus == "" {
+			wrong = append(wrong,
+				fmt.Sprintf("%s: %d of %d tasks are done", j.spec.ID, len(j.completed), j.spec.Tasks))
 		}
 	}
 	if len(wrong) == 0 {
@@ -106,7 +107,7 @@
 	t.Helper()
 	var done []*Job
 	for _, j := range jobs {
-		if j.told != protocol.StatusCancelled {
+		if j.finalStatus != protocol.StatusCancelled {
 			done = append(done, j)
 		}
 	}
--- a/internal/testkit/zoneloss_test.go
+++ b/internal/testkit/zoneloss_test.go
@@ -23,7 +23,7 @@
 		{"waiting", func(d *Deployment, j *Job) bool { return d.count(j, protocol.TaskWaiting) > 0 }},
 		{"running", func(d *Deployment, j *Job) bool { return d.count(j, protocol.TaskRunning) == j.spec.Tasks }},
 		{"running for long", func(d *Deployment, j *Job) bool {
-			return j.began != 0 && d.World.now > j.began+12*clock.Second
+			return j.startedAt != 0 && d.World.now > j.startedAt+12*clock.Second
 		}},
 		{"rebuilt", func(d *Deployment, j *Job) bool { return d.State.wholeRecord(j.spec.ID).NextAttempt > 1 }},
 	}
--- a/internal/testkit/zonerecovery_test.go
+++ b/internal/testkit/zonerecovery_test.go
@@ -7,6 +7,7 @@
 	"postpoint/internal/protocol"
 	"postpoint/internal/recovery"
 	"postpoint/internal/settings"
+	"slices"
 	"testing"
 )
 
@@ -66,7 +67,7 @@
 		if leader.Zone == "a" {
 			zone = "b" // elections are another matter
 		}
-		epoch := d.State.keys["lead/controller"].version
+		epoch := d.State.entries["lead/controller"].version
 		for i := range c.cuts {
 			w.After(i*c.every, func() { w.After(c.long, d.CutZone(zone, i%2 == 0)) })
 		}
@@ -79,7 +80,7 @@
 		if n := len(d.Cloud.all) - machines; n > c.rentals {
 			t.Errorf("%s: %d machines rented, want %d at most", name, n, c.rentals)
 		}
-		if e := d.State.keys["lead/controller"].version; e != epoch {
+		if e := d.State.entries["lead/controller"].version; e != epoch {
 			t.Errorf("%s: epoch %d, want %d: no other leader", name, e, epoch)
 		}
 		_, runs := h.Elsewhere()
@@ -122,19 +123,7 @@
 	}
 	d.Cloud.Capacity[fleet.Kind{Type: "small", Zone: "b"}] = 12
 	w.After(300*clock.Second, d.CutZone("a", false))
-	// Until when each job waited for its turn, and why the one that can't start doesn't.
-	turns := map[string]clock.Micros{}
-	reason := ""
-	for range 400 {
-		w.Run(w.Now() + 100*clock.Millisecond)
-		for _, x := range d.zones()["a"].Waiting {
-			if x.Why == "its turn" {
-				turns[x.Job] = w.Now()
-			} else if x.Job == bound.ID {
-				reason = x.Why
-			}
-		}
-	}
+	turns, reason := d.watchWaiting("a", bound.ID)
 	order := []string{service.ID, due.ID, whole.ID, plain.ID}
 	for i := 1; i < len(order); i++ {
 		if turns[order[i]] < turns[order[i-1]] || turns[plain.ID] == 0 {
@@ -147,7 +136,7 @@
 	}
 	for i, j := range jobs[:4] {
 		for task := range j.spec.Tasks {
-			if len(j.places[task]) == 0 {
+			if len(j.machines[task]) == 0 {
 				t.Errorf("task %d of job %d doesn't run, want it running", task, i)
 			}
 		}
@@ -155,6 +144,23 @@
 	mustKeepRules(t, w)
 }
 
+// watchWaiting runs for 40 s and returns until when each job of a lost zone waited for its turn, and for what
+// one job waits that can't start.
+func (d *Deployment) watchWaiting(zone, stuck string) (turns map[string]clock.Micros, reason string) {
+	turns = map[string]clock.Micros{}
+	for range 400 {
+		d.World.Run(d.World.Now() + 100*clock.Millisecond)
+		for _, x := range d.zones()[zone].Waiting {
+			if x.Why == "its turn" {
+				turns[x.Job] = d.World.Now()
+			} else if x.Job == stuck {
+				reason = x.Why
+			}
+		}
+	}
+	return turns, reason
+}
+
 // No machine is rented in a lost zone, machines for its jobs boot before its tasks are proven gone, and
 // all tasks run again sooner than without zone recovery.
 func TestZoneRecoveryIsFasterThanNone(t *testing.T) {
@@ -179,29 +185,13 @@
 		before := len(d.Cloud.all)
 		cutAt := w.Now()
 		w.After(90*clock.Second, d.CutZone(zone, false))
-		running := func() (n int) {
-			for _, places := range j.places {
-				for m := range places {
-					if m.zone != zone {
-						n++
-						break
-					}
-				}
-			}
-			return n
-		}
-		for running() < j.spec.Tasks && w.Now() < cutAt+80*clock.Second {
-			w.Run(w.Now() + 100*clock.Millisecond)
-		}
+		runUntil(w, cutAt+80*clock.Second, 100*clock.Millisecond, func() bool {
+			return j.tasksOutside(zone) >= j.spec.Tasks
+		})
 		took[on] += (w.Now() - cutAt) / 8
-		there := 0
-		for _, m := range d.Cloud.all[before:] {
-			if m.zone == zone && m.rentedAt > cutAt+5*clock.Second {
-				there++
-			}
-		}
-		if on && there > 0 {
-			t.Errorf("%d machines were rented in the lost zone, want none", there)
+		rentedThere := func(m *FakeWorker) bool { return m.zone == zone && m.rentedAt > cutAt+5*clock.Second }
+		if on && slices.ContainsFunc(d.Cloud.all[before:], rentedThere) {
+			t.Errorf("machines were rented in the lost zone %s, want none", zone)
 		}
 		w.Run(900 * clock.Second)
 		checkJobs(t, fmt.Sprint(on), w, h, j)
@@ -213,3 +203,17 @@
 			took[true].Seconds(), took[false].Seconds())
 	}
 }
+
+// tasksOutside is how many of the job's tasks are on machines outside a zone.
+func (j *Job) tasksOutside(zone string) int {
+	tasks := 0
+	for _, machines := range j.machines {
+		for m := range machines {
+			if m.zone != zone {
+				tasks++
+				break
+			}
+		}
+	}
+	return tasks
+}
--- a/internal/testkit/zones.go
+++ b/internal/testkit/zones.go
@@ -5,9 +5,9 @@
 // maxHealDelay is how long after a partition held messages arrive at most.
 const maxHealDelay = 500 * clock.Millisecond
 
-// cutZone is a zone that is partitioned from everything outside. Inside, workers and controllers reach
-// each other.
-type cutZone struct {
+// partitionedZone is a zone that is partitioned from everything outside. Inside, workers and controllers
+// reach each other.
+type partitionedZone struct {
 	hold bool
 	held []func()
 }
@@ -18,7 +18,7 @@
 	if d.cut[zone] != nil {
 		return func() {}
 	}
-	c := &cutZone{hold: hold}
+	c := &partitionedZone{hold: hold}
 	d.cut[zone] = c
 	for _, l := range d.outsideLinks(zone) {
 		l.Cut, l.Hold = true, hold
@@ -45,8 +45,8 @@
 	return links
 }
 
-// severed reports whether two zones are partitioned from each other, and by which partition.
-func (d *Deployment) severed(a, b string) (by *cutZone, yes bool) {
+// partitioned reports whether two zones are partitioned from each other, and by which partition.
+func (d *Deployment) partitioned(a, b string) (by *partitionedZone, yes bool) {
 	if a == b {
 		return nil, false
 	}
@@ -58,9 +58,9 @@
 	return nil, false
 }
 
-// passes delivers a message from one zone to another, now or once a partition that holds it is over.
-func (d *Deployment) passes(from, to string, arrive func()) {
-	by, severed := d.severed(from, to)
+// deliver delivers a message from one zone to another, now or once a partition that holds it is over.
+func (d *Deployment) deliver(from, to string, arrive func()) {
+	by, severed := d.partitioned(from, to)
 	switch {
 	case !severed:
 		arrive()
