--- a/internal/leader/autoscaler/machinelist.go
+++ b/internal/leader/autoscaler/machinelist.go
@@ -4,6 +4,7 @@
 	"errors"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/cloud"
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/term"
 	"postpoint/internal/protocol"
@@ -43,8 +44,8 @@
 
 // readPage reads the machines whose names come after from, "" for the first page.
 func (a *Autoscaler) readPage(l *listing, from string) {
-	a.Cloud.List(from, term.Guarded2(a.State, func(status int, page protocol.MachineList) {
-		a.pageRead(l, page, failureOf(status, ""))
+	a.Cloud.List(from, term.Guarded2(a.State, func(page protocol.MachineList, err error) {
+		a.pageRead(l, page, err)
 	}))
 }
 
@@ -53,7 +54,7 @@
 func (a *Autoscaler) pageRead(l *listing, page protocol.MachineList, err error) {
 	if err != nil {
 		a.list.inFlight = false
-		if !errors.Is(err, errNoResponse) {
+		if !errors.Is(err, cloud.ErrNoResponse) {
 			a.backOff()
 		}
 		return
--- a/internal/leader/autoscaler/scalein.go
+++ b/internal/leader/autoscaler/scalein.go
@@ -70,8 +70,8 @@
 		return
 	}
 	a.scaleInInFlight = true
-	a.Cloud.Release(names, a.ActsUntil(), term.Guarded(a.State, func(status int) {
-		a.scaleInDone(names, failureOf(status, ""))
+	a.Cloud.ScaleIn(names, a.ActsUntil(), term.Guarded(a.State, func(err error) {
+		a.scaleInDone(names, err)
 	}))
 }
 
--- a/internal/leader/autoscaler/scaleout.go
+++ b/internal/leader/autoscaler/scaleout.go
@@ -93,10 +93,8 @@
 }
 
 func (a *Autoscaler) sendScaleOut(request scaleOutRequest) {
-	a.Cloud.Rent(request.Rental, a.Term.ValidUntil, term.Guarded2(a.State,
-		func(status int, response protocol.RentalAnswer) {
-			a.scaleOutDone(request, response.Machines, failureOf(status, response.Error))
-		}))
+	a.Cloud.ScaleOut(request.Rental, a.Term.ValidUntil, term.Guarded2(a.State,
+		func(machines []string, err error) { a.scaleOutDone(request, machines, err) }))
 }
 
 // scaleOutDone handles the outcome of a request. One without a response may have been carried out:
@@ -106,10 +104,10 @@
 	switch {
 	case err == nil:
 		a.addStarting(request, machines)
-	case errors.Is(err, errNoCapacity):
+	case errors.Is(err, cloud.ErrNoCapacity):
 		slog.Debug("no capacity", "type", pool.Type, "zone", pool.Zone, "spot", pool.Spot)
 		a.noteExhausted(pool)
-	case errors.Is(err, errNoResponse) && request.attempt < maxScaleOutAttempts:
+	case errors.Is(err, cloud.ErrNoResponse) && request.attempt < maxScaleOutAttempts:
 		request.attempt++
 		a.AfterInTerm(scaleOutRetryDelay, func() { a.sendScaleOut(request) })
 		return
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -85,7 +85,7 @@
 // New makes the actor. deposed is told of higher epochs, resign asks to give
 // leadership up, attest asks all nodes what they told users, onTypes is told of each
 // new catalogue.
-func New(m actor.Mailbox, st statestore.Store, cl cloud.API, ag agent.API, set *settings.Settings,
+func New(m actor.Mailbox, st statestore.ResultStore, cl cloud.ResultAPI, ag agent.ResultAPI, set *settings.Settings,
 	deposed func(int64), resign func(), attest reconciler.Attester, onTypes func([]protocol.MachineType)) *Leader {
 	state := term.New(m, set, deposed)
 	l := &Leader{state: state, resign: resign}
--- a/internal/leader/machinetable/catalogue.go
+++ b/internal/leader/machinetable/catalogue.go
@@ -1,16 +1,15 @@
 package machinetable
 
 import (
+	"errors"
 	"log/slog"
 	"math"
-	"net/http"
 	"slices"
 
 	"postpoint/internal/clock"
 	"postpoint/internal/cloud"
 	"postpoint/internal/fleet"
 	"postpoint/internal/leader/term"
-	"postpoint/internal/leadership"
 	"postpoint/internal/ledger"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
@@ -20,8 +19,8 @@
 // Catalogue keeps the cloud's machine types and prices, on every node and across terms.
 type Catalogue struct {
 	*term.State
-	cloud cloud.API
-	Store statestore.Store
+	cloud cloud.ResultAPI
+	Store statestore.ResultStore
 	// Published is called with each new list of types.
 	Published func([]protocol.MachineType)
 	// changed is called when types or prices have changed.
@@ -36,7 +35,7 @@
 }
 
 // NewCatalogue returns an empty catalogue; published is called with each new list of types.
-func NewCatalogue(term *term.State, cl cloud.API, store statestore.Store,
+func NewCatalogue(term *term.State, cl cloud.ResultAPI, store statestore.ResultStore,
 	published func([]protocol.MachineType)) *Catalogue {
 	return &Catalogue{
 		State:     term,
@@ -63,20 +62,20 @@
 
 // Read keeps the catalogue and its prices up to date, on every node.
 func (mc *Catalogue) Read() {
-	mc.cloud.Catalogue(func(status int, c protocol.Catalogue) {
-		mc.Mailbox.After(mc.noteRead(status, c.Types), mc.Read)
+	mc.cloud.Catalogue(func(c protocol.Catalogue, err error) {
+		mc.Mailbox.After(mc.noteRead(c.Types, err), mc.Read)
 	})
 }
 
 // noteRead takes what the cloud responded and returns the pause before the next read.
-func (mc *Catalogue) noteRead(status int, listed []protocol.MachineType) clock.Micros {
+func (mc *Catalogue) noteRead(listed []protocol.MachineType, err error) clock.Micros {
 	count := len(listed)
 	types := slices.DeleteFunc(listed, unusable)
 	if len(types) < count {
 		slog.Error("catalogue has unusable machine types", "types", count, "usable", len(types))
 	}
 	switch {
-	case status == http.StatusOK && len(types) > 0:
+	case err == nil && len(types) > 0:
 		mc.Replace(types)
 		mc.FromCloud = true
 	case len(mc.Types) == 0:
@@ -115,8 +114,8 @@
 
 // ReadShared takes the catalogue that a leader has stored, unless the cloud has responded meanwhile.
 func (mc *Catalogue) ReadShared() {
-	mc.Store.Get(catalogueKey, func(r statestore.Reply[protocol.Item]) {
-		if r.Status != http.StatusOK || len(mc.Types) > 0 {
+	mc.Store.Get(catalogueKey, func(r statestore.Result[protocol.Item]) {
+		if r.Err != nil || len(mc.Types) > 0 {
 			return
 		}
 		var c protocol.Catalogue
@@ -139,13 +138,13 @@
 }
 
 // shareUnlessStored stores the catalogue unless the stored one has the same types.
-func (mc *Catalogue) shareUnlessStored(r statestore.Reply[protocol.Item]) {
+func (mc *Catalogue) shareUnlessStored(r statestore.Result[protocol.Item]) {
 	var c protocol.Catalogue
-	if r.Status == http.StatusOK && protocol.Decode(r.Value.Value, &c) == nil &&
+	if r.Err == nil && protocol.Decode(r.Value.Value, &c) == nil &&
 		slices.EqualFunc(c.Types, mc.Types, SameType) {
 		return
 	}
-	if r.Status != http.StatusOK && r.Status != http.StatusNotFound {
+	if r.Err != nil && !errors.Is(r.Err, statestore.ErrNotFound) {
 		mc.sharedThisTerm = false
 		return
 	}
@@ -155,19 +154,14 @@
 		slog.Info("the catalogue is too large to be stored for other nodes", "bytes", size, "limit", limit)
 		return
 	}
-	t := protocol.Txn{
-		Guards: []protocol.Guard{
-			{Key: leadership.Key, Version: mc.Term.Epoch},
-			{Key: catalogueKey, Version: r.Value.Version},
-		},
-		Changes: []protocol.Change{{Put: catalogueKey, Value: value}},
-	}
-	stored := func(r statestore.Reply[protocol.TxnAnswer]) {
-		if r.Status != http.StatusOK {
+	t := mc.NewTransaction()
+	t.Require(catalogueKey, r.Value.Version)
+	t.Put(catalogueKey, value)
+	t.Commit(mc.Store, term.Guarded(mc.State, func(r statestore.Result[statestore.Revision]) {
+		if r.Err != nil {
 			mc.sharedThisTerm = false
 		}
-	}
-	mc.Store.Commit(statestore.ForLeader, t, term.Guarded(mc.State, stored))
+	}))
 }
 
 // SameType reports whether two machine types differ in nothing but their prices.
--- a/internal/leader/reconciler/commands.go
+++ b/internal/leader/reconciler/commands.go
@@ -1,9 +1,9 @@
 package reconciler
 
 import (
+	"errors"
 	"log/slog"
 	"math"
-	"net/http"
 
 	"postpoint/internal/agent"
 	"postpoint/internal/clock"
@@ -13,21 +13,20 @@
 	"postpoint/internal/ledger"
 	"postpoint/internal/ordered"
 	"postpoint/internal/protocol"
-	"postpoint/internal/transport"
 )
 
 // CommandSender decides which commands a worker needs, and sends them directly or hands them to the
 // HeartbeatHandler.
 type CommandSender struct {
 	*term.State
-	Agent      agent.API
+	Agent      agent.ResultAPI
 	jobs       *jobtable.Table
 	machines   *machinetable.Table
 	reconciler *Reconciler
 }
 
 // NewCommandSender returns a sender of commands to the workers of the given machines.
-func NewCommandSender(term *term.State, api agent.API, jobs *jobtable.Table,
+func NewCommandSender(term *term.State, api agent.ResultAPI, jobs *jobtable.Table,
 	machines *machinetable.Table) *CommandSender {
 	return &CommandSender{State: term, Agent: api, jobs: jobs, machines: machines}
 }
@@ -58,18 +57,19 @@
 	Heartbeat *protocol.Report
 }
 
-// resultOf returns what the status of a response says. Nothing else here knows these numbers. Another
+// resultOf returns what a response says of the machine that the commands were meant for. Another
 // worker that has come to the address of the machine says nothing about it.
-func resultOf(machine string, status int, heartbeat *protocol.Report) CommandResult {
+func resultOf(machine string, r *agent.Response) CommandResult {
 	var result CommandResult
-	switch status {
-	case http.StatusOK:
+	switch {
+	case r.Err == nil:
 		result.Outcome = Executed
-	case http.StatusConflict, http.StatusBadRequest, transport.NotSent:
+	case agent.NotExecuted(r.Err):
 		result.Outcome = NotExecuted
 	}
-	if (status == http.StatusOK || status == http.StatusConflict) && heartbeat.Machine == machine {
-		result.Heartbeat = heartbeat
+	answered := r.Err == nil || errors.Is(r.Err, agent.ErrRejected)
+	if answered && r.Status.Machine == machine {
+		result.Heartbeat = &r.Status
 	}
 	return result
 }
@@ -81,15 +81,15 @@
 	m.BeginCommand()
 	request := protocol.Commands{Epoch: cs.Term.Epoch, Session: incarnation, Orders: commands}
 	until := min(cs.ActsUntil(), cs.permittedUntil(commands))
-	cs.Agent.Commands(m.Address, request, until, term.Guarded2(cs.State, func(status int, r protocol.Report) {
+	cs.Agent.Commands(m.Address, request, until, term.Guarded(cs.State, func(r agent.Response) {
 		if cs.machines.ByName[m.Name] != m {
 			return
 		}
 		m.CommandInFlight = false
-		result := resultOf(m.Name, status, &r)
+		result := resultOf(m.Name, &r)
 		done(result)
 		if result.Heartbeat != nil {
-			cs.reconciler.Observe(m, r)
+			cs.reconciler.Observe(m, r.Status)
 		}
 		if m.PushPending {
 			cs.Push(m)
--- a/internal/leader/recordstore/outcome.go
+++ b/internal/leader/recordstore/outcome.go
@@ -1,8 +1,8 @@
 package recordstore
 
 import (
+	"errors"
 	"log/slog"
-	"net/http"
 	"slices"
 
 	"postpoint/internal/leader/jobtable"
@@ -33,21 +33,20 @@
 	outcomeUnexpected
 )
 
-// outcomeOf returns what became of a transaction. Nothing else in this package knows the statuses of
-// transactions.
-func outcomeOf(r statestore.Reply[protocol.TxnAnswer]) outcome {
+// outcomeOf returns what became of a transaction, by its error.
+func outcomeOf(err error) outcome {
 	switch {
-	case r.Status == http.StatusOK:
+	case err == nil:
 		return outcomeCommitted
-	case r.Status == http.StatusConflict && slices.Contains(r.Value.Failed, leadership.Key):
+	case errors.Is(err, leadership.ErrNotLeader): // which is a conflict, too
 		return outcomeDeposed
-	case r.Status == http.StatusConflict:
+	case errors.Is(err, statestore.ErrConflict):
 		return outcomeConflict
-	case r.Status == http.StatusBadRequest:
+	case errors.Is(err, statestore.ErrInvalid):
 		return outcomeRejected
-	case r.Status == http.StatusTooManyRequests || r.Status == http.StatusServiceUnavailable:
+	case statestore.NotExecuted(err):
 		return outcomeNotExecuted
-	case r.Unknown() || r.Status >= http.StatusInternalServerError:
+	case statestore.OutcomeUnknown(err):
 		return outcomeUnknown
 	}
 	return outcomeUnexpected
@@ -55,34 +54,32 @@
 
 // decided reports whether a transaction was carried out or never will be. Of a failure of the store
 // that isn't taken for granted, not even when it says that it is unavailable.
-func decided(r statestore.Reply[protocol.TxnAnswer]) bool {
-	return !r.Unknown() && r.Status < http.StatusInternalServerError
+func decided(err error) bool {
+	return !statestore.OutcomeUnknown(err) && !errors.Is(err, statestore.ErrUnavailable)
 }
 
 // HandleResult handles the response to a transaction.
-func (w *Writer) HandleResult(writes []Write, r statestore.Reply[protocol.TxnAnswer]) {
+func (w *Writer) HandleResult(writes []Write, r statestore.Result[statestore.Revision]) {
 	for i := range writes {
-		writes[i].end(decided(r))
+		writes[i].end(decided(r.Err))
 	}
-	switch outcomeOf(r) {
+	switch outcomeOf(r.Err) {
 	case outcomeCommitted:
-		w.markStored(writes, r.Value.Revision)
+		w.markStored(writes, int64(r.Value))
 	case outcomeDeposed:
 		w.noteDeposed()
 		return
 	case outcomeConflict:
-		noteConflicts(w.jobs, writes, r.Value.Failed)
+		noteConflicts(w.jobs, writes, statestore.Failed(r.Err))
 	case outcomeRejected:
-		w.learnLimits(writes, r.Value.Error)
+		w.learnLimits(writes, statestore.Reason(r.Err))
 	case outcomeNotExecuted:
 		w.Pause() // the same changes go again
 	case outcomeUnknown:
-		slog.Info("commit outcome unknown, retrying", "status", r.Status, "error", r.Value.Error,
-			"values", len(writes))
+		slog.Info("commit outcome unknown, retrying", "error", r.Err, "values", len(writes))
 		w.noteUnknown(writes)
 	case outcomeUnexpected:
-		slog.Error("commit refused, reading the records", "status", r.Status, "error", r.Value.Error,
-			"values", len(writes))
+		slog.Error("commit refused, reading the records", "error", r.Err, "values", len(writes))
 		w.noteUnexpected(writes)
 	}
 	for _, write := range writes {
--- a/internal/leader/recordstore/reader.go
+++ b/internal/leader/recordstore/reader.go
@@ -1,9 +1,9 @@
 package recordstore
 
 import (
+	"errors"
 	"log/slog"
 	"maps"
-	"net/http"
 
 	"postpoint/internal/clock"
 	"postpoint/internal/leader/jobtable"
@@ -20,7 +20,7 @@
 // Reader loads the job records at the beginning of a term and follows their changes.
 type Reader struct {
 	*term.State
-	Store      statestore.Store
+	Store      statestore.ResultStore
 	jobs       *jobtable.Table
 	machines   *machinetable.Table
 	writer     *Writer
@@ -38,7 +38,7 @@
 }
 
 // NewReader returns a reader, and makes it the one that the writer asks to reload records.
-func NewReader(term *term.State, store statestore.Store, jobs *jobtable.Table, machines *machinetable.Table,
+func NewReader(term *term.State, store statestore.ResultStore, jobs *jobtable.Table, machines *machinetable.Table,
 	writer *Writer, reconciler *reconciler.Reconciler, commands *reconciler.CommandSender,
 	heartbeats *reconciler.HeartbeatHandler, objectives *objectives.Tracker, steps *term.StepTimer) *Reader {
 	r := &Reader{
@@ -128,8 +128,8 @@
 		adopt(page)
 		return true
 	}
-	statestore.Walk(r.Store, prefix, from, adoptInTerm, term.Guarded2(r.State, func(status int, from string) {
-		if status != http.StatusOK {
+	statestore.WalkPages(r.Store, prefix, from, adoptInTerm, term.Guarded2(r.State, func(err error, from string) {
+		if err != nil {
 			r.AfterInTerm(term.RetryDelay, func() { r.loadPages(prefix, from, adopt, done) })
 			return
 		}
@@ -179,19 +179,19 @@
 // every FollowInterval, which shows how fresh the records are.
 func (r *Reader) follow(from int64) {
 	sentAt := r.Now()
-	handle := func(reply statestore.Reply[protocol.FollowAnswer]) { r.handleFollowed(from, sentAt, reply) }
-	r.Store.Follow(ledger.Prefix, from, term.FollowInterval, term.Guarded(r.State, handle))
+	handle := func(reply statestore.Result[protocol.FollowAnswer]) { r.handleFollowed(from, sentAt, reply) }
+	r.Store.Follow(ledger.Prefix, statestore.Revision(from), term.FollowInterval, term.Guarded(r.State, handle))
 }
 
 // handleFollowed takes over the changes of the records since a revision, and goes on from there.
 func (r *Reader) handleFollowed(from int64, sentAt clock.Micros,
-	reply statestore.Reply[protocol.FollowAnswer]) {
-	switch reply.Status {
-	case http.StatusOK:
+	reply statestore.Result[protocol.FollowAnswer]) {
+	switch {
+	case reply.Err == nil:
 		r.FreshAt = sentAt
 		r.adoptChanges(reply.Value)
 		r.follow(max(from, reply.Value.Revision))
-	case http.StatusGone:
+	case errors.Is(reply.Err, statestore.ErrCompacted):
 		r.Load() // the store has forgotten changes since
 	default:
 		r.AfterInTerm(term.RetryDelay, func() { r.follow(from) })
--- a/internal/leader/recordstore/reload.go
+++ b/internal/leader/recordstore/reload.go
@@ -1,7 +1,7 @@
 package recordstore
 
 import (
-	"net/http"
+	"errors"
 	"slices"
 
 	"postpoint/internal/leader/jobtable"
@@ -25,14 +25,14 @@
 		return
 	}
 	j.NoteRecordEvent(jobtable.EventReadStarted)
-	handle := func(reply statestore.Reply[protocol.Item]) { r.handleReload(j, reply) }
+	handle := func(reply statestore.Result[protocol.Item]) { r.handleReload(j, reply) }
 	r.Store.Get(ledger.Key(j.Spec.ID), term.Guarded(r.State, handle))
 }
 
 // handleReload takes over the record of a reload. For a sharded one it goes on to the shards.
-func (r *Reader) handleReload(j *jobtable.Job, reply statestore.Reply[protocol.Item]) {
+func (r *Reader) handleReload(j *jobtable.Job, reply statestore.Result[protocol.Item]) {
 	head, err := ledger.Decode(reply.Value.Value)
-	if reply.Status == http.StatusOK && err == nil && head.PartSize > 0 {
+	if reply.Err == nil && err == nil && head.PartSize > 0 {
 		r.listShards(j, func(shards []protocol.Item) {
 			r.replaceSharded(j, shardedRecord{head, reply.Value.Version, shards})
 		})
@@ -43,9 +43,9 @@
 		return // over meanwhile
 	}
 	switch {
-	case reply.Status == http.StatusOK:
+	case reply.Err == nil:
 		r.Adopt(ledger.Key(j.Spec.ID), reply.Value.Value, reply.Value.Version)
-	case reply.Status == http.StatusNotFound && j.Guest != nil:
+	case errors.Is(reply.Err, statestore.ErrNotFound) && j.Guest != nil:
 		r.jobs.Forget(j) // only this leader removes it
 	default:
 		r.writer.Pause()
@@ -62,9 +62,9 @@
 		shards = append(shards, page.Items...)
 		return same()
 	}
-	statestore.Walk(r.Store, ledger.PartsOf(j.Spec.ID), "", collect,
-		term.Guarded2(r.State, func(status int, _ string) {
-			if status == http.StatusOK {
+	statestore.WalkPages(r.Store, ledger.PartsOf(j.Spec.ID), "", collect,
+		term.Guarded2(r.State, func(err error, _ string) {
+			if err == nil {
 				r.endListing(j, shards, found)
 			} else {
 				// All of it is read again after a pause.
--- a/internal/leader/recordstore/writer.go
+++ b/internal/leader/recordstore/writer.go
@@ -12,6 +12,7 @@
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/reconciler"
 	"postpoint/internal/leader/term"
+	"postpoint/internal/leadership"
 	"postpoint/internal/ledger"
 	"postpoint/internal/ordered"
 	"postpoint/internal/protocol"
@@ -21,7 +22,7 @@
 // Writer commits changed job records, within the limits of the key-value store.
 type Writer struct {
 	*term.State
-	Store    statestore.Store
+	Store    statestore.ResultStore
 	jobs     *jobtable.Table
 	machines *machinetable.Table
 	reader   *Reader
@@ -42,7 +43,7 @@
 }
 
 // NewWriter returns a writer to the given store.
-func NewWriter(term *term.State, store statestore.Store, jobs *jobtable.Table, machines *machinetable.Table,
+func NewWriter(term *term.State, store statestore.ResultStore, jobs *jobtable.Table, machines *machinetable.Table,
 	commands *reconciler.CommandSender, steps *term.StepTimer) *Writer {
 	return &Writer{
 		State:    term,
@@ -74,7 +75,7 @@
 
 // writeTransaction is a transaction in the making, with the writes that it consists of.
 type writeTransaction struct {
-	*term.Transaction
+	*leadership.Transaction
 	writes []Write
 	size   int
 }
@@ -96,7 +97,7 @@
 		w.add(&t, u)
 	}
 	if len(t.writes) > 0 {
-		w.send(t.Transaction, func(r statestore.Reply[protocol.TxnAnswer]) { w.HandleResult(t.writes, r) })
+		w.send(t.Transaction, func(r statestore.Result[statestore.Revision]) { w.HandleResult(t.writes, r) })
 	}
 }
 
@@ -149,9 +150,9 @@
 }
 
 // send commits a transaction, one at a time.
-func (w *Writer) send(t *term.Transaction, handle func(statestore.Reply[protocol.TxnAnswer])) {
+func (w *Writer) send(t *leadership.Transaction, handle func(statestore.Result[statestore.Revision])) {
 	w.Committing = true
-	t.Commit(w.Store, term.Guarded(w.State, func(r statestore.Reply[protocol.TxnAnswer]) {
+	t.Commit(w.Store, term.Guarded(w.State, func(r statestore.Result[statestore.Revision]) {
 		w.Committing = false
 		handle(r)
 		w.steps.Wake()
@@ -173,19 +174,19 @@
 		t.Require(key, version)
 		t.Delete(key)
 	}
-	w.send(t, func(r statestore.Reply[protocol.TxnAnswer]) { w.handleRemoval(t.Changes(), r) })
+	w.send(t, func(r statestore.Result[statestore.Revision]) { w.handleRemoval(t.Changes(), r) })
 }
 
 // handleRemoval takes note of the removal of stray shards.
-func (w *Writer) handleRemoval(changes []protocol.Change, r statestore.Reply[protocol.TxnAnswer]) {
-	switch outcomeOf(r) {
+func (w *Writer) handleRemoval(changes []protocol.Change, r statestore.Result[statestore.Revision]) {
+	switch outcomeOf(r.Err) {
 	case outcomeCommitted:
 		for _, c := range changes {
 			delete(w.jobs.StrayShards, c.Delete)
 		}
 	case outcomeConflict, outcomeDeposed:
 		// Another request has changed them, an earlier copy of this one most likely.
-		for _, key := range r.Value.Failed {
+		for _, key := range statestore.Failed(r.Err) {
 			delete(w.jobs.StrayShards, key)
 		}
 	default:
