--- a/internal/leader/recordstore/recordreader.go
+++ b/internal/leader/recordstore/recordreader.go
@@ -80,8 +80,9 @@
 // nothing falls between.
 func (rr *Reader) Load(epoch int64, from string, revision int64, began clock.Micros) {
 	rr.Loading = true
+	same := rr.SameTerm()
 	statestore.Walk(rr.Store, ledger.Prefix, from, func(page protocol.ItemList) bool {
-		if rr.Term.Epoch != epoch {
+		if !same() {
 			return false
 		}
 		if revision == 0 {
@@ -91,9 +92,8 @@
 			rr.Adopt(item.Key, item.Value, item.Version)
 		}
 		return true
-	}, func(status int, from string) {
+	}, term.Guarded2(rr.State, func(status int, from string) {
 		switch {
-		case rr.Term.Epoch != epoch:
 		case status != http.StatusOK:
 			rr.AfterInTerm(term.RetryDelay, func() { rr.Load(epoch, from, revision, began) })
 		default:
@@ -104,28 +104,28 @@
 				})
 			})
 		}
-	})
+	}))
 }
 
 // LoadAll reads all keys with a prefix, for as long as it takes.
 func (rr *Reader) LoadAll(epoch int64, prefix, from string, adopt func(protocol.Item), done func()) {
+	same := rr.SameTerm()
 	statestore.Walk(rr.Store, prefix, from, func(page protocol.ItemList) bool {
-		if rr.Term.Epoch != epoch {
+		if !same() {
 			return false
 		}
 		for _, item := range page.Items {
 			adopt(item)
 		}
 		return true
-	}, func(status int, from string) {
+	}, term.Guarded2(rr.State, func(status int, from string) {
 		switch {
-		case rr.Term.Epoch != epoch:
 		case status != http.StatusOK:
 			rr.AfterInTerm(term.RetryDelay, func() { rr.LoadAll(epoch, prefix, from, adopt, done) })
 		default:
 			done()
 		}
-	})
+	}))
 }
 
 // AdoptShard takes a part as read, if its job waits for it. One that belongs to no divided
@@ -169,10 +169,7 @@
 // least every FollowInterval, which shows how fresh the records are.
 func (rr *Reader) follow(epoch, from int64) {
 	sentAt := rr.Now()
-	rr.Store.Follow(ledger.Prefix, from, term.FollowInterval, func(r statestore.Reply[protocol.FollowAnswer]) {
-		if rr.Term.Epoch != epoch {
-			return
-		}
+	rr.Store.Follow(ledger.Prefix, from, term.FollowInterval, term.Guarded(rr.State, func(r statestore.Reply[protocol.FollowAnswer]) {
 		switch r.Status {
 		case http.StatusOK:
 			rr.FreshAt = sentAt
@@ -192,7 +189,7 @@
 		default:
 			rr.AfterInTerm(term.RetryDelay, func() { rr.follow(epoch, from) })
 		}
-	})
+	}))
 }
 
 // Adopt takes a record as read or followed, unless it is known already.
@@ -327,12 +324,8 @@
 		return
 	}
 	j.Loading = true
-	epoch := rr.Term.Epoch
 	key := ledger.Key(j.Spec.ID)
-	rr.Store.Get(key, func(r statestore.Reply[protocol.Item]) {
-		if rr.Term.Epoch != epoch {
-			return
-		}
+	rr.Store.Get(key, term.Guarded(rr.State, func(r statestore.Reply[protocol.Item]) {
 		content, err := ledger.Decode(r.Value.Value)
 		if r.Status == http.StatusOK && err == nil && content.PartSize > 0 {
 			rr.listShards(j, shardedRead{content: content, version: r.Value.Version}, func(r shardedRead) { rr.replaceSharded(j, r) })
@@ -351,19 +344,17 @@
 			rr.writer.Pause()
 		}
 		rr.steps.Wake()
-	})
+	}))
 }
 
 // listShards reads the parts of one record.
 func (rr *Reader) listShards(j *jobtable.Job, r shardedRead, done func(shardedRead)) {
-	epoch := rr.Term.Epoch
+	same := rr.SameTerm()
 	statestore.Walk(rr.Store, ledger.PartsOf(j.Spec.ID), "", func(page protocol.ItemList) bool {
 		r.shards = append(r.shards, page.Items...)
-		return rr.Term.Epoch == epoch
-	}, func(status int, _ string) {
+		return same()
+	}, term.Guarded2(rr.State, func(status int, _ string) {
 		switch {
-		case rr.Term.Epoch != epoch:
-			return
 		case status != http.StatusOK:
 			j.Loading = false // and all of it again, after a pause
 			rr.writer.Pause()
@@ -374,7 +365,7 @@
 			rr.loadingEnded(j)
 		}
 		rr.steps.Wake()
-	})
+	}))
 }
 
 // replaceSharded makes a divided record, as read, what is known of its job.
--- a/internal/leader/recordstore/recordwriter.go
+++ b/internal/leader/recordstore/recordwriter.go
@@ -163,15 +163,11 @@
 // send commits a transaction, one at a time.
 func (rw *Writer) send(t protocol.Txn, answered func(statestore.Reply[protocol.TxnAnswer])) {
 	rw.Committing = true
-	epoch := rw.Term.Epoch
-	rw.Store.Commit(statestore.ForLeader, t, func(r statestore.Reply[protocol.TxnAnswer]) {
-		if rw.Term.Epoch != epoch {
-			return
-		}
+	rw.Store.Commit(statestore.ForLeader, t, term.Guarded(rw.State, func(r statestore.Reply[protocol.TxnAnswer]) {
 		rw.Committing = false
 		answered(r)
 		rw.steps.Wake()
-	})
+	}))
 }
 
 // removeStrayShards removes parts that belong to no divided record: a leader ended while it
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -77,9 +77,9 @@
 
 // AfterInTerm does something later, if this is still the same term then.
 func (lt *State) AfterInTerm(delay clock.Micros, do func()) {
-	epoch := lt.Term.Epoch
+	same := lt.SameTerm()
 	lt.Mailbox.After(delay, func() {
-		if lt.Term.Epoch == epoch {
+		if same() {
 			do()
 		}
 	})
