--- a/internal/leader/zonetracker/displaced.go
+++ b/internal/leader/zonetracker/displaced.go
@@ -3,82 +3,109 @@
 import (
 	"log/slog"
 
+	"postpoint/internal/clock"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/ordered"
 	"postpoint/internal/planner"
 	"postpoint/internal/recovery"
 )
 
-// PlacementLost marks a job whose task loses its place to the loss of a zone: the rest of it waits for
-// its turn.
-func (zr *Tracker) PlacementLost(j *jobtable.Job, machineName string) {
-	if zr.Options == nil || j.Over() {
+// maxClearanceWait is how long displaced work waits for its clearance at most.
+const maxClearanceWait = 60 * clock.Second
+
+// PlacementLost marks a job as displaced whose task loses its placement to the loss of a zone: its pending
+// tasks wait for their clearance.
+func (t *Tracker) PlacementLost(j *jobtable.Job, machineName string) {
+	if t.Options == nil || j.Over() {
 		return
 	}
-	m := zr.machines.ByName[machineName]
-	if m == nil || !zr.Lost(m.Zone) && !zr.Returning(m.Zone) || j.Displaced == m.Zone {
+	m := t.machines.ByName[machineName]
+	if m == nil || !t.Lost(m.Zone) && !t.Returning(m.Zone) || j.Displaced == m.Zone {
 		return
 	}
-	j.Displaced, j.DisplacedAt, j.ClearedToStart = m.Zone, zr.Now(), false
-	zr.jobs.NoteHeadChange(j)
+	j.Displaced, j.DisplacedAt, j.ClearedToStart = m.Zone, t.Now(), false
+	t.jobs.NoteHeadChange(j)
 }
 
-// EndDisplacement ends that: the tasks that it had lost have places again, or are done.
-func (zr *Tracker) EndDisplacement(j *jobtable.Job) {
+// EndDisplacement ends a job's displacement: the tasks that it had lost have placements again, or are done.
+func (t *Tracker) EndDisplacement(j *jobtable.Job) {
 	j.Displaced = ""
-	zr.jobs.NoteHeadChange(j)
+	t.jobs.NoteHeadChange(j)
 }
 
-// AwaitsClearance tells that a job's tasks aren't to be started yet.
-func (zr *Tracker) AwaitsClearance(j *jobtable.Job) bool {
-	return zr.Options != nil && j.Displaced != "" && !j.ClearedToStart
+// AwaitsClearance reports whether a job's tasks mustn't start yet.
+func (t *Tracker) AwaitsClearance(j *jobtable.Job) bool {
+	return t.Options != nil && j.Displaced != "" && !j.ClearedToStart
 }
 
-// releaseDisplaced lets displaced work start, in the written order and at the pace of the settings.
-func (zr *Tracker) releaseDisplaced() {
-	now := zr.Now()
+// clearDisplaced clears displaced work to start, in the order and at the pace of the settings.
+func (t *Tracker) clearDisplaced() {
+	now := t.Now()
 	var waiting []recovery.Displaced
-	for _, j := range ordered.ByKey(zr.jobs.ByID) {
-		z := zr.Zones[j.Displaced]
+	for _, j := range ordered.ByKey(t.jobs.ByID) {
 		if j.DisplacedAt == 0 {
 			j.DisplacedAt = now // under an earlier leader, if at all
 		}
-		switch {
-		case j.Displaced == "" || j.Over():
-		case z == nil || j.PendingCount() == 0 && !j.MustReload:
-			zr.EndDisplacement(j)
-		case j.ClearedToStart:
-		case zr.Options.Action(z.Name) == recovery.Hold:
-		case zr.Options.Action(z.Name) == recovery.Hasten, z.Phase == recovery.Healthy, now > j.DisplacedAt+longestTurn:
-			j.ClearedToStart = true
-		default:
-			waiting = append(waiting, zr.DisplacedWork(j))
+		if t.checkDisplaced(j, now) {
+			waiting = append(waiting, t.DisplacedWork(j))
 		}
 	}
-	recovery.Sort(waiting, zr.Options.Order)
-	for _, id := range zr.pace.Release(waiting, now, zr.Options.TasksPerS) {
-		zr.jobs.ByID[id].ClearedToStart = true
-		slog.Debug("displaced work may start", "job", id, "zone", zr.jobs.ByID[id].Displaced)
+	recovery.Sort(waiting, t.Options.Order)
+	for _, id := range t.pace.Release(waiting, now, t.Options.TasksPerS) {
+		j := t.jobs.ByID[id]
+		j.ClearedToStart = true
+		slog.Debug("displaced job cleared to start", "job", id, "zone", j.Displaced)
+	}
+}
+
+// checkDisplaced ends a job's displacement if nothing of it is left and clears it to start if it needn't wait
+// any longer. It reports whether the job has to wait for its turn.
+func (t *Tracker) checkDisplaced(j *jobtable.Job, now clock.Micros) (waits bool) {
+	if j.Displaced == "" || j.Over() {
+		return false
+	}
+	z := t.Zones[j.Displaced]
+	if z == nil || j.PendingCount() == 0 && !j.MustReload {
+		t.EndDisplacement(j)
+		return false
+	}
+	action := t.Options.Action(z.Name)
+	switch {
+	case j.ClearedToStart || action == recovery.Hold:
+		return false
+	case action == recovery.Hasten || z.Phase == recovery.Healthy || now > j.DisplacedAt+maxClearanceWait:
+		j.ClearedToStart = true
+		return false
+	}
+	return true
+}
+
+// DisplacedWork describes a displaced job for the order in which work is cleared to start.
+func (t *Tracker) DisplacedWork(j *jobtable.Job) recovery.Displaced {
+	tier, slack := t.objectives.TierAndSlack(j)
+	pending := j.PendingCount()
+	return recovery.Displaced{
+		Job:         j.Spec.ID,
+		Kind:        displacedKind(j, tier, slack),
+		Rank:        j.Rank(),
+		SubmittedAt: j.SubmittedAt,
+		Tasks:       pending,
+		LostShare:   float64(pending) / float64(j.Spec.Tasks),
+		SlackS:      slack,
 	}
 }
 
-// DisplacedWork is a job as the written order sees it.
-func (zr *Tracker) DisplacedWork(j *jobtable.Job) recovery.Displaced {
-	w := recovery.Displaced{Job: j.Spec.ID, Rank: j.Rank(), SubmittedAt: j.SubmittedAt, Tasks: j.PendingCount(),
-		LostShare: float64(j.PendingCount()) / float64(j.Spec.Tasks)}
-	tier, slack := zr.objectives.TierAndSlack(j)
-	w.SlackS = slack
+// displacedKind returns the kind of work that a displaced job counts as.
+func displacedKind(j *jobtable.Job, tier planner.Tier, slackS float64) recovery.Kind {
 	switch {
 	case j.Spec.Service():
-		w.Kind = recovery.Services
-	case j.Spec.DeadlineS != nil && slack >= 0:
-		w.Kind = recovery.Deadlines
+		return recovery.Services
+	case j.Spec.DeadlineS != nil && slackS >= 0:
+		return recovery.Deadlines
 	case tier == planner.TooLate:
-		w.Kind = recovery.Rest
+		return recovery.Rest
 	case j.Spec.Gang():
-		w.Kind = recovery.Gangs
-	default:
-		w.Kind = recovery.Arrays
+		return recovery.Gangs
 	}
-	return w
+	return recovery.Arrays
 }
--- a/internal/leader/zonetracker/zonestore.go
+++ b/internal/leader/zonetracker/zonestore.go
@@ -2,94 +2,135 @@
 
 import (
 	"log/slog"
-	"net/http"
-	"slices"
 
-	"postpoint/internal/leadership"
+	"postpoint/internal/clock"
+	"postpoint/internal/leader/recordstore"
+	"postpoint/internal/leader/term"
 	"postpoint/internal/ordered"
 	"postpoint/internal/protocol"
 	"postpoint/internal/recovery"
-	"postpoint/internal/statestore"
 )
 
-// LoadZones goes on with the recoveries that an earlier leader was in the middle of.
-func (zr *Tracker) LoadZones(epoch int64, done func()) {
-	if zr.Options == nil {
+// recordPhase is how a zone's record relates to the store.
+type recordPhase int
+
+const (
+	// recordUnsaved means that no phase is known to be stored: there is no record, or it was read only to
+	// find out its version.
+	recordUnsaved recordPhase = iota
+	// recordSaved means that the record has the phase that is noted as stored.
+	recordSaved
+	// recordOutcomeUnknown means that a change of the record may have been carried out or not: it has to be
+	// read before anything else is written.
+	recordOutcomeUnknown
+)
+
+// storedRecord is what is known of a zone's record in the store, apart from its version.
+type storedRecord struct {
+	phase recordPhase
+	zone  recovery.Phase // what a saved record says
+}
+
+// due reports whether the zone's phase has to be written. Suspicion isn't stored, and health only in place of
+// another phase.
+func (z *Zone) due() bool {
+	switch {
+	case z.Phase == recovery.Suspect:
+		return false
+	case z.record.phase == recordSaved:
+		return z.record.zone != z.Phase
+	}
+	return z.Worth()
+}
+
+// LoadZones reads the recoveries that an earlier leader was in the middle of.
+func (t *Tracker) LoadZones(epoch int64, done func()) {
+	if t.Options == nil {
 		done()
 		return
 	}
-	zr.reader.LoadAll(epoch, recovery.Prefix, "", func(item protocol.Item) {
-		name := item.Key[len(recovery.Prefix):]
-		if known := zr.Zones[name]; known != nil {
-			known.Version = item.Version // read again within a term
-			return
-		}
-		z, err := recovery.Decode(name, item.Value, zr.Mailbox.OfDay()-zr.Now())
-		if err != nil {
-			slog.Error("malformed recovery", "zone", name, "error", err)
-			z = &recovery.Zone{Name: name, Phase: recovery.Healthy}
-		}
-		zr.Zones[name] = &Zone{Zone: z, Version: item.Version, stored: z.Phase}
-		if z.Avoided() {
-			slog.Info("going on with a recovery", "zone", name, "phase", z.Phase, "number", z.Number)
-		}
-	}, done)
+	t.reader.LoadAll(epoch, recovery.Prefix, "", t.adoptRecord, done)
+}
+
+// adoptRecord takes over a zone's recovery from its record.
+func (t *Tracker) adoptRecord(item protocol.Item) {
+	name := item.Key[len(recovery.Prefix):]
+	if known := t.Zones[name]; known != nil {
+		known.Version = item.Version // read again within a term
+		return
+	}
+	z, err := recovery.Decode(name, item.Value, t.timeOfDayOffset())
+	if err != nil {
+		slog.Error("zone record malformed", "zone", name, "error", err)
+		z = &recovery.Zone{Name: name, Phase: recovery.Healthy}
+	}
+	record := storedRecord{phase: recordSaved, zone: z.Phase}
+	t.Zones[name] = &Zone{Zone: z, Version: item.Version, record: record}
+	if z.Avoided() {
+		slog.Info("zone recovery resumed", "zone", name, "phase", z.Phase, "losses", z.Number)
+	}
 }
 
-// SaveZones keeps the zones' phases for the next leader, one change at a time.
-func (zr *Tracker) SaveZones() {
-	if zr.saving || zr.writer.Paused() {
+// timeOfDayOffset returns how far the time of day is ahead of this node's monotonic clock.
+func (t *Tracker) timeOfDayOffset() clock.Micros { return t.Mailbox.OfDay() - t.Now() }
+
+// SaveZones stores the zones' phases for the next leader, one change at a time.
+func (t *Tracker) SaveZones() {
+	if t.saving || t.writer.Paused() {
 		return
 	}
-	for name, z := range ordered.ByKey(zr.Zones) {
-		if z.outcomeUnknown {
-			zr.readZone(name, z)
+	for name, z := range ordered.ByKey(t.Zones) {
+		if z.record.phase == recordOutcomeUnknown {
+			t.readZone(name, z)
 			return
 		}
-		if z.stored == z.Phase || z.stored == "" && !z.Worth() || z.Phase == recovery.Suspect {
-			continue
+		if z.due() {
+			t.saveZone(name, z)
+			return
 		}
-		zr.saveZone(name, z)
-		return
 	}
 }
 
-func (zr *Tracker) saveZone(name string, z *Zone) {
+// saveZone writes a zone's record.
+func (t *Tracker) saveZone(name string, z *Zone) {
 	phase := z.Phase
-	t := protocol.Txn{
-		Guards:  []protocol.Guard{{Key: leadership.Key, Version: zr.Term.Epoch}, {Key: recovery.Key(name), Version: z.Version}},
-		Changes: []protocol.Change{{Put: recovery.Key(name), Value: z.Encode(zr.Mailbox.OfDay() - zr.Now())}},
+	key := recovery.Key(name)
+	txn := recordstore.NewLeaderTxn(t.Term.Epoch)
+	txn.Require(key, z.Version)
+	txn.Put(key, z.Encode(t.timeOfDayOffset()))
+	t.saving = true
+	handle := func(r recordstore.CommitResult) { t.handleSaved(z, phase, r) }
+	txn.Commit(t.Store, term.Guarded(t.State, handle))
+}
+
+// handleSaved handles the outcome of writing a zone's phase.
+func (t *Tracker) handleSaved(z *Zone, phase recovery.Phase, r recordstore.CommitResult) {
+	t.saving = false
+	switch r.Outcome {
+	case recordstore.Committed:
+		z.Version, z.record = r.Revision, storedRecord{phase: recordSaved, zone: phase}
+	case recordstore.Deposed:
+		t.Deposed(t.Term.Epoch + 1)
+	case recordstore.NotExecuted:
+		t.writer.Pause()
+	default:
+		t.writer.Pause()
+		z.record.phase = recordOutcomeUnknown
 	}
-	zr.saving = true
-	epoch := zr.Term.Epoch
-	zr.Store.Commit(statestore.ForLeader, t, func(answer statestore.Reply[protocol.TxnAnswer]) {
-		if zr.Term.Epoch != epoch {
-			return
-		}
-		zr.saving = false
-		switch {
-		case answer.Status == http.StatusOK:
-			z.Version, z.stored = answer.Value.Revision, phase
-		case answer.Status == http.StatusConflict && slices.Contains(answer.Value.Failed, leadership.Key):
-			zr.Deposed(zr.Term.Epoch + 1)
-		default:
-			zr.writer.Pause()
-			z.outcomeUnknown = answer.Status != http.StatusTooManyRequests && answer.Status != http.StatusServiceUnavailable
-		}
-	})
 }
 
-// readZone finds out what became of a change that had no answer.
-func (zr *Tracker) readZone(name string, z *Zone) {
-	zr.saving = true
-	epoch := zr.Term.Epoch
-	zr.Store.Get(recovery.Key(name), func(answer statestore.Reply[protocol.Item]) {
-		if zr.Term.Epoch != epoch {
-			return
-		}
-		zr.saving = false
-		if answer.Status == http.StatusOK || answer.Status == http.StatusNotFound {
-			z.outcomeUnknown, z.Version, z.stored = false, answer.Value.Version, ""
-		}
-	})
+// readZone finds out what became of a change whose outcome is unknown.
+func (t *Tracker) readZone(name string, z *Zone) {
+	t.saving = true
+	handle := func(r recordstore.ReadResult) { t.handleRead(z, r) }
+	recordstore.ReadKey(t.Store, recovery.Key(name), term.Guarded(t.State, handle))
+}
+
+// handleRead notes the version of a record that was read. Whatever it says, the zone's phase is written at
+// that version. If the read fails it is tried again.
+func (t *Tracker) handleRead(z *Zone, r recordstore.ReadResult) {
+	t.saving = false
+	if r.Outcome != recordstore.ReadFailed {
+		z.Version, z.record = r.Item.Version, storedRecord{phase: recordUnsaved}
+	}
 }
