--- a/internal/leader/cells_test.go
+++ b/internal/leader/cells_test.go
@@ -458,7 +458,7 @@
 		j := d.jobs.ByID["job-1"]
 		j.UnmetSince, j.UnmetAt, j.UnmetTasks = box.Now-10*clock.Second, box.Now, 2
 		c.change(d, j)
-		if n, _ := d.origin.OffloadableTasks(j); n != c.tasks {
+		if n := d.origin.OffloadableTasks(j).Count; n != c.tasks {
 			t.Errorf("%s: %d tasks may go", name, n)
 		}
 	}
--- a/internal/leader/federation/delegationstore.go
+++ b/internal/leader/federation/delegationstore.go
@@ -2,191 +2,240 @@
 
 import (
 	"log/slog"
-	"net/http"
 	"slices"
 
 	"postpoint/internal/cells"
 	"postpoint/internal/delegation"
-	"postpoint/internal/leadership"
+	"postpoint/internal/leader/jobtable"
+	"postpoint/internal/leader/recordstore"
+	"postpoint/internal/leader/term"
 	"postpoint/internal/ledger"
 	"postpoint/internal/ordered"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
 )
 
-// ReserveNumbers reserves numbers for this term.
-func (oc *Origin) ReserveNumbers() {
-	if oc.Numbers.asking || oc.Numbers.Next < oc.Numbers.End {
+// LoadDelegations reads the records of what other cells run.
+func (o *Origin) LoadDelegations(epoch int64, done func()) {
+	if !o.Format.Cells {
+		done()
 		return
 	}
-	oc.Numbers.asking = true
-	epoch := oc.Term.Epoch
-	oc.Store.Get(delegation.NumbersKey, func(r statestore.Reply[protocol.Item]) {
-		if oc.Term.Epoch != epoch {
-			return
-		}
-		first := int64(1)
-		if r.Status == http.StatusOK && protocol.Decode(r.Value.Value, &first) != nil || r.Status != http.StatusOK && r.Status != http.StatusNotFound {
-			oc.Numbers.asking = false
-			return
-		}
-		t := protocol.Txn{
-			Guards:  []protocol.Guard{{Key: leadership.Key, Version: epoch}, {Key: delegation.NumbersKey, Version: r.Value.Version}},
-			Changes: []protocol.Change{{Put: delegation.NumbersKey, Value: protocol.Encode(first + numberBlockSize)}},
-		}
-		oc.Store.Commit(statestore.ForLeader, t, func(r statestore.Reply[protocol.TxnAnswer]) {
-			if oc.Term.Epoch != epoch {
-				return
-			}
-			oc.Numbers.asking = false
-			if r.Status == http.StatusOK {
-				oc.Numbers.Next, oc.Numbers.End = first, first+numberBlockSize
-			}
-		})
-	})
+	o.reader.LoadAll(epoch, delegation.Prefix, "", o.adoptRecord, done)
 }
 
-// LoadDelegations reads the records of what other cells run.
-func (oc *Origin) LoadDelegations(epoch int64, done func()) {
-	if !oc.Format.Cells {
-		done()
+// adoptRecord takes over a delegation of an earlier leader.
+func (o *Origin) adoptRecord(item protocol.Item) {
+	r, err := delegation.DecodeRecord(item.Key, item.Value)
+	if err != nil {
+		// Nothing is known of what runs elsewhere: nothing may be released on its account.
+		slog.Error("delegation record malformed", "key", item.Key, "error", err)
+		o.HasMalformed = true
 		return
 	}
-	oc.reader.LoadAll(epoch, delegation.Prefix, "", func(item protocol.Item) {
-		r, err := delegation.DecodeRecord(item.Key, item.Value)
-		if err != nil {
-			// Never guess at what may be running elsewhere: nothing is freed on its account.
-			slog.Error("malformed delegation", "key", item.Key, "error", err)
-			oc.HasMalformed = true
-			return
-		}
-		if known := oc.Delegations[r.Number]; known != nil {
-			known.version = item.Version // read again within a term
-			return
-		}
-		resumed := delegation.Resumed(r, oc.BegunAt, cells.ProofTime(oc.Settings.Deployment.Workers))
-		oc.Delegations[r.Number] = &trackedDelegation{Delegation: resumed, version: item.Version, stored: r.State}
-	}, done)
+	if del := o.Delegations[r.Number]; del != nil {
+		del.record.noteReloaded(item.Version)
+		return
+	}
+	proofTime := cells.ProofTime(o.Settings.Deployment.Workers)
+	del := &trackedDelegation{Delegation: delegation.Resumed(r, o.BegunAt, proofTime)}
+	del.record.noteStored(item.Version, r.State)
+	o.Delegations[r.Number] = del
 }
 
-// SaveDelegations writes what has changed of the delegations' records, and removes those that
-// are over once their jobs' records say so.
-func (oc *Origin) SaveDelegations() {
-	if oc.saving || oc.writer.Paused() {
-		return
+// recordStep is what has to be done next about a delegation's record.
+type recordStep int
+
+const (
+	stepNone recordStep = iota
+	// stepRead reads it, after a change whose outcome is unknown.
+	stepRead
+	// stepForget drops the delegation, whose record was never stored.
+	stepForget
+	stepCreate
+	stepUpdate
+	stepDelete
+)
+
+// nextStep returns what has to be done about a delegation's record.
+func (o *Origin) nextStep(del *trackedDelegation) recordStep {
+	switch del.record.phase {
+	case recordOutcomeUnknown:
+		return stepRead
+	case recordAbsent:
+		return o.firstStep(del)
 	}
-	_, txnOps := oc.writer.Limits()
-	t := protocol.Txn{Guards: []protocol.Guard{{Key: leadership.Key, Version: oc.Term.Epoch}}}
-	var saved []savedDelegation
-	for _, del := range ordered.ByKey(oc.Delegations) {
-		s, due := oc.dueChange(del)
-		if !due || len(saved) == txnOps {
-			continue
+	switch {
+	case del.Over() && o.placementsReleased(del):
+		return stepDelete
+	case del.State != del.record.state:
+		return stepUpdate
+	}
+	return stepNone
+}
+
+// firstStep returns what has to be done about a record that was never stored, so that the delegation wasn't
+// offered either.
+func (o *Origin) firstStep(del *trackedDelegation) recordStep {
+	if del.Over() || del.State == delegation.Recalled {
+		if o.placementsReleased(del) {
+			return stepForget
 		}
-		t.Guards = append(append(t.Guards, protocol.Guard{Key: delegation.Key(del.Number), Version: del.version}), s.guards...)
-		t.Changes = append(t.Changes, s.change)
-		saved = append(saved, s)
+		return stepNone
+	}
+	if o.placementsStored(del) {
+		return stepCreate
 	}
-	if len(saved) == 0 {
+	return stepNone
+}
+
+// recordWrite is a change of a delegation's record that has been sent.
+type recordWrite struct {
+	del   *trackedDelegation
+	step  recordStep
+	state delegation.State // what it writes
+}
+
+// SaveDelegations writes the changed records of delegations, and removes those of delegations that are over
+// once their jobs' records say so.
+func (o *Origin) SaveDelegations() {
+	if o.saving || o.writer.Paused() {
 		return
 	}
-	oc.saving = true
-	epoch := oc.Term.Epoch
-	oc.Store.Commit(statestore.ForLeader, t, func(r statestore.Reply[protocol.TxnAnswer]) {
-		if oc.Term.Epoch != epoch {
-			return
+	writes := o.dueWrites()
+	if len(writes) == 0 {
+		return
+	}
+	t := recordstore.NewLeaderTxn(o.Term.Epoch)
+	for _, write := range writes {
+		o.addWrite(t, write)
+	}
+	o.saving = true
+	t.Commit(o.Store, term.Guarded(o.State, func(r recordstore.CommitResult) { o.handleSaved(writes, r) }))
+}
+
+// dueWrites returns the writes for the next transaction, and does what has to be done about the other
+// records.
+func (o *Origin) dueWrites() []recordWrite {
+	_, limit := o.writer.Limits()
+	var writes []recordWrite
+	for number, del := range ordered.ByKey(o.Delegations) {
+		step := o.nextStep(del)
+		switch step {
+		case stepRead:
+			o.readRecord(del)
+		case stepForget:
+			delete(o.Delegations, number)
+		case stepCreate, stepUpdate, stepDelete:
+			if len(writes) < limit {
+				writes = append(writes, recordWrite{del: del, step: step, state: del.State})
+			}
 		}
-		oc.saving = false
-		oc.delegationsSaved(saved, r)
-	})
+	}
+	return writes
 }
 
-// dueChange is what has to be written of a delegation, if anything.
-func (oc *Origin) dueChange(del *trackedDelegation) (s savedDelegation, due bool) {
+// addWrite adds a write to a transaction.
+func (o *Origin) addWrite(t *recordstore.LeaderTxn, write recordWrite) {
+	del := write.del
 	key := delegation.Key(del.Number)
-	s = savedDelegation{del: del, state: del.State}
-	switch {
-	case del.uncertain:
-		oc.readDelegation(del)
-		return s, false
-	case del.version == 0 && (del.Over() || del.State == delegation.Recalled):
-		if oc.placesGone(del) {
-			delete(oc.Delegations, del.Number) // it was never stored, nor offered
-		}
-		return s, false
-	case del.version == 0:
-		if !oc.placesStored(del) {
-			return s, false
-		}
-		// Carried out late, once the places have been freed, it would bring the record back.
-		s.guards = []protocol.Guard{oc.placeGuard(del)}
-		s.change = protocol.Change{Put: key, Value: del.Encode()}
-		return s, true
-	case del.Over() && oc.placesGone(del):
-		s.change = protocol.Change{Delete: key}
-		return s, true
-	}
-	s.change = protocol.Change{Put: key, Value: del.Encode()}
-	return s, del.stored != del.State
+	t.Require(key, del.record.version)
+	switch write.step {
+	case stepDelete:
+		t.Delete(key)
+		return
+	case stepCreate:
+		// Carried out late, once the placements are released, it would bring the record back.
+		t.Require(o.placementVersion(del))
+	}
+	t.Put(key, del.Encode())
 }
 
-// delegationsSaved handles the answer to a change of delegations' records.
-func (oc *Origin) delegationsSaved(saved []savedDelegation, r statestore.Reply[protocol.TxnAnswer]) {
-	switch {
-	case r.Status == http.StatusOK:
-		for _, s := range saved {
-			if s.change.Delete != "" {
-				delete(oc.Delegations, s.del.Number)
-				continue
+// handleSaved handles the outcome of a transaction.
+func (o *Origin) handleSaved(writes []recordWrite, r recordstore.CommitResult) {
+	o.saving = false
+	switch r.Outcome {
+	case recordstore.Committed:
+		o.noteWritten(writes, r.Revision)
+	case recordstore.Deposed:
+		o.Deposed(o.Term.Epoch + 1)
+	case recordstore.NotExecuted:
+		o.writer.Pause()
+	case recordstore.Conflict:
+		for _, write := range writes {
+			if slices.Contains(r.FailedKeys, delegation.Key(write.del.Number)) {
+				write.del.record.phase = recordOutcomeUnknown
 			}
-			s.del.version, s.del.stored, s.del.Offerable = r.Value.Revision, s.state, true
-		}
-	case r.Status == http.StatusConflict && slices.Contains(r.Value.Failed, leadership.Key):
-		oc.Deposed(oc.Term.Epoch + 1)
-	case r.Status == http.StatusTooManyRequests || r.Status == http.StatusServiceUnavailable:
-		oc.writer.Pause()
-	case r.Status == http.StatusConflict:
-		for _, s := range saved {
-			s.del.uncertain = s.del.uncertain || slices.Contains(r.Value.Failed, delegation.Key(s.del.Number))
 		}
 	default:
-		oc.writer.Pause()
-		for _, s := range saved {
-			s.del.uncertain = true
+		o.writer.Pause()
+		for _, write := range writes {
+			write.del.record.phase = recordOutcomeUnknown
 		}
 	}
 }
 
-// placeGuard is the version of a stored value that says that the host has the delegation's tasks.
-func (oc *Origin) placeGuard(del *trackedDelegation) protocol.Guard {
-	j := oc.jobs.ByID[del.Job]
-	task := del.Left.NextIn(0)
+// noteWritten notes what a transaction has written.
+func (o *Origin) noteWritten(writes []recordWrite, revision int64) {
+	for _, write := range writes {
+		if write.step == stepDelete {
+			delete(o.Delegations, write.del.Number)
+			continue
+		}
+		write.del.record.noteStored(revision, write.state)
+		write.del.Offerable = true
+	}
+}
+
+// placementVersion returns the key and version of the stored value that holds the delegation's placements.
+func (o *Origin) placementVersion(del *trackedDelegation) (key string, version int64) {
+	j := o.jobs.ByID[del.Job]
 	if j.PartSize == 0 || j.Sharding {
-		return protocol.Guard{Key: ledger.Key(j.Spec.ID), Version: j.Version}
+		return ledger.Key(j.Spec.ID), j.Version
+	}
+	task := del.Left.NextIn(0)
+	return ledger.PartKey(j.Spec.ID, j.PartOf(task)), j.ShardOf(task).Version
+}
+
+// placementsStored reports whether its job's stored record has all placements of a delegation.
+func (o *Origin) placementsStored(del *trackedDelegation) bool {
+	j := o.jobs.ByID[del.Job]
+	return j != nil && readable(j) && del.holdsAllAsStored(j)
+}
+
+// placementsReleased reports whether its job's stored record has none of a delegation's placements.
+func (o *Origin) placementsReleased(del *trackedDelegation) bool {
+	j := o.jobs.ByID[del.Job]
+	if j == nil {
+		return !o.jobs.Malformed[del.Job]
 	}
-	return protocol.Guard{Key: ledger.PartKey(j.Spec.ID, j.PartOf(task)), Version: j.ShardOf(task).Version}
+	return del.holdsNoneAsStored(j)
+}
+
+// readable reports whether a job's record needn't be read again before its content counts.
+func readable(j *jobtable.Job) bool { return !j.MustReload && !j.Loading }
+
+// readRecord finds out what became of a change whose outcome is unknown. If it is carried out later still, it
+// conflicts with whatever is written at the version that was read.
+func (o *Origin) readRecord(del *trackedDelegation) {
+	o.saving = true
+	handle := func(r recordstore.ReadResult) { o.handleRead(del, r) }
+	recordstore.ReadKey(o.Store, delegation.Key(del.Number), term.Guarded(o.State, handle))
 }
 
-// readDelegation finds out what became of a change that had no answer. One that is carried out
-// even later conflicts with whatever is written at the version that was read.
-func (oc *Origin) readDelegation(del *trackedDelegation) {
-	oc.saving = true
-	epoch := oc.Term.Epoch
-	oc.Store.Get(delegation.Key(del.Number), func(r statestore.Reply[protocol.Item]) {
-		if oc.Term.Epoch != epoch {
-			return
+// handleRead handles a record that was read. If the read fails it is tried again.
+func (o *Origin) handleRead(del *trackedDelegation, r recordstore.ReadResult) {
+	o.saving = false
+	switch r.Outcome {
+	case recordstore.NotFound:
+		if del.record.version != 0 {
+			delete(o.Delegations, del.Number) // the removal was carried out
 		}
-		oc.saving = false
-		switch r.Status {
-		case http.StatusNotFound:
-			del.uncertain = false
-			if del.version != 0 {
-				delete(oc.Delegations, del.Number) // the removal was carried out
-			}
-		case http.StatusOK:
-			if stored, err := delegation.DecodeRecord(delegation.Key(del.Number), r.Value.Value); err == nil {
-				del.uncertain, del.version, del.stored, del.Offerable = false, r.Value.Version, stored.State, true
-			}
+		del.record.phase = recordAbsent
+	case recordstore.Found:
+		record, err := delegation.DecodeRecord(delegation.Key(del.Number), r.Item.Value)
+		if err == nil {
+			del.record.noteStored(r.Item.Version, record.State)
+			del.Offerable = true
 		}
-	})
+	}
 }
--- a/internal/leader/federation/heartbeats.go
+++ b/internal/leader/federation/heartbeats.go
@@ -9,213 +9,297 @@
 	"postpoint/internal/fleet"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
+	"postpoint/internal/leader/term"
 	"postpoint/internal/ledger"
 	"postpoint/internal/ordered"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
 )
 
-// Cells run work for each other by delegation: docs/cells.md. A leader is home for the jobs of
-// its own cell's users and host for those of other cells. As host it reports to the other
-// cells' leaders, as workers report to theirs; as home it answers.
-
-// Exchanger carries a report to a controller of another cell. ok tells that an answer came.
+// Exchanger carries a heartbeat to a controller of another cell. ok reports whether a response came.
 type Exchanger interface {
 	Exchange(address string, r delegation.Report, done func(a delegation.Answer, ok bool))
 }
 
-// Link is the exchange with one other cell.
-type Link struct {
-	name string
-	// As host, to that cell as home.
-	inFlight bool
-	nextAt   clock.Micros
-	Failures int
-	// leader is the address of the controller to ask, else turn chooses one.
-	leader     string
-	turn       int
-	answeredAt clock.Micros
-	reports    int64 // sent in this term
-	// As home, of that cell as host: its last report.
-	Load           delegation.Load
-	LoadAt         clock.Micros
-	epoch, counter int64
-}
+// ExchangeTimeout is how long cells wait for each other's responses.
+const ExchangeTimeout = clock.Second
 
 const (
-	// Hosts report this often to cells whose work they have, and to others.
-	busyReportTime = clock.Second
-	idleReportTime = 2 * clock.Second
-	// reportCoalesceTime lets what happens at about the same time share a report.
-	reportCoalesceTime = 100 * clock.Millisecond
-	// A cell that doesn't answer is asked less and less often, the jitter apart.
-	firstBackoff  = 500 * clock.Millisecond
-	longestPause  = 15 * clock.Second
-	backoffDouble = 5
-	backoffJitter = 0.25
+	// busyInterval is from one heartbeat to the next for origin cells whose jobs this cell runs.
+	busyInterval = clock.Second
+	// idleInterval is that for other cells.
+	idleInterval = 2 * clock.Second
+	// coalesceDelay lets events that happen at about the same time share a heartbeat.
+	coalesceDelay = 100 * clock.Millisecond
+	// circuitFailures in a row are the most after which a cell counts as reachable.
+	circuitFailures = 5
 )
 
-// CircuitFailures in a row mean that a cell is asked only now and then.
-const CircuitFailures = 5
+// The pauses after failed exchanges double up to a limit, with jitter.
+const (
+	firstBackoff = 500 * clock.Millisecond
+	maxBackoff   = 15 * clock.Second
+	maxDoublings = 5
+	jitterShare  = 0.25
+)
 
-// allRefused tells that the cloud has run out of a type, as far as is known.
-func allRefused(t protocol.MachineType, refused map[fleet.Kind]bool) bool {
-	for _, zone := range t.Zones {
-		if !refused[fleet.Kind{Type: t.Name, Zone: zone}] && !refused[fleet.Kind{Type: t.Name, Zone: zone, Spot: true}] {
-			return false
-		}
+// circuitOpen reports whether the cell has failed so often that it is tried only now and then.
+func (s *heartbeatStream) circuitOpen() bool { return s.failures > circuitFailures }
+
+// due reports whether the next heartbeat is to be sent.
+func (s *heartbeatStream) due(now clock.Micros) bool { return !s.inFlight && now >= s.nextAt }
+
+// address returns the controller that gets the next heartbeat.
+func (s *heartbeatStream) address(origin *cells.Cell) string {
+	if s.leader != "" {
+		return s.leader
 	}
-	return true
+	return origin.Controllers[s.attempt%len(origin.Controllers)].Address
 }
 
-// beyond is what is left of free amounts beyond a reserve.
-func beyond(free, reserve planner.Amounts) planner.Amounts {
-	left := free.Minus(reserve)
-	return planner.Amounts{Cpus: max(0, left.Cpus), Gpus: max(0, left.Gpus), MemoryGB: max(0, left.MemoryGB)}
+// sentHeartbeat is a heartbeat that waits for its response.
+type sentHeartbeat struct {
+	link    *Link
+	origin  *cells.Cell
+	address string
+	sentAt  clock.Micros
+	jobs    []*jobtable.Job // all that the origin cell has delegated
 }
 
-// ShortageTime is what waiting for a plan or two and an answer of the cloud takes.
-const ShortageTime = 5 * clock.Second
-
-// CellOverview is what the leader knows of another cell.
-type CellOverview struct {
-	Cell string `json:"cell"`
-	// Reachable tells that it answers this cell's reports, if it is sent any, and reports itself,
-	// if it may take work.
-	Reachable bool `json:"reachable"`
-	// Lent counts this cell's tasks that are there, Borrowed that cell's tasks that are here.
-	Lent     int `json:"lent_tasks"`
-	Borrowed int `json:"borrowed_tasks"`
-	// Recalled counts delegations that are wanted back.
-	Recalled int `json:"recalled"`
-	// OldestUnansweredS is how long ago that cell last said something of the delegation that it
-	// has been silent about for longest.
-	OldestUnansweredS float64 `json:"oldest_unanswered_s"`
-	// ShortS is for how long its own work has been waiting for room, by its last report.
-	ShortS float64 `json:"short_s,omitempty"`
-}
-
-// ReportToOrigins sends the reports that are due. It needs no lease: a leader that may still
-// answer workers may also ask what it may keep.
-func (hc *Host) ReportToOrigins() {
-	if !hc.cells.Enabled() || !hc.Loaded || !hc.Leads() && !hc.MayAnswer() {
+// ReportToOrigins sends the heartbeats that are due. It needs no lease: a leader that may still respond to
+// workers may also ask what it may keep.
+func (h *Host) ReportToOrigins() {
+	if !h.cells.Enabled() || !h.Loaded || !h.Leads() && !h.MayAnswer() {
 		return
 	}
-	now := hc.Now()
-	var guests map[string][]*jobtable.Job
-	for _, link := range ordered.ByKey(hc.cells.ByCell) {
-		if link.inFlight || now < link.nextAt {
+	now := h.Now()
+	var hosted map[string][]*jobtable.Job // collected only if a heartbeat is due
+	for _, link := range ordered.ByKey(h.cells.ByCell) {
+		if !link.outgoing.due(now) {
 			continue
 		}
-		if guests == nil {
-			guests = hc.jobs.HostedByOrigin()
+		if hosted == nil {
+			hosted = h.jobs.HostedByOrigin()
 		}
-		if own := guests[link.name]; len(own) > 0 || hc.cells.Directory.TakesFrom(link.name) {
-			hc.report(link, own)
+		if jobs := hosted[link.cell]; len(jobs) > 0 || h.cells.Directory.TakesFrom(link.cell) {
+			h.sendHeartbeat(link, jobs)
 		}
 	}
 }
 
-// report sends one report and takes its answer.
-func (hc *Host) report(link *Link, guests []*jobtable.Job) {
-	home := hc.cells.Directory.Cell(link.name)
-	address := link.leader
-	if address == "" {
-		address = home.Controllers[link.turn%len(home.Controllers)].Address
+// sendHeartbeat sends one heartbeat to the origin cell of the given jobs.
+func (h *Host) sendHeartbeat(link *Link, jobs []*jobtable.Job) {
+	origin := h.cells.Directory.Cell(link.cell)
+	sent := sentHeartbeat{
+		link:    link,
+		origin:  origin,
+		address: link.outgoing.address(origin),
+		sentAt:  h.Now(),
+		jobs:    jobs,
+	}
+	link.outgoing.inFlight = true
+	link.outgoing.sequence++
+	handle := func(a delegation.Answer, ok bool) { h.handleResponse(&sent, a, ok) }
+	h.cells.exchange.Exchange(sent.address, h.heartbeat(link, jobs), term.Guarded2(h.State, handle))
+}
+
+// heartbeat returns what the origin cell of the given jobs is told.
+func (h *Host) heartbeat(link *Link, jobs []*jobtable.Job) delegation.Report {
+	r := delegation.Report{
+		Host:    h.cells.Directory.Own.Name,
+		Home:    link.cell,
+		Epoch:   h.Term.Epoch,
+		Counter: link.outgoing.sequence,
+		Clear:   cells.ClearTime(h.Settings.Deployment.Workers.Lease()),
+		Load:    h.ownLoad(),
 	}
-	sentAt, epoch := hc.Now(), hc.Term.Epoch
-	link.inFlight = true
-	link.reports++
-	r := delegation.Report{Host: hc.cells.Directory.Own.Name, Home: link.name, Epoch: epoch, Counter: link.reports,
-		Clear: cells.ClearTime(hc.Settings.Deployment.Workers.Lease()), Load: hc.ownLoad()}
-	for _, j := range guests {
-		if s, known := hc.StatusOf(j); known && len(r.Tasks) < delegation.MaxReported {
+	for _, j := range jobs {
+		if s, known := h.StatusOf(j); known && len(r.Tasks) < delegation.MaxReported {
 			r.Tasks = append(r.Tasks, s)
 		}
 	}
-	hc.cells.exchange.Exchange(address, r, func(a delegation.Answer, ok bool) {
-		if hc.Term.Epoch != epoch {
-			return
-		}
-		link.inFlight = false
-		if !ok || a.Result != delegation.Taken {
-			hc.reportFailed(link, home, address, a, ok)
-			return
-		}
-		if link.Failures > CircuitFailures {
-			slog.Info("cell answers again", "cell", link.name)
-		}
-		link.leader, link.Failures, link.answeredAt = address, 0, hc.Now()
-		link.nextAt = sentAt + idleReportTime
-		if len(guests) > 0 {
-			link.nextAt = sentAt + busyReportTime
-		}
-		hc.applyRulings(guests, a.Rulings, sentAt)
-		for _, o := range a.Offers {
-			hc.TakeOffer(link, o)
-		}
-		hc.CheckHosted()
-		hc.steps.Wake()
-	})
+	return r
+}
+
+// handleResponse handles the response to a heartbeat, or that none came.
+func (h *Host) handleResponse(sent *sentHeartbeat, a delegation.Answer, ok bool) {
+	stream := &sent.link.outgoing
+	stream.inFlight = false
+	if !ok || a.Result != delegation.Taken {
+		h.handleFailure(sent, a, ok)
+		return
+	}
+	if stream.circuitOpen() {
+		slog.Info("cell responds again", "cell", sent.link.cell)
+	}
+	stream.leader, stream.failures, stream.respondedAt = sent.address, 0, h.Now()
+	stream.nextAt = sent.sentAt + idleInterval
+	if len(sent.jobs) > 0 {
+		stream.nextAt = sent.sentAt + busyInterval
+	}
+	h.applyDirectives(sent.jobs, a.Rulings, sent.sentAt)
+	for _, offer := range a.Offers {
+		h.TakeOffer(sent.link, offer)
+	}
+	h.CheckHosted()
+	h.steps.Wake()
 }
 
-// reportFailed goes on with another controller of the cell, and after a pause if none helps.
-func (hc *Host) reportFailed(link *Link, home *cells.Cell, asked string, a delegation.Answer, ok bool) {
-	link.leader = ""
-	link.turn++
-	if ok && a.Leader != asked && home.Has(a.Leader) {
-		link.leader = a.Leader
+// handleFailure goes on with another controller of the cell, after a pause if all have been tried.
+func (h *Host) handleFailure(sent *sentHeartbeat, a delegation.Answer, ok bool) {
+	stream := &sent.link.outgoing
+	stream.leader = ""
+	stream.attempt++
+	if ok && a.Leader != sent.address && sent.origin.Has(a.Leader) {
+		stream.leader = a.Leader
 	}
-	link.Failures++
-	if link.Failures == CircuitFailures+1 {
-		slog.Info("cell does not answer", "cell", link.name, "silent_s", (hc.Now() - link.answeredAt).Seconds())
+	stream.failures++
+	if stream.failures == circuitFailures+1 {
+		slog.Info("cell does not respond", "cell", sent.link.cell,
+			"silent_s", (h.Now() - stream.respondedAt).Seconds())
 	}
-	pause := firstBackoff << min(max(link.Failures-len(home.Controllers), 0), backoffDouble)
-	spread := 1 - backoffJitter + 2*backoffJitter*hc.Random.Float64()
-	link.nextAt = hc.Now() + min(clock.Micros(float64(pause)*spread), longestPause)
+	stream.nextAt = h.Now() + h.backoff(stream.failures-len(sent.origin.Controllers))
+}
+
+// backoff returns the pause after as many failures beyond one of each controller.
+func (h *Host) backoff(failures int) clock.Micros {
+	pause := firstBackoff << min(max(failures, 0), maxDoublings)
+	spread := 1 - jitterShare + 2*jitterShare*h.Random.Float64()
+	return min(clock.Micros(float64(pause)*spread), maxBackoff)
 }
 
-// reportSoon tells a cell of news about its work.
-func (hc *Host) reportSoon(home string) {
-	link := hc.cells.ByCell[home]
-	if link == nil || link.Failures > CircuitFailures {
+// reportSoon has a cell told of changes of its jobs, unless it doesn't respond anyway.
+func (h *Host) reportSoon(origin string) {
+	link := h.cells.ByCell[origin]
+	if link == nil || link.outgoing.circuitOpen() {
 		return
 	}
-	if soon := hc.Now() + reportCoalesceTime; link.nextAt > soon {
-		link.nextAt = soon
-		hc.AfterInTerm(reportCoalesceTime, hc.ReportToOrigins)
+	if soon := h.Now() + coalesceDelay; link.outgoing.nextAt > soon {
+		link.outgoing.nextAt = soon
+		h.AfterInTerm(coalesceDelay, h.ReportToOrigins)
 	}
 }
 
-// ownLoad is what this cell could take, for other cells to choose by.
-func (hc *Host) ownLoad() delegation.Load {
-	own := hc.cells.Directory.Own
-	l := delegation.Load{Room: own.Guests.Minus(hc.jobs.HostedAmounts()), Short: hc.unmetFor(false)}
-	if own.Draining || hc.unmetFor(true) > 0 {
-		l.Room = planner.Amounts{}
+// StatusOf returns what its origin cell is told of a hosted job. known is false while its record has to be
+// read, since only what is stored may be told.
+func (h *Host) StatusOf(j *jobtable.Job) (s delegation.Status, known bool) {
+	_, originID, number, ok := ledger.ParseGuestID(j.Spec.ID)
+	if !ok || !readable(j) {
+		return s, false
+	}
+	s = delegation.Status{
+		Number: number,
+		Job:    originID,
+		Closed: closedAsStored(j),
+		Done:   j.StoredDone,
+		Reason: j.Cause,
+	}
+	for task, p := range ordered.ByKey(j.Placed) {
+		s.Held.Add(task)
+		if h.isRunning(j, p) {
+			s.Running++
+		}
 	}
-	limit, _ := hc.writer.Limits()
-	l.MaxTasks = hostedTasksWithin(limit)
+	s.Waiting = max(0, j.PendingCount()) // a gang whose tasks are done may still be held
+	return s, true
+}
+
+// closedAsStored reports whether the stored record says that a hosted job starts nothing more.
+func closedAsStored(j *jobtable.Job) bool {
+	return j.Guest.Closed && j.StoredCount >= j.ClosedAtChange || j.Final() && j.IsStored()
+}
+
+// isRunning reports whether a placement's machine has told that the task runs.
+func (h *Host) isRunning(j *jobtable.Job, p ledger.Placement) bool {
+	m := h.machines.ByName[p.Machine]
+	return m != nil && m.RunningSince[attemptRef(j, p)] != 0
+}
+
+// attemptRef names a placement's attempt as machines know it.
+func attemptRef(j *jobtable.Job, p ledger.Placement) machinetable.AttemptRef {
+	return machinetable.AttemptRef{Job: j.Spec.ID, Task: p.Task, Attempt: p.Attempt}
+}
+
+// ownLoad returns how much this cell could take, for other cells to choose by.
+func (h *Host) ownLoad() delegation.Load {
+	limit, _ := h.writer.Limits()
+	return delegation.Load{
+		Room:     h.quotaLeft(),
+		Short:    h.ownDemandWait(),
+		MaxTasks: hostedTasksWithin(limit),
+		Types:    h.typeLoads(),
+	}
+}
+
+// quotaLeft returns how much more hosted jobs may use.
+func (h *Host) quotaLeft() planner.Amounts {
+	own := h.cells.Directory.Own
+	if own.Draining || h.hostedDemandWait() > 0 {
+		return planner.Amounts{}
+	}
+	return own.Guests.Minus(h.jobs.HostedAmounts())
+}
+
+// typeLoads returns what is free of each machine type beyond the reserve for own work.
+func (h *Host) typeLoads() []delegation.TypeLoad {
 	free := map[string]planner.Amounts{}
-	for i := range hc.snapshots.Views {
-		if m := &hc.snapshots.Views[i]; !m.Booting {
+	for i := range h.snapshots.Views {
+		if m := &h.snapshots.Views[i]; !m.Booting {
 			free[m.Type] = free[m.Type].Plus(m.Free)
 		}
 	}
-	refused := hc.autoscaler.Market().Refused
-	for _, t := range hc.catalogue.Types {
-		l.Types = append(l.Types, delegation.TypeLoad{Type: t, Free: beyond(free[t.Name], own.Reserve), Refused: allRefused(t, refused)})
+	refused := h.autoscaler.Market().Refused
+	reserve := h.cells.Directory.Own.Reserve
+	var loads []delegation.TypeLoad
+	for _, t := range h.catalogue.Types {
+		loads = append(loads, delegation.TypeLoad{
+			Type:    t,
+			Free:    beyondReserve(free[t.Name], reserve),
+			Refused: outOfCapacity(t, refused),
+		})
+	}
+	return loads
+}
+
+// beyondReserve returns what is left of free amounts after a reserve, nowhere below zero.
+func beyondReserve(free, reserve planner.Amounts) planner.Amounts {
+	left := free.Minus(reserve)
+	return planner.Amounts{
+		Cpus:     max(0, left.Cpus),
+		Gpus:     max(0, left.Gpus),
+		MemoryGB: max(0, left.MemoryGB),
 	}
-	return l
 }
 
-// unmetFor is for how long work of this cell's own, or of guests, has been waiting for machines
-// that don't come, 0 if none has for long.
-func (hc *Host) unmetFor(guests bool) clock.Micros {
-	now := hc.Now()
+// outOfCapacity reports whether the cloud has refused a machine type in all of its zones lately, at either
+// price.
+func outOfCapacity(t protocol.MachineType, refused map[fleet.Kind]bool) bool {
+	for _, zone := range t.Zones {
+		regular := fleet.Kind{Type: t.Name, Zone: zone}
+		spot := fleet.Kind{Type: t.Name, Zone: zone, Spot: true}
+		if !refused[regular] && !refused[spot] {
+			return false
+		}
+	}
+	return true
+}
+
+// ownDemandWait returns how long this cell's own work has been waiting for machines that don't come, 0 if
+// none has for as long as ShortageTime.
+func (h *Host) ownDemandWait() clock.Micros {
+	return h.longestWait(func(j *jobtable.Job) bool { return j.Guest == nil })
+}
+
+// hostedDemandWait is ownDemandWait for hosted jobs.
+func (h *Host) hostedDemandWait() clock.Micros {
+	return h.longestWait(func(j *jobtable.Job) bool { return j.Guest != nil })
+}
+
+func (h *Host) longestWait(counts func(*jobtable.Job) bool) clock.Micros {
+	now := h.Now()
 	longest := clock.Micros(0)
-	for _, j := range hc.jobs.ByID {
-		if (j.Guest != nil) == guests && !j.Over() && j.UnmetAt != 0 && now <= j.UnmetAt+jobtable.UnmetDemandGap {
+	for _, j := range h.jobs.ByID {
+		if counts(j) && !j.Over() && hasUnmetDemand(j, now) {
 			longest = max(longest, now-j.UnmetSince)
 		}
 	}
@@ -225,20 +309,11 @@
 	return longest
 }
 
-// StatusOf is what home is told of a guest. known is false while its record is in doubt.
-func (hc *Host) StatusOf(j *jobtable.Job) (s delegation.Status, known bool) {
-	_, id, number, ok := ledger.ParseGuestID(j.Spec.ID)
-	if !ok || j.MustReload || j.Loading {
-		return s, false
-	}
-	s = delegation.Status{Number: number, Job: id, Done: j.StoredDone, Reason: j.Cause,
-		Closed: j.Guest.Closed && j.StoredCount >= j.ClosedAtChange || j.Final() && j.IsStored()}
-	for task, p := range ordered.ByKey(j.Placed) {
-		s.Held.Add(task)
-		if m := hc.machines.ByName[p.Machine]; m != nil && m.RunningSince[machinetable.AttemptRef{Job: j.Spec.ID, Task: task, Attempt: p.Attempt}] != 0 {
-			s.Running++
-		}
-	}
-	s.Waiting = max(0, j.PendingCount()) // a gang whose tasks are done may still be held
-	return s, true
+// ShortageTime is how long work waits at least before there is a shortage of machines: a plan or two and a
+// response of the cloud take as long.
+const ShortageTime = 5 * clock.Second
+
+// hasUnmetDemand reports whether a late enough plan has wanted machines for a job.
+func hasUnmetDemand(j *jobtable.Job, now clock.Micros) bool {
+	return j.UnmetAt != 0 && now <= j.UnmetAt+jobtable.UnmetDemandGap
 }
--- a/internal/leader/federation/host.go
+++ b/internal/leader/federation/host.go
@@ -2,8 +2,6 @@
 
 import (
 	"log/slog"
-	"math"
-	"net/http"
 
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
@@ -14,14 +12,15 @@
 	"postpoint/internal/leader/recordstore"
 	"postpoint/internal/leader/snapshots"
 	"postpoint/internal/leader/term"
-	"postpoint/internal/leadership"
 	"postpoint/internal/ledger"
 	"postpoint/internal/ordered"
 	"postpoint/internal/protocol"
 	"postpoint/internal/statestore"
 )
 
-// Host runs jobs that other cells have delegated to this one.
+// Host runs jobs that other cells have delegated to this one. A hosted job has a record like any other, under
+// an id of its own, and is scheduled like any other, after all of this cell's own work. What may be done with
+// it follows from its origin cell's permission, which has to be renewed like a lease.
 type Host struct {
 	*term.State
 	Store      statestore.Store
@@ -38,11 +37,11 @@
 	steps      *term.StepTimer
 }
 
-// NewHost makes the part that runs other cells' jobs.
+// NewHost returns the component that runs other cells' jobs.
 func NewHost(term *term.State, store statestore.Store, jobs *jobtable.Table, machines *machinetable.Table,
-	catalogue *machinetable.Catalogue, reader *recordstore.Reader, writer *recordstore.Writer, reconciler *reconciler.Reconciler,
-	commands *reconciler.CommandSender, autoscaler *autoscaler.Autoscaler, snapshots *snapshots.Builder, links *Links,
-	steps *term.StepTimer) *Host {
+	catalogue *machinetable.Catalogue, reader *recordstore.Reader, writer *recordstore.Writer,
+	reconciler *reconciler.Reconciler, commands *reconciler.CommandSender, autoscaler *autoscaler.Autoscaler,
+	snapshots *snapshots.Builder, links *Links, steps *term.StepTimer) *Host {
 	return &Host{
 		State:      term,
 		Store:      store,
@@ -60,165 +59,175 @@
 	}
 }
 
-// A guest is a job that another cell has delegated to this one. It stands in a record like
-// any job, under an id of its own, and goes the ordinary path, after all of this cell's own
-// work. What it may do follows from its home's permission, which has to be renewed.
-
 const (
-	// ownShortageTime is for how long this cell's own work waits before what guests haven't
-	// started goes back.
+	// ownShortageTime is how long this cell's own work waits before unstarted hosted tasks are given back.
 	ownShortageTime = 20 * clock.Second
-	// giveBackTime is how long guests' tasks wait for room before home has them back.
+	// giveBackTime is how long hosted tasks wait for room before they are given back.
 	giveBackTime = 120 * clock.Second
 )
 
-// hostedSpec is a delegated job as this cell runs it: its class and team are of another cell,
-// and none of this one's aims and limits are meant for them.
-func hostedSpec(home, id string, spec protocol.JobSpec) protocol.JobSpec {
-	spec.ID = id
-	spec.Class = home + "." + spec.Class
-	spec.Team = home + "." + spec.Team
-	return spec
-}
-
-// hostedTasksWithin is how many tasks of an ordinary job a guest's record of limit bytes has
-// room for.
-func hostedTasksWithin(limit int) int {
-	ordinary := protocol.JobSpec{ID: ledger.GuestID("cell", "job-000000", math.MaxInt32), Tasks: delegation.MaxTasks}
-	return min(delegation.MaxTasks, ledger.New(ordinary, 0).Room(limit))
-}
+// The reasons for which hosted tasks are stopped.
+const (
+	stopRecalled = "recalled"
+	stopClosed   = "closed"
+)
 
-// NoteHostedStored follows what is stored of a guest. Its home is told at once.
-func (hc *Host) NoteHostedStored(j *jobtable.Job) {
+// NoteHostedStored follows what is stored of a job. If it is a hosted one, its origin cell is told soon.
+func (h *Host) NoteHostedStored(j *jobtable.Job) {
 	if j.Guest == nil {
 		return
 	}
 	if j.IsStored() {
 		j.StoredDone = j.Done.Clone()
 	}
-	hc.reportSoon(j.Guest.Home)
+	h.reportSoon(j.Guest.Home)
 }
 
-// applyRulings takes what home says of the guests that it was told of.
-func (hc *Host) applyRulings(guests []*jobtable.Job, rulings []delegation.Ruling, sentAt clock.Micros) {
+// applyDirectives applies what the origin cell has said of the jobs that it was told of.
+func (h *Host) applyDirectives(jobs []*jobtable.Job, directives []delegation.Ruling, sentAt clock.Micros) {
 	byNumber := map[int64]delegation.Ruling{}
-	for _, r := range rulings {
-		byNumber[r.Number] = r
+	for _, directive := range directives {
+		byNumber[directive.Number] = directive
 	}
-	for _, j := range guests {
-		r, ruled := byNumber[j.Guest.Number]
-		if !ruled || hc.jobs.ByID[j.Spec.ID] != j {
+	for _, j := range jobs {
+		directive, found := byNumber[j.Guest.Number]
+		if !found || h.jobs.ByID[j.Spec.ID] != j {
 			continue
 		}
-		if r.Verdict != delegation.Continue && !j.Permission.Closing {
-			slog.Info("guest is to end", "job", j.Spec.ID, "verdict", r.Verdict.String())
+		if directive.Verdict != delegation.Continue && !j.Permission.Closing {
+			slog.Info("hosted job revoked", "job", j.Spec.ID, "reason", directive.Verdict.String())
 		}
-		j.Permission.Take(r, sentAt, hc.Now())
+		j.Permission.Take(directive, sentAt, h.Now())
 	}
 }
 
-// CheckHosted ends guests without permission, stops what home wants back, closes the records
-// of guests that are to start nothing more, and removes those that home has done with.
-func (hc *Host) CheckHosted() {
-	if hc.Term.Epoch == 0 || !hc.Loaded {
+// CheckHosted applies their permissions to all hosted jobs.
+func (h *Host) CheckHosted() {
+	if h.Term.Epoch == 0 || !h.Loaded {
 		return
 	}
-	for _, j := range ordered.ByKey(hc.jobs.ByID) {
+	for _, j := range ordered.ByKey(h.jobs.ByID) {
 		if j.Guest != nil {
-			hc.CheckJob(j)
+			h.CheckJob(j)
 		}
 	}
 }
 
-// CheckJob applies a hosted job's permission to what is left of it.
-func (hc *Host) CheckJob(j *jobtable.Job) {
-	j.Permission.Check(hc.Now())
-	if j.MustReload || j.Loading || j.Final() {
-		// A home that this cell doesn't know any more will never say that it has done with it.
-		if j.Final() && (j.Permission.Forgotten || hc.cells.Directory == nil || hc.cells.Directory.Cell(j.Guest.Home) == nil) {
-			hc.removeRecord(j)
-		}
+// CheckJob applies a hosted job's permission to what is left of it: what its origin wants back is stopped, a
+// job that may start nothing more is closed, and the record of one that is over for both cells is removed.
+func (h *Host) CheckJob(j *jobtable.Job) {
+	j.Permission.Check(h.Now())
+	if j.Final() && h.originNeedsNothing(j) {
+		h.removeRecord(j)
+		return
+	}
+	if !readable(j) || j.Final() {
 		return
 	}
 	if j.Permission.Stopping {
-		for task := range ordered.ByKey(j.Placed) {
-			hc.commands.Stop(j, task, "recalled", "")
-		}
+		h.stopAll(j)
 	}
-	if why := hc.giveBackReason(j); why != "" && !j.Guest.Closed {
-		slog.Info("guest starts nothing more", "job", j.Spec.ID, "why", why)
-		j.Guest.Closed = true
-		j.Cause = why
-		hc.jobs.NoteHeadChange(j)
-		j.ClosedAtChange = j.ChangeCount
+	if reason := h.closeReason(j); reason != "" && !j.Guest.Closed {
+		h.close(j, reason)
 	}
 	if j.Permission.Closing || j.Guest.Closed {
-		hc.stopUnstarted(j)
+		h.stopUnstarted(j)
 	}
 	if j.Guest.Closed && len(j.Placed) == 0 {
 		j.Status = protocol.StatusCancelled
-		hc.jobs.NoteHeadChange(j)
-		hc.steps.Wake()
+		h.jobs.NoteHeadChange(j)
+		h.steps.Wake()
+	}
+}
+
+// originNeedsNothing reports whether a hosted job's origin cell needs nothing of it any more. A cell that
+// isn't in the directory will never say so.
+func (h *Host) originNeedsNothing(j *jobtable.Job) bool {
+	return j.Permission.Forgotten || h.cells.Directory == nil || h.cells.Directory.Cell(j.Guest.Home) == nil
+}
+
+// stopAll stops a job's tasks, with their progress saved.
+func (h *Host) stopAll(j *jobtable.Job) {
+	for task := range ordered.ByKey(j.Placed) {
+		h.commands.Stop(j, task, stopRecalled, "")
 	}
 }
 
-// stopUnstarted gives the places of tasks up that no machine has reported: they would never be
+// close has a hosted job start nothing more.
+func (h *Host) close(j *jobtable.Job, reason string) {
+	slog.Info("hosted job closed", "job", j.Spec.ID, "reason", reason)
+	j.Guest.Closed = true
+	j.Cause = reason
+	h.jobs.NoteHeadChange(j)
+	j.ClosedAtChange = j.ChangeCount
+}
+
+// stopUnstarted releases the placements of tasks that their machines haven't told of: they would never be
 // started.
-func (hc *Host) stopUnstarted(j *jobtable.Job) {
+func (h *Host) stopUnstarted(j *jobtable.Job) {
 	for task, p := range ordered.ByKey(j.Placed) {
-		m := hc.machines.ByName[p.Machine]
+		m := h.machines.ByName[p.Machine]
 		if m == nil {
 			continue
 		}
-		if _, reported := m.Tasks[machinetable.AttemptRef{Job: j.Spec.ID, Task: task, Attempt: p.Attempt}]; !reported {
-			hc.commands.Stop(j, task, "closed", "")
-			hc.reconciler.Reconcile(m)
+		if _, reported := m.Tasks[attemptRef(j, p)]; !reported {
+			h.commands.Stop(j, task, stopClosed, "")
+			h.reconciler.Reconcile(m)
 		}
 	}
 }
 
-// giveBackReason says why a guest is to start nothing more, "" if it goes on.
-func (hc *Host) giveBackReason(j *jobtable.Job) string {
-	now := hc.Now()
+// The reasons for which hosted jobs are closed. They are stored in the job's record and told to its origin
+// cell.
+const (
+	closedPermissionEnded = "its home no longer permits it"
+	closedRecalled        = "its home wants it back"
+	closedDraining        = "the cell is being drained"
+	closedShortage        = "the cell is short itself"
+	closedNoRoom          = "no room"
+)
+
+// closeReason returns why a hosted job is to start nothing more, "" if it goes on.
+func (h *Host) closeReason(j *jobtable.Job) string {
+	now := h.Now()
 	switch {
 	case j.Permission.Ending:
-		return "its home no longer permits it"
+		return closedPermissionEnded
 	case j.Permission.Closing:
-		return "its home wants it back"
-	case hc.cells.Directory == nil || hc.cells.Directory.Own.Draining:
-		return "the cell is being drained"
-	case j.PendingCount() == 0 || j.UnmetAt == 0 || now > j.UnmetAt+jobtable.UnmetDemandGap:
-	case hc.unmetFor(false) > ownShortageTime:
-		return "the cell is short itself"
+		return closedRecalled
+	case h.cells.Directory == nil || h.cells.Directory.Own.Draining:
+		return closedDraining
+	case j.PendingCount() == 0 || !hasUnmetDemand(j, now):
+		return ""
+	case h.ownDemandWait() > ownShortageTime:
+		return closedShortage
 	case now > j.UnmetSince+giveBackTime:
-		return "no room"
+		return closedNoRoom
 	}
 	return ""
 }
 
-// removeRecord deletes the record of a guest that is over for both cells.
-func (hc *Host) removeRecord(j *jobtable.Job) {
-	if j.InFlight || j.Loading || len(j.Placed) > 0 || !hc.Leads() {
+// removeRecord deletes the record of a hosted job that is over for both cells.
+func (h *Host) removeRecord(j *jobtable.Job) {
+	if j.InFlight || j.Loading || len(j.Placed) > 0 || !h.Leads() {
 		return
 	}
 	key := ledger.Key(j.Spec.ID)
-	t := protocol.Txn{
-		Guards:  []protocol.Guard{{Key: leadership.Key, Version: hc.Term.Epoch}, {Key: key, Version: j.Version}},
-		Changes: []protocol.Change{{Delete: key}},
-	}
+	t := recordstore.NewLeaderTxn(h.Term.Epoch)
+	t.Require(key, j.Version)
+	t.Delete(key)
 	j.InFlight = true
-	epoch := hc.Term.Epoch
-	hc.Store.Commit(statestore.ForLeader, t, func(r statestore.Reply[protocol.TxnAnswer]) {
-		if hc.Term.Epoch != epoch {
-			return
-		}
-		j.InFlight = false
-		switch r.Status {
-		case http.StatusOK:
-			hc.jobs.Forget(j)
-		case http.StatusConflict:
-			// An earlier copy of this has removed it, or a change without an answer was carried out.
-			j.MustReload = true
-		}
-	})
+	t.Commit(h.Store, term.Guarded(h.State, func(r recordstore.CommitResult) { h.handleRemoval(j, r) }))
+}
+
+// handleRemoval handles the outcome of a record's removal. Unless it was decided it is tried again.
+func (h *Host) handleRemoval(j *jobtable.Job, r recordstore.CommitResult) {
+	j.InFlight = false
+	switch r.Outcome {
+	case recordstore.Committed:
+		h.jobs.Forget(j)
+	case recordstore.Conflict, recordstore.Deposed:
+		// An earlier copy of the removal was carried out, or a change whose outcome was unknown.
+		j.MustReload = true
+	}
 }
--- /dev/null
+++ b/internal/leader/federation/numbers.go
@@ -0,0 +1,75 @@
+package federation
+
+import (
+	"postpoint/internal/delegation"
+	"postpoint/internal/leader/recordstore"
+	"postpoint/internal/leader/term"
+	"postpoint/internal/protocol"
+)
+
+// NumberBlock is the numbers of delegations that this term may use. They are reserved in the store before
+// they are used, so that no other leader ever uses them.
+type NumberBlock struct {
+	Next, End int64
+	reserving bool
+}
+
+// empty reports whether there is no number left.
+func (b *NumberBlock) empty() bool { return b.Next >= b.End }
+
+// take returns the next number.
+func (b *NumberBlock) take() int64 {
+	number := b.Next
+	b.Next++
+	return number
+}
+
+const (
+	// numberBlockSize is how many numbers a leader reserves at a time.
+	numberBlockSize = 1000
+	// firstNumber is the first one that is ever reserved.
+	firstNumber = 1
+)
+
+// ReserveNumbers reserves a block of numbers once the last one is used up.
+func (o *Origin) ReserveNumbers() {
+	if o.Numbers.reserving || !o.Numbers.empty() {
+		return
+	}
+	o.Numbers.reserving = true
+	recordstore.ReadKey(o.Store, delegation.NumbersKey, term.Guarded(o.State, o.reserveFrom))
+}
+
+// reserveFrom reserves the block after what the store has as reserved.
+func (o *Origin) reserveFrom(r recordstore.ReadResult) {
+	first, known := firstFreeNumber(r)
+	if !known {
+		o.Numbers.reserving = false
+		return
+	}
+	t := recordstore.NewLeaderTxn(o.Term.Epoch)
+	t.Require(delegation.NumbersKey, r.Item.Version)
+	t.Put(delegation.NumbersKey, protocol.Encode(first+numberBlockSize))
+	t.Commit(o.Store, term.Guarded(o.State, func(r recordstore.CommitResult) { o.handleReservation(first, r) }))
+}
+
+// firstFreeNumber returns the first number that no leader has reserved. known is false if the store didn't
+// say.
+func firstFreeNumber(r recordstore.ReadResult) (first int64, known bool) {
+	switch r.Outcome {
+	case recordstore.Found:
+		err := protocol.Decode(r.Item.Value, &first)
+		return first, err == nil
+	case recordstore.NotFound:
+		return firstNumber, true
+	}
+	return 0, false
+}
+
+// handleReservation takes the block if it was reserved.
+func (o *Origin) handleReservation(first int64, r recordstore.CommitResult) {
+	o.Numbers.reserving = false
+	if r.Outcome == recordstore.Committed {
+		o.Numbers.Next, o.Numbers.End = first, first+numberBlockSize
+	}
+}
--- a/internal/leader/federation/offers.go
+++ b/internal/leader/federation/offers.go
@@ -2,81 +2,145 @@
 
 import (
 	"log/slog"
-	"net/http"
+	"math"
 
+	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
 	"postpoint/internal/fleet"
-	"postpoint/internal/leadership"
+	"postpoint/internal/leader/recordstore"
+	"postpoint/internal/leader/term"
 	"postpoint/internal/ledger"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
 )
 
-// TakeOffer records whether this cell takes what another offers. It permits nothing yet: the
-// next report tells home of the record, and its answer may permit the start.
-func (hc *Host) TakeOffer(link *Link, o delegation.Offer) {
-	id := ledger.GuestID(link.name, o.Spec.ID, o.Number)
-	if hc.jobs.ByID[id] != nil || !hc.Leads() {
+// TakeOffer records whether this cell accepts what another offers. It permits nothing yet: the next
+// heartbeat tells the origin cell of the record, and its response may permit the start. A refusal is
+// recorded as well, so that the same number is never accepted later.
+func (h *Host) TakeOffer(link *Link, offer delegation.Offer) {
+	id := ledger.GuestID(link.cell, offer.Spec.ID, offer.Number)
+	if h.jobs.ByID[id] != nil || !h.Leads() {
 		return
 	}
-	j := ledger.New(hostedSpec(link.name, id, o.Spec), int64(hc.Mailbox.OfDay()-o.Age))
-	j.Guest = &ledger.Guest{Home: link.name, Number: o.Number}
-	for task := range o.Spec.Tasks {
-		if !o.Tasks.Has(task) {
-			j.Done.Add(task)
-		}
-	}
-	if why := hc.refusalReason(link.name, j, &o); why != "" {
-		slog.Info("offer refused", "job", id, "why", why)
-		j.Guest.Closed, j.Status, j.Cause = true, protocol.StatusCancelled, why
+	record := hostedRecord(link.cell, id, &offer, h.Mailbox.OfDay())
+	if reason := h.refusalReason(link.cell, record, &offer); reason != "" {
+		slog.Info("offer refused", "job", id, "cell", link.cell, "reason", reason)
+		record.Guest.Closed, record.Status, record.Cause = true, protocol.StatusCancelled, reason
 	} else {
-		slog.Info("offer accepted", "job", id, "tasks", o.Tasks.Len())
+		slog.Info("offer accepted", "job", id, "cell", link.cell, "tasks", offer.Tasks.Len())
 	}
-	key := ledger.Key(id)
-	value := j.Encode()
-	t := protocol.Txn{
-		Guards:  []protocol.Guard{{Key: leadership.Key, Version: hc.Term.Epoch}, {Key: key}},
-		Changes: []protocol.Change{{Put: key, Value: value}},
+	h.storeHosted(link.cell, record)
+}
+
+// hostedRecord returns the record of an offered job. Tasks that aren't offered count as done.
+func hostedRecord(origin, id string, offer *delegation.Offer, now clock.Micros) *ledger.Job {
+	record := ledger.New(hostedSpec(origin, id, offer.Spec), int64(now-offer.Age))
+	record.Guest = &ledger.Guest{Home: origin, Number: offer.Number}
+	for task := range offer.Spec.Tasks {
+		if !offer.Tasks.Has(task) {
+			record.Done.Add(task)
+		}
 	}
-	epoch := hc.Term.Epoch
-	hc.Store.Commit(statestore.ForLeader, t, func(r statestore.Reply[protocol.TxnAnswer]) {
-		if hc.Term.Epoch == epoch && r.Status == http.StatusOK {
-			hc.reader.Adopt(key, value, r.Value.Revision)
-			hc.reportSoon(link.name)
+	return record
+}
+
+// hostedSpec returns a delegated job as this cell runs it. Its class and team are those of another cell:
+// none of this one's objectives and limits apply to them.
+func hostedSpec(origin, id string, spec protocol.JobSpec) protocol.JobSpec {
+	spec.ID = id
+	spec.Class = origin + "." + spec.Class
+	spec.Team = origin + "." + spec.Team
+	return spec
+}
+
+// storeHosted creates the record of an offered job. If that fails, watching the records shows it all the
+// same, or the job is offered again.
+func (h *Host) storeHosted(origin string, record *ledger.Job) {
+	key := ledger.Key(record.Spec.ID)
+	value := record.Encode()
+	t := recordstore.NewLeaderTxn(h.Term.Epoch)
+	t.Require(key, 0)
+	t.Put(key, value)
+	t.Commit(h.Store, term.Guarded(h.State, func(r recordstore.CommitResult) {
+		if r.Outcome == recordstore.Committed {
+			h.reader.Adopt(key, value, r.Revision)
+			h.reportSoon(origin)
 		}
-		// Otherwise following the records tells, or it is offered again.
-	})
+	}))
 }
 
-// refusalReason says why this cell doesn't take an offer, "" if it does.
-func (hc *Host) refusalReason(home string, j *ledger.Job, o *delegation.Offer) string {
-	spec := &j.Spec
-	n := o.Tasks.Len()
-	limit, _ := hc.writer.Limits()
-	used := hc.jobs.HostedAmounts().Plus(planner.Needs(spec).Times(float64(n)))
-	most := hc.cells.Directory.Own.Guests
+// The reasons for which offers are refused. They are stored in the job's record and told to its origin cell.
+const (
+	refusedDraining   = "the cell is being drained"
+	refusedNoRule     = "no rule lets this cell take work from there"
+	refusedService    = "services aren't delegated"
+	refusedTasks      = "not tasks that can be delegated"
+	refusedNoType     = "a task fits no allowed machine type here"
+	refusedSpread     = "its tasks can't be both spread and in one zone"
+	refusedQuota      = "guests have no more room"
+	refusedShortage   = "the cell is short itself"
+	refusedRecordSize = "too large to be recorded"
+	refusedTooMany    = "too many delegations"
+)
+
+// refusalReason returns why this cell doesn't accept an offer, "" if it does.
+func (h *Host) refusalReason(origin string, record *ledger.Job, offer *delegation.Offer) string {
+	spec := &record.Spec
 	switch {
-	case hc.cells.Directory.Own.Draining:
-		return "the cell is being drained"
-	case !hc.cells.Directory.TakesFrom(home):
-		return "no rule lets this cell take work from there"
+	case h.cells.Directory.Own.Draining:
+		return refusedDraining
+	case !h.cells.Directory.TakesFrom(origin):
+		return refusedNoRule
 	case spec.Service():
-		return "services aren't delegated"
-	case n == 0 || n > delegation.MaxTasks || o.Tasks.Max() >= spec.Tasks || spec.Gang() && n < spec.Tasks:
-		return "not tasks that can be delegated"
-	case !fleet.Fits(hc.catalogue.Types, spec):
-		return "a task fits no allowed machine type here"
+		return refusedService
+	case !validTasks(spec, &offer.Tasks):
+		return refusedTasks
+	case !fleet.Fits(h.catalogue.Types, spec):
+		return refusedNoType
 	case spec.Spread && spec.Tasks > 1 && (spec.OneZone || spec.Zone != ""):
-		return "its tasks can't be both spread and in one zone"
-	case used.Cpus > most.Cpus || used.Gpus > most.Gpus:
-		return "guests have no more room"
-	case hc.unmetFor(false) > 0 || hc.unmetFor(true) > 0:
-		return "the cell is short itself"
-	case spec.Gang() && j.Room(limit) < n || j.Room(limit) == 0:
-		return "too large to be recorded"
-	case len(hc.jobs.HostedByOrigin()[home]) >= delegation.MaxPerHost:
-		return "too many delegations"
+		return refusedSpread
+	case !h.withinHostedQuota(spec, offer.Tasks.Len()):
+		return refusedQuota
+	case h.ownDemandWait() > 0 || h.hostedDemandWait() > 0:
+		return refusedShortage
+	case !h.recordHasRoom(record, offer.Tasks.Len()):
+		return refusedRecordSize
+	case len(h.jobs.HostedByOrigin()[origin]) >= delegation.MaxPerHost:
+		return refusedTooMany
 	}
 	return ""
 }
+
+// validTasks reports whether a delegation may consist of the tasks: gangs go as a whole.
+func validTasks(spec *protocol.JobSpec, tasks *ledger.Ranges) bool {
+	n := tasks.Len()
+	if n == 0 || n > delegation.MaxTasks || tasks.Max() >= spec.Tasks {
+		return false
+	}
+	return !spec.Gang() || n >= spec.Tasks
+}
+
+// withinHostedQuota reports whether hosted jobs may use as much more as n tasks need. Memory isn't bounded.
+func (h *Host) withinHostedQuota(spec *protocol.JobSpec, n int) bool {
+	used := h.jobs.HostedAmounts().Plus(planner.Needs(spec).Times(float64(n)))
+	quota := h.cells.Directory.Own.Guests
+	return used.Cpus <= quota.Cpus && used.Gpus <= quota.Gpus
+}
+
+// recordHasRoom reports whether a job's record has room for the placement of some task, and for those of all
+// n tasks if they have to start together.
+func (h *Host) recordHasRoom(record *ledger.Job, n int) bool {
+	limit, _ := h.writer.Limits()
+	room := record.Room(limit)
+	return room != 0 && (!record.Spec.Gang() || room >= n)
+}
+
+// hostedTasksWithin returns how many tasks of an ordinary job have room in a hosted job's record of limit
+// bytes.
+func hostedTasksWithin(limit int) int {
+	ordinary := protocol.JobSpec{
+		ID:    ledger.GuestID("cell", "job-000000", math.MaxInt32),
+		Tasks: delegation.MaxTasks,
+	}
+	return min(delegation.MaxTasks, ledger.New(ordinary, 0).Room(limit))
+}
--- a/internal/leader/federation/offload.go
+++ b/internal/leader/federation/offload.go
@@ -8,136 +8,170 @@
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
 	"postpoint/internal/leader/jobtable"
-	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/ordered"
 	"postpoint/internal/planner"
-	"postpoint/internal/protocol"
 	"postpoint/internal/spill"
 )
 
 const (
 	// offloadInterval is from one decision to the next.
 	offloadInterval = 2 * clock.Second
-	// LoadLifetime is for how long a cell's word on its load is used.
-	LoadLifetime = 6 * clock.Second
 	// MaxReturned is how often work of one job may come back unfinished: after that it stays.
 	MaxReturned = 3
 	// MinStayTime is how long work that came back stays at least.
 	MinStayTime = 60 * clock.Second
-	// homeFreeTime is for how long nothing at home has to have waited for room before work
-	// that waits elsewhere is wanted back: less than idle machines are kept.
-	homeFreeTime = 4 * clock.Second
-	// noRoomS is the wait for work that no machine there is at home could ever run.
-	noRoomS = 600
+	// unschedulableWaitS is the expected wait for work that no machine of this cell could ever run.
+	unschedulableWaitS = 600
 )
 
-// inQueue orders jobs about as the planner does.
-func inQueue(a, b *jobtable.Job) int {
-	return cmp.Or(cmp.Compare(a.Rank(), b.Rank()), cmp.Compare(a.SubmittedAt, b.SubmittedAt), cmp.Compare(a.Spec.ID, b.Spec.ID))
+// compareQueued orders jobs about as the planner does.
+func compareQueued(a, b *jobtable.Job) int {
+	return cmp.Or(
+		cmp.Compare(a.Rank(), b.Rank()),
+		cmp.Compare(a.SubmittedAt, b.SubmittedAt),
+		cmp.Compare(a.Spec.ID, b.Spec.ID),
+	)
 }
 
-// offload has work that can't start here in time run by other cells.
-func (oc *Origin) offload() {
-	if !oc.cells.Enabled() || oc.Now() < oc.nextOffloadAt || oc.cells.Directory.Own.Draining {
+// offload delegates work that can't start here in time.
+func (o *Origin) offload() {
+	if !o.cells.Enabled() || o.Now() < o.nextOffloadAt || o.cells.Directory.Own.Draining {
 		return
 	}
-	oc.nextOffloadAt = oc.Now() + offloadInterval
-	hosts := oc.candidateHosts()
+	o.nextOffloadAt = o.Now() + offloadInterval
+	hosts := o.candidateHosts()
 	if len(hosts) == 0 {
 		return
 	}
-	work := oc.offloadableWork()
+	work := o.offloadableWork()
 	if len(work) == 0 {
 		return
 	}
-	if oc.Numbers.Next == oc.Numbers.End {
-		oc.ReserveNumbers()
+	if o.Numbers.empty() {
+		o.ReserveNumbers()
 		return
 	}
-	for _, c := range spill.Plan(work, hosts) {
-		oc.delegateTo(c)
+	for _, choice := range spill.Plan(work, hosts) {
+		o.delegateTo(choice)
 	}
 }
 
-// candidateHosts are the cells that can be asked, less what they have been offered since they told their
-// load.
-func (oc *Origin) candidateHosts() []spill.Host {
+// candidateHosts returns the cells that can be asked, with their loads less what they were offered since.
+func (o *Origin) candidateHosts() []spill.Host {
+	now := o.Now()
 	var hosts []spill.Host
-	for name, link := range ordered.ByKey(oc.cells.ByCell) {
-		if link.LoadAt == 0 || oc.Now() > link.LoadAt+LoadLifetime || oc.cells.drained(name) {
+	for name, link := range ordered.ByKey(o.cells.ByCell) {
+		if !link.host.known() || link.host.outdated(now) || o.cells.drained(name) {
 			continue
 		}
-		h := spill.Host{Name: name, Load: link.Load}
-		open := 0
-		for _, del := range oc.Delegations {
-			if del.Host != name {
-				continue
-			}
-			open++
-			if j := oc.jobs.ByID[del.Job]; j != nil && del.State == delegation.Offered {
-				h.Load.Room = h.Load.Room.Minus(planner.Needs(&j.Spec).Times(float64(del.Tasks.Len())))
-			}
-		}
-		if open < delegation.MaxPerHost {
-			hosts = append(hosts, h)
+		if o.delegationsTo(name) < delegation.MaxPerHost {
+			load := link.host.load
+			load.Room = o.roomLeft(name, load.Room)
+			hosts = append(hosts, spill.Host{Name: name, Load: load})
 		}
 	}
 	return hosts
 }
 
-// offloadableWork is the work that has waited for long enough, the most urgent first.
-func (oc *Origin) offloadableWork() []spill.Work {
+// roomLeft returns what is left of a host's quota after the delegations that it hasn't accepted yet.
+func (o *Origin) roomLeft(host string, room planner.Amounts) planner.Amounts {
+	for _, del := range o.Delegations {
+		if del.Host != host || del.State != delegation.Offered {
+			continue
+		}
+		if j := o.jobs.ByID[del.Job]; j != nil {
+			room = room.Minus(planner.Needs(&j.Spec).Times(float64(del.Tasks.Len())))
+		}
+	}
+	return room
+}
+
+// delegationsTo counts the delegations that a host has.
+func (o *Origin) delegationsTo(host string) int {
+	n := 0
+	for _, del := range o.Delegations {
+		if del.Host == host {
+			n++
+		}
+	}
+	return n
+}
+
+// offloadableWork returns the work that has waited for long enough, the most urgent first.
+func (o *Origin) offloadableWork() []spill.Work {
 	var waiting []*jobtable.Job
-	for _, j := range oc.jobs.ByID {
-		if n, _ := oc.OffloadableTasks(j); n > 0 {
+	for _, j := range o.jobs.ByID {
+		if o.OffloadableTasks(j).Count > 0 {
 			waiting = append(waiting, j)
 		}
 	}
-	slices.SortFunc(waiting, inQueue)
-	waits := oc.expectedWaits()
+	slices.SortFunc(waiting, compareQueued)
+	waits := o.expectedWaits()
 	var work []spill.Work
 	for _, j := range waiting {
-		rule, _ := oc.cells.Directory.Rule(j.Spec.Class, j.Spec.Team)
-		tasks, whole := oc.OffloadableTasks(j)
-		work = append(work, spill.Work{Job: j.Spec.ID, Spec: &j.Spec, Tasks: tasks, Whole: whole, HomeS: waits[j.Spec.ID], To: rule.To})
+		rule, _ := o.cells.Directory.Rule(j.Spec.Class, j.Spec.Team)
+		tasks := o.OffloadableTasks(j)
+		work = append(work, spill.Work{
+			Job:   j.Spec.ID,
+			Spec:  &j.Spec,
+			Tasks: tasks.Count,
+			Whole: tasks.AllOrNothing,
+			HomeS: waits[j.Spec.ID],
+			To:    rule.To,
+		})
 	}
 	return work
 }
 
-// OffloadableTasks is how many tasks of a job may go to another cell now. whole tells that they go
-// together: gangs, and jobs whose tasks' zones depend on each other.
-func (oc *Origin) OffloadableTasks(j *jobtable.Job) (tasks int, whole bool) {
-	now := oc.Now()
-	if j.Over() || j.Guest != nil || j.Spec.Service() || j.MustReload || j.Loading || j.ShardsUnread || j.Sharding ||
-		j.UnmetAt == 0 || now > j.UnmetAt+jobtable.UnmetDemandGap || now < j.NotBefore || j.Returned >= MaxReturned ||
-		j.GivenBackAt != 0 && now < j.GivenBackAt+MinStayTime {
-		return 0, false
-	}
-	rule, ok := oc.cells.Directory.Rule(j.Spec.Class, j.Spec.Team)
-	if !ok || now < j.UnmetSince+max(rule.After, ShortageTime) {
-		return 0, false
-	}
-	if whole = j.Spec.Gang() || j.Spec.OneZone || j.Spec.Spread; whole {
-		tasks = j.PendingCount()
-		if len(j.Placed) > 0 || tasks > delegation.MaxTasks || j.Spec.Gang() && tasks < j.Spec.Tasks {
-			return 0, true
+// Offloadable is how many tasks of a job may go to another cell now.
+type Offloadable struct {
+	Count int
+	// AllOrNothing reports that the tasks only go together: those of gangs, and of jobs whose tasks' zones
+	// depend on each other.
+	AllOrNothing bool
+}
+
+// OffloadableTasks returns how many tasks of a job may go to another cell now.
+func (o *Origin) OffloadableTasks(j *jobtable.Job) Offloadable {
+	if !o.mayOffload(j) {
+		return Offloadable{}
+	}
+	pending := j.PendingCount()
+	if j.Spec.Gang() || j.Spec.OneZone || j.Spec.Spread {
+		if len(j.Placed) > 0 || pending > delegation.MaxTasks || j.Spec.Gang() && pending < j.Spec.Tasks {
+			return Offloadable{AllOrNothing: true}
 		}
-		return tasks, true
+		return Offloadable{Count: pending, AllOrNothing: true}
 	}
-	return min(j.UnmetTasks, j.PendingCount()), false
+	return Offloadable{Count: min(j.UnmetTasks, pending)}
 }
 
-// expectedWaits is how long, in seconds, jobs are expected to wait for room here: for what stands
+// mayOffload reports whether a job's tasks have waited for as long as its rule demands and nothing else keeps
+// them here.
+func (o *Origin) mayOffload(j *jobtable.Job) bool {
+	now := o.Now()
+	switch {
+	case j.Over() || j.Guest != nil || j.Spec.Service():
+		return false
+	case !readable(j) || j.ShardsUnread || j.Sharding:
+		return false
+	case !hasUnmetDemand(j, now) || now < j.NotBefore:
+		return false
+	case j.Returned >= MaxReturned || j.GivenBackAt != 0 && now < j.GivenBackAt+MinStayTime:
+		return false
+	}
+	rule, found := o.cells.Directory.Rule(j.Spec.Class, j.Spec.Team)
+	return found && now >= j.UnmetSince+max(rule.After, ShortageTime)
+}
+
+// expectedWaits returns how long, in seconds, jobs are expected to wait for room here: for what is queued
 // before them and half of what runs.
-func (oc *Origin) expectedWaits() map[string]float64 {
-	var whole planner.Amounts
-	for i := range oc.snapshots.Views {
-		whole = whole.Plus(oc.snapshots.Views[i].Whole)
-	}
-	queue := slices.SortedFunc(maps.Values(oc.jobs.ByID), inQueue)
+func (o *Origin) expectedWaits() map[string]float64 {
+	capacity := o.capacity()
+	queue := slices.SortedFunc(maps.Values(o.jobs.ByID), compareQueued)
 	running := 0.0
 	for _, j := range queue {
-		running += j.Spec.EstimateS * planner.Needs(&j.Spec).Times(float64(len(j.Placed))).Share(whole)
+		running += clusterSeconds(j, len(j.Placed), capacity)
 	}
 	waits := make(map[string]float64, len(queue))
 	ahead := running / 2
@@ -145,96 +179,59 @@
 		if j.Over() {
 			continue
 		}
-		own := j.Spec.EstimateS * planner.Needs(&j.Spec).Times(float64(j.PendingCount())).Share(whole)
+		own := clusterSeconds(j, j.PendingCount(), capacity)
 		waits[j.Spec.ID] = ahead + own/2
-		if !oc.fitsAnyMachine(j) {
-			waits[j.Spec.ID] = noRoomS
+		if !o.fitsAnyMachine(j) {
+			waits[j.Spec.ID] = unschedulableWaitS
 		}
 		ahead += own
 	}
 	return waits
 }
 
-// fitsAnyMachine tells that some machine there is, or that boots, would hold a task if it were empty.
-func (oc *Origin) fitsAnyMachine(j *jobtable.Job) bool {
-	for i := range oc.snapshots.Views {
-		m := &oc.snapshots.Views[i]
-		if planner.Needs(&j.Spec).Fits(m.Whole) && planner.Allowed(&j.Spec, m.Type, m.Zone, m.Spot) {
-			return true
-		}
+// capacity returns the resources of all of this cell's machines.
+func (o *Origin) capacity() planner.Amounts {
+	var sum planner.Amounts
+	for i := range o.snapshots.Views {
+		sum = sum.Plus(o.snapshots.Views[i].Whole)
 	}
-	return false
+	return sum
 }
 
-// delegateTo carries out a choice: the job's last pending tasks go, as many to a delegation as a
-// host's record has room for.
-func (oc *Origin) delegateTo(c spill.Choice) {
-	j := oc.jobs.ByID[c.Job]
-	most := min(delegation.MaxTasks, max(1, oc.cells.ByCell[c.Cell].Load.MaxTasks))
-	tasks := min(c.Tasks, oc.jobs.TasksWithinQuota(j))
-	if _, whole := oc.OffloadableTasks(j); whole {
-		most = c.Tasks
-		if tasks < c.Tasks {
-			return
-		}
-	}
-	for left := tasks; left > 0 && oc.Numbers.Next < oc.Numbers.End && oc.openWith(c.Cell) < delegation.MaxPerHost; left -= most {
-		oc.Delegate(j, c.Cell, j.LastPending(min(most, left)))
-	}
+// clusterSeconds returns for how long n tasks of a job would keep the whole capacity busy.
+func clusterSeconds(j *jobtable.Job, n int, capacity planner.Amounts) float64 {
+	return j.Spec.EstimateS * planner.Needs(&j.Spec).Times(float64(n)).Share(capacity)
 }
 
-// openWith counts the delegations that a cell has.
-func (oc *Origin) openWith(host string) int {
-	n := 0
-	for _, del := range oc.Delegations {
-		if del.Host == host {
-			n++
+// fitsAnyMachine reports whether a task would fit on some machine, booting ones included, if that were empty.
+func (o *Origin) fitsAnyMachine(j *jobtable.Job) bool {
+	for i := range o.snapshots.Views {
+		m := &o.snapshots.Views[i]
+		if planner.Needs(&j.Spec).Fits(m.Whole) && planner.Allowed(&j.Spec, m.Type, m.Zone, m.Spot) {
+			return true
 		}
 	}
-	return n
+	return false
 }
 
-// recallWaiting wants work back that waits elsewhere while there is room here, and all of it from cells
-// that are to be drained.
-func (oc *Origin) recallWaiting() {
-	if len(oc.Delegations) == 0 {
-		return
-	}
-	now := oc.Now()
-	wanted := clock.Micros(0)
-	for _, j := range oc.jobs.ByID {
-		if j.Guest == nil && !j.Over() {
-			wanted = max(wanted, j.UnmetAt)
+// delegateTo carries out a choice: the job's last pending tasks go, as many to a delegation as the host's
+// records have room for.
+func (o *Origin) delegateTo(choice spill.Choice) {
+	j := o.jobs.ByID[choice.Job]
+	tasks := min(choice.Tasks, o.jobs.TasksWithinQuota(j))
+	perDelegation := min(delegation.MaxTasks, max(1, o.cells.ByCell[choice.Cell].host.load.MaxTasks))
+	if o.OffloadableTasks(j).AllOrNothing {
+		if tasks < choice.Tasks {
+			return
 		}
+		perDelegation = choice.Tasks
 	}
-	free := now > max(wanted, oc.BegunAt)+homeFreeTime
-	for _, del := range ordered.ByKey(oc.Delegations) {
-		j := oc.jobs.ByID[del.Job]
-		if j == nil {
-			continue
-		}
-		if oc.cells.drained(del.Host) || free && del.State == delegation.Accepted && del.Reported.Waiting > 0 && oc.fitsHere(j, del.Reported.Waiting) {
-			del.Recall()
-		}
+	for left := tasks; left > 0 && o.mayDelegateTo(choice.Cell); left -= perDelegation {
+		o.Delegate(j, choice.Cell, j.LastPending(min(perDelegation, left)))
 	}
 }
 
-// fitsHere tells that n tasks of a job would find room here: half of them on the machines that
-// are up, or one where more of them can be rented as far as is known.
-func (oc *Origin) fitsHere(j *jobtable.Job, n int) bool {
-	fit := 0
-	for i := range oc.snapshots.Views {
-		m := &oc.snapshots.Views[i]
-		if !m.Booting && planner.Allowed(&j.Spec, m.Type, m.Zone, m.Spot) {
-			fit += planner.Needs(&j.Spec).Count(m.Free)
-		}
-	}
-	if 2*fit >= n {
-		return true
-	}
-	refused := oc.autoscaler.Market().Refused
-	rentable := func(t protocol.MachineType) bool {
-		return machinetable.TypeHolds(t, &j.Spec) && !allRefused(t, refused)
-	}
-	return fit > 0 && slices.ContainsFunc(oc.catalogue.Types, rentable)
+// mayDelegateTo reports whether there is a number left and the host has fewer delegations than it may have.
+func (o *Origin) mayDelegateTo(host string) bool {
+	return !o.Numbers.empty() && o.delegationsTo(host) < delegation.MaxPerHost
 }
--- a/internal/leader/federation/origin.go
+++ b/internal/leader/federation/origin.go
@@ -4,7 +4,6 @@
 	"log/slog"
 	"slices"
 
-	"postpoint/internal/cells"
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
 	"postpoint/internal/leader/autoscaler"
@@ -15,7 +14,6 @@
 	"postpoint/internal/leader/term"
 	"postpoint/internal/ledger"
 	"postpoint/internal/ordered"
-	"postpoint/internal/protocol"
 	"postpoint/internal/statestore"
 )
 
@@ -37,14 +35,15 @@
 	// HasMalformed reports that a delegation's record can't be decoded.
 	HasMalformed  bool
 	Numbers       NumberBlock
-	saving        bool // delegations' records are being written
+	saving        bool // records of delegations are being written or read
 	nextOffloadAt clock.Micros
 }
 
-// NewOrigin makes the part that delegates own jobs.
-func NewOrigin(term *term.State, store statestore.Store, jobs *jobtable.Table, catalogue *machinetable.Catalogue,
-	reader *recordstore.Reader, writer *recordstore.Writer, autoscaler *autoscaler.Autoscaler, snapshots *snapshots.Builder,
-	links *Links, steps *term.StepTimer) *Origin {
+// NewOrigin returns the component that delegates own jobs.
+func NewOrigin(term *term.State, store statestore.Store, jobs *jobtable.Table,
+	catalogue *machinetable.Catalogue, reader *recordstore.Reader, writer *recordstore.Writer,
+	autoscaler *autoscaler.Autoscaler, snapshots *snapshots.Builder, links *Links,
+	steps *term.StepTimer) *Origin {
 	return &Origin{
 		State:      term,
 		Store:      store,
@@ -59,273 +58,151 @@
 	}
 }
 
-// Begin forgets what was known in earlier terms.
-func (oc *Origin) Begin() {
-	oc.Delegations = map[int64]*trackedDelegation{}
-	oc.HasMalformed = false
-	oc.Numbers = NumberBlock{}
-	oc.saving = false
+// Begin drops what was known in earlier terms.
+func (o *Origin) Begin() {
+	o.Delegations = map[int64]*trackedDelegation{}
+	o.HasMalformed = false
+	o.Numbers = NumberBlock{}
+	o.saving = false
 }
 
-// trackedDelegation is a delegation of this cell's own work with how its record is stored.
-type trackedDelegation struct {
-	*delegation.Delegation
-	version int64            // of its key, 0 if there is none yet
-	stored  delegation.State // what the record says
-	// uncertain tells that a change of the record had no answer.
-	uncertain bool
-	counted   bool // among its job's returned ones
-}
-
-// NumberBlock are delegations' numbers that this term may use: no other leader ever does.
-type NumberBlock struct {
-	Next, End int64
-	asking    bool
-}
-
-// numberBlockSize is how many numbers a leader takes at a time.
-const numberBlockSize = 1000
-
-// has tells that a placement belongs to the delegation.
-func (del *trackedDelegation) has(j *jobtable.Job, p ledger.Placement) bool {
-	return p.Host() == del.Host && p.Session == del.Number && del.Job == j.Spec.ID && del.Left.Has(p.Task)
-}
-
-// lostTime is after which a host that isn't heard of is taken to be lost, once it has no
-// permission any more.
-const lostTime = 8 * clock.Second
+// lostAfter is how long a host may be silent until it counts as lost, once it has no permission any more.
+const lostAfter = 8 * clock.Second
 
-// savedDelegation is a change of a delegation's record on its way.
-type savedDelegation struct {
-	del    *trackedDelegation
-	state  delegation.State
-	change protocol.Change
-	// guards are conditions beside the record's own version.
-	guards []protocol.Guard
-}
-
-// ExchangeTimeout is how long cells wait for each other.
-const ExchangeTimeout = clock.Second
-
-const (
-	// offerBytes is what an offer mostly takes without its tasks.
-	offerBytes = 600
-	// maxOfferBytes leaves room for the rest of an answer.
-	maxOfferBytes = 24 << 10
-)
-
-// MatchDelegations frees what the records place with other cells without a delegation: it was
-// never offered, or is over.
-func (oc *Origin) MatchDelegations() {
-	for _, j := range ordered.ByKey(oc.jobs.ByID) {
-		oc.MatchDelegation(j)
+// MatchDelegations releases the placements of all jobs with other cells that no delegation accounts for: it
+// was never offered, or is over.
+func (o *Origin) MatchDelegations() {
+	for _, j := range ordered.ByKey(o.jobs.ByID) {
+		o.MatchDelegation(j)
 	}
 }
 
-// MatchDelegation squares one job's placements with the delegations.
-func (oc *Origin) MatchDelegation(j *jobtable.Job) {
-	if oc.reader.Loading || j.ShardsUnread || oc.HasMalformed {
+// MatchDelegation releases a job's placements with other cells that no delegation accounts for, as long as
+// all delegations are known.
+func (o *Origin) MatchDelegation(j *jobtable.Job) {
+	if o.reader.Loading || j.ShardsUnread || o.HasMalformed {
 		return
 	}
 	for _, p := range ordered.ByKey(j.Placed) {
-		if del := oc.Delegations[p.Session]; p.Host() != "" && (del == nil || !del.has(j, p)) {
-			oc.jobs.ReleasePlacement(j, p)
+		if p.Host() == "" {
+			continue
+		}
+		if del := o.Delegations[p.Session]; del == nil || !del.holds(j, p) {
+			o.jobs.ReleasePlacement(j, p)
 		}
 	}
 }
 
-// Delegate gives tasks of a job to another cell: their places first, then the delegation's
-// record, and only then the offer.
-func (oc *Origin) Delegate(j *jobtable.Job, host string, tasks []int) {
-	number := oc.Numbers.Next
-	oc.Numbers.Next++
-	r := delegation.Record{Number: number, Host: host, Job: j.Spec.ID, State: delegation.Offered, OfferedAt: int64(oc.Mailbox.OfDay())}
+// Delegate gives tasks of a job to another cell. The placements are stored first, then the delegation's
+// record, and only then it is offered.
+func (o *Origin) Delegate(j *jobtable.Job, host string, tasks []int) {
+	number := o.Numbers.take()
+	r := delegation.Record{
+		Number:    number,
+		Host:      host,
+		Job:       j.Spec.ID,
+		State:     delegation.Offered,
+		OfferedAt: int64(o.Mailbox.OfDay()),
+	}
 	slices.Sort(tasks)
 	attempt := j.CurrentAttempt()
 	for _, task := range tasks {
 		r.Tasks.Add(task)
-		oc.jobs.AddPlacement(j, ledger.Placement{Task: task, Attempt: attempt, Machine: ledger.DelegatedTo(host), Session: number})
+		o.jobs.AddPlacement(j, ledger.Placement{
+			Task:    task,
+			Attempt: attempt,
+			Machine: ledger.DelegatedTo(host),
+			Session: number,
+		})
 	}
 	del := &trackedDelegation{Delegation: delegation.New(r)}
-	del.HeardAt = oc.Now()
-	oc.Delegations[number] = del
-	slog.Info("delegating", "number", number, "job", j.Spec.ID, "tasks", r.Tasks.String(), "to", host)
-}
-
-// placesStored tells that all places of a delegation are in its job's record.
-func (oc *Origin) placesStored(del *trackedDelegation) bool {
-	j := oc.jobs.ByID[del.Job]
-	if j == nil || j.MustReload || j.Loading {
-		return false
-	}
-	for task := del.Left.NextIn(0); task <= del.Left.Max(); task = del.Left.NextIn(task + 1) {
-		if p, placed := j.Placed[task]; !placed || !del.has(j, p) || !j.Committed(p) {
-			return false
-		}
-	}
-	return true
-}
-
-// placesGone tells that by its job's record none of a delegation's tasks is the host's.
-func (oc *Origin) placesGone(del *trackedDelegation) bool {
-	j := oc.jobs.ByID[del.Job]
-	if j == nil {
-		return !oc.jobs.Malformed[del.Job]
-	}
-	for task := del.Tasks.NextIn(0); task <= del.Tasks.Max(); task = del.Tasks.NextIn(task + 1) {
-		if p, placed := j.Placed[task]; placed && p.Session == del.Number && p.Host() != "" || !j.OutcomeStored(task) {
-			return false
-		}
-	}
-	return true
+	del.HeardAt = o.Now()
+	o.Delegations[number] = del
+	slog.Info("tasks delegated", "job", j.Spec.ID, "cell", host, "delegation", number, "tasks", r.Tasks.String())
 }
 
-// Manage is the leader's part in cells, twice a second.
-func (oc *Origin) Manage() {
-	if len(oc.Delegations) == 0 && !oc.cells.Enabled() {
+// Manage offloads and recalls work and carries delegations on, twice a second.
+func (o *Origin) Manage() {
+	if len(o.Delegations) == 0 && !o.cells.Enabled() {
 		return
 	}
-	if oc.cells.Directory != nil {
-		oc.offload()
-		oc.recallWaiting()
+	if o.cells.Directory != nil {
+		o.offload()
+		o.recall()
 	}
-	for _, del := range ordered.ByKey(oc.Delegations) {
-		oc.checkDelegation(del)
+	for _, del := range ordered.ByKey(o.Delegations) {
+		o.checkDelegation(del)
 	}
-	oc.SaveDelegations()
+	o.SaveDelegations()
 }
 
-// checkDelegation ends a delegation whose host can't run any of it any more, and wants back
-// what is of no use there.
-func (oc *Origin) checkDelegation(del *trackedDelegation) {
-	now := oc.Now()
-	j := oc.jobs.ByID[del.Job]
-	if j == nil || j.Over() || oc.lostItsPlaces(j, del) {
+// checkDelegation recalls a delegation that is of no use any more, and ends one whose host can't run any of
+// it any more.
+func (o *Origin) checkDelegation(del *trackedDelegation) {
+	j := o.jobs.ByID[del.Job]
+	if j == nil || j.Over() || o.placementsLost(j, del) {
 		del.Recall()
 	}
-	silent := now > max(del.HeardAt, oc.BegunAt)+lostTime
-	if del.Over() || !del.Clear(now) || !silent && del.State != delegation.Recalled || j != nil && (j.MustReload || j.Loading) {
+	if !o.mayExpire(j, del) {
 		return
 	}
 	freed := del.Expire()
-	slog.Info("delegation has ended unheard", "number", del.Number, "job", del.Job, "host", del.Host, "tasks", len(freed.Unfinished),
-		"silent_s", (now - del.HeardAt).Seconds())
-	oc.takeBack(del, freed)
+	slog.Info("delegation expired", "job", del.Job, "cell", del.Host, "delegation", del.Number,
+		"tasks", len(freed.Unfinished), "silent_s", (o.Now() - del.HeardAt).Seconds())
+	o.releaseFreed(del, freed)
 }
 
-// lostItsPlaces tells that a delegation's places didn't get into its job's record.
-func (oc *Origin) lostItsPlaces(j *jobtable.Job, del *trackedDelegation) bool {
-	if j.MustReload || j.Loading || j.InFlight {
+// mayExpire reports whether a delegation that its host is silent about, or that was recalled, can be ended
+// without the host's word: no permission can be left.
+func (o *Origin) mayExpire(j *jobtable.Job, del *trackedDelegation) bool {
+	now := o.Now()
+	silent := now > max(del.HeardAt, o.BegunAt)+lostAfter
+	switch {
+	case del.Over() || !del.Clear(now):
+		return false
+	case !silent && del.State != delegation.Recalled:
 		return false
 	}
-	for task := del.Left.NextIn(0); task <= del.Left.Max(); task = del.Left.NextIn(task + 1) {
-		if p, placed := j.Placed[task]; !placed || !del.has(j, p) {
-			return true
-		}
-	}
-	return false
+	return j == nil || readable(j)
 }
 
-// takeBack frees the places of tasks that are no longer the host's.
-func (oc *Origin) takeBack(del *trackedDelegation, freed delegation.Freed) {
-	j := oc.jobs.ByID[del.Job]
+// placementsLost reports whether some of a delegation's placements didn't get into its job's record.
+func (o *Origin) placementsLost(j *jobtable.Job, del *trackedDelegation) bool {
+	return readable(j) && !j.InFlight && !del.holdsAll(j)
+}
+
+// releaseFreed releases the placements of tasks that are no longer the host's.
+func (o *Origin) releaseFreed(del *trackedDelegation, freed delegation.Freed) {
+	j := o.jobs.ByID[del.Job]
 	if j == nil {
 		return
 	}
 	for _, task := range freed.Completed {
-		if p, placed := j.Placed[task]; placed && p.Session == del.Number && p.Host() == del.Host {
+		if p, placed := del.placement(j, task); placed {
 			j.RecordDone(task)
-			oc.jobs.ReleasePlacement(j, p)
+			o.jobs.ReleasePlacement(j, p)
 		}
 	}
 	returned := false
 	for _, task := range freed.Unfinished {
-		if p, placed := j.Placed[task]; placed && p.Session == del.Number && p.Host() == del.Host {
-			oc.jobs.ReleasePlacement(j, p)
+		if p, placed := del.placement(j, task); placed {
+			o.jobs.ReleasePlacement(j, p)
 			returned = true
 		}
 	}
 	if returned && !j.Over() {
-		j.GivenBackAt = oc.Now()
-		if del.State != delegation.Refused && !del.counted {
-			del.counted = true
-			j.Returned++
-			oc.jobs.NoteHeadChange(j)
-		}
+		o.noteReturned(j, del)
 	}
-	oc.jobs.CompleteIfDone(j)
+	o.jobs.CompleteIfDone(j)
 }
 
-// AnswerReport takes a host's report, and says what it may go on with and what else it may take.
-func (oc *Origin) AnswerReport(r *delegation.Report) delegation.Answer {
-	link, leads := oc.cells.ByCell[r.Host], oc.Leads()
-	if r.Epoch > link.epoch || r.Epoch == link.epoch && r.Counter > link.counter {
-		link.epoch, link.counter = r.Epoch, r.Counter
-		link.Load, link.LoadAt = r.Load, oc.Now()
-	}
-	a := delegation.Answer{Result: delegation.Taken}
-	reported := map[int64]bool{}
-	for _, s := range r.Tasks {
-		reported[s.Number] = true
-		if ruling, ok := oc.verdictOn(r, s, leads); ok {
-			a.Rulings = append(a.Rulings, ruling)
-		}
-	}
-	if leads {
-		a.Offers = oc.Offers(r.Host, reported)
-		oc.steps.Wake()
-	}
-	return a
-}
-
-// verdictOn takes a host's word on one delegation and gives the verdict on it.
-func (oc *Origin) verdictOn(r *delegation.Report, s delegation.Status, leads bool) (delegation.Ruling, bool) {
-	ruling := delegation.Ruling{Number: s.Number}
-	del := oc.Delegations[s.Number]
-	if del == nil || del.Host != r.Host || del.Job != s.Job {
-		// Only a leader that knows all delegations can say that there is none.
-		ruling.Verdict = delegation.Forget
-		return ruling, leads && !oc.HasMalformed
-	}
-	j := oc.jobs.ByID[del.Job]
-	if leads && (j == nil || !j.MustReload && !j.Loading) {
-		oc.takeBack(del, del.Hear(s, oc.Now()))
-	}
-	switch {
-	case oc.jobs.Malformed[del.Job]:
-		return ruling, false
-	case j == nil || j.Over():
-		ruling.Verdict = delegation.Cancel
-		return ruling, true
-	case del.Over():
-		return ruling, false // until the records say so, too
-	}
-	// As with workers' leases: what users were told after known isn't known here.
-	known := min(oc.KnownUntil(), oc.SoleUntil())
-	workers := oc.Settings.Deployment.Workers
-	ruling.For = known + cells.LongestPermission(workers, r.Clear) - oc.Now()
-	if ruling.For <= 0 {
-		return ruling, false
-	}
-	ruling.Verdict = del.Verdict(oc.cells.drained(del.Host))
-	del.Permit(known, cells.ProofTime(workers))
-	return ruling, true
-}
-
-// Offers are the delegations that a host hasn't reported yet.
-func (oc *Origin) Offers(host string, reported map[int64]bool) []delegation.Offer {
-	var offers []delegation.Offer
-	size := 0
-	for number, del := range ordered.ByKey(oc.Delegations) {
-		j := oc.jobs.ByID[del.Job]
-		if del.Host != host || del.State != delegation.Offered || !del.Offerable || reported[number] || j == nil || j.Over() {
-			continue
-		}
-		if size += offerBytes + len(del.Tasks.String()); size > maxOfferBytes {
-			break
-		}
-		offers = append(offers, delegation.Offer{Number: number, Spec: j.Spec, Tasks: del.Tasks,
-			Age: max(0, oc.Mailbox.OfDay()-clock.Micros(j.SubmittedAt))})
+// noteReturned notes that a host has given tasks back unfinished. Refusals don't count as returns, and each
+// delegation counts once.
+func (o *Origin) noteReturned(j *jobtable.Job, del *trackedDelegation) {
+	j.GivenBackAt = o.Now()
+	if del.State != delegation.Refused && !del.returnCounted {
+		del.returnCounted = true
+		j.Returned++
+		o.jobs.NoteHeadChange(j)
 	}
-	return offers
 }
--- a/internal/leader/overview/overview.go
+++ b/internal/leader/overview/overview.go
@@ -1,5 +1,5 @@
-// Package overview reads the leader's components for operators: the overview that is served as JSON,
-// and the periodic log lines. It changes nothing.
+// Package overview reads the leader's components for operators: the overview that is served as JSON, and the
+// periodic log lines. It changes nothing.
 package overview
 
 import (
@@ -8,6 +8,7 @@
 
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
+	"postpoint/internal/fleet"
 	"postpoint/internal/leader/autoscaler"
 	"postpoint/internal/leader/federation"
 	"postpoint/internal/leader/jobtable"
@@ -20,7 +21,7 @@
 	"postpoint/internal/protocol"
 )
 
-// Reader reads the other components for operators; it changes nothing.
+// Reader reads the other components for operators.
 type Reader struct {
 	*term.State
 	jobs       *jobtable.Table
@@ -37,9 +38,10 @@
 	recoveryLoggedAt clock.Micros
 }
 
-// NewReader makes a reader of the given components.
-func NewReader(term *term.State, jobs *jobtable.Table, machines *machinetable.Table, catalogue *machinetable.Catalogue,
-	autoscaler *autoscaler.Autoscaler, scheduler *scheduler.Scheduler, writer *recordstore.Writer, links *federation.Links, origin *federation.Origin,
+// NewReader returns a reader of the given components.
+func NewReader(term *term.State, jobs *jobtable.Table, machines *machinetable.Table,
+	catalogue *machinetable.Catalogue, autoscaler *autoscaler.Autoscaler, scheduler *scheduler.Scheduler,
+	writer *recordstore.Writer, links *federation.Links, origin *federation.Origin,
 	zones *zonetracker.Tracker) *Reader {
 	return &Reader{
 		State:      term,
@@ -55,8 +57,7 @@
 	}
 }
 
-// Overview is what an operator on call wants to see first. Only the leader
-// knows jobs and machines.
+// Overview is what an operator on call wants to see first. Only the leader knows jobs and machines.
 type Overview struct {
 	Node     string          `json:"node"`
 	Leader   string          `json:"leader"`
@@ -66,16 +67,16 @@
 	Classes  []ClassOverview `json:"classes,omitempty"`
 	Machines []KindOverview  `json:"machines,omitempty"`
 	Failing  []FailingJob    `json:"failing,omitempty"`
-	// PresentFormats tells that all controllers read services and divided records, Missing
-	// which don't as far as is known.
+	// PresentFormats reports that all controllers read services and sharded records, Missing lists those that
+	// don't as far as is known.
 	PresentFormats bool     `json:"present_formats"`
 	Missing        []string `json:"missing,omitempty"`
-	// TightLimits tells that the state service refuses what its first limits allow.
+	// TightLimits reports that the key-value store refuses what its first limits allow.
 	TightLimits bool `json:"tight_limits,omitempty"`
 	// Cell is this node's own, Cells are the others, if cells are switched on.
 	Cell  string                    `json:"cell,omitempty"`
 	Cells []federation.CellOverview `json:"cells,omitempty"`
-	// Zones are listed if recoveries from the loss of a zone are switched on.
+	// Zones are listed if zone recovery is switched on.
 	Zones []ZoneOverview `json:"zones,omitempty"`
 }
 
@@ -85,12 +86,11 @@
 	Jobs    int    `json:"jobs"`
 	Pending int    `json:"pending_tasks"`
 	Placed  int    `json:"placed_tasks"`
-	// Restarting are replicas of services that ended soon after their starts and wait for
-	// the next.
+	// Restarting are replicas of services that ended soon after their starts and wait for the next.
 	Restarting int `json:"restarting,omitempty"`
 }
 
-// KindOverview counts the machines of one type, zone and price.
+// KindOverview counts the machines of one type and zone at one kind of price.
 type KindOverview struct {
 	Type     string `json:"type"`
 	Zone     string `json:"zone"`
@@ -99,7 +99,7 @@
 	Booting  int    `json:"booting"`
 	Idle     int    `json:"idle"`
 	Silent   int    `json:"silent"`
-	// NoCapacity tells that the cloud refused this kind a short while ago.
+	// NoCapacity reports that the cloud has refused such machines lately.
 	NoCapacity bool `json:"no_capacity"`
 }
 
@@ -109,108 +109,169 @@
 	Cause string `json:"cause"`
 }
 
+// maxFailing is how many failing jobs are listed.
 const maxFailing = 20
 
-// Build makes the overview.
-func (ov *Reader) Build() Overview {
-	o := Overview{Node: ov.Settings.Node, Leader: ov.KnownLeader, Leads: ov.Leads(), Epoch: ov.Term.Epoch, Plans: ov.scheduler.Plans,
-		PresentFormats: ov.Format.Open, Missing: ov.Format.Missing, TightLimits: ov.writer.LimitsTightened, Zones: ov.zonesOverview()}
-	if ov.cells.Directory != nil {
-		o.Cell, o.Cells = ov.cells.Directory.Own.Name, ov.cellsOverview()
+// Build returns the present overview.
+func (r *Reader) Build() Overview {
+	overview := Overview{
+		Node:           r.Settings.Node,
+		Leader:         r.KnownLeader,
+		Leads:          r.Leads(),
+		Epoch:          r.Term.Epoch,
+		Plans:          r.scheduler.Plans,
+		Classes:        r.classes(),
+		Machines:       r.machineKinds(),
+		Failing:        r.failingJobs(),
+		PresentFormats: r.Format.Open,
+		Missing:        r.Format.Missing,
+		TightLimits:    r.writer.LimitsTightened,
+		Zones:          r.zonesOverview(),
 	}
-	classes := map[string]ClassOverview{}
-	for _, j := range ordered.ByKey(ov.jobs.ByID) {
-		c := classes[j.Spec.Class]
+	if r.cells.Directory != nil {
+		overview.Cell, overview.Cells = r.cells.Directory.Own.Name, r.cellsOverview()
+	}
+	return overview
+}
+
+// classes counts jobs and tasks by class.
+func (r *Reader) classes() []ClassOverview {
+	byName := map[string]ClassOverview{}
+	for _, j := range r.jobs.ByID {
+		c := byName[j.Spec.Class]
 		c.Class = j.Spec.Class
 		c.Placed += len(j.Placed)
-		c.Restarting += j.WaitingRestarts(ov.Now())
+		c.Restarting += j.WaitingRestarts(r.Now())
 		if !j.Final() {
 			c.Jobs++
 			c.Pending += j.PendingCount()
-			if j.Cause != "" && len(o.Failing) < maxFailing {
-				o.Failing = append(o.Failing, FailingJob{j.Spec.ID, j.Cause})
-			}
 		}
-		classes[c.Class] = c
+		byName[c.Class] = c
 	}
-	for _, c := range ordered.ByKey(classes) {
-		o.Classes = append(o.Classes, c)
+	var classes []ClassOverview
+	for _, c := range ordered.ByKey(byName) {
+		classes = append(classes, c)
 	}
-	kinds := map[string]*KindOverview{}
-	refused := ov.autoscaler.Market().Refused
-	for _, m := range ov.machines.Ordered {
-		key := m.Type + " " + m.Zone
-		if m.Spot {
-			key += " spot"
+	return classes
+}
+
+// failingJobs lists the first open jobs whose last start failed.
+func (r *Reader) failingJobs() []FailingJob {
+	var failing []FailingJob
+	for _, j := range ordered.ByKey(r.jobs.ByID) {
+		if !j.Final() && j.Cause != "" && len(failing) < maxFailing {
+			failing = append(failing, FailingJob{Job: j.Spec.ID, Cause: j.Cause})
 		}
-		k := kinds[key]
+	}
+	return failing
+}
+
+// machineKinds counts machines by type, zone and kind of price.
+func (r *Reader) machineKinds() []KindOverview {
+	byName := map[string]*KindOverview{}
+	refused := r.autoscaler.Market().Refused
+	for _, m := range r.machines.Ordered {
+		name := kindName(m.Kind())
+		k := byName[name]
 		if k == nil {
 			k = &KindOverview{Type: m.Type, Zone: m.Zone, Spot: m.Spot, NoCapacity: refused[m.Kind()]}
-			kinds[key] = k
-		}
-		k.Machines++
-		switch {
-		case !m.Seen && m.CloudStatus == protocol.MachineStarting:
-			k.Booting++
-		case !ov.machines.HeardRecently(m):
-			k.Silent++
-		case len(m.Placements) == 0:
-			k.Idle++
+			byName[name] = k
 		}
+		r.countMachine(k, m)
+	}
+	var kinds []KindOverview
+	for _, k := range ordered.ByKey(byName) {
+		kinds = append(kinds, *k)
+	}
+	return kinds
+}
+
+// kindName orders kinds of machines by type, zone and price.
+func kindName(k fleet.Kind) string {
+	name := k.Type + " " + k.Zone
+	if k.Spot {
+		name += " spot"
 	}
-	for _, k := range ordered.ByKey(kinds) {
-		o.Machines = append(o.Machines, *k)
+	return name
+}
+
+// countMachine adds a machine to its kind.
+func (r *Reader) countMachine(k *KindOverview, m *machinetable.Machine) {
+	k.Machines++
+	switch {
+	case !m.Seen && m.CloudStatus == protocol.MachineStarting:
+		k.Booting++
+	case !r.machines.HeardRecently(m):
+		k.Silent++
+	case len(m.Placements) == 0:
+		k.Idle++
 	}
-	return o
 }
 
-// cellsOverview is empty on nodes that don't lead.
-func (ov *Reader) cellsOverview() []federation.CellOverview {
-	now := ov.Now()
+// cellsOverview describes the other cells. It is empty on nodes that don't lead.
+func (r *Reader) cellsOverview() []federation.CellOverview {
 	var all []federation.CellOverview
-	for name, link := range ordered.ByKey(ov.cells.ByCell) {
-		o := federation.CellOverview{Cell: name, Reachable: link.Failures <= federation.CircuitFailures && (link.LoadAt == 0 || now <= link.LoadAt+federation.LoadLifetime),
-			ShortS: link.Load.Short.Seconds()}
-		for _, del := range ov.origin.Delegations {
-			if del.Host != name {
-				continue
-			}
-			o.Lent += del.Left.Len()
-			o.OldestUnansweredS = max(o.OldestUnansweredS, (now - del.HeardAt).Seconds())
-			if del.State == delegation.Recalled {
-				o.Recalled++
-			}
+	for name, link := range ordered.ByKey(r.cells.ByCell) {
+		cell := federation.CellOverview{
+			Cell:      name,
+			Reachable: link.Reachable(r.Now()),
+			Borrowed:  r.borrowedTasks(name),
+			ShortS:    link.OwnWait().Seconds(),
 		}
-		for _, j := range ov.jobs.ByID {
-			if j.Guest != nil && j.Guest.Home == name && !j.Final() {
-				o.Borrowed += len(j.Placed) + j.PendingCount()
-			}
-		}
-		all = append(all, o)
+		r.countDelegations(&cell)
+		all = append(all, cell)
 	}
 	return all
 }
 
-// LogState tells an operator once in a while what is queued and where.
-func (ov *Reader) LogState() {
-	if ov.Now() < ov.loggedAt+15*clock.Second {
+// countDelegations adds this cell's delegations to another cell.
+func (r *Reader) countDelegations(cell *federation.CellOverview) {
+	for _, del := range r.origin.Delegations {
+		if del.Host != cell.Cell {
+			continue
+		}
+		cell.Lent += del.Left.Len()
+		cell.OldestUnansweredS = max(cell.OldestUnansweredS, (r.Now() - del.HeardAt).Seconds())
+		if del.State == delegation.Recalled {
+			cell.Recalled++
+		}
+	}
+}
+
+// borrowedTasks counts the tasks of another cell's jobs that this cell has.
+func (r *Reader) borrowedTasks(origin string) int {
+	tasks := 0
+	for _, j := range r.jobs.ByID {
+		if j.Guest != nil && j.Guest.Home == origin && !j.Final() {
+			tasks += len(j.Placed) + j.PendingCount()
+		}
+	}
+	return tasks
+}
+
+// stateLogInterval is from one log line on the leader's state to the next.
+const stateLogInterval = 15 * clock.Second
+
+// LogState logs now and then what is queued and where.
+func (r *Reader) LogState() {
+	if r.Now() < r.loggedAt+stateLogInterval {
 		return
 	}
-	ov.loggedAt = ov.Now()
-	pending, placed, kinds := 0, 0, map[string]int{}
-	for _, j := range ordered.ByKey(ov.jobs.ByID) {
+	r.loggedAt = r.Now()
+	pending, placed := 0, 0
+	for _, j := range r.jobs.ByID {
 		if !j.Final() {
 			pending += j.PendingCount()
 		}
 		placed += len(j.Placed)
 	}
-	idle := 0
-	for _, m := range ov.machines.Ordered {
-		kinds[m.Type]++
+	idle, byType := 0, map[string]int{}
+	for _, m := range r.machines.Ordered {
+		byType[m.Type]++
 		if len(m.Placements) == 0 {
 			idle++
 		}
 	}
-	slog.Info("state", "epoch", ov.Term.Epoch, "open_jobs", len(ov.jobs.ByID), "pending_tasks", pending, "placed_tasks", placed,
-		"machines", fmt.Sprint(kinds), "idle", idle)
+	slog.Info("leader state", "epoch", r.Term.Epoch, "open_jobs", len(r.jobs.ByID), "pending_tasks", pending,
+		"placed_tasks", placed, "machines", fmt.Sprint(byType), "idle_machines", idle)
 }
--- a/internal/leader/overview/zoneoverview.go
+++ b/internal/leader/overview/zoneoverview.go
@@ -9,6 +9,7 @@
 	"postpoint/internal/leader/zonetracker"
 	"postpoint/internal/ordered"
 	"postpoint/internal/planner"
+	"postpoint/internal/protocol"
 	"postpoint/internal/recovery"
 )
 
@@ -40,80 +41,137 @@
 	Why   string        `json:"why"`
 }
 
+// maxWaiting is how many displaced jobs of a zone are listed.
 const maxWaiting = 20
 
-// zonesOverview is empty unless recoveries are switched on.
-func (ov *Reader) zonesOverview() []ZoneOverview {
-	if ov.zones.Options == nil {
+// zonesOverview describes all zones. It is empty unless zone recovery is switched on.
+func (r *Reader) zonesOverview() []ZoneOverview {
+	if r.zones.Options == nil {
 		return nil
 	}
 	var all []ZoneOverview
-	for name, z := range ordered.ByKey(ov.zones.Zones) {
-		o := ZoneOverview{Zone: name, Phase: z.Phase, Number: z.Number, SinceS: (ov.Now() - z.Since).Seconds(), Reading: z.Reading, Flaps: z.Flaps,
-			Machines: z.Evidence.Machines, Heard: z.Evidence.Heard, Controllers: z.Evidence.Controllers, Reached: z.Evidence.Reached,
-			Elsewhere: z.Evidence.Elsewhere}
-		for _, m := range ov.machines.Ordered {
-			if m.Zone != name || !ov.machines.Late(m) {
-				continue
-			}
-			for _, tasks := range m.Placements {
-				o.Held += len(tasks)
-			}
+	for name, z := range ordered.ByKey(r.zones.Zones) {
+		all = append(all, r.zoneOverview(name, z))
+	}
+	return all
+}
+
+// zoneOverview describes one zone.
+func (r *Reader) zoneOverview(name string, z *zonetracker.Zone) ZoneOverview {
+	overview := ZoneOverview{
+		Zone:        name,
+		Phase:       z.Phase,
+		Number:      z.Number,
+		SinceS:      (r.Now() - z.Since).Seconds(),
+		Reading:     z.Reading,
+		Flaps:       z.Flaps,
+		Machines:    z.Evidence.Machines,
+		Heard:       z.Evidence.Heard,
+		Controllers: z.Evidence.Controllers,
+		Reached:     z.Evidence.Reached,
+		Elsewhere:   z.Evidence.Elsewhere,
+		Held:        r.heldTasks(name),
+	}
+	displaced := r.displacedWork(name)
+	for _, w := range displaced {
+		overview.Displaced += w.Tasks
+	}
+	for _, w := range displaced[:min(len(displaced), maxWaiting)] {
+		reason := r.waitReason(r.jobs.ByID[w.Job])
+		overview.Waiting = append(overview.Waiting, WaitingJob{w.Job, w.Kind, w.Tasks, string(reason)})
+	}
+	return overview
+}
+
+// heldTasks counts the tasks that are placed on silent machines of a zone.
+func (r *Reader) heldTasks(zone string) int {
+	held := 0
+	for _, m := range r.machines.Ordered {
+		if m.Zone != zone || !r.machines.Late(m) {
+			continue
 		}
-		var waiting []recovery.Displaced
-		for _, j := range ordered.ByKey(ov.jobs.ByID) {
-			if j.Displaced == name && !j.Over() && j.PendingCount() > 0 {
-				o.Displaced += j.PendingCount()
-				waiting = append(waiting, ov.zones.DisplacedWork(j))
-			}
+		for _, tasks := range m.Placements {
+			held += len(tasks)
 		}
-		recovery.Sort(waiting, ov.zones.Options.Order)
-		for _, w := range waiting[:min(len(waiting), maxWaiting)] {
-			o.Waiting = append(o.Waiting, WaitingJob{w.Job, w.Kind, w.Tasks, ov.whyWaiting(ov.jobs.ByID[w.Job])})
+	}
+	return held
+}
+
+// displacedWork returns the jobs with displaced tasks of a zone, in the order in which they are to start.
+func (r *Reader) displacedWork(zone string) []recovery.Displaced {
+	var displaced []recovery.Displaced
+	for _, j := range ordered.ByKey(r.jobs.ByID) {
+		if j.Displaced == zone && !j.Over() && j.PendingCount() > 0 {
+			displaced = append(displaced, r.zones.DisplacedWork(j))
 		}
-		all = append(all, o)
 	}
-	return all
+	recovery.Sort(displaced, r.zones.Options.Order)
+	return displaced
 }
 
-// whyWaiting says what a displaced job waits for.
-func (ov *Reader) whyWaiting(j *jobtable.Job) string {
-	s := &j.Spec
+// waitReason is what a displaced job waits for, as the overview says it.
+type waitReason string
+
+const (
+	waitsForClearance waitReason = "its turn"
+	waitsForZone      waitReason = "its zone"
+	waitsForQuota     waitReason = "its team's limit"
+	waitsForGang      waitReason = "the rest of the gang to end"
+	waitsForSpread    waitReason = "a zone that spreading allows"
+	waitsForBackoff   waitReason = "a pause after failed starts"
+	waitsForCapacity  waitReason = "machines: none are to be had"
+	waitsForBoot      waitReason = "machines that boot, or an image"
+)
+
+// waitReason returns what a displaced job waits for.
+func (r *Reader) waitReason(j *jobtable.Job) waitReason {
+	spec := &j.Spec
 	switch {
-	case ov.zones.AwaitsClearance(j):
-		return "its turn"
-	case s.Zone != "" && ov.zones.Avoided(s.Zone):
-		return "its zone"
-	case ov.jobs.TasksWithinQuota(j) == 0:
-		return "its team's limit"
-	case s.Gang() && len(j.Placed) > 0:
-		return "the rest of the gang to end"
-	case s.Spread && !ov.zoneLeft(j):
-		return "a zone that spreading allows"
-	case ov.Now() < j.NotBefore:
-		return "a pause after failed starts"
+	case r.zones.AwaitsClearance(j):
+		return waitsForClearance
+	case spec.Zone != "" && r.zones.Avoided(spec.Zone):
+		return waitsForZone
+	case r.jobs.TasksWithinQuota(j) == 0:
+		return waitsForQuota
+	case spec.Gang() && len(j.Placed) > 0:
+		return waitsForGang
+	case spec.Spread && !r.spreadAllowsZone(j):
+		return waitsForSpread
+	case r.Now() < j.NotBefore:
+		return waitsForBackoff
+	case !r.capacityAvailable(spec):
+		return waitsForCapacity
 	}
-	refused, rentable := ov.autoscaler.Market().Refused, false
-	for _, t := range ov.catalogue.Types {
+	return waitsForBoot
+}
+
+// spreadAllowsZone reports whether some zone that isn't avoided would take a task of a job that is spread.
+func (r *Reader) spreadAllowsZone(j *jobtable.Job) bool {
+	zones := r.jobs.ZonesOf(j)
+	for _, t := range r.catalogue.Types {
 		for _, zone := range t.Zones {
-			for _, spot := range []bool{false, true} {
-				k := fleet.Kind{Type: t.Name, Zone: zone, Spot: spot}
-				rentable = rentable || !refused[k] && machinetable.TypeHolds(t, s) && planner.Allowed(s, t.Name, zone, spot)
+			if !r.zones.Avoided(zone) && planner.ZoneAllowed(&j.Spec, zones, zone) {
+				return true
 			}
 		}
 	}
-	if !rentable {
-		return "machines: none are to be had"
-	}
-	return "machines that boot, or an image"
+	return false
 }
 
-// zoneLeft tells that some zone that isn't avoided would take a task of a job.
-func (ov *Reader) zoneLeft(j *jobtable.Job) bool {
-	zones := ov.jobs.ZonesOf(j)
-	for _, t := range ov.catalogue.Types {
+// capacityAvailable reports whether the cloud may have machines for a job, as far as is known.
+func (r *Reader) capacityAvailable(spec *protocol.JobSpec) bool {
+	refused := r.autoscaler.Market().Refused
+	for _, t := range r.catalogue.Types {
+		if !machinetable.TypeHolds(t, spec) {
+			continue
+		}
 		for _, zone := range t.Zones {
-			if !ov.zones.Avoided(zone) && planner.ZoneAllowed(&j.Spec, zones, zone) {
+			regular := fleet.Kind{Type: t.Name, Zone: zone}
+			spot := fleet.Kind{Type: t.Name, Zone: zone, Spot: true}
+			if !refused[regular] && planner.Allowed(spec, t.Name, zone, false) {
+				return true
+			}
+			if !refused[spot] && planner.Allowed(spec, t.Name, zone, true) {
 				return true
 			}
 		}
@@ -121,21 +179,25 @@
 	return false
 }
 
-// LogRecovery tells an operator now and then how recoveries stand.
-func (ov *Reader) LogRecovery() {
-	if ov.Now() < ov.recoveryLoggedAt+zonetracker.RecoveryLogTime || !ov.zones.AnyAvoided() {
+// LogRecovery logs now and then how the recoveries stand.
+func (r *Reader) LogRecovery() {
+	if r.Now() < r.recoveryLoggedAt+zonetracker.RecoveryLogTime || !r.zones.AnyAvoided() {
 		return
 	}
-	ov.recoveryLoggedAt = ov.Now()
-	for _, o := range ov.zonesOverview() {
-		if o.Phase == recovery.Healthy {
-			continue
+	r.recoveryLoggedAt = r.Now()
+	for _, zone := range r.zonesOverview() {
+		if zone.Phase != recovery.Healthy {
+			logRecovery(&zone)
 		}
-		why := map[string]int{}
-		for _, w := range o.Waiting {
-			why[w.Why] += w.Tasks
-		}
-		slog.Info("recovery", "zone", o.Zone, "phase", o.Phase, "number", o.Number, "reading", o.Reading, "machines", o.Machines, "heard", o.Heard,
-			"held_tasks", o.Held, "displaced_tasks", o.Displaced, "waiting_for", why)
 	}
 }
+
+func logRecovery(zone *ZoneOverview) {
+	tasksByReason := map[string]int{}
+	for _, w := range zone.Waiting {
+		tasksByReason[w.Why] += w.Tasks
+	}
+	slog.Info("zone recovery state", "zone", zone.Zone, "phase", zone.Phase, "losses", zone.Number,
+		"diagnosis", zone.Reading, "machines", zone.Machines, "heard", zone.Heard, "held_tasks", zone.Held,
+		"displaced_tasks", zone.Displaced, "waiting_for", tasksByReason)
+}
