--- /dev/null
+++ b/internal/leader/cells_helpers_test.go
@@ -0,0 +1,167 @@
+package leader
+
+import (
+	"testing"
+
+	"postpoint/internal/actor/actortest"
+	"postpoint/internal/cells"
+	"postpoint/internal/clock"
+	"postpoint/internal/delegation"
+	"postpoint/internal/leader/federation"
+	"postpoint/internal/leader/jobtable"
+	"postpoint/internal/leader/machinetable"
+	"postpoint/internal/ledger"
+	"postpoint/internal/protocol"
+	"postpoint/internal/statestore"
+)
+
+const twoCells = `
+cell = "alpha"
+[[cells]]
+name = "alpha"
+lease_s = 12.0
+guests = { cpus = 100.0 }
+controllers = [{ node = "worker-0", address = "10.0.0.1:8082" }]
+[[cells]]
+name = "beta"
+lease_s = 12.0
+guests = { cpus = 100.0 }
+controllers = [{ node = "worker-0", address = "10.1.0.1:8082" }]
+[[spill]]
+from = "alpha"
+to = ["beta"]
+[[spill]]
+from = "beta"
+to = ["alpha"]
+`
+
+// cellLeader returns a leader of alpha, which runs work for beta and has beta run its own.
+func cellLeader(tb testing.TB) (*Leader, *commits, *actortest.Still) {
+	tb.Helper()
+	l, box := leader()
+	l.state.Settings.Node = "worker-0"
+	directory, err := cells.Parse([]byte(twoCells), l.state.Settings)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	store := &commits{}
+	useStore(l, store)
+	l.state.Format.Open, l.state.Format.Cells = true, true
+	l.JoinCells(directory, nil)
+	l.cells.Begin()
+	l.origin.Begin()
+	return l, store, box
+}
+
+// hosting returns a leader of alpha with a hosted job of one task on m-1, committed and permitted until ten
+// seconds from now.
+func hosting(t *testing.T) (*Leader, *jobtable.Job, *machinetable.Machine, *actortest.Still) {
+	t.Helper()
+	l, _, box := cellLeader(t)
+	id := ledger.GuestID("beta", "job-1", 7)
+	content := ledger.New(protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Tasks: 1, Cpus: 1}, 1)
+	content.Guest = &ledger.Guest{Home: "beta", Number: 7}
+	content.NextAttempt = 2
+	content.Placed[0] = ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1}
+	l.reader.Adopt(ledger.Key(id), content.Encode(), 5)
+	j := l.jobs.ByID[id]
+	permission := delegation.Ruling{Number: 7, Verdict: delegation.Continue, For: 10 * clock.Second}
+	j.Permission.Take(permission, box.Now, box.Now)
+	return l, j, l.machines.ByName["m-1"], box
+}
+
+// hostedAttempt names the attempt of the hosted job's task.
+func hostedAttempt(j *jobtable.Job) machinetable.AttemptRef {
+	return machinetable.AttemptRef{Job: j.Spec.ID, Task: 0, Attempt: 1}
+}
+
+// hostedTask is what m-1 tells of the hosted job's task.
+func hostedTask(j *jobtable.Job, status, cause string) protocol.TaskReport {
+	return protocol.TaskReport{Task: protocol.TaskName(j.Spec.ID, 0), Attempt: 1, Status: status, Cause: cause}
+}
+
+// sendHeartbeat has m-1 send a heartbeat to a leader whose lease holds, and returns the status and the
+// commands of the response.
+func sendHeartbeat(l *Leader, box *actortest.Still, counter int64,
+	tasks ...protocol.TaskReport) (status int, commands []protocol.Order) {
+	l.state.Term.RenewedAt, l.state.Term.ValidUntil = box.Now, box.Now+4*clock.Second
+	l.state.FreshAt = box.Now
+	l.Heartbeat(report(1, counter, tasks...), func(s int, body any) {
+		status = s
+		if response, ok := body.(protocol.HeartbeatAnswer); ok {
+			commands = response.Orders
+		}
+	})
+	return status, commands
+}
+
+// delegating returns a leader of alpha whose job has both tasks delegated to beta.
+func delegating(t *testing.T) (*Leader, *jobtable.Job, *commits, *actortest.Still) {
+	t.Helper()
+	l, store, box := cellLeader(t)
+	content := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 2, Cpus: 1}, 1)
+	l.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
+	j := l.jobs.ByID["job-1"]
+	l.origin.Numbers = federation.NumberBlock{Next: 7, End: 1000}
+	l.origin.Delegate(j, "beta", []int{0, 1})
+	return l, j, store, box
+}
+
+// reportFromBeta is a heartbeat of beta as host of alpha's jobs.
+func reportFromBeta(statuses ...delegation.Status) delegation.Report {
+	return delegation.Report{
+		Host:  "beta",
+		Home:  "alpha",
+		Epoch: 3,
+		Clear: cells.ClearTime(12 * clock.Second),
+		Tasks: statuses,
+	}
+}
+
+// reportDelegation has beta tell the status of delegation 7, and returns alpha's response.
+func reportDelegation(l *Leader, s delegation.Status) delegation.Answer {
+	s.Number, s.Job = 7, "job-1"
+	var response delegation.Answer
+	l.Exchange(reportFromBeta(s), func(a delegation.Answer, _ bool) { response = a })
+	return response
+}
+
+// taskSet returns the set of the given tasks.
+func taskSet(tasks ...int) ledger.Ranges {
+	var set ledger.Ranges
+	for _, task := range tasks {
+		set.Add(task)
+	}
+	return set
+}
+
+// requires reports whether a transaction has the condition that a key is at a version.
+func requires(t protocol.Txn, key string, version int64) bool {
+	for _, g := range t.Guards {
+		if g.Key == key && g.Version == version {
+			return true
+		}
+	}
+	return false
+}
+
+// oneKey is a store that has one key, or not even that.
+type oneKey struct {
+	*commits
+	item   protocol.Item
+	status int
+}
+
+func (r *oneKey) Get(_ string, done func(statestore.Reply[protocol.Item])) {
+	done(statestore.Reply[protocol.Item]{Status: r.status, Value: r.item})
+}
+
+// committed is the store's response to a transaction that it has carried out.
+func committed(revision int64) statestore.Reply[protocol.TxnAnswer] {
+	return statestore.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: revision}}
+}
+
+// conflict is the store's response to a transaction whose conditions on the given keys don't hold.
+func conflict(keys ...string) statestore.Reply[protocol.TxnAnswer] {
+	return statestore.Reply[protocol.TxnAnswer]{Status: 409, Value: protocol.TxnAnswer{Failed: keys}}
+}
--- /dev/null
+++ b/internal/leader/cells_permissions_test.go
@@ -0,0 +1,104 @@
+package leader
+
+import (
+	"fmt"
+	"testing"
+
+	"postpoint/internal/cells"
+	"postpoint/internal/clock"
+	"postpoint/internal/delegation"
+	"postpoint/internal/leader/federation"
+	"postpoint/internal/ledger"
+	"postpoint/internal/protocol"
+)
+
+// onlyDirective returns the single directive of a response.
+func onlyDirective(t *testing.T, response delegation.Answer) delegation.Ruling {
+	t.Helper()
+	if len(response.Rulings) != 1 {
+		t.Fatalf("got directives %+v, want one", response.Rulings)
+	}
+	return response.Rulings[0]
+}
+
+// A permission lasts from the time up to which cancellations are known, not from now; a cancelled job has
+// none.
+func TestPermissionsCountFromWhatIsKnown(t *testing.T) {
+	l, j, _, box := delegating(t)
+	box.Now += 2 * clock.Second // the records were fresh and the lease renewed before
+	l.state.Term.ValidUntil = box.Now + clock.Second
+	workers := l.state.Settings.Deployment.Workers
+	length := cells.LongestPermission(workers, cells.ClearTime(12*clock.Second)) - 2*clock.Second
+	want := delegation.Ruling{Number: 7, Verdict: delegation.Continue, For: length}
+	if got := onlyDirective(t, reportDelegation(l, delegation.Status{})); got != want {
+		t.Fatalf("got %+v, want %+v", got, want)
+	}
+	l.jobs.NoteCancelled(j, box.Now)
+	want = delegation.Ruling{Number: 7, Verdict: delegation.Cancel}
+	if got := onlyDirective(t, reportDelegation(l, delegation.Status{})); got != want {
+		t.Fatalf("got %+v for a cancelled job, want %+v", got, want)
+	}
+}
+
+// Nobody but a leader that has read all records says that there is no such delegation.
+func TestOnlyLeadersWithAllRecordsForgetDelegations(t *testing.T) {
+	l, _, _, box := delegating(t)
+	delete(l.origin.Delegations, 7)
+	l.state.Term.ValidUntil = box.Now + clock.Second
+	directive := onlyDirective(t, reportDelegation(l, delegation.Status{}))
+	if directive.Number != 7 || directive.Verdict != delegation.Forget {
+		t.Fatalf("got %+v from the leader, want delegation 7 to be forgotten", directive)
+	}
+	l.state.Term.ValidUntil = box.Now
+	if a := reportDelegation(l, delegation.Status{}); a.Result != delegation.Taken || len(a.Rulings) != 0 {
+		t.Fatalf("got %+v from a node without the lease, want a response without directives", a)
+	}
+	l.state.Term.ValidUntil = box.Now + clock.Second
+	l.origin.HasMalformed = true
+	if a := reportDelegation(l, delegation.Status{}); a.Result != delegation.Taken || len(a.Rulings) != 0 {
+		t.Fatalf("got %+v though a delegation's record is malformed, want a response without directives", a)
+	}
+}
+
+// BenchmarkExchange measures what a heartbeat on as many delegations as one cell may have costs both
+// leaders: decoding it, handling it, and the response.
+func BenchmarkExchange(b *testing.B) {
+	l, _, box := cellLeader(b)
+	l.origin.Numbers = federation.NumberBlock{Next: 1, End: 1000}
+	r := benchmarkReport(l)
+	for b.Loop() {
+		l.state.FreshAt, l.state.Term.RenewedAt, l.state.Term.ValidUntil = box.Now, box.Now, box.Now+clock.Second
+		decoded, err := delegation.DecodeReport(r.Encode())
+		if err != nil {
+			b.Fatal(err)
+		}
+		l.Exchange(decoded, func(a delegation.Answer, _ bool) {
+			if len(a.Rulings) != delegation.MaxPerHost {
+				b.Fatalf("got %d directives, want %d", len(a.Rulings), delegation.MaxPerHost)
+			}
+			if _, err := delegation.DecodeAnswer(a.Encode()); err != nil {
+				b.Fatal(err)
+			}
+		})
+	}
+}
+
+// benchmarkReport delegates as many jobs of a hundred tasks as one cell may have, and returns the heartbeat
+// by which the host has all of them.
+func benchmarkReport(l *Leader) delegation.Report {
+	const tasksPerJob = 100
+	var tasks []int
+	for task := range tasksPerJob {
+		tasks = append(tasks, task)
+	}
+	r := reportFromBeta()
+	for range delegation.MaxPerHost {
+		number := l.origin.Numbers.Next
+		id := fmt.Sprintf("job-%d", number)
+		spec := protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Tasks: tasksPerJob, Cpus: 1}
+		l.reader.Adopt(ledger.Key(id), ledger.New(spec, 1).Encode(), 5)
+		r.Tasks = append(r.Tasks, delegation.Status{Number: number, Job: id, Held: taskSet(tasks...)})
+		l.origin.Delegate(l.jobs.ByID[id], "beta", tasks)
+	}
+	return r
+}
--- /dev/null
+++ b/internal/leader/zones_test.go
@@ -0,0 +1,101 @@
+package leader
+
+import (
+	"net/http"
+	"testing"
+
+	"postpoint/internal/actor/actortest"
+	"postpoint/internal/clock"
+	"postpoint/internal/leader/term"
+	"postpoint/internal/leader/zonetracker"
+	"postpoint/internal/leadership"
+	"postpoint/internal/protocol"
+	"postpoint/internal/recovery"
+	"postpoint/internal/statestore"
+)
+
+// saveLostZone returns a leader that has sent the record of a lost zone.
+func saveLostZone(t *testing.T) (*Leader, *zonetracker.Zone, *commits, *actortest.Still) {
+	t.Helper()
+	l, box := leader()
+	store := &commits{}
+	useStore(l, store)
+	z := &zonetracker.Zone{
+		Zone:    &recovery.Zone{Name: "a", Phase: recovery.Lost, Number: 1, Since: 90 * clock.Second},
+		Version: 5,
+	}
+	l.zones.Zones = map[string]*zonetracker.Zone{"a": z}
+	l.zones.SaveZones()
+	if len(store.txns) != 1 || !requires(store.txns[0], recovery.Key("a"), 5) {
+		t.Fatalf("got %+v, want one transaction on version 5 of the zone", store.txns)
+	}
+	return l, z, store, box
+}
+
+// A stored phase is written again only once it has changed, and at the version of its last write. Suspicion
+// isn't stored.
+func TestZonesAreSavedWhenTheirPhasesChange(t *testing.T) {
+	l, z, store, _ := saveLostZone(t)
+	store.answer(committed(6))
+	l.zones.SaveZones()
+	z.Phase = recovery.Suspect
+	l.zones.SaveZones()
+	if len(store.txns) != 1 {
+		t.Fatalf("got %+v, want no other transaction for a stored phase or a suspicion", store.txns)
+	}
+	z.Phase = recovery.Healthy
+	l.zones.SaveZones()
+	if len(store.txns) != 2 || !requires(store.txns[1], recovery.Key("a"), 6) {
+		t.Fatalf("got %+v, want a second transaction on version 6 of the zone", store.txns)
+	}
+}
+
+// A zone's record whose change may have been carried out is read, and written at the version that was read.
+func TestZonesAreReadAfterUnknownOutcomes(t *testing.T) {
+	for name, response := range map[string]statestore.Reply[protocol.TxnAnswer]{
+		"no response":     {},
+		"server failure":  {Status: http.StatusInternalServerError},
+		"another version": conflict(recovery.Key("a")),
+	} {
+		l, _, store, box := saveLostZone(t)
+		store.answer(response)
+		box.Now += term.RetryDelay
+		useStore(l, &oneKey{store, protocol.Item{Version: 9}, http.StatusOK})
+		l.zones.SaveZones()
+		if len(store.txns) != 1 {
+			t.Errorf("%s: got %+v, want a read before another transaction", name, store.txns)
+		}
+		l.zones.SaveZones()
+		if len(store.txns) != 2 || !requires(store.txns[1], recovery.Key("a"), 9) {
+			t.Errorf("%s: got %+v, want a second transaction on version 9 of the zone", name, store.txns)
+		}
+	}
+}
+
+// A change that the store has declined goes again after a pause, without a read.
+func TestDeclinedZonesGoAgain(t *testing.T) {
+	for _, status := range []int{http.StatusTooManyRequests, http.StatusServiceUnavailable} {
+		l, _, store, box := saveLostZone(t)
+		store.answer(statestore.Reply[protocol.TxnAnswer]{Status: status})
+		l.zones.SaveZones()
+		if len(store.txns) != 1 {
+			t.Errorf("status %d: got %d transactions during the pause, want 1", status, len(store.txns))
+		}
+		box.Now += term.RetryDelay
+		l.zones.SaveZones()
+		if len(store.txns) != 2 || !requires(store.txns[1], recovery.Key("a"), 5) {
+			t.Errorf("status %d: got %+v after the pause, want a second transaction", status, store.txns)
+		}
+	}
+}
+
+// A leader whose key has changed hands learns it from its transaction.
+func TestZonesTellOfANewLeader(t *testing.T) {
+	l, _, store, _ := saveLostZone(t)
+	deposedBy := int64(0)
+	l.state.Deposed = func(epoch int64) { deposedBy = epoch }
+	store.answer(conflict(leadership.Key, recovery.Key("a")))
+	if deposedBy != 8 {
+		t.Errorf("got deposed by epoch %d, want 8", deposedBy)
+	}
+}
