--- a/internal/leader/federation/delegationstore.go
+++ b/internal/leader/federation/delegationstore.go
@@ -105,12 +105,13 @@
 	if len(writes) == 0 {
 		return
 	}
-	t := recordstore.NewLeaderTxn(o.Term.Epoch)
+	t := o.NewTransaction()
 	for _, write := range writes {
 		o.addWrite(t, write)
 	}
 	o.saving = true
-	t.Commit(o.Store, term.Guarded(o.State, func(r recordstore.CommitResult) { o.handleSaved(writes, r) }))
+	handle := func(r recordstore.CommitResult) { o.handleSaved(writes, r) }
+	recordstore.Commit(o.Store, t, term.Guarded(o.State, handle))
 }
 
 // dueWrites returns the writes for the next transaction, and does what has to be done about the other
@@ -135,7 +136,7 @@
 }
 
 // addWrite adds a write to a transaction.
-func (o *Origin) addWrite(t *recordstore.LeaderTxn, write recordWrite) {
+func (o *Origin) addWrite(t *term.Transaction, write recordWrite) {
 	del := write.del
 	key := delegation.Key(del.Number)
 	t.Require(key, del.record.version)
--- a/internal/leader/federation/host.go
+++ b/internal/leader/federation/host.go
@@ -213,11 +213,12 @@
 		return
 	}
 	key := ledger.Key(j.Spec.ID)
-	t := recordstore.NewLeaderTxn(h.Term.Epoch)
+	t := h.NewTransaction()
 	t.Require(key, j.Version)
 	t.Delete(key)
 	j.InFlight = true
-	t.Commit(h.Store, term.Guarded(h.State, func(r recordstore.CommitResult) { h.handleRemoval(j, r) }))
+	handle := func(r recordstore.CommitResult) { h.handleRemoval(j, r) }
+	recordstore.Commit(h.Store, t, term.Guarded(h.State, handle))
 }
 
 // handleRemoval handles the outcome of a record's removal. Unless it was decided it is tried again.
--- a/internal/leader/federation/numbers.go
+++ b/internal/leader/federation/numbers.go
@@ -47,10 +47,11 @@
 		o.Numbers.reserving = false
 		return
 	}
-	t := recordstore.NewLeaderTxn(o.Term.Epoch)
+	t := o.NewTransaction()
 	t.Require(delegation.NumbersKey, r.Item.Version)
 	t.Put(delegation.NumbersKey, protocol.Encode(first+numberBlockSize))
-	t.Commit(o.Store, term.Guarded(o.State, func(r recordstore.CommitResult) { o.handleReservation(first, r) }))
+	handle := func(r recordstore.CommitResult) { o.handleReservation(first, r) }
+	recordstore.Commit(o.Store, t, term.Guarded(o.State, handle))
 }
 
 // firstFreeNumber returns the first number that no leader has reserved. known is false if the store didn't
--- a/internal/leader/federation/offers.go
+++ b/internal/leader/federation/offers.go
@@ -58,10 +58,10 @@
 func (h *Host) storeHosted(origin string, record *ledger.Job) {
 	key := ledger.Key(record.Spec.ID)
 	value := record.Encode()
-	t := recordstore.NewLeaderTxn(h.Term.Epoch)
+	t := h.NewTransaction()
 	t.Require(key, 0)
 	t.Put(key, value)
-	t.Commit(h.Store, term.Guarded(h.State, func(r recordstore.CommitResult) {
+	recordstore.Commit(h.Store, t, term.Guarded(h.State, func(r recordstore.CommitResult) {
 		if r.Outcome == recordstore.Committed {
 			h.reader.Adopt(key, value, r.Revision)
 			h.reportSoon(origin)
--- a/internal/leader/recordstore/leadertxn.go
+++ b/internal/leader/recordstore/results.go
@@ -4,44 +4,15 @@
 	"net/http"
 	"slices"
 
+	"postpoint/internal/leader/term"
 	"postpoint/internal/leadership"
 	"postpoint/internal/protocol"
 	"postpoint/internal/statestore"
 )
 
-// LeaderTxn is a transaction in the making that applies only while the leader of its epoch holds the
-// leader's key: a deposed leader changes nothing.
-type LeaderTxn struct {
-	txn protocol.Txn
-}
-
-// NewLeaderTxn returns a transaction of an epoch's leader without changes. The condition on the
-// leader's key is always its first one.
-func NewLeaderTxn(epoch int64) *LeaderTxn {
-	t := &LeaderTxn{}
-	t.Require(leadership.Key, epoch)
-	return t
-}
-
-// Require adds the condition that a key has the given version, 0 if it must not exist.
-func (t *LeaderTxn) Require(key string, version int64) {
-	t.txn.Guards = append(t.txn.Guards, protocol.Guard{Key: key, Version: version})
-}
-
-// Put adds the change of a key's value. The caller adds the condition.
-func (t *LeaderTxn) Put(key string, value []byte) { t.Add(protocol.Change{Put: key, Value: value}) }
-
-// Delete adds the removal of a key. The caller adds the condition.
-func (t *LeaderTxn) Delete(key string) { t.Add(protocol.Change{Delete: key}) }
-
-// Add adds a change. The caller adds the condition.
-func (t *LeaderTxn) Add(change protocol.Change) { t.txn.Changes = append(t.txn.Changes, change) }
-
-// Commit sends the transaction. done isn't guarded by the term: see term.Guarded.
-func (t *LeaderTxn) Commit(store statestore.Store, done func(CommitResult)) {
-	store.Commit(statestore.ForLeader, t.txn, func(r statestore.Reply[protocol.TxnAnswer]) {
-		done(commitResult(r))
-	})
+// Commit sends a leader's transaction. done isn't guarded by the term: see term.Guarded.
+func Commit(store statestore.Store, t *term.Transaction, done func(CommitResult)) {
+	t.Commit(store, func(r statestore.Reply[protocol.TxnAnswer]) { done(commitResult(r)) })
 }
 
 // CommitOutcome is what became of a leader's transaction.
@@ -55,11 +26,15 @@
 	Deposed
 	// Conflict means that another request has changed some of the other keys.
 	Conflict
+	// Rejected means that the store takes the transaction for malformed or too large.
+	Rejected
 	// NotExecuted means that the store declined the transaction for now.
 	NotExecuted
-	// CommitUnknown covers every other response, and none at all: only reading the keys can show
-	// whether the transaction was carried out, or may still be.
-	CommitUnknown
+	// OutcomeUnknown means that the transaction may have been carried out, or may be later: only reading
+	// the keys can show it.
+	OutcomeUnknown
+	// Unexpected means that the response has no meaning for a transaction.
+	Unexpected
 )
 
 // CommitResult is the outcome of a leader's transaction.
@@ -74,19 +49,25 @@
 
 // commitResult returns what the store's response says of a transaction.
 func commitResult(r statestore.Reply[protocol.TxnAnswer]) CommitResult {
-	result := CommitResult{Outcome: CommitUnknown, Revision: r.Value.Revision, FailedKeys: r.Value.Failed}
-	switch r.Status {
-	case http.StatusOK:
-		result.Outcome = Committed
-	case http.StatusConflict:
-		result.Outcome = Conflict
-		if slices.Contains(r.Value.Failed, leadership.Key) {
-			result.Outcome = Deposed
-		}
-	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		result.Outcome = NotExecuted
+	return CommitResult{Outcome: commitOutcome(r), Revision: r.Value.Revision, FailedKeys: r.Value.Failed}
+}
+
+func commitOutcome(r statestore.Reply[protocol.TxnAnswer]) CommitOutcome {
+	switch {
+	case r.Status == http.StatusOK:
+		return Committed
+	case r.Status == http.StatusConflict && slices.Contains(r.Value.Failed, leadership.Key):
+		return Deposed
+	case r.Status == http.StatusConflict:
+		return Conflict
+	case r.Status == http.StatusBadRequest:
+		return Rejected
+	case r.Status == http.StatusTooManyRequests || r.Status == http.StatusServiceUnavailable:
+		return NotExecuted
+	case r.Unknown() || r.Status >= http.StatusInternalServerError:
+		return OutcomeUnknown
 	}
-	return result
+	return Unexpected
 }
 
 // ReadOutcome is what became of reading one key.
--- a/internal/leader/recordstore/leadertxn_test.go
+++ b/internal/leader/recordstore/results_test.go
@@ -5,49 +5,28 @@
 	"reflect"
 	"testing"
 
+	"postpoint/internal/leader/term"
 	"postpoint/internal/leadership"
 	"postpoint/internal/protocol"
 	"postpoint/internal/statestore"
 )
 
-// scriptedStore keeps the last transaction and answers every request with the given statuses.
+// scriptedStore responds to every request alike.
 type scriptedStore struct {
 	statestore.Store
-	priority statestore.Use
-	txn      protocol.Txn
-	commit   statestore.Reply[protocol.TxnAnswer]
-	read     statestore.Reply[protocol.Item]
+	commit statestore.Reply[protocol.TxnAnswer]
+	read   statestore.Reply[protocol.Item]
 }
 
-func (s *scriptedStore) Commit(priority statestore.Use, txn protocol.Txn,
+func (s *scriptedStore) Commit(_ statestore.Use, _ protocol.Txn,
 	done func(statestore.Reply[protocol.TxnAnswer])) {
-	s.priority, s.txn = priority, txn
 	done(s.commit)
 }
 
 func (s *scriptedStore) Get(_ string, done func(statestore.Reply[protocol.Item])) { done(s.read) }
 
-func TestLeaderTxnRequiresTheLeadersKeyFirst(t *testing.T) {
-	txn := NewLeaderTxn(7)
-	txn.Require("a", 3)
-	txn.Put("a", []byte("value"))
-	txn.Require("b", 0)
-	txn.Delete("b")
-	store := &scriptedStore{}
-	txn.Commit(store, func(CommitResult) {})
-	want := protocol.Txn{
-		Guards:  []protocol.Guard{{Key: leadership.Key, Version: 7}, {Key: "a", Version: 3}, {Key: "b"}},
-		Changes: []protocol.Change{{Put: "a", Value: []byte("value")}, {Delete: "b"}},
-	}
-	if !reflect.DeepEqual(store.txn, want) {
-		t.Errorf("got %+v, want %+v", store.txn, want)
-	}
-	if store.priority != statestore.ForLeader {
-		t.Errorf("got priority %v, want that of the leader", store.priority)
-	}
-}
-
-func TestLeaderTxnReportsItsOutcome(t *testing.T) {
+func TestCommitReportsItsOutcome(t *testing.T) {
+	state := &term.State{}
 	for name, c := range map[string]struct {
 		status int
 		failed []string
@@ -58,15 +37,17 @@
 		"the leader's key also": {http.StatusConflict, []string{"a", leadership.Key}, Deposed},
 		"rate limit":            {http.StatusTooManyRequests, nil, NotExecuted},
 		"outage":                {http.StatusServiceUnavailable, nil, NotExecuted},
-		"no response":           {0, nil, CommitUnknown},
-		"malformed":             {http.StatusBadRequest, nil, CommitUnknown},
-		"server failure":        {http.StatusInternalServerError, nil, CommitUnknown},
+		"malformed":             {http.StatusBadRequest, nil, Rejected},
+		"no response":           {0, nil, OutcomeUnknown},
+		"server failure":        {http.StatusInternalServerError, nil, OutcomeUnknown},
+		"gateway failure":       {http.StatusBadGateway, nil, OutcomeUnknown},
+		"not found":             {http.StatusNotFound, nil, Unexpected},
 	} {
 		store := &scriptedStore{}
 		store.commit.Status = c.status
 		store.commit.Value = protocol.TxnAnswer{Revision: 9, Failed: c.failed}
 		var got CommitResult
-		NewLeaderTxn(7).Commit(store, func(r CommitResult) { got = r })
+		Commit(store, state.NewTransaction(), func(r CommitResult) { got = r })
 		want := CommitResult{Outcome: c.want, Revision: 9, FailedKeys: c.failed}
 		if !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: got %+v, want %+v", name, got, want)
--- /dev/null
+++ b/internal/leader/term/transaction_test.go
@@ -0,0 +1,65 @@
+package term
+
+import (
+	"bytes"
+	"testing"
+
+	"postpoint/internal/leadership"
+	"postpoint/internal/protocol"
+	"postpoint/internal/statestore"
+)
+
+// recordingStore keeps the last transaction and its priority.
+type recordingStore struct {
+	statestore.Store
+	use statestore.Use
+	txn protocol.Txn
+}
+
+func (s *recordingStore) Commit(use statestore.Use, t protocol.Txn,
+	done func(statestore.Reply[protocol.TxnAnswer])) {
+	s.use, s.txn = use, t
+	done(statestore.Reply[protocol.TxnAnswer]{Status: 200})
+}
+
+func TestTransactionEncodesLikeOneMadeByHand(t *testing.T) {
+	state := &State{}
+	state.Term.Epoch = 7
+	txn := state.NewTransaction()
+	txn.Require("jobs/job-1", 5)
+	txn.RequireOnce("jobs/job-1", 5)
+	txn.RequireOnce("parts/job-1/0", 0)
+	txn.Put("parts/job-1/0", []byte("\xa1a"))
+	txn.Delete("parts/job-1/1")
+	store := &recordingStore{}
+	committed := 0
+	txn.Commit(store, func(statestore.Reply[protocol.TxnAnswer]) { committed++ })
+	want := protocol.Txn{
+		Guards: []protocol.Guard{
+			{Key: leadership.Key, Version: 7},
+			{Key: "jobs/job-1", Version: 5},
+			{Key: "parts/job-1/0", Version: 0},
+		},
+		Changes: []protocol.Change{
+			{Put: "parts/job-1/0", Value: []byte("\xa1a")},
+			{Delete: "parts/job-1/1"},
+		},
+	}
+	if !bytes.Equal(protocol.Encode(store.txn), protocol.Encode(want)) {
+		t.Errorf("committed %+v, want %+v", store.txn, want)
+	}
+	if store.use != statestore.ForLeader || committed != 1 || txn.Len() != 2 || len(txn.Changes()) != 2 {
+		t.Errorf("use %v, %d responses, %d changes, want use %v, 1 response and 2 changes", store.use, committed,
+			txn.Len(), statestore.ForLeader)
+	}
+}
+
+func TestRequireOnceKeepsOtherVersionsOfAKey(t *testing.T) {
+	state := &State{}
+	txn := state.NewTransaction()
+	txn.RequireOnce("jobs/job-1", 5)
+	txn.RequireOnce("jobs/job-1", 6) // a contradiction for the store to refuse, not to be dropped here
+	if guards := txn.txn.Guards; len(guards) != 3 || guards[1].Version != 5 || guards[2].Version != 6 {
+		t.Errorf("guards %+v, want the leader's key and both versions", guards)
+	}
+}
--- a/internal/leader/zonetracker/zonestore.go
+++ b/internal/leader/zonetracker/zonestore.go
@@ -95,12 +95,12 @@
 func (t *Tracker) saveZone(name string, z *Zone) {
 	phase := z.Phase
 	key := recovery.Key(name)
-	txn := recordstore.NewLeaderTxn(t.Term.Epoch)
+	txn := t.NewTransaction()
 	txn.Require(key, z.Version)
 	txn.Put(key, z.Encode(t.timeOfDayOffset()))
 	t.saving = true
 	handle := func(r recordstore.CommitResult) { t.handleSaved(z, phase, r) }
-	txn.Commit(t.Store, term.Guarded(t.State, handle))
+	recordstore.Commit(t.Store, txn, term.Guarded(t.State, handle))
 }
 
 // handleSaved handles the outcome of writing a zone's phase.
