--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -78,6 +78,6 @@
 			return r
 		}
 	}
-	r.Err = failure(response.Status, r.Status)
+	r.Err = Failure(response.Status, r.Status)
 	return r
 }
--- a/internal/agent/errors.go
+++ b/internal/agent/errors.go
@@ -62,8 +62,8 @@
 // late: whatever the protocol doesn't have counts as such.
 func OutcomeUnknown(err error) bool { return err != nil && !NotExecuted(err) }
 
-// failure returns the error that a response's status stands for, nil for success.
-func failure(status int, worker protocol.Report) error {
+// Failure returns the error that a response's status stands for, nil for success.
+func Failure(status int, worker protocol.Report) error {
 	err := kinds.Failure(status)
 	switch {
 	case err == nil:
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -86,7 +86,7 @@
 		if err != nil {
 			err = transport.NoResponse(err)
 		} else {
-			err = failure(response.Status, reason(value))
+			err = Failure(response.Status, reason(value))
 		}
 		b.mailbox.Post(func() { done(err) })
 	}()
--- /dev/null
+++ b/internal/cloud/cloudtest/service.go
@@ -0,0 +1,53 @@
+// Package cloudtest lets stand-ins of the cloud respond as the cloud itself does, with statuses and
+// bodies. Only tests and the simulation use it.
+package cloudtest
+
+import (
+	"postpoint/internal/clock"
+	"postpoint/internal/cloud"
+	"postpoint/internal/protocol"
+	"postpoint/internal/transport"
+)
+
+// Service is a stand-in of the cloud as one client sees it. A status of 0 means that no response
+// came, transport.NotSent that the request never left.
+type Service interface {
+	Catalogue(done func(status int, c protocol.Catalogue))
+	Rent(r protocol.Rental, until clock.Micros, done func(status int, a protocol.RentalAnswer))
+	Release(machines []string, until clock.Micros, done func(status int))
+	List(from string, done func(status int, l protocol.MachineList))
+}
+
+// Client returns the cloud whose results are what the service responds.
+func Client(s Service) cloud.ResultAPI { return client{s} }
+
+// client turns statuses into errors.
+type client struct{ service Service }
+
+func (c client) Catalogue(done func(protocol.Catalogue, error)) {
+	c.service.Catalogue(func(status int, types protocol.Catalogue) { done(types, failure(status, "")) })
+}
+
+func (c client) ScaleOut(r protocol.Rental, until clock.Micros, done func([]string, error)) {
+	c.service.Rent(r, until, func(status int, a protocol.RentalAnswer) {
+		done(a.Machines, failure(status, a.Error))
+	})
+}
+
+func (c client) ScaleIn(machines []string, until clock.Micros, done func(error)) {
+	c.service.Release(machines, until, func(status int) { done(failure(status, "")) })
+}
+
+func (c client) List(from string, done func(protocol.MachineList, error)) {
+	c.service.List(from, func(status int, l protocol.MachineList) { done(l, failure(status, "")) })
+}
+
+func failure(status int, reason string) error {
+	switch status {
+	case transport.NotSent:
+		return &transport.Error{Kind: cloud.ErrNotSent, Status: status, Reason: reason}
+	case 0:
+		return &transport.Error{Kind: cloud.ErrNoResponse, Reason: reason}
+	}
+	return cloud.Failure(status, reason)
+}
--- a/internal/cloud/errors.go
+++ b/internal/cloud/errors.go
@@ -51,8 +51,8 @@
 	return errors.Is(err, ErrNoResponse) || errors.Is(err, ErrServerFailure)
 }
 
-// failure returns the error that a response's status stands for, nil for success.
-func failure(status int, reason string) error {
+// Failure returns the error that a response's status stands for, nil for success.
+func Failure(status int, reason string) error {
 	err := kinds.Failure(status)
 	if err == nil {
 		return nil
--- a/internal/cloud/errors_test.go
+++ b/internal/cloud/errors_test.go
@@ -23,7 +23,7 @@
 		{"throttled", http.StatusTooManyRequests, "", ErrThrottled},
 		{"server failure", http.StatusInternalServerError, "", ErrServerFailure},
 	} {
-		if got := failure(c.status, c.reason); !errors.Is(got, c.want) {
+		if got := Failure(c.status, c.reason); !errors.Is(got, c.want) {
 			t.Errorf("%s: failure %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -34,7 +34,7 @@
 		{"", "refused (status 400)"},
 		{"no such type", "refused (status 400): no such type"},
 	} {
-		if got := failure(http.StatusBadRequest, c.reason); got == nil || got.Error() != c.want {
+		if got := Failure(http.StatusBadRequest, c.reason); got == nil || got.Error() != c.want {
 			t.Errorf("reason %q: failure %v, want %q", c.reason, got, c.want)
 		}
 	}
--- a/internal/leader/adoption_test.go
+++ b/internal/leader/adoption_test.go
@@ -8,7 +8,7 @@
 	"postpoint/internal/leader/recordstore"
 	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
+	"postpoint/internal/statestore/storetest"
 )
 
 // A record read before a change and received after it doesn't undo the change, not even while the
@@ -115,7 +115,7 @@
 	})
 }
 
-func readBehindFence(t *testing.T, fenceResponse statestore.Reply[protocol.TxnAnswer]) {
+func readBehindFence(t *testing.T, fenceResponse storetest.Reply[protocol.TxnAnswer]) {
 	t.Helper()
 	l, store, j := shardedArray(t)
 	reads := &readableCommits{commits: *store}
--- a/internal/leader/commands_test.go
+++ b/internal/leader/commands_test.go
@@ -11,7 +11,7 @@
 	"postpoint/internal/leader/recordstore"
 	"postpoint/internal/leader/term"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
+	"postpoint/internal/statestore/storetest"
 )
 
 // A leader that no longer hears what users change stops sending commands, though
@@ -178,7 +178,7 @@
 		j.Uncommitted = []int{0}
 		d.writer.HandleResult(
 			[]recordstore.Write{{J: j, V: &j.StoredValue, Part: recordstore.HeadIndex, Changed: j.ChangeCount}},
-			statestore.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 9}})
+			storetest.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 9}})
 		if direct := out.n > 0; direct != (late == 0) {
 			t.Errorf("late by %v: %d direct commands, want some only without delay", late, out.n)
 		}
--- a/internal/leader/commitoutcome_test.go
+++ b/internal/leader/commitoutcome_test.go
@@ -9,7 +9,7 @@
 	"postpoint/internal/leader/term"
 	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
+	"postpoint/internal/statestore/storetest"
 )
 
 // A change without a response may be carried out seconds later. Its placements stay, and it goes again
@@ -44,16 +44,16 @@
 // team's limit until that write can't be carried out any more: it would bring the placement back after
 // its room had been given away.
 func TestReleasedPlacementsCountWhileAWriteMayComeLate(t *testing.T) {
-	declined := statestore.Reply[protocol.TxnAnswer]{Status: http.StatusTooManyRequests}
+	declined := storetest.Reply[protocol.TxnAnswer]{Status: http.StatusTooManyRequests}
 	for name, c := range map[string]struct {
-		responses []statestore.Reply[protocol.TxnAnswer]
+		responses []storetest.Reply[protocol.TxnAnswer]
 		taken     int
 	}{
-		"carried out":                   {[]statestore.Reply[protocol.TxnAnswer]{committedAt(6)}, 0},
-		"never carried out":             {[]statestore.Reply[protocol.TxnAnswer]{declined}, 0},
-		"no response":                   {[]statestore.Reply[protocol.TxnAnswer]{noResponse()}, 1},
-		"no response, then declined":    {[]statestore.Reply[protocol.TxnAnswer]{noResponse(), declined}, 1},
-		"no response, then carried out": {[]statestore.Reply[protocol.TxnAnswer]{noResponse(), committedAt(6)}, 0},
+		"carried out":                   {[]storetest.Reply[protocol.TxnAnswer]{committedAt(6)}, 0},
+		"never carried out":             {[]storetest.Reply[protocol.TxnAnswer]{declined}, 0},
+		"no response":                   {[]storetest.Reply[protocol.TxnAnswer]{noResponse()}, 1},
+		"no response, then declined":    {[]storetest.Reply[protocol.TxnAnswer]{noResponse(), declined}, 1},
+		"no response, then carried out": {[]storetest.Reply[protocol.TxnAnswer]{noResponse(), committedAt(6)}, 0},
 	} {
 		l, j, m, _ := one(t)
 		l.state.Deposed = func(int64) {}
@@ -91,7 +91,7 @@
 		if n := len(store.txns[i].Changes); n != want {
 			t.Fatalf("transaction %d has %d changes, want %d", i, n, want)
 		}
-		store.answer(statestore.Reply[protocol.TxnAnswer]{Status: http.StatusBadRequest})
+		store.answer(storetest.Reply[protocol.TxnAnswer]{Status: http.StatusBadRequest})
 	}
 	refused := store.txns[2].Changes[0].Put
 	commitAfterPause(l)
--- a/internal/leader/dispatch_test.go
+++ b/internal/leader/dispatch_test.go
@@ -11,7 +11,7 @@
 	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
 	"postpoint/internal/settings"
-	"postpoint/internal/statestore"
+	"postpoint/internal/statestore/storetest"
 )
 
 // leader is one that has read its records, in epoch 7.
@@ -29,7 +29,7 @@
 }
 
 // useStore gives all components another key-value store.
-func useStore(l *Leader, store statestore.Store) {
+func useStore(l *Leader, store storetest.Service) {
 	l.catalogue.Store = store
 	l.reader.Store = store
 	l.writer.Store = store
--- a/internal/leader/golden_test.go
+++ b/internal/leader/golden_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/cloud"
+	"postpoint/internal/cloud/cloudtest"
 	"postpoint/internal/delegation"
 	"postpoint/internal/goldentest"
 	"postpoint/internal/leader/federation"
@@ -20,7 +20,7 @@
 	"postpoint/internal/recovery"
 	"postpoint/internal/rollout"
 	"postpoint/internal/settings"
-	"postpoint/internal/statestore"
+	"postpoint/internal/statestore/storetest"
 )
 
 func goldenTypes() []protocol.MachineType {
@@ -111,7 +111,7 @@
 			"\xa5Stamp\x00\x82\xa4Path\xaajobs/job-1\xa5Stamp\x06\xa6Writes\x91\x82\xa5Write\xaddelegatio"+
 			"ns/7\xa4Data\x85\xa4host\xa4beta\xa3job\xa5job-1\xa5tasks\xa30-1\xa5state\xa7offered\xa2at"+
 			"\xce\x05\xf5\xe1\x00")
-	store.answer(statestore.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 8}})
+	store.answer(storetest.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 8}})
 	offers := d.origin.Offers("beta", nil)
 	if len(offers) != 1 {
 		t.Fatalf("offers %v", offers)
@@ -377,7 +377,7 @@
 
 // rentals is a cloud that keeps what it is asked for.
 type rentals struct {
-	cloud.API
+	cloudtest.Service
 	asked []protocol.Rental
 }
 
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -8,7 +8,7 @@
 	"postpoint/internal/actor/actortest"
 	"postpoint/internal/clock"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
+	"postpoint/internal/statestore/storetest"
 )
 
 // BenchmarkHeartbeat handles a heartbeat of eight running tasks that changes nothing.
@@ -90,15 +90,15 @@
 
 // lists is a key-value store that has no records, and keeps its response until the test asks.
 type lists struct {
-	statestore.Store
+	storetest.Service
 	respond func()
 }
 
-func (l *lists) List(_, _ string, done func(statestore.Reply[protocol.ItemList])) {
-	l.respond = func() { done(statestore.Reply[protocol.ItemList]{Status: 200}) }
+func (l *lists) List(_, _ string, done func(storetest.Reply[protocol.ItemList])) {
+	l.respond = func() { done(storetest.Reply[protocol.ItemList]{Status: 200}) }
 }
 
-func (l *lists) Follow(string, int64, clock.Micros, func(statestore.Reply[protocol.FollowAnswer])) {}
+func (l *lists) Follow(string, int64, clock.Micros, func(storetest.Reply[protocol.FollowAnswer])) {}
 
 // Heartbeats that come while a new leader reads its records are responded to once it has, or
 // refused when that takes long: sent round the other nodes at once, all workers would
--- a/internal/leader/recordfixtures_test.go
+++ b/internal/leader/recordfixtures_test.go
@@ -11,16 +11,17 @@
 	"postpoint/internal/rollout"
 	"postpoint/internal/settings"
 	"postpoint/internal/statestore"
+	"postpoint/internal/statestore/storetest"
 )
 
 // commits is a key-value store that keeps transactions until the test responds to the last.
 type commits struct {
-	statestore.Store
+	storetest.Service
 	txns   []protocol.Txn
-	answer func(statestore.Reply[protocol.TxnAnswer])
+	answer func(storetest.Reply[protocol.TxnAnswer])
 }
 
-func (c *commits) Commit(_ statestore.Use, t protocol.Txn, done func(statestore.Reply[protocol.TxnAnswer])) {
+func (c *commits) Commit(_ statestore.Use, t protocol.Txn, done func(storetest.Reply[protocol.TxnAnswer])) {
 	c.txns, c.answer = append(c.txns, t), done
 }
 
@@ -35,38 +36,38 @@
 	reads int
 }
 
-func (c *readableCommits) Get(_ string, done func(statestore.Reply[protocol.Item])) {
+func (c *readableCommits) Get(_ string, done func(storetest.Reply[protocol.Item])) {
 	c.reads++
-	done(statestore.Reply[protocol.Item]{Status: http.StatusOK, Value: c.item})
+	done(storetest.Reply[protocol.Item]{Status: http.StatusOK, Value: c.item})
 }
 
-func (c *readableCommits) List(_, _ string, done func(statestore.Reply[protocol.ItemList])) {
+func (c *readableCommits) List(_, _ string, done func(storetest.Reply[protocol.ItemList])) {
 	if c.down {
-		done(statestore.Reply[protocol.ItemList]{Status: http.StatusServiceUnavailable})
+		done(storetest.Reply[protocol.ItemList]{Status: http.StatusServiceUnavailable})
 		return
 	}
-	done(statestore.Reply[protocol.ItemList]{Status: http.StatusOK, Value: protocol.ItemList{Items: c.items}})
+	done(storetest.Reply[protocol.ItemList]{Status: http.StatusOK, Value: protocol.ItemList{Items: c.items}})
 }
 
 // committedAt is the response to a transaction that was carried out.
-func committedAt(revision int64) statestore.Reply[protocol.TxnAnswer] {
-	return statestore.Reply[protocol.TxnAnswer]{
+func committedAt(revision int64) storetest.Reply[protocol.TxnAnswer] {
+	return storetest.Reply[protocol.TxnAnswer]{
 		Status: http.StatusOK,
 		Value:  protocol.TxnAnswer{Revision: revision},
 	}
 }
 
 // conflictOn is the response to a transaction of whose conditions those on the given keys don't hold.
-func conflictOn(keys ...string) statestore.Reply[protocol.TxnAnswer] {
-	return statestore.Reply[protocol.TxnAnswer]{
+func conflictOn(keys ...string) storetest.Reply[protocol.TxnAnswer] {
+	return storetest.Reply[protocol.TxnAnswer]{
 		Status: http.StatusConflict,
 		Value:  protocol.TxnAnswer{Failed: keys},
 	}
 }
 
 // noResponse is the reply to a transaction whose outcome is unknown.
-func noResponse() statestore.Reply[protocol.TxnAnswer] {
-	return statestore.Reply[protocol.TxnAnswer]{}
+func noResponse() storetest.Reply[protocol.TxnAnswer] {
+	return storetest.Reply[protocol.TxnAnswer]{}
 }
 
 // commitAfterPause commits without waiting for the end of a pause.
--- a/internal/leader/recordstore/outcome_test.go
+++ b/internal/leader/recordstore/outcome_test.go
@@ -5,7 +5,7 @@
 
 	"postpoint/internal/leadership"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
+	"postpoint/internal/statestore/storetest"
 )
 
 func TestOutcomesOfTransactions(t *testing.T) {
@@ -27,7 +27,7 @@
 		"status of no meaning":  {404, nil, outcomeUnexpected, true},
 		"success of no meaning": {204, nil, outcomeUnexpected, true},
 	} {
-		r := statestore.Reply[protocol.TxnAnswer]{Status: c.status, Value: protocol.TxnAnswer{Failed: c.failed}}
+		r := storetest.Reply[protocol.TxnAnswer]{Status: c.status, Value: protocol.TxnAnswer{Failed: c.failed}}
 		if got := outcomeOf(r); got != c.outcome {
 			t.Errorf("%s: outcome %d, want %d", name, got, c.outcome)
 		}
--- a/internal/leader/scaleout_test.go
+++ b/internal/leader/scaleout_test.go
@@ -7,7 +7,7 @@
 
 	"postpoint/internal/actor/actortest"
 	"postpoint/internal/clock"
-	"postpoint/internal/cloud"
+	"postpoint/internal/cloud/cloudtest"
 	"postpoint/internal/fleet"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
@@ -15,7 +15,7 @@
 
 // cloudStub keeps requests until the test responds to them.
 type cloudStub struct {
-	cloud.API
+	cloudtest.Service
 	scaleOuts   []protocol.Rental
 	scaledOut   []func(int, protocol.RentalAnswer)
 	scaledIn    []func(int)
--- a/internal/leader/sharding_test.go
+++ b/internal/leader/sharding_test.go
@@ -8,7 +8,7 @@
 	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
 	"postpoint/internal/rollout"
-	"postpoint/internal/statestore"
+	"postpoint/internal/statestore/storetest"
 )
 
 // A record that is too large for the limits that may come is sharded when it changes next: its shards
@@ -81,7 +81,7 @@
 		t.Fatalf("transactions %v, want one of two changes", store.txns)
 	}
 	// The limits have come: the same changes are refused, and go again without the large one.
-	store.answer(statestore.Reply[protocol.TxnAnswer]{Status: http.StatusBadRequest})
+	store.answer(storetest.Reply[protocol.TxnAnswer]{Status: http.StatusBadRequest})
 	commitAfterPause(l)
 	last := store.last()
 	if len(store.txns) != 2 || len(last.Changes) != 1 || last.Changes[0].Put != ledger.Key("job-2") {
--- a/internal/leader/term/transaction_test.go
+++ b/internal/leader/term/transaction_test.go
@@ -7,19 +7,20 @@
 	"postpoint/internal/leadership"
 	"postpoint/internal/protocol"
 	"postpoint/internal/statestore"
+	"postpoint/internal/statestore/storetest"
 )
 
 // recordingStore keeps the last transaction and its priority.
 type recordingStore struct {
-	statestore.Store
+	storetest.Service
 	use statestore.Use
 	txn protocol.Txn
 }
 
 func (s *recordingStore) Commit(use statestore.Use, t protocol.Txn,
-	done func(statestore.Reply[protocol.TxnAnswer])) {
+	done func(storetest.Reply[protocol.TxnAnswer])) {
 	s.use, s.txn = use, t
-	done(statestore.Reply[protocol.TxnAnswer]{Status: 200})
+	done(storetest.Reply[protocol.TxnAnswer]{Status: 200})
 }
 
 func TestTransactionEncodesLikeOneMadeByHand(t *testing.T) {
@@ -33,7 +34,7 @@
 	txn.Delete("parts/job-1/1")
 	store := &recordingStore{}
 	committed := 0
-	txn.Commit(store, func(statestore.Reply[protocol.TxnAnswer]) { committed++ })
+	txn.Commit(store, func(storetest.Reply[protocol.TxnAnswer]) { committed++ })
 	want := protocol.Txn{
 		Guards: []protocol.Guard{
 			{Key: leadership.Key, Version: 7},
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,10 +31,10 @@
 	Leadership leadership.Config
 	Mailboxes  Mailboxes
 	// Store returns the state service whose results arrive in a mailbox.
-	Store func(actor.Mailbox) statestore.Store
+	Store func(actor.Mailbox) statestore.ResultStore
 	// Cloud and Agent respond to the mailbox of Dispatch, Forward to that of Intake.
-	Cloud   cloud.API
-	Agent   agent.API
+	Cloud   cloud.ResultAPI
+	Agent   agent.ResultAPI
 	Forward intake.Forward
 	// Cells lists the cells, nil if they are switched off; Exchange reaches them and responds to the
 	// mailbox of Dispatch.
@@ -57,7 +57,7 @@
 // New returns a node that does nothing yet.
 func New(e Environment) *Node {
 	n := &Node{}
-	n.Intake = intake.New(e.Mailboxes.Intake, statestore.Typed(e.Store(e.Mailboxes.Intake)), e.Settings,
+	n.Intake = intake.New(e.Mailboxes.Intake, e.Store(e.Mailboxes.Intake), e.Settings,
 		e.Forward)
 	n.Dispatch = n.newLeader(e)
 	n.Leadership = n.newCandidate(e)
@@ -106,7 +106,7 @@
 		n.Intake.Elected(t.Epoch) // first: nothing is vouched for after the term has begun
 		n.Dispatch.SetTerm(t)
 	}
-	return leadership.New(box, statestore.Typed(e.Store(box)), e.Leadership, publishTerm, n.Dispatch.SetLeader)
+	return leadership.New(box, e.Store(box), e.Leadership, publishTerm, n.Dispatch.SetLeader)
 }
 
 func (n *Node) newRollout(e Environment) *rollout.Rollout {
@@ -120,7 +120,7 @@
 	}
 	box := e.Mailboxes.Rollout
 	// The election waits: what this node writes comes after the format that it reads.
-	return rollout.New(box, statestore.Typed(e.Store(box)), e.Settings.Node, e.Settings.Nodes(), format,
+	return rollout.New(box, e.Store(box), e.Settings.Node, e.Settings.Nodes(), format,
 		n.Leadership.Start, onStatus)
 }
 
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -104,7 +104,7 @@
 type exchange func() (transport.Response, error)
 
 // send runs one exchange off the actor, and posts its outcome to the actor.
-func send[W, T any](b *bound, op operation, call exchange, result func(W) T, done func(Result[T])) {
+func send[W, T any](b *bound, op Operation, call exchange, result func(W) T, done func(Result[T])) {
 	go func() {
 		r := decode(op, call, result)
 		b.noteFailure(r.Err)
@@ -113,7 +113,7 @@
 }
 
 // decode turns a response of wire type W into a result.
-func decode[W, T any](op operation, call exchange, result func(W) T) Result[T] {
+func decode[W, T any](op Operation, call exchange, result func(W) T) Result[T] {
 	response, err := call()
 	if err != nil {
 		return Result[T]{Err: transport.NoResponse(err)}
@@ -130,7 +130,7 @@
 		return r
 	}
 	details, _ := any(message).(protocol.TxnAnswer)
-	r.Err = failure(op, response.Status, details)
+	r.Err = Failure(op, response.Status, details)
 	return r
 }
 
@@ -210,7 +210,7 @@
 }
 
 func (b *bound) Get(key string, done func(Result[protocol.Item])) {
-	send(b, opGet, b.read("/kv/"+key, readTimeout), unchanged, done)
+	send(b, OpGet, b.read("/kv/"+key, readTimeout), unchanged, done)
 }
 
 func (b *bound) List(prefix, from string, done func(Result[protocol.ItemList])) {
@@ -218,7 +218,7 @@
 	if from != "" {
 		q.Set("From", from)
 	}
-	send(b, opList, b.read("/kv?"+q.Encode(), callTimeout), unchanged, done)
+	send(b, OpList, b.read("/kv?"+q.Encode(), callTimeout), unchanged, done)
 }
 
 func (b *bound) Commit(priority Use, t protocol.Txn, done func(Result[Revision])) {
@@ -234,7 +234,7 @@
 		return b.do(pool, http.MethodPost, "/multi", body, callTimeout)
 	}
 	revision := func(a protocol.TxnAnswer) Revision { return Revision(a.Revision) }
-	send(b, opCommit, commit, revision, done)
+	send(b, OpCommit, commit, revision, done)
 }
 
 func (b *bound) Follow(prefix string, from Revision, wait clock.Micros,
@@ -249,7 +249,7 @@
 			Method: http.MethodGet, URL: b.base + "/follow?" + q.Encode(),
 			Timeout: wait + callTimeout, ResponseLimit: followLimit})
 	}
-	send(b, opFollow, follow, unchanged, done)
+	send(b, OpFollow, follow, unchanged, done)
 }
 
 func (b *bound) Grant(ttl clock.Micros, done func(Result[LeaseID])) {
@@ -257,12 +257,12 @@
 	grant := func() (transport.Response, error) {
 		return b.do(b.election, http.MethodPost, "/leases", body, renewTimeout)
 	}
-	send(b, opGrant, grant, func(a protocol.LeaseAnswer) LeaseID { return LeaseID(a.Lease) }, done)
+	send(b, OpGrant, grant, func(a protocol.LeaseAnswer) LeaseID { return LeaseID(a.Lease) }, done)
 }
 
 func (b *bound) Renew(lease LeaseID, done func(err error)) {
 	renew := func() (transport.Response, error) {
 		return b.do(b.election, http.MethodPost, fmt.Sprintf("/leases/%d/touch", lease), nil, renewTimeout)
 	}
-	send(b, opRenew, renew, unchanged, func(r Result[protocol.LeaseAnswer]) { done(r.Err) })
+	send(b, OpRenew, renew, unchanged, func(r Result[protocol.LeaseAnswer]) { done(r.Err) })
 }
--- a/internal/statestore/errors.go
+++ b/internal/statestore/errors.go
@@ -37,27 +37,27 @@
 	ErrUnexpectedStatus = transport.ErrUnexpectedStatus
 )
 
-// operation is a kind of request.
-type operation int
+// Operation is a kind of request.
+type Operation int
 
 const (
-	opGet operation = iota
-	opList
-	opCommit
-	opFollow
-	opGrant
-	opRenew
+	OpGet Operation = iota
+	OpList
+	OpCommit
+	OpFollow
+	OpGrant
+	OpRenew
 )
 
 // kinds says what the service's statuses mean for each operation. Nothing else in the program
 // knows these numbers.
-var kinds = map[operation]transport.StatusKinds{
-	opGet:    withCommonKinds(transport.StatusKinds{http.StatusNotFound: ErrNotFound}),
-	opList:   withCommonKinds(nil),
-	opCommit: withCommonKinds(transport.StatusKinds{http.StatusConflict: ErrConflict}),
-	opFollow: withCommonKinds(transport.StatusKinds{http.StatusGone: ErrCompacted}),
-	opGrant:  withCommonKinds(nil),
-	opRenew:  withCommonKinds(transport.StatusKinds{http.StatusNotFound: ErrLeaseNotFound}),
+var kinds = map[Operation]transport.StatusKinds{
+	OpGet:    withCommonKinds(transport.StatusKinds{http.StatusNotFound: ErrNotFound}),
+	OpList:   withCommonKinds(nil),
+	OpCommit: withCommonKinds(transport.StatusKinds{http.StatusConflict: ErrConflict}),
+	OpFollow: withCommonKinds(transport.StatusKinds{http.StatusGone: ErrCompacted}),
+	OpGrant:  withCommonKinds(nil),
+	OpRenew:  withCommonKinds(transport.StatusKinds{http.StatusNotFound: ErrLeaseNotFound}),
 }
 
 // withCommonKinds adds what holds for all operations.
@@ -127,9 +127,9 @@
 // lease.
 const noSuchLease = "no such lease"
 
-// failure returns the error that a response's status stands for, nil for success. details is what
+// Failure returns the error that a response's status stands for, nil for success. details is what
 // a transaction's response says; other operations have none.
-func failure(op operation, status int, details protocol.TxnAnswer) error {
+func Failure(op Operation, status int, details protocol.TxnAnswer) error {
 	err := kinds[op].Failure(status)
 	switch {
 	case err == nil:
--- a/internal/statestore/legacy_test.go
+++ b/internal/statestore/legacy_test.go
@@ -36,14 +36,14 @@
 			return s == 0 || s == http.StatusTooManyRequests || s >= http.StatusInternalServerError
 		}, Unserved},
 	}
-	ofOperation := map[operation]test{
-		opGet:    {"not found", func(s int) bool { return s == http.StatusNotFound }, is(ErrNotFound)},
-		opCommit: {"conflict", func(s int) bool { return s == http.StatusConflict }, is(ErrConflict)},
-		opFollow: {"compacted", func(s int) bool { return s == http.StatusGone }, is(ErrCompacted)},
-		opRenew: {"lease not found", func(s int) bool { return s == http.StatusNotFound },
+	ofOperation := map[Operation]test{
+		OpGet:    {"not found", func(s int) bool { return s == http.StatusNotFound }, is(ErrNotFound)},
+		OpCommit: {"conflict", func(s int) bool { return s == http.StatusConflict }, is(ErrConflict)},
+		OpFollow: {"compacted", func(s int) bool { return s == http.StatusGone }, is(ErrCompacted)},
+		OpRenew: {"lease not found", func(s int) bool { return s == http.StatusNotFound },
 			is(ErrLeaseNotFound)},
 	}
-	for op := opGet; op <= opRenew; op++ {
+	for op := OpGet; op <= OpRenew; op++ {
 		all := tests
 		if own, ok := ofOperation[op]; ok {
 			all = append([]test{own}, tests...)
--- /dev/null
+++ b/internal/statestore/storetest/service.go
@@ -0,0 +1,82 @@
+// Package storetest lets stand-ins of the key-value store respond as the store itself does, with
+// statuses and bodies. Only tests and the simulation use it.
+package storetest
+
+import (
+	"postpoint/internal/clock"
+	"postpoint/internal/protocol"
+	"postpoint/internal/statestore"
+	"postpoint/internal/transport"
+)
+
+// Reply is a response's status and body. Status 0 means that none came: the request may have been
+// carried out, or may still be, later.
+type Reply[T any] struct {
+	Status int
+	Value  T
+}
+
+// Service is a stand-in of the key-value store as one client sees it.
+type Service interface {
+	Get(key string, done func(Reply[protocol.Item]))
+	List(prefix, from string, done func(Reply[protocol.ItemList]))
+	Commit(use statestore.Use, t protocol.Txn, done func(Reply[protocol.TxnAnswer]))
+	Follow(prefix string, from int64, block clock.Micros, done func(Reply[protocol.FollowAnswer]))
+	Grant(ttl clock.Micros, done func(Reply[protocol.LeaseAnswer]))
+	Renew(lease int64, done func(Reply[protocol.LeaseAnswer]))
+}
+
+// Client returns the store whose results are what the service responds.
+func Client(s Service) statestore.ResultStore { return client{s} }
+
+// client turns statuses into errors.
+type client struct{ service Service }
+
+func (c client) Get(key string, done func(statestore.Result[protocol.Item])) {
+	c.service.Get(key, func(r Reply[protocol.Item]) { done(result(statestore.OpGet, r)) })
+}
+
+func (c client) List(prefix, from string, done func(statestore.Result[protocol.ItemList])) {
+	c.service.List(prefix, from, func(r Reply[protocol.ItemList]) { done(result(statestore.OpList, r)) })
+}
+
+func (c client) Commit(priority statestore.Use, txn protocol.Txn,
+	done func(statestore.Result[statestore.Revision])) {
+	c.service.Commit(priority, txn, func(r Reply[protocol.TxnAnswer]) {
+		done(statestore.Result[statestore.Revision]{
+			Value: statestore.Revision(r.Value.Revision),
+			Err:   errorOf(statestore.OpCommit, r),
+		})
+	})
+}
+
+func (c client) Follow(prefix string, from statestore.Revision, wait clock.Micros,
+	done func(statestore.Result[protocol.FollowAnswer])) {
+	c.service.Follow(prefix, int64(from), wait,
+		func(r Reply[protocol.FollowAnswer]) { done(result(statestore.OpFollow, r)) })
+}
+
+func (c client) Grant(ttl clock.Micros, done func(statestore.Result[statestore.LeaseID])) {
+	c.service.Grant(ttl, func(r Reply[protocol.LeaseAnswer]) {
+		done(statestore.Result[statestore.LeaseID]{
+			Value: statestore.LeaseID(r.Value.Lease),
+			Err:   errorOf(statestore.OpGrant, r),
+		})
+	})
+}
+
+func (c client) Renew(lease statestore.LeaseID, done func(err error)) {
+	c.service.Renew(int64(lease), func(r Reply[protocol.LeaseAnswer]) { done(errorOf(statestore.OpRenew, r)) })
+}
+
+func result[T any](op statestore.Operation, r Reply[T]) statestore.Result[T] {
+	return statestore.Result[T]{Value: r.Value, Err: errorOf(op, r)}
+}
+
+func errorOf[T any](op statestore.Operation, r Reply[T]) error {
+	details, _ := any(r.Value).(protocol.TxnAnswer)
+	if r.Status == 0 {
+		return &transport.Error{Kind: statestore.ErrNoResponse, Reason: details.Error}
+	}
+	return statestore.Failure(op, r.Status, details)
+}
--- a/internal/testkit/cloudclient.go
+++ b/internal/testkit/cloudclient.go
@@ -5,7 +5,7 @@
 	"net/http"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/cloud"
+	"postpoint/internal/cloud/cloudtest"
 	"postpoint/internal/fleet"
 	"postpoint/internal/protocol"
 	"postpoint/internal/transport"
@@ -15,7 +15,7 @@
 const cloudTimeout = 4 * clock.Second
 
 // For returns the cloud as one process reaches it over a link.
-func (c *FakeCloud) For(p *Process, l *Link) cloud.API { return &cloudClient{c, p, l} }
+func (c *FakeCloud) For(p *Process, l *Link) cloudtest.Service { return &cloudClient{c, p, l} }
 
 // cloudClient is a process's connection to the cloud.
 type cloudClient struct {
--- a/internal/testkit/commands.go
+++ b/internal/testkit/commands.go
@@ -3,7 +3,7 @@
 import (
 	"net/http"
 
-	"postpoint/internal/agent"
+	"postpoint/internal/agent/agenttest"
 	"postpoint/internal/clock"
 	"postpoint/internal/protocol"
 	"postpoint/internal/transport"
@@ -29,7 +29,7 @@
 	n *Node
 }
 
-var _ agent.API = (*agentClient)(nil)
+var _ agenttest.Service = (*agentClient)(nil)
 
 // Commands sends commands to the worker at an address, unless they leave later than a deadline.
 func (a *agentClient) Commands(
--- a/internal/testkit/loopbackserver.go
+++ b/internal/testkit/loopbackserver.go
@@ -10,6 +10,7 @@
 	"postpoint/internal/clock"
 	"postpoint/internal/protocol"
 	"postpoint/internal/statestore"
+	"postpoint/internal/statestore/storetest"
 )
 
 // Serve serves the store, the cloud and the workers on the given listeners.
@@ -52,8 +53,8 @@
 type nothing struct{}
 
 // reply sends a response of the store.
-func reply[T any](answer func(int, any)) func(statestore.Reply[T]) {
-	return func(x statestore.Reply[T]) { answer(x.Status, x.Value) }
+func reply[T any](answer func(int, any)) func(storetest.Reply[T]) {
+	return func(x storetest.Reply[T]) { answer(x.Status, x.Value) }
 }
 
 func (l *Loopback) storeService() http.Handler {
--- a/internal/testkit/nodes.go
+++ b/internal/testkit/nodes.go
@@ -12,7 +12,7 @@
 	"postpoint/internal/node"
 	"postpoint/internal/protocol"
 	"postpoint/internal/settings"
-	"postpoint/internal/statestore"
+	"postpoint/internal/statestore/storetest"
 )
 
 // Node is a controller with its links to the fakes and to other controllers.
@@ -133,7 +133,7 @@
 		Exchange:   &cellClient{d, n, p},
 		Leadership: leadership.Config{Node: n.Name, Incarnation: fmt.Sprint(n.runs), TTL: leaseTTL},
 		Mailboxes:  node.Mailboxes{Dispatch: p, Leadership: p, Intake: p, Rollout: p},
-		Store:      func(actor.Mailbox) statestore.Store { return d.State.For(p, &n.State) },
+		Store:      func(actor.Mailbox) storetest.Service { return d.State.For(p, &n.State) },
 		Cloud:      d.Cloud.For(p, &n.Clouds),
 		Agent:      &agentClient{d, p, n},
 		Forward:    func(r intake.Request, done func(intake.Answer, bool)) { d.forward(n, r, done) },
--- a/internal/testkit/record.go
+++ b/internal/testkit/record.go
@@ -6,9 +6,9 @@
 	"slices"
 
 	"postpoint/internal/actor"
-	"postpoint/internal/agent"
+	"postpoint/internal/agent/agenttest"
 	"postpoint/internal/clock"
-	"postpoint/internal/cloud"
+	"postpoint/internal/cloud/cloudtest"
 	"postpoint/internal/delegation"
 	"postpoint/internal/intake"
 	"postpoint/internal/leader/federation"
@@ -16,6 +16,7 @@
 	"postpoint/internal/peer"
 	"postpoint/internal/protocol"
 	"postpoint/internal/statestore"
+	"postpoint/internal/statestore/storetest"
 )
 
 // Recorder is told of every message and every response that a controller sends or receives, at that moment
@@ -45,7 +46,7 @@
 // requestsOf records what the controller asks of others.
 func (r *recording) requestsOf(e *node.Environment) {
 	store, forward, everyone := e.Store, e.Forward, e.Everyone
-	e.Store = func(m actor.Mailbox) statestore.Store { return &recordedStore{r, store(m)} }
+	e.Store = func(m actor.Mailbox) storetest.Service { return &recordedStore{r, store(m)} }
 	e.Cloud = &recordedCloud{r, e.Cloud}
 	e.Agent = &recordedAgent{r, e.Agent}
 	e.Exchange = &recordedExchanger{r, e.Exchange}
@@ -79,47 +80,47 @@
 // recordedStore records the requests to the store and their responses.
 type recordedStore struct {
 	*recording
-	store statestore.Store
+	store storetest.Service
 }
 
 // answered records a response of the store before it is handled.
-func answered[T any](r *recording, kind string, done func(statestore.Reply[T])) func(statestore.Reply[T]) {
-	return func(reply statestore.Reply[T]) {
+func answered[T any](r *recording, kind string, done func(storetest.Reply[T])) func(storetest.Reply[T]) {
+	return func(reply storetest.Reply[T]) {
 		r.record(kind+" answered", reply.Status, reply.Value)
 		done(reply)
 	}
 }
 
-func (s *recordedStore) Get(key string, done func(statestore.Reply[protocol.Item])) {
+func (s *recordedStore) Get(key string, done func(storetest.Reply[protocol.Item])) {
 	s.record("get", key)
 	s.store.Get(key, answered(s.recording, "get", done))
 }
 
-func (s *recordedStore) List(prefix, from string, done func(statestore.Reply[protocol.ItemList])) {
+func (s *recordedStore) List(prefix, from string, done func(storetest.Reply[protocol.ItemList])) {
 	s.record("list", prefix, from)
 	s.store.List(prefix, from, answered(s.recording, "list", done))
 }
 
 func (s *recordedStore) Commit(
-	use statestore.Use, t protocol.Txn, done func(statestore.Reply[protocol.TxnAnswer]),
+	use statestore.Use, t protocol.Txn, done func(storetest.Reply[protocol.TxnAnswer]),
 ) {
 	s.record("commit", int(use), t)
 	s.store.Commit(use, t, answered(s.recording, "commit", done))
 }
 
 func (s *recordedStore) Follow(
-	prefix string, from int64, block clock.Micros, done func(statestore.Reply[protocol.FollowAnswer]),
+	prefix string, from int64, block clock.Micros, done func(storetest.Reply[protocol.FollowAnswer]),
 ) {
 	s.record("follow", prefix, from, int64(block))
 	s.store.Follow(prefix, from, block, answered(s.recording, "follow", done))
 }
 
-func (s *recordedStore) Grant(ttl clock.Micros, done func(statestore.Reply[protocol.LeaseAnswer])) {
+func (s *recordedStore) Grant(ttl clock.Micros, done func(storetest.Reply[protocol.LeaseAnswer])) {
 	s.record("grant", int64(ttl))
 	s.store.Grant(ttl, answered(s.recording, "grant", done))
 }
 
-func (s *recordedStore) Renew(lease int64, done func(statestore.Reply[protocol.LeaseAnswer])) {
+func (s *recordedStore) Renew(lease int64, done func(storetest.Reply[protocol.LeaseAnswer])) {
 	s.record("renew", lease)
 	s.store.Renew(lease, answered(s.recording, "renew", done))
 }
@@ -127,7 +128,7 @@
 // recordedCloud records the requests to the cloud and their responses.
 type recordedCloud struct {
 	*recording
-	cloud cloud.API
+	cloud cloudtest.Service
 }
 
 func (c *recordedCloud) Catalogue(done func(int, protocol.Catalogue)) {
@@ -165,7 +166,7 @@
 // recordedAgent records the commands to workers and their responses.
 type recordedAgent struct {
 	*recording
-	agent agent.API
+	agent agenttest.Service
 }
 
 func (a *recordedAgent) Commands(
--- a/internal/testkit/storeclient.go
+++ b/internal/testkit/storeclient.go
@@ -7,6 +7,7 @@
 	"postpoint/internal/leadership"
 	"postpoint/internal/protocol"
 	"postpoint/internal/statestore"
+	"postpoint/internal/statestore/storetest"
 )
 
 const (
@@ -18,7 +19,7 @@
 )
 
 // For returns the store as one process reaches it over a link.
-func (s *FakeStore) For(p *Process, l *Link) statestore.Store { return &storeClient{s, p, l} }
+func (s *FakeStore) For(p *Process, l *Link) storetest.Service { return &storeClient{s, p, l} }
 
 // storeClient is a process's connection to the store.
 type storeClient struct {
@@ -32,38 +33,38 @@
 
 // request carries a request to the store, which may refuse it, and its response back.
 func request[T any](
-	c *storeClient, done func(statestore.Reply[T]), execute func() statestore.Reply[T],
+	c *storeClient, done func(storetest.Reply[T]), execute func() storetest.Reply[T],
 ) {
 	c.link.call(c.p, storeTimeout, func(answer func(func())) {
 		c.store.Requests++
 		if !c.served() {
-			answer(func() { done(statestore.Reply[T]{Status: http.StatusServiceUnavailable}) })
+			answer(func() { done(storetest.Reply[T]{Status: http.StatusServiceUnavailable}) })
 			return
 		}
 		if c.store.w.chance(c.link.Loss / 2) {
-			answer(func() { done(statestore.Reply[T]{Status: http.StatusTooManyRequests}) })
+			answer(func() { done(storetest.Reply[T]{Status: http.StatusTooManyRequests}) })
 			return
 		}
 		r := execute()
 		answer(func() { done(r) })
-	}, func() { done(statestore.Reply[T]{}) })
+	}, func() { done(storetest.Reply[T]{}) })
 }
 
 // Get reads one value.
-func (c *storeClient) Get(key string, done func(statestore.Reply[protocol.Item])) {
-	request(c, done, func() statestore.Reply[protocol.Item] {
+func (c *storeClient) Get(key string, done func(storetest.Reply[protocol.Item])) {
+	request(c, done, func() storetest.Reply[protocol.Item] {
 		e, ok := c.store.entries[key]
 		if !ok {
-			return statestore.Reply[protocol.Item]{Status: http.StatusNotFound}
+			return storetest.Reply[protocol.Item]{Status: http.StatusNotFound}
 		}
 		item := protocol.Item{Key: key, Value: e.value, Version: e.version}
-		return statestore.Reply[protocol.Item]{Status: http.StatusOK, Value: item}
+		return storetest.Reply[protocol.Item]{Status: http.StatusOK, Value: item}
 	})
 }
 
 // List reads a page of the values whose keys have a prefix, after another key.
-func (c *storeClient) List(prefix, from string, done func(statestore.Reply[protocol.ItemList])) {
-	request(c, done, func() statestore.Reply[protocol.ItemList] {
+func (c *storeClient) List(prefix, from string, done func(storetest.Reply[protocol.ItemList])) {
+	request(c, done, func() storetest.Reply[protocol.ItemList] {
 		s := c.store
 		keys := s.keysAfter(prefix, from)
 		list := protocol.ItemList{Revision: s.revision, More: len(keys) > s.Page}
@@ -71,21 +72,21 @@
 			e := s.entries[key]
 			list.Items = append(list.Items, protocol.Item{Key: key, Value: e.value, Version: e.version})
 		}
-		return statestore.Reply[protocol.ItemList]{Status: http.StatusOK, Value: list}
+		return storetest.Reply[protocol.ItemList]{Status: http.StatusOK, Value: list}
 	})
 }
 
 // Commit executes a transaction, or on some days much later, without a response.
 func (c *storeClient) Commit(
-	use statestore.Use, t protocol.Txn, done func(statestore.Reply[protocol.TxnAnswer]),
+	use statestore.Use, t protocol.Txn, done func(storetest.Reply[protocol.TxnAnswer]),
 ) {
 	c.checkGuards(use, t)
 	if c.store.w.chance(c.store.LateWrites) {
 		c.commitLate(t)
-		c.p.After(storeTimeout, func() { done(statestore.Reply[protocol.TxnAnswer]{}) })
+		c.p.After(storeTimeout, func() { done(storetest.Reply[protocol.TxnAnswer]{}) })
 		return
 	}
-	request(c, done, func() statestore.Reply[protocol.TxnAnswer] { return c.store.commit(t) })
+	request(c, done, func() storetest.Reply[protocol.TxnAnswer] { return c.store.commit(t) })
 }
 
 // commitLate executes a transaction after newer ones, if the store serves the client then.
@@ -118,13 +119,13 @@
 
 // Follow waits for changes of keys with a prefix after a revision, for a time at most.
 func (c *storeClient) Follow(
-	prefix string, from int64, block clock.Micros, done func(statestore.Reply[protocol.FollowAnswer]),
+	prefix string, from int64, block clock.Micros, done func(storetest.Reply[protocol.FollowAnswer]),
 ) {
 	c.link.call(c.p, block+storeTimeout, func(answer func(func())) {
 		s := c.store
 		s.Requests++
 		respond := func(status int, value protocol.FollowAnswer) {
-			answer(func() { done(statestore.Reply[protocol.FollowAnswer]{Status: status, Value: value}) })
+			answer(func() { done(storetest.Reply[protocol.FollowAnswer]{Status: status, Value: value}) })
 		}
 		switch {
 		case !c.served():
@@ -136,7 +137,7 @@
 				respond(http.StatusOK, protocol.FollowAnswer{Revision: s.revision, Events: s.eventsSince(prefix, from)})
 			})
 		}
-	}, func() { done(statestore.Reply[protocol.FollowAnswer]{}) })
+	}, func() { done(storetest.Reply[protocol.FollowAnswer]{}) })
 }
 
 // watch replies once there are changes, or when the time is over.
@@ -153,20 +154,20 @@
 }
 
 // Grant creates a lease.
-func (c *storeClient) Grant(ttl clock.Micros, done func(statestore.Reply[protocol.LeaseAnswer])) {
-	request(c, done, func() statestore.Reply[protocol.LeaseAnswer] {
+func (c *storeClient) Grant(ttl clock.Micros, done func(storetest.Reply[protocol.LeaseAnswer])) {
+	request(c, done, func() storetest.Reply[protocol.LeaseAnswer] {
 		answer := protocol.LeaseAnswer{Lease: c.store.grantLease(ttl)}
-		return statestore.Reply[protocol.LeaseAnswer]{Status: http.StatusOK, Value: answer}
+		return storetest.Reply[protocol.LeaseAnswer]{Status: http.StatusOK, Value: answer}
 	})
 }
 
 // Renew gives a lease its full time again.
-func (c *storeClient) Renew(id int64, done func(statestore.Reply[protocol.LeaseAnswer])) {
-	request(c, done, func() statestore.Reply[protocol.LeaseAnswer] {
+func (c *storeClient) Renew(id int64, done func(storetest.Reply[protocol.LeaseAnswer])) {
+	request(c, done, func() storetest.Reply[protocol.LeaseAnswer] {
 		if c.store.leases[id] == nil {
-			return statestore.Reply[protocol.LeaseAnswer]{Status: http.StatusNotFound}
+			return storetest.Reply[protocol.LeaseAnswer]{Status: http.StatusNotFound}
 		}
 		c.store.renewLease(id)
-		return statestore.Reply[protocol.LeaseAnswer]{Status: http.StatusOK}
+		return storetest.Reply[protocol.LeaseAnswer]{Status: http.StatusOK}
 	})
 }
--- a/internal/testkit/storetxn.go
+++ b/internal/testkit/storetxn.go
@@ -8,7 +8,7 @@
 	"postpoint/internal/delegation"
 	"postpoint/internal/protocol"
 	"postpoint/internal/settings"
-	"postpoint/internal/statestore"
+	"postpoint/internal/statestore/storetest"
 )
 
 // guardsPerChange is how many conditions a transaction may have for each change that it may have.
@@ -64,9 +64,9 @@
 }
 
 // commit executes a compare-and-swap transaction, or refuses it as a whole.
-func (s *FakeStore) commit(t protocol.Txn) statestore.Reply[protocol.TxnAnswer] {
-	respond := func(status int, answer protocol.TxnAnswer) statestore.Reply[protocol.TxnAnswer] {
-		return statestore.Reply[protocol.TxnAnswer]{Status: status, Value: answer}
+func (s *FakeStore) commit(t protocol.Txn) storetest.Reply[protocol.TxnAnswer] {
+	respond := func(status int, answer protocol.TxnAnswer) storetest.Reply[protocol.TxnAnswer] {
+		return storetest.Reply[protocol.TxnAnswer]{Status: status, Value: answer}
 	}
 	if status := s.limitExceeded(t); status != 0 {
 		return respond(status, protocol.TxnAnswer{})
--- a/internal/transport/outcome.go
+++ b/internal/transport/outcome.go
@@ -101,15 +101,3 @@
 	}
 	return ""
 }
-
-// StatusOf returns the number that stood for an outcome before there were typed errors: the HTTP
-// status, 0 without a response, NotSent for what never left. To be removed with its last user.
-func StatusOf(err error) int {
-	if err == nil {
-		return http.StatusOK
-	}
-	if failure, ok := errors.AsType[*Error](err); ok {
-		return failure.Status
-	}
-	return 0
-}
