--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -72,7 +72,7 @@
 		Settings:   s,
 		Leadership: leadership.Config{Node: s.Node, Incarnation: rand.Text(), TTL: o.LeaseTTL},
 		Mailboxes:  boxes,
-		Store:      statestore.New(s.Outside.State, s.Deployment.State.Tightest()).For,
+		Store:      statestore.New(s.Outside.State, s.Deployment.State.Tightest()).Results,
 		Cloud:      cloud.New(s.Outside.Cloud).Results(boxes.Dispatch),
 		Agent:      agent.New().Results(boxes.Dispatch),
 		Forward:    peer.NewForwarder(peers, boxes.Intake).Forward,
--- a/internal/testkit/nodes.go
+++ b/internal/testkit/nodes.go
@@ -4,7 +4,9 @@
 	"fmt"
 
 	"postpoint/internal/actor"
+	"postpoint/internal/agent/agenttest"
 	"postpoint/internal/clock"
+	"postpoint/internal/cloud/cloudtest"
 	"postpoint/internal/delegation"
 	"postpoint/internal/intake"
 	"postpoint/internal/leader"
@@ -12,6 +14,7 @@
 	"postpoint/internal/node"
 	"postpoint/internal/protocol"
 	"postpoint/internal/settings"
+	"postpoint/internal/statestore"
 	"postpoint/internal/statestore/storetest"
 )
 
@@ -127,21 +130,42 @@
 	everyone := func(_ *intake.Intake, r intake.Request, done func([]intake.Answer, bool)) {
 		d.everyone(n, r, done)
 	}
+	services := d.servicesOf(n, p)
 	return node.Environment{
 		Settings:   set,
 		Cells:      d.group.directory(d, n, set),
 		Exchange:   &cellClient{d, n, p},
 		Leadership: leadership.Config{Node: n.Name, Incarnation: fmt.Sprint(n.runs), TTL: leaseTTL},
 		Mailboxes:  node.Mailboxes{Dispatch: p, Leadership: p, Intake: p, Rollout: p},
-		Store:      func(actor.Mailbox) storetest.Service { return d.State.For(p, &n.State) },
-		Cloud:      d.Cloud.For(p, &n.Clouds),
-		Agent:      &agentClient{d, p, n},
+		Store:      func(actor.Mailbox) statestore.ResultStore { return storetest.Client(services.store) },
+		Cloud:      cloudtest.Client(services.cloud),
+		Agent:      agenttest.Client(services.agent),
 		Forward:    func(r intake.Request, done func(intake.Answer, bool)) { d.forward(n, r, done) },
 		Recovery:   d.Recovery,
 		Everyone:   everyone,
 	}
 }
 
+// services are the outside systems as one process of a controller reaches them.
+type services struct {
+	store storetest.Service
+	cloud cloudtest.Service
+	agent agenttest.Service
+}
+
+// servicesOf connects a process to the fakes, by way of the Recorder if there is one.
+func (d *Deployment) servicesOf(n *Node, p *Process) services {
+	s := services{
+		store: d.State.For(p, &n.State),
+		cloud: d.Cloud.For(p, &n.Clouds),
+		agent: &agentClient{d, p, n},
+	}
+	if d.World.Recorder != nil {
+		s = d.recordingOf(n).services(s)
+	}
+	return s
+}
+
 // settingsOf are the deployment's settings as one controller gets them.
 func (d *Deployment) settingsOf(n *Node) *settings.Settings {
 	set := *d.Settings
--- a/internal/testkit/record.go
+++ b/internal/testkit/record.go
@@ -5,7 +5,6 @@
 	"maps"
 	"slices"
 
-	"postpoint/internal/actor"
 	"postpoint/internal/agent/agenttest"
 	"postpoint/internal/clock"
 	"postpoint/internal/cloud/cloudtest"
@@ -43,12 +42,18 @@
 	r.world.Recorder.Record(r.world.now, r.controller, kind, protocol.Encode(parts))
 }
 
-// requestsOf records what the controller asks of others.
+// services records what the controller asks of the outside systems.
+func (r *recording) services(s services) services {
+	return services{
+		store: &recordedStore{r, s.store},
+		cloud: &recordedCloud{r, s.cloud},
+		agent: &recordedAgent{r, s.agent},
+	}
+}
+
+// requestsOf records what the controller asks of other controllers.
 func (r *recording) requestsOf(e *node.Environment) {
-	store, forward, everyone := e.Store, e.Forward, e.Everyone
-	e.Store = func(m actor.Mailbox) storetest.Service { return &recordedStore{r, store(m)} }
-	e.Cloud = &recordedCloud{r, e.Cloud}
-	e.Agent = &recordedAgent{r, e.Agent}
+	forward, everyone := e.Forward, e.Everyone
 	e.Exchange = &recordedExchanger{r, e.Exchange}
 	e.Forward = func(request intake.Request, done func(intake.Answer, bool)) {
 		r.record("forward", peer.RequestFrame(request))
