--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -11,7 +11,6 @@
 	"postpoint/internal/actor/actortest"
 	"postpoint/internal/clock"
 	"postpoint/internal/protocol"
-	"postpoint/internal/transport"
 )
 
 // worker is a machine that responds to every request as the test says.
@@ -91,17 +90,3 @@
 		t.Errorf("%v, expected a rejection by epoch 8 and incarnation 2", r.Err)
 	}
 }
-
-func TestNumbersAndErrorsSayTheSame(t *testing.T) {
-	for status := -1; status < 1000; status++ {
-		err := errorOf(status, protocol.Report{})
-		if got := statusOf(err); got != status {
-			t.Errorf("status %d became %d", status, got)
-		}
-		unknown := status != http.StatusOK && status != http.StatusConflict &&
-			status != http.StatusBadRequest && status != transport.NotSent
-		if OutcomeUnknown(err) != unknown {
-			t.Errorf("status %d: %v, expected an unknown outcome %v", status, err, unknown)
-		}
-	}
-}
--- /dev/null
+++ b/internal/agent/agenttest/service_test.go
@@ -0,0 +1,61 @@
+package agenttest
+
+import (
+	"errors"
+	"net/http"
+	"testing"
+
+	"postpoint/internal/agent"
+	"postpoint/internal/clock"
+	"postpoint/internal/protocol"
+	"postpoint/internal/transport"
+)
+
+// fixedWorker responds to all commands in the same way.
+type fixedWorker struct {
+	status    int
+	heartbeat protocol.Report
+}
+
+func (w fixedWorker) Commands(_ string, _ protocol.Commands, _ clock.Micros,
+	done func(status int, r protocol.Report)) {
+	done(w.status, w.heartbeat)
+}
+
+// statusOf returns the status that an error stands for.
+func statusOf(t *testing.T, err error) int {
+	t.Helper()
+	if err == nil {
+		return http.StatusOK
+	}
+	if errors.Is(err, agent.ErrRejected) {
+		return http.StatusConflict
+	}
+	failure, ok := errors.AsType[*transport.Error](err)
+	if !ok {
+		t.Fatalf("%v is of type %T, expected one of package agent", err, err)
+	}
+	return failure.Status
+}
+
+func TestClientReturnsErrorOfEveryStatus(t *testing.T) {
+	for status := transport.NotSent; status < 1000; status++ {
+		workers := Client(fixedWorker{status, protocol.Report{Machine: "m-1", Epoch: 8, Session: 2}})
+		got := agent.Response{Err: errors.New("no outcome")}
+		workers.Commands("", protocol.Commands{}, 0, func(r agent.Response) { got = r })
+		if statusOf(t, got.Err) != status || got.Status.Machine != "m-1" {
+			t.Errorf("status %d became %d from %q", status, statusOf(t, got.Err), got.Status.Machine)
+		}
+		unknown := status != http.StatusOK && status != http.StatusConflict &&
+			status != http.StatusBadRequest && status != transport.NotSent
+		if agent.OutcomeUnknown(got.Err) != unknown {
+			t.Errorf("status %d: %v, expected an unknown outcome %v", status, got.Err, unknown)
+		}
+		if notSent := status == transport.NotSent; errors.Is(got.Err, agent.ErrNotSent) != notSent {
+			t.Errorf("status %d: %v, expected not sent %v", status, got.Err, notSent)
+		}
+		if noResponse := status == 0; errors.Is(got.Err, agent.ErrNoResponse) != noResponse {
+			t.Errorf("status %d: %v, expected no response %v", status, got.Err, noResponse)
+		}
+	}
+}
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -19,16 +19,15 @@
 	commands := protocol.Commands{Epoch: 41, Session: 3, Orders: []protocol.Order{
 		{Verb: protocol.VerbStop, Task: "job-1/0", Attempt: 2, GraceS: 4},
 	}}
-	var got protocol.Report
-	told := 0
-	New().For(box).Commands(address, commands, clock.Second,
-		func(status int, r protocol.Report) { told, got = status, r })
+	var got Response
+	New().Results(box).Commands(address, commands, clock.Second, func(r Response) { got = r })
 	goldentest.Equal(t, "commands", <-requests,
 		"POST /commands\nConnection: close\nContent-Length: 67\nContent-Type: application/msgpack\n"+
 			"User-Agent: Go-http-client/1.1\n\n\x83\xa5Epoch)\xa5Shift\x03\xa6Orders\x91\x84\xa4Verb\xa4k"+
 			"ill\xa3Leg\xa7job-1/0\xa3Try\x02\xa6LeaveS\xcb@\x10\x00\x00\x00\x00\x00\x00")
 	(<-box.Messages)()
-	if d := cmp.Diff(protocol.Report{Machine: "m-1", Session: 3}, got); told != http.StatusConflict || d != "" {
-		t.Errorf("status %d: %s", told, d)
+	want := Response{Status: protocol.Report{Machine: "m-1", Session: 3}, Err: &RejectedError{Incarnation: 3}}
+	if d := cmp.Diff(want, got); d != "" {
+		t.Error(d)
 	}
 }
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -109,35 +109,3 @@
 		}
 	}
 }
-
-func TestNumbersAndErrorsSayTheSame(t *testing.T) {
-	for status := -1; status < 1000; status++ {
-		for _, reason := range []string{"", protocol.NoCapacity, "trouble"} {
-			err := errorOf(status, reason)
-			number := numbered{fixedRental{err}}
-			number.Rent(protocol.Rental{}, 0, func(got int, a protocol.RentalAnswer) {
-				if got != status || status != http.StatusOK && a.Error != reason {
-					t.Errorf("status %d with reason %q became %d with %q", status, reason, got, a.Error)
-				}
-			})
-			noCapacity := status == http.StatusServiceUnavailable && reason == protocol.NoCapacity
-			if errors.Is(err, ErrNoCapacity) != noCapacity {
-				t.Errorf("status %d, reason %q: %v, expected no capacity %v", status, reason, err, noCapacity)
-			}
-			noResponse := status == 0
-			if errors.Is(err, ErrNoResponse) != noResponse {
-				t.Errorf("status %d: %v, expected no response %v", status, err, noResponse)
-			}
-		}
-	}
-}
-
-// fixedRental responds to rentals with one error.
-type fixedRental struct{ err error }
-
-func (f fixedRental) ScaleOut(_ protocol.Rental, _ clock.Micros, done func([]string, error)) {
-	done(nil, f.err)
-}
-func (f fixedRental) Catalogue(func(protocol.Catalogue, error))      {}
-func (f fixedRental) ScaleIn([]string, clock.Micros, func(error))    {}
-func (f fixedRental) List(string, func(protocol.MachineList, error)) {}
--- /dev/null
+++ b/internal/cloud/cloudtest/service_test.go
@@ -0,0 +1,95 @@
+package cloudtest
+
+import (
+	"errors"
+	"net/http"
+	"slices"
+	"testing"
+
+	"postpoint/internal/clock"
+	"postpoint/internal/cloud"
+	"postpoint/internal/protocol"
+	"postpoint/internal/transport"
+)
+
+// fixedCloud responds to every request with one status, and to rentals with a reason.
+type fixedCloud struct {
+	status int
+	reason string
+}
+
+func (f fixedCloud) Catalogue(done func(int, protocol.Catalogue)) {
+	done(f.status, protocol.Catalogue{Types: []protocol.MachineType{{Name: "g8"}}})
+}
+
+func (f fixedCloud) Rent(_ protocol.Rental, _ clock.Micros, done func(int, protocol.RentalAnswer)) {
+	done(f.status, protocol.RentalAnswer{Machines: []string{"m-1"}, Error: f.reason})
+}
+
+func (f fixedCloud) Release(_ []string, _ clock.Micros, done func(int)) { done(f.status) }
+
+func (f fixedCloud) List(_ string, done func(int, protocol.MachineList)) {
+	done(f.status, protocol.MachineList{More: true})
+}
+
+// statusOf returns the status that an error stands for.
+func statusOf(t *testing.T, err error) int {
+	t.Helper()
+	if err == nil {
+		return http.StatusOK
+	}
+	failure, ok := errors.AsType[*transport.Error](err)
+	if !ok {
+		t.Fatalf("%v is of type %T, expected a *transport.Error", err, err)
+	}
+	return failure.Status
+}
+
+func TestClientReturnsErrorOfEveryStatus(t *testing.T) {
+	for status := transport.NotSent; status < 1000; status++ {
+		for _, reason := range []string{"", protocol.NoCapacity, "trouble"} {
+			err := errors.New("no outcome")
+			var machines []string
+			Client(fixedCloud{status, reason}).ScaleOut(protocol.Rental{}, 0,
+				func(m []string, e error) { machines, err = m, e })
+			if got := statusOf(t, err); got != status || !slices.Equal(machines, []string{"m-1"}) ||
+				status != http.StatusOK && cloud.Reason(err) != reason {
+				t.Errorf("status %d with reason %q became %d with %q and machines %v", status, reason, got,
+					cloud.Reason(err), machines)
+			}
+			noCapacity := status == http.StatusServiceUnavailable && reason == protocol.NoCapacity
+			if errors.Is(err, cloud.ErrNoCapacity) != noCapacity {
+				t.Errorf("status %d, reason %q: %v, expected no capacity %v", status, reason, err, noCapacity)
+			}
+			if noResponse := status == 0; errors.Is(err, cloud.ErrNoResponse) != noResponse {
+				t.Errorf("status %d: %v, expected no response %v", status, err, noResponse)
+			}
+			if notSent := status == transport.NotSent; errors.Is(err, cloud.ErrNotSent) != notSent {
+				t.Errorf("status %d: %v, expected not sent %v", status, err, notSent)
+			}
+		}
+	}
+}
+
+func TestClientReturnsStatusAndValueOfEveryOperation(t *testing.T) {
+	noOutcome := errors.New("no outcome")
+	for status := transport.NotSent; status < 1000; status++ {
+		api := Client(fixedCloud{status: status})
+		catalogueErr, releaseErr, listErr := noOutcome, noOutcome, noOutcome
+		var catalogue protocol.Catalogue
+		var list protocol.MachineList
+		api.Catalogue(func(c protocol.Catalogue, err error) { catalogue, catalogueErr = c, err })
+		api.ScaleIn(nil, 0, func(err error) { releaseErr = err })
+		api.List("", func(l protocol.MachineList, err error) { list, listErr = l, err })
+		for name, err := range map[string]error{
+			"catalogue": catalogueErr, "release": releaseErr, "list": listErr,
+		} {
+			if got := statusOf(t, err); got != status {
+				t.Errorf("%s: status %d became %d", name, status, got)
+			}
+		}
+		if len(catalogue.Types) != 1 || !list.More {
+			t.Errorf("status %d: catalogue %v and list %v, expected those of the service", status, catalogue, list)
+		}
+	}
+}
--- a/internal/cloud/errors_test.go
+++ b/internal/cloud/errors_test.go
@@ -31,8 +31,8 @@
 
 func TestRefusalNamesStatusAndReason(t *testing.T) {
 	for _, c := range []struct{ reason, want string }{
-		{"", "refused (status 400)"},
-		{"no such type", "refused (status 400): no such type"},
+		{"", "request refused as malformed or too large (HTTP status 400)"},
+		{"no such type", "request refused as malformed or too large (HTTP status 400): no such type"},
 	} {
 		if got := Failure(http.StatusBadRequest, c.reason); got == nil || got.Error() != c.want {
 			t.Errorf("reason %q: failure %v, want %q", c.reason, got, c.want)
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -1,6 +1,7 @@
 package cloud
 
 import (
+	"errors"
 	"net/http"
 	"testing"
 
@@ -15,51 +16,51 @@
 // Every request to the cloud is the recorded one, and its answer is read.
 func TestGoldenRequests(t *testing.T) {
 	var catalogue protocol.Catalogue
-	var rented protocol.RentalAnswer
+	var rented []string
 	var list protocol.MachineList
-	got := 0
-	var api API
+	var got error
+	var api ResultAPI
 	for _, c := range []struct {
 		name, answer string
 		call         func()
 		recorded     string
 	}{
 		{"catalogue", "\x81\xa6Fleets\x91\x81\xa3Sku\xa2g8", func() {
-			api.Catalogue(func(status int, c protocol.Catalogue) { got, catalogue = status, c })
+			api.Catalogue(func(c protocol.Catalogue, err error) { catalogue, got = c, err })
 		}, "GET /catalog\nUser-Agent: Go-http-client/1.1\n\n"},
 		{"rental", "\x81\xa5Hosts\x91\xa3m-1", func() {
 			r := protocol.Rental{Booking: "e41-2", Type: "g8", Zone: "a", Spot: true, Count: 5}
-			api.Rent(r, clock.Second, func(status int, a protocol.RentalAnswer) { got, rented = status, a })
+			api.ScaleOut(r, clock.Second, func(machines []string, err error) { rented, got = machines, err })
 		},
 			"POST /hosts\nContent-Length: 49\nContent-Type: application/msgpack\n" +
 				"User-Agent: Go-http-client/1.1\n\n\x85\xa7Booking\xa5e41-2\xa5Fleet\xa2g8\xa4Hall\xa1a" +
 				"\xa7Loaners\xc3\xa7HowMany\x05"},
 		{"release", "", func() {
-			api.Release([]string{"m-1", "m-2"}, clock.Second, func(status int) { got = status })
+			api.ScaleIn([]string{"m-1", "m-2"}, clock.Second, func(err error) { got = err })
 		},
 			"POST /hosts/release\nContent-Length: 16\nContent-Type: application/msgpack\n" +
 				"User-Agent: Go-http-client/1.1\n\n\x81\xa5Hosts\x92\xa3m-1\xa3m-2"},
 		{"list", "\x82\xa5Hosts\x91\x81\xa3Uid\xa3m-1\xa7HasNext\xc3", func() {
-			api.List("", func(status int, l protocol.MachineList) { got, list = status, l })
+			api.List("", func(l protocol.MachineList, err error) { list, got = l, err })
 		}, "GET /hosts?Limit=500\nUser-Agent: Go-http-client/1.1\n\n"},
 		{"next page", "\x80", func() {
-			api.List("m-1", func(status int, _ protocol.MachineList) { got = status })
+			api.List("m-1", func(_ protocol.MachineList, err error) { got = err })
 		}, "GET /hosts?From=m-1&Limit=500\nUser-Agent: Go-http-client/1.1\n\n"},
 	} {
 		address, requests := goldentest.Serve(t, http.StatusOK, c.answer)
 		box := actortest.Instant{Messages: make(chan func(), 1)}
-		api, got = New(address).For(box), 0
+		api, got = New(address).Results(box), errors.New("no outcome")
 		c.call()
 		goldentest.Equal(t, c.name, <-requests, c.recorded)
 		(<-box.Messages)()
-		if got != http.StatusOK {
-			t.Errorf("%s: status %d", c.name, got)
+		if got != nil {
+			t.Errorf("%s: %v, expected success", c.name, got)
 		}
 	}
 	if d := cmp.Diff(protocol.Catalogue{Types: []protocol.MachineType{{Name: "g8"}}}, catalogue); d != "" {
 		t.Error(d)
 	}
-	if d := cmp.Diff(protocol.RentalAnswer{Machines: []string{"m-1"}}, rented); d != "" {
+	if d := cmp.Diff([]string{"m-1"}, rented); d != "" {
 		t.Error(d)
 	}
 	want := protocol.MachineList{Machines: []protocol.ListedMachine{{Name: "m-1"}}, More: true}
--- a/internal/leader/reconciler/commands_test.go
+++ b/internal/leader/reconciler/commands_test.go
@@ -4,10 +4,24 @@
 	"net/http"
 	"testing"
 
+	"postpoint/internal/agent"
+	"postpoint/internal/agent/agenttest"
+	"postpoint/internal/clock"
 	"postpoint/internal/protocol"
 	"postpoint/internal/transport"
 )
 
+// fixedWorker responds to all commands in the same way.
+type fixedWorker struct {
+	status    int
+	heartbeat protocol.Report
+}
+
+func (w fixedWorker) Commands(_ string, _ protocol.Commands, _ clock.Micros,
+	done func(status int, r protocol.Report)) {
+	done(w.status, w.heartbeat)
+}
+
 // Only the protocol's refusals, and what never left, are known not to be executed; only the worker
 // that was asked speaks for its machine.
 func TestResultOfDirectCommands(t *testing.T) {
@@ -26,7 +40,16 @@
 		{"no response", "", 0, OutcomeUnknown, false},
 		{"failure of the worker", "m-1", http.StatusInternalServerError, OutcomeUnknown, false},
 	} {
-		got := resultOf("m-1", c.status, &protocol.Report{Machine: c.machine})
+		worker := agenttest.Client(fixedWorker{c.status, protocol.Report{Machine: c.machine}})
+		responses := 0
+		var got CommandResult
+		worker.Commands("", protocol.Commands{}, 0, func(r agent.Response) {
+			responses++
+			got = resultOf("m-1", &r)
+		})
+		if responses != 1 {
+			t.Fatalf("%s: %d responses, want 1", c.name, responses)
+		}
 		if got.Outcome != c.want || (got.Heartbeat != nil) != c.heard {
 			t.Errorf("%s: outcome %v, heard of the machine %v; want %v and %v",
 				c.name, got.Outcome, got.Heartbeat != nil, c.want, c.heard)
--- a/internal/leader/recordstore/outcome_test.go
+++ b/internal/leader/recordstore/outcome_test.go
@@ -1,13 +1,35 @@
 package recordstore
 
 import (
+	"errors"
 	"testing"
 
 	"postpoint/internal/leadership"
 	"postpoint/internal/protocol"
+	"postpoint/internal/statestore"
 	"postpoint/internal/statestore/storetest"
 )
 
+// fixedStore responds to every transaction in the same way.
+type fixedStore struct {
+	storetest.Service
+	reply storetest.Reply[protocol.TxnAnswer]
+}
+
+func (s fixedStore) Commit(_ statestore.Use, _ protocol.Txn, done func(storetest.Reply[protocol.TxnAnswer])) {
+	done(s.reply)
+}
+
+// commit returns the error of a leader's transaction to which the store responds in the given way.
+func commit(status int, failed []string) error {
+	store := fixedStore{reply: storetest.Reply[protocol.TxnAnswer]{
+		Status: status, Value: protocol.TxnAnswer{Failed: failed}}}
+	err := errors.New("no outcome")
+	leadership.NewTransaction(1).Commit(storetest.Client(store),
+		func(r statestore.Result[statestore.Revision]) { err = r.Err })
+	return err
+}
+
 func TestOutcomesOfTransactions(t *testing.T) {
 	for name, c := range map[string]struct {
 		status  int
@@ -27,11 +49,11 @@
 		"status of no meaning":  {404, nil, outcomeUnexpected, true},
 		"success of no meaning": {204, nil, outcomeUnexpected, true},
 	} {
-		r := storetest.Reply[protocol.TxnAnswer]{Status: c.status, Value: protocol.TxnAnswer{Failed: c.failed}}
-		if got := outcomeOf(r); got != c.outcome {
+		err := commit(c.status, c.failed)
+		if got := outcomeOf(err); got != c.outcome {
 			t.Errorf("%s: outcome %d, want %d", name, got, c.outcome)
 		}
-		if got := decided(r); got != c.decided {
+		if got := decided(err); got != c.decided {
 			t.Errorf("%s: decided %v, want %v", name, got, c.decided)
 		}
 	}
--- a/internal/leader/term/transaction_test.go
+++ b/internal/leader/term/transaction_test.go
@@ -34,7 +34,12 @@
 	txn.Delete("parts/job-1/1")
 	store := &recordingStore{}
 	committed := 0
-	txn.Commit(store, func(storetest.Reply[protocol.TxnAnswer]) { committed++ })
+	txn.Commit(storetest.Client(store), func(r statestore.Result[statestore.Revision]) {
+		committed++
+		if r.Err != nil {
+			t.Errorf("outcome %v, want success", r.Err)
+		}
+	})
 	want := protocol.Txn{
 		Guards: []protocol.Guard{
 			{Key: leadership.Key, Version: 7},
@@ -60,7 +65,9 @@
 	txn := state.NewTransaction()
 	txn.RequireOnce("jobs/job-1", 5)
 	txn.RequireOnce("jobs/job-1", 6) // a contradiction for the store to refuse, not to be dropped here
-	if guards := txn.txn.Guards; len(guards) != 3 || guards[1].Version != 5 || guards[2].Version != 6 {
+	store := &recordingStore{}
+	txn.Commit(storetest.Client(store), func(statestore.Result[statestore.Revision]) {})
+	if guards := store.txn.Guards; len(guards) != 3 || guards[1].Version != 5 || guards[2].Version != 6 {
 		t.Errorf("guards %+v, want the leader's key and both versions", guards)
 	}
 }
--- a/internal/statestore/client_test.go
+++ b/internal/statestore/client_test.go
@@ -47,6 +47,20 @@
 
 func errOnly[T any](done func(error)) func(Result[T]) { return func(r Result[T]) { done(r.Err) } }
 
+// responseStatus returns the status of the response that an outcome stands for, 0 for no response.
+func responseStatus(err error) int {
+	if err == nil {
+		return http.StatusOK
+	}
+	if _, ok := errors.AsType[*ConflictError](err); ok {
+		return http.StatusConflict
+	}
+	if failure, ok := errors.AsType[*transport.Error](err); ok {
+		return failure.Status
+	}
+	return -1 // an error that isn't one of this package
+}
+
 func TestStatusMapsToErrorByOperation(t *testing.T) {
 	// By status; operations that aren't listed get the error of "".
 	want := map[int]map[string]error{
@@ -75,8 +89,9 @@
 			if !errors.Is(got, wanted) {
 				t.Errorf("%s with status %d: %v, expected %v", operation, status, got, wanted)
 			}
-			if statusOf(got) != status {
-				t.Errorf("%s with status %d: number %d, expected the same", operation, status, statusOf(got))
+			if responseStatus(got) != status {
+				t.Errorf("%s with status %d: status %d of error %v, expected the same", operation, status,
+					responseStatus(got), got)
 			}
 		}
 	}
@@ -88,8 +103,9 @@
 		var got error
 		request(client.Results(box), func(err error) { got = err })
 		(<-box.Messages)()
-		if !errors.Is(got, ErrNoResponse) || !OutcomeUnknown(got) || statusOf(got) != 0 {
-			t.Errorf("%s: %v with number %d, expected an unknown outcome", operation, got, statusOf(got))
+		if !errors.Is(got, ErrNoResponse) || !OutcomeUnknown(got) || responseStatus(got) != 0 {
+			t.Errorf("%s: %v with status %d, expected an unknown outcome", operation, got,
+				responseStatus(got))
 		}
 	}
 }
@@ -123,13 +139,10 @@
 		var got Result[Revision]
 		client.Results(box).Commit(ForLeader, protocol.Txn{}, func(r Result[Revision]) { got = r })
 		(<-box.Messages)()
-		var number Reply[protocol.TxnAnswer]
-		client.For(box).Commit(ForLeader, protocol.Txn{}, func(r Reply[protocol.TxnAnswer]) { number = r })
-		(<-box.Messages)()
-		if number.Status != status || number.Value.Revision != body.Revision ||
-			number.Value.Error != body.Error ||
-			!slices.Equal(number.Value.Failed, body.Failed) {
-			t.Errorf("reply %+v, expected status %d with %+v", number, status, body)
+		if responseStatus(got.Err) != status || got.Value != Revision(body.Revision) ||
+			Reason(got.Err) != body.Error ||
+			!slices.Equal(Failed(got.Err), body.Failed) {
+			t.Errorf("result %+v, expected status %d with %+v", got, status, body)
 		}
 		return got
 	}
--- a/internal/statestore/legacy_test.go
+++ b/internal/statestore/errors_test.go
@@ -2,17 +2,27 @@
 
 import (
 	"errors"
+	"io"
 	"net/http"
 	"testing"
 
 	"postpoint/internal/protocol"
+	"postpoint/internal/transport"
 )
 
-// Whatever callers told apart by the numbers they can tell apart by the errors, for every number.
-func TestErrorsSeparateWhatNumbersSeparated(t *testing.T) {
+// outcome returns the error of a response, or of a request without one for status 0.
+func outcome(op Operation, status int) error {
+	if status == 0 {
+		return transport.NoResponse(io.ErrUnexpectedEOF)
+	}
+	return Failure(op, status, protocol.TxnAnswer{})
+}
+
+// Whatever callers need to tell apart among the responses they can tell apart by the errors.
+func TestErrorsTellApartEveryStatus(t *testing.T) {
 	type test struct {
 		name   string
-		number func(status int) bool
+		status func(status int) bool
 		err    func(error) bool
 	}
 	is := func(target error) func(error) bool {
@@ -49,15 +59,15 @@
 			all = append([]test{own}, tests...)
 		}
 		for status := range 1000 {
-			err := errorOf(op, Reply[protocol.TxnAnswer]{Status: status})
+			err := outcome(op, status)
 			for _, x := range all {
-				if got, want := x.err(err), x.number(status); got != want {
+				if got, want := x.err(err), x.status(status); got != want {
 					t.Errorf("operation %d, status %d, %q: %v by the error %v, expected %v", op, status,
 						x.name, got, err, want)
 				}
 			}
-			if got := statusOf(err); got != status {
-				t.Errorf("operation %d: number %d of error %v, expected %d", op, got, err, status)
+			if got := responseStatus(err); got != status {
+				t.Errorf("operation %d: status %d of error %v, expected %d", op, got, err, status)
 			}
 		}
 	}
--- /dev/null
+++ b/internal/statestore/storetest/service_test.go
@@ -0,0 +1,146 @@
+package storetest
+
+import (
+	"errors"
+	"net/http"
+	"reflect"
+	"slices"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"postpoint/internal/clock"
+	"postpoint/internal/protocol"
+	"postpoint/internal/statestore"
+	"postpoint/internal/transport"
+)
+
+var (
+	item     = protocol.Item{Key: "a", Version: 9}
+	list     = protocol.ItemList{Items: []protocol.Item{item}, Revision: 300}
+	followed = protocol.FollowAnswer{Revision: 300}
+	answer   = protocol.TxnAnswer{Revision: 300, Failed: []string{"a"}, Error: "trouble"}
+)
+
+// fixedStore responds to every request with one status and the values above.
+type fixedStore struct{ status int }
+
+func (s fixedStore) Get(_ string, done func(Reply[protocol.Item])) {
+	done(Reply[protocol.Item]{s.status, item})
+}
+
+func (s fixedStore) List(_, _ string, done func(Reply[protocol.ItemList])) {
+	done(Reply[protocol.ItemList]{s.status, list})
+}
+
+func (s fixedStore) Commit(_ statestore.Use, _ protocol.Txn, done func(Reply[protocol.TxnAnswer])) {
+	done(Reply[protocol.TxnAnswer]{s.status, answer})
+}
+
+func (s fixedStore) Follow(_ string, _ int64, _ clock.Micros, done func(Reply[protocol.FollowAnswer])) {
+	done(Reply[protocol.FollowAnswer]{s.status, followed})
+}
+
+func (s fixedStore) Grant(_ clock.Micros, done func(Reply[protocol.LeaseAnswer])) {
+	done(Reply[protocol.LeaseAnswer]{s.status, protocol.LeaseAnswer{Lease: 5}})
+}
+
+func (s fixedStore) Renew(_ int64, done func(Reply[protocol.LeaseAnswer])) {
+	done(Reply[protocol.LeaseAnswer]{Status: s.status})
+}
+
+// outcome is the result of any operation.
+type outcome struct {
+	value any
+	err   error
+}
+
+// note returns a callback that keeps a result.
+func note[T any](o *outcome) func(statestore.Result[T]) {
+	return func(r statestore.Result[T]) { *o = outcome{r.Value, r.Err} }
+}
+
+// request is one request of an operation and the value that it returns.
+type request struct {
+	send func(statestore.ResultStore, *outcome)
+	want any
+}
+
+var requests = map[statestore.Operation]request{
+	statestore.OpGet: {func(s statestore.ResultStore, o *outcome) {
+		s.Get("a", note[protocol.Item](o))
+	}, item},
+	statestore.OpList: {func(s statestore.ResultStore, o *outcome) {
+		s.List("", "", note[protocol.ItemList](o))
+	}, list},
+	statestore.OpCommit: {func(s statestore.ResultStore, o *outcome) {
+		s.Commit(statestore.ForUser, protocol.Txn{}, note[statestore.Revision](o))
+	}, statestore.Revision(300)},
+	statestore.OpFollow: {func(s statestore.ResultStore, o *outcome) {
+		s.Follow("", 1, 0, note[protocol.FollowAnswer](o))
+	}, followed},
+	statestore.OpGrant: {func(s statestore.ResultStore, o *outcome) {
+		s.Grant(clock.Second, note[statestore.LeaseID](o))
+	}, statestore.LeaseID(5)},
+	statestore.OpRenew: {func(s statestore.ResultStore, o *outcome) {
+		s.Renew(7, func(err error) { o.err = err })
+	}, nil},
+}
+
+// statusOf returns the status that an error stands for.
+func statusOf(t *testing.T, err error) int {
+	t.Helper()
+	if err == nil {
+		return http.StatusOK
+	}
+	if errors.Is(err, statestore.ErrConflict) {
+		return http.StatusConflict
+	}
+	failure, ok := errors.AsType[*transport.Error](err)
+	if !ok {
+		t.Fatalf("%v is of type %T, expected one of package statestore", err, err)
+	}
+	return failure.Status
+}
+
+func TestClientReturnsErrorOfEveryStatus(t *testing.T) {
+	for op, request := range requests {
+		for status := range 1000 {
+			got := outcome{err: errors.New("no outcome")}
+			request.send(Client(fixedStore{status}), &got)
+			if s := statusOf(t, got.err); s != status {
+				t.Errorf("operation %d: status %d became %d", op, status, s)
+			}
+			if d := cmp.Diff(request.want, got.value); d != "" {
+				t.Errorf("operation %d, status %d: %s", op, status, d)
+			}
+			if noResponse := status == 0; errors.Is(got.err, statestore.ErrNoResponse) != noResponse {
+				t.Errorf("operation %d, status %d: %v, expected no response %v", op, status, got.err, noResponse)
+			}
+			details := protocol.TxnAnswer{}
+			if op == statestore.OpCommit {
+				details = answer
+			}
+			if want := statestore.Failure(op, status, details); status != 0 && !reflect.DeepEqual(got.err, want) {
+				t.Errorf("operation %d, status %d: %#v, expected %#v", op, status, got.err, want)
+			}
+		}
+	}
+}
+
+func TestClientReturnsReasonAndFailedKeysOfTransactions(t *testing.T) {
+	for status := range 1000 {
+		var got outcome
+		requests[statestore.OpCommit].send(Client(fixedStore{status}), &got)
+		if status != http.StatusOK && statestore.Reason(got.err) != answer.Error {
+			t.Errorf("status %d: reason %q, expected %q", status, statestore.Reason(got.err), answer.Error)
+		}
+		var failed []string
+		if status == http.StatusConflict {
+			failed = answer.Failed
+		}
+		if keys := statestore.Failed(got.err); !slices.Equal(keys, failed) {
+			t.Errorf("status %d: failed keys %q, expected %q", status, keys, failed)
+		}
+	}
+}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -57,6 +57,19 @@
 	}
 }
 
+// statusOf returns the status of an outcome, 200 for success.
+func statusOf(t *testing.T, err error) int {
+	t.Helper()
+	if err == nil {
+		return http.StatusOK
+	}
+	failure, ok := errors.AsType[*Error](err)
+	if !ok {
+		t.Fatalf("%v is of type %T, expected an *Error", err, err)
+	}
+	return failure.Status
+}
+
 func TestDoHonorsDeadline(t *testing.T) {
 	var requests atomic.Int32
 	handler := func(http.ResponseWriter, *http.Request) { requests.Add(1) }
@@ -74,7 +87,7 @@
 		{"none", Deadline{}, http.StatusOK, 2},
 	} {
 		_, err := New(1).Do(context.Background(), c.deadline, request)
-		if StatusOf(err) != c.status || requests.Load() != c.requests {
+		if statusOf(t, err) != c.status || requests.Load() != c.requests {
 			t.Errorf("%s: %v and %d requests, expected status %d and %d requests", c.name, err,
 				requests.Load(), c.status, c.requests)
 		}
@@ -90,7 +103,7 @@
 		999: ErrServerFailure,
 	} {
 		err := kinds.Failure(status)
-		if !errors.Is(err, want) || StatusOf(err) != status {
+		if !errors.Is(err, want) || statusOf(t, err) != status {
 			t.Errorf("status %d: %v, expected %v", status, err, want)
 		}
 	}
@@ -101,12 +114,12 @@
 
 func TestErrorMatchesKindAndCause(t *testing.T) {
 	err := error(NoResponse(context.DeadlineExceeded))
-	if !errors.Is(err, ErrNoResponse) || !errors.Is(err, context.DeadlineExceeded) || StatusOf(err) != 0 {
+	if !errors.Is(err, ErrNoResponse) || !errors.Is(err, context.DeadlineExceeded) || statusOf(t, err) != 0 {
 		t.Errorf("%v with status %d, expected no response because of an exceeded deadline", err,
-			StatusOf(err))
+			statusOf(t, err))
 	}
 	late := NoResponse(notSent())
-	if !errors.Is(late, ErrNotSent) || errors.Is(late, ErrNoResponse) || StatusOf(late) != NotSent {
-		t.Errorf("%v with status %d, expected it to stay unsent", late, StatusOf(late))
+	if !errors.Is(late, ErrNotSent) || errors.Is(late, ErrNoResponse) || statusOf(t, late) != NotSent {
+		t.Errorf("%v with status %d, expected it to stay unsent", late, statusOf(t, late))
 	}
 }
