--- a/internal/statestore/errors.go
+++ b/internal/statestore/errors.go
@@ -40,6 +40,7 @@
 // Operation is a kind of request.
 type Operation int
 
+// The kinds of requests.
 const (
 	OpGet Operation = iota
 	OpList
