--- a/internal/leader/adoption_test.go
+++ b/internal/leader/adoption_test.go
@@ -14,9 +14,9 @@
 // A record read before a change and received after it doesn't undo the change, not even while the
 // record is to be read again.
 func TestLateReadsDontBringPlacementsBack(t *testing.T) {
-	l, j, m, _ := one(t)
+	l, j, m, _ := leaderWithOneTask(t)
 	old := j.Encode()
-	l.reconciler.Observe(m, report(1, 1, protocol.TaskReport{
+	l.reconciler.Observe(m, workerHeartbeat(1, 1, protocol.TaskReport{
 		Task:    "job-1/0",
 		Attempt: 1,
 		Status:  protocol.TaskExited,
@@ -33,9 +33,9 @@
 // What is followed can be older than what a transaction's response has told: a job that is over and
 // dropped isn't brought back by it.
 func TestOldEventsDontBringJobsBack(t *testing.T) {
-	l, j, m, _ := one(t)
+	l, j, m, _ := leaderWithOneTask(t)
 	old := j.Encode()
-	l.reconciler.Observe(m, report(1, 1, protocol.TaskReport{
+	l.reconciler.Observe(m, workerHeartbeat(1, 1, protocol.TaskReport{
 		Task:    "job-1/0",
 		Attempt: 1,
 		Status:  protocol.TaskExited,
@@ -44,7 +44,7 @@
 	j.InFlight = true
 	l.writer.HandleResult([]recordstore.Write{
 		{J: j, V: &j.StoredValue, Part: recordstore.HeadIndex, Changed: j.ChangeCount},
-	}, committedAt(6))
+	}, resultOf(committedAt(6)))
 	if len(l.jobs.ByID) != 0 {
 		t.Fatalf("%d jobs are known after the job's end is stored, want none", len(l.jobs.ByID))
 	}
@@ -57,8 +57,8 @@
 // A cancellation that is followed while a change of the same record is in flight is final, whatever
 // becomes of the change: the job's tasks needn't wait for its outcome.
 func TestCancellationsDontWaitForWritesInFlight(t *testing.T) {
-	l, j, m, box := one(t)
-	l.reconciler.Observe(m, report(1, 1, protocol.TaskReport{
+	l, j, m, box := leaderWithOneTask(t)
+	l.reconciler.Observe(m, workerHeartbeat(1, 1, protocol.TaskReport{
 		Task:    "job-1/0",
 		Attempt: 1,
 		Status:  protocol.TaskRunning,
@@ -76,7 +76,7 @@
 // A cancellation whose record had to leave the placements out doesn't lose what this leader knows of
 // them: they count until proof.
 func TestTruncatedCancellationKeepsKnownPlacements(t *testing.T) {
-	l, j, _, box := one(t)
+	l, j, _, box := leaderWithOneTask(t)
 	cancelled := *j.Job
 	cancelled.Status, cancelled.CancelledAt = protocol.StatusCancelled, int64(box.Now)
 	cancelled.Truncated = true
@@ -118,7 +118,7 @@
 func readBehindFence(t *testing.T, fenceResponse storetest.Reply[protocol.TxnAnswer]) {
 	t.Helper()
 	l, store, j := shardedArray(t)
-	reads := &readableCommits{commits: *store}
+	reads := &readableStore{fakeStore: *store}
 	useStore(l, reads)
 	reads.answer(noResponse()) // for shard 0: it may still be carried out
 	l.jobs.AddPlacement(j, ledger.Placement{Task: 150, Attempt: 1, Machine: "m-2", Session: 1})
--- a/internal/leader/cancellations_test.go
+++ b/internal/leader/cancellations_test.go
@@ -16,7 +16,7 @@
 // task, whether or not the leader's lease holds.
 func TestLeaseIsNotRenewedForCancelledTasks(t *testing.T) {
 	for _, leads := range []bool{true, false} {
-		d, j, m, box := one(t)
+		d, j, m, box := leaderWithOneTask(t)
 		keep := d.state.Settings.Deployment.Workers.KeepAlive()
 		d.jobs.NoteCancelled(j, box.Now)
 		heartbeat := func(counter int64, tasks ...protocol.TaskReport) (status int, commands []protocol.Order) {
@@ -24,7 +24,7 @@
 			if d.state.Term.ValidUntil = box.Now; leads {
 				d.state.Term.ValidUntil += clock.Second
 			}
-			d.Heartbeat(report(1, counter, tasks...), func(s int, body any) {
+			d.Heartbeat(workerHeartbeat(1, counter, tasks...), func(s int, body any) {
 				status = s
 				if a, ok := body.(protocol.HeartbeatAnswer); ok {
 					commands = a.Orders
@@ -53,7 +53,7 @@
 // The time of a cancellation is the record's, whoever leads, on a process younger than
 // it as well; clocks of day may be off either way.
 func TestCancellationsCountFromTheirRecords(t *testing.T) {
-	d, j, _, box := one(t)
+	d, j, _, box := leaderWithOneTask(t)
 	d.state.Settings.Deployment.ClockErrorMs = 250
 	j.Status, j.CancelledAt = protocol.StatusCancelled, int64(box.Now-110*clock.Second)
 	d.reader.Adopt(ledger.Key("job-1"), j.Encode(), 6)
--- a/internal/leader/cells_delegating_test.go
+++ b/internal/leader/cells_delegating_test.go
@@ -20,7 +20,7 @@
 // other is planned here.
 func TestDelegatedTasksHaveUnknownZones(t *testing.T) {
 	for _, oneZone := range []bool{false, true} {
-		l, j, _, box := delegating(t)
+		l, j, _, box := delegatingLeader(t)
 		j.Spec.OneZone = oneZone
 		l.jobs.ReleasePlacement(j, j.Placed[0])
 		planned := l.snapshots.PlannedJob(j, box.Now, false)
@@ -34,7 +34,7 @@
 // A delegation is stored only once its placements are, and only while they are what they were: a creation
 // that is carried out after they were released makes nothing. It is offered after that.
 func TestDelegationsAreStoredBeforeTheyAreOffered(t *testing.T) {
-	l, j, store, _ := delegating(t)
+	l, j, store, _ := delegatingLeader(t)
 	l.origin.SaveDelegations()
 	if len(store.txns) != 0 {
 		t.Fatalf("got %+v before the placements are stored, want no transaction", store.txns)
@@ -48,16 +48,16 @@
 		!requires(store.txns[0], delegation.Key(7), 0) {
 		t.Fatalf("got %+v, want one transaction on version 6 of the job and a new delegation", store.txns)
 	}
-	store.answer(committed(8))
+	store.answer(committedAt(8))
 	if offers := l.origin.Offers("beta", nil); len(offers) != 1 || offers[0].Tasks.Len() != 2 {
 		t.Fatalf("got offers %v, want one of two tasks", offers)
 	}
 }
 
 // createDelegation returns a leader of alpha that has sent the creation of delegation 7.
-func createDelegation(t *testing.T) (*Leader, *commits, *actortest.Still) {
+func createDelegation(t *testing.T) (*Leader, *fakeStore, *actortest.Still) {
 	t.Helper()
-	l, j, store, box := delegating(t)
+	l, j, store, box := delegatingLeader(t)
 	j.StoredValue.StoredCount, j.StoredValue.Version = j.ChangeCount, 6
 	l.origin.SaveDelegations()
 	if len(store.txns) != 1 {
@@ -73,12 +73,12 @@
 	for name, response := range map[string]storetest.Reply[protocol.TxnAnswer]{
 		"no response":     {},
 		"server failure":  {Status: http.StatusInternalServerError},
-		"another version": conflict(delegation.Key(7)),
+		"another version": conflictOn(delegation.Key(7)),
 	} {
 		l, store, box := createDelegation(t)
 		store.answer(response)
 		box.Now += term.RetryDelay
-		useStore(l, &oneKey{store, protocol.Item{Value: record.Encode(), Version: 9}, http.StatusOK})
+		useStore(l, &singleKeyStore{store, protocol.Item{Value: record.Encode(), Version: 9}, http.StatusOK})
 		l.origin.SaveDelegations()
 		l.origin.SaveDelegations()
 		if offers := l.origin.Offers("beta", nil); len(store.txns) != 1 || len(offers) != 1 {
@@ -89,7 +89,7 @@
 		l, store, box = createDelegation(t)
 		store.answer(response)
 		box.Now += term.RetryDelay
-		useStore(l, &oneKey{store, protocol.Item{}, http.StatusNotFound})
+		useStore(l, &singleKeyStore{store, protocol.Item{}, http.StatusNotFound})
 		l.origin.SaveDelegations()
 		l.origin.SaveDelegations()
 		if len(store.txns) != 2 || !requires(store.txns[1], delegation.Key(7), 0) {
@@ -120,7 +120,7 @@
 	l, store, _ := createDelegation(t)
 	deposedBy := int64(0)
 	l.state.Deposed = func(epoch int64) { deposedBy = epoch }
-	store.answer(conflict(leadership.Key, delegation.Key(7)))
+	store.answer(conflictOn(leadership.Key, delegation.Key(7)))
 	if deposedBy != 8 {
 		t.Errorf("got deposed by epoch %d, want 8", deposedBy)
 	}
@@ -129,7 +129,7 @@
 // What a heartbeat says of completed tasks counts however late it comes, what it says of others only once the
 // hosted job is closed.
 func TestHeartbeatsReleaseWhatTheyProve(t *testing.T) {
-	l, j, _, _ := delegating(t)
+	l, j, _, _ := delegatingLeader(t)
 	first, both := taskSet(0), taskSet(0, 1)
 	reportDelegation(l, delegation.Status{Held: both})
 	if len(j.Placed) != 2 {
--- a/internal/leader/cells_helpers_test.go
+++ b/internal/leader/cells_helpers_test.go
@@ -36,15 +36,15 @@
 `
 
 // cellLeader returns a leader of alpha, which runs work for beta and has beta run its own.
-func cellLeader(tb testing.TB) (*Leader, *commits, *actortest.Still) {
+func cellLeader(tb testing.TB) (*Leader, *fakeStore, *actortest.Still) {
 	tb.Helper()
-	l, box := leader()
+	l, box := newLeader()
 	l.state.Settings.Node = "worker-0"
 	directory, err := cells.Parse([]byte(twoCells), l.state.Settings)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	store := &commits{}
+	store := &fakeStore{}
 	useStore(l, store)
 	l.state.Format.Open, l.state.Format.Cells = true, true
 	l.JoinCells(directory, nil)
@@ -53,9 +53,9 @@
 	return l, store, box
 }
 
-// hosting returns a leader of alpha with a hosted job of one task on m-1, committed and permitted until ten
-// seconds from now.
-func hosting(t *testing.T) (*Leader, *jobtable.Job, *machinetable.Machine, *actortest.Still) {
+// hostingLeader returns a leader of alpha with a hosted job of one task on m-1, committed and permitted
+// until ten seconds from now.
+func hostingLeader(t *testing.T) (*Leader, *jobtable.Job, *machinetable.Machine, *actortest.Still) {
 	t.Helper()
 	l, _, box := cellLeader(t)
 	id := ledger.GuestID("beta", "job-1", 7)
@@ -86,7 +86,7 @@
 	tasks ...protocol.TaskReport) (status int, commands []protocol.Order) {
 	l.state.Term.RenewedAt, l.state.Term.ValidUntil = box.Now, box.Now+4*clock.Second
 	l.state.FreshAt = box.Now
-	l.Heartbeat(report(1, counter, tasks...), func(s int, body any) {
+	l.Heartbeat(workerHeartbeat(1, counter, tasks...), func(s int, body any) {
 		status = s
 		if response, ok := body.(protocol.HeartbeatAnswer); ok {
 			commands = response.Orders
@@ -95,8 +95,8 @@
 	return status, commands
 }
 
-// delegating returns a leader of alpha whose job has both tasks delegated to beta.
-func delegating(t *testing.T) (*Leader, *jobtable.Job, *commits, *actortest.Still) {
+// delegatingLeader returns a leader of alpha whose job has both tasks delegated to beta.
+func delegatingLeader(t *testing.T) (*Leader, *jobtable.Job, *fakeStore, *actortest.Still) {
 	t.Helper()
 	l, store, box := cellLeader(t)
 	content := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 2, Cpus: 1}, 1)
@@ -145,23 +145,13 @@
 	return false
 }
 
-// oneKey is a store that has one key, or not even that.
-type oneKey struct {
-	*commits
+// singleKeyStore is a store that has one key, or not even that.
+type singleKeyStore struct {
+	*fakeStore
 	item   protocol.Item
 	status int
 }
 
-func (r *oneKey) Get(_ string, done func(storetest.Reply[protocol.Item])) {
+func (r *singleKeyStore) Get(_ string, done func(storetest.Reply[protocol.Item])) {
 	done(storetest.Reply[protocol.Item]{Status: r.status, Value: r.item})
 }
-
-// committed is the store's response to a transaction that it has carried out.
-func committed(revision int64) storetest.Reply[protocol.TxnAnswer] {
-	return storetest.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: revision}}
-}
-
-// conflict is the store's response to a transaction whose conditions on the given keys don't hold.
-func conflict(keys ...string) storetest.Reply[protocol.TxnAnswer] {
-	return storetest.Reply[protocol.TxnAnswer]{Status: 409, Value: protocol.TxnAnswer{Failed: keys}}
-}
--- a/internal/leader/cells_hosting_test.go
+++ b/internal/leader/cells_hosting_test.go
@@ -4,6 +4,7 @@
 	"net/http"
 	"testing"
 
+	"postpoint/internal/agent/agenttest"
 	"postpoint/internal/cells"
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
@@ -18,7 +19,7 @@
 // A response renews the lease of a hosted task only while its origin cell permits it; after that it is given
 // only if it ends the task, and not at all while a start of it may still arrive.
 func TestNoLeaseIsRenewedWithoutPermission(t *testing.T) {
-	l, j, m, box := hosting(t)
+	l, j, m, box := hostingLeader(t)
 	task := hostedTask(j, protocol.TaskRunning, "")
 	if status, commands := sendHeartbeat(l, box, 1, task); status != http.StatusOK || len(commands) != 0 {
 		t.Fatalf("got %d with %v while the task is permitted, want 200 without commands", status, commands)
@@ -41,7 +42,7 @@
 // A new leader has no permission: machines with hosted tasks wait for a response until it has asked the
 // origin cell, or has had the time to.
 func TestNewHostWaitsForOriginBeforeItResponds(t *testing.T) {
-	l, j, _, box := hosting(t)
+	l, j, _, box := hostingLeader(t)
 	l.jobs.AwaitPermission(j)
 	task := hostedTask(j, protocol.TaskRunning, "")
 	if status, _ := sendHeartbeat(l, box, 1, task); status != http.StatusServiceUnavailable {
@@ -56,7 +57,7 @@
 // Machines that hang with a hosted task are released in time for what the host tells the origin cell in its
 // heartbeats, whoever leads.
 func TestHungMachinesWithHostedTasksAreReleasedInTime(t *testing.T) {
-	l, j, _, _ := hosting(t)
+	l, j, _, _ := hostingLeader(t)
 	clearTime := cells.ClearTime(l.state.Settings.Deployment.Workers.Lease()) - reconciler.ReturnTime
 	latest := j.Permission.Until() + clearTime
 	if at := l.cancellations.ReleaseAt(j); at > latest {
@@ -77,9 +78,9 @@
 
 // Commands that start a hosted task don't leave once its permission has ended.
 func TestStartCommandsExpireWithPermission(t *testing.T) {
-	l, j, m, box := hosting(t)
-	worker := &commandsUntil{}
-	l.commands.Agent = worker
+	l, j, m, box := hostingLeader(t)
+	worker := &deadlineRecorder{}
+	l.commands.Agent = agenttest.Client(worker)
 	l.state.Term.ValidUntil = box.Now + 60*clock.Second
 	command := protocol.Order{Verb: protocol.VerbStart, Task: protocol.TaskName(j.Spec.ID, 0), Attempt: 1}
 	l.commands.Send(m, 1, []protocol.Order{command}, nil)
@@ -93,21 +94,21 @@
 	}
 }
 
-// commandsUntil keeps until when the last commands might leave.
-type commandsUntil struct{ until clock.Micros }
+// deadlineRecorder keeps until when the last commands might leave.
+type deadlineRecorder struct{ until clock.Micros }
 
-func (c *commandsUntil) Commands(_ string, _ protocol.Commands, until clock.Micros,
+func (c *deadlineRecorder) Commands(_ string, _ protocol.Commands, until clock.Micros,
 	_ func(int, protocol.Report)) {
 	c.until = until
 }
 
 // The origin cell learns that a hosted job is closed, and which of its tasks are done, from what is stored.
 func TestOriginIsToldOnlyWhatIsStored(t *testing.T) {
-	l, j, m, _ := hosting(t)
+	l, j, m, _ := hostingLeader(t)
 	j.Guest.Closed = true
 	l.jobs.NoteHeadChange(j)
 	j.ClosedAtChange = j.ChangeCount
-	l.reconciler.Observe(m, report(1, 1, hostedTask(j, protocol.TaskExited, protocol.CauseDone)))
+	l.reconciler.Observe(m, workerHeartbeat(1, 1, hostedTask(j, protocol.TaskExited, protocol.CauseDone)))
 	if s, _ := l.host.StatusOf(j); s.Closed || s.Done.Len() > 0 || s.Held.Len() > 0 {
 		t.Fatalf("before the change is stored: got %+v, want neither closed nor done nor held", s)
 	}
@@ -118,7 +119,7 @@
 		Part:    recordstore.HeadIndex,
 		Changed: j.ChangeCount,
 	}}
-	l.writer.HandleResult(writes, committed(6))
+	l.writer.HandleResult(writes, resultOf(committedAt(6)))
 	if s, _ := l.host.StatusOf(j); !s.Closed || s.Done.Len() != 1 {
 		t.Fatalf("after the change is stored: got %+v, want closed with one task done", s)
 	}
@@ -127,26 +128,27 @@
 // The removal of a tombstone meets a change whose outcome was unknown and that was carried out after all: the
 // record is read, and removed at the version that it has; once it isn't there it is forgotten.
 func TestTombstonesAreRemovedWhateverTheirVersion(t *testing.T) {
-	l, j, _, _ := hosting(t)
+	l, j, _, _ := hostingLeader(t)
 	key := ledger.Key(j.Spec.ID)
-	store := l.writer.Store.(*commits)
+	store := &fakeStore{}
+	useStore(l, store)
 	l.jobs.ReleasePlacement(j, j.Placed[0])
 	j.Guest.Closed, j.Status, j.Permission.Forgotten = true, protocol.StatusCancelled, true
 	stored := protocol.Item{Value: j.Encode(), Version: 9}
 	j.StoredValue.Replace(5)
 	l.host.CheckJob(j)
-	store.answer(conflict(key))
+	store.answer(conflictOn(key))
 	if l.jobs.ByID[j.Spec.ID] == nil {
 		t.Fatal("the job is forgotten though its record is there")
 	}
-	useStore(l, &oneKey{store, stored, http.StatusOK})
+	useStore(l, &singleKeyStore{store, stored, http.StatusOK})
 	l.writer.PendingUnits()
 	l.host.CheckJob(j)
 	if last := store.txns[len(store.txns)-1]; !requires(last, key, 9) {
 		t.Fatalf("got %+v, want a removal at version 9", last)
 	}
-	store.answer(conflict(key))
-	useStore(l, &oneKey{store, protocol.Item{}, http.StatusNotFound})
+	store.answer(conflictOn(key))
+	useStore(l, &singleKeyStore{store, protocol.Item{}, http.StatusNotFound})
 	l.writer.PendingUnits()
 	if l.jobs.ByID[j.Spec.ID] != nil {
 		t.Fatal("the job is kept though its record is gone")
@@ -156,8 +158,8 @@
 // A start that may have arrived, of a hosted job that was closed meanwhile, is sent again and stopped while
 // there is permission: else its placement would be kept for ever.
 func TestUnconfirmedStartsOfClosedJobsAreStopped(t *testing.T) {
-	l, j, m, box := hosting(t)
-	l.commands.Agent = &calls{}
+	l, j, m, box := hostingLeader(t)
+	l.commands.Agent = agenttest.Client(&commandCounter{})
 	sendHeartbeat(l, box, 1)
 	m.Deliveries[hostedAttempt(j)] = &machinetable.StartDelivery{OutcomeUnknown: true}
 	recalled := delegation.Ruling{Number: 7, Verdict: delegation.Close, For: 10 * clock.Second}
--- a/internal/leader/cells_numbers_test.go
+++ b/internal/leader/cells_numbers_test.go
@@ -12,7 +12,7 @@
 func TestNumbersAreReservedBeforeUse(t *testing.T) {
 	l, store, _ := cellLeader(t)
 	found := protocol.Item{Value: protocol.Encode(int64(4001)), Version: 9}
-	useStore(l, &oneKey{store, found, http.StatusOK})
+	useStore(l, &singleKeyStore{store, found, http.StatusOK})
 	l.origin.ReserveNumbers()
 	if l.origin.Numbers.Next != 0 {
 		t.Fatalf("got numbers %+v before they are reserved, want none", l.origin.Numbers)
@@ -20,7 +20,7 @@
 	if len(store.txns) != 1 || !requires(store.txns[0], delegation.NumbersKey, 9) {
 		t.Fatalf("got %+v, want one transaction on version 9 of the numbers", store.txns)
 	}
-	store.answer(committed(0))
+	store.answer(committedAt(0))
 	if l.origin.Numbers.Next != 4001 || l.origin.Numbers.End != 5001 {
 		t.Fatalf("got numbers %+v, want 4001 up to 5001", l.origin.Numbers)
 	}
--- a/internal/leader/cells_offers_test.go
+++ b/internal/leader/cells_offers_test.go
@@ -47,7 +47,7 @@
 		offer := delegation.Offer{Number: 7, Spec: good, Tasks: taskSet(0)}
 		change(l, &offer)
 		l.host.TakeOffer(l.cells.ByCell["beta"], offer)
-		store.answer(committed(8))
+		store.answer(committedAt(8))
 		j := l.jobs.ByID[ledger.GuestID("beta", "job-1", 7)]
 		if j == nil || j.Final() != (reason != "") || !strings.Contains(j.Cause, reason) {
 			t.Errorf("reason %q: got %+v, want a record that is final and says why if there is a reason",
--- a/internal/leader/cells_permissions_test.go
+++ b/internal/leader/cells_permissions_test.go
@@ -24,7 +24,7 @@
 // A permission lasts from the time up to which cancellations are known, not from now; a cancelled job has
 // none.
 func TestPermissionsCountFromWhatIsKnown(t *testing.T) {
-	l, j, _, box := delegating(t)
+	l, j, _, box := delegatingLeader(t)
 	box.Now += 2 * clock.Second // the records were fresh and the lease renewed before
 	l.state.Term.ValidUntil = box.Now + clock.Second
 	workers := l.state.Settings.Deployment.Workers
@@ -42,7 +42,7 @@
 
 // Nobody but a leader that has read all records says that there is no such delegation.
 func TestOnlyLeadersWithAllRecordsForgetDelegations(t *testing.T) {
-	l, _, _, box := delegating(t)
+	l, _, _, box := delegatingLeader(t)
 	delete(l.origin.Delegations, 7)
 	l.state.Term.ValidUntil = box.Now + clock.Second
 	directive := onlyDirective(t, reportDelegation(l, delegation.Status{}))
--- a/internal/leader/commands_test.go
+++ b/internal/leader/commands_test.go
@@ -5,19 +5,19 @@
 	"testing"
 
 	"postpoint/internal/actor/actortest"
+	"postpoint/internal/agent/agenttest"
 	"postpoint/internal/clock"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/reconciler"
 	"postpoint/internal/leader/recordstore"
 	"postpoint/internal/leader/term"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore/storetest"
 )
 
 // A leader that no longer hears what users change stops sending commands, though
 // its lease is good: cancelled work must not be started again.
 func TestStaleRecordsStopCommands(t *testing.T) {
-	d, _, _, box := one(t)
+	d, _, _, box := leaderWithOneTask(t)
 	if !d.state.Leads() {
 		t.Fatal("it doesn't lead")
 	}
@@ -38,7 +38,7 @@
 
 // A heartbeat that changes nothing costs next to nothing.
 func TestUnchangedHeartbeatCostsLittle(t *testing.T) {
-	d, _, r := eightRunning()
+	d, _, r := leaderWithEightTasks()
 	n := testing.AllocsPerRun(100, func() {
 		r.Counter++
 		d.Heartbeat(r, func(int, any) {})
@@ -70,7 +70,7 @@
 			j.Spec.Shape, j.Spec.Tasks, j.BrokenAttempt = protocol.ShapeGang, 9, 1
 		},
 	} {
-		d, j, r := eightRunning()
+		d, j, r := leaderWithEightTasks()
 		change(d, j, &r)
 		r.Counter++
 		if commands := commandsInResponse(d, r); len(commands) == 0 {
@@ -103,7 +103,7 @@
 		{"one, after a while", 1, false, reconciler.ForgetDelay, 1},
 		{"a batch", reconciler.ForgetBatch, false, 0, reconciler.ForgetBatch},
 	} {
-		d, j, r := eightRunning()
+		d, j, r := leaderWithEightTasks()
 		box := d.state.Mailbox.(*actortest.Still)
 		heartbeat := func() (forgotten int) {
 			r.Counter++
@@ -140,7 +140,7 @@
 
 // An exited task that was forgotten doesn't hide another that has come in its stead.
 func TestUnassignedTaskInPlaceOfExitedOneIsStopped(t *testing.T) {
-	d, j, r := eightRunning()
+	d, j, r := leaderWithEightTasks()
 	heartbeat := func() []protocol.Order {
 		r.Counter++
 		return commandsInResponse(d, r)
@@ -156,19 +156,21 @@
 	}
 }
 
-// calls counts direct commands.
-type calls struct{ n int }
+// commandCounter counts direct commands.
+type commandCounter struct{ n int }
 
-func (c *calls) Commands(string, protocol.Commands, clock.Micros, func(int, protocol.Report)) { c.n++ }
+func (c *commandCounter) Commands(string, protocol.Commands, clock.Micros, func(int, protocol.Report)) {
+	c.n++
+}
 
 // While the processor doesn't keep up, starts wait for the responses to heartbeats instead
 // of taking a connection each.
 func TestStartsWaitForHeartbeatsUnderOverload(t *testing.T) {
 	for _, late := range []clock.Micros{0, clock.Second} {
-		d, j, m, box := one(t)
-		out := &calls{}
-		d.commands.Agent, m.Address = out, "m-1:1"
-		d.reconciler.Observe(m, report(1, 1))
+		d, j, m, box := leaderWithOneTask(t)
+		out := &commandCounter{}
+		d.commands.Agent, m.Address = agenttest.Client(out), "m-1:1"
+		d.reconciler.Observe(m, workerHeartbeat(1, 1))
 		d.steps.TickedAt = box.Now
 		box.Now += term.TickInterval + late
 		d.state.FreshAt, d.state.Term.ValidUntil = box.Now, box.Now+4*clock.Second
@@ -178,7 +180,7 @@
 		j.Uncommitted = []int{0}
 		d.writer.HandleResult(
 			[]recordstore.Write{{J: j, V: &j.StoredValue, Part: recordstore.HeadIndex, Changed: j.ChangeCount}},
-			storetest.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 9}})
+			resultOf(committedAt(9)))
 		if direct := out.n > 0; direct != (late == 0) {
 			t.Errorf("late by %v: %d direct commands, want some only without delay", late, out.n)
 		}
--- a/internal/leader/commitoutcome_test.go
+++ b/internal/leader/commitoutcome_test.go
@@ -15,8 +15,8 @@
 // A change without a response may be carried out seconds later. Its placements stay, and it goes again
 // at the same versions, so that only one of the two can apply.
 func TestCommitsOfUnknownOutcomeAreRetried(t *testing.T) {
-	l, box := leader()
-	store := &commits{}
+	l, box := newLeader()
+	store := &fakeStore{}
 	useStore(l, store)
 	content := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 2}, 1)
 	l.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
@@ -55,10 +55,10 @@
 		"no response, then declined":    {[]storetest.Reply[protocol.TxnAnswer]{noResponse(), declined}, 1},
 		"no response, then carried out": {[]storetest.Reply[protocol.TxnAnswer]{noResponse(), committedAt(6)}, 0},
 	} {
-		l, j, m, _ := one(t)
+		l, j, m, _ := leaderWithOneTask(t)
 		l.state.Deposed = func(int64) {}
 		j.InFlight = true
-		l.reconciler.Observe(m, report(1, 1, protocol.TaskReport{
+		l.reconciler.Observe(m, workerHeartbeat(1, 1, protocol.TaskReport{
 			Task:    "job-1/0",
 			Attempt: 1,
 			Status:  protocol.TaskExited,
@@ -68,7 +68,7 @@
 			j.InFlight = true
 			l.writer.HandleResult([]recordstore.Write{
 				{J: j, V: &j.StoredValue, Part: recordstore.HeadIndex, Changed: j.ChangeCount - 1},
-			}, response)
+			}, resultOf(response))
 		}
 		used, wantUsed := l.snapshots.Snapshot().Teams[""].Used, float64(c.taken)*j.Spec.Cpus
 		if j.PlacesTaken() != c.taken || used.Cpus != wantUsed {
--- a/internal/leader/cordon_test.go
+++ b/internal/leader/cordon_test.go
@@ -12,7 +12,7 @@
 // When work returns to a deployment of which much is cordoned, all of it is uncordoned within a few
 // plans, not by a plan for each machine.
 func TestCordonedMachinesReturnInFewPlans(t *testing.T) {
-	d, box := leader()
+	d, box := newLeader()
 	machineType := protocol.MachineType{
 		Name: "t", Zones: []string{"a"}, Cpus: 8, MemoryGB: 32, Price: 1, SpotPrice: 1,
 	}
--- a/internal/leader/golden_test.go
+++ b/internal/leader/golden_test.go
@@ -39,7 +39,7 @@
 }
 
 // onlyTxn is the single transaction that was written, as it is sent.
-func onlyTxn(t *testing.T, store *commits) []byte {
+func onlyTxn(t *testing.T, store *fakeStore) []byte {
 	t.Helper()
 	if len(store.txns) != 1 {
 		t.Fatalf("%d transactions", len(store.txns))
@@ -50,9 +50,9 @@
 // The catalogue is left for others under the recorded key in the recorded bytes, and taken from
 // there.
 func TestGoldenCatalogue(t *testing.T) {
-	d, _ := leader()
-	store := &commits{}
-	useStore(d, &oneKey{store, protocol.Item{}, 404})
+	d, _ := newLeader()
+	store := &fakeStore{}
+	useStore(d, &singleKeyStore{store, protocol.Item{}, 404})
 	d.catalogue.Published = func([]protocol.MachineType) {}
 	d.catalogue.Replace(goldenTypes())
 	d.catalogue.FromCloud = true
@@ -65,9 +65,9 @@
 			"\xe0\x00\x00\x00\x00\x00\x00\xa6Hourly\xcb@8\x80\x00\x00\x00\x00\x00\xa9SpotPrice\xcb@\x1d"+
 			"\x00\x00\x00\x00\x00\x00\xa8StartupS\xcb@V\x80\x00\x00\x00\x00\x00\xa5Halls\x92\xa1a\xa1b")
 
-	next, _ := leader()
+	next, _ := newLeader()
 	left := protocol.Item{Key: "catalogue", Value: store.txns[0].Changes[0].Value, Version: 9}
-	useStore(next, &oneKey{store, left, 200})
+	useStore(next, &singleKeyStore{store, left, 200})
 	next.catalogue.Published = func([]protocol.MachineType) {}
 	next.catalogue.ReadShared()
 	if len(next.catalogue.Types) != 1 || !machinetable.SameType(next.catalogue.Types[0], goldenTypes()[0]) {
@@ -79,14 +79,14 @@
 func TestGoldenNumbers(t *testing.T) {
 	d, store, _ := cellLeader(t)
 	taken := protocol.Item{Key: "delegation-numbers", Value: []byte("\xcd\x0f\xa1"), Version: 9}
-	useStore(d, &oneKey{store, taken, 200})
+	useStore(d, &singleKeyStore{store, taken, 200})
 	d.origin.ReserveNumbers()
 	goldentest.Equal(t, "numbers", onlyTxn(t, store),
 		"\x82\xa6Guards\x92\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xb2delegation-num"+
 			"bers\xa5Stamp\x09\xa6Writes\x91\x82\xa5Write\xb2delegation-numbers\xa4Data\xcd\x13\x89")
 
 	first, firstStore, _ := cellLeader(t)
-	useStore(first, &oneKey{firstStore, protocol.Item{}, 404})
+	useStore(first, &singleKeyStore{firstStore, protocol.Item{}, 404})
 	first.origin.ReserveNumbers()
 	goldentest.Equal(t, "first numbers", onlyTxn(t, firstStore),
 		"\x82\xa6Guards\x92\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xb2delegation-num"+
@@ -95,7 +95,7 @@
 
 // A delegation's record, and its job's, whose places are the other cell's.
 func TestGoldenDelegation(t *testing.T) {
-	d, j, store, _ := delegating(t)
+	d, j, store, _ := delegatingLeader(t)
 	goldentest.Equal(t, "job", j.Encode(),
 		"\x84\xa4spec\xde\x00\x13\xa3Uid\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa5batch\xa4Rank"+
 			"\xa0\xa4Legs\x02\xa5Vcpus\xcb?\xf0\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00\x00\x00\x00\x00"+
@@ -172,15 +172,16 @@
 			MemoryGB: 1,
 			Image:    "i",
 		}
-		d.host.TakeOffer(d.cells.ByCell["beta"], delegation.Offer{Number: 7, Spec: spec, Tasks: tasks, Age: 90 * clock.Second})
+		offer := delegation.Offer{Number: 7, Spec: spec, Tasks: tasks, Age: 90 * clock.Second}
+		d.host.TakeOffer(d.cells.ByCell["beta"], offer)
 		goldentest.Equal(t, c.name, onlyTxn(t, store), c.want)
 	}
 }
 
 // A zone's record as the leader writes it.
 func TestGoldenZone(t *testing.T) {
-	d, _ := leader()
-	store := &commits{}
+	d, _ := newLeader()
+	store := &fakeStore{}
 	useStore(d, store)
 	lost := &recovery.Zone{Name: "somes", Phase: recovery.Lost, Number: 3, Since: 90 * clock.Second, Flaps: 2}
 	d.zones.Zones = map[string]*zonetracker.Zone{"somes": {Zone: lost, Version: 9}}
@@ -193,8 +194,8 @@
 
 // A job's changes as the leader writes them: its record, or a part of a divided one.
 func TestGoldenCommits(t *testing.T) {
-	d, j, _, _ := one(t)
-	store := &commits{}
+	d, j, _, _ := leaderWithOneTask(t)
+	store := &fakeStore{}
 	useStore(d, store)
 	j.RecordDone(0)
 	d.jobs.ReleasePlacement(j, j.Placed[0])
@@ -315,7 +316,7 @@
 
 // The overview of a leader with a job, a machine, cells and zones.
 func TestGoldenOverviewOfALeader(t *testing.T) {
-	d, _, _, _ := hosting(t)
+	d, _, _, _ := hostingLeader(t)
 	d.state.KnownLeader, d.scheduler.Plans, d.writer.LimitsTightened = "worker-0", 7, true
 	d.state.Format = rollout.Status{Open: true, Cells: true, Missing: []string{"worker-1"}}
 	s := recovery.Defaults()
@@ -350,9 +351,9 @@
 
 // Rentals are named after the epoch and a count.
 func TestGoldenBookings(t *testing.T) {
-	d, _ := leader()
-	rented := &rentals{}
-	d.autoscaler.Cloud = rented
+	d, _ := newLeader()
+	rented := &rentalRecorder{}
+	d.autoscaler.Cloud = cloudtest.Client(rented)
 	d.catalogue.Published = func([]protocol.MachineType) {}
 	d.catalogue.Replace(goldenTypes())
 	d.state.Settings.Deployment.Cloud.Rps = 100
@@ -375,13 +376,13 @@
 		"\x85\xa7Booking\xa4e7-1\xa5Fleet\xa2g8\xa4Hall\xa1a\xa7Loaners\xc3\xa7HowMany\x01")
 }
 
-// rentals is a cloud that keeps what it is asked for.
-type rentals struct {
+// rentalRecorder is a cloud that keeps what it is asked for.
+type rentalRecorder struct {
 	cloudtest.Service
 	asked []protocol.Rental
 }
 
-func (r *rentals) Rent(x protocol.Rental, _ clock.Micros, _ func(int, protocol.RentalAnswer)) {
+func (r *rentalRecorder) Rent(x protocol.Rental, _ clock.Micros, _ func(int, protocol.RentalAnswer)) {
 	r.asked = append(r.asked, x)
 }
 
@@ -392,8 +393,8 @@
 		d.Heartbeat(r, func(s int, b any) { status, body = s, protocol.Encode(b) })
 		return status, body
 	}
-	start, _, _, _ := one(t)
-	status, body := answered(start, report(1, 1))
+	start, _, _, _ := leaderWithOneTask(t)
+	status, body := answered(start, workerHeartbeat(1, 1))
 	goldentest.Equal(t, "start", body,
 		"\x82\xa5Epoch\x07\xa6Orders\x91\x84\xa4Verb\xa5start\xa3Leg\xa7job-1/0\xa3Try\x01\xa6LeaveS"+
 			"\xcb\x00\x00\x00\x00\x00\x00\x00\x00")
@@ -401,8 +402,8 @@
 		t.Errorf("start: %d", status)
 	}
 	stray := protocol.TaskReport{Task: "job-9/0", Attempt: 1, Status: protocol.TaskRunning}
-	stop, _, _, _ := one(t)
-	status, body = answered(stop, report(1, 1, stray))
+	stop, _, _, _ := leaderWithOneTask(t)
+	status, body = answered(stop, workerHeartbeat(1, 1, stray))
 	goldentest.Equal(t, "stop", body,
 		"\x82\xa5Epoch\x07\xa6Orders\x92\x84\xa4Verb\xa5start\xa3Leg\xa7job-1/0\xa3Try\x01\xa6LeaveS"+
 			"\xcb\x00\x00\x00\x00\x00\x00\x00\x00\x84\xa4Verb\xa4kill\xa3Leg\xa7job-9/0\xa3Try\x01\xa6Lea"+
@@ -416,8 +417,8 @@
 		Status:  protocol.TaskExited,
 		Cause:   protocol.CauseDone,
 	}
-	forget, _, _, _ := one(t)
-	status, body = answered(forget, report(1, 1, ended))
+	forget, _, _, _ := leaderWithOneTask(t)
+	status, body = answered(forget, workerHeartbeat(1, 1, ended))
 	goldentest.Equal(t, "forget", body,
 		"\x82\xa5Epoch\x07\xa6Orders\x92\x84\xa4Verb\xa5start\xa3Leg\xa7job-1/0\xa3Try\x01\xa6LeaveS"+
 			"\xcb\x00\x00\x00\x00\x00\x00\x00\x00\x84\xa4Verb\xa6forget\xa3Leg\xa7job-9/0\xa3Try\x01\xa6L"+
@@ -425,16 +426,16 @@
 	if status != 200 {
 		t.Errorf("forget: %d", status)
 	}
-	other, _, _, _ := one(t)
+	other, _, _, _ := leaderWithOneTask(t)
 	other.state.Term.Epoch, other.state.KnownLeader = 0, "worker-1"
-	status, body = answered(other, report(1, 1))
+	status, body = answered(other, workerHeartbeat(1, 1))
 	goldentest.Equal(t, "another node leads", body, "\x81\xaaDispatcher\xa8worker-1")
 	if status != 421 {
 		t.Errorf("another node leads: %d", status)
 	}
-	released, _, _, box := one(t)
+	released, _, _, box := leaderWithOneTask(t)
 	released.machines.Released["m-1"] = box.Now
-	status, body = answered(released, report(1, 1))
+	status, body = answered(released, workerHeartbeat(1, 1))
 	goldentest.Equal(t, "released", body, "\x80")
 	if status != 421 {
 		t.Errorf("released: %d", status)
@@ -443,7 +444,7 @@
 
 // The kinds of aims that the settings name.
 func TestGoldenAims(t *testing.T) {
-	d, _ := leader()
+	d, _ := newLeader()
 	d.state.Settings.Deployment.Objectives = []settings.Objective{
 		{Kind: "wait", Class: "c", WithinS: 5},
 		{Kind: "finished", Class: "c", WithinS: 300},
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -13,7 +13,7 @@
 
 // BenchmarkHeartbeat handles a heartbeat of eight running tasks that changes nothing.
 func BenchmarkHeartbeat(b *testing.B) {
-	d, _, r := eightRunning()
+	d, _, r := leaderWithEightTasks()
 	for b.Loop() {
 		r.Counter++
 		d.Heartbeat(r, func(int, any) {})
@@ -23,7 +23,7 @@
 // BenchmarkChangedHeartbeat handles a heartbeat with a task that has changed and one that no record
 // has: everything is reconciled, and the response carries a command.
 func BenchmarkChangedHeartbeat(b *testing.B) {
-	d, _, r := eightRunning()
+	d, _, r := leaderWithEightTasks()
 	r.Tasks = append(slices.Clone(r.Tasks), unassignedTask)
 	waiting := slices.Clone(r.Tasks)
 	waiting[0].Status = protocol.TaskWaiting
@@ -35,23 +35,23 @@
 	}
 }
 
-// queued is a mailbox whose messages wait until the test lets them through.
-type queued struct {
+// queuedMailbox is a mailbox whose messages wait until the test lets them through.
+type queuedMailbox struct {
 	actortest.Still
 	waiting []func()
 }
 
-func (q *queued) Post(message func()) { q.waiting = append(q.waiting, message) }
+func (q *queuedMailbox) Post(message func()) { q.waiting = append(q.waiting, message) }
 
 // A heartbeat that has waited for longer than its worker does is refused without being
 // looked at: it says nothing of now, and it doesn't count as responded to.
 func TestHeartbeatsThatWaitedTooLongAreRefused(t *testing.T) {
-	d, box := leader()
-	q := &queued{Still: *box}
+	d, box := newLeader()
+	q := &queuedMailbox{Still: *box}
 	d.state.Mailbox = q
 	heartbeat := func(counter int64, wait clock.Micros) int {
 		got := 0
-		d.Heartbeat(report(1, counter), func(status int, _ any) { got = status })
+		d.Heartbeat(workerHeartbeat(1, counter), func(status int, _ any) { got = status })
 		q.Now += wait
 		d.state.FreshAt, d.state.Term.ValidUntil = q.Now, q.Now+4*clock.Second
 		for _, message := range q.waiting {
@@ -73,7 +73,7 @@
 // A leader that was just elected knows of no cancellation before it has read the
 // records, however long an earlier one might have responded, on a young process too.
 func TestNothingIsKeptAliveBeforeRecordsAreRead(t *testing.T) {
-	d, box := leader()
+	d, box := newLeader()
 	for _, now := range []clock.Micros{clock.Second, 100 * clock.Second} {
 		box.Now = now
 		d.state.BegunAt, d.state.FreshAt, d.state.Loaded = now, 0, false
@@ -88,30 +88,31 @@
 	}
 }
 
-// lists is a key-value store that has no records, and keeps its response until the test asks.
-type lists struct {
+// emptyStore is a key-value store that has no records, and keeps its response until the test asks.
+type emptyStore struct {
 	storetest.Service
 	respond func()
 }
 
-func (l *lists) List(_, _ string, done func(storetest.Reply[protocol.ItemList])) {
+func (l *emptyStore) List(_, _ string, done func(storetest.Reply[protocol.ItemList])) {
 	l.respond = func() { done(storetest.Reply[protocol.ItemList]{Status: 200}) }
 }
 
-func (l *lists) Follow(string, int64, clock.Micros, func(storetest.Reply[protocol.FollowAnswer])) {}
+func (l *emptyStore) Follow(string, int64, clock.Micros, func(storetest.Reply[protocol.FollowAnswer])) {
+}
 
 // Heartbeats that come while a new leader reads its records are responded to once it has, or
 // refused when that takes long: sent round the other nodes at once, all workers would
 // be back a second later with new connections.
 func TestEarlyHeartbeatsWaitForRecords(t *testing.T) {
 	for _, read := range []bool{true, false} {
-		d, _ := leader()
-		store := &lists{}
+		d, _ := newLeader()
+		store := &emptyStore{}
 		useStore(d, store)
 		d.state.Loaded, d.state.FreshAt, d.heartbeats.Deferring = false, 0, true
 		d.reader.Load()
 		status := 0
-		d.Heartbeat(report(1, 1), func(s int, _ any) { status = s })
+		d.Heartbeat(workerHeartbeat(1, 1), func(s int, _ any) { status = s })
 		if status != 0 {
 			t.Fatalf("status %d before the records are read, want none", status)
 		}
@@ -129,7 +130,7 @@
 		if status != want {
 			t.Fatalf("records read %v: status %d, want %d", read, status, want)
 		}
-		d.Heartbeat(report(1, 2), func(s int, _ any) { status = -s })
+		d.Heartbeat(workerHeartbeat(1, 2), func(s int, _ any) { status = -s })
 		if status != -want {
 			t.Fatalf("records read %v: the next gets %d, want %d", read, -status, want)
 		}
--- /dev/null
+++ b/internal/leader/helpers_test.go
@@ -0,0 +1,88 @@
+package leader
+
+import (
+	"testing"
+
+	"postpoint/internal/actor/actortest"
+	"postpoint/internal/clock"
+	"postpoint/internal/leader/jobtable"
+	"postpoint/internal/leader/machinetable"
+	"postpoint/internal/leader/term"
+	"postpoint/internal/ledger"
+	"postpoint/internal/protocol"
+	"postpoint/internal/settings"
+	"postpoint/internal/statestore/storetest"
+)
+
+// newLeader returns a leader that has read its records, in epoch 7.
+func newLeader() (*Leader, *actortest.Still) {
+	box := &actortest.Still{Now: 100 * clock.Second}
+	set := &settings.Settings{}
+	set.Deployment.Workers = settings.Workers{ReportS: 2, LeaseS: 12, GangPeerS: 4, CancelS: 30}
+	set.Deployment.State = settings.State{Rps: 100, WriteRps: 40, ValueKb: 8, TxnOps: 5}
+	d := New(box, nil, nil, nil, set, func(int64) {}, func() {}, nil, nil)
+	d.state.Term.Epoch, d.state.BegunAt = 7, box.Now
+	d.state.Term.RenewedAt, d.state.Term.ValidUntil = box.Now, box.Now+4*clock.Second
+	d.jobs.ByID, d.jobs.Malformed = map[string]*jobtable.Job{}, map[string]bool{}
+	d.jobs.FinalVersions, d.jobs.StrayShards = map[string]int64{}, map[string]int64{}
+	d.machines.ByName, d.machines.Released = map[string]*machinetable.Machine{}, map[string]clock.Micros{}
+	d.state.Random = term.NewRandom(7)
+	d.state.Loaded, d.state.FreshAt, d.steps.Pending = true, box.Now, true
+	return d, box
+}
+
+// useStore gives all components a key-value store that responds as the service does.
+func useStore(l *Leader, service storetest.Service) {
+	store := storetest.Client(service)
+	l.catalogue.Store = store
+	l.reader.Store = store
+	l.writer.Store = store
+	l.origin.Store = store
+	l.host.Store = store
+	l.zones.Store = store
+}
+
+// leaderWithOneTask returns a leader that has committed one task to machine m-1 in its session 1.
+func leaderWithOneTask(t *testing.T) (*Leader, *jobtable.Job, *machinetable.Machine, *actortest.Still) {
+	t.Helper()
+	d, box := newLeader()
+	content := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 1}, 1)
+	content.NextAttempt = 2
+	content.Placed[0] = ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1}
+	d.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
+	return d, d.jobs.ByID["job-1"], d.machines.ByName["m-1"], box
+}
+
+// workerHeartbeat returns a heartbeat of machine m-1, whose agent knows of epoch 7.
+func workerHeartbeat(session, counter int64, tasks ...protocol.TaskReport) protocol.Report {
+	return protocol.Report{
+		Machine: "m-1",
+		Address: "m-1:1",
+		Session: session,
+		Counter: counter,
+		Epoch:   7,
+		Tasks:   tasks,
+	}
+}
+
+// leaderWithEightTasks returns a leader that has heard of a job's eight tasks where they are placed,
+// and the heartbeat that said so.
+func leaderWithEightTasks() (*Leader, *jobtable.Job, protocol.Report) {
+	d, _ := newLeader()
+	content := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 8}, 1)
+	r := workerHeartbeat(1, 0)
+	for task := range 8 {
+		content.Placed[task] = ledger.Placement{Task: task, Attempt: 1, Machine: "m-1", Session: 1}
+		r.Tasks = append(r.Tasks, protocol.TaskReport{
+			Task:    protocol.TaskName("job-1", task),
+			Attempt: 1,
+			Status:  protocol.TaskRunning,
+		})
+	}
+	d.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
+	for range 2 {
+		r.Counter++
+		d.Heartbeat(r, func(int, any) {})
+	}
+	return d, d.jobs.ByID["job-1"], r
+}
--- a/internal/leader/machines_test.go
+++ b/internal/leader/machines_test.go
@@ -13,7 +13,7 @@
 // A machine on which tasks take twice as long as elsewhere is told from others
 // after a few runs, though all estimates are wrong, and recovers when it does.
 func TestSlowMachinesAreToldFromOthers(t *testing.T) {
-	d, j, slow, _ := one(t)
+	d, j, slow, _ := leaderWithOneTask(t)
 	j.Spec.EstimateS, j.Spec.Class = 10, "c"
 	d.objectives.NoteArrival(&j.Spec)
 	other := d.machines.GetOrAdd("m-2")
@@ -44,7 +44,7 @@
 // A placement read back for a machine that was released meanwhile is gone with it:
 // nothing will ever be heard of that machine again.
 func TestPlacementsOnReleasedMachinesAreReleased(t *testing.T) {
-	d, j, _, box := one(t)
+	d, j, _, box := leaderWithOneTask(t)
 	old := j.Encode()
 	d.machines.Released["m-1"] = box.Now
 	delete(d.machines.ByName, "m-1")
@@ -56,7 +56,7 @@
 	}
 	// What is still heard of it is outdated, and brings nothing back.
 	status := 0
-	d.Heartbeat(report(1, 7), func(s int, _ any) { status = s })
+	d.Heartbeat(workerHeartbeat(1, 7), func(s int, _ any) { status = s })
 	if status != http.StatusMisdirectedRequest || d.machines.ByName["m-1"] != nil {
 		t.Fatalf("status %d, known %v; want 421 and false", status, d.machines.ByName["m-1"] != nil)
 	}
--- a/internal/leader/objectives_test.go
+++ b/internal/leader/objectives_test.go
@@ -12,7 +12,7 @@
 // minutes in which every job is to start. A class that must start sooner than a machine boots has no
 // other than that.
 func TestNextStartObjectiveSetsSlack(t *testing.T) {
-	d, j, _, box := one(t)
+	d, j, _, box := leaderWithOneTask(t)
 	box.Now = 1000 * clock.Second
 	d.catalogue.Types = []protocol.MachineType{{Name: "t", BootS: 30, FetchGBPerS: 0.25}}
 	d.state.Settings.Deployment.Objectives = []settings.Objective{
--- a/internal/leader/reconciler_test.go
+++ b/internal/leader/reconciler_test.go
@@ -10,19 +10,19 @@
 	"postpoint/internal/protocol"
 )
 
-// firstAttempt is the attempt that one places.
+// firstAttempt is the attempt that leaderWithOneTask places.
 var firstAttempt = machinetable.AttemptRef{Job: "job-1", Task: 0, Attempt: 1}
 
-// taskOfOne is the task that one places, as a heartbeat lists it.
+// taskOfOne is the task that leaderWithOneTask places, as a heartbeat lists it.
 func taskOfOne(status, cause string) protocol.TaskReport {
 	return protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: status, Cause: cause}
 }
 
 // A heartbeat that is older than one observed already proves nothing, however late it arrives.
 func TestOutdatedHeartbeatsAreIgnored(t *testing.T) {
-	d, j, m, _ := one(t)
-	d.reconciler.Observe(m, report(1, 9, taskOfOne(protocol.TaskRunning, "")))
-	d.reconciler.Observe(m, report(1, 4, taskOfOne(protocol.TaskExited, protocol.CauseError)))
+	d, j, m, _ := leaderWithOneTask(t)
+	d.reconciler.Observe(m, workerHeartbeat(1, 9, taskOfOne(protocol.TaskRunning, "")))
+	d.reconciler.Observe(m, workerHeartbeat(1, 4, taskOfOne(protocol.TaskExited, protocol.CauseError)))
 	if len(j.Placed) != 1 || m.Counter != 9 {
 		t.Fatalf("placements %v, counter %d after an outdated heartbeat; want the placement and 9",
 			j.Placed, m.Counter)
@@ -33,11 +33,11 @@
 // placement, even if the task is to be stopped; it is started and stopped instead. A
 // cancelled job's isn't: nothing of it may start any more, and the placement is kept.
 func TestAbsenceProvesNothingWhileStartMayArrive(t *testing.T) {
-	d, j, m, _ := one(t)
-	d.reconciler.Observe(m, report(1, 1))
+	d, j, m, _ := leaderWithOneTask(t)
+	d.reconciler.Observe(m, workerHeartbeat(1, 1))
 	m.Deliveries[firstAttempt] = &machinetable.StartDelivery{OutcomeUnknown: true}
 	j.Stops[0] = jobtable.StopRequest{Reason: "room"}
-	d.reconciler.Observe(m, report(1, 2))
+	d.reconciler.Observe(m, workerHeartbeat(1, 2))
 	if len(j.Placed) != 1 {
 		t.Fatal("the placement was released, want it kept")
 	}
@@ -51,7 +51,7 @@
 		t.Fatalf("commands %v, placements %v of a cancelled job; want none, and the placement", commands, j.Placed)
 	}
 	m.Deliveries[firstAttempt] = &machinetable.StartDelivery{}
-	d.reconciler.Observe(m, report(1, 3))
+	d.reconciler.Observe(m, workerHeartbeat(1, 3))
 	if len(j.Placed) != 0 {
 		t.Fatalf("placements %v though no start can arrive, want none", j.Placed)
 	}
@@ -60,18 +60,18 @@
 // Once a machine's lease has certainly expired, heartbeats of that incarnation, held up
 // somewhere, don't bring it back; the next incarnation does.
 func TestExpiredIncarnationsStayExpired(t *testing.T) {
-	d, j, m, box := one(t)
-	d.reconciler.Observe(m, report(1, 1, taskOfOne(protocol.TaskRunning, "")))
+	d, j, m, box := leaderWithOneTask(t)
+	d.reconciler.Observe(m, workerHeartbeat(1, 1, taskOfOne(protocol.TaskRunning, "")))
 	box.Now += 60 * clock.Second
 	d.health.ExpireLeases()
 	if !m.LeaseExpired || len(j.Placed) != 0 {
 		t.Fatalf("expired %v, placements %v; want true and none", m.LeaseExpired, j.Placed)
 	}
-	d.reconciler.Observe(m, report(1, 8))
+	d.reconciler.Observe(m, workerHeartbeat(1, 8))
 	if !m.LeaseExpired || d.machines.EpochAcknowledged(m) {
 		t.Fatal("an expired incarnation came back")
 	}
-	d.reconciler.Observe(m, report(2, 9))
+	d.reconciler.Observe(m, workerHeartbeat(2, 9))
 	if m.LeaseExpired || !d.machines.EpochAcknowledged(m) {
 		t.Fatal("the next incarnation isn't taken")
 	}
@@ -80,9 +80,9 @@
 // An incarnation begins with a lease that nobody renewed: a machine just heard of
 // for the first time isn't expired, though no heartbeat of it was ever responded to.
 func TestIncarnationBeginsWithLease(t *testing.T) {
-	d, j, m, box := one(t)
+	d, j, m, box := leaderWithOneTask(t)
 	box.Now += 60 * clock.Second
-	d.reconciler.Observe(m, report(1, 1, taskOfOne(protocol.TaskRunning, "")))
+	d.reconciler.Observe(m, workerHeartbeat(1, 1, taskOfOne(protocol.TaskRunning, "")))
 	d.health.ExpireLeases()
 	if m.LeaseExpired || len(j.Placed) != 1 {
 		t.Fatalf("expired %v, placements %v; want the lease that the incarnation began with to count",
@@ -93,11 +93,11 @@
 // A machine that loses its lease though its heartbeats are responded to doesn't hear: it gets
 // no more work until an incarnation outlasts its first lease, and goes the second time.
 func TestMachinesThatLoseResponsesGetNoWork(t *testing.T) {
-	d, _, m, box := one(t)
+	d, _, m, box := leaderWithOneTask(t)
 	d.catalogue.ByName["t"] = protocol.MachineType{Name: "t", Cpus: 8}
 	usable := func() bool { _, ok := d.snapshots.PlannedMachine(m, box.Now); return ok }
 	heartbeat := func(incarnation, counter int64) {
-		r := report(incarnation, counter)
+		r := workerHeartbeat(incarnation, counter)
 		r.Type = "t"
 		d.Heartbeat(r, func(int, any) {})
 	}
@@ -132,9 +132,9 @@
 // releases no placement by what it lacks, and the machine gets no work: only a heartbeat
 // that carries the leader's epoch is known to be of its time.
 func TestHeartbeatsOfOlderEpochsProveNoAbsence(t *testing.T) {
-	d, j, m, box := one(t)
+	d, j, m, box := leaderWithOneTask(t)
 	d.catalogue.ByName["t"] = protocol.MachineType{Name: "t", Cpus: 8}
-	old := report(1, 5)
+	old := workerHeartbeat(1, 5)
 	old.Epoch, old.Type = 6, "t"
 	j.Status = protocol.StatusCancelled
 	d.Heartbeat(old, func(int, any) {})
--- a/internal/leader/recordfixtures_test.go
+++ b/internal/leader/recordfixtures_test.go
@@ -14,34 +14,34 @@
 	"postpoint/internal/statestore/storetest"
 )
 
-// commits is a key-value store that keeps transactions until the test responds to the last.
-type commits struct {
+// fakeStore is a key-value store that keeps transactions until the test responds to the last.
+type fakeStore struct {
 	storetest.Service
 	txns   []protocol.Txn
 	answer func(storetest.Reply[protocol.TxnAnswer])
 }
 
-func (c *commits) Commit(_ statestore.Use, t protocol.Txn, done func(storetest.Reply[protocol.TxnAnswer])) {
+func (c *fakeStore) Commit(_ statestore.Use, t protocol.Txn, done func(storetest.Reply[protocol.TxnAnswer])) {
 	c.txns, c.answer = append(c.txns, t), done
 }
 
-func (c *commits) last() protocol.Txn { return c.txns[len(c.txns)-1] }
+func (c *fakeStore) last() protocol.Txn { return c.txns[len(c.txns)-1] }
 
-// readableCommits keeps transactions like commits, and responds to reads at once.
-type readableCommits struct {
-	commits
+// readableStore keeps transactions like fakeStore, and responds to reads at once.
+type readableStore struct {
+	fakeStore
 	items []protocol.Item // of lists
 	down  bool            // for lists
 	item  protocol.Item   // of single reads
 	reads int
 }
 
-func (c *readableCommits) Get(_ string, done func(storetest.Reply[protocol.Item])) {
+func (c *readableStore) Get(_ string, done func(storetest.Reply[protocol.Item])) {
 	c.reads++
 	done(storetest.Reply[protocol.Item]{Status: http.StatusOK, Value: c.item})
 }
 
-func (c *readableCommits) List(_, _ string, done func(storetest.Reply[protocol.ItemList])) {
+func (c *readableStore) List(_, _ string, done func(storetest.Reply[protocol.ItemList])) {
 	if c.down {
 		done(storetest.Reply[protocol.ItemList]{Status: http.StatusServiceUnavailable})
 		return
@@ -70,6 +70,17 @@
 	return storetest.Reply[protocol.TxnAnswer]{}
 }
 
+// resultOf returns the typed result of a transaction to which the store replies as given.
+func resultOf(reply storetest.Reply[protocol.TxnAnswer]) statestore.Result[statestore.Revision] {
+	var result statestore.Result[statestore.Revision]
+	store := &fakeStore{}
+	client := storetest.Client(store)
+	client.Commit(statestore.ForLeadership, protocol.Txn{},
+		func(r statestore.Result[statestore.Revision]) { result = r })
+	store.answer(reply)
+	return result
+}
+
 // commitAfterPause commits without waiting for the end of a pause.
 func commitAfterPause(l *Leader) {
 	l.writer.PauseUntil = 0
@@ -78,13 +89,13 @@
 
 // tightLeader is one whose store may come to take values of 2 KiB and four changes at a time. If
 // sharding is true, every controller reads sharded records.
-func tightLeader(sharding bool) (*Leader, *commits) {
-	l, _ := leader()
+func tightLeader(sharding bool) (*Leader, *fakeStore) {
+	l, _ := newLeader()
 	valueKb, txnOps := 2.0, 4
 	l.state.Settings.Deployment.State = settings.State{Rps: 100, WriteRps: 40, ValueKb: 32, TxnOps: 12,
 		Next: &settings.NextState{ValueKb: &valueKb, TxnOps: &txnOps}}
 	l.state.Format = rollout.Status{Open: sharding}
-	store := &commits{}
+	store := &fakeStore{}
 	useStore(l, store)
 	return l, store
 }
@@ -106,7 +117,7 @@
 }
 
 // shardedArray is a leader with a sharded array, its first task placed on m-1.
-func shardedArray(t *testing.T) (*Leader, *commits, *jobtable.Job) {
+func shardedArray(t *testing.T) (*Leader, *fakeStore, *jobtable.Job) {
 	t.Helper()
 	l, store := tightLeader(true)
 	content := ledger.New(arraySpec("job-1", 250), 1)
--- a/internal/leader/reserve_test.go
+++ b/internal/leader/reserve_test.go
@@ -25,7 +25,7 @@
 
 // Room for replicas is reserved on machines that cost about as little as any.
 func TestReplicasGetCheapMachineTypes(t *testing.T) {
-	d, _, _ := service(t)
+	d, _, _ := leaderWithService(t)
 	useReplicaTypes(d)
 	for _, c := range []struct {
 		cpus float64
@@ -44,7 +44,7 @@
 // Room for replicas is reserved for the jobs that are submitted while a machine boots, and for the
 // loss of the machine with most replicas.
 func TestReplicaReserveCoversArrivalsAndALostMachine(t *testing.T) {
-	d, _, m := service(t)
+	d, _, m := leaderWithService(t)
 	useReplicaTypes(d)
 	for _, c := range []struct {
 		name                  string
@@ -71,7 +71,7 @@
 // Room for replicas is reserved behind everything that is pending, whatever the rank of the service:
 // jobs of lower ranks were left pending beside empty machines that were reserved.
 func TestReplicaReserveComesAfterAllPendingJobs(t *testing.T) {
-	d, _, _ := service(t)
+	d, _, _ := leaderWithService(t)
 	spec := protocol.JobSpec{ID: "job-2", Shape: protocol.ShapeArray, Rank: "idle", Tasks: 3}
 	d.reader.Adopt(ledger.Key("job-2"), ledger.New(spec, 1).Encode(), 6)
 	reserves, lowest := 0, 0
--- a/internal/leader/scaleout_test.go
+++ b/internal/leader/scaleout_test.go
@@ -13,8 +13,8 @@
 	"postpoint/internal/protocol"
 )
 
-// cloudStub keeps requests until the test responds to them.
-type cloudStub struct {
+// fakeCloud keeps requests until the test responds to them.
+type fakeCloud struct {
 	cloudtest.Service
 	scaleOuts   []protocol.Rental
 	scaledOut   []func(int, protocol.RentalAnswer)
@@ -24,15 +24,15 @@
 	releaseSets [][]string
 }
 
-func (s *cloudStub) Rent(r protocol.Rental, _ clock.Micros, done func(int, protocol.RentalAnswer)) {
+func (s *fakeCloud) Rent(r protocol.Rental, _ clock.Micros, done func(int, protocol.RentalAnswer)) {
 	s.scaleOuts, s.scaledOut = append(s.scaleOuts, r), append(s.scaledOut, done)
 }
 
-func (s *cloudStub) Release(machines []string, _ clock.Micros, done func(int)) {
+func (s *fakeCloud) Release(machines []string, _ clock.Micros, done func(int)) {
 	s.releaseSets, s.scaledIn = append(s.releaseSets, machines), append(s.scaledIn, done)
 }
 
-func (s *cloudStub) List(from string, done func(int, protocol.MachineList)) {
+func (s *fakeCloud) List(from string, done func(int, protocol.MachineList)) {
 	s.pages, s.listed = append(s.pages, from), append(s.listed, done)
 }
 
@@ -47,12 +47,12 @@
 }
 
 // scalingLeader returns a leader whose cloud has one machine type, in one zone.
-func scalingLeader() (*Leader, *cloudStub, *delayedMailbox) {
-	d, box := leader()
+func scalingLeader() (*Leader, *fakeCloud, *delayedMailbox) {
+	d, box := newLeader()
 	mailbox := &delayedMailbox{Still: box}
 	d.state.Mailbox = mailbox
-	stub := &cloudStub{}
-	d.autoscaler.Cloud = stub
+	stub := &fakeCloud{}
+	d.autoscaler.Cloud = cloudtest.Client(stub)
 	d.catalogue.Published = func([]protocol.MachineType) {}
 	d.catalogue.Replace([]protocol.MachineType{{
 		Name: "t", Zones: []string{"a"}, Cpus: 8, MemoryGB: 32, Price: 1, SpotPrice: 1, BootS: 30,
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -11,17 +11,17 @@
 	"postpoint/internal/protocol"
 )
 
-// service returns a leader with a service of three replicas, the first of which runs on m-1.
-func service(t *testing.T) (*Leader, *jobtable.Job, *machinetable.Machine) {
+// leaderWithService returns a leader with a service of three replicas, the first of which runs on m-1.
+func leaderWithService(t *testing.T) (*Leader, *jobtable.Job, *machinetable.Machine) {
 	t.Helper()
-	d, _ := leader()
+	d, _ := newLeader()
 	content := ledger.New(protocol.JobSpec{
 		ID: "job-1", Class: "portal", Shape: protocol.ShapeService, Rank: "prod", Tasks: 3,
 	}, 1)
 	content.Placed[0] = ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1}
 	d.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
 	running := protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskRunning}
-	d.reconciler.Observe(d.machines.ByName["m-1"], report(1, 1, running))
+	d.reconciler.Observe(d.machines.ByName["m-1"], workerHeartbeat(1, 1, running))
 	return d, d.jobs.ByID["job-1"], d.machines.ByName["m-1"]
 }
 
@@ -32,9 +32,9 @@
 		protocol.CauseDone, protocol.CauseError, protocol.CausePeers, protocol.CauseStopped, "unheard of",
 	}
 	for _, cause := range causes {
-		d, j, m := service(t)
+		d, j, m := leaderWithService(t)
 		exited := protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskExited, Cause: cause}
-		d.reconciler.Observe(m, report(1, 2, exited))
+		d.reconciler.Observe(m, workerHeartbeat(1, 2, exited))
 		if j.Final() || j.Done.Len() > 0 || len(j.Placed) > 0 || j.NextAttempt < 2 {
 			t.Errorf("%s: final %v, done %q, placed %v, next attempt %d, want a service with nothing done or "+
 				"placed and a next attempt of 2 at least", cause, j.Final(), j.Done.String(), j.Placed, j.NextAttempt)
@@ -52,7 +52,7 @@
 // A replica that ends soon after each start waits longer each time, within bounds, and alone: the
 // others start at once. After a good run it starts at once again.
 func TestReplicaThatEndsAtOnceBacksOff(t *testing.T) {
-	d, j, m := service(t)
+	d, j, m := leaderWithService(t)
 	p := ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1}
 	end := func(ran clock.Micros) clock.Micros {
 		d.reconciler.ReplicaEnded(m, j, p, protocol.CauseError, ran)
@@ -92,7 +92,7 @@
 // The end of a replica, done or not, isn't forgotten in the term that started it, even after the
 // service is over: a late copy of the start command would run it again.
 func TestEndsOfReplicasAreRemembered(t *testing.T) {
-	d, j, m := service(t)
+	d, j, m := leaderWithService(t)
 	d.jobs.AddPlacement(j, ledger.Placement{Task: 1, Attempt: 1, Machine: "m-1", Session: 1})
 	j.StoredCount = j.ChangeCount
 	m.Steady = false
@@ -106,7 +106,7 @@
 
 // The version before noted ends of a service's tasks in its record. None of them counts.
 func TestServiceRecordOfFormerVersionHasNothingDone(t *testing.T) {
-	d, _ := leader()
+	d, _ := newLeader()
 	raw := protocol.Encode(map[string]any{
 		"spec": protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeService, Tasks: 2},
 		"at":   1,
@@ -124,7 +124,7 @@
 // Replicas on a machine that the cloud takes back move one at a time, and none while another isn't
 // placed again.
 func TestReplicasMoveOneAtATime(t *testing.T) {
-	d, j, m := service(t)
+	d, j, m := leaderWithService(t)
 	for task := 1; task < 3; task++ {
 		d.jobs.AddPlacement(j, ledger.Placement{Task: task, Attempt: 1, Machine: "m-1", Session: 1})
 	}
@@ -151,7 +151,7 @@
 // don't respond, well before their leases expire. It doesn't if it hears of hardly any machine.
 func TestUnheardMachinesWithReplicasAreProbedThenReleased(t *testing.T) {
 	for _, others := range []int{0, 4} {
-		d, box := leader()
+		d, box := newLeader()
 		spec := protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeService, Rank: "prod", Tasks: 4}
 		content := ledger.New(spec, 1)
 		for task, machine := range []string{"m-1", "m-2", "m-3", "m-4"} {
@@ -180,7 +180,7 @@
 // spread service whose other half fills the zone that is left.
 func TestMachinesStayIfReplicasCanRunNowhereElse(t *testing.T) {
 	for _, spread := range []bool{false, true} {
-		d, box := leader()
+		d, box := newLeader()
 		content := ledger.New(protocol.JobSpec{
 			ID: "job-1", Shape: protocol.ShapeService, Rank: "prod", Tasks: 4, Spread: spread,
 		}, 1)
--- a/internal/leader/sharding_test.go
+++ b/internal/leader/sharding_test.go
@@ -149,7 +149,7 @@
 // refused for ever.
 func TestStrayShardsAreRemovedBeforeShardingAgain(t *testing.T) {
 	l, _ := tightLeader(true)
-	store := &readableCommits{}
+	store := &readableStore{}
 	useStore(l, store)
 	l.reader.Adopt(ledger.Key("job-1"), wideArray().Encode(), 5)
 	j := l.jobs.ByID["job-1"]
--- a/internal/leader/snapshot_test.go
+++ b/internal/leader/snapshot_test.go
@@ -28,7 +28,7 @@
 			d.state.Settings.Deployment.Teams = []settings.Team{{Name: "a", Cpus: 1}}
 		}, 20},
 	} {
-		d, _, _ := eightRunning()
+		d, _, _ := leaderWithEightTasks()
 		c.change(d)
 		d.state.Mailbox.(*actortest.Still).Now += 20 * clock.Second
 		for _, j := range d.snapshots.Snapshot().Jobs {
@@ -43,7 +43,7 @@
 
 // Replicas aren't taken for work of their team beyond its guarantee, which others' guarantees end.
 func TestReplicasAreNeverOverQuota(t *testing.T) {
-	d, _, _ := service(t)
+	d, _, _ := leaderWithService(t)
 	s := d.snapshots.Snapshot()
 	snapshots.MarkOverQuota(&s)
 	for _, j := range s.Jobs {
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -15,10 +15,10 @@
 )
 
 // saveLostZone returns a leader that has sent the record of a lost zone.
-func saveLostZone(t *testing.T) (*Leader, *zonetracker.Zone, *commits, *actortest.Still) {
+func saveLostZone(t *testing.T) (*Leader, *zonetracker.Zone, *fakeStore, *actortest.Still) {
 	t.Helper()
-	l, box := leader()
-	store := &commits{}
+	l, box := newLeader()
+	store := &fakeStore{}
 	useStore(l, store)
 	z := &zonetracker.Zone{
 		Zone:    &recovery.Zone{Name: "a", Phase: recovery.Lost, Number: 1, Since: 90 * clock.Second},
@@ -36,7 +36,7 @@
 // isn't stored.
 func TestZonesAreSavedWhenTheirPhasesChange(t *testing.T) {
 	l, z, store, _ := saveLostZone(t)
-	store.answer(committed(6))
+	store.answer(committedAt(6))
 	l.zones.SaveZones()
 	z.Phase = recovery.Suspect
 	l.zones.SaveZones()
@@ -55,12 +55,12 @@
 	for name, response := range map[string]storetest.Reply[protocol.TxnAnswer]{
 		"no response":     {},
 		"server failure":  {Status: http.StatusInternalServerError},
-		"another version": conflict(recovery.Key("a")),
+		"another version": conflictOn(recovery.Key("a")),
 	} {
 		l, _, store, box := saveLostZone(t)
 		store.answer(response)
 		box.Now += term.RetryDelay
-		useStore(l, &oneKey{store, protocol.Item{Version: 9}, http.StatusOK})
+		useStore(l, &singleKeyStore{store, protocol.Item{Version: 9}, http.StatusOK})
 		l.zones.SaveZones()
 		if len(store.txns) != 1 {
 			t.Errorf("%s: got %+v, want a read before another transaction", name, store.txns)
@@ -94,7 +94,7 @@
 	l, _, store, _ := saveLostZone(t)
 	deposedBy := int64(0)
 	l.state.Deposed = func(epoch int64) { deposedBy = epoch }
-	store.answer(conflict(leadership.Key, recovery.Key("a")))
+	store.answer(conflictOn(leadership.Key, recovery.Key("a")))
 	if deposedBy != 8 {
 		t.Errorf("got deposed by epoch %d, want 8", deposedBy)
 	}
