--- a/cmd/loadtool/cellsday.go
+++ b/cmd/loadtool/cellsday.go
@@ -81,8 +81,8 @@
 	s := &settings.Settings{}
 	s.Deployment = settings.Deployment{
 		Teams:         []settings.Team{{Name: "open"}},
-		Workers:       settings.Workers{ReportS: 2.5, LeaseS: 16, GangWaitS: 40, GangPeerS: 5, CancelS: 36},
-		State:         settings.State{Rps: 100, WriteRps: 30, ValueKb: 32, TxnOps: 12},
+		Workers:       settings.Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 40, GangPeerS: 5, CancelS: 36},
+		KVStore:       settings.KVStore{Rps: 100, WriteRps: 30, ValueKb: 32, TxnOps: 12},
 		Cloud:         settings.Cloud{Rps: 8, ListLagS: 4},
 		MachineLimits: settings.MachineLimits{CPU: 0.1},
 	}
@@ -148,7 +148,7 @@
 	number := len(*jobs)
 	spec := protocol.JobSpec{
 		ID: fmt.Sprintf("job-%06d", number), Class: "array", Team: "open",
-		Shape: protocol.ShapeArray, Rank: "normal", Tasks: 8, Cpus: 2, MemoryGB: 2, Image: "i", ImageGB: 1, Spot: true, EstimateS: jobDuration.Seconds(),
+		Shape: protocol.ShapeArray, Priority: "normal", Tasks: 8, Cpus: 2, MemoryGB: 2, Image: "i", ImageGB: 1, Spot: true, EstimateS: jobDuration.Seconds(),
 	}
 	if number%gangEvery == gangEvery-1 {
 		spec.Class, spec.Shape, spec.Tasks = "gang", protocol.ShapeGang, 4
@@ -182,18 +182,18 @@
 func (s *cellsSimulation) measure() {
 	day := &s.day
 	for _, j := range s.jobs {
-		day.starts = append(day.starts, j.Began().Seconds())
-		day.ends = append(day.ends, j.Ended().Seconds())
-		if j.Told() != protocol.StatusDone {
+		day.starts = append(day.starts, j.StartDelay().Seconds())
+		day.ends = append(day.ends, j.CompletionDelay().Seconds())
+		if j.FinalStatus() != protocol.StatusDone {
 			day.unfinished++
 		}
 	}
 	if !s.variant.loseBeta {
 		for _, j := range s.otherJobs {
-			day.otherStarts = append(day.otherStarts, j.Began().Seconds())
+			day.otherStarts = append(day.otherStarts, j.StartDelay().Seconds())
 		}
 	}
 	day.elsewhere, day.runs = s.history.Elsewhere()
-	day.delegations, day.jobs, day.changes = s.alpha.Delegations(), len(s.jobs), s.alpha.State.Changes
-	day.wrong, day.broken = len(s.history.Judge(s.jobs)), len(s.world.Broken)
+	day.delegations, day.jobs, day.changes = s.alpha.Delegations(), len(s.jobs), s.alpha.Store.Changes
+	day.wrong, day.broken = len(s.history.Judge(s.jobs)), len(s.world.Violations)
 }
--- a/cmd/postpoint/main.go
+++ b/cmd/postpoint/main.go
@@ -101,7 +101,7 @@
 	if err := options.Validate(s); err != nil {
 		return err
 	}
-	fmt.Printf("%s: node %s of %d, %d teams, %d aims\n", c.Config, s.Node, len(s.Known)+1,
+	fmt.Printf("%s: node %s of %d, %d teams, %d aims\n", c.Config, s.Node, len(s.Peers)+1,
 		len(s.Deployment.Teams), len(s.Deployment.Objectives))
 	if group := options.Cells; group != nil {
 		fmt.Printf("%s: cell %s and %d others\n", c.Cells, group.Own.Name, len(group.Others()))
--- a/internal/actor/actor_test.go
+++ b/internal/actor/actor_test.go
@@ -62,11 +62,11 @@
 func TestAfterPostsOnceDelayIsOver(t *testing.T) {
 	const delay = 20 * clock.Millisecond
 	m := New(clock.System())
-	began := m.Steady()
+	began := m.Monotonic()
 	done := make(chan struct{})
 	var at clock.Micros
 	m.After(delay, func() {
-		at = m.Steady()
+		at = m.Monotonic()
 		close(done)
 	})
 	wait(t, done)
--- a/internal/actor/actortest/actortest.go
+++ b/internal/actor/actortest/actortest.go
@@ -6,11 +6,11 @@
 // Still handles messages in place, at a time that the test sets; delayed messages never come.
 type Still struct{ Now clock.Micros }
 
-// Steady returns the time that the test has set.
-func (s *Still) Steady() clock.Micros { return s.Now }
+// Monotonic returns the time that the test has set.
+func (s *Still) Monotonic() clock.Micros { return s.Now }
 
-// OfDay returns the same time.
-func (s *Still) OfDay() clock.Micros { return s.Now }
+// TimeOfDay returns the same time.
+func (s *Still) TimeOfDay() clock.Micros { return s.Now }
 
 // Post handles the message at once.
 func (s *Still) Post(message func()) { message() }
@@ -25,11 +25,11 @@
 	Messages chan func()
 }
 
-// Steady returns the mailbox's instant.
-func (i Instant) Steady() clock.Micros { return i.Now }
+// Monotonic returns the mailbox's instant.
+func (i Instant) Monotonic() clock.Micros { return i.Now }
 
-// OfDay returns the same instant.
-func (i Instant) OfDay() clock.Micros { return i.Now }
+// TimeOfDay returns the same instant.
+func (i Instant) TimeOfDay() clock.Micros { return i.Now }
 
 // Post hands the message to the test.
 func (i Instant) Post(message func()) { i.Messages <- message }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -18,34 +18,34 @@
 	responseLimit = 1 << 20
 )
 
-// Sockets is how many connections the client has at the most. There are as many addresses as
+// MaxConnections is how many connections the client has at the most. There are as many addresses as
 // machines, and most of them are also connected by their heartbeats.
-const Sockets = 48
+const MaxConnections = 48
 
 // Response is the outcome of commands. Status is the worker's own status, which also comes with
 // ErrRejected; otherwise it counts only if Err is nil.
 type Response struct {
-	Status protocol.Report
+	Status protocol.Heartbeat
 	Err    error
 }
 
-// ResultAPI sends commands to workers. Callbacks run in the mailbox of the actor that asks.
+// API sends commands to workers. Callbacks run in the mailbox of the actor that asks.
 //
 // It takes the name API as soon as nobody needs the interface of that name any more.
-type ResultAPI interface {
+type API interface {
 	// Commands sends commands to the worker at an address, unless that instant has come before they
 	// leave.
-	Commands(addr string, c protocol.Commands, until clock.Micros, done func(Response))
+	Commands(addr string, c protocol.CommandRequest, until clock.Micros, done func(Response))
 }
 
 // Client bounds the process's connections to workers.
 type Client struct{ slots chan struct{} }
 
 // New returns a client without connections.
-func New() *Client { return &Client{make(chan struct{}, Sockets)} }
+func New() *Client { return &Client{make(chan struct{}, MaxConnections)} }
 
-// Results returns the interface whose results arrive in the given mailbox.
-func (c *Client) Results(m actor.Mailbox) ResultAPI { return &bound{c, m} }
+// For returns the interface whose results arrive in the given mailbox.
+func (c *Client) For(m actor.Mailbox) API { return &bound{c, m} }
 
 // bound is the client of one actor.
 type bound struct {
@@ -53,7 +53,7 @@
 	mailbox actor.Mailbox
 }
 
-func (b *bound) Commands(addr string, c protocol.Commands, until clock.Micros, done func(Response)) {
+func (b *bound) Commands(addr string, c protocol.CommandRequest, until clock.Micros, done func(Response)) {
 	request := transport.Request{Method: http.MethodPost, URL: "http://" + addr + "/commands",
 		Body: protocol.Encode(c), Timeout: timeout, ResponseLimit: responseLimit}
 	go func() {
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -36,7 +36,7 @@
 func (w *worker) command(until clock.Micros) Response {
 	box := actortest.Instant{Now: 10 * clock.Second, Messages: make(chan func())}
 	var got Response
-	New().Results(box).Commands(w.addr, protocol.Commands{Epoch: 1, Session: 1}, until,
+	New().For(box).Commands(w.addr, protocol.CommandRequest{Epoch: 1, Incarnation: 1}, until,
 		func(r Response) { got = r })
 	(<-box.Messages)()
 	return got
@@ -45,7 +45,7 @@
 // Commands leave only while the lease under which they were decided lasts, however long they waited
 // for others.
 func TestCommandsLeaveOnlyBeforeTheirDeadline(t *testing.T) {
-	w := newWorker(t, http.StatusOK, protocol.Encode(protocol.Report{Machine: "m-1"}))
+	w := newWorker(t, http.StatusOK, protocol.Encode(protocol.Heartbeat{Machine: "m-1"}))
 	for _, c := range []struct {
 		until    clock.Micros
 		err      error
@@ -60,7 +60,7 @@
 }
 
 func TestCommandOutcomeIsTyped(t *testing.T) {
-	status := protocol.Encode(protocol.Report{Machine: "m-1", Epoch: 8, Session: 2})
+	status := protocol.Encode(protocol.Heartbeat{Machine: "m-1", Epoch: 8, Incarnation: 2})
 	for _, c := range []struct {
 		status  int
 		body    []byte
--- a/internal/agent/agenttest/service_test.go
+++ b/internal/agent/agenttest/service_test.go
@@ -14,11 +14,11 @@
 // fixedWorker responds to all commands in the same way.
 type fixedWorker struct {
 	status    int
-	heartbeat protocol.Report
+	heartbeat protocol.Heartbeat
 }
 
-func (w fixedWorker) Commands(_ string, _ protocol.Commands, _ clock.Micros,
-	done func(status int, r protocol.Report)) {
+func (w fixedWorker) Commands(_ string, _ protocol.CommandRequest, _ clock.Micros,
+	done func(status int, r protocol.Heartbeat)) {
 	done(w.status, w.heartbeat)
 }
 
@@ -40,9 +40,9 @@
 
 func TestClientReturnsErrorOfEveryStatus(t *testing.T) {
 	for status := transport.NotSent; status < 1000; status++ {
-		workers := Client(fixedWorker{status, protocol.Report{Machine: "m-1", Epoch: 8, Session: 2}})
+		workers := Client(fixedWorker{status, protocol.Heartbeat{Machine: "m-1", Epoch: 8, Incarnation: 2}})
 		got := agent.Response{Err: errors.New("no outcome")}
-		workers.Commands("", protocol.Commands{}, 0, func(r agent.Response) { got = r })
+		workers.Commands("", protocol.CommandRequest{}, 0, func(r agent.Response) { got = r })
 		if statusOf(t, got.Err) != status || got.Status.Machine != "m-1" {
 			t.Errorf("status %d became %d from %q", status, statusOf(t, got.Err), got.Status.Machine)
 		}
--- a/internal/agent/errors.go
+++ b/internal/agent/errors.go
@@ -63,13 +63,13 @@
 func OutcomeUnknown(err error) bool { return err != nil && !NotExecuted(err) }
 
 // Failure returns the error that a response's status stands for, nil for success.
-func Failure(status int, worker protocol.Report) error {
+func Failure(status int, worker protocol.Heartbeat) error {
 	err := kinds.Failure(status)
 	switch {
 	case err == nil:
 		return nil
 	case err.Kind == ErrRejected:
-		return &RejectedError{Epoch: worker.Epoch, Incarnation: worker.Session}
+		return &RejectedError{Epoch: worker.Epoch, Incarnation: worker.Incarnation}
 	}
 	return err
 }
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -16,17 +16,17 @@
 func TestGoldenRequest(t *testing.T) {
 	address, requests := goldentest.Serve(t, http.StatusConflict, "\x82\xa4Host\xa3m-1\xa5Shift\x03")
 	box := actortest.Instant{Messages: make(chan func(), 1)}
-	commands := protocol.Commands{Epoch: 41, Session: 3, Orders: []protocol.Order{
+	commands := protocol.CommandRequest{Epoch: 41, Incarnation: 3, Commands: []protocol.Command{
 		{Verb: protocol.VerbStop, Task: "job-1/0", Attempt: 2, GraceS: 4},
 	}}
 	var got Response
-	New().Results(box).Commands(address, commands, clock.Second, func(r Response) { got = r })
+	New().For(box).Commands(address, commands, clock.Second, func(r Response) { got = r })
 	goldentest.Equal(t, "commands", <-requests,
 		"POST /commands\nConnection: close\nContent-Length: 67\nContent-Type: application/msgpack\n"+
 			"User-Agent: Go-http-client/1.1\n\n\x83\xa5Epoch)\xa5Shift\x03\xa6Orders\x91\x84\xa4Verb\xa4k"+
 			"ill\xa3Leg\xa7job-1/0\xa3Try\x02\xa6LeaveS\xcb@\x10\x00\x00\x00\x00\x00\x00")
 	(<-box.Messages)()
-	want := Response{Status: protocol.Report{Machine: "m-1", Session: 3}, Err: &RejectedError{Incarnation: 3}}
+	want := Response{Status: protocol.Heartbeat{Machine: "m-1", Incarnation: 3}, Err: &RejectedError{Incarnation: 3}}
 	if d := cmp.Diff(want, got); d != "" {
 		t.Error(d)
 	}
--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -9,14 +9,14 @@
 
 // ownSettings are those of a controller of cell alpha.
 func ownSettings() *settings.Settings {
-	s := &settings.Settings{Node: "worker-0", Known: []settings.Peer{{Node: "worker-1"}, {Node: "worker-2"}}}
+	s := &settings.Settings{Node: "worker-0", Peers: []settings.Peer{{Node: "worker-1"}, {Node: "worker-2"}}}
 	s.Deployment.Teams = []settings.Team{{Name: "evaluare"}}
 	s.Deployment.Workers = settings.Workers{
-		ReportS:   2.5,
-		LeaseS:    16,
-		GangWaitS: 40,
-		GangPeerS: 5,
-		CancelS:   36,
+		HeartbeatS: 2.5,
+		LeaseS:     16,
+		GangWaitS:  40,
+		GangPeerS:  5,
+		CancelS:    36,
 	}
 	return s
 }
@@ -42,24 +42,24 @@
 	if address := d.Own.Address("worker-1"); address != "10.0.0.2:8082" {
 		t.Errorf("worker-1 has address %q, want 10.0.0.2:8082", address)
 	}
-	if !d.TakesFrom("beta") {
+	if !d.AcceptsFrom("beta") {
 		t.Error("alpha hosts no jobs of beta, want it to")
 	}
 }
 
 func TestExampleFileLimitsOffloadingByClass(t *testing.T) {
 	d := exampleDirectory(t)
-	if _, ok := d.Rule("extrase", "evaluare"); !ok {
+	if _, ok := d.OffloadRule("extrase", "evaluare"); !ok {
 		t.Error("class extrase may not be offloaded, want it to be")
 	}
-	if _, ok := d.Rule("revaluare", "evaluare"); ok {
+	if _, ok := d.OffloadRule("revaluare", "evaluare"); ok {
 		t.Error("class revaluare may be offloaded, want it to stay")
 	}
 }
 
 func TestLongestPermissionOfExampleFile(t *testing.T) {
 	d := exampleDirectory(t)
-	p := LongestPermission(ownSettings().Deployment.Workers, ClearTime(d.Cell("beta").Lease))
+	p := MaxPermission(ownSettings().Deployment.Workers, ClearTime(d.Cell("beta").Lease))
 	if p.Seconds() < 10.9 || p.Seconds() > 11 {
 		t.Errorf("permission of %v s, want between 10.9 and 11", p.Seconds())
 	}
--- a/internal/cells/check.go
+++ b/internal/cells/check.go
@@ -151,7 +151,7 @@
 // permission.
 func checkPermission(field string, host *cellEntry, origin settings.Workers) error {
 	clearTime := ClearTime(clock.FromSeconds(host.LeaseS))
-	permission := LongestPermission(origin, clearTime)
+	permission := MaxPermission(origin, clearTime)
 	if permission >= MinPermission {
 		return nil
 	}
--- a/internal/cells/directory.go
+++ b/internal/cells/directory.go
@@ -22,9 +22,9 @@
 	Controllers []Controller
 	// Lease is that of its workers.
 	Lease clock.Micros
-	// Guests is the quota for hosted jobs: the most that they may use at once. Reserve is what they
+	// HostedQuota is the quota for hosted jobs: the most that they may use at once. Reserve is what they
 	// may not take of the machines that are up.
-	Guests, Reserve planner.Amounts
+	HostedQuota, Reserve planner.Resources
 	// Draining cells give back the jobs that they host, take back the tasks that they offloaded, and
 	// exchange nothing new.
 	Draining bool
@@ -41,8 +41,8 @@
 	From           string
 	Classes, Teams []string // empty: all
 	To             []string
-	// After is how long work waits in its origin cell first.
-	After clock.Micros
+	// MinWait is how long work waits in its origin cell first.
+	MinWait clock.Micros
 }
 
 // directory converts a checked file.
@@ -60,11 +60,11 @@
 
 func (e *cellEntry) cell() *Cell {
 	c := &Cell{
-		Name:     e.Name,
-		Lease:    clock.FromSeconds(e.LeaseS),
-		Draining: e.Drain,
-		Guests:   e.HostedQuota.amounts(),
-		Reserve:  e.Reserve.amounts(),
+		Name:        e.Name,
+		Lease:       clock.FromSeconds(e.LeaseS),
+		Draining:    e.Drain,
+		HostedQuota: e.HostedQuota.amounts(),
+		Reserve:     e.Reserve.amounts(),
 	}
 	for _, controller := range e.Controllers {
 		c.Controllers = append(c.Controllers, Controller(controller))
@@ -78,11 +78,13 @@
 		Classes: e.Classes,
 		Teams:   e.Teams,
 		To:      e.To,
-		After:   clock.FromSeconds(e.AfterS),
+		MinWait: clock.FromSeconds(e.AfterS),
 	}
 }
 
-func (e amountEntry) amounts() planner.Amounts { return planner.Amounts{Cpus: e.Cpus, Gpus: e.Gpus} }
+func (e amountEntry) amounts() planner.Resources {
+	return planner.Resources{Cpus: e.Cpus, Gpus: e.Gpus}
+}
 
 // Cell finds a cell by name, or nil.
 func (d *Directory) Cell(name string) *Cell {
@@ -99,9 +101,9 @@
 	return slices.DeleteFunc(slices.Clone(d.cells), func(c *Cell) bool { return c == d.Own })
 }
 
-// Rule finds the rule by which work of the controller's own cell may be offloaded. The result is
+// OffloadRule finds the rule by which work of the controller's own cell may be offloaded. The result is
 // false if it has to stay.
-func (d *Directory) Rule(class, team string) (OffloadRule, bool) {
+func (d *Directory) OffloadRule(class, team string) (OffloadRule, bool) {
 	for _, rule := range d.rules {
 		if rule.From == d.Own.Name && covers(rule.Classes, class) && covers(rule.Teams, team) {
 			return rule, true
@@ -113,8 +115,8 @@
 // covers reports whether a list, of which an empty one stands for everything, has a name.
 func covers(names []string, name string) bool { return len(names) == 0 || slices.Contains(names, name) }
 
-// TakesFrom reports whether a rule lets the controller's own cell host jobs of another one.
-func (d *Directory) TakesFrom(name string) bool {
+// AcceptsFrom reports whether a rule lets the controller's own cell host jobs of another one.
+func (d *Directory) AcceptsFrom(name string) bool {
 	return slices.ContainsFunc(d.rules, func(rule OffloadRule) bool {
 		return rule.From == name && slices.Contains(rule.To, d.Own.Name)
 	})
@@ -130,8 +132,8 @@
 	return ""
 }
 
-// Has reports whether an address is one of the cell's controllers.
-func (c *Cell) Has(address string) bool {
+// HasAddress reports whether an address is one of the cell's controllers.
+func (c *Cell) HasAddress(address string) bool {
 	return slices.ContainsFunc(c.Controllers, func(controller Controller) bool {
 		return controller.Address == address
 	})
--- a/internal/cells/golden_test.go
+++ b/internal/cells/golden_test.go
@@ -128,16 +128,16 @@
 			{Node: "worker-1", Address: "10.0.0.2:8082"},
 			{Node: "worker-2", Address: "10.0.0.3:8082"},
 		},
-		Lease:    16 * clock.Second,
-		Guests:   planner.Amounts{Cpus: 128.5, Gpus: 8},
-		Reserve:  planner.Amounts{Cpus: 16.25, Gpus: 2},
-		Draining: true,
+		Lease:       16 * clock.Second,
+		HostedQuota: planner.Resources{Cpus: 128.5, Gpus: 8},
+		Reserve:     planner.Resources{Cpus: 16.25, Gpus: 2},
+		Draining:    true,
 	}
 	beta := &Cell{
 		Name:        "beta",
 		Controllers: []Controller{{Node: "worker-0", Address: "10.1.0.1:8082"}},
 		Lease:       12_500 * clock.Millisecond,
-		Guests:      planner.Amounts{Cpus: 64, Gpus: 4},
+		HostedQuota: planner.Resources{Cpus: 64, Gpus: 4},
 	}
 	want := &Directory{
 		Own:   alpha,
@@ -147,7 +147,7 @@
 			Classes: []string{"scenarii", "extrase"},
 			Teams:   []string{"evaluare"},
 			To:      []string{"beta"},
-			After:   15_500 * clock.Millisecond,
+			MinWait: 15_500 * clock.Millisecond,
 		}},
 	}
 	if d := cmp.Diff(want, got, inside); d != "" {
@@ -168,9 +168,9 @@
 			{Node: "worker-1", Address: "10.0.0.2:8082"},
 			{Node: "worker-2", Address: "10.0.0.3:8082"},
 		},
-		Lease:   16 * clock.Second,
-		Guests:  planner.Amounts{Cpus: 128, Gpus: 8},
-		Reserve: planner.Amounts{Cpus: 16},
+		Lease:       16 * clock.Second,
+		HostedQuota: planner.Resources{Cpus: 128, Gpus: 8},
+		Reserve:     planner.Resources{Cpus: 16},
 	}
 	beta := &Cell{
 		Name: "beta",
@@ -179,8 +179,8 @@
 			{Node: "worker-1", Address: "10.1.0.2:8082"},
 			{Node: "worker-2", Address: "10.1.0.3:8082"},
 		},
-		Lease:  16 * clock.Second,
-		Guests: planner.Amounts{Cpus: 64, Gpus: 4},
+		Lease:       16 * clock.Second,
+		HostedQuota: planner.Resources{Cpus: 64, Gpus: 4},
 	}
 	want := &Directory{
 		Own:   alpha,
@@ -190,9 +190,9 @@
 				From:    "alpha",
 				Classes: []string{"scenarii", "extrase"},
 				To:      []string{"beta"},
-				After:   15 * clock.Second,
+				MinWait: 15 * clock.Second,
 			},
-			{From: "beta", To: []string{"alpha"}, After: 15 * clock.Second},
+			{From: "beta", To: []string{"alpha"}, MinWait: 15 * clock.Second},
 		},
 	}
 	if d := cmp.Diff(want, got, inside); d != "" {
--- a/internal/cells/permission.go
+++ b/internal/cells/permission.go
@@ -34,9 +34,9 @@
 // lease takes at most until nothing that needed it is on its machines.
 func ClearTime(lease clock.Micros) clock.Micros { return SilenceTime(lease) + returnTime }
 
-// LongestPermission returns how long after the moment up to which an origin cell's leader knows all
+// MaxPermission returns how long after the moment up to which an origin cell's leader knows all
 // cancellations its permissions may last, for a host cell with the given ClearTime.
-func LongestPermission(origin settings.Workers, clearTime clock.Micros) clock.Micros {
+func MaxPermission(origin settings.Workers, clearTime clock.Micros) clock.Micros {
 	return clock.FromSeconds(origin.CancelS) - clearTime - permissionMargin
 }
 
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -26,10 +26,10 @@
 
 // Clock is a machine's pair of clocks.
 type Clock interface {
-	// Steady returns the monotonic time: it never steps, and its zero has no meaning.
-	Steady() Micros
-	// OfDay returns the microseconds since 1970, with an error that the settings bound.
-	OfDay() Micros
+	// Monotonic returns the monotonic time: it never steps, and its zero has no meaning.
+	Monotonic() Micros
+	// TimeOfDay returns the microseconds since 1970, with an error that the settings bound.
+	TimeOfDay() Micros
 }
 
 // system is the pair of clocks of this machine.
@@ -38,7 +38,7 @@
 // System returns the machine's clocks.
 func System() Clock { return system{time.Now()} }
 
-// Steady starts at one second so that 0 can stand for "never".
-func (s system) Steady() Micros { return Micros(time.Since(s.began).Microseconds()) + Second }
+// Monotonic starts at one second so that 0 can stand for "never".
+func (s system) Monotonic() Micros { return Micros(time.Since(s.began).Microseconds()) + Second }
 
-func (s system) OfDay() Micros { return Micros(time.Now().UnixMicro()) }
+func (s system) TimeOfDay() Micros { return Micros(time.Now().UnixMicro()) }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -24,22 +24,22 @@
 // The interface's own limits: machines in a page of the list, in a return, in a rental.
 const (
 	PageSize    = 500
-	ReleaseSize = 100
-	RentalSize  = 50
+	MaxScaleIn  = 100
+	MaxScaleOut = 50
 )
 
-// ResultAPI is the cloud as one actor sees it: all callbacks run in the actor's mailbox.
+// API is the cloud as one actor sees it: all callbacks run in the actor's mailbox.
 //
 // The cloud knows no epochs: a late return would take machines that the next leader uses. Changes
 // therefore have an instant from which they must not leave any more, and fail with ErrNotSent then.
 //
 // It takes the name API as soon as nobody needs the interface of that name any more.
-type ResultAPI interface {
+type API interface {
 	// Catalogue reads the machine types and their present prices.
 	Catalogue(done func(protocol.Catalogue, error))
 	// ScaleOut rents machines. A booking that is repeated rents nothing more and returns the same
 	// machines, fewer than were asked for if there are no more.
-	ScaleOut(r protocol.Rental, until clock.Micros, done func(machines []string, err error))
+	ScaleOut(r protocol.ScaleOutRequest, until clock.Micros, done func(machines []string, err error))
 	// ScaleIn returns machines. Once it has succeeded they are gone with everything on them.
 	ScaleIn(machines []string, until clock.Micros, done func(error))
 	// List reads a page of the machines whose names come after from.
@@ -55,8 +55,8 @@
 // New returns a client of the cloud at an address.
 func New(addr string) *Client { return &Client{"http://" + addr, transport.New(connections)} }
 
-// Results returns the interface whose results arrive in the given mailbox.
-func (c *Client) Results(m actor.Mailbox) ResultAPI { return &bound{c, m} }
+// For returns the interface whose results arrive in the given mailbox.
+func (c *Client) For(m actor.Mailbox) API { return &bound{c, m} }
 
 // bound is the cloud of one actor.
 type bound struct {
@@ -94,7 +94,7 @@
 
 // reason returns the cloud's own explanation, if the message has one.
 func reason(value any) string {
-	if a, ok := value.(*protocol.RentalAnswer); ok {
+	if a, ok := value.(*protocol.ScaleOutResponse); ok {
 		return a.Error
 	}
 	return ""
@@ -105,14 +105,14 @@
 	b.call(read, http.MethodGet, "/catalog", nil, &c, func(err error) { done(c, err) })
 }
 
-func (b *bound) ScaleOut(r protocol.Rental, until clock.Micros, done func([]string, error)) {
-	var a protocol.RentalAnswer
+func (b *bound) ScaleOut(r protocol.ScaleOutRequest, until clock.Micros, done func([]string, error)) {
+	var a protocol.ScaleOutResponse
 	b.call(b.before(until), http.MethodPost, "/hosts", protocol.Encode(r), &a,
 		func(err error) { done(a.Machines, err) })
 }
 
 func (b *bound) ScaleIn(machines []string, until clock.Micros, done func(error)) {
-	body := protocol.Encode(protocol.MachineNames{Machines: machines})
+	body := protocol.Encode(protocol.ScaleInRequest{Machines: machines})
 	b.call(b.before(until), http.MethodPost, "/hosts/release", body, nil, done)
 }
 
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -35,7 +35,7 @@
 }
 
 // results is the cloud's typed interface.
-func (s *service) results() ResultAPI { return s.client.Results(s.box) }
+func (s *service) results() API { return s.client.For(s.box) }
 
 // await handles the message that brings an outcome.
 func (s *service) await() { (<-s.box.Messages)() }
@@ -56,7 +56,7 @@
 			api.ScaleIn([]string{"m-1"}, 10*clock.Second, func(err error) { got = err })
 		}, ErrNotSent, 0},
 		{"a late rental", func() {
-			api.ScaleOut(protocol.Rental{Booking: "b"}, 9*clock.Second,
+			api.ScaleOut(protocol.ScaleOutRequest{IdempotencyKey: "b"}, 9*clock.Second,
 				func(_ []string, err error) { got = err })
 		}, ErrNotSent, 0},
 		{"a return", func() {
@@ -74,14 +74,14 @@
 }
 
 func TestRentalOutcomeIsTyped(t *testing.T) {
-	refusal := func(reason string) []byte { return protocol.Encode(protocol.RentalAnswer{Error: reason}) }
+	refusal := func(reason string) []byte { return protocol.Encode(protocol.ScaleOutResponse{Error: reason}) }
 	for _, c := range []struct {
 		status                   int
 		body                     []byte
 		err                      error
 		notExecuted, outcomeOpen bool
 	}{
-		{200, protocol.Encode(protocol.RentalAnswer{Machines: []string{"m-1"}}), nil, false, false},
+		{200, protocol.Encode(protocol.ScaleOutResponse{Machines: []string{"m-1"}}), nil, false, false},
 		{503, refusal(protocol.NoCapacity), ErrNoCapacity, true, false},
 		{503, refusal("trouble"), ErrUnavailable, true, false},
 		{503, nil, ErrUnavailable, true, false},
@@ -95,7 +95,7 @@
 		s := newService(t, c.status, c.body)
 		var machines []string
 		var err error
-		s.results().ScaleOut(protocol.Rental{Booking: "b"}, 11*clock.Second,
+		s.results().ScaleOut(protocol.ScaleOutRequest{IdempotencyKey: "b"}, 11*clock.Second,
 			func(m []string, e error) { machines, err = m, e })
 		s.await()
 		if !errors.Is(err, c.err) || NotExecuted(err) != c.notExecuted ||
--- a/internal/cloud/cloudtest/service.go
+++ b/internal/cloud/cloudtest/service.go
@@ -13,13 +13,13 @@
 // came, transport.NotSent that the request never left.
 type Service interface {
 	Catalogue(done func(status int, c protocol.Catalogue))
-	Rent(r protocol.Rental, until clock.Micros, done func(status int, a protocol.RentalAnswer))
+	Rent(r protocol.ScaleOutRequest, until clock.Micros, done func(status int, a protocol.ScaleOutResponse))
 	Release(machines []string, until clock.Micros, done func(status int))
 	List(from string, done func(status int, l protocol.MachineList))
 }
 
 // Client returns the cloud whose results are what the service responds.
-func Client(s Service) cloud.ResultAPI { return client{s} }
+func Client(s Service) cloud.API { return client{s} }
 
 // client turns statuses into errors.
 type client struct{ service Service }
@@ -28,8 +28,8 @@
 	c.service.Catalogue(func(status int, types protocol.Catalogue) { done(types, failure(status, "")) })
 }
 
-func (c client) ScaleOut(r protocol.Rental, until clock.Micros, done func([]string, error)) {
-	c.service.Rent(r, until, func(status int, a protocol.RentalAnswer) {
+func (c client) ScaleOut(r protocol.ScaleOutRequest, until clock.Micros, done func([]string, error)) {
+	c.service.Rent(r, until, func(status int, a protocol.ScaleOutResponse) {
 		done(a.Machines, failure(status, a.Error))
 	})
 }
--- a/internal/cloud/cloudtest/service_test.go
+++ b/internal/cloud/cloudtest/service_test.go
@@ -19,11 +19,11 @@
 }
 
 func (f fixedCloud) Catalogue(done func(int, protocol.Catalogue)) {
-	done(f.status, protocol.Catalogue{Types: []protocol.MachineType{{Name: "g8"}}})
+	done(f.status, protocol.Catalogue{MachineTypes: []protocol.MachineType{{Name: "g8"}}})
 }
 
-func (f fixedCloud) Rent(_ protocol.Rental, _ clock.Micros, done func(int, protocol.RentalAnswer)) {
-	done(f.status, protocol.RentalAnswer{Machines: []string{"m-1"}, Error: f.reason})
+func (f fixedCloud) Rent(_ protocol.ScaleOutRequest, _ clock.Micros, done func(int, protocol.ScaleOutResponse)) {
+	done(f.status, protocol.ScaleOutResponse{Machines: []string{"m-1"}, Error: f.reason})
 }
 
 func (f fixedCloud) Release(_ []string, _ clock.Micros, done func(int)) { done(f.status) }
@@ -50,7 +50,7 @@
 		for _, reason := range []string{"", protocol.NoCapacity, "trouble"} {
 			err := errors.New("no outcome")
 			var machines []string
-			Client(fixedCloud{status, reason}).ScaleOut(protocol.Rental{}, 0,
+			Client(fixedCloud{status, reason}).ScaleOut(protocol.ScaleOutRequest{}, 0,
 				func(m []string, e error) { machines, err = m, e })
 			if got := statusOf(t, err); got != status || !slices.Equal(machines, []string{"m-1"}) ||
 				status != http.StatusOK && cloud.Reason(err) != reason {
@@ -88,7 +88,7 @@
 				t.Errorf("%s: status %d became %d", name, status, got)
 			}
 		}
-		if len(catalogue.Types) != 1 || !list.More {
+		if len(catalogue.MachineTypes) != 1 || !list.More {
 			t.Errorf("status %d: catalogue %v and list %v, expected those of the service", status, catalogue, list)
 		}
 	}
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -19,7 +19,7 @@
 	var rented []string
 	var list protocol.MachineList
 	var got error
-	var api ResultAPI
+	var api API
 	for _, c := range []struct {
 		name, answer string
 		call         func()
@@ -29,7 +29,7 @@
 			api.Catalogue(func(c protocol.Catalogue, err error) { catalogue, got = c, err })
 		}, "GET /catalog\nUser-Agent: Go-http-client/1.1\n\n"},
 		{"rental", "\x81\xa5Hosts\x91\xa3m-1", func() {
-			r := protocol.Rental{Booking: "e41-2", Type: "g8", Zone: "a", Spot: true, Count: 5}
+			r := protocol.ScaleOutRequest{IdempotencyKey: "e41-2", Type: "g8", Zone: "a", Spot: true, Count: 5}
 			api.ScaleOut(r, clock.Second, func(machines []string, err error) { rented, got = machines, err })
 		},
 			"POST /hosts\nContent-Length: 49\nContent-Type: application/msgpack\n" +
@@ -49,7 +49,7 @@
 	} {
 		address, requests := goldentest.Serve(t, http.StatusOK, c.answer)
 		box := actortest.Instant{Messages: make(chan func(), 1)}
-		api, got = New(address).Results(box), errors.New("no outcome")
+		api, got = New(address).For(box), errors.New("no outcome")
 		c.call()
 		goldentest.Equal(t, c.name, <-requests, c.recorded)
 		(<-box.Messages)()
@@ -57,7 +57,7 @@
 			t.Errorf("%s: %v, expected success", c.name, got)
 		}
 	}
-	if d := cmp.Diff(protocol.Catalogue{Types: []protocol.MachineType{{Name: "g8"}}}, catalogue); d != "" {
+	if d := cmp.Diff(protocol.Catalogue{MachineTypes: []protocol.MachineType{{Name: "g8"}}}, catalogue); d != "" {
 		t.Error(d)
 	}
 	if d := cmp.Diff([]string{"m-1"}, rented); d != "" {
@@ -67,7 +67,7 @@
 	if d := cmp.Diff(want, list); d != "" {
 		t.Error(d)
 	}
-	if PageSize != 500 || ReleaseSize != 100 || RentalSize != 50 {
-		t.Errorf("bounds %d, %d, %d", PageSize, ReleaseSize, RentalSize)
+	if PageSize != 500 || MaxScaleIn != 100 || MaxScaleOut != 50 {
+		t.Errorf("bounds %d, %d, %d", PageSize, MaxScaleIn, MaxScaleOut)
 	}
 }
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -57,9 +57,9 @@
 			Bind: freeAddress(), InternalAddr: freeAddress()}
 		s.Deployment = settings.Deployment{
 			InitialSize: controllersPerCell, Zones: []string{"a"}, Teams: []settings.Team{{Name: "open"}},
-			Workers:       settings.Workers{ReportS: 1, LeaseS: 6, GangWaitS: 15, GangPeerS: 3, CancelS: 24},
+			Workers:       settings.Workers{HeartbeatS: 1, LeaseS: 6, GangWaitS: 15, GangPeerS: 3, CancelS: 24},
 			MachineLimits: settings.MachineLimits{CPU: 0.2, MemoryMb: 120, MaxSockets: 800},
-			State:         settings.State{Rps: 200, WriteRps: 80, ValueKb: 8, TxnOps: 12},
+			KVStore:       settings.KVStore{Rps: 200, WriteRps: 80, ValueKb: 8, TxnOps: 12},
 			Cloud:         settings.Cloud{Rps: 8, ListLagS: 1},
 		}
 		c.settings = append(c.settings, s)
@@ -70,13 +70,13 @@
 	c.standIns = testkit.NewLoopbackCell(x, g, name, c.settings[0], cellTypes, controllers,
 		workers.Addr().(*net.TCPAddr).Port)
 	clear(c.standIns.Deployment.Cloud.Capacity)
-	c.standIns.Deployment.Cloud.Capacity[fleet.Kind{Type: "small", Zone: "a"}] = machines
+	c.standIns.Deployment.Cloud.Capacity[fleet.CapacityPool{Type: "small", Zone: "a"}] = machines
 	c.standIns.Serve(state, cloud, workers)
 	for i, s := range c.settings {
-		s.Outside = settings.Outside{State: state.Addr().String(), Cloud: cloud.Addr().String()}
+		s.Endpoints = settings.Endpoints{KVStore: state.Addr().String(), Cloud: cloud.Addr().String()}
 		for k, o := range c.settings {
 			if k != i {
-				s.Known = append(s.Known, settings.Peer{Node: o.Node, PeerAddr: o.InternalAddr})
+				s.Peers = append(s.Peers, settings.Peer{Node: o.Node, PeerAddr: o.InternalAddr})
 			}
 		}
 	}
@@ -155,7 +155,7 @@
 		if o := c.overview(i); o != nil && o.Leads {
 			n := 0
 			for _, other := range o.Cells {
-				n += other.Lent
+				n += other.LentTasks
 			}
 			return n
 		}
@@ -200,7 +200,7 @@
 	x.Do(func() {
 		for i := range 8 {
 			spec := protocol.JobSpec{ID: fmt.Sprintf("job-%06d", i), Class: "c", Team: "open",
-				Shape: protocol.ShapeArray, Rank: "normal", Tasks: 8, Cpus: 2, MemoryGB: 1,
+				Shape: protocol.ShapeArray, Priority: "normal", Tasks: 8, Cpus: 2, MemoryGB: 1,
 				Image: "i", ImageGB: 1, EstimateS: 4}
 			if i%4 == 3 {
 				spec.Shape, spec.Tasks = protocol.ShapeGang, 3
@@ -212,7 +212,7 @@
 	finished := func() (done, elsewhere int) {
 		x.Do(func() {
 			for _, j := range jobs {
-				if j.Told() == protocol.StatusDone {
+				if j.FinalStatus() == protocol.StatusDone {
 					done++
 				}
 			}
@@ -245,7 +245,7 @@
 	}
 	x.Do(func() {
 		wrong := history.Judge(jobs)
-		for _, broken := range x.World.Broken {
+		for _, broken := range x.World.Violations {
 			if !strings.Contains(broken, " no_lease:") {
 				wrong = append(wrong, broken)
 			}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -44,19 +44,19 @@
 // returns. The actors run as long as the process: a controller that ends lets its lease expire.
 func Run(s *settings.Settings, o Options) error {
 	n := assemble(s, o)
-	n.Intake.RefuseWhen(memoryFull(s.Deployment.MachineLimits.MemoryMb))
+	n.Admission.RefuseWhen(memoryFull(s.Deployment.MachineLimits.MemoryMb))
 	n.Start()
 	failed := make(chan error, maxServers)
 	serve := func(clients, address string, serve func() error) {
 		go func() { failed <- fmt.Errorf("serve %s at %s: %w", clients, address, serve()) }()
 	}
-	serve("controllers", s.InternalAddr, func() error { return peer.Serve(s.InternalAddr, n.Intake) })
+	serve("controllers", s.InternalAddr, func() error { return peer.Serve(s.InternalAddr, n.Admission) })
 	serve("users and workers", s.Bind, func() error {
-		return intake.Serve(s.Bind, o.clientConnections(s.Deployment.MachineLimits), n.Intake, n.Dispatch)
+		return intake.Serve(s.Bind, o.clientConnections(s.Deployment.MachineLimits), n.Admission, n.Leader)
 	})
 	if o.Cells != nil {
 		address := o.Cells.Own.Address(s.Node)
-		serve("cells", address, func() error { return peer.ServeCells(address, n.Dispatch) })
+		serve("cells", address, func() error { return peer.ServeCells(address, n.Leader) })
 	}
 	return <-failed
 }
@@ -69,17 +69,17 @@
 	boxes := newMailboxes()
 	peers := peerAddresses(s)
 	return node.New(node.Environment{
-		Settings:   s,
-		Leadership: leadership.Config{Node: s.Node, Incarnation: rand.Text(), TTL: o.LeaseTTL},
-		Mailboxes:  boxes,
-		Store:      statestore.New(s.Outside.State, s.Deployment.State.Tightest()).Results,
-		Cloud:      cloud.New(s.Outside.Cloud).Results(boxes.Dispatch),
-		Agent:      agent.New().Results(boxes.Dispatch),
-		Forward:    peer.NewForwarder(peers, boxes.Intake).Forward,
-		Cells:      o.Cells,
-		Exchange:   peer.NewCellClient(boxes.Dispatch),
-		Everyone:   peer.NewForwarder(peers, boxes.Dispatch).Everyone,
-		Recovery:   o.Recovery,
+		Settings:  s,
+		Election:  leadership.Config{Node: s.Node, Incarnation: rand.Text(), TTL: o.LeaseTTL},
+		Mailboxes: boxes,
+		Store:     statestore.New(s.Endpoints.KVStore, s.Deployment.KVStore.Tightest()).For,
+		Cloud:     cloud.New(s.Endpoints.Cloud).For(boxes.Leader),
+		Agent:     agent.New().For(boxes.Leader),
+		Forward:   peer.NewForwarder(peers, boxes.Admission).Forward,
+		Cells:     o.Cells,
+		Exchange:  peer.NewCellClient(boxes.Leader),
+		Everyone:  peer.NewForwarder(peers, boxes.Leader).AskAll,
+		Recovery:  o.Recovery,
 	})
 }
 
@@ -87,17 +87,17 @@
 func newMailboxes() node.Mailboxes {
 	machineClock := clock.System()
 	return node.Mailboxes{
-		Dispatch:   actor.New(machineClock),
-		Leadership: actor.New(machineClock),
-		Intake:     actor.New(machineClock),
-		Rollout:    actor.New(machineClock),
+		Leader:    actor.New(machineClock),
+		Election:  actor.New(machineClock),
+		Admission: actor.New(machineClock),
+		Rollout:   actor.New(machineClock),
 	}
 }
 
 // peerAddresses returns where the other controllers listen for this one.
 func peerAddresses(s *settings.Settings) []string {
 	var addresses []string
-	for _, p := range s.Known {
+	for _, p := range s.Peers {
 		addresses = append(addresses, p.PeerAddr)
 	}
 	return addresses
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -15,7 +15,7 @@
 	outgoingSockets = 64
 	// reservedSockets are left of the machine's limit for what this process connects to and for its
 	// peers: neither workers nor users can lock out the state service.
-	reservedSockets = agent.Sockets + 2*peer.Sockets + outgoingSockets
+	reservedSockets = agent.MaxConnections + 2*peer.MaxConnections + outgoingSockets
 	// minClientConnections is the least with which users, health checks and a few workers are served
 	// side by side.
 	minClientConnections = 64
@@ -68,7 +68,7 @@
 
 // checkCellSockets returns a *LimitError if there are cells and too few sockets for them.
 func (o Options) checkCellSockets(l settings.MachineLimits) error {
-	const least = MinSockets + peer.CellSockets
+	const least = MinSockets + peer.MaxCellConnections
 	if o.Cells == nil || l.MaxSockets >= least {
 		return nil
 	}
@@ -80,7 +80,7 @@
 // sockets for.
 func (o Options) clientConnections(l settings.MachineLimits) int {
 	if o.Cells != nil {
-		return l.MaxSockets - reservedSockets - peer.CellSockets
+		return l.MaxSockets - reservedSockets - peer.MaxCellConnections
 	}
 	return l.MaxSockets - reservedSockets
 }
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -92,11 +92,11 @@
 	}
 	o.Cells = &cells.Directory{}
 	const format = "deployment.machine_limits.max_sockets: %d is too small with cells, at least %d is needed"
-	want := fmt.Sprintf(format, MinSockets, MinSockets+peer.CellSockets)
+	want := fmt.Sprintf(format, MinSockets, MinSockets+peer.MaxCellConnections)
 	if err := o.Validate(s); err == nil || err.Error() != want {
 		t.Errorf("with cells: %v, expected %q", err, want)
 	}
-	s.Deployment.MachineLimits.MaxSockets += peer.CellSockets
+	s.Deployment.MachineLimits.MaxSockets += peer.MaxCellConnections
 	if err := o.Validate(s); err != nil {
 		t.Errorf("with cells and their sockets: %v, expected no error", err)
 	}
@@ -118,7 +118,7 @@
 	set.Deployment.MachineLimits = smallest
 	bind, internal, nobody := listen("127.0.0.1:0"), listen("127.0.0.1:0"), listen("127.0.0.1:0")
 	set.Bind, set.InternalAddr = bind.Addr().String(), internal.Addr().String()
-	set.Outside = settings.Outside{State: nobody.Addr().String(), Cloud: nobody.Addr().String()}
+	set.Endpoints = settings.Endpoints{KVStore: nobody.Addr().String(), Cloud: nobody.Addr().String()}
 	for _, l := range []interface{ Close() error }{bind, internal, nobody} {
 		l.Close()
 	}
--- a/internal/controller/loopback_test.go
+++ b/internal/controller/loopback_test.go
@@ -64,7 +64,7 @@
 var loads = map[string]loadShape{
 	// Some 600 machines that report every 2.5 s, gangs and large arrays.
 	"often": {
-		Workers:  settings.Workers{ReportS: 2.5, LeaseS: 16, GangWaitS: 40, GangPeerS: 5, CancelS: 36},
+		Workers:  settings.Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 40, GangPeerS: 5, CancelS: 36},
 		Limits:   settings.MachineLimits{CPU: 0.05, MemoryMb: 114, MaxSockets: 1800},
 		Capacity: map[string]int{"small": 180, "middle": 100, "large": 25},
 		Arrivals: []arrivals{
@@ -80,7 +80,7 @@
 	},
 	// Some 1,000 machines that report every 5 s, arrays of short tasks on GPUs.
 	"many": {
-		Workers:  settings.Workers{ReportS: 5, LeaseS: 22, GangWaitS: 35, GangPeerS: 8, CancelS: 42},
+		Workers:  settings.Workers{HeartbeatS: 5, LeaseS: 22, GangWaitS: 35, GangPeerS: 8, CancelS: 42},
 		Limits:   settings.MachineLimits{CPU: 0.036, MemoryMb: 114, MaxSockets: 1800},
 		Capacity: map[string]int{"small": 350, "middle": 0, "large": 150},
 		Arrivals: []arrivals{
@@ -143,14 +143,14 @@
 	l := testkit.NewLoopback(set, loadTypes, controllers, workers.Addr().(*net.TCPAddr).Port)
 	for name, n := range shape.Capacity {
 		for _, zone := range []string{"a", "b"} {
-			l.Deployment.Cloud.Capacity[fleet.Kind{Type: name, Zone: zone}] = n
-			l.Deployment.Cloud.Capacity[fleet.Kind{Type: name, Zone: zone, Spot: true}] = n / 4
+			l.Deployment.Cloud.Capacity[fleet.CapacityPool{Type: name, Zone: zone}] = n
+			l.Deployment.Cloud.Capacity[fleet.CapacityPool{Type: name, Zone: zone, Spot: true}] = n / 4
 		}
 	}
 	submitted := 0
 	submit := func(a arrivals) {
 		spec := a.Spec
-		spec.ID, spec.Team, spec.Rank, spec.Spot = fmt.Sprintf("job-%06d", submitted), "open", "normal", true
+		spec.ID, spec.Team, spec.Priority, spec.Spot = fmt.Sprintf("job-%06d", submitted), "open", "normal", true
 		spec.Image = fmt.Sprintf("img-%s-%d", spec.Class, submitted%4)
 		submitted++
 		l.Deployment.Submit(spec, a.Run, false)
@@ -185,8 +185,8 @@
 					}
 				}
 			}
-			must(answers.Encode(progress{l.Reports, l.Polls, l.Submissions, l.Starts,
-				len(l.Deployment.Workers()), l.Deployment.State.Changes}))
+			must(answers.Encode(progress{l.Heartbeats, l.Polls, l.Submissions, l.Starts,
+				len(l.Deployment.Workers()), l.Deployment.Store.Changes}))
 		})
 	}
 }
@@ -209,8 +209,8 @@
 	s.Deployment = settings.Deployment{
 		InitialSize: 3, Zones: []string{"a", "b"}, Teams: []settings.Team{{Name: "open"}},
 		Workers: shape.Workers, MachineLimits: shape.Limits,
-		State: settings.State{Rps: 100, WriteRps: 40, ValueKb: 32, TxnOps: 12},
-		Cloud: settings.Cloud{Rps: 8, ListLagS: 4},
+		KVStore: settings.KVStore{Rps: 100, WriteRps: 40, ValueKb: 32, TxnOps: 12},
+		Cloud:   settings.Cloud{Rps: 8, ListLagS: 4},
 		Objectives: []settings.Objective{
 			{Kind: "wait", Class: "gang", WithinS: 120, Share: 0.9},
 			{Kind: "finished", Class: "array", WithinS: 150, Share: 0.9},
@@ -267,7 +267,7 @@
 	if err := s.answers.Decode(&ready); err != nil {
 		tb.Fatal(err)
 	}
-	set.Outside = settings.Outside{State: ready.State, Cloud: ready.Cloud}
+	set.Endpoints = settings.Endpoints{KVStore: ready.State, Cloud: ready.Cloud}
 	return s, set
 }
 
--- a/internal/delegation/codec.go
+++ b/internal/delegation/codec.go
@@ -13,17 +13,17 @@
 // are floating-point numbers (8 each), times and counts whole numbers (8), flags and kinds one byte.
 
 // Encode returns the binary form.
-func (r *Report) Encode() []byte {
+func (r *Heartbeat) Encode() []byte {
 	w := writer{Version}
 	w.text(r.Host)
-	w.text(r.Home)
+	w.text(r.Origin)
 	w.number(r.Epoch)
-	w.number(r.Counter)
-	w.number(int64(r.Clear))
+	w.number(r.Sequence)
+	w.number(int64(r.ClearTime))
 	w.load(&r.Load)
-	w.count(len(r.Tasks))
-	for i := range r.Tasks {
-		w.status(&r.Tasks[i])
+	w.count(len(r.Statuses))
+	for i := range r.Statuses {
+		w.status(&r.Statuses[i])
 	}
 	return w
 }
@@ -40,8 +40,8 @@
 }
 
 func (w *writer) load(l *Load) {
-	w.amounts(l.Room)
-	w.number(int64(l.Short))
+	w.amounts(l.QuotaLeft)
+	w.number(int64(l.OwnWait))
 	w.number(int64(l.MaxTasks))
 	types := l.Types[:min(len(l.Types), maxTypes)]
 	w.count(len(types))
@@ -52,7 +52,7 @@
 
 func (w *writer) typeLoad(t *TypeLoad) {
 	w.text(t.Type.Name)
-	w.amounts(planner.Amounts{Cpus: t.Type.Cpus, Gpus: t.Type.Gpus, MemoryGB: t.Type.MemoryGB})
+	w.amounts(planner.Resources{Cpus: t.Type.Cpus, Gpus: t.Type.Gpus, MemoryGB: t.Type.MemoryGB})
 	w.amount(t.Type.FetchGBPerS)
 	w.amount(t.Type.BootS)
 	zones := t.Type.Zones[:min(len(t.Type.Zones), maxZones)]
@@ -61,25 +61,25 @@
 		w.text(zone)
 	}
 	w.amounts(t.Free)
-	w.flag(t.Refused)
+	w.flag(t.SoldOut)
 }
 
-// DecodeReport reads the binary form. Errors are a *MalformedError or a VersionError.
-func DecodeReport(raw []byte) (Report, error) {
+// DecodeHeartbeat reads the binary form. Errors are a *MalformedError or a VersionError.
+func DecodeHeartbeat(raw []byte) (Heartbeat, error) {
 	r := newReader(raw)
 	r.version()
-	var report Report
+	var report Heartbeat
 	report.Host = r.text(maxNameText)
-	report.Home = r.text(maxNameText)
+	report.Origin = r.text(maxNameText)
 	report.Epoch = r.number()
-	report.Counter = r.number()
-	report.Clear = clock.Micros(r.number())
+	report.Sequence = r.number()
+	report.ClearTime = clock.Micros(r.number())
 	report.Load = r.load()
-	for range r.count(MaxReported) {
-		report.Tasks = append(report.Tasks, r.status())
+	for range r.count(MaxStatuses) {
+		report.Statuses = append(report.Statuses, r.status())
 	}
 	if err := r.end(); err != nil {
-		return Report{}, err
+		return Heartbeat{}, err
 	}
 	return report, nil
 }
@@ -87,7 +87,7 @@
 func (r *reader) status() Status {
 	var s Status
 	s.Number = r.number()
-	s.Job = r.text(protocol.MaxText)
+	s.Job = r.text(protocol.MaxTextBytes)
 	s.Closed = r.flag()
 	s.Done = r.ranges()
 	s.Held = r.ranges()
@@ -99,8 +99,8 @@
 
 func (r *reader) load() Load {
 	var l Load
-	l.Room = r.amounts()
-	l.Short = clock.Micros(r.number())
+	l.QuotaLeft = r.amounts()
+	l.OwnWait = clock.Micros(r.number())
 	l.MaxTasks = r.small()
 	for range r.count(maxTypes) {
 		l.Types = append(l.Types, r.typeLoad())
@@ -110,26 +110,26 @@
 
 func (r *reader) typeLoad() TypeLoad {
 	var t TypeLoad
-	t.Type.Name = r.text(protocol.MaxText)
+	t.Type.Name = r.text(protocol.MaxTextBytes)
 	whole := r.amounts()
 	t.Type.Cpus, t.Type.Gpus, t.Type.MemoryGB = whole.Cpus, whole.Gpus, whole.MemoryGB
 	t.Type.FetchGBPerS = r.amount()
 	t.Type.BootS = r.amount()
 	for range r.count(maxZones) {
-		t.Type.Zones = append(t.Type.Zones, r.text(protocol.MaxText))
+		t.Type.Zones = append(t.Type.Zones, r.text(protocol.MaxTextBytes))
 	}
 	t.Free = r.amounts()
-	t.Refused = r.flag()
+	t.SoldOut = r.flag()
 	return t
 }
 
 // Encode returns the binary form.
-func (a *Answer) Encode() []byte {
+func (a *HeartbeatResponse) Encode() []byte {
 	w := writer{Version, byte(a.Result)}
 	w.text(a.Leader)
-	w.count(len(a.Rulings))
-	for i := range a.Rulings {
-		w.ruling(&a.Rulings[i])
+	w.count(len(a.Directives))
+	for i := range a.Directives {
+		w.ruling(&a.Directives[i])
 	}
 	w.count(len(a.Offers))
 	for i := range a.Offers {
@@ -138,35 +138,35 @@
 	return w
 }
 
-func (w *writer) ruling(r *Ruling) {
+func (w *writer) ruling(r *Directive) {
 	w.number(r.Number)
-	w.byte(byte(r.Verdict))
-	w.number(int64(r.For))
+	w.byte(byte(r.Action))
+	w.number(int64(r.PermissionFor))
 }
 
 func (w *writer) offer(o *Offer) {
 	w.number(o.Number)
 	w.text(string(protocol.Encode(o.Spec)))
 	w.text(o.Tasks.String())
-	w.number(int64(o.Age))
+	w.number(int64(o.JobAge))
 }
 
-// DecodeAnswer reads the binary form. Jobs that are offered are checked like submissions.
+// DecodeHeartbeatResponse reads the binary form. Jobs that are offered are checked like submissions.
 // Errors are a *MalformedError, an *OfferError or a VersionError.
-func DecodeAnswer(raw []byte) (Answer, error) {
+func DecodeHeartbeatResponse(raw []byte) (HeartbeatResponse, error) {
 	r := newReader(raw)
 	r.version()
-	var a Answer
+	var a HeartbeatResponse
 	a.Result = r.result()
 	a.Leader = r.text(maxNameText)
-	for range r.count(MaxReported) {
-		a.Rulings = append(a.Rulings, r.ruling())
+	for range r.count(MaxStatuses) {
+		a.Directives = append(a.Directives, r.ruling())
 	}
 	for range r.count(MaxPerHost) {
 		a.Offers = append(a.Offers, r.offer())
 	}
 	if err := r.end(); err != nil {
-		return Answer{}, err
+		return HeartbeatResponse{}, err
 	}
 	return a, nil
 }
@@ -179,26 +179,26 @@
 	return result
 }
 
-func (r *reader) ruling() Ruling {
-	var ruling Ruling
+func (r *reader) ruling() Directive {
+	var ruling Directive
 	ruling.Number = r.number()
-	ruling.Verdict = Verdict(r.byte())
-	if !ruling.Verdict.valid() {
+	ruling.Action = Action(r.byte())
+	if !ruling.Action.valid() {
 		r.fail("there is no such action")
 	}
-	ruling.For = clock.Micros(r.number())
+	ruling.PermissionFor = clock.Micros(r.number())
 	return ruling
 }
 
 func (r *reader) offer() Offer {
 	var o Offer
 	o.Number = r.number()
-	spec, err := protocol.DecodeSubmission([]byte(r.text(protocol.MaxBody)))
+	spec, err := protocol.DecodeSubmission([]byte(r.text(protocol.MaxBodyBytes)))
 	if err != nil {
 		r.failWith(&OfferError{Number: o.Number, Err: err})
 	}
 	o.Spec = spec
 	o.Tasks = r.ranges()
-	o.Age = clock.Micros(r.number())
+	o.JobAge = clock.Micros(r.number())
 	return o
 }
--- a/internal/delegation/codec_test.go
+++ b/internal/delegation/codec_test.go
@@ -17,15 +17,15 @@
 // TestMain fixes what rapid draws: the result is the same every time.
 func TestMain(m *testing.M) { rapidtest.Main(m, 1500) }
 
-func ranges(tasks ...int) ledger.Ranges {
-	var r ledger.Ranges
+func ranges(tasks ...int) ledger.TaskSet {
+	var r ledger.TaskSet
 	for _, task := range tasks {
 		r.Add(task)
 	}
 	return r
 }
 
-var drawRanges = rapid.Custom(func(t *rapid.T) ledger.Ranges {
+var drawRanges = rapid.Custom(func(t *rapid.T) ledger.TaskSet {
 	return ranges(rapid.SliceOfN(rapid.IntRange(0, 40), 0, 12).Draw(t, "tasks")...)
 })
 
@@ -35,9 +35,9 @@
 	drawMicros = rapid.Map(drawNumber, func(n int64) clock.Micros { return clock.Micros(n) })
 )
 
-var drawAmounts = rapid.Custom(func(t *rapid.T) planner.Amounts {
+var drawAmounts = rapid.Custom(func(t *rapid.T) planner.Resources {
 	amount := rapid.Float64Range(-1e6, 1e6)
-	return planner.Amounts{
+	return planner.Resources{
 		Cpus:     amount.Draw(t, "cpus"),
 		Gpus:     amount.Draw(t, "gpus"),
 		MemoryGB: amount.Draw(t, "memory"),
@@ -54,7 +54,7 @@
 			Zones:       []string{drawText.Draw(t, "zone")},
 		},
 		Free:    drawAmounts.Draw(t, "free"),
-		Refused: rapid.Bool().Draw(t, "refused"),
+		SoldOut: rapid.Bool().Draw(t, "refused"),
 	}
 })
 
@@ -71,63 +71,63 @@
 	}
 })
 
-var drawHeartbeat = rapid.Custom(func(t *rapid.T) Report {
-	r := Report{
-		Host:    drawText.Draw(t, "host"),
-		Home:    drawText.Draw(t, "home"),
-		Epoch:   drawNumber.Draw(t, "epoch"),
-		Counter: drawNumber.Draw(t, "counter"),
-		Clear:   drawMicros.Draw(t, "clear"),
+var drawHeartbeat = rapid.Custom(func(t *rapid.T) Heartbeat {
+	r := Heartbeat{
+		Host:      drawText.Draw(t, "host"),
+		Origin:    drawText.Draw(t, "home"),
+		Epoch:     drawNumber.Draw(t, "epoch"),
+		Sequence:  drawNumber.Draw(t, "counter"),
+		ClearTime: drawMicros.Draw(t, "clear"),
 		Load: Load{
-			Room:     drawAmounts.Draw(t, "room"),
-			Short:    drawMicros.Draw(t, "short"),
-			MaxTasks: 7,
+			QuotaLeft: drawAmounts.Draw(t, "room"),
+			OwnWait:   drawMicros.Draw(t, "short"),
+			MaxTasks:  7,
 		},
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "types") {
 		r.Load.Types = append(r.Load.Types, drawTypeLoad.Draw(t, "load of a type"))
 	}
-	for range rapid.IntRange(0, MaxReported).Draw(t, "statuses") {
-		r.Tasks = append(r.Tasks, drawStatus.Draw(t, "status"))
+	for range rapid.IntRange(0, MaxStatuses).Draw(t, "statuses") {
+		r.Statuses = append(r.Statuses, drawStatus.Draw(t, "status"))
 	}
 	return r
 })
 
-var drawResponse = rapid.Custom(func(t *rapid.T) Answer {
+var drawResponse = rapid.Custom(func(t *rapid.T) HeartbeatResponse {
 	spec := protocol.JobSpec{
 		ID:       "job-1",
 		Class:    "c",
 		Team:     "t",
 		Shape:    "batch",
-		Rank:     "normal",
+		Priority: "normal",
 		Tasks:    9,
 		Cpus:     2,
 		MemoryGB: 1,
 		Image:    "i",
 		ImageGB:  1,
 	}
-	return Answer{
-		Result:  Taken,
-		Leader:  "10.0.0.1:1",
-		Rulings: []Ruling{{Number: 7, Verdict: Close, For: clock.Second}},
-		Offers:  []Offer{{Number: 8, Spec: spec, Tasks: drawRanges.Draw(t, "offered"), Age: clock.Second}},
+	return HeartbeatResponse{
+		Result:     Processed,
+		Leader:     "10.0.0.1:1",
+		Directives: []Directive{{Number: 7, Action: Close, PermissionFor: clock.Second}},
+		Offers:     []Offer{{Number: 8, Spec: spec, Tasks: drawRanges.Draw(t, "offered"), JobAge: clock.Second}},
 	}
 })
 
-var unexported = cmp.AllowUnexported(ledger.Ranges{})
+var unexported = cmp.AllowUnexported(ledger.TaskSet{})
 
 func equal(a, b any) bool {
-	return cmp.Equal(a, b, cmp.Comparer(func(x, y ledger.Ranges) bool { return x.String() == y.String() }))
+	return cmp.Equal(a, b, cmp.Comparer(func(x, y ledger.TaskSet) bool { return x.String() == y.String() }))
 }
 
 func TestMessagesAreDecodedAsTheyWereEncoded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		heartbeat := drawHeartbeat.Draw(t, "heartbeat")
-		if got, err := DecodeReport(heartbeat.Encode()); err != nil || !equal(heartbeat, got) {
+		if got, err := DecodeHeartbeat(heartbeat.Encode()); err != nil || !equal(heartbeat, got) {
 			t.Fatalf("heartbeat: error %v, decoded minus encoded: %s", err, cmp.Diff(heartbeat, got, unexported))
 		}
 		response := drawResponse.Draw(t, "response")
-		if got, err := DecodeAnswer(response.Encode()); err != nil || !equal(response, got) {
+		if got, err := DecodeHeartbeatResponse(response.Encode()); err != nil || !equal(response, got) {
 			t.Fatalf("response: error %v, decoded minus encoded: %s", err, cmp.Diff(response, got, unexported))
 		}
 	})
@@ -138,10 +138,10 @@
 		heartbeat := drawHeartbeat.Draw(t, "heartbeat")
 		raw := heartbeat.Encode()
 		cut := rapid.IntRange(0, len(raw)-1).Draw(t, "cut")
-		if _, err := DecodeReport(raw[:cut]); !errors.Is(err, ErrMalformed) {
+		if _, err := DecodeHeartbeat(raw[:cut]); !errors.Is(err, ErrMalformed) {
 			t.Fatalf("%d of %d bytes: error %v, want %v", cut, len(raw), err, ErrMalformed)
 		}
-		_, err := DecodeReport(append(raw, 0))
+		_, err := DecodeHeartbeat(append(raw, 0))
 		var malformed *MalformedError
 		if !errors.As(err, &malformed) || malformed.Offset != len(raw) {
 			t.Fatalf("a byte too many: error %v, want a *MalformedError at byte %d", err, len(raw))
@@ -155,13 +155,13 @@
 		response := drawResponse.Draw(t, "response")
 		garbled := response.Encode()
 		garbled[rapid.IntRange(0, len(garbled)-1).Draw(t, "at")] ^= rapid.Byte().Draw(t, "bits")
-		_, _ = DecodeAnswer(garbled)
-		_, _ = DecodeReport(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"))
+		_, _ = DecodeHeartbeatResponse(garbled)
+		_, _ = DecodeHeartbeat(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"))
 	})
 }
 
 func TestHeartbeatsOfAnotherVersionAreRefused(t *testing.T) {
-	_, err := DecodeReport([]byte{Version + 1})
+	_, err := DecodeHeartbeat([]byte{Version + 1})
 	if want := VersionError(Version + 1); err != want {
 		t.Errorf("error %v, want %v", err, want)
 	}
@@ -169,19 +169,19 @@
 
 // An unknown result, an unknown action and a job that wouldn't be accepted as a submission are refused.
 func TestResponsesThatMakeNoSenseAreRefused(t *testing.T) {
-	for _, response := range []Answer{
+	for _, response := range []HeartbeatResponse{
 		{},
 		{Result: NotLeader + 1},
-		{Result: Taken, Rulings: []Ruling{{Number: 7}}},
-		{Result: Taken, Rulings: []Ruling{{Number: 7, Verdict: Forget + 1}}},
+		{Result: Processed, Directives: []Directive{{Number: 7}}},
+		{Result: Processed, Directives: []Directive{{Number: 7, Action: Forget + 1}}},
 	} {
-		if _, err := DecodeAnswer(response.Encode()); !errors.Is(err, ErrMalformed) {
+		if _, err := DecodeHeartbeatResponse(response.Encode()); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%+v: error %v, want %v", response, err, ErrMalformed)
 		}
 	}
-	response := Answer{Result: Taken, Offers: []Offer{{Number: 8}}}
+	response := HeartbeatResponse{Result: Processed, Offers: []Offer{{Number: 8}}}
 	var offer *OfferError
-	if _, err := DecodeAnswer(response.Encode()); !errors.As(err, &offer) || offer.Number != 8 {
+	if _, err := DecodeHeartbeatResponse(response.Encode()); !errors.As(err, &offer) || offer.Number != 8 {
 		t.Errorf("offer without a job: error %v, want an *OfferError for number 8", err)
 	}
 }
--- a/internal/delegation/golden_test.go
+++ b/internal/delegation/golden_test.go
@@ -11,17 +11,17 @@
 	"postpoint/internal/protocol"
 )
 
-func goldenReport() Report {
-	return Report{
-		Host:    "beta",
-		Home:    "alpha",
-		Epoch:   41,
-		Counter: 70_000,
-		Clear:   24 * clock.Second,
+func goldenReport() Heartbeat {
+	return Heartbeat{
+		Host:      "beta",
+		Origin:    "alpha",
+		Epoch:     41,
+		Sequence:  70_000,
+		ClearTime: 24 * clock.Second,
 		Load: Load{
-			Room:     planner.Amounts{Cpus: 128, Gpus: 8, MemoryGB: 1024},
-			Short:    5 * clock.Second,
-			MaxTasks: 200,
+			QuotaLeft: planner.Resources{Cpus: 128, Gpus: 8, MemoryGB: 1024},
+			OwnWait:   5 * clock.Second,
+			MaxTasks:  200,
 			Types: []TypeLoad{{
 				Type: protocol.MachineType{
 					Name:        "g8",
@@ -32,13 +32,13 @@
 					BootS:       90,
 					Zones:       []string{"a", "b"},
 				},
-				Free:    planner.Amounts{Cpus: 12.5, Gpus: 2, MemoryGB: -3},
-				Refused: true,
+				Free:    planner.Resources{Cpus: 12.5, Gpus: 2, MemoryGB: -3},
+				SoldOut: true,
 			}, {
 				Type: protocol.MachineType{Name: "c4", Cpus: 4, MemoryGB: 16, BootS: 30, FetchGBPerS: 0.25},
 			}},
 		},
-		Tasks: []Status{{
+		Statuses: []Status{{
 			Number:  7,
 			Job:     "job-000412",
 			Closed:  true,
@@ -61,7 +61,7 @@
 		Class:       "train",
 		Team:        "vision",
 		Shape:       protocol.ShapeArray,
-		Rank:        "urgent",
+		Priority:    "urgent",
 		Tasks:       12,
 		Cpus:        8,
 		Gpus:        1,
@@ -80,22 +80,22 @@
 	}
 }
 
-func goldenAnswer() Answer {
-	return Answer{
-		Result: Taken,
+func goldenAnswer() HeartbeatResponse {
+	return HeartbeatResponse{
+		Result: Processed,
 		Leader: "10.0.0.1:8082",
-		Rulings: []Ruling{
-			{Number: 7, Verdict: Continue, For: 11 * clock.Second},
-			{Number: 8, Verdict: Close, For: 3 * clock.Second},
-			{Number: 9, Verdict: Stop, For: 2 * clock.Second},
-			{Number: 10, Verdict: Cancel},
-			{Number: 70_000, Verdict: Forget},
+		Directives: []Directive{
+			{Number: 7, Action: Continue, PermissionFor: 11 * clock.Second},
+			{Number: 8, Action: Close, PermissionFor: 3 * clock.Second},
+			{Number: 9, Action: Stop, PermissionFor: 2 * clock.Second},
+			{Number: 10, Action: Cancel},
+			{Number: 70_000, Action: Forget},
 		},
 		Offers: []Offer{{
 			Number: 11,
 			Spec:   goldenOfferedSpec(),
 			Tasks:  ranges(0, 1, 2, 7),
-			Age:    90 * clock.Second,
+			JobAge: 90 * clock.Second,
 		}},
 	}
 }
@@ -139,33 +139,33 @@
 func TestGoldenMessages(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		report Report
+		report Heartbeat
 		bytes  string
 	}{
 		{"report", goldenReport(), goldenReportBytes},
-		{"report of nothing", Report{}, emptyReportBytes},
+		{"report of nothing", Heartbeat{}, emptyReportBytes},
 	} {
 		goldentest.Equal(t, c.name, c.report.Encode(), c.bytes)
-		if got, err := DecodeReport([]byte(c.bytes)); err != nil || !equal(c.report, got) {
+		if got, err := DecodeHeartbeat([]byte(c.bytes)); err != nil || !equal(c.report, got) {
 			t.Errorf("%s: %v: %s", c.name, err, cmp.Diff(c.report, got, unexported))
 		}
 	}
 	for _, c := range []struct {
 		name   string
-		answer Answer
+		answer HeartbeatResponse
 		bytes  string
 	}{
 		{"answer", goldenAnswer(), goldenAnswerBytes},
-		{"answer of another node", Answer{Result: NotLeader}, otherLeaderBytes},
+		{"answer of another node", HeartbeatResponse{Result: NotLeader}, otherLeaderBytes},
 	} {
 		goldentest.Equal(t, c.name, c.answer.Encode(), c.bytes)
-		if got, err := DecodeAnswer([]byte(c.bytes)); err != nil || !equal(c.answer, got) {
+		if got, err := DecodeHeartbeatResponse([]byte(c.bytes)); err != nil || !equal(c.answer, got) {
 			t.Errorf("%s: %v: %s", c.name, err, cmp.Diff(c.answer, got, unexported))
 		}
 	}
-	goldentest.RequireFieldsSet(t, "status", goldenReport().Tasks[0])
+	goldentest.RequireFieldsSet(t, "status", goldenReport().Statuses[0])
 	goldentest.RequireFieldsSet(t, "offer", goldenAnswer().Offers[0])
-	goldentest.RequireFieldsSet(t, "ruling", goldenAnswer().Rulings[0])
+	goldentest.RequireFieldsSet(t, "ruling", goldenAnswer().Directives[0])
 	// A report has a machine type without its cache and prices.
 	load := goldenReport().Load.Types[0]
 	load.Type.CacheGB, load.Type.Price, load.Type.SpotPrice = 1, 1, 1
@@ -177,14 +177,14 @@
 	for _, c := range []struct{ constant, want int }{
 		{Version, 1},
 		{MaxPerHost, 32},
-		{MaxReported, 64},
+		{MaxStatuses, 64},
 		{MaxTasks, 256},
 		{maxTypes, 24},
 		{maxZones, 8},
 		{maxReason, 120},
 		{maxNameText, 64},
 		{maxAmount, 1_000_000_000},
-		{int(Taken), 1},
+		{int(Processed), 1},
 		{int(NotLeader), 2},
 		{int(Continue), 1},
 		{int(Close), 2},
@@ -202,16 +202,16 @@
 		{Stop.String(), "stop"},
 		{Cancel.String(), "cancel"},
 		{Forget.String(), "forget"},
-		{Verdict(0).String(), "unknown"},
+		{Action(0).String(), "unknown"},
 		{VersionError(2).Error(), "version 2 of the messages between cells, this is version 1"},
 		{ErrMalformed.Error(), "a malformed message between cells"},
 	} {
 		goldentest.Equal(t, "text", []byte(c.text), c.want)
 	}
 	long := goldenReport()
-	long.Tasks[0].Reason = string(make([]byte, 121))
-	got, err := DecodeReport(long.Encode())
-	if err != nil || len(got.Tasks[0].Reason) != 120 {
+	long.Statuses[0].Reason = string(make([]byte, 121))
+	got, err := DecodeHeartbeat(long.Encode())
+	if err != nil || len(got.Statuses[0].Reason) != 120 {
 		t.Errorf("a long reason: %v", err)
 	}
 }
--- a/internal/delegation/message.go
+++ b/internal/delegation/message.go
@@ -11,17 +11,17 @@
 // leader: its heartbeat says what it has of the origin cell's work, and the response says what it may
 // go on with and what else it may take. A response that comes too late is dropped.
 
-// Report is what a host sends to an origin cell: a heartbeat with the status of what it hosts.
-type Report struct {
-	Host string
-	Home string // the origin cell
+// Heartbeat is what a host sends to an origin cell: a heartbeat with the status of what it hosts.
+type Heartbeat struct {
+	Host   string
+	Origin string // the origin cell
 	// Epoch and Counter order the heartbeats of a host: Epoch is its leader's.
-	Epoch, Counter int64
-	// Clear is how long after the end of a permission the host takes at most until nothing
+	Epoch, Sequence int64
+	// ClearTime is how long after the end of a permission the host takes at most until nothing
 	// that needed it is on its machines.
-	Clear clock.Micros
-	Load  Load
-	Tasks []Status
+	ClearTime clock.Micros
+	Load      Load
+	Statuses  []Status
 }
 
 // Status is one delegation as its host has it. What it says of completed tasks, and of tasks
@@ -31,9 +31,9 @@
 	Job    string
 	// Closed delegations start nothing more: what is neither completed nor held is the origin's.
 	Closed bool
-	Done   ledger.Ranges
+	Done   ledger.TaskSet
 	// Held are tasks that may be on the host's machines.
-	Held ledger.Ranges
+	Held ledger.TaskSet
 	// Running and Waiting count the tasks that run and that wait for a machine.
 	Running, Waiting int
 	// Reason says why it was refused or given back.
@@ -42,10 +42,10 @@
 
 // Load is how much a host could take. It is advice only: nothing depends on its being true.
 type Load struct {
-	// Room is what is left of the quota for hosted jobs; memory isn't bounded.
-	Room planner.Amounts
-	// Short is for how long work of the host's own has been waiting for machines.
-	Short clock.Micros
+	// QuotaLeft is what is left of the quota for hosted jobs; memory isn't bounded.
+	QuotaLeft planner.Resources
+	// OwnWait is for how long work of the host's own has been waiting for machines.
+	OwnWait clock.Micros
 	// MaxTasks is how many tasks of an ordinary job fit into one delegation's record.
 	MaxTasks int
 	Types    []TypeLoad
@@ -55,18 +55,18 @@
 type TypeLoad struct {
 	Type protocol.MachineType // without prices
 	// Free are the amounts that are free on machines that are up, beyond the reserve.
-	Free planner.Amounts
-	// Refused says that its cloud has none left, as far as is known.
-	Refused bool
+	Free planner.Resources
+	// SoldOut says that its cloud has none left, as far as is known.
+	SoldOut bool
 }
 
-// Verdict is what an origin cell lets a host do with a delegation.
-type Verdict byte
+// Action is what an origin cell lets a host do with a delegation.
+type Action byte
 
 // The actions. A host starts nothing of a delegation before the first Continue.
 const (
 	// Continue lets the host start and keep the delegation's tasks for a time.
-	Continue Verdict = iota + 1
+	Continue Action = iota + 1
 	// Close lets it keep what runs for that time, and start nothing more.
 	Close
 	// Stop has it end what runs, saving checkpoints, and lets it keep that for the time.
@@ -77,7 +77,7 @@
 	Forget
 )
 
-func (v Verdict) String() string {
+func (v Action) String() string {
 	switch v {
 	case Continue:
 		return "continue"
@@ -94,23 +94,23 @@
 }
 
 // valid reports whether this version knows an action.
-func (v Verdict) valid() bool { return v >= Continue && v <= Forget }
-
-// Ruling is what a host may do with one delegation.
-type Ruling struct {
-	Number  int64
-	Verdict Verdict
-	// For is how long the permission lasts from the moment that the heartbeat was sent.
-	For clock.Micros
+func (v Action) valid() bool { return v >= Continue && v <= Forget }
+
+// Directive is what a host may do with one delegation.
+type Directive struct {
+	Number int64
+	Action Action
+	// PermissionFor is how long the permission lasts from the moment that the heartbeat was sent.
+	PermissionFor clock.Micros
 }
 
 // Offer asks a host to take tasks. It permits nothing by itself.
 type Offer struct {
 	Number int64
 	Spec   protocol.JobSpec
-	Tasks  ledger.Ranges
-	// Age is the time since the job's submission.
-	Age clock.Micros
+	Tasks  ledger.TaskSet
+	// JobAge is the time since the job's submission.
+	JobAge clock.Micros
 }
 
 // Result says whether a heartbeat was processed.
@@ -118,14 +118,14 @@
 
 // The results.
 const (
-	Taken Result = iota + 1
+	Processed Result = iota + 1
 	// NotLeader names the node to ask, if it is known.
 	NotLeader
 )
 
 func (r Result) String() string {
 	switch r {
-	case Taken:
+	case Processed:
 		return "taken"
 	case NotLeader:
 		return "not leader"
@@ -134,14 +134,14 @@
 }
 
 // valid reports whether this version knows a result.
-func (r Result) valid() bool { return r >= Taken && r <= NotLeader }
-
-// Answer is what an origin cell responds to a heartbeat.
-type Answer struct {
-	Result  Result
-	Leader  string // the leader's address, if another node leads
-	Rulings []Ruling
-	Offers  []Offer
+func (r Result) valid() bool { return r >= Processed && r <= NotLeader }
+
+// HeartbeatResponse is what an origin cell responds to a heartbeat.
+type HeartbeatResponse struct {
+	Result     Result
+	Leader     string // the leader's address, if another node leads
+	Directives []Directive
+	Offers     []Offer
 }
 
 // Bounds of a message, which keep it within a frame of internal/peer and bound what a leader does
@@ -149,8 +149,8 @@
 const (
 	// MaxPerHost is how many delegations one cell may have with one other.
 	MaxPerHost = 32
-	// MaxReported is how many delegations a heartbeat names: those that are over stay for a moment.
-	MaxReported = 2 * MaxPerHost
+	// MaxStatuses is how many delegations a heartbeat names: those that are over stay for a moment.
+	MaxStatuses = 2 * MaxPerHost
 	// MaxTasks is how many tasks a delegation has at most.
 	MaxTasks = 256
 	// maxTypes is how many machine types a load describes.
--- a/internal/delegation/origin.go
+++ b/internal/delegation/origin.go
@@ -12,45 +12,45 @@
 	Record
 	// Offerable says that the record, and the tasks' assignment to the host, are stored.
 	Offerable bool
-	// Left are the tasks that are still the host's, as far as the origin's leader knows.
-	Left ledger.Ranges
+	// Outstanding are the tasks that are still the host's, as far as the origin's leader knows.
+	Outstanding ledger.TaskSet
 	// clearAt is when nothing of it runs or can start any more, if no other permission is given;
 	// 0 if none ever was.
 	clearAt clock.Micros
-	// Reported is the host's last status, HeardAt when it came.
-	Reported Status
-	HeardAt  clock.Micros
+	// LastStatus is the host's last status, HeardAt when it came.
+	LastStatus   Status
+	LastStatusAt clock.Micros
 }
 
 // New returns a delegation that its origin cell is about to offer. Nobody has any permission yet.
-func New(r Record) *Delegation { return &Delegation{Record: r, Left: r.Tasks} }
+func New(r Record) *Delegation { return &Delegation{Record: r, Outstanding: r.Tasks} }
 
-// Resumed returns a delegation from the records that a new leader has read: earlier leaders may
+// Restore returns a delegation from the records that a new leader has read: earlier leaders may
 // have given permissions until the term began, after which nothing runs for longer than proofTime.
-func Resumed(r Record, termBegan, proofTime clock.Micros) *Delegation {
-	return &Delegation{Record: r, Left: r.Tasks, Offerable: true, clearAt: termBegan + proofTime}
+func Restore(r Record, termBegan, proofTime clock.Micros) *Delegation {
+	return &Delegation{Record: r, Outstanding: r.Tasks, Offerable: true, clearAt: termBegan + proofTime}
 }
 
-// Permit notes a permission that was given while all cancellations before known were known.
-func (d *Delegation) Permit(known, proofTime clock.Micros) {
+// NotePermission notes a permission that was given while all cancellations before known were known.
+func (d *Delegation) NotePermission(known, proofTime clock.Micros) {
 	d.clearAt = max(d.clearAt, known+proofTime)
 }
 
-// Clear reports whether nothing of it runs or can start any more, whatever the host does: there was
+// IsClear reports whether nothing of it runs or can start any more, whatever the host does: there was
 // no permission, or the last one ended long enough ago.
-func (d *Delegation) Clear(now clock.Micros) bool { return now >= d.clearAt }
+func (d *Delegation) IsClear(now clock.Micros) bool { return now >= d.clearAt }
 
-// Freed are the tasks that no longer belong to a delegation.
-type Freed struct {
+// FreedTasks are the tasks that no longer belong to a delegation.
+type FreedTasks struct {
 	Completed []int
 	// Unfinished tasks may start in the origin cell again.
 	Unfinished []int
 }
 
-// Hear takes the host's status, in whatever order statuses arrive: all of it that matters never
+// ApplyStatus takes the host's status, in whatever order statuses arrive: all of it that matters never
 // changes once it is true.
-func (d *Delegation) Hear(s Status, now clock.Micros) Freed {
-	d.Reported, d.HeardAt = s, now
+func (d *Delegation) ApplyStatus(s Status, now clock.Micros) FreedTasks {
+	d.LastStatus, d.LastStatusAt = s, now
 	freed := d.freedBy(&s)
 	d.remove(freed)
 	d.State = d.stateAfter(&s)
@@ -58,13 +58,13 @@
 }
 
 // freedBy returns the tasks that a status of the host frees.
-func (d *Delegation) freedBy(s *Status) Freed {
-	var freed Freed
-	for task := range tasksIn(&d.Left) {
+func (d *Delegation) freedBy(s *Status) FreedTasks {
+	var freed FreedTasks
+	for task := range tasksIn(&d.Outstanding) {
 		switch {
-		case s.Done.Has(task):
+		case s.Done.Contains(task):
 			freed.Completed = append(freed.Completed, task)
-		case s.Closed && !s.Held.Has(task):
+		case s.Closed && !s.Held.Contains(task):
 			freed.Unfinished = append(freed.Unfinished, task)
 		}
 	}
@@ -88,9 +88,9 @@
 }
 
 // Expire frees all tasks of a delegation whose host has had no permission for long enough.
-func (d *Delegation) Expire() Freed {
-	var freed Freed
-	for task := range tasksIn(&d.Left) {
+func (d *Delegation) Expire() FreedTasks {
+	var freed FreedTasks
+	for task := range tasksIn(&d.Outstanding) {
 		freed.Unfinished = append(freed.Unfinished, task)
 	}
 	d.remove(freed)
@@ -99,7 +99,7 @@
 }
 
 // remove takes freed tasks out of the delegation.
-func (d *Delegation) remove(freed Freed) {
+func (d *Delegation) remove(freed FreedTasks) {
 	gone := map[int]bool{}
 	for _, task := range freed.Completed {
 		gone[task] = true
@@ -110,19 +110,19 @@
 	if len(gone) == 0 {
 		return
 	}
-	var left ledger.Ranges
-	for task := range tasksIn(&d.Left) {
+	var left ledger.TaskSet
+	for task := range tasksIn(&d.Outstanding) {
 		if !gone[task] {
 			left.Add(task)
 		}
 	}
-	d.Left = left
+	d.Outstanding = left
 }
 
 // tasksIn iterates over task numbers in ascending order.
-func tasksIn(tasks *ledger.Ranges) iter.Seq[int] {
+func tasksIn(tasks *ledger.TaskSet) iter.Seq[int] {
 	return func(yield func(int) bool) {
-		for task := tasks.NextIn(0); task <= tasks.Max(); task = tasks.NextIn(task + 1) {
+		for task := tasks.NextPresent(0); task <= tasks.Max(); task = tasks.NextPresent(task + 1) {
 			if !yield(task) {
 				return
 			}
@@ -137,8 +137,8 @@
 	}
 }
 
-// Verdict returns what the host may do, cancellations apart. stop ends also what runs.
-func (d *Delegation) Verdict(stop bool) Verdict {
+// NextAction returns what the host may do, cancellations apart. stop ends also what runs.
+func (d *Delegation) NextAction(stop bool) Action {
 	switch {
 	case d.State != Recalled:
 		return Continue
@@ -148,8 +148,8 @@
 	return Close
 }
 
-// Over reports whether nothing of it is the host's any more: once the records say so too, the
+// IsOver reports whether nothing of it is the host's any more: once the records say so too, the
 // origin cell forgets it, and tells the host to.
-func (d *Delegation) Over() bool {
-	return d.Left.Len() == 0 && (d.State == Ended || d.State == Refused)
+func (d *Delegation) IsOver() bool {
+	return d.Outstanding.Len() == 0 && (d.State == Ended || d.State == Refused)
 }
--- a/internal/delegation/permission.go
+++ b/internal/delegation/permission.go
@@ -2,10 +2,10 @@
 
 import "postpoint/internal/clock"
 
-// Permit is the permission under which a host's leader runs a hosted job: a job that another cell
+// Permission is the permission under which a host's leader runs a hosted job: a job that another cell
 // has delegated. It works like a lease that the host renews. It belongs to one leader's term: a
 // successor has to ask the origin cell itself. Times are on the leader's clock.
-type Permit struct {
+type Permission struct {
 	// until is when the permission ends. Before the origin's first response there is none.
 	until clock.Micros
 	// asked says that the origin has responded.
@@ -19,14 +19,14 @@
 	Forgotten bool
 }
 
-// Patient returns the permit of a hosted job of whose origin nothing was heard yet. It isn't
+// NewPermission returns the permit of a hosted job of whose origin nothing was heard yet. It isn't
 // missed until the given time.
-func Patient(until clock.Micros) *Permit { return &Permit{patience: until} }
+func NewPermission(until clock.Micros) *Permission { return &Permission{patience: until} }
 
-// Take takes what the origin cell responded to a heartbeat that was sent at the given time.
-func (p *Permit) Take(r Ruling, sentAt, now clock.Micros) {
+// Apply takes what the origin cell responded to a heartbeat that was sent at the given time.
+func (p *Permission) Apply(r Directive, sentAt, now clock.Micros) {
 	p.asked = true
-	switch r.Verdict {
+	switch r.Action {
 	case Cancel:
 		p.end(now)
 		return
@@ -39,26 +39,26 @@
 	case Close:
 		p.Closing = true
 	}
-	p.renew(sentAt+r.For, now)
+	p.renew(sentAt+r.PermissionFor, now)
 }
 
 // renew prolongs the permission. One that is over by the time that it arrives permits nothing, and
 // an ended permission isn't revived.
-func (p *Permit) renew(until, now clock.Micros) {
+func (p *Permission) renew(until, now clock.Micros) {
 	if !p.Ending && until > now {
 		p.until = max(p.until, until)
 	}
 }
 
-// Check ends the hosted job once its permission has ended. One of which nothing was heard yet is left
+// CheckExpiry ends the hosted job once its permission has ended. One of which nothing was heard yet is left
 // alone until patience is over, but may do nothing.
-func (p *Permit) Check(now clock.Micros) {
+func (p *Permission) CheckExpiry(now clock.Micros) {
 	if now >= p.until && (p.asked || now >= p.patience) {
 		p.end(now)
 	}
 }
 
-func (p *Permit) end(now clock.Micros) {
+func (p *Permission) end(now clock.Micros) {
 	if p.Ending {
 		return
 	}
@@ -66,13 +66,13 @@
 	p.until = min(p.until, now)
 }
 
-// Until returns when the present permission ends; it has ended for hosted jobs that are ending.
+// ExpiresAt returns when the present permission ends; it has ended for hosted jobs that are ending.
 // Until then what runs may be kept. After it, workers' leases may only be renewed by what ends the
 // job's tasks there.
-func (p *Permit) Until() clock.Micros { return p.until }
+func (p *Permission) ExpiresAt() clock.Micros { return p.until }
 
 // MayKeep reports whether its tasks may stay on their machines.
-func (p *Permit) MayKeep(now clock.Micros) bool { return !p.Ending && now < p.until }
+func (p *Permission) MayKeep(now clock.Micros) bool { return !p.Ending && now < p.until }
 
 // MayStart reports whether its tasks may be started.
-func (p *Permit) MayStart(now clock.Micros) bool { return p.MayKeep(now) && !p.Closing }
+func (p *Permission) MayStart(now clock.Micros) bool { return p.MayKeep(now) && !p.Closing }
--- a/internal/delegation/reader.go
+++ b/internal/delegation/reader.go
@@ -84,8 +84,8 @@
 	return x
 }
 
-func (r *reader) amounts() planner.Amounts {
-	var a planner.Amounts
+func (r *reader) amounts() planner.Resources {
+	var a planner.Resources
 	a.Cpus = r.amount()
 	a.Gpus = r.amount()
 	a.MemoryGB = r.amount()
@@ -103,8 +103,8 @@
 
 func (r *reader) text(most int) string { return string(r.take(r.count(most))) }
 
-func (r *reader) ranges() ledger.Ranges {
-	tasks, err := ledger.ParseRanges(r.text(protocol.MaxBody))
+func (r *reader) ranges() ledger.TaskSet {
+	tasks, err := ledger.ParseTaskSet(r.text(protocol.MaxBodyBytes))
 	if err != nil {
 		r.fail("task numbers can't be read")
 	}
--- a/internal/delegation/record.go
+++ b/internal/delegation/record.go
@@ -49,7 +49,7 @@
 	Number int64
 	Host   string // cell
 	Job    string
-	Tasks  ledger.Ranges
+	Tasks  ledger.TaskSet
 	State  State
 	// OfferedAt is the time of day in microseconds.
 	OfferedAt int64
@@ -102,7 +102,7 @@
 	if err := protocol.Decode(value, &stored); err != nil {
 		return Record{}, err
 	}
-	tasks, err := ledger.ParseRanges(stored.Tasks)
+	tasks, err := ledger.ParseTaskSet(stored.Tasks)
 	if err != nil {
 		return Record{}, err
 	}
--- a/internal/delegation/transfer_test.go
+++ b/internal/delegation/transfer_test.go
@@ -23,7 +23,7 @@
 	closed   bool
 	done     map[int]bool // by the host's record
 	onHost   map[int]bool // on its machines
-	permit   *Permit
+	permit   *Permission
 	// lastUntil is the end of the latest permission of any leader of the host.
 	lastUntil clock.Micros
 
@@ -37,7 +37,7 @@
 }
 
 type sentResponse struct {
-	ruling Ruling
+	ruling Directive
 	sentAt clock.Micros
 }
 
@@ -66,7 +66,7 @@
 func (m *transferModel) pass(d clock.Micros) {
 	m.now += d
 	if m.permit != nil {
-		m.permit.Check(m.now)
+		m.permit.CheckExpiry(m.now)
 	}
 	if m.now >= m.lastUntil+modelClear {
 		clear(m.onHost)
@@ -89,28 +89,28 @@
 
 // respond is the origin's part of an exchange. It knew all cancellations of lag ago.
 func (m *transferModel) respond(r sentHeartbeat, lag clock.Micros) {
-	if m.origin.Over() {
-		m.send(Ruling{Number: 1, Verdict: Forget}, r)
+	if m.origin.IsOver() {
+		m.send(Directive{Number: 1, Action: Forget}, r)
 		return
 	}
-	m.free(m.origin.Hear(r.status, m.now))
+	m.free(m.origin.ApplyStatus(r.status, m.now))
 	if m.cancelled {
-		m.send(Ruling{Number: 1, Verdict: Cancel}, r)
+		m.send(Directive{Number: 1, Action: Cancel}, r)
 		return
 	}
 	known := m.now - lag
 	length := known + modelPermit - m.now
-	if length > 0 && !m.origin.Over() {
-		m.origin.Permit(known, modelCancel)
-		m.send(Ruling{Number: 1, Verdict: m.origin.Verdict(false), For: length}, r)
+	if length > 0 && !m.origin.IsOver() {
+		m.origin.NotePermission(known, modelCancel)
+		m.send(Directive{Number: 1, Action: m.origin.NextAction(false), PermissionFor: length}, r)
 	}
 }
 
-func (m *transferModel) send(ruling Ruling, to sentHeartbeat) {
+func (m *transferModel) send(ruling Directive, to sentHeartbeat) {
 	m.responses = append(m.responses, sentResponse{ruling, to.sentAt})
 }
 
-func (m *transferModel) free(f Freed) {
+func (m *transferModel) free(f FreedTasks) {
 	for _, task := range f.Unfinished {
 		m.freed[task] = true
 	}
@@ -149,8 +149,8 @@
 }
 
 func (m *transferModel) hostAccepts() {
-	if !m.accepted && !m.origin.Over() {
-		m.accepted, m.permit = true, Patient(m.now+modelPatience)
+	if !m.accepted && !m.origin.IsOver() {
+		m.accepted, m.permit = true, NewPermission(m.now+modelPatience)
 	}
 }
 
@@ -175,9 +175,9 @@
 		return
 	}
 	a := m.responses[rapid.IntRange(0, len(m.responses)-1).Draw(t, "which")]
-	m.permit.Take(a.ruling, a.sentAt, m.now)
+	m.permit.Apply(a.ruling, a.sentAt, m.now)
 	if m.permit.MayKeep(m.now) {
-		m.lastUntil = max(m.lastUntil, m.permit.Until())
+		m.lastUntil = max(m.lastUntil, m.permit.ExpiresAt())
 	}
 }
 
@@ -207,12 +207,12 @@
 // leaderIsReplaced replaces the leader of either cell.
 func (m *transferModel) leaderIsReplaced(t *rapid.T) {
 	if m.accepted && rapid.Bool().Draw(t, "host's") {
-		m.permit = Patient(m.now + modelPatience)
+		m.permit = NewPermission(m.now + modelPatience)
 		return
 	}
-	left := m.origin.Left
-	m.origin = Resumed(m.origin.Record, m.now, modelCancel)
-	m.origin.Left = left
+	left := m.origin.Outstanding
+	m.origin = Restore(m.origin.Record, m.now, modelCancel)
+	m.origin.Outstanding = left
 }
 
 func (m *transferModel) originActs(t *rapid.T) {
@@ -220,7 +220,7 @@
 	case 0:
 		m.origin.Recall()
 	case 1:
-		if m.origin.Clear(m.now) && !m.origin.Over() {
+		if m.origin.IsClear(m.now) && !m.origin.IsOver() {
 			m.free(m.origin.Expire())
 		}
 	case 2:
--- a/internal/delegation/writer.go
+++ b/internal/delegation/writer.go
@@ -31,7 +31,7 @@
 	w.byte(0)
 }
 
-func (w *writer) amounts(a planner.Amounts) {
+func (w *writer) amounts(a planner.Resources) {
 	w.amount(a.Cpus)
 	w.amount(a.Gpus)
 	w.amount(a.MemoryGB)
--- a/internal/fleet/cordon.go
+++ b/internal/fleet/cordon.go
@@ -33,7 +33,7 @@
 	for ; looks > 0 && len(candidates) > 0; looks-- {
 		batch = min(batch, len(candidates))
 		next := candidates[:batch]
-		remaining, ok := Spares(snapshot, next...)
+		remaining, ok := FitsWithout(snapshot, next...)
 		switch {
 		case ok:
 			names, snapshot = append(names, next...), remaining
@@ -58,7 +58,7 @@
 	}
 	slices.SortFunc(candidates, func(a, b planner.Machine) int {
 		return cmp.Or(
-			cmp.Compare(b.Price*idleShare(b), a.Price*idleShare(a)),
+			cmp.Compare(b.HourlyPrice*idleShare(b), a.HourlyPrice*idleShare(a)),
 			cmp.Compare(a.Name, b.Name))
 	})
 	names := make([]string, len(candidates))
@@ -69,13 +69,15 @@
 }
 
 // idleShare returns the part of a machine that is free, by its most used resource.
-func idleShare(m planner.Machine) float64 { return 1 - m.Whole.Minus(m.Free).Share(m.Whole) }
+func idleShare(m planner.Machine) float64 {
+	return 1 - m.Capacity.Minus(m.Free).DominantShare(m.Capacity)
+}
 
-// Spares reports whether everything that runs and waits would have room without some
+// FitsWithout reports whether everything that runs and waits would have room without some
 // machines, their own tasks included, and returns the snapshot without them.
-func Spares(snapshot planner.Snapshot, machines ...string) (planner.Snapshot, bool) {
+func FitsWithout(snapshot planner.Snapshot, machines ...string) (planner.Snapshot, bool) {
 	remaining := withoutMachines(snapshot, machines)
-	return remaining, len(planner.Make(remaining).Wants) == 0
+	return remaining, len(planner.MakePlan(remaining).UnmetDemand) == 0
 }
 
 // withoutMachines returns the snapshot without some machines and without those that boot,
@@ -92,7 +94,7 @@
 	snapshot.Jobs = slices.Clone(snapshot.Jobs)
 	for i := range snapshot.Jobs {
 		job := &snapshot.Jobs[i]
-		job.MayEvict, job.Waiting = false, false
+		job.MayPreempt, job.BackingOff = false, false
 		moveToPending(job, removed)
 	}
 	return snapshot
@@ -111,18 +113,18 @@
 		return
 	}
 	job.Pending = append(slices.Clone(job.Pending), moved...)
-	job.Limit += len(moved)
-	job.Running = slices.DeleteFunc(slices.Clone(job.Running), func(r planner.Running) bool {
+	job.MaxStarts += len(moved)
+	job.Running = slices.DeleteFunc(slices.Clone(job.Running), func(r planner.RunningTask) bool {
 		return removed[r.Machine]
 	})
 }
 
 // Uncordon reports whether cordoned machines of a pool are needed after all: if one of the
 // pool would be rented for the unmet demand, or half of what that takes, since they are up.
-func (m *Market) Uncordon(pool Kind, unmet []planner.Want) bool {
+func (m *CloudView) Uncordon(pool CapacityPool, unmet []planner.UnmetDemand) bool {
 	urgent := m.newUrgentDemand(unmet)
-	return slices.ContainsFunc(unmet, func(demand planner.Want) bool {
+	return slices.ContainsFunc(unmet, func(demand planner.UnmetDemand) bool {
 		return m.tasksPerMachine(pool, demand.Job.Spec) > 0 &&
-			(m.Fair(pool, demand.Job) || m.worthPremium(pool, demand.Job, urgent, uncordonFillScale))
+			(m.FairlyPriced(pool, demand.Job) || m.worthPremium(pool, demand.Job, urgent, uncordonFillScale))
 	})
 }
--- a/internal/fleet/cordon_test.go
+++ b/internal/fleet/cordon_test.go
@@ -22,15 +22,15 @@
 			used = 1 + r.IntN(4)
 		}
 		name := fmt.Sprintf("m-%02d", i)
-		whole := planner.Amounts{Cpus: 8}
-		s.Machines = append(s.Machines, planner.Machine{Name: name, Type: "t", Zone: "a", Whole: whole,
-			Free: whole.Minus(planner.Needs(spec).Times(float64(used))), Price: float64(1 + r.IntN(3))})
+		whole := planner.Resources{Cpus: 8}
+		s.Machines = append(s.Machines, planner.Machine{Name: name, Type: "t", Zone: "a", Capacity: whole,
+			Free: whole.Minus(planner.TaskResources(spec).Times(float64(used))), HourlyPrice: float64(1 + r.IntN(3))})
 		for range used {
-			task := planner.Running{Task: len(running.Running), Machine: name, Zone: "a"}
+			task := planner.RunningTask{Task: len(running.Running), Machine: name, Zone: "a"}
 			running.Running = append(running.Running, task)
 		}
 	}
-	waiting := planner.Job{ID: "job-2", Limit: 50,
+	waiting := planner.Job{ID: "job-2", MaxStarts: 50,
 		Spec: &protocol.JobSpec{ID: "job-2", Shape: protocol.ShapeArray, Tasks: 50, Cpus: 2}}
 	for t := range r.IntN(50) {
 		waiting.Pending = append(waiting.Pending, t)
@@ -48,11 +48,11 @@
 		}
 	}
 	slices.SortStableFunc(candidates, func(a, b planner.Machine) int {
-		return cmp.Compare(b.Price*idleShare(b), a.Price*idleShare(a))
+		return cmp.Compare(b.HourlyPrice*idleShare(b), a.HourlyPrice*idleShare(a))
 	})
 	var surplus []string
 	for _, m := range candidates {
-		if remaining, ok := Spares(s, m.Name); ok {
+		if remaining, ok := FitsWithout(s, m.Name); ok {
 			surplus, s = append(surplus, m.Name), remaining
 		}
 	}
@@ -78,7 +78,7 @@
 	for seed := range uint64(50) {
 		s := cordonSnapshot(rand.New(rand.NewPCG(seed, 1)))
 		names, nextBatch := Cordon(s, 3, 4)
-		if _, ok := Spares(s, names...); !ok {
+		if _, ok := FitsWithout(s, names...); !ok {
 			t.Fatalf("seed %d: cordoned %v, want machines that can be removed together", seed, names)
 		}
 		if nextBatch < 1 {
--- a/internal/fleet/draw_test.go
+++ b/internal/fleet/draw_test.go
@@ -10,8 +10,8 @@
 
 // drawMarket draws a market of four types in two zones, some pools of which have run out
 // of capacity, those of the larger types more often.
-func drawMarket(r *rand.Rand) *Market {
-	m := &Market{Types: map[string]protocol.MachineType{}, Refused: map[Kind]bool{}}
+func drawMarket(r *rand.Rand) *CloudView {
+	m := &CloudView{Types: map[string]protocol.MachineType{}, OutOfCapacity: map[CapacityPool]bool{}}
 	for i, t := range []protocol.MachineType{
 		{Name: "small", Cpus: 8, MemoryGB: 16, Price: 0.3, SpotPrice: 0.1, BootS: 30, FetchGBPerS: 0.6},
 		{Name: "middle", Cpus: 16, MemoryGB: 64, Price: 0.7, SpotPrice: 0.2, BootS: 30, FetchGBPerS: 0.5},
@@ -22,7 +22,7 @@
 		m.Types[t.Name] = t
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
-				m.Refused[Kind{t.Name, zone, spot}] = r.IntN(4) < i
+				m.OutOfCapacity[CapacityPool{t.Name, zone, spot}] = r.IntN(4) < i
 			}
 		}
 	}
@@ -30,18 +30,18 @@
 }
 
 // drawUnmetDemand draws jobs of all urgencies that found no room.
-func drawUnmetDemand(r *rand.Rand, jobs, mostTasks int) []planner.Want {
-	unmet := make([]planner.Want, jobs)
+func drawUnmetDemand(r *rand.Rand, jobs, mostTasks int) []planner.UnmetDemand {
+	unmet := make([]planner.UnmetDemand, jobs)
 	for i := range unmet {
 		spec := &protocol.JobSpec{ID: fmt.Sprint("job-", i), Tasks: 1 + r.IntN(mostTasks),
 			Cpus: []float64{1, 10, 15}[r.IntN(3)], MemoryGB: []float64{1.4, 51}[r.IntN(2)],
 			Gpus: float64(r.IntN(4) / 3), ImageGB: 2 * r.Float64(), Spot: r.IntN(3) > 0, OneZone: r.IntN(4) == 0}
 		j := &planner.Job{ID: spec.ID, Spec: spec, SlackS: -400 + 800*r.Float64(),
-			StartAim: r.IntN(4) == 0, Waiting: r.IntN(20) == 0}
+			HasStartObjective: r.IntN(4) == 0, BackingOff: r.IntN(20) == 0}
 		if r.IntN(3) == 0 {
-			j.Running = []planner.Running{{Task: 0, Machine: "m-1", Zone: []string{"a", "b"}[r.IntN(2)]}}
+			j.Running = []planner.RunningTask{{Task: 0, Machine: "m-1", Zone: []string{"a", "b"}[r.IntN(2)]}}
 		}
-		unmet[i] = planner.Want{Job: j, Tasks: spec.Tasks}
+		unmet[i] = planner.UnmetDemand{Job: j, Tasks: spec.Tasks}
 	}
 	return unmet
 }
--- a/internal/fleet/idle.go
+++ b/internal/fleet/idle.go
@@ -9,22 +9,22 @@
 // for in vain.
 const unusableIdleTime = 15 * clock.Second
 
-// Idle is a machine without tasks.
-type Idle struct {
-	Kind Kind
-	// For is how long the machine has been without tasks.
-	For clock.Micros
+// IdleMachine is a machine without tasks.
+type IdleMachine struct {
+	Pool CapacityPool
+	// IdleFor is how long the machine has been without tasks.
+	IdleFor clock.Micros
 	// Needed tells that tasks of a class seen lately could use the machine.
 	Needed bool
 	// Cordoned machines take no new tasks.
 	Cordoned bool
 }
 
-// Keep returns how long an idle machine is worth keeping: for the time of a boot, since
+// IdleTimeout returns how long an idle machine is worth keeping: for the time of a boot, since
 // renting it again costs one, during which it is paid for and its work waits.
-func (m *Market) Keep(i Idle) clock.Micros {
+func (m *CloudView) IdleTimeout(i IdleMachine) clock.Micros {
 	if !i.Needed || i.Cordoned {
 		return unusableIdleTime
 	}
-	return clock.FromSeconds(m.Types[i.Kind.Type].BootS)
+	return clock.FromSeconds(m.Types[i.Pool.Type].BootS)
 }
--- a/internal/fleet/idle_test.go
+++ b/internal/fleet/idle_test.go
@@ -10,19 +10,19 @@
 // Idle machines are kept for a boot if they may be needed, and for a short time if not.
 func TestIdleMachinesAreKeptForABootIfNeeded(t *testing.T) {
 	const bootS = 40
-	m := &Market{Types: map[string]protocol.MachineType{"t": {Name: "t", BootS: bootS}}}
+	m := &CloudView{Types: map[string]protocol.MachineType{"t": {Name: "t", BootS: bootS}}}
 	for _, test := range []struct {
 		name string
-		idle Idle
+		idle IdleMachine
 		want clock.Micros
 	}{
-		{"needed", Idle{Needed: true}, bootS * clock.Second},
-		{"not needed", Idle{}, unusableIdleTime},
-		{"needed and cordoned", Idle{Needed: true, Cordoned: true}, unusableIdleTime},
+		{"needed", IdleMachine{Needed: true}, bootS * clock.Second},
+		{"not needed", IdleMachine{}, unusableIdleTime},
+		{"needed and cordoned", IdleMachine{Needed: true, Cordoned: true}, unusableIdleTime},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			test.idle.Kind = Kind{Type: "t", Zone: "a"}
-			if got := m.Keep(test.idle); got != test.want {
+			test.idle.Pool = CapacityPool{Type: "t", Zone: "a"}
+			if got := m.IdleTimeout(test.idle); got != test.want {
 				t.Errorf("kept for %d microseconds, want %d", got, test.want)
 			}
 		})
--- a/internal/fleet/price.go
+++ b/internal/fleet/price.go
@@ -42,25 +42,27 @@
 	anyPriceS = 300
 )
 
-// Price returns the price of a machine of the type for an hour.
-func Price(t protocol.MachineType, spot bool) float64 {
+// HourlyPrice returns the price of a machine of the type for an hour.
+func HourlyPrice(t protocol.MachineType, spot bool) float64 {
 	if spot {
 		return t.SpotPrice
 	}
 	return t.Price
 }
 
-// Price returns the price of a machine of the pool for an hour.
-func (m *Market) Price(pool Kind) float64 { return Price(m.Types[pool.Type], pool.Spot) }
+// HourlyPrice returns the price of a machine of the pool for an hour.
+func (m *CloudView) HourlyPrice(pool CapacityPool) float64 {
+	return HourlyPrice(m.Types[pool.Type], pool.Spot)
+}
 
-// Fair reports whether a task of the job costs not much more in the pool than where it is
+// FairlyPriced reports whether a task of the job costs not much more in the pool than where it is
 // cheapest. From other pools machines are rented only for jobs that can't wait.
-func (m *Market) Fair(pool Kind, job *planner.Job) bool {
-	return m.priceMultiple(pool, job) <= fairMultiple || m.Price(pool) <= negligibleShare*m.highestPrice()
+func (m *CloudView) FairlyPriced(pool CapacityPool, job *planner.Job) bool {
+	return m.priceMultiple(pool, job) <= fairMultiple || m.HourlyPrice(pool) <= negligibleShare*m.highestPrice()
 }
 
 // highestPrice returns the price of the dearest machine type.
-func (m *Market) highestPrice() float64 {
+func (m *CloudView) highestPrice() float64 {
 	price := 0.0
 	for _, t := range m.Types {
 		price = max(price, t.Price)
@@ -70,19 +72,19 @@
 
 // priceMultiple returns what a task of the job costs in the pool, as a multiple of where
 // it is cheapest.
-func (m *Market) priceMultiple(pool Kind, job *planner.Job) float64 {
-	return m.Price(pool) / float64(m.tasksPerMachine(pool, job.Spec)) / m.lowestTaskPrice(job.Spec)
+func (m *CloudView) priceMultiple(pool CapacityPool, job *planner.Job) float64 {
+	return m.HourlyPrice(pool) / float64(m.tasksPerMachine(pool, job.Spec)) / m.lowestTaskPrice(job.Spec)
 }
 
 // lowestTaskPrice returns the lowest price for a task on a machine that such tasks fill,
 // whether or not such a machine can be had at present.
-func (m *Market) lowestTaskPrice(spec *protocol.JobSpec) float64 {
+func (m *CloudView) lowestTaskPrice(spec *protocol.JobSpec) float64 {
 	if known, ok := m.lowestPrices[spec]; ok {
 		return known
 	}
 	lowest := 0.0
 	for pool, tasks := range m.usablePools(spec) {
-		if price := m.Price(pool) / float64(tasks); lowest == 0 || price < lowest {
+		if price := m.HourlyPrice(pool) / float64(tasks); lowest == 0 || price < lowest {
 			lowest = price
 		}
 	}
@@ -95,8 +97,8 @@
 
 // worthPremium reports whether a price that isn't fair is paid for a job, given the
 // urgent demand of all jobs. The fill asked of that demand is scaled by fillScale.
-func (m *Market) worthPremium(
-	pool Kind, job *planner.Job, urgent *urgentDemand, fillScale float64,
+func (m *CloudView) worthPremium(
+	pool CapacityPool, job *planner.Job, urgent *urgentDemand, fillScale float64,
 ) bool {
 	if paysAnyPrice(job) {
 		return true
@@ -121,7 +123,7 @@
 	if t.FetchGBPerS > 0 {
 		readyS += job.Spec.ImageGB / t.FetchGBPerS
 	}
-	return job.StartAim ||
+	return job.HasStartObjective ||
 		job.SlackS >= readyS && job.SlackS < readyS+urgencyWindowS ||
 		job.SlackS < -patienceS
 }
--- a/internal/fleet/price_test.go
+++ b/internal/fleet/price_test.go
@@ -9,29 +9,29 @@
 
 // twoTypes returns a market with a cheap type and a dear one of the same size, whose price
 // is between the fair multiple and the one paid for half a machine.
-func twoTypes() *Market {
+func twoTypes() *CloudView {
 	zones := []string{"a"}
-	return &Market{Types: map[string]protocol.MachineType{
+	return &CloudView{Types: map[string]protocol.MachineType{
 		"cheap": {Name: "cheap", Cpus: 10, Price: 1, SpotPrice: 1, Zones: zones},
 		"dear":  {Name: "dear", Cpus: 10, Price: 4, SpotPrice: 4, Zones: zones},
 	}}
 }
 
 // singleTasks returns unmet demand for tasks of one processor each.
-func singleTasks(tasks int, job planner.Job) []planner.Want {
+func singleTasks(tasks int, job planner.Job) []planner.UnmetDemand {
 	job.Spec = &protocol.JobSpec{ID: "job-1", Tasks: tasks, Cpus: 1}
-	return []planner.Want{{Job: &job, Tasks: tasks}}
+	return []planner.UnmetDemand{{Job: &job, Tasks: tasks}}
 }
 
 // A cordoned machine of a dear pool is needed by half the urgent demand that has one rented;
 // one of a fair pool is needed by any demand.
 func TestUncordonNeedsHalfTheDemandOfScaleOut(t *testing.T) {
-	urgent, patient := planner.Job{StartAim: true}, planner.Job{SlackS: 1000}
-	cheap, dear := Kind{Type: "cheap", Zone: "a"}, Kind{Type: "dear", Zone: "a"}
+	urgent, patient := planner.Job{HasStartObjective: true}, planner.Job{SlackS: 1000}
+	cheap, dear := CapacityPool{Type: "cheap", Zone: "a"}, CapacityPool{Type: "dear", Zone: "a"}
 	for _, test := range []struct {
 		name     string
-		pool     Kind
-		unmet    []planner.Want
+		pool     CapacityPool
+		unmet    []planner.UnmetDemand
 		uncordon bool
 		rented   int
 	}{
@@ -47,12 +47,12 @@
 				t.Errorf("uncordoned: %v, want %v", got, test.uncordon)
 			}
 			m = twoTypes()
-			m.Refused = map[Kind]bool{}
+			m.OutOfCapacity = map[CapacityPool]bool{}
 			for _, other := range allPools(m.Types) {
-				m.Refused[other] = other != test.pool
+				m.OutOfCapacity[other] = other != test.pool
 			}
 			rented := 0
-			for _, decision := range m.Rent(test.unmet) {
+			for _, decision := range m.ScaleOut(test.unmet) {
 				rented += decision.Count
 			}
 			if rented != test.rented {
@@ -67,16 +67,16 @@
 func TestFairPrices(t *testing.T) {
 	m := twoTypes()
 	job := singleTasks(1, planner.Job{})[0].Job
-	if !m.Fair(Kind{Type: "cheap", Zone: "a"}, job) {
+	if !m.FairlyPriced(CapacityPool{Type: "cheap", Zone: "a"}, job) {
 		t.Error("the cheapest pool isn't fair, want it fair")
 	}
-	dear := Kind{Type: "dear", Zone: "a"}
-	if m.Fair(dear, job) {
+	dear := CapacityPool{Type: "dear", Zone: "a"}
+	if m.FairlyPriced(dear, job) {
 		t.Error("a pool of four times the cheapest price is fair, want it not to be")
 	}
 	m = twoTypes()
 	m.Types["dearest"] = protocol.MachineType{Name: "dearest", Cpus: 1, Price: 80, Zones: []string{"a"}}
-	if !m.Fair(dear, job) {
+	if !m.FairlyPriced(dear, job) {
 		t.Error("a pool of a twentieth of the dearest price isn't fair, want it fair")
 	}
 }
@@ -99,7 +99,7 @@
 		{"zone without the big type", protocol.JobSpec{Cpus: 8, Zone: "a"}, false},
 		{"type that is too small", protocol.JobSpec{Cpus: 8, Types: []string{"small"}}, false},
 	} {
-		if got := Fits(types, &test.spec); got != test.fits {
+		if got := FitsAnyType(types, &test.spec); got != test.fits {
 			t.Errorf("%s: fits: %v, want %v", test.name, got, test.fits)
 		}
 	}
--- a/internal/fleet/scaleout_test.go
+++ b/internal/fleet/scaleout_test.go
@@ -11,23 +11,23 @@
 )
 
 // referenceScaleOut decides task by task, and looks at everything again for each machine.
-func referenceScaleOut(m *Market, unmet []planner.Want) []ScaleOutDecision {
+func referenceScaleOut(m *CloudView, unmet []planner.UnmetDemand) []ScaleOutDecision {
 	unmet = slices.Clone(unmet)
 	var machines []newMachine
 	for i := range unmet {
 		w := &unmet[i]
-		request, zones := planner.Needs(w.Job.Spec), map[string]int{}
+		request, zones := planner.TaskResources(w.Job.Spec), map[string]int{}
 		for _, r := range w.Job.Running {
 			zones[r.Zone]++
 		}
-		for w.Tasks > 0 && !w.Job.Waiting {
+		for w.Tasks > 0 && !w.Job.BackingOff {
 			at := slices.IndexFunc(machines, func(n newMachine) bool { return n.takes(w.Job, request, zones) })
 			if at < 0 {
 				k, ok := referencePool(m, w, zones, unmet)
 				if !ok || len(machines) == maxMachinesPerDecision {
 					break
 				}
-				at, machines = len(machines), append(machines, newMachine{k, Whole(m.Types[k.Type])})
+				at, machines = len(machines), append(machines, newMachine{k, Capacity(m.Types[k.Type])})
 			}
 			machines[at].free = machines[at].free.Minus(request)
 			zones[machines[at].pool.Zone]++
@@ -38,15 +38,15 @@
 }
 
 // referenceCounts counts machines by pool, the cheapest pools first.
-func referenceCounts(m *Market, machines []newMachine) []ScaleOutDecision {
-	counts := map[Kind]int{}
+func referenceCounts(m *CloudView, machines []newMachine) []ScaleOutDecision {
+	counts := map[CapacityPool]int{}
 	for _, n := range machines {
 		counts[n.pool]++
 	}
 	var decisions []ScaleOutDecision
-	for _, k := range slices.SortedFunc(maps.Keys(counts), func(a, b Kind) int {
+	for _, k := range slices.SortedFunc(maps.Keys(counts), func(a, b CapacityPool) int {
 		return cmp.Or(
-			cmp.Compare(m.Price(a), m.Price(b)),
+			cmp.Compare(m.HourlyPrice(a), m.HourlyPrice(b)),
 			cmp.Compare(a.Type, b.Type),
 			cmp.Compare(a.Zone, b.Zone))
 	}) {
@@ -57,18 +57,18 @@
 
 // referencePool chooses the cheapest pool for the tasks that a machine would hold.
 func referencePool(
-	m *Market, w *planner.Want, zones map[string]int, unmet []planner.Want,
-) (Kind, bool) {
-	var best Kind
+	m *CloudView, w *planner.UnmetDemand, zones map[string]int, unmet []planner.UnmetDemand,
+) (CapacityPool, bool) {
+	var best CapacityPool
 	bestCost, found := 0.0, false
 	for k, fits := range m.usablePools(w.Job.Spec) {
-		if m.Refused[k] || !planner.ZoneAllowed(w.Job.Spec, zones, k.Zone) {
+		if m.OutOfCapacity[k] || !planner.ZoneAllowed(w.Job.Spec, zones, k.Zone) {
 			continue
 		}
-		if !m.Fair(k, w.Job) && !referencePremium(m, k, w.Job, unmet) {
+		if !m.FairlyPriced(k, w.Job) && !referencePremium(m, k, w.Job, unmet) {
 			continue
 		}
-		if cost := m.Price(k) / float64(min(fits, w.Tasks)); !found || cost < bestCost {
+		if cost := m.HourlyPrice(k) / float64(min(fits, w.Tasks)); !found || cost < bestCost {
 			best, bestCost, found = k, cost, true
 		}
 	}
@@ -76,7 +76,7 @@
 }
 
 // referencePremium sums the urgent demand anew for each question.
-func referencePremium(m *Market, k Kind, j *planner.Job, unmet []planner.Want) bool {
+func referencePremium(m *CloudView, k CapacityPool, j *planner.Job, unmet []planner.UnmetDemand) bool {
 	if j.SlackS < -anyPriceS {
 		return true
 	}
@@ -88,7 +88,7 @@
 	for _, w := range unmet {
 		if m.tasksPerMachine(k, w.Job.Spec) > 0 && m.priceMultiple(k, w.Job) <= filledMultiple &&
 			isUrgent(w.Job, machineType) {
-			filled += float64(w.Tasks) * planner.Needs(w.Job.Spec).Share(Whole(machineType))
+			filled += float64(w.Tasks) * planner.TaskResources(w.Job.Spec).DominantShare(Capacity(machineType))
 		}
 	}
 	return filled >= minFill && multiple <= partlyFilledMultiple || filled >= minFullFill
@@ -99,7 +99,7 @@
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 2))
 		m, unmet := drawMarket(r), drawUnmetDemand(r, 1+r.IntN(12), 40)
-		if got, want := m.Rent(unmet), referenceScaleOut(m, unmet); !slices.Equal(got, want) {
+		if got, want := m.ScaleOut(unmet), referenceScaleOut(m, unmet); !slices.Equal(got, want) {
 			t.Fatalf("seed %d: rented %v, want %v as decided one by one", seed, got, want)
 		}
 	}
@@ -112,6 +112,6 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		m.lowestPrices, m.pools = nil, nil
-		m.Rent(unmet)
+		m.ScaleOut(unmet)
 	}
 }
--- a/internal/fleet/urgentdemand.go
+++ b/internal/fleet/urgentdemand.go
@@ -9,21 +9,21 @@
 // follows what is placed: forming it anew for each machine to rent took a leader with
 // much unmet demand half a second at a time.
 type urgentDemand struct {
-	cloud *Market
-	unmet []planner.Want
+	cloud *CloudView
+	unmet []planner.UnmetDemand
 	// filled has the results of machinesFilled.
-	filled map[Kind]float64
+	filled map[CapacityPool]float64
 	// placed counts tasks of the job being placed that filled doesn't reflect yet: see
 	// settle.
 	placed int
 }
 
-func (m *Market) newUrgentDemand(unmet []planner.Want) *urgentDemand {
-	return &urgentDemand{cloud: m, unmet: unmet, filled: map[Kind]float64{}}
+func (m *CloudView) newUrgentDemand(unmet []planner.UnmetDemand) *urgentDemand {
+	return &urgentDemand{cloud: m, unmet: unmet, filled: map[CapacityPool]float64{}}
 }
 
 // machinesFilled returns how many machines of a pool the urgent tasks would fill.
-func (d *urgentDemand) machinesFilled(pool Kind) float64 {
+func (d *urgentDemand) machinesFilled(pool CapacityPool) float64 {
 	sum, known := d.filled[pool]
 	if !known {
 		for _, demand := range d.unmet {
@@ -36,13 +36,13 @@
 
 // taskShare returns what share of a machine of the pool one task of a job takes, 0 if the
 // job isn't urgent or no price that high is paid for it.
-func (d *urgentDemand) taskShare(pool Kind, job *planner.Job) float64 {
+func (d *urgentDemand) taskShare(pool CapacityPool, job *planner.Job) float64 {
 	m := d.cloud
 	if m.tasksPerMachine(pool, job.Spec) == 0 || m.priceMultiple(pool, job) > filledMultiple ||
 		!isUrgent(job, m.Types[pool.Type]) {
 		return 0
 	}
-	return planner.Needs(job.Spec).Share(Whole(m.Types[pool.Type]))
+	return planner.TaskResources(job.Spec).DominantShare(Capacity(m.Types[pool.Type]))
 }
 
 // taskPlaced notes that one more task of the job being placed isn't unmet any more.
--- a/internal/intake/answer.go
+++ b/internal/intake/answer.go
@@ -9,34 +9,34 @@
 // retryAfterS is when users are asked to come back, in seconds: as soon as they would by themselves.
 const retryAfterS = 1
 
-// Answer is what a user or a node is sent: an HTTP status, when to come back, and the body.
-type Answer struct {
-	Status int
-	RetryS int
-	Body   []byte
+// Response is what a user or a node is sent: an HTTP status, when to come back, and the body.
+type Response struct {
+	Status      int
+	RetryAfterS int
+	Body        []byte
 }
 
 // OK reports whether the request was carried out and its body is what was asked for.
-func (a Answer) OK() bool { return a.Status == http.StatusOK }
+func (a Response) OK() bool { return a.Status == http.StatusOK }
 
-// Later reports whether the same request may succeed later, or at another node.
-func (a Answer) Later() bool { return a.Status == http.StatusServiceUnavailable }
+// ShouldRetryLater reports whether the same request may succeed later, or at another node.
+func (a Response) ShouldRetryLater() bool { return a.Status == http.StatusServiceUnavailable }
 
 // toAnswer maps outcomes to HTTP, here and nowhere else.
-func (o outcome) toAnswer() Answer {
+func (o outcome) toAnswer() Response {
 	switch o.kind {
 	case outcomeAccepted:
-		return Answer{Status: http.StatusCreated, Body: protocol.Encode(o.status)}
+		return Response{Status: http.StatusCreated, Body: protocol.Encode(o.status)}
 	case outcomeKnown:
-		return Answer{Status: http.StatusOK, Body: protocol.Encode(o.status)}
+		return Response{Status: http.StatusOK, Body: protocol.Encode(o.status)}
 	case outcomeForNode:
-		return Answer{Status: http.StatusOK, Body: o.body}
+		return Response{Status: http.StatusOK, Body: o.body}
 	case outcomeFromPeer:
 		return o.answer
 	}
-	a := Answer{Status: o.kind.failureStatus(), Body: protocol.Encode(protocol.ErrorResponse{Error: o.reason})}
-	if a.Later() {
-		a.RetryS = retryAfterS
+	a := Response{Status: o.kind.failureStatus(), Body: protocol.Encode(protocol.ErrorResponse{Error: o.reason})}
+	if a.ShouldRetryLater() {
+		a.RetryAfterS = retryAfterS
 	}
 	return a
 }
--- a/internal/intake/attestation.go
+++ b/internal/intake/attestation.go
@@ -20,7 +20,7 @@
 // CancelledJob is a job that was first told cancelled so long ago.
 type CancelledJob struct {
 	Job string
-	Ago clock.Micros
+	Age clock.Micros
 }
 
 // ErrAttestation is an attestation that can't be read.
@@ -32,9 +32,9 @@
 	attestationHeaderBytes = 2 * microsBytes
 )
 
-// AttestRequest returns the request for what a node has told users in the time back from now.
-func AttestRequest(back clock.Micros) Request {
-	return Request{Kind: Attest, Body: binary.BigEndian.AppendUint64(nil, uint64(back))}
+// NewAttestationRequest returns the request for what a node has told users in the time back from now.
+func NewAttestationRequest(back clock.Micros) Request {
+	return Request{Kind: GetAttestation, Body: binary.BigEndian.AppendUint64(nil, uint64(back))}
 }
 
 // Encode returns the binary form, big endian:
@@ -46,7 +46,7 @@
 	for _, c := range a.Cancelled {
 		b = append(b, byte(len(c.Job)))
 		b = append(b, c.Job...)
-		b = binary.BigEndian.AppendUint64(b, uint64(c.Ago))
+		b = binary.BigEndian.AppendUint64(b, uint64(c.Age))
 	}
 	return b
 }
@@ -81,12 +81,12 @@
 		return CancelledJob{}, nil, false
 	}
 	c.Job = string(b[1:idEnd])
-	c.Ago = clock.Micros(binary.BigEndian.Uint64(b[idEnd:]))
-	return c, b[end:], c.Ago >= 0
+	c.Age = clock.Micros(binary.BigEndian.Uint64(b[idEnd:]))
+	return c, b[end:], c.Age >= 0
 }
 
-// Attestations reads the answers of all nodes; ok reports whether all of them vouch.
-func Attestations(answers []Answer, ok bool) ([]Attestation, bool) {
+// DecodeAttestations reads the answers of all nodes; ok reports whether all of them vouch.
+func DecodeAttestations(answers []Response, ok bool) ([]Attestation, bool) {
 	var all []Attestation
 	for _, answer := range answers {
 		a, err := DecodeAttestation(answer.Body)
@@ -111,14 +111,14 @@
 		c.fail(outcomeTryLater, reasonTooOld)
 		return
 	}
-	now := c.in.mailbox.Steady()
+	now := c.in.mailbox.Monotonic()
 	a := Attestation{
 		Age:       now - c.in.startedAt,
 		Epoch:     c.in.epoch,
 		Cancelled: c.in.cancellations.since(now-back, now),
 	}
 	body := a.Encode()
-	if len(body) > protocol.MaxBody {
+	if len(body) > protocol.MaxBodyBytes {
 		c.fail(outcomeTryLater, reasonTooOld)
 		return
 	}
--- a/internal/intake/attestation_test.go
+++ b/internal/intake/attestation_test.go
@@ -30,9 +30,9 @@
 func TestNodeVouchesForWhatItHasTold(t *testing.T) {
 	box := &actortest.Still{Now: 5 * clock.Second}
 	in := New(box, cancelledJobs("job-000001", "job-000002"), &settings.Settings{}, nil)
-	show := func(id string) { answerOf(t, in, Request{Kind: Show, ID: id}) }
+	show := func(id string) { answerOf(t, in, Request{Kind: GetStatus, ID: id}) }
 	attest := func(back clock.Micros) (Attestation, bool) {
-		all, ok := Attestations([]Answer{answerOf(t, in, AttestRequest(back))}, true)
+		all, ok := DecodeAttestations([]Response{answerOf(t, in, NewAttestationRequest(back))}, true)
 		if !ok {
 			return Attestation{}, false
 		}
@@ -40,8 +40,8 @@
 	}
 	box.Now += 10 * clock.Second
 	show("job-000001")
-	in.Elected(9)
-	in.Elected(0) // a term that ended
+	in.NoteElection(9)
+	in.NoteElection(0) // a term that ended
 	box.Now += 20 * clock.Second
 	show("job-000002")
 	box.Now += 5 * clock.Second
@@ -61,7 +61,7 @@
 	if _, ok := attest(-1); ok {
 		t.Fatal("it vouches for the time to come, want a refusal")
 	}
-	refused := answerOf(t, in, Request{Kind: Attest, Body: []byte{1}})
+	refused := answerOf(t, in, Request{Kind: GetAttestation, Body: []byte{1}})
 	if refused.Status != http.StatusServiceUnavailable {
 		t.Fatalf("a malformed request is answered %d, want %d", refused.Status, http.StatusServiceUnavailable)
 	}
@@ -79,13 +79,13 @@
 		if err == nil && string(a.Encode()) != string(raw) {
 			t.Fatalf("%x reads as %+v, which is written as %x, want the same", raw, a, a.Encode())
 		}
-		good := Answer{Status: http.StatusOK, Body: Attestation{}.Encode()}
-		all, ok := Attestations([]Answer{good, {Status: http.StatusOK, Body: raw}}, true)
+		good := Response{Status: http.StatusOK, Body: Attestation{}.Encode()}
+		all, ok := DecodeAttestations([]Response{good, {Status: http.StatusOK, Body: raw}}, true)
 		if ok != (err == nil) || ok && len(all) != 2 {
 			t.Fatalf("ok %v, %v, want ok %v", ok, all, err == nil)
 		}
-		refusal := Answer{Status: http.StatusServiceUnavailable, Body: good.Body}
-		if _, ok := Attestations([]Answer{good, refusal}, true); ok {
+		refusal := Response{Status: http.StatusServiceUnavailable, Body: good.Body}
+		if _, ok := DecodeAttestations([]Response{good, refusal}, true); ok {
 			t.Fatal("a refusal vouches, want it not to")
 		}
 	})
--- a/internal/intake/availability.go
+++ b/internal/intake/availability.go
@@ -34,9 +34,9 @@
 // enough for them, and somebody answers it. A node without the store still serves through its
 // peers, and in an outage all nodes are alike; one that is left without both only costs its
 // users time.
-func (in *Intake) Ready(reply func(bool)) {
+func (in *Admission) Ready(reply func(bool)) {
 	in.mailbox.Post(func() {
-		now, a := in.mailbox.Steady(), &in.availability
+		now, a := in.mailbox.Monotonic(), &in.availability
 		if now > a.storeAnsweredAt+probeInterval || now < a.storeDownUntil {
 			in.probe()
 		}
@@ -47,7 +47,7 @@
 }
 
 // probe asks the store, and if that doesn't answer, another node.
-func (in *Intake) probe() {
+func (in *Admission) probe() {
 	if in.availability.probing {
 		return
 	}
@@ -57,8 +57,8 @@
 			in.availability.probing = false
 			return
 		}
-		in.availability.storeDownUntil = in.mailbox.Steady() + probeInterval
-		in.forward(Request{Kind: Show, ID: probeKey}, func(_ Answer, ok bool) {
+		in.availability.storeDownUntil = in.mailbox.Monotonic() + probeInterval
+		in.forward(Request{Kind: GetStatus, ID: probeKey}, func(_ Response, ok bool) {
 			in.availability.probing = false
 			in.notePeers(ok)
 		})
@@ -66,17 +66,17 @@
 }
 
 // noteStore notes a result of the store and returns whether it serves this node.
-func (in *Intake) noteStore(r storeResult) bool {
+func (in *Admission) noteStore(r storeResult) bool {
 	if !r.served() {
 		return false
 	}
-	in.availability.storeAnsweredAt = in.mailbox.Steady()
+	in.availability.storeAnsweredAt = in.mailbox.Monotonic()
 	return true
 }
 
 // notePeers notes whether another node has answered.
-func (in *Intake) notePeers(answered bool) {
-	now := in.mailbox.Steady()
+func (in *Admission) notePeers(answered bool) {
+	now := in.mailbox.Monotonic()
 	if answered {
 		in.availability.peerAnsweredAt = now
 	} else {
--- a/internal/intake/call.go
+++ b/internal/intake/call.go
@@ -36,9 +36,9 @@
 
 // call is one request while it is being handled.
 type call struct {
-	in        *Intake
+	in        *Admission
 	request   Request
-	reply     func(Answer)
+	reply     func(Response)
 	retries   int
 	spec      protocol.JobSpec // of a submission
 	forwarded bool             // by this node
@@ -55,11 +55,11 @@
 // handle starts the request, at another node if the store is taken not to serve this one.
 func (c *call) handle() {
 	switch {
-	case c.request.Kind == Attest:
+	case c.request.Kind == GetAttestation:
 		c.attest()
-	case c.request.Kind == Zones:
+	case c.request.Kind == GetZoneReports:
 		c.in.zoneReports(func(z ZoneReports) { c.finish(outcome{kind: outcomeForNode, body: z.Encode()}) })
-	case c.in.mailbox.Steady() < c.in.availability.storeDownUntil:
+	case c.in.mailbox.Monotonic() < c.in.availability.storeDownUntil:
 		c.forwardToPeer()
 	default:
 		c.begin()
@@ -71,7 +71,7 @@
 	switch c.request.Kind {
 	case Submit:
 		c.submit()
-	case Show:
+	case GetStatus:
 		c.show()
 	case Cancel:
 		c.cancel()
@@ -87,7 +87,7 @@
 // notServed handles every result of the store that doesn't say anything of the job.
 func (c *call) notServed(r storeResult) {
 	if r != storeBusy {
-		c.in.availability.storeDownUntil = c.in.mailbox.Steady() + downTime
+		c.in.availability.storeDownUntil = c.in.mailbox.Monotonic() + downTime
 		c.forwardToPeer()
 		return
 	}
@@ -99,7 +99,7 @@
 }
 
 // readRecord reads the record of a job, nil if there is none.
-func (c *call) readRecord(id string, done func(record *ledger.Job, version int64)) {
+func (c *call) readRecord(id string, done func(record *ledger.Record, version int64)) {
 	key := ledger.Key(id)
 	c.in.store.Get(key, func(r statestore.Result[protocol.Item]) {
 		result := storeResultOf(r.Err)
@@ -115,7 +115,7 @@
 	})
 }
 
-func (c *call) decodeRecord(key string, item protocol.Item, done func(record *ledger.Job, version int64)) {
+func (c *call) decodeRecord(key string, item protocol.Item, done func(record *ledger.Record, version int64)) {
 	record, err := ledger.DecodeAt(key, item.Value)
 	if err != nil {
 		slog.Debug("malformed job record", "job", c.jobID(), "error", err)
@@ -130,7 +130,7 @@
 
 // findRecord reads the record of the job that the request names, unless the answer is clear without
 // it: the job is over, or there is none.
-func (c *call) findRecord(done func(record *ledger.Job, version int64)) {
+func (c *call) findRecord(done func(record *ledger.Record, version int64)) {
 	id := c.request.ID
 	if final, ok := c.in.finalStates[id]; ok {
 		c.finish(knownJob(final))
@@ -140,7 +140,7 @@
 		c.fail(outcomeNoSuchJob, reasonNoSuchJob)
 		return
 	}
-	c.readRecord(id, func(record *ledger.Job, version int64) {
+	c.readRecord(id, func(record *ledger.Record, version int64) {
 		if record == nil {
 			c.fail(outcomeNoSuchJob, reasonNoSuchJob)
 			return
--- a/internal/intake/cancellation.go
+++ b/internal/intake/cancellation.go
@@ -8,24 +8,24 @@
 
 // cancel makes the cancellation durable; from then on no placement of the job can be committed.
 func (c *call) cancel() {
-	c.findRecord(func(record *ledger.Job, version int64) {
+	c.findRecord(func(record *ledger.Record, version int64) {
 		if record.Final() {
 			c.finish(knownJob(record.UserStatus()))
 			return
 		}
-		record.Status, record.CancelledAt = protocol.StatusCancelled, int64(c.in.mailbox.OfDay())
+		record.Status, record.CancelledAt = protocol.StatusCancelled, int64(c.in.mailbox.TimeOfDay())
 		c.storeCancelled(record, version)
 	})
 }
 
 // storeCancelled writes a cancelled record over the version that was read.
-func (c *call) storeCancelled(record *ledger.Job, version int64) {
+func (c *call) storeCancelled(record *ledger.Record, version int64) {
 	key := ledger.Key(c.request.ID)
 	txn := protocol.Txn{
-		Guards:  []protocol.Guard{{Key: key, Version: version}},
-		Changes: []protocol.Change{{Put: key, Value: record.Encode()}},
+		Conditions: []protocol.Condition{{Key: key, Version: version}},
+		Changes:    []protocol.Change{{Put: key, Value: record.Encode()}},
 	}
-	c.in.store.Commit(statestore.ForUser, txn, func(r statestore.Result[statestore.Revision]) {
+	c.in.store.Commit(statestore.PriorityUser, txn, func(r statestore.Result[statestore.Revision]) {
 		result := storeResultOf(r.Err)
 		switch {
 		case result == storeDone:
@@ -33,7 +33,7 @@
 			c.finish(knownJob(record.UserStatus()))
 		case result == storeConflict || result == storeUnconfirmed:
 			c.cancelAgain()
-		case result == storeRejected && !record.Truncated && record.PartSize == 0:
+		case result == storeRejected && !record.Truncated && record.ShardSize == 0:
 			// The record was stored under wider limits than there are now. Its end fits without
 			// its placements, which the leader knows, and the heartbeats say.
 			record.Truncated = true
--- a/internal/intake/cancellation_test.go
+++ b/internal/intake/cancellation_test.go
@@ -20,7 +20,7 @@
 	record := ledger.New(spec, 1)
 	for task := range spec.Tasks {
 		machine := fmt.Sprintf("m-%06d", task)
-		record.Placed[task] = ledger.Placement{Task: task, Attempt: 1, Machine: machine, Session: 1}
+		record.Placements[task] = ledger.Placement{Task: task, Attempt: 1, Machine: machine, Incarnation: 1}
 	}
 	store := &fakeStore{values: map[string][]byte{ledger.Key(spec.ID): record.Encode()}, maxValue: 2 << 10}
 	in := New(&actortest.Still{Now: clock.Second}, store, &settings.Settings{}, nil)
--- a/internal/intake/cancellationlog.go
+++ b/internal/intake/cancellationlog.go
@@ -40,7 +40,7 @@
 	var jobs []CancelledJob
 	for job, at := range l.toldAt {
 		if at >= from {
-			jobs = append(jobs, CancelledJob{Job: job, Ago: now - at})
+			jobs = append(jobs, CancelledJob{Job: job, Age: now - at})
 		}
 	}
 	slices.SortFunc(jobs, func(x, y CancelledJob) int { return strings.Compare(x.Job, y.Job) })
--- a/internal/intake/forwarding.go
+++ b/internal/intake/forwarding.go
@@ -14,7 +14,7 @@
 		return
 	}
 	c.forwarded = true
-	c.in.forward(c.request, func(a Answer, ok bool) {
+	c.in.forward(c.request, func(a Response, ok bool) {
 		c.in.notePeers(ok)
 		if !ok {
 			c.fail(outcomeTryLater, reasonStoreDown)
@@ -26,7 +26,7 @@
 
 // mayForward reports whether another node may answer. Requests are forwarded once.
 func (c *call) mayForward() bool {
-	alone := c.in.mailbox.Steady() < c.in.availability.peersDownUntil
+	alone := c.in.mailbox.Monotonic() < c.in.availability.peersDownUntil
 	return !c.request.Forwarded && !c.forwarded && !alone && !c.unknownToPeers()
 }
 
--- a/internal/intake/golden_test.go
+++ b/internal/intake/golden_test.go
@@ -25,7 +25,7 @@
 
 // goldenStore is a state service that has some keys and keeps transactions.
 type goldenStore struct {
-	statestore.ResultStore
+	statestore.Store
 	values map[string][]byte
 	txns   []protocol.Txn
 	err    error // of transactions that don't conflict
@@ -55,10 +55,10 @@
 	done(statestore.Result[protocol.ItemList]{Value: list})
 }
 
-func (s *goldenStore) Commit(_ statestore.Use, t protocol.Txn,
+func (s *goldenStore) Commit(_ statestore.Priority, t protocol.Txn,
 	done func(statestore.Result[statestore.Revision])) {
 	s.txns = append(s.txns, t)
-	for _, guard := range t.Guards {
+	for _, guard := range t.Conditions {
 		if _, exists := s.values[guard.Key]; exists != (guard.Version != 0) {
 			done(statestore.Result[statestore.Revision]{Err: statestore.ErrConflict})
 			return
@@ -68,38 +68,38 @@
 }
 
 // goldenIntake serves with a running job job-1 and a divided one job-2.
-func goldenIntake() (*Intake, *goldenStore) {
+func goldenIntake() (*Admission, *goldenStore) {
 	store := &goldenStore{values: map[string][]byte{}}
 	running := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 3}, 1)
-	running.Placed[0] = ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1}
+	running.Placements[0] = ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1}
 	running.Done.Add(1)
 	running.Cause = "error on m-2"
 	store.values["jobs/job-1"] = running.Encode()
 	divided := ledger.New(protocol.JobSpec{ID: "job-2", Shape: protocol.ShapeArray, Tasks: 3}, 1)
-	divided.PartSize, divided.Marked = 2, true
-	divided.Placed[2] = ledger.Placement{Task: 2, Attempt: 1, Machine: "m-1", Session: 1}
+	divided.ShardSize, divided.Marked = 2, true
+	divided.Placements[2] = ledger.Placement{Task: 2, Attempt: 1, Machine: "m-1", Incarnation: 1}
 	store.values["jobs/job-2"] = divided.Encode()
-	store.values["parts/job-2/1"] = divided.EncodePart(1)
+	store.values["parts/job-2/1"] = divided.EncodeShard(1)
 	set := &settings.Settings{Deployment: settings.Deployment{
-		Teams: []settings.Team{{Name: "vision", GpusMax: 4}},
-		State: settings.State{ValueKb: 8, TxnOps: 5},
+		Teams:   []settings.Team{{Name: "vision", GpusMax: 4}},
+		KVStore: settings.KVStore{ValueKb: 8, TxnOps: 5},
 	}}
-	alone := func(_ Request, done func(Answer, bool)) { done(Answer{}, false) }
+	alone := func(_ Request, done func(Response, bool)) { done(Response{}, false) }
 	in := New(&actortest.Still{Now: 20 * clock.Second}, store, set, alone)
-	in.Types([]protocol.MachineType{{Name: "g8", Cpus: 96, Gpus: 8, MemoryGB: 768, Zones: []string{"a"}}})
-	in.Format(rollout.Status{Open: true})
+	in.SetMachineTypes([]protocol.MachineType{{Name: "g8", Cpus: 96, Gpus: 8, MemoryGB: 768, Zones: []string{"a"}}})
+	in.SetFormatStatus(rollout.Status{Services: true})
 	return in, store
 }
 
 // goldenHeartbeats answers as a leader does, or sends the worker elsewhere.
 type goldenHeartbeats struct{ leads bool }
 
-func (b goldenHeartbeats) Heartbeat(r protocol.Report, reply func(int, any)) {
+func (b goldenHeartbeats) Heartbeat(r protocol.Heartbeat, reply func(int, any)) {
 	if !b.leads {
 		reply(http.StatusMisdirectedRequest, protocol.Redirect{Node: "worker-1"})
 		return
 	}
-	reply(http.StatusOK, protocol.HeartbeatAnswer{Epoch: r.Epoch, Orders: []protocol.Order{
+	reply(http.StatusOK, protocol.HeartbeatResponse{Epoch: r.Epoch, Commands: []protocol.Command{
 		{Verb: protocol.VerbStart, Task: "job-1/0", Attempt: 1},
 	}})
 }
@@ -113,11 +113,11 @@
 	unknownTeam.ID, unknownTeam.Team = "job-000413", "other"
 	repeated := submission()
 	repeated.ID = "job-1"
-	report := protocol.Encode(protocol.Report{Machine: "m-1", Address: "a:1", Session: 1, Epoch: 41})
+	report := protocol.Encode(protocol.Heartbeat{Machine: "m-1", Address: "a:1", Incarnation: 1, Epoch: 41})
 	for _, c := range []struct {
 		name, method, path string
 		body               []byte
-		change             func(*Intake, *goldenStore, *goldenHeartbeats)
+		change             func(*Admission, *goldenStore, *goldenHeartbeats)
 		want               string
 	}{
 		{"accepted", "POST", "/api/jobs", protocol.Encode(accepted), nil,
@@ -133,30 +133,30 @@
 		{"without an id", "POST", "/api/jobs", []byte{0x80}, nil,
 			"400 Bad Request\nContent-Length: 44\nContent-Type: application/msgpack\n" +
 				"\n\x81\xa5error\xd9#Uid is not a text of 1 to 200 bytes"},
-		{"too large", "POST", "/api/jobs", make([]byte, protocol.MaxBody+1), nil,
+		{"too large", "POST", "/api/jobs", make([]byte, protocol.MaxBodyBytes+1), nil,
 			"400 Bad Request\nContent-Length: 44\nContent-Type: application/msgpack\n" +
 				"\n\x81\xa5error\xd9#the body is too large or incomplete"},
 		{"never runs", "POST", "/api/jobs", protocol.Encode(unknownTeam), nil,
 			"422 Unprocessable Entity\nContent-Length: 20\nContent-Type: application/msgpack\n" +
 				"\n\x81\xa5error\xacunknown team"},
 		{"without machine types", "POST", "/api/jobs", protocol.Encode(accepted),
-			func(in *Intake, _ *goldenStore, _ *goldenHeartbeats) { in.types = nil },
+			func(in *Admission, _ *goldenStore, _ *goldenHeartbeats) { in.types = nil },
 			"503 Service Unavailable\nContent-Length: 44\nContent-Type: application/msgpack\n" +
 				"Retry-After: 1\n\n\x81\xa5error\xd9#the machine types are not known yet"},
 		{"with a full memory", "POST", "/api/jobs", protocol.Encode(accepted),
-			func(in *Intake, _ *goldenStore, _ *goldenHeartbeats) { in.RefuseWhen(func() bool { return true }) },
+			func(in *Admission, _ *goldenStore, _ *goldenHeartbeats) { in.RefuseWhen(func() bool { return true }) },
 			"503 Service Unavailable\nContent-Length: 39\nContent-Type: application/msgpack\n" +
 				"Retry-After: 1\n\n\x81\xa5error\xbfthe controller's memory is full"},
 		{"not recorded", "POST", "/api/jobs", protocol.Encode(accepted),
-			func(_ *Intake, store *goldenStore, _ *goldenHeartbeats) { store.err = statestore.ErrInvalid },
+			func(_ *Admission, store *goldenStore, _ *goldenHeartbeats) { store.err = statestore.ErrInvalid },
 			"400 Bad Request\nContent-Length: 32\nContent-Type: application/msgpack\n" +
 				"\n\x81\xa5error\xb8too large to be recorded"},
 		{"no answer", "POST", "/api/jobs", protocol.Encode(accepted),
-			func(_ *Intake, store *goldenStore, _ *goldenHeartbeats) { store.err = statestore.ErrNoResponse },
+			func(_ *Admission, store *goldenStore, _ *goldenHeartbeats) { store.err = statestore.ErrNoResponse },
 			"503 Service Unavailable\nContent-Length: 41\nContent-Type: application/msgpack\n" +
 				"Retry-After: 1\n\n\x81\xa5error\xd9 the state service did not answer"},
 		{"not served", "POST", "/api/jobs", protocol.Encode(accepted),
-			func(_ *Intake, store *goldenStore, _ *goldenHeartbeats) { store.err = statestore.ErrUnavailable },
+			func(_ *Admission, store *goldenStore, _ *goldenHeartbeats) { store.err = statestore.ErrUnavailable },
 			"503 Service Unavailable\nContent-Length: 42\nContent-Type: application/msgpack\n" +
 				"Retry-After: 1\n\n\x81\xa5error\xd9!the state service does not answer"},
 		{"shown", "GET", "/api/jobs/job-1", nil, nil,
@@ -180,13 +180,13 @@
 			"404 Not Found\nContent-Length: 19\nContent-Type: application/msgpack\n" +
 				"\n\x81\xa5error\xabno such job"},
 		{"a job that is changing", "POST", "/api/jobs/job-1/withdraw", nil,
-			func(_ *Intake, store *goldenStore, _ *goldenHeartbeats) { store.err = statestore.ErrConflict },
+			func(_ *Admission, store *goldenStore, _ *goldenHeartbeats) { store.err = statestore.ErrConflict },
 			"503 Service Unavailable\nContent-Length: 27\nContent-Type: application/msgpack\n" +
 				"Retry-After: 1\n\n\x81\xa5error\xb3the job is changing"},
 		{"up", "GET", "/up", nil, nil,
 			"200 OK\nContent-Length: 0\nContent-Type: application/msgpack\n\n"},
 		{"not up", "GET", "/up", nil,
-			func(_ *Intake, store *goldenStore, _ *goldenHeartbeats) { store.down = true },
+			func(_ *Admission, store *goldenStore, _ *goldenHeartbeats) { store.down = true },
 			"503 Service Unavailable\nContent-Length: 0\nContent-Type: application/msgpack\n\n"},
 		{"overview", "GET", "/overview", nil, nil,
 			"200 OK\nContent-Type: application/json\n\n{\n  \"leads\": true\n}\n"},
@@ -195,7 +195,7 @@
 				"\n\x82\xa5Epoch)\xa6Orders\x91\x84\xa4Verb\xa5start\xa3Leg\xa7job-1/0\xa3Try\x01\xa6" +
 				"LeaveS\xcb\x00\x00\x00\x00\x00\x00\x00\x00"},
 		{"report to another node", "POST", "/agent/beat", report,
-			func(_ *Intake, _ *goldenStore, b *goldenHeartbeats) { b.leads = false },
+			func(_ *Admission, _ *goldenStore, b *goldenHeartbeats) { b.leads = false },
 			"421 Misdirected Request\nContent-Length: 21\nContent-Type: application/msgpack\n" +
 				"\n\x81\xaaDispatcher\xa8worker-1"},
 		{"no report", "POST", "/agent/beat", []byte{0xc0}, nil,
@@ -235,7 +235,7 @@
 	defer conn.Close()
 	var received bytes.Buffer
 	reader := bufio.NewReader(io.TeeReader(conn, &received))
-	report := protocol.Encode(protocol.Report{Machine: "m-1", Address: "a:1", Session: 1, Counter: 2})
+	report := protocol.Encode(protocol.Heartbeat{Machine: "m-1", Address: "a:1", Incarnation: 1, Counter: 2})
 	for range 2 {
 		received.Reset()
 		answer := exchange(conn, reader, request("POST", "/agent/beat", "", report))
@@ -251,8 +251,8 @@
 // A submission and a cancellation are written in the recorded transactions.
 func TestGoldenTransactions(t *testing.T) {
 	in, store := goldenIntake()
-	in.Handle(Request{Kind: Submit, Body: protocol.Encode(submission())}, func(Answer) {})
-	in.Handle(Request{Kind: Cancel, ID: "job-1"}, func(Answer) {})
+	in.Handle(Request{Kind: Submit, Body: protocol.Encode(submission())}, func(Response) {})
+	in.Handle(Request{Kind: Cancel, ID: "job-1"}, func(Response) {})
 	if len(store.txns) != 2 {
 		t.Fatalf("%d transactions", len(store.txns))
 	}
@@ -295,8 +295,8 @@
 		{"a wide array before", false, wide, nil},
 	} {
 		in, store := goldenIntake()
-		in.Format(rollout.Status{Open: c.open})
-		in.Handle(Request{Kind: Submit, Body: protocol.Encode(c.spec)}, func(Answer) {})
+		in.SetFormatStatus(rollout.Status{Services: c.open})
+		in.Handle(Request{Kind: Submit, Body: protocol.Encode(c.spec)}, func(Response) {})
 		if len(store.txns) != 1 {
 			t.Fatalf("%s: %d transactions", c.name, len(store.txns))
 		}
@@ -315,8 +315,8 @@
 // Why a job can never run, as users are told.
 func TestGoldenReasons(t *testing.T) {
 	dep := &settings.Deployment{
-		Teams: []settings.Team{{Name: "vision", GpusMax: 4}},
-		State: settings.State{ValueKb: 8, TxnOps: 5},
+		Teams:   []settings.Team{{Name: "vision", GpusMax: 4}},
+		KVStore: settings.KVStore{ValueKb: 8, TxnOps: 5},
 	}
 	types := []protocol.MachineType{{Name: "g8", Cpus: 96, Gpus: 8, MemoryGB: 768, Zones: []string{"a", "b"}}}
 	for _, c := range []struct {
@@ -345,15 +345,15 @@
 	if d := cmp.Diff(reports, got); err != nil || d != "" {
 		t.Errorf("%v %s", err, d)
 	}
-	request := AttestRequest(900 * clock.Second)
+	request := NewAttestationRequest(900 * clock.Second)
 	goldentest.Equal(t, "request", request.Body, "\x00\x00\x00\x005\xa4\xe9\x00")
-	if request.Kind != Attest || binary.BigEndian.Uint64(request.Body) != 900_000_000 {
+	if request.Kind != GetAttestation || binary.BigEndian.Uint64(request.Body) != 900_000_000 {
 		t.Errorf("%+v", request)
 	}
 	attestation := Attestation{
 		Age:       35 * clock.Second,
 		Epoch:     41,
-		Cancelled: []CancelledJob{{Job: "job-000412", Ago: 25 * clock.Second}},
+		Cancelled: []CancelledJob{{Job: "job-000412", Age: 25 * clock.Second}},
 	}
 	goldentest.RequireFieldsSet(t, "attestation", attestation)
 	const vouched = "" +
@@ -365,8 +365,8 @@
 		t.Errorf("%v %s", err, d)
 	}
 	in, _ := goldenIntake()
-	var told Answer
-	in.Handle(Request{Kind: Zones}, func(a Answer) { told = a })
+	var told Response
+	in.Handle(Request{Kind: GetZoneReports}, func(a Response) { told = a })
 	if told.Status != http.StatusOK || string(told.Body) != "\x00" {
 		t.Errorf("%d %q", told.Status, told.Body)
 	}
--- a/internal/intake/handler.go
+++ b/internal/intake/handler.go
@@ -17,15 +17,15 @@
 	reasonHeartbeat = "not a report"
 )
 
-// HeartbeatHandler answers workers' heartbeats, with an HTTP status and a body, and shows operators
+// LeaderHandler answers workers' heartbeats, with an HTTP status and a body, and shows operators
 // the state of the whole.
-type HeartbeatHandler interface {
-	Heartbeat(r protocol.Report, reply func(status int, body any))
+type LeaderHandler interface {
+	Heartbeat(r protocol.Heartbeat, reply func(status int, body any))
 	Overview(reply func(any))
 }
 
 // Handler returns the handler of all that a node serves over HTTP.
-func Handler(in *Intake, heartbeats HeartbeatHandler) http.Handler {
+func Handler(in *Admission, heartbeats LeaderHandler) http.Handler {
 	h := &handler{in: in, heartbeats: heartbeats, mux: http.NewServeMux()}
 	h.mux.HandleFunc(protocol.PathSubmit, h.submit)
 	h.mux.HandleFunc(protocol.PathStatus, h.show)
@@ -38,8 +38,8 @@
 
 // handler answers each kind of request by a message to the actor concerned.
 type handler struct {
-	in         *Intake
-	heartbeats HeartbeatHandler
+	in         *Admission
+	heartbeats LeaderHandler
 	mux        *http.ServeMux
 }
 
@@ -50,7 +50,7 @@
 }
 
 func (h *handler) show(w http.ResponseWriter, r *http.Request) {
-	h.handle(w, Request{Kind: Show, ID: r.PathValue(protocol.PathJobID)})
+	h.handle(w, Request{Kind: GetStatus, ID: r.PathValue(protocol.PathJobID)})
 }
 
 func (h *handler) cancel(w http.ResponseWriter, r *http.Request) {
@@ -59,8 +59,8 @@
 
 // handle sends a user the actor's answer.
 func (h *handler) handle(w http.ResponseWriter, r Request) {
-	answered := make(chan Answer, 1)
-	h.in.Handle(r, func(a Answer) { answered <- a })
+	answered := make(chan Response, 1)
+	h.in.Handle(r, func(a Response) { answered <- a })
 	writeAnswer(w, <-answered)
 }
 
@@ -116,23 +116,23 @@
 
 // validHeartbeat reports whether a heartbeat has what every later step relies on. Names of machines
 // are separated by spaces in records.
-func validHeartbeat(r *protocol.Report) bool {
-	validName := r.Machine != "" && len(r.Machine) <= protocol.MaxText &&
+func validHeartbeat(r *protocol.Heartbeat) bool {
+	validName := r.Machine != "" && len(r.Machine) <= protocol.MaxTextBytes &&
 		!strings.ContainsFunc(r.Machine, unicode.IsSpace)
-	return validName && r.Address != "" && r.Session > 0
+	return validName && r.Address != "" && r.Incarnation > 0
 }
 
 // readBody refuses what is over the limit without reading further.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	var body []byte
 	var err error
-	if announced := r.ContentLength; announced >= 0 && announced <= protocol.MaxBody {
+	if announced := r.ContentLength; announced >= 0 && announced <= protocol.MaxBodyBytes {
 		body = make([]byte, announced)
 		_, err = io.ReadFull(r.Body, body)
 	} else {
-		body, err = io.ReadAll(io.LimitReader(r.Body, protocol.MaxBody+1))
+		body, err = io.ReadAll(io.LimitReader(r.Body, protocol.MaxBodyBytes+1))
 	}
-	if err != nil || len(body) > protocol.MaxBody {
+	if err != nil || len(body) > protocol.MaxBodyBytes {
 		refuse(w, reasonBody)
 		return nil, false
 	}
@@ -144,9 +144,9 @@
 	writeAnswer(w, failure(outcomeMalformed, reason).toAnswer())
 }
 
-func writeAnswer(w http.ResponseWriter, a Answer) {
-	if a.RetryS > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(a.RetryS))
+func writeAnswer(w http.ResponseWriter, a Response) {
+	if a.RetryAfterS > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(a.RetryAfterS))
 	}
 	write(w, a.Status, a.Body)
 }
--- a/internal/intake/handler_test.go
+++ b/internal/intake/handler_test.go
@@ -17,9 +17,9 @@
 func TestServerRefusesWhatIsMalformedOrTooLarge(t *testing.T) {
 	set := &settings.Settings{}
 	set.Deployment.Teams = []settings.Team{{Name: "vision"}}
-	set.Deployment.State.ValueKb = 8
+	set.Deployment.KVStore.ValueKb = 8
 	in := New(&actortest.Still{Now: 20 * clock.Second}, &fakeStore{down: true}, set, noPeers)
-	in.Types(gpuTypes("a"))
+	in.SetMachineTypes(gpuTypes("a"))
 	heartbeats := &heartbeatRecorder{}
 	h := Handler(in, heartbeats)
 	for _, c := range []struct {
@@ -28,7 +28,7 @@
 		status       int
 	}{
 		{"POST", "/api/jobs", []byte("hello"), 400},
-		{"POST", "/api/jobs", make([]byte, protocol.MaxBody+1), 400},
+		{"POST", "/api/jobs", make([]byte, protocol.MaxBodyBytes+1), 400},
 		{"POST", "/api/jobs", protocol.Encode(submission()), 503},
 		{"GET", "/api/jobs/job-000412", nil, 503},
 		// Refused without a look while the store is taken to be down.
@@ -40,7 +40,7 @@
 		{"POST", "/agent/beat", heartbeatBody("m 1", 0), 400},
 		{"POST", "/agent/beat", heartbeatBody("m\t1", 0), 400},
 		{"POST", "/agent/beat", []byte{0xdf, 0xff, 0xff, 0xff, 0xff}, 400},
-		{"POST", "/agent/beat", make([]byte, protocol.MaxBody+1), 400},
+		{"POST", "/agent/beat", make([]byte, protocol.MaxBodyBytes+1), 400},
 		{"GET", "/nowhere", nil, 404},
 	} {
 		w := httptest.NewRecorder()
--- a/internal/intake/helpers_test.go
+++ b/internal/intake/helpers_test.go
@@ -16,7 +16,7 @@
 func submission() protocol.JobSpec {
 	due := 900.0
 	return protocol.JobSpec{ID: "job-000412", Class: "train", Team: "vision", Shape: protocol.ShapeGang,
-		Rank: "urgent", Tasks: 4, Cpus: 8, Gpus: 1, MemoryGB: 64, Image: "img-07", ImageGB: 6.2,
+		Priority: "urgent", Tasks: 4, Cpus: 8, Gpus: 1, MemoryGB: 64, Image: "img-07", ImageGB: 6.2,
 		Types: []string{"g8"}, OneZone: true, Spot: true, EstimateS: 240, CheckpointS: 30, SaveS: 4,
 		DeadlineS: &due}
 }
@@ -29,14 +29,14 @@
 // visionDeployment has one team and tight limits of the store.
 func visionDeployment() settings.Deployment {
 	return settings.Deployment{
-		Teams: []settings.Team{{Name: "vision", GpusMax: 4}},
-		State: settings.State{ValueKb: 8, TxnOps: 5},
+		Teams:   []settings.Team{{Name: "vision", GpusMax: 4}},
+		KVStore: settings.KVStore{ValueKb: 8, TxnOps: 5},
 	}
 }
 
 // fakeStore is a key-value store that answers at once. Transactions don't change its values.
 type fakeStore struct {
-	statestore.ResultStore
+	statestore.Store
 	values   map[string][]byte
 	down     bool
 	maxValue int      // bytes of JSON, 0 for no limit
@@ -57,7 +57,7 @@
 }
 
 func (s *fakeStore) Commit(
-	_ statestore.Use, txn protocol.Txn, done func(statestore.Result[statestore.Revision]),
+	_ statestore.Priority, txn protocol.Txn, done func(statestore.Result[statestore.Revision]),
 ) {
 	value := txn.Changes[0].Value
 	switch {
@@ -72,12 +72,12 @@
 }
 
 // noPeers forwards to nobody.
-func noPeers(_ Request, done func(Answer, bool)) { done(Answer{}, false) }
+func noPeers(_ Request, done func(Response, bool)) { done(Response{}, false) }
 
 // heartbeatRecorder answers heartbeats as a leader does and keeps them.
-type heartbeatRecorder struct{ received []protocol.Report }
+type heartbeatRecorder struct{ received []protocol.Heartbeat }
 
-func (h *heartbeatRecorder) Heartbeat(r protocol.Report, reply func(int, any)) {
+func (h *heartbeatRecorder) Heartbeat(r protocol.Heartbeat, reply func(int, any)) {
 	h.received = append(h.received, r)
 	leaderAnswers{}.Heartbeat(r, reply)
 }
@@ -87,8 +87,8 @@
 // leaderAnswers answers heartbeats as a leader does and may be asked by many at once.
 type leaderAnswers struct{}
 
-func (leaderAnswers) Heartbeat(_ protocol.Report, reply func(int, any)) {
-	reply(http.StatusOK, protocol.HeartbeatAnswer{Epoch: 1})
+func (leaderAnswers) Heartbeat(_ protocol.Heartbeat, reply func(int, any)) {
+	reply(http.StatusOK, protocol.HeartbeatResponse{Epoch: 1})
 }
 
 func (leaderAnswers) Overview(func(any)) {}
@@ -107,26 +107,26 @@
 
 // concurrentIntake is served by an empty store, knows the machine types and may be asked by many
 // at once.
-func concurrentIntake(heartbeatIntervalS float64) *Intake {
+func concurrentIntake(heartbeatIntervalS float64) *Admission {
 	set := &settings.Settings{}
-	set.Deployment.Workers.ReportS = heartbeatIntervalS
+	set.Deployment.Workers.HeartbeatS = heartbeatIntervalS
 	box := lockedMailbox{Still: &actortest.Still{Now: 20 * clock.Second}, mu: &sync.Mutex{}}
 	in := New(box, &fakeStore{}, set, noPeers)
-	in.Types([]protocol.MachineType{{Name: "g8"}})
-	in.availability.storeAnsweredAt = in.mailbox.Steady()
+	in.SetMachineTypes([]protocol.MachineType{{Name: "g8"}})
+	in.availability.storeAnsweredAt = in.mailbox.Monotonic()
 	return in
 }
 
 // heartbeatBody returns a valid heartbeat.
 func heartbeatBody(machine string, counter int64) []byte {
-	return protocol.Encode(protocol.Report{Machine: machine, Address: "a:1", Session: 1, Counter: counter})
+	return protocol.Encode(protocol.Heartbeat{Machine: machine, Address: "a:1", Incarnation: 1, Counter: counter})
 }
 
 // answerOf returns the answer to a request of an actor that answers in place.
-func answerOf(t *testing.T, in *Intake, r Request) Answer {
+func answerOf(t *testing.T, in *Admission, r Request) Response {
 	t.Helper()
-	var got *Answer
-	in.Handle(r, func(a Answer) { got = &a })
+	var got *Response
+	in.Handle(r, func(a Response) { got = &a })
 	if got == nil {
 		t.Fatalf("request of kind %d wasn't answered at once", r.Kind)
 	}
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -14,10 +14,10 @@
 // maxFinalStates bounds the memory that final states take.
 const maxFinalStates = 20_000
 
-// Intake is the actor that answers requests.
-type Intake struct {
+// Admission is the actor that answers requests.
+type Admission struct {
 	mailbox actor.Mailbox
-	store   statestore.ResultStore
+	store   statestore.Store
 	set     *settings.Settings
 	forward Forward
 	types   []protocol.MachineType // empty until the catalogue is known
@@ -38,15 +38,15 @@
 }
 
 // New makes the actor. It answers requests that the store doesn't serve through forward.
-func New(m actor.Mailbox, s statestore.ResultStore, set *settings.Settings, forward Forward) *Intake {
-	return &Intake{
+func New(m actor.Mailbox, s statestore.Store, set *settings.Settings, forward Forward) *Admission {
+	return &Admission{
 		mailbox:       m,
 		store:         s,
 		set:           set,
 		forward:       forward,
 		memoryFull:    func() bool { return false },
 		finalStates:   map[string]protocol.JobStatus{},
-		startedAt:     m.Steady(),
+		startedAt:     m.Monotonic(),
 		cancellations: newCancellationLog(),
 		zoneReports:   func(reply func(ZoneReports)) { reply(ZoneReports{Node: set.Node}) },
 	}
@@ -54,28 +54,30 @@
 
 // RefuseWhen makes new jobs wait while the process is near the limit of its memory: it would be
 // killed, and what it was doing with it. It is called before the first request, full from the actor.
-func (in *Intake) RefuseWhen(full func() bool) { in.memoryFull = full }
+func (in *Admission) RefuseWhen(full func() bool) { in.memoryFull = full }
 
 // ZoneReportsFrom lets other nodes ask of which zones' machines this one receives heartbeats. It is
 // called before the first request.
-func (in *Intake) ZoneReportsFrom(ask func(reply func(ZoneReports))) { in.zoneReports = ask }
+func (in *Admission) ZoneReportsFrom(ask func(reply func(ZoneReports))) { in.zoneReports = ask }
 
-// Types is called with each new catalogue.
-func (in *Intake) Types(types []protocol.MachineType) {
+// SetMachineTypes is called with each new catalogue.
+func (in *Admission) SetMachineTypes(types []protocol.MachineType) {
 	types = slices.Clone(types)
 	in.mailbox.Post(func() { in.types = types })
 }
 
-// Format is called with the progress of the controllers' upgrade.
-func (in *Intake) Format(s rollout.Status) { in.mailbox.Post(func() { in.formatOpen = s.Open }) }
+// SetFormatStatus is called with the progress of the controllers' upgrade.
+func (in *Admission) SetFormatStatus(s rollout.Status) {
+	in.mailbox.Post(func() { in.formatOpen = s.Services })
+}
 
-// Elected is called at each election of this node, before anything is done about it.
-func (in *Intake) Elected(epoch int64) {
+// NoteElection is called at each election of this node, before anything is done about it.
+func (in *Admission) NoteElection(epoch int64) {
 	in.mailbox.Post(func() { in.epoch = max(in.epoch, epoch) })
 }
 
 // Handle answers a request. It calls reply once, from the actor.
-func (in *Intake) Handle(r Request, reply func(Answer)) {
+func (in *Admission) Handle(r Request, reply func(Response)) {
 	in.mailbox.Post(func() {
 		c := &call{in: in, request: r, reply: reply}
 		c.handle()
@@ -83,9 +85,9 @@
 }
 
 // keepFinal remembers the final state of a job.
-func (in *Intake) keepFinal(s protocol.JobStatus) {
+func (in *Admission) keepFinal(s protocol.JobStatus) {
 	if s.Status == protocol.StatusCancelled {
-		in.cancellations.add(s.ID, in.mailbox.Steady())
+		in.cancellations.add(s.ID, in.mailbox.Monotonic())
 	}
 	if len(in.finalStates) >= maxFinalStates {
 		clear(in.finalStates) // rare, and only costs reading again
--- a/internal/intake/outcome.go
+++ b/internal/intake/outcome.go
@@ -23,7 +23,7 @@
 	status protocol.JobStatus // of an accepted or known job
 	reason string             // why the request wasn't carried out
 	body   []byte             // of kind outcomeForNode
-	answer Answer             // of kind outcomeFromPeer
+	answer Response           // of kind outcomeFromPeer
 }
 
 // failure is the outcome of a request that wasn't carried out.
--- a/internal/intake/request.go
+++ b/internal/intake/request.go
@@ -6,12 +6,12 @@
 // Kinds of requests.
 const (
 	Submit Kind = iota + 1
-	Show
+	GetStatus
 	Cancel
-	// Attest is asked by a node, not by a user: see Attestation.
-	Attest
-	// Zones is asked by a node that leads: see ZoneReports.
-	Zones
+	// GetAttestation is asked by a node, not by a user: see Attestation.
+	GetAttestation
+	// GetZoneReports is asked by a node that leads: see ZoneReports.
+	GetZoneReports
 )
 
 // Request is a request of a user or a node. Forwarded requests come from another node, which the
@@ -24,4 +24,4 @@
 }
 
 // Forward passes a request to other nodes; ok reports whether one answered.
-type Forward func(r Request, done func(a Answer, ok bool))
+type Forward func(r Request, done func(a Response, ok bool))
--- a/internal/intake/runnable.go
+++ b/internal/intake/runnable.go
@@ -24,7 +24,7 @@
 	if !ok {
 		return errUnknownTeam
 	}
-	if spec.Types != nil && len(spec.Types) == 0 || !fleet.Fits(types, spec) {
+	if spec.Types != nil && len(spec.Types) == 0 || !fleet.FitsAnyType(types, spec) {
 		return errFitsNoType
 	}
 	if overLimit(spec, team) {
@@ -34,7 +34,7 @@
 		return errSpreadInZone
 	}
 	// The store may tighten its limits at any time.
-	limits := dep.State.Tightest()
+	limits := dep.KVStore.Tightest()
 	if !ledger.Recordable(spec, limits.ValueBytes(), limits.TxnOps) {
 		return errRecordTooLarge
 	}
--- a/internal/intake/server.go
+++ b/internal/intake/server.go
@@ -22,7 +22,7 @@
 )
 
 // Serve answers users, workers and health checks on one address.
-func Serve(addr string, maxConnections int, in *Intake, heartbeats HeartbeatHandler) error {
+func Serve(addr string, maxConnections int, in *Admission, heartbeats LeaderHandler) error {
 	l, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return err
@@ -30,7 +30,7 @@
 	return serve(newLimitedListener(l, maxConnections), in, heartbeats)
 }
 
-func serve(l *limitedListener, in *Intake, heartbeats HeartbeatHandler) error {
+func serve(l *limitedListener, in *Admission, heartbeats LeaderHandler) error {
 	server := &http.Server{
 		Handler:           Handler(in, heartbeats),
 		ReadHeaderTimeout: headerTimeout,
@@ -46,7 +46,7 @@
 
 // idleTimeout returns how long a connection may be idle between requests: workers send several
 // heartbeats in it, and what a dead machine has left doesn't hold its place.
-func (in *Intake) idleTimeout() time.Duration {
-	interval := in.set.Deployment.Workers.Report().Duration()
+func (in *Admission) idleTimeout() time.Duration {
+	interval := in.set.Deployment.Workers.HeartbeatInterval().Duration()
 	return max(minIdleTimeout, heartbeatsPerIdleTimeout*interval)
 }
--- a/internal/intake/status.go
+++ b/internal/intake/status.go
@@ -10,8 +10,8 @@
 
 // show answers with the state of a job.
 func (c *call) show() {
-	c.findRecord(func(record *ledger.Job, _ int64) {
-		if record.PartSize > 0 && !record.Final() {
+	c.findRecord(func(record *ledger.Record, _ int64) {
+		if record.ShardSize > 0 && !record.Final() {
 			c.showSharded(record)
 			return
 		}
@@ -21,8 +21,8 @@
 
 // showSharded reads the shards of a record for what users are shown of its tasks. Without them the
 // answer says what the head does.
-func (c *call) showSharded(record *ledger.Job) {
-	prefix := ledger.PartsOf(record.Spec.ID)
+func (c *call) showSharded(record *ledger.Record) {
+	prefix := ledger.JobShardsPrefix(record.Spec.ID)
 	apply := func(page protocol.ItemList) (goOn bool) {
 		applyShards(record, page.Items)
 		return true
@@ -32,13 +32,13 @@
 	})
 }
 
-func applyShards(record *ledger.Job, items []protocol.Item) {
+func applyShards(record *ledger.Record, items []protocol.Item) {
 	for _, item := range items {
-		_, shard, ok := ledger.ParsePartKey(item.Key)
+		_, shard, ok := ledger.ParseShardKey(item.Key)
 		if !ok {
 			continue
 		}
-		if err := record.ApplyPart(shard, item.Value); err != nil {
+		if err := record.ApplyShard(shard, item.Value); err != nil {
 			slog.Error("malformed shard of a job record", "job", record.Spec.ID, "key", item.Key, "error", err)
 		}
 	}
--- a/internal/intake/submission.go
+++ b/internal/intake/submission.go
@@ -23,7 +23,7 @@
 		return
 	}
 	// The repeat of an accepted submission is never refused, whatever it looks like.
-	c.readRecord(spec.ID, func(record *ledger.Job, _ int64) {
+	c.readRecord(spec.ID, func(record *ledger.Record, _ int64) {
 		if record != nil {
 			c.finish(knownJob(record.UserStatus()))
 			return
@@ -34,7 +34,7 @@
 
 // refusal returns why a new job can't be accepted, given the error of its submission; refused
 // reports whether it can't.
-func (in *Intake) refusal(spec *protocol.JobSpec, invalid error) (o outcome, refused bool) {
+func (in *Admission) refusal(spec *protocol.JobSpec, invalid error) (o outcome, refused bool) {
 	switch {
 	case invalid != nil:
 		return failure(outcomeMalformed, invalid.Error()), true
@@ -53,12 +53,12 @@
 }
 
 // newRecord returns the record of the submitted job, in a format that all controllers know.
-func (c *call) newRecord() *ledger.Job {
-	record := ledger.New(c.spec, int64(c.in.mailbox.OfDay()))
+func (c *call) newRecord() *ledger.Record {
+	record := ledger.New(c.spec, int64(c.in.mailbox.TimeOfDay()))
 	if c.in.formatOpen {
-		limits := c.in.set.Deployment.State.Tightest()
+		limits := c.in.set.Deployment.KVStore.Tightest()
 		record.Marked = c.spec.Service()
-		record.PartSize = ledger.ShardSizeFor(&c.spec, limits.ValueBytes())
+		record.ShardSize = ledger.ShardSizeFor(&c.spec, limits.ValueBytes())
 	}
 	return record
 }
@@ -67,10 +67,10 @@
 func (c *call) create() {
 	key := ledger.Key(c.spec.ID)
 	txn := protocol.Txn{
-		Guards:  []protocol.Guard{{Key: key}},
-		Changes: []protocol.Change{{Put: key, Value: c.newRecord().Encode()}},
+		Conditions: []protocol.Condition{{Key: key}},
+		Changes:    []protocol.Change{{Put: key, Value: c.newRecord().Encode()}},
 	}
-	c.in.store.Commit(statestore.ForUser, txn, func(r statestore.Result[statestore.Revision]) {
+	c.in.store.Commit(statestore.PriorityUser, txn, func(r statestore.Result[statestore.Revision]) {
 		switch result := storeResultOf(r.Err); result {
 		case storeDone:
 			status := protocol.JobStatus{ID: c.spec.ID, Status: protocol.StatusPending}
@@ -87,7 +87,7 @@
 
 // confirmCreated reads the record: there is one already, or it isn't known whether there is.
 func (c *call) confirmCreated() {
-	c.readRecord(c.spec.ID, func(record *ledger.Job, _ int64) {
+	c.readRecord(c.spec.ID, func(record *ledger.Record, _ int64) {
 		if record == nil {
 			c.fail(outcomeUnconfirmed, reasonUnconfirmed)
 			return
--- a/internal/intake/submission_test.go
+++ b/internal/intake/submission_test.go
@@ -19,24 +19,24 @@
 	spec := submission()
 	spec.Shape = protocol.ShapeService
 	submit := Request{Kind: Submit, Body: protocol.Encode(spec)}
-	forward := func(Request, func(Answer, bool)) { t.Error("passed to a peer, want it answered here") }
+	forward := func(Request, func(Response, bool)) { t.Error("passed to a peer, want it answered here") }
 	for _, served := range []bool{true, false} {
 		box := &actortest.Still{Now: clock.Second}
 		store := &fakeStore{maxValue: 2 << 10}
 		in := New(box, store, set, forward)
-		in.Types(gpuTypes("a", "b"))
+		in.SetMachineTypes(gpuTypes("a", "b"))
 		if !served {
 			in.availability.storeDownUntil = box.Now + clock.Second
 		}
 		got := answerOf(t, in, submit)
-		if got.Status != http.StatusServiceUnavailable || got.RetryS < 1 || len(store.puts) != 0 {
+		if got.Status != http.StatusServiceUnavailable || got.RetryAfterS < 1 || len(store.puts) != 0 {
 			t.Errorf("served %v: answered %d, come back after %d s, %d puts, want %d, some and none",
-				served, got.Status, got.RetryS, len(store.puts), http.StatusServiceUnavailable)
+				served, got.Status, got.RetryAfterS, len(store.puts), http.StatusServiceUnavailable)
 		}
 		if !served {
 			continue
 		}
-		in.Format(rollout.Status{Open: true})
+		in.SetFormatStatus(rollout.Status{Services: true})
 		got = answerOf(t, in, submit)
 		if got.Status != http.StatusCreated || len(store.puts) != 1 {
 			t.Errorf("after the upgrade: answered %d with %d puts, want %d with 1",
@@ -58,9 +58,9 @@
 			store.values = map[string][]byte{ledger.Key(spec.ID): ledger.New(spec, 1).Encode()}
 		}
 		in := New(&actortest.Still{Now: 20 * clock.Second}, store, set, nil)
-		in.Types(gpuTypes("a"))
+		in.SetMachineTypes(gpuTypes("a"))
 		in.RefuseWhen(func() bool { return true })
-		for _, r := range []Request{{Kind: Submit, Body: raw}, {Kind: Show, ID: spec.ID}} {
+		for _, r := range []Request{{Kind: Submit, Body: raw}, {Kind: GetStatus, ID: spec.ID}} {
 			got := answerOf(t, in, r)
 			want := http.StatusOK
 			switch {
@@ -69,9 +69,9 @@
 			case !known:
 				want = http.StatusNotFound
 			}
-			if got.Status != want || (got.RetryS > 0) != (want == http.StatusServiceUnavailable) {
+			if got.Status != want || (got.RetryAfterS > 0) != (want == http.StatusServiceUnavailable) {
 				t.Errorf("known %v, kind %d: answered %d, come back after %d s, want %d, and a time with %d only",
-					known, r.Kind, got.Status, got.RetryS, want, http.StatusServiceUnavailable)
+					known, r.Kind, got.Status, got.RetryAfterS, want, http.StatusServiceUnavailable)
 			}
 		}
 	}
--- a/internal/intake/workerconnection.go
+++ b/internal/intake/workerconnection.go
@@ -22,7 +22,7 @@
 
 const (
 	// maxRequestBytes is the largest request on a hijacked connection.
-	maxRequestBytes = protocol.MaxBody + maxHeaderBytes
+	maxRequestBytes = protocol.MaxBodyBytes + maxHeaderBytes
 	// readBufferBytes is what a connection holds between requests; heartbeats of a few tasks fit.
 	readBufferBytes = 2 << 10
 	// writeBufferBytes is what a connection holds while it responds.
--- a/internal/intake/workerconnection_test.go
+++ b/internal/intake/workerconnection_test.go
@@ -15,7 +15,7 @@
 )
 
 // reportServer serves on a real listener.
-func reportServer(t *testing.T, heartbeatIntervalS float64) (*Intake, *limitedListener) {
+func reportServer(t *testing.T, heartbeatIntervalS float64) (*Admission, *limitedListener) {
 	t.Helper()
 	raw, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/intake/zonereports.go
+++ b/internal/intake/zonereports.go
@@ -62,8 +62,8 @@
 	return string(b[1:end]), b[end:], true
 }
 
-// AllZoneReports reads the answers of nodes; those that say something else are left out.
-func AllZoneReports(answers []Answer) []ZoneReports {
+// DecodeAllZoneReports reads the answers of nodes; those that say something else are left out.
+func DecodeAllZoneReports(answers []Response) []ZoneReports {
 	var all []ZoneReports
 	for _, answer := range answers {
 		if z, err := DecodeZoneReports(answer.Body); err == nil && answer.OK() {
--- a/internal/leader/adoption_test.go
+++ b/internal/leader/adoption_test.go
@@ -16,7 +16,7 @@
 func TestLateReadsDontBringPlacementsBack(t *testing.T) {
 	l, j, m, _ := leaderWithOneTask(t)
 	old := j.Encode()
-	l.reconciler.Observe(m, workerHeartbeat(1, 1, protocol.TaskReport{
+	l.reconciler.Observe(m, workerHeartbeat(1, 1, protocol.TaskStatus{
 		Task:    "job-1/0",
 		Attempt: 1,
 		Status:  protocol.TaskExited,
@@ -25,8 +25,8 @@
 	l.reader.Adopt(ledger.Key("job-1"), j.Encode(), 6)
 	j.NoteRecordEvent(jobtable.EventRecordConflict)
 	l.reader.Adopt(ledger.Key("job-1"), old, 5)
-	if len(j.Placed) != 0 || j.Version != 6 {
-		t.Fatalf("placed %v at version %d, want nothing placed at version 6", j.Placed, j.Version)
+	if len(j.Placements) != 0 || j.Version != 6 {
+		t.Fatalf("placed %v at version %d, want nothing placed at version 6", j.Placements, j.Version)
 	}
 }
 
@@ -35,7 +35,7 @@
 func TestOldEventsDontBringJobsBack(t *testing.T) {
 	l, j, m, _ := leaderWithOneTask(t)
 	old := j.Encode()
-	l.reconciler.Observe(m, workerHeartbeat(1, 1, protocol.TaskReport{
+	l.reconciler.Observe(m, workerHeartbeat(1, 1, protocol.TaskStatus{
 		Task:    "job-1/0",
 		Attempt: 1,
 		Status:  protocol.TaskExited,
@@ -43,7 +43,7 @@
 	}))
 	j.InFlight = true
 	l.writer.HandleResult([]recordstore.Write{
-		{J: j, V: &j.StoredValue, Part: recordstore.HeadIndex, Changed: j.ChangeCount},
+		{Job: j, Value: &j.StoredValue, Shard: recordstore.HeadIndex, ChangeCount: j.ChangeCount},
 	}, resultOf(committedAt(6)))
 	if len(l.jobs.ByID) != 0 {
 		t.Fatalf("%d jobs are known after the job's end is stored, want none", len(l.jobs.ByID))
@@ -58,13 +58,13 @@
 // becomes of the change: the job's tasks needn't wait for its outcome.
 func TestCancellationsDontWaitForWritesInFlight(t *testing.T) {
 	l, j, m, box := leaderWithOneTask(t)
-	l.reconciler.Observe(m, workerHeartbeat(1, 1, protocol.TaskReport{
+	l.reconciler.Observe(m, workerHeartbeat(1, 1, protocol.TaskStatus{
 		Task:    "job-1/0",
 		Attempt: 1,
 		Status:  protocol.TaskRunning,
 	}))
 	j.InFlight = true
-	cancelled := *j.Job
+	cancelled := *j.Record
 	cancelled.Status, cancelled.CancelledAt = protocol.StatusCancelled, int64(box.Now)
 	l.reader.Adopt(ledger.Key("job-1"), cancelled.Encode(), 6)
 	commands := l.commands.CommandsFor(m, reconciler.ViaHeartbeat)
@@ -77,7 +77,7 @@
 // them: they count until proof.
 func TestTruncatedCancellationKeepsKnownPlacements(t *testing.T) {
 	l, j, _, box := leaderWithOneTask(t)
-	cancelled := *j.Job
+	cancelled := *j.Record
 	cancelled.Status, cancelled.CancelledAt = protocol.StatusCancelled, int64(box.Now)
 	cancelled.Truncated = true
 	l.reader.Adopt(ledger.Key("job-1"), cancelled.Encode(), 8)
@@ -85,9 +85,9 @@
 	if j == nil {
 		t.Fatal("the job is forgotten, want it to be known")
 	}
-	if !j.Over() || len(j.Placed) != 1 || l.machines.ByName["m-1"].Placements["job-1"] == nil {
+	if !j.Over() || len(j.Placements) != 1 || l.machines.ByName["m-1"].Placements["job-1"] == nil {
 		t.Fatalf("over %v, placed %v, on its machine %v, want it over, placed and on its machine", j.Over(),
-			j.Placed, l.machines.ByName["m-1"].Placements)
+			j.Placements, l.machines.ByName["m-1"].Placements)
 	}
 }
 
@@ -95,13 +95,13 @@
 // counts as stored, and what was placed stays known until proof.
 func TestCancellationWinsOverShardsInFlight(t *testing.T) {
 	l, store, j := shardedArray(t)
-	cancelled := *j.Job
+	cancelled := *j.Record
 	cancelled.Status, cancelled.CancelledAt = protocol.StatusCancelled, int64(l.state.Now())
 	l.reader.Adopt(ledger.Key("job-1"), cancelled.Encode(), 8)
 	store.answer(conflictOn(ledger.Key("job-1")))
-	if !j.Over() || j.Committed(j.Placed[0]) || j.MustReload() || len(j.Placed) != 1 {
+	if !j.Over() || j.Committed(j.Placements[0]) || j.MustReload() || len(j.Placements) != 1 {
 		t.Fatalf("over %v, committed %v, to be reloaded %v, placed %v, want true, false, false and one task",
-			j.Over(), j.Committed(j.Placed[0]), j.MustReload(), j.Placed)
+			j.Over(), j.Committed(j.Placements[0]), j.MustReload(), j.Placements)
 	}
 }
 
@@ -115,27 +115,27 @@
 	})
 }
 
-func readBehindFence(t *testing.T, fenceResponse storetest.Reply[protocol.TxnAnswer]) {
+func readBehindFence(t *testing.T, fenceResponse storetest.Reply[protocol.TxnResponse]) {
 	t.Helper()
 	l, store, j := shardedArray(t)
 	reads := &readableStore{fakeStore: *store}
 	useStore(l, reads)
 	reads.answer(noResponse()) // for shard 0: it may still be carried out
-	l.jobs.AddPlacement(j, ledger.Placement{Task: 150, Attempt: 1, Machine: "m-2", Session: 1})
+	l.jobs.AddPlacement(j, ledger.Placement{Task: 150, Attempt: 1, Machine: "m-2", Incarnation: 1})
 	commitAfterPause(l)
-	reads.answer(conflictOn(ledger.PartKey("job-1", 1)))
+	reads.answer(conflictOn(ledger.ShardKey("job-1", 1)))
 	commitAfterPause(l)
 	fence := reads.last()
 	if len(fence.Changes) != 1 || fence.Changes[0].Put != ledger.Key("job-1") || reads.reads != 0 {
 		t.Fatalf("%+v is written and %d reads were sent, want the head and no read", fence.Changes, reads.reads)
 	}
-	content := *j.Job
-	content.Placed = nil
+	content := *j.Record
+	content.Placements = nil
 	reads.item = protocol.Item{Key: ledger.Key("job-1"), Value: content.Encode(), Version: 9}
 	reads.answer(fenceResponse)
 	commitAfterPause(l)
-	if reads.reads != 1 || j.MustReload() || j.Version != 9 || len(j.Placed) != 0 {
+	if reads.reads != 1 || j.MustReload() || j.Version != 9 || len(j.Placements) != 0 {
 		t.Fatalf("%d reads, to be reloaded %v, version %d, placed %v, want 1, false, 9 and nothing", reads.reads,
-			j.MustReload(), j.Version, j.Placed)
+			j.MustReload(), j.Version, j.Placements)
 	}
 }
--- a/internal/leader/autoscaler/autoscaler.go
+++ b/internal/leader/autoscaler/autoscaler.go
@@ -18,7 +18,7 @@
 // Autoscaler gets machines for unmet demand and releases those that aren't needed any more.
 type Autoscaler struct {
 	*term.State
-	Cloud      cloud.ResultAPI
+	Cloud      cloud.API
 	jobs       *jobtable.Table
 	machines   *machinetable.Table
 	catalogue  *machinetable.Catalogue
@@ -42,7 +42,7 @@
 const refusalBackoff = 2 * clock.Second
 
 // New returns an autoscaler that scales by means of the given cloud.
-func New(term *term.State, cl cloud.ResultAPI, jobs *jobtable.Table, machines *machinetable.Table,
+func New(term *term.State, cl cloud.API, jobs *jobtable.Table, machines *machinetable.Table,
 	catalogue *machinetable.Catalogue, objectives *objectives.Tracker, commands *reconciler.CommandSender,
 	snapshots *snapshots.Builder, zones *zonetracker.Tracker, steps *term.StepTimer) *Autoscaler {
 	return &Autoscaler{
--- a/internal/leader/autoscaler/cloudview.go
+++ b/internal/leader/autoscaler/cloudview.go
@@ -19,15 +19,15 @@
 	length clock.Micros
 }
 
-// Market returns what can be scaled out at present, as far as is known.
-func (a *Autoscaler) Market() *fleet.Market {
-	view := &fleet.Market{Types: a.catalogue.ByName, Refused: map[fleet.Kind]bool{}}
+// CloudView returns what can be scaled out at present, as far as is known.
+func (a *Autoscaler) CloudView() *fleet.CloudView {
+	view := &fleet.CloudView{Types: a.catalogue.ByName, OutOfCapacity: map[fleet.CapacityPool]bool{}}
 	for pool, pause := range a.scaleOut.exhausted {
 		if a.Now() < pause.until {
-			view.Refused[pool] = true
+			view.OutOfCapacity[pool] = true
 		}
 	}
-	if a.zones.AnyAvoided() {
+	if a.zones.AnyCordoned() {
 		a.excludeAvoidedZones(view)
 	}
 	return view
@@ -35,22 +35,22 @@
 
 // excludeAvoidedZones leaves out the zones that aren't healthy, since machines that boot there may
 // never be heard of. Zones that have just returned are only marked: what depends on them may go there.
-func (a *Autoscaler) excludeAvoidedZones(view *fleet.Market) {
-	view.Doubtful = map[string]bool{}
+func (a *Autoscaler) excludeAvoidedZones(view *fleet.CloudView) {
+	view.ZonesAtRisk = map[string]bool{}
 	for _, machineType := range a.catalogue.Types {
 		for _, zone := range machineType.Zones {
-			if a.zones.Returning(zone) {
-				view.Doubtful[zone] = true
-			} else if a.zones.Avoided(zone) {
-				view.Refused[fleet.Kind{Type: machineType.Name, Zone: zone}] = true
-				view.Refused[fleet.Kind{Type: machineType.Name, Zone: zone, Spot: true}] = true
+			if a.zones.IsReturning(zone) {
+				view.ZonesAtRisk[zone] = true
+			} else if a.zones.IsCordoned(zone) {
+				view.OutOfCapacity[fleet.CapacityPool{Type: machineType.Name, Zone: zone}] = true
+				view.OutOfCapacity[fleet.CapacityPool{Type: machineType.Name, Zone: zone, Spot: true}] = true
 			}
 		}
 	}
 }
 
 // noteExhausted pauses requests for a pool that has run out of machines.
-func (a *Autoscaler) noteExhausted(pool fleet.Kind) {
+func (a *Autoscaler) noteExhausted(pool fleet.CapacityPool) {
 	pause := a.scaleOut.exhausted[pool]
 	pause.length = min(max(initialCapacityPause, 2*pause.length), maxCapacityPause)
 	pause.until = a.Now() + pause.length
@@ -58,4 +58,4 @@
 }
 
 // noteAvailable ends the pause of a pool in which there is capacity again.
-func (a *Autoscaler) noteAvailable(pool fleet.Kind) { delete(a.scaleOut.exhausted, pool) }
+func (a *Autoscaler) noteAvailable(pool fleet.CapacityPool) { delete(a.scaleOut.exhausted, pool) }
--- a/internal/leader/autoscaler/cordon.go
+++ b/internal/leader/autoscaler/cordon.go
@@ -50,11 +50,11 @@
 
 // Uncordon makes up to limit cordoned machines usable again that unmet demand needs after all, the
 // cheapest first. It reports whether there was any such machine.
-func (a *Autoscaler) Uncordon(demand []planner.Want, limit int) bool {
-	view := a.Market()
+func (a *Autoscaler) Uncordon(demand []planner.UnmetDemand, limit int) bool {
+	view := a.CloudView()
 	needed := a.neededCordoned(view, demand)
 	slices.SortStableFunc(needed, func(x, y *machinetable.Machine) int {
-		return cmp.Compare(view.Price(x.Kind()), view.Price(y.Kind()))
+		return cmp.Compare(view.HourlyPrice(x.Kind()), view.HourlyPrice(y.Kind()))
 	})
 	for _, m := range needed[:min(limit, len(needed))] {
 		m.Cordoned = false
@@ -63,8 +63,8 @@
 }
 
 // neededCordoned returns the cordoned machines that unmet demand needs.
-func (a *Autoscaler) neededCordoned(view *fleet.Market, demand []planner.Want) []*machinetable.Machine {
-	poolNeeded := map[fleet.Kind]bool{}
+func (a *Autoscaler) neededCordoned(view *fleet.CloudView, demand []planner.UnmetDemand) []*machinetable.Machine {
+	poolNeeded := map[fleet.CapacityPool]bool{}
 	var needed []*machinetable.Machine
 	for _, m := range a.machines.Ordered {
 		if !m.Cordoned || m.Releasing {
@@ -114,7 +114,7 @@
 			continue
 		}
 		search.trialsLeft--
-		if rest, ok := fleet.Spares(search.snapshot, m.Name); ok {
+		if rest, ok := fleet.FitsWithout(search.snapshot, m.Name); ok {
 			search.snapshot = rest
 			a.moveTasksOff(m)
 		}
@@ -186,13 +186,13 @@
 
 // gangRuns reports whether all tasks of a gang have run for long enough to be moved.
 func (a *Autoscaler) gangRuns(j *jobtable.Job) bool {
-	for _, placement := range j.Placed {
+	for _, placement := range j.Placements {
 		m := a.machines.ByName[placement.Machine]
 		if m == nil || a.ranFor(m, j, placement) < minRunBeforeMove {
 			return false
 		}
 	}
-	return len(j.Placed) == j.Spec.Tasks
+	return len(j.Placements) == j.Spec.Tasks
 }
 
 // ranFor returns for how long the attempt of a placement has been seen running on its machine.
--- a/internal/leader/autoscaler/scalein.go
+++ b/internal/leader/autoscaler/scalein.go
@@ -26,18 +26,18 @@
 // releaseIdleMachines releases machines that have been idle for longer than they are worth keeping.
 func (a *Autoscaler) releaseIdleMachines() {
 	now := a.Now()
-	view := a.Market()
+	view := a.CloudView()
 	for _, m := range a.machines.Ordered {
-		if !m.Seen || m.Releasing || len(m.Placements) > 0 || a.machines.Busy(m) {
+		if !m.Seen || m.Releasing || len(m.Placements) > 0 || a.machines.RunsTasks(m) {
 			continue
 		}
-		idle := fleet.Idle{
-			Kind:     m.Kind(),
-			For:      now - max(m.IdleSince, m.ReservedAt),
+		idle := fleet.IdleMachine{
+			Pool:     m.Kind(),
+			IdleFor:  now - max(m.IdleSince, m.ReservedAt),
 			Needed:   a.neededByRecentClass(m),
 			Cordoned: m.Cordoned,
 		}
-		if m.RecallAt == 0 && idle.For > view.Keep(idle) {
+		if m.RecallAt == 0 && idle.IdleFor > view.IdleTimeout(idle) {
 			a.machines.ScheduleRelease(m, releaseIdle)
 		}
 	}
@@ -46,8 +46,8 @@
 // neededByRecentClass reports whether a class of jobs that was submitted lately could use a machine.
 func (a *Autoscaler) neededByRecentClass(m *machinetable.Machine) bool {
 	for _, class := range a.objectives.Classes {
-		if a.Now()-class.LastAt < recentClassWindow && planner.Allowed(&class.Spec, m.Type, m.Zone, m.Spot) &&
-			planner.Needs(&class.Spec).Fits(fleet.Whole(a.catalogue.ByName[m.Type])) {
+		if a.Now()-class.LastAt < recentClassWindow && planner.MachineAllowed(&class.Spec, m.Type, m.Zone, m.Spot) &&
+			planner.TaskResources(&class.Spec).FitsIn(fleet.Capacity(a.catalogue.ByName[m.Type])) {
 			return true
 		}
 	}
@@ -58,7 +58,7 @@
 // machines are gone with all that ran on them: it is the proof that their placements have ended.
 func (a *Autoscaler) SendReleases() {
 	leads := a.Leads()
-	if a.scaleInInFlight || !leads && !a.MayAnswer() {
+	if a.scaleInInFlight || !leads && !a.MayRespond() {
 		return
 	}
 	// Machines with cancelled tasks wait neither for others nor for the end of a backoff.
@@ -87,7 +87,7 @@
 // appendReleasing appends marked machines of one urgency, up to what one request takes.
 func (a *Autoscaler) appendReleasing(names []string, urgency releaseUrgency) []string {
 	for _, m := range a.machines.Ordered {
-		if m.Releasing && m.Overdue == bool(urgency) && len(names) < cloud.ReleaseSize {
+		if m.Releasing && m.Overdue == bool(urgency) && len(names) < cloud.MaxScaleIn {
 			names = append(names, m.Name)
 		}
 	}
--- a/internal/leader/autoscaler/scaleout.go
+++ b/internal/leader/autoscaler/scaleout.go
@@ -32,7 +32,7 @@
 	// inFlight counts those whose outcome is unknown yet.
 	inFlight int
 	// exhausted are the pools that have run out of machines.
-	exhausted map[fleet.Kind]capacityPause
+	exhausted map[fleet.CapacityPool]capacityPause
 	limiter   *rate.Limiter
 }
 
@@ -40,30 +40,30 @@
 // requests a second.
 func newScaleOutState(requestsPerSecond float64) scaleOutState {
 	return scaleOutState{
-		exhausted: map[fleet.Kind]capacityPause{},
+		exhausted: map[fleet.CapacityPool]capacityPause{},
 		limiter:   rate.NewLimiter(rate.Limit(requestsPerSecond*scaleOutShare), max(1, int(requestsPerSecond))),
 	}
 }
 
 // scaleOutRequest is a request for machines of one pool.
 type scaleOutRequest struct {
-	protocol.Rental
-	pool    fleet.Kind
+	protocol.ScaleOutRequest
+	pool    fleet.CapacityPool
 	attempt int
 }
 
 // ScaleOut requests machines for unmet demand. It decides nothing as long as a request is in flight:
 // the machines that it brings aren't part of the demand's snapshot yet.
-func (a *Autoscaler) ScaleOut(demand []planner.Want) {
+func (a *Autoscaler) ScaleOut(demand []planner.UnmetDemand) {
 	now := time.UnixMicro(int64(a.Now()))
 	if !a.mayScaleOut(now) || len(demand) == 0 {
 		return
 	}
-	for _, decision := range a.Market().Rent(demand) {
+	for _, decision := range a.CloudView().ScaleOut(demand) {
 		missing := decision.Count
 		for missing > 0 && a.scaleOut.limiter.AllowN(now, 1) {
-			a.requestMachines(decision.Kind, min(missing, cloud.RentalSize))
-			missing -= cloud.RentalSize
+			a.requestMachines(decision.Pool, min(missing, cloud.MaxScaleOut))
+			missing -= cloud.MaxScaleOut
 		}
 	}
 }
@@ -76,16 +76,16 @@
 
 // requestMachines sends a new request. Its idempotency key contains the epoch, so that no other node
 // and no later leader ever uses the same one.
-func (a *Autoscaler) requestMachines(pool fleet.Kind, count int) {
+func (a *Autoscaler) requestMachines(pool fleet.CapacityPool, count int) {
 	a.scaleOut.requests++
 	a.scaleOut.inFlight++
 	a.sendScaleOut(scaleOutRequest{
-		Rental: protocol.Rental{
-			Booking: fmt.Sprintf("e%d-%d", a.Term.Epoch, a.scaleOut.requests),
-			Type:    pool.Type,
-			Zone:    pool.Zone,
-			Spot:    pool.Spot,
-			Count:   count,
+		ScaleOutRequest: protocol.ScaleOutRequest{
+			IdempotencyKey: fmt.Sprintf("e%d-%d", a.Term.Epoch, a.scaleOut.requests),
+			Type:           pool.Type,
+			Zone:           pool.Zone,
+			Spot:           pool.Spot,
+			Count:          count,
 		},
 		pool:    pool,
 		attempt: 1,
@@ -93,7 +93,7 @@
 }
 
 func (a *Autoscaler) sendScaleOut(request scaleOutRequest) {
-	a.Cloud.ScaleOut(request.Rental, a.Term.ValidUntil, term.Guarded2(a.State,
+	a.Cloud.ScaleOut(request.ScaleOutRequest, a.Term.ValidUntil, term.Guarded2(a.State,
 		func(machines []string, err error) { a.scaleOutDone(request, machines, err) }))
 }
 
--- a/internal/leader/cancellations_test.go
+++ b/internal/leader/cancellations_test.go
@@ -17,17 +17,17 @@
 func TestLeaseIsNotRenewedForCancelledTasks(t *testing.T) {
 	for _, leads := range []bool{true, false} {
 		d, j, m, box := leaderWithOneTask(t)
-		keep := d.state.Settings.Deployment.Workers.KeepAlive()
+		keep := d.state.Settings.Deployment.Workers.RenewalWindow()
 		d.jobs.NoteCancelled(j, box.Now)
-		heartbeat := func(counter int64, tasks ...protocol.TaskReport) (status int, commands []protocol.Order) {
+		heartbeat := func(counter int64, tasks ...protocol.TaskStatus) (status int, commands []protocol.Command) {
 			d.state.Term.RenewedAt, d.state.FreshAt = box.Now, box.Now
 			if d.state.Term.ValidUntil = box.Now; leads {
 				d.state.Term.ValidUntil += clock.Second
 			}
 			d.Heartbeat(workerHeartbeat(1, counter, tasks...), func(s int, body any) {
 				status = s
-				if a, ok := body.(protocol.HeartbeatAnswer); ok {
-					commands = a.Orders
+				if a, ok := body.(protocol.HeartbeatResponse); ok {
+					commands = a.Commands
 				}
 			})
 			return status, commands
--- a/internal/leader/cells_delegating_test.go
+++ b/internal/leader/cells_delegating_test.go
@@ -22,7 +22,7 @@
 	for _, oneZone := range []bool{false, true} {
 		l, j, _, box := delegatingLeader(t)
 		j.Spec.OneZone = oneZone
-		l.jobs.ReleasePlacement(j, j.Placed[0])
+		l.jobs.ReleasePlacement(j, j.Placements[0])
 		planned := l.snapshots.PlannedJob(j, box.Now, false)
 		if (len(planned.Pending) == 0) != oneZone {
 			t.Errorf("one zone %v: got pending %v, want some only without zones that depend on each other",
@@ -40,7 +40,7 @@
 		t.Fatalf("got %+v before the placements are stored, want no transaction", store.txns)
 	}
 	j.StoredValue.StoredCount, j.StoredValue.Version = j.ChangeCount, 6
-	if offers := l.origin.Offers("beta", nil); len(offers) != 0 {
+	if offers := l.origin.OffersTo("beta", nil); len(offers) != 0 {
 		t.Fatalf("got offers %+v before the delegation is stored, want none", offers)
 	}
 	l.origin.SaveDelegations()
@@ -49,7 +49,7 @@
 		t.Fatalf("got %+v, want one transaction on version 6 of the job and a new delegation", store.txns)
 	}
 	store.answer(committedAt(8))
-	if offers := l.origin.Offers("beta", nil); len(offers) != 1 || offers[0].Tasks.Len() != 2 {
+	if offers := l.origin.OffersTo("beta", nil); len(offers) != 1 || offers[0].Tasks.Len() != 2 {
 		t.Fatalf("got offers %v, want one of two tasks", offers)
 	}
 }
@@ -70,7 +70,7 @@
 // there it is offered, if it isn't it is created again.
 func TestDelegationsAreReadAfterUnknownOutcomes(t *testing.T) {
 	record := delegation.Record{Host: "beta", Job: "job-1", Tasks: taskSet(0, 1), State: delegation.Offered}
-	for name, response := range map[string]storetest.Reply[protocol.TxnAnswer]{
+	for name, response := range map[string]storetest.Reply[protocol.TxnResponse]{
 		"no response":     {},
 		"server failure":  {Status: http.StatusInternalServerError},
 		"another version": conflictOn(delegation.Key(7)),
@@ -81,7 +81,7 @@
 		useStore(l, &singleKeyStore{store, protocol.Item{Value: record.Encode(), Version: 9}, http.StatusOK})
 		l.origin.SaveDelegations()
 		l.origin.SaveDelegations()
-		if offers := l.origin.Offers("beta", nil); len(store.txns) != 1 || len(offers) != 1 {
+		if offers := l.origin.OffersTo("beta", nil); len(store.txns) != 1 || len(offers) != 1 {
 			t.Errorf("%s, found: got %d transactions and offers %v, want 1 and an offer",
 				name, len(store.txns), offers)
 		}
@@ -102,7 +102,7 @@
 func TestDeclinedDelegationsGoAgain(t *testing.T) {
 	for _, status := range []int{http.StatusTooManyRequests, http.StatusServiceUnavailable} {
 		l, store, box := createDelegation(t)
-		store.answer(storetest.Reply[protocol.TxnAnswer]{Status: status})
+		store.answer(storetest.Reply[protocol.TxnResponse]{Status: status})
 		l.origin.SaveDelegations()
 		if len(store.txns) != 1 {
 			t.Errorf("status %d: got %d transactions during the pause, want 1", status, len(store.txns))
@@ -120,7 +120,7 @@
 	l, store, _ := createDelegation(t)
 	deposedBy := int64(0)
 	l.state.Deposed = func(epoch int64) { deposedBy = epoch }
-	store.answer(conflictOn(leadership.Key, delegation.Key(7)))
+	store.answer(conflictOn(leadership.LeaderKey, delegation.Key(7)))
 	if deposedBy != 8 {
 		t.Errorf("got deposed by epoch %d, want 8", deposedBy)
 	}
@@ -132,18 +132,18 @@
 	l, j, _, _ := delegatingLeader(t)
 	first, both := taskSet(0), taskSet(0, 1)
 	reportDelegation(l, delegation.Status{Held: both})
-	if len(j.Placed) != 2 {
-		t.Fatalf("got placements %v while both tasks are held, want both", j.Placed)
+	if len(j.Placements) != 2 {
+		t.Fatalf("got placements %v while both tasks are held, want both", j.Placements)
 	}
 	reportDelegation(l, delegation.Status{Done: first})
-	if _, placed := j.Placed[1]; !placed || !j.Done.Has(0) || len(j.Placed) != 1 {
-		t.Fatalf("got placements %v, done %v, want task 1 placed and task 0 done", j.Placed, j.Done.String())
+	if _, placed := j.Placements[1]; !placed || !j.Done.Contains(0) || len(j.Placements) != 1 {
+		t.Fatalf("got placements %v, done %v, want task 1 placed and task 0 done", j.Placements, j.Done.String())
 	}
 	reportDelegation(l, delegation.Status{Held: both}) // an old one
 	reportDelegation(l, delegation.Status{Closed: true, Done: first})
-	if len(j.Placed) != 0 || j.Returned != 1 || !l.origin.Delegations[7].Over() {
+	if len(j.Placements) != 0 || j.ReturnCount != 1 || !l.origin.Delegations[7].IsOver() {
 		t.Fatalf("got placements %v, %d returns, %+v, want none, 1 return and the delegation over",
-			j.Placed, j.Returned, l.origin.Delegations[7].Delegation)
+			j.Placements, j.ReturnCount, l.origin.Delegations[7].Delegation)
 	}
 }
 
@@ -162,7 +162,7 @@
 		"came back": {func(l *Leader, j *jobtable.Job) {
 			j.GivenBackAt = l.state.Now() - federation.MinStayTime + 1
 		}, 0},
-		"came back too often": {func(_ *Leader, j *jobtable.Job) { j.Returned = federation.MaxReturned }, 0},
+		"came back too often": {func(_ *Leader, j *jobtable.Job) { j.ReturnCount = federation.MaxReturns }, 0},
 		"service":             {func(_ *Leader, j *jobtable.Job) { j.Spec.Shape = protocol.ShapeService }, 0},
 		"whole gang":          {func(_ *Leader, j *jobtable.Job) { j.Spec.Shape = protocol.ShapeGang }, 4},
 		"broken gang": {func(_ *Leader, j *jobtable.Job) {
@@ -171,7 +171,7 @@
 		}, 0},
 		"one zone, running": {func(l *Leader, j *jobtable.Job) {
 			j.Spec.OneZone = true
-			l.jobs.AddPlacement(j, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1})
+			l.jobs.AddPlacement(j, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1})
 		}, 0},
 		"over": {func(l *Leader, j *jobtable.Job) { l.jobs.NoteCancelled(j, l.state.Now()) }, 0},
 	} {
--- a/internal/leader/cells_helpers_test.go
+++ b/internal/leader/cells_helpers_test.go
@@ -46,7 +46,7 @@
 	}
 	store := &fakeStore{}
 	useStore(l, store)
-	l.state.Format.Open, l.state.Format.Cells = true, true
+	l.state.Format.Services, l.state.Format.Cells = true, true
 	l.JoinCells(directory, nil)
 	l.cells.Begin()
 	l.origin.Begin()
@@ -58,15 +58,15 @@
 func hostingLeader(t *testing.T) (*Leader, *jobtable.Job, *machinetable.Machine, *actortest.Still) {
 	t.Helper()
 	l, _, box := cellLeader(t)
-	id := ledger.GuestID("beta", "job-1", 7)
+	id := ledger.HostedJobID("beta", "job-1", 7)
 	content := ledger.New(protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Tasks: 1, Cpus: 1}, 1)
-	content.Guest = &ledger.Guest{Home: "beta", Number: 7}
+	content.Hosted = &ledger.HostedJob{OriginCell: "beta", Delegation: 7}
 	content.NextAttempt = 2
-	content.Placed[0] = ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1}
+	content.Placements[0] = ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1}
 	l.reader.Adopt(ledger.Key(id), content.Encode(), 5)
 	j := l.jobs.ByID[id]
-	permission := delegation.Ruling{Number: 7, Verdict: delegation.Continue, For: 10 * clock.Second}
-	j.Permission.Take(permission, box.Now, box.Now)
+	permission := delegation.Directive{Number: 7, Action: delegation.Continue, PermissionFor: 10 * clock.Second}
+	j.Permission.Apply(permission, box.Now, box.Now)
 	return l, j, l.machines.ByName["m-1"], box
 }
 
@@ -76,20 +76,20 @@
 }
 
 // hostedTask is what m-1 tells of the hosted job's task.
-func hostedTask(j *jobtable.Job, status, cause string) protocol.TaskReport {
-	return protocol.TaskReport{Task: protocol.TaskName(j.Spec.ID, 0), Attempt: 1, Status: status, Cause: cause}
+func hostedTask(j *jobtable.Job, status, cause string) protocol.TaskStatus {
+	return protocol.TaskStatus{Task: protocol.TaskName(j.Spec.ID, 0), Attempt: 1, Status: status, Cause: cause}
 }
 
 // sendHeartbeat has m-1 send a heartbeat to a leader whose lease holds, and returns the status and the
 // commands of the response.
 func sendHeartbeat(l *Leader, box *actortest.Still, counter int64,
-	tasks ...protocol.TaskReport) (status int, commands []protocol.Order) {
+	tasks ...protocol.TaskStatus) (status int, commands []protocol.Command) {
 	l.state.Term.RenewedAt, l.state.Term.ValidUntil = box.Now, box.Now+4*clock.Second
 	l.state.FreshAt = box.Now
 	l.Heartbeat(workerHeartbeat(1, counter, tasks...), func(s int, body any) {
 		status = s
-		if response, ok := body.(protocol.HeartbeatAnswer); ok {
-			commands = response.Orders
+		if response, ok := body.(protocol.HeartbeatResponse); ok {
+			commands = response.Commands
 		}
 	})
 	return status, commands
@@ -108,27 +108,27 @@
 }
 
 // reportFromBeta is a heartbeat of beta as host of alpha's jobs.
-func reportFromBeta(statuses ...delegation.Status) delegation.Report {
-	return delegation.Report{
-		Host:  "beta",
-		Home:  "alpha",
-		Epoch: 3,
-		Clear: cells.ClearTime(12 * clock.Second),
-		Tasks: statuses,
+func reportFromBeta(statuses ...delegation.Status) delegation.Heartbeat {
+	return delegation.Heartbeat{
+		Host:      "beta",
+		Origin:    "alpha",
+		Epoch:     3,
+		ClearTime: cells.ClearTime(12 * clock.Second),
+		Statuses:  statuses,
 	}
 }
 
 // reportDelegation has beta tell the status of delegation 7, and returns alpha's response.
-func reportDelegation(l *Leader, s delegation.Status) delegation.Answer {
+func reportDelegation(l *Leader, s delegation.Status) delegation.HeartbeatResponse {
 	s.Number, s.Job = 7, "job-1"
-	var response delegation.Answer
-	l.Exchange(reportFromBeta(s), func(a delegation.Answer, _ bool) { response = a })
+	var response delegation.HeartbeatResponse
+	l.Exchange(reportFromBeta(s), func(a delegation.HeartbeatResponse, _ bool) { response = a })
 	return response
 }
 
 // taskSet returns the set of the given tasks.
-func taskSet(tasks ...int) ledger.Ranges {
-	var set ledger.Ranges
+func taskSet(tasks ...int) ledger.TaskSet {
+	var set ledger.TaskSet
 	for _, task := range tasks {
 		set.Add(task)
 	}
@@ -137,7 +137,7 @@
 
 // requires reports whether a transaction has the condition that a key is at a version.
 func requires(t protocol.Txn, key string, version int64) bool {
-	for _, g := range t.Guards {
+	for _, g := range t.Conditions {
 		if g.Key == key && g.Version == version {
 			return true
 		}
--- a/internal/leader/cells_hosting_test.go
+++ b/internal/leader/cells_hosting_test.go
@@ -35,7 +35,7 @@
 }
 
 // onlyStops reports whether there is a single command, which stops a task.
-func onlyStops(commands []protocol.Order) bool {
+func onlyStops(commands []protocol.Command) bool {
 	return len(commands) == 1 && commands[0].Verb == protocol.VerbStop
 }
 
@@ -58,8 +58,8 @@
 // heartbeats, whoever leads.
 func TestHungMachinesWithHostedTasksAreReleasedInTime(t *testing.T) {
 	l, j, _, _ := hostingLeader(t)
-	clearTime := cells.ClearTime(l.state.Settings.Deployment.Workers.Lease()) - reconciler.ReturnTime
-	latest := j.Permission.Until() + clearTime
+	clearTime := cells.ClearTime(l.state.Settings.Deployment.Workers.Lease()) - reconciler.ReleaseDuration
+	latest := j.Permission.ExpiresAt() + clearTime
 	if at := l.cancellations.ReleaseAt(j); at > latest {
 		t.Errorf("released at %.1f s, want %.1f s at the latest", at.Seconds(), latest.Seconds())
 	}
@@ -69,7 +69,7 @@
 	if at := l.cancellations.ReleaseAt(j); at > latest {
 		t.Errorf("released by a new leader at %.1f s, want %.1f s at the latest", at.Seconds(), latest.Seconds())
 	}
-	j.Guest.Closed = true // by its predecessor, long ago perhaps
+	j.Hosted.Closed = true // by its predecessor, long ago perhaps
 	want := l.state.BegunAt + jobtable.AnnounceTime
 	if at := l.cancellations.ReleaseAt(j); at != want {
 		t.Errorf("closed before the election: released at %.1f s, want %.1f s", at.Seconds(), want.Seconds())
@@ -80,15 +80,15 @@
 func TestStartCommandsExpireWithPermission(t *testing.T) {
 	l, j, m, box := hostingLeader(t)
 	worker := &deadlineRecorder{}
-	l.commands.Agent = agenttest.Client(worker)
+	l.commands.Workers = agenttest.Client(worker)
 	l.state.Term.ValidUntil = box.Now + 60*clock.Second
-	command := protocol.Order{Verb: protocol.VerbStart, Task: protocol.TaskName(j.Spec.ID, 0), Attempt: 1}
-	l.commands.Send(m, 1, []protocol.Order{command}, nil)
-	if want := j.Permission.Until(); worker.until != want {
+	command := protocol.Command{Verb: protocol.VerbStart, Task: protocol.TaskName(j.Spec.ID, 0), Attempt: 1}
+	l.commands.Send(m, 1, []protocol.Command{command}, nil)
+	if want := j.Permission.ExpiresAt(); worker.until != want {
 		t.Errorf("a start may leave until %.1f s, want %.1f s", worker.until.Seconds(), want.Seconds())
 	}
 	command.Verb = protocol.VerbStop
-	l.commands.Send(m, 1, []protocol.Order{command}, nil)
+	l.commands.Send(m, 1, []protocol.Command{command}, nil)
 	if want := l.state.Term.ValidUntil; worker.until != want {
 		t.Errorf("a stop may leave until %.1f s, want %.1f s", worker.until.Seconds(), want.Seconds())
 	}
@@ -97,15 +97,15 @@
 // deadlineRecorder keeps until when the last commands might leave.
 type deadlineRecorder struct{ until clock.Micros }
 
-func (c *deadlineRecorder) Commands(_ string, _ protocol.Commands, until clock.Micros,
-	_ func(int, protocol.Report)) {
+func (c *deadlineRecorder) Commands(_ string, _ protocol.CommandRequest, until clock.Micros,
+	_ func(int, protocol.Heartbeat)) {
 	c.until = until
 }
 
 // The origin cell learns that a hosted job is closed, and which of its tasks are done, from what is stored.
 func TestOriginIsToldOnlyWhatIsStored(t *testing.T) {
 	l, j, m, _ := hostingLeader(t)
-	j.Guest.Closed = true
+	j.Hosted.Closed = true
 	l.jobs.NoteHeadChange(j)
 	j.ClosedAtChange = j.ChangeCount
 	l.reconciler.Observe(m, workerHeartbeat(1, 1, hostedTask(j, protocol.TaskExited, protocol.CauseDone)))
@@ -114,10 +114,10 @@
 	}
 	j.InFlight = true
 	writes := []recordstore.Write{{
-		J:       j,
-		V:       &j.StoredValue,
-		Part:    recordstore.HeadIndex,
-		Changed: j.ChangeCount,
+		Job:         j,
+		Value:       &j.StoredValue,
+		Shard:       recordstore.HeadIndex,
+		ChangeCount: j.ChangeCount,
 	}}
 	l.writer.HandleResult(writes, resultOf(committedAt(6)))
 	if s, _ := l.host.StatusOf(j); !s.Closed || s.Done.Len() != 1 {
@@ -132,18 +132,18 @@
 	key := ledger.Key(j.Spec.ID)
 	store := &fakeStore{}
 	useStore(l, store)
-	l.jobs.ReleasePlacement(j, j.Placed[0])
-	j.Guest.Closed, j.Status, j.Permission.Forgotten = true, protocol.StatusCancelled, true
+	l.jobs.ReleasePlacement(j, j.Placements[0])
+	j.Hosted.Closed, j.Status, j.Permission.Forgotten = true, protocol.StatusCancelled, true
 	stored := protocol.Item{Value: j.Encode(), Version: 9}
 	j.StoredValue.Replace(5)
-	l.host.CheckJob(j)
+	l.host.CheckHostedJob(j)
 	store.answer(conflictOn(key))
 	if l.jobs.ByID[j.Spec.ID] == nil {
 		t.Fatal("the job is forgotten though its record is there")
 	}
 	useStore(l, &singleKeyStore{store, stored, http.StatusOK})
 	l.writer.PendingUnits()
-	l.host.CheckJob(j)
+	l.host.CheckHostedJob(j)
 	if last := store.txns[len(store.txns)-1]; !requires(last, key, 9) {
 		t.Fatalf("got %+v, want a removal at version 9", last)
 	}
@@ -159,12 +159,12 @@
 // there is permission: else its placement would be kept for ever.
 func TestUnconfirmedStartsOfClosedJobsAreStopped(t *testing.T) {
 	l, j, m, box := hostingLeader(t)
-	l.commands.Agent = agenttest.Client(&commandCounter{})
+	l.commands.Workers = agenttest.Client(&commandCounter{})
 	sendHeartbeat(l, box, 1)
 	m.Deliveries[hostedAttempt(j)] = &machinetable.StartDelivery{OutcomeUnknown: true}
-	recalled := delegation.Ruling{Number: 7, Verdict: delegation.Close, For: 10 * clock.Second}
-	j.Permission.Take(recalled, box.Now, box.Now)
-	l.host.CheckJob(j)
+	recalled := delegation.Directive{Number: 7, Action: delegation.Close, PermissionFor: 10 * clock.Second}
+	j.Permission.Apply(recalled, box.Now, box.Now)
+	l.host.CheckHostedJob(j)
 	box.Now += 2 * reconciler.CommandRepeatDelay
 	status, commands := sendHeartbeat(l, box, 2)
 	if status != http.StatusOK || len(commands) != 2 ||
--- a/internal/leader/cells_offers_test.go
+++ b/internal/leader/cells_offers_test.go
@@ -17,7 +17,7 @@
 		Class:    "c",
 		Team:     "t",
 		Shape:    protocol.ShapeArray,
-		Rank:     "normal",
+		Priority: "normal",
 		Tasks:    1,
 		Cpus:     1,
 		MemoryGB: 1,
@@ -31,7 +31,7 @@
 		},
 		"not tasks":           func(_ *Leader, offer *delegation.Offer) { offer.Tasks.Add(3) },
 		"no allowed machine":  func(_ *Leader, offer *delegation.Offer) { offer.Spec.Cpus = 64 },
-		"guests have no more": func(l *Leader, _ *delegation.Offer) { l.cells.Directory.Own.Guests.Cpus = 0 },
+		"guests have no more": func(l *Leader, _ *delegation.Offer) { l.cells.Directory.Own.HostedQuota.Cpus = 0 },
 		"both spread and in one": func(_ *Leader, offer *delegation.Offer) {
 			offer.Spec.Tasks, offer.Spec.Spread, offer.Spec.Zone = 2, true, "a"
 		},
@@ -48,7 +48,7 @@
 		change(l, &offer)
 		l.host.TakeOffer(l.cells.ByCell["beta"], offer)
 		store.answer(committedAt(8))
-		j := l.jobs.ByID[ledger.GuestID("beta", "job-1", 7)]
+		j := l.jobs.ByID[ledger.HostedJobID("beta", "job-1", 7)]
 		if j == nil || j.Final() != (reason != "") || !strings.Contains(j.Cause, reason) {
 			t.Errorf("reason %q: got %+v, want a record that is final and says why if there is a reason",
 				reason, j)
--- a/internal/leader/cells_permissions_test.go
+++ b/internal/leader/cells_permissions_test.go
@@ -13,12 +13,12 @@
 )
 
 // onlyDirective returns the single directive of a response.
-func onlyDirective(t *testing.T, response delegation.Answer) delegation.Ruling {
+func onlyDirective(t *testing.T, response delegation.HeartbeatResponse) delegation.Directive {
 	t.Helper()
-	if len(response.Rulings) != 1 {
-		t.Fatalf("got directives %+v, want one", response.Rulings)
+	if len(response.Directives) != 1 {
+		t.Fatalf("got directives %+v, want one", response.Directives)
 	}
-	return response.Rulings[0]
+	return response.Directives[0]
 }
 
 // A permission lasts from the time up to which cancellations are known, not from now; a cancelled job has
@@ -28,13 +28,13 @@
 	box.Now += 2 * clock.Second // the records were fresh and the lease renewed before
 	l.state.Term.ValidUntil = box.Now + clock.Second
 	workers := l.state.Settings.Deployment.Workers
-	length := cells.LongestPermission(workers, cells.ClearTime(12*clock.Second)) - 2*clock.Second
-	want := delegation.Ruling{Number: 7, Verdict: delegation.Continue, For: length}
+	length := cells.MaxPermission(workers, cells.ClearTime(12*clock.Second)) - 2*clock.Second
+	want := delegation.Directive{Number: 7, Action: delegation.Continue, PermissionFor: length}
 	if got := onlyDirective(t, reportDelegation(l, delegation.Status{})); got != want {
 		t.Fatalf("got %+v, want %+v", got, want)
 	}
 	l.jobs.NoteCancelled(j, box.Now)
-	want = delegation.Ruling{Number: 7, Verdict: delegation.Cancel}
+	want = delegation.Directive{Number: 7, Action: delegation.Cancel}
 	if got := onlyDirective(t, reportDelegation(l, delegation.Status{})); got != want {
 		t.Fatalf("got %+v for a cancelled job, want %+v", got, want)
 	}
@@ -46,16 +46,16 @@
 	delete(l.origin.Delegations, 7)
 	l.state.Term.ValidUntil = box.Now + clock.Second
 	directive := onlyDirective(t, reportDelegation(l, delegation.Status{}))
-	if directive.Number != 7 || directive.Verdict != delegation.Forget {
+	if directive.Number != 7 || directive.Action != delegation.Forget {
 		t.Fatalf("got %+v from the leader, want delegation 7 to be forgotten", directive)
 	}
 	l.state.Term.ValidUntil = box.Now
-	if a := reportDelegation(l, delegation.Status{}); a.Result != delegation.Taken || len(a.Rulings) != 0 {
+	if a := reportDelegation(l, delegation.Status{}); a.Result != delegation.Processed || len(a.Directives) != 0 {
 		t.Fatalf("got %+v from a node without the lease, want a response without directives", a)
 	}
 	l.state.Term.ValidUntil = box.Now + clock.Second
 	l.origin.HasMalformed = true
-	if a := reportDelegation(l, delegation.Status{}); a.Result != delegation.Taken || len(a.Rulings) != 0 {
+	if a := reportDelegation(l, delegation.Status{}); a.Result != delegation.Processed || len(a.Directives) != 0 {
 		t.Fatalf("got %+v though a delegation's record is malformed, want a response without directives", a)
 	}
 }
@@ -68,15 +68,15 @@
 	r := benchmarkReport(l)
 	for b.Loop() {
 		l.state.FreshAt, l.state.Term.RenewedAt, l.state.Term.ValidUntil = box.Now, box.Now, box.Now+clock.Second
-		decoded, err := delegation.DecodeReport(r.Encode())
+		decoded, err := delegation.DecodeHeartbeat(r.Encode())
 		if err != nil {
 			b.Fatal(err)
 		}
-		l.Exchange(decoded, func(a delegation.Answer, _ bool) {
-			if len(a.Rulings) != delegation.MaxPerHost {
-				b.Fatalf("got %d directives, want %d", len(a.Rulings), delegation.MaxPerHost)
+		l.Exchange(decoded, func(a delegation.HeartbeatResponse, _ bool) {
+			if len(a.Directives) != delegation.MaxPerHost {
+				b.Fatalf("got %d directives, want %d", len(a.Directives), delegation.MaxPerHost)
 			}
-			if _, err := delegation.DecodeAnswer(a.Encode()); err != nil {
+			if _, err := delegation.DecodeHeartbeatResponse(a.Encode()); err != nil {
 				b.Fatal(err)
 			}
 		})
@@ -85,7 +85,7 @@
 
 // benchmarkReport delegates as many jobs of a hundred tasks as one cell may have, and returns the heartbeat
 // by which the host has all of them.
-func benchmarkReport(l *Leader) delegation.Report {
+func benchmarkReport(l *Leader) delegation.Heartbeat {
 	const tasksPerJob = 100
 	var tasks []int
 	for task := range tasksPerJob {
@@ -97,7 +97,7 @@
 		id := fmt.Sprintf("job-%d", number)
 		spec := protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Tasks: tasksPerJob, Cpus: 1}
 		l.reader.Adopt(ledger.Key(id), ledger.New(spec, 1).Encode(), 5)
-		r.Tasks = append(r.Tasks, delegation.Status{Number: number, Job: id, Held: taskSet(tasks...)})
+		r.Statuses = append(r.Statuses, delegation.Status{Number: number, Job: id, Held: taskSet(tasks...)})
 		l.origin.Delegate(l.jobs.ByID[id], "beta", tasks)
 	}
 	return r
