--- a/internal/leader/commands_test.go
+++ b/internal/leader/commands_test.go
@@ -26,12 +26,12 @@
 	if d.state.Leads() {
 		t.Fatal("it leads with stale records")
 	}
-	if !d.state.MayAnswer() {
+	if !d.state.MayRespond() {
 		t.Fatal("it lets the workers go too soon")
 	}
-	box.Now += d.state.Settings.Deployment.Workers.KeepAlive()
+	box.Now += d.state.Settings.Deployment.Workers.RenewalWindow()
 	d.state.Term.RenewedAt = box.Now
-	if d.state.MayAnswer() {
+	if d.state.MayRespond() {
 		t.Fatal("it keeps tasks alive that may be cancelled")
 	}
 }
@@ -50,23 +50,23 @@
 
 // Whatever makes commands due is noticed at the next heartbeat, also where that one changes nothing.
 func TestDueCommandsAreNoticed(t *testing.T) {
-	for name, change := range map[string]func(d *Leader, j *jobtable.Job, r *protocol.Report){
-		"a task is to stop": func(_ *Leader, j *jobtable.Job, _ *protocol.Report) {
+	for name, change := range map[string]func(d *Leader, j *jobtable.Job, r *protocol.Heartbeat){
+		"a task is to stop": func(_ *Leader, j *jobtable.Job, _ *protocol.Heartbeat) {
 			j.Stops[3] = jobtable.StopRequest{Reason: "room"}
 		},
-		"the job is cancelled": func(d *Leader, j *jobtable.Job, _ *protocol.Report) {
+		"the job is cancelled": func(d *Leader, j *jobtable.Job, _ *protocol.Heartbeat) {
 			d.jobs.NoteCancelled(j, d.state.Now())
 		},
-		"a task has gone": func(_ *Leader, _ *jobtable.Job, r *protocol.Report) {
+		"a task has gone": func(_ *Leader, _ *jobtable.Job, r *protocol.Heartbeat) {
 			r.Tasks = r.Tasks[1:]
 		},
-		"a placement is released": func(d *Leader, j *jobtable.Job, _ *protocol.Report) {
-			d.jobs.ReleasePlacement(j, j.Placed[5])
+		"a placement is released": func(d *Leader, j *jobtable.Job, _ *protocol.Heartbeat) {
+			d.jobs.ReleasePlacement(j, j.Placements[5])
 		},
-		"a task has been added": func(_ *Leader, _ *jobtable.Job, r *protocol.Report) {
+		"a task has been added": func(_ *Leader, _ *jobtable.Job, r *protocol.Heartbeat) {
 			r.Tasks = append(slices.Clone(r.Tasks), unassignedTask)
 		},
-		"a gang is incomplete": func(_ *Leader, j *jobtable.Job, _ *protocol.Report) {
+		"a gang is incomplete": func(_ *Leader, j *jobtable.Job, _ *protocol.Heartbeat) {
 			j.Spec.Shape, j.Spec.Tasks, j.BrokenAttempt = protocol.ShapeGang, 9, 1
 		},
 	} {
@@ -80,11 +80,11 @@
 }
 
 // unassignedTask is a running task that no record has.
-var unassignedTask = protocol.TaskReport{Task: "job-2/0", Attempt: 1, Status: protocol.TaskRunning}
+var unassignedTask = protocol.TaskStatus{Task: "job-2/0", Attempt: 1, Status: protocol.TaskRunning}
 
 // commandsInResponse returns the commands in the response to a heartbeat that is accepted.
-func commandsInResponse(d *Leader, r protocol.Report) (commands []protocol.Order) {
-	d.Heartbeat(r, func(_ int, body any) { commands = body.(protocol.HeartbeatAnswer).Orders })
+func commandsInResponse(d *Leader, r protocol.Heartbeat) (commands []protocol.Command) {
+	d.Heartbeat(r, func(_ int, body any) { commands = body.(protocol.HeartbeatResponse).Commands })
 	return commands
 }
 
@@ -141,7 +141,7 @@
 // An exited task that was forgotten doesn't hide another that has come in its stead.
 func TestUnassignedTaskInPlaceOfExitedOneIsStopped(t *testing.T) {
 	d, j, r := leaderWithEightTasks()
-	heartbeat := func() []protocol.Order {
+	heartbeat := func() []protocol.Command {
 		r.Counter++
 		return commandsInResponse(d, r)
 	}
@@ -159,7 +159,7 @@
 // commandCounter counts direct commands.
 type commandCounter struct{ n int }
 
-func (c *commandCounter) Commands(string, protocol.Commands, clock.Micros, func(int, protocol.Report)) {
+func (c *commandCounter) Commands(string, protocol.CommandRequest, clock.Micros, func(int, protocol.Heartbeat)) {
 	c.n++
 }
 
@@ -169,7 +169,7 @@
 	for _, late := range []clock.Micros{0, clock.Second} {
 		d, j, m, box := leaderWithOneTask(t)
 		out := &commandCounter{}
-		d.commands.Agent, m.Address = agenttest.Client(out), "m-1:1"
+		d.commands.Workers, m.Address = agenttest.Client(out), "m-1:1"
 		d.reconciler.Observe(m, workerHeartbeat(1, 1))
 		d.steps.TickedAt = box.Now
 		box.Now += term.TickInterval + late
@@ -179,7 +179,7 @@
 		d.state.Term.Epoch = 7
 		j.Uncommitted = []int{0}
 		d.writer.HandleResult(
-			[]recordstore.Write{{J: j, V: &j.StoredValue, Part: recordstore.HeadIndex, Changed: j.ChangeCount}},
+			[]recordstore.Write{{Job: j, Value: &j.StoredValue, Shard: recordstore.HeadIndex, ChangeCount: j.ChangeCount}},
 			resultOf(committedAt(9)))
 		if direct := out.n > 0; direct != (late == 0) {
 			t.Errorf("late by %v: %d direct commands, want some only without delay", late, out.n)
--- a/internal/leader/commitoutcome_test.go
+++ b/internal/leader/commitoutcome_test.go
@@ -21,12 +21,12 @@
 	content := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 2}, 1)
 	l.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
 	j := l.jobs.ByID["job-1"]
-	l.jobs.AddPlacement(j, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1})
+	l.jobs.AddPlacement(j, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1})
 	l.writer.Commit()
 	store.answer(noResponse())
-	if len(j.Placed) != 1 || j.MustReload() || j.Committed(j.Placed[0]) {
-		t.Fatalf("placed %v, to be reloaded %v, committed %v, want one task, false, false", j.Placed,
-			j.MustReload(), j.Committed(j.Placed[0]))
+	if len(j.Placements) != 1 || j.MustReload() || j.Committed(j.Placements[0]) {
+		t.Fatalf("placed %v, to be reloaded %v, committed %v, want one task, false, false", j.Placements,
+			j.MustReload(), j.Committed(j.Placements[0]))
 	}
 	box.Now += term.RetryDelay
 	l.writer.Commit()
@@ -44,21 +44,21 @@
 // team's limit until that write can't be carried out any more: it would bring the placement back after
 // its room had been given away.
 func TestReleasedPlacementsCountWhileAWriteMayComeLate(t *testing.T) {
-	declined := storetest.Reply[protocol.TxnAnswer]{Status: http.StatusTooManyRequests}
+	declined := storetest.Reply[protocol.TxnResponse]{Status: http.StatusTooManyRequests}
 	for name, c := range map[string]struct {
-		responses []storetest.Reply[protocol.TxnAnswer]
+		responses []storetest.Reply[protocol.TxnResponse]
 		taken     int
 	}{
-		"carried out":                   {[]storetest.Reply[protocol.TxnAnswer]{committedAt(6)}, 0},
-		"never carried out":             {[]storetest.Reply[protocol.TxnAnswer]{declined}, 0},
-		"no response":                   {[]storetest.Reply[protocol.TxnAnswer]{noResponse()}, 1},
-		"no response, then declined":    {[]storetest.Reply[protocol.TxnAnswer]{noResponse(), declined}, 1},
-		"no response, then carried out": {[]storetest.Reply[protocol.TxnAnswer]{noResponse(), committedAt(6)}, 0},
+		"carried out":                   {[]storetest.Reply[protocol.TxnResponse]{committedAt(6)}, 0},
+		"never carried out":             {[]storetest.Reply[protocol.TxnResponse]{declined}, 0},
+		"no response":                   {[]storetest.Reply[protocol.TxnResponse]{noResponse()}, 1},
+		"no response, then declined":    {[]storetest.Reply[protocol.TxnResponse]{noResponse(), declined}, 1},
+		"no response, then carried out": {[]storetest.Reply[protocol.TxnResponse]{noResponse(), committedAt(6)}, 0},
 	} {
 		l, j, m, _ := leaderWithOneTask(t)
 		l.state.Deposed = func(int64) {}
 		j.InFlight = true
-		l.reconciler.Observe(m, workerHeartbeat(1, 1, protocol.TaskReport{
+		l.reconciler.Observe(m, workerHeartbeat(1, 1, protocol.TaskStatus{
 			Task:    "job-1/0",
 			Attempt: 1,
 			Status:  protocol.TaskExited,
@@ -67,12 +67,12 @@
 		for _, response := range c.responses {
 			j.InFlight = true
 			l.writer.HandleResult([]recordstore.Write{
-				{J: j, V: &j.StoredValue, Part: recordstore.HeadIndex, Changed: j.ChangeCount - 1},
+				{Job: j, Value: &j.StoredValue, Shard: recordstore.HeadIndex, ChangeCount: j.ChangeCount - 1},
 			}, resultOf(response))
 		}
 		used, wantUsed := l.snapshots.Snapshot().Teams[""].Used, float64(c.taken)*j.Spec.Cpus
-		if j.PlacesTaken() != c.taken || used.Cpus != wantUsed {
-			t.Errorf("%s: %d placements count and %v are used, want %d and %v processors", name, j.PlacesTaken(),
+		if j.PlacementsTaken() != c.taken || used.Cpus != wantUsed {
+			t.Errorf("%s: %d placements count and %v are used, want %d and %v processors", name, j.PlacementsTaken(),
 				used, c.taken, wantUsed)
 		}
 	}
@@ -84,14 +84,14 @@
 	l, store := tightLeader(true)
 	for _, id := range []string{"job-1", "job-2", "job-3"} {
 		l.reader.Adopt(ledger.Key(id), ledger.New(arraySpec(id, 1), 1).Encode(), 5)
-		l.jobs.AddPlacement(l.jobs.ByID[id], ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1})
+		l.jobs.AddPlacement(l.jobs.ByID[id], ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1})
 	}
 	for i, want := range []int{3, 3, 1} {
 		commitAfterPause(l)
 		if n := len(store.txns[i].Changes); n != want {
 			t.Fatalf("transaction %d has %d changes, want %d", i, n, want)
 		}
-		store.answer(storetest.Reply[protocol.TxnAnswer]{Status: http.StatusBadRequest})
+		store.answer(storetest.Reply[protocol.TxnResponse]{Status: http.StatusBadRequest})
 	}
 	refused := store.txns[2].Changes[0].Put
 	commitAfterPause(l)
--- a/internal/leader/federation/celllinks.go
+++ b/internal/leader/federation/celllinks.go
@@ -89,11 +89,11 @@
 const loadLifetime = 6 * clock.Second
 
 // update notes a heartbeat unless a newer one has come before it.
-func (s *hostStatus) update(r *delegation.Report, now clock.Micros) {
-	if r.Epoch < s.epoch || r.Epoch == s.epoch && r.Counter <= s.sequence {
+func (s *hostStatus) update(r *delegation.Heartbeat, now clock.Micros) {
+	if r.Epoch < s.epoch || r.Epoch == s.epoch && r.Sequence <= s.sequence {
 		return
 	}
-	s.epoch, s.sequence = r.Epoch, r.Counter
+	s.epoch, s.sequence = r.Epoch, r.Sequence
 	s.load, s.loadAt = r.Load, now
 }
 
@@ -110,7 +110,7 @@
 }
 
 // OwnWait returns how long the cell's own work has been waiting for room, by its last heartbeat.
-func (l *Link) OwnWait() clock.Micros { return l.host.load.Short }
+func (l *Link) OwnWait() clock.Micros { return l.host.load.OwnWait }
 
 // CellOverview is what operators are shown of another cell.
 type CellOverview struct {
@@ -118,14 +118,14 @@
 	// Reachable reports whether the cell responds to this one's heartbeats and sends its own, if it does
 	// either.
 	Reachable bool `json:"reachable"`
-	// Lent counts this cell's tasks that the other one has, Borrowed the other one's tasks that this cell has.
-	Lent     int `json:"lent_tasks"`
-	Borrowed int `json:"borrowed_tasks"`
+	// LentTasks counts this cell's tasks that the other one has, Borrowed the other one's tasks that this cell has.
+	LentTasks     int `json:"lent_tasks"`
+	BorrowedTasks int `json:"borrowed_tasks"`
 	// Recalled counts delegations that this cell has asked back.
 	Recalled int `json:"recalled"`
 	// OldestUnansweredS is the time since the last status of the delegation that the cell has been silent
 	// about for longest.
 	OldestUnansweredS float64 `json:"oldest_unanswered_s"`
-	// ShortS is how long the cell's own work has been waiting for room, by its last heartbeat.
-	ShortS float64 `json:"short_s,omitempty"`
+	// OwnWaitS is how long the cell's own work has been waiting for room, by its last heartbeat.
+	OwnWaitS float64 `json:"short_s,omitempty"`
 }
--- a/internal/leader/federation/delegationstore.go
+++ b/internal/leader/federation/delegationstore.go
@@ -39,7 +39,7 @@
 		return
 	}
 	proofTime := cells.ProofTime(o.Settings.Deployment.Workers)
-	del := &trackedDelegation{Delegation: delegation.Resumed(r, o.BegunAt, proofTime)}
+	del := &trackedDelegation{Delegation: delegation.Restore(r, o.BegunAt, proofTime)}
 	del.record.noteStored(item.Version, r.State)
 	o.Delegations[r.Number] = del
 }
@@ -67,7 +67,7 @@
 		return o.firstStep(del)
 	}
 	switch {
-	case del.Over() && o.placementsReleased(del):
+	case del.IsOver() && o.placementsReleased(del):
 		return stepDelete
 	case del.State != del.record.state:
 		return stepUpdate
@@ -78,7 +78,7 @@
 // firstStep returns what has to be done about a record that was never stored, so that the delegation wasn't
 // offered either.
 func (o *Origin) firstStep(del *trackedDelegation) recordStep {
-	if del.Over() || del.State == delegation.Recalled {
+	if del.IsOver() || del.State == delegation.Recalled {
 		if o.placementsReleased(del) {
 			return stepForget
 		}
@@ -192,11 +192,11 @@
 // placementVersion returns the key and version of the stored value that holds the delegation's placements.
 func (o *Origin) placementVersion(del *trackedDelegation) (key string, version int64) {
 	j := o.jobs.ByID[del.Job]
-	if j.PartSize == 0 || j.Sharding() {
+	if j.ShardSize == 0 || j.Sharding() {
 		return ledger.Key(j.Spec.ID), j.Version
 	}
-	task := del.Left.NextIn(0)
-	return ledger.PartKey(j.Spec.ID, j.PartOf(task)), j.ShardOf(task).Version
+	task := del.Outstanding.NextPresent(0)
+	return ledger.ShardKey(j.Spec.ID, j.ShardOf(task)), j.ShardValue(task).Version
 }
 
 // placementsStored reports whether its job's stored record has all placements of a delegation.
--- a/internal/leader/federation/heartbeats.go
+++ b/internal/leader/federation/heartbeats.go
@@ -18,7 +18,7 @@
 
 // Exchanger carries a heartbeat to a controller of another cell. ok reports whether a response came.
 type Exchanger interface {
-	Exchange(address string, r delegation.Report, done func(a delegation.Answer, ok bool))
+	Exchange(address string, r delegation.Heartbeat, done func(a delegation.HeartbeatResponse, ok bool))
 }
 
 // ExchangeTimeout is how long cells wait for each other's responses.
@@ -66,10 +66,10 @@
 	jobs    []*jobtable.Job // all that the origin cell has delegated
 }
 
-// ReportToOrigins sends the heartbeats that are due. It needs no lease: a leader that may still respond to
+// SendHeartbeats sends the heartbeats that are due. It needs no lease: a leader that may still respond to
 // workers may also ask what it may keep.
-func (h *Host) ReportToOrigins() {
-	if !h.cells.Enabled() || !h.Loaded || !h.Leads() && !h.MayAnswer() {
+func (h *Host) SendHeartbeats() {
+	if !h.cells.Enabled() || !h.Loaded || !h.Leads() && !h.MayRespond() {
 		return
 	}
 	now := h.Now()
@@ -81,7 +81,7 @@
 		if hosted == nil {
 			hosted = h.jobs.HostedByOrigin()
 		}
-		if jobs := hosted[link.cell]; len(jobs) > 0 || h.cells.Directory.TakesFrom(link.cell) {
+		if jobs := hosted[link.cell]; len(jobs) > 0 || h.cells.Directory.AcceptsFrom(link.cell) {
 			h.sendHeartbeat(link, jobs)
 		}
 	}
@@ -99,33 +99,33 @@
 	}
 	link.outgoing.inFlight = true
 	link.outgoing.sequence++
-	handle := func(a delegation.Answer, ok bool) { h.handleResponse(&sent, a, ok) }
+	handle := func(a delegation.HeartbeatResponse, ok bool) { h.handleResponse(&sent, a, ok) }
 	h.cells.exchange.Exchange(sent.address, h.heartbeat(link, jobs), term.Guarded2(h.State, handle))
 }
 
 // heartbeat returns what the origin cell of the given jobs is told.
-func (h *Host) heartbeat(link *Link, jobs []*jobtable.Job) delegation.Report {
-	r := delegation.Report{
-		Host:    h.cells.Directory.Own.Name,
-		Home:    link.cell,
-		Epoch:   h.Term.Epoch,
-		Counter: link.outgoing.sequence,
-		Clear:   cells.ClearTime(h.Settings.Deployment.Workers.Lease()),
-		Load:    h.ownLoad(),
+func (h *Host) heartbeat(link *Link, jobs []*jobtable.Job) delegation.Heartbeat {
+	r := delegation.Heartbeat{
+		Host:      h.cells.Directory.Own.Name,
+		Origin:    link.cell,
+		Epoch:     h.Term.Epoch,
+		Sequence:  link.outgoing.sequence,
+		ClearTime: cells.ClearTime(h.Settings.Deployment.Workers.Lease()),
+		Load:      h.ownLoad(),
 	}
 	for _, j := range jobs {
-		if s, known := h.StatusOf(j); known && len(r.Tasks) < delegation.MaxReported {
-			r.Tasks = append(r.Tasks, s)
+		if s, known := h.StatusOf(j); known && len(r.Statuses) < delegation.MaxStatuses {
+			r.Statuses = append(r.Statuses, s)
 		}
 	}
 	return r
 }
 
 // handleResponse handles the response to a heartbeat, or that none came.
-func (h *Host) handleResponse(sent *sentHeartbeat, a delegation.Answer, ok bool) {
+func (h *Host) handleResponse(sent *sentHeartbeat, a delegation.HeartbeatResponse, ok bool) {
 	stream := &sent.link.outgoing
 	stream.inFlight = false
-	if !ok || a.Result != delegation.Taken {
+	if !ok || a.Result != delegation.Processed {
 		h.handleFailure(sent, a, ok)
 		return
 	}
@@ -137,20 +137,20 @@
 	if len(sent.jobs) > 0 {
 		stream.nextAt = sent.sentAt + busyInterval
 	}
-	h.applyDirectives(sent.jobs, a.Rulings, sent.sentAt)
+	h.applyDirectives(sent.jobs, a.Directives, sent.sentAt)
 	for _, offer := range a.Offers {
 		h.TakeOffer(sent.link, offer)
 	}
-	h.CheckHosted()
+	h.CheckHostedJobs()
 	h.steps.Wake()
 }
 
 // handleFailure goes on with another controller of the cell, after a pause if all have been tried.
-func (h *Host) handleFailure(sent *sentHeartbeat, a delegation.Answer, ok bool) {
+func (h *Host) handleFailure(sent *sentHeartbeat, a delegation.HeartbeatResponse, ok bool) {
 	stream := &sent.link.outgoing
 	stream.leader = ""
 	stream.attempt++
-	if ok && a.Leader != sent.address && sent.origin.Has(a.Leader) {
+	if ok && a.Leader != sent.address && sent.origin.HasAddress(a.Leader) {
 		stream.leader = a.Leader
 	}
 	stream.failures++
@@ -176,14 +176,14 @@
 	}
 	if soon := h.Now() + coalesceDelay; link.outgoing.nextAt > soon {
 		link.outgoing.nextAt = soon
-		h.AfterInTerm(coalesceDelay, h.ReportToOrigins)
+		h.AfterInTerm(coalesceDelay, h.SendHeartbeats)
 	}
 }
 
 // StatusOf returns what its origin cell is told of a hosted job. known is false while its record has to be
 // read, since only what is stored may be told.
 func (h *Host) StatusOf(j *jobtable.Job) (s delegation.Status, known bool) {
-	_, originID, number, ok := ledger.ParseGuestID(j.Spec.ID)
+	_, originID, number, ok := ledger.ParseHostedJobID(j.Spec.ID)
 	if !ok || !readable(j) {
 		return s, false
 	}
@@ -194,7 +194,7 @@
 		Done:   j.StoredDone,
 		Reason: j.Cause,
 	}
-	for task, p := range ordered.ByKey(j.Placed) {
+	for task, p := range ordered.ByKey(j.Placements) {
 		s.Held.Add(task)
 		if h.isRunning(j, p) {
 			s.Running++
@@ -206,7 +206,7 @@
 
 // closedAsStored reports whether the stored record says that a hosted job starts nothing more.
 func closedAsStored(j *jobtable.Job) bool {
-	return j.Guest.Closed && j.StoredCount >= j.ClosedAtChange || j.Final() && j.IsStored()
+	return j.Hosted.Closed && j.StoredCount >= j.ClosedAtChange || j.Final() && j.IsStored()
 }
 
 // isRunning reports whether a placement's machine has told that the task runs.
@@ -224,47 +224,47 @@
 func (h *Host) ownLoad() delegation.Load {
 	limit, _ := h.writer.Limits()
 	return delegation.Load{
-		Room:     h.quotaLeft(),
-		Short:    h.ownDemandWait(),
-		MaxTasks: hostedTasksWithin(limit),
-		Types:    h.typeLoads(),
+		QuotaLeft: h.quotaLeft(),
+		OwnWait:   h.ownDemandWait(),
+		MaxTasks:  hostedTasksWithin(limit),
+		Types:     h.typeLoads(),
 	}
 }
 
 // quotaLeft returns how much more hosted jobs may use.
-func (h *Host) quotaLeft() planner.Amounts {
+func (h *Host) quotaLeft() planner.Resources {
 	own := h.cells.Directory.Own
 	if own.Draining || h.hostedDemandWait() > 0 {
-		return planner.Amounts{}
+		return planner.Resources{}
 	}
-	return own.Guests.Minus(h.jobs.HostedAmounts())
+	return own.HostedQuota.Minus(h.jobs.HostedAmounts())
 }
 
 // typeLoads returns what is free of each machine type beyond the reserve for own work.
 func (h *Host) typeLoads() []delegation.TypeLoad {
-	free := map[string]planner.Amounts{}
-	for i := range h.snapshots.Views {
-		if m := &h.snapshots.Views[i]; !m.Booting {
+	free := map[string]planner.Resources{}
+	for i := range h.snapshots.LastMachines {
+		if m := &h.snapshots.LastMachines[i]; !m.Booting {
 			free[m.Type] = free[m.Type].Plus(m.Free)
 		}
 	}
-	refused := h.autoscaler.Market().Refused
+	refused := h.autoscaler.CloudView().OutOfCapacity
 	reserve := h.cells.Directory.Own.Reserve
 	var loads []delegation.TypeLoad
 	for _, t := range h.catalogue.Types {
 		loads = append(loads, delegation.TypeLoad{
 			Type:    t,
 			Free:    beyondReserve(free[t.Name], reserve),
-			Refused: outOfCapacity(t, refused),
+			SoldOut: outOfCapacity(t, refused),
 		})
 	}
 	return loads
 }
 
 // beyondReserve returns what is left of free amounts after a reserve, nowhere below zero.
-func beyondReserve(free, reserve planner.Amounts) planner.Amounts {
+func beyondReserve(free, reserve planner.Resources) planner.Resources {
 	left := free.Minus(reserve)
-	return planner.Amounts{
+	return planner.Resources{
 		Cpus:     max(0, left.Cpus),
 		Gpus:     max(0, left.Gpus),
 		MemoryGB: max(0, left.MemoryGB),
@@ -273,10 +273,10 @@
 
 // outOfCapacity reports whether the cloud has refused a machine type in all of its zones lately, at either
 // price.
-func outOfCapacity(t protocol.MachineType, refused map[fleet.Kind]bool) bool {
+func outOfCapacity(t protocol.MachineType, refused map[fleet.CapacityPool]bool) bool {
 	for _, zone := range t.Zones {
-		regular := fleet.Kind{Type: t.Name, Zone: zone}
-		spot := fleet.Kind{Type: t.Name, Zone: zone, Spot: true}
+		regular := fleet.CapacityPool{Type: t.Name, Zone: zone}
+		spot := fleet.CapacityPool{Type: t.Name, Zone: zone, Spot: true}
 		if !refused[regular] && !refused[spot] {
 			return false
 		}
@@ -287,12 +287,12 @@
 // ownDemandWait returns how long this cell's own work has been waiting for machines that don't come, 0 if
 // none has for as long as ShortageTime.
 func (h *Host) ownDemandWait() clock.Micros {
-	return h.longestWait(func(j *jobtable.Job) bool { return j.Guest == nil })
+	return h.longestWait(func(j *jobtable.Job) bool { return j.Hosted == nil })
 }
 
 // hostedDemandWait is ownDemandWait for hosted jobs.
 func (h *Host) hostedDemandWait() clock.Micros {
-	return h.longestWait(func(j *jobtable.Job) bool { return j.Guest != nil })
+	return h.longestWait(func(j *jobtable.Job) bool { return j.Hosted != nil })
 }
 
 func (h *Host) longestWait(counts func(*jobtable.Job) bool) clock.Micros {
--- a/internal/leader/federation/host.go
+++ b/internal/leader/federation/host.go
@@ -24,7 +24,7 @@
 // it follows from its origin cell's permission, which has to be renewed like a lease.
 type Host struct {
 	*term.State
-	Store      statestore.ResultStore
+	Store      statestore.Store
 	jobs       *jobtable.Table
 	machines   *machinetable.Table
 	catalogue  *machinetable.Catalogue
@@ -39,7 +39,7 @@
 }
 
 // NewHost returns the component that runs other cells' jobs.
-func NewHost(term *term.State, store statestore.ResultStore, jobs *jobtable.Table, machines *machinetable.Table,
+func NewHost(term *term.State, store statestore.Store, jobs *jobtable.Table, machines *machinetable.Table,
 	catalogue *machinetable.Catalogue, reader *recordstore.Reader, writer *recordstore.Writer,
 	reconciler *reconciler.Reconciler, commands *reconciler.CommandSender, autoscaler *autoscaler.Autoscaler,
 	snapshots *snapshots.Builder, links *Links, steps *term.StepTimer) *Host {
@@ -75,49 +75,49 @@
 
 // NoteHostedStored follows what is stored of a job. If it is a hosted one, its origin cell is told soon.
 func (h *Host) NoteHostedStored(j *jobtable.Job) {
-	if j.Guest == nil {
+	if j.Hosted == nil {
 		return
 	}
 	if j.IsStored() {
 		j.StoredDone = j.Done.Clone()
 	}
-	h.reportSoon(j.Guest.Home)
+	h.reportSoon(j.Hosted.OriginCell)
 }
 
 // applyDirectives applies what the origin cell has said of the jobs that it was told of.
-func (h *Host) applyDirectives(jobs []*jobtable.Job, directives []delegation.Ruling, sentAt clock.Micros) {
-	byNumber := map[int64]delegation.Ruling{}
+func (h *Host) applyDirectives(jobs []*jobtable.Job, directives []delegation.Directive, sentAt clock.Micros) {
+	byNumber := map[int64]delegation.Directive{}
 	for _, directive := range directives {
 		byNumber[directive.Number] = directive
 	}
 	for _, j := range jobs {
-		directive, found := byNumber[j.Guest.Number]
+		directive, found := byNumber[j.Hosted.Delegation]
 		if !found || h.jobs.ByID[j.Spec.ID] != j {
 			continue
 		}
-		if directive.Verdict != delegation.Continue && !j.Permission.Closing {
-			slog.Info("hosted job revoked", "job", j.Spec.ID, "reason", directive.Verdict.String())
+		if directive.Action != delegation.Continue && !j.Permission.Closing {
+			slog.Info("hosted job revoked", "job", j.Spec.ID, "reason", directive.Action.String())
 		}
-		j.Permission.Take(directive, sentAt, h.Now())
+		j.Permission.Apply(directive, sentAt, h.Now())
 	}
 }
 
-// CheckHosted applies their permissions to all hosted jobs.
-func (h *Host) CheckHosted() {
+// CheckHostedJobs applies their permissions to all hosted jobs.
+func (h *Host) CheckHostedJobs() {
 	if h.Term.Epoch == 0 || !h.Loaded {
 		return
 	}
 	for _, j := range ordered.ByKey(h.jobs.ByID) {
-		if j.Guest != nil {
-			h.CheckJob(j)
+		if j.Hosted != nil {
+			h.CheckHostedJob(j)
 		}
 	}
 }
 
-// CheckJob applies a hosted job's permission to what is left of it: what its origin wants back is stopped, a
+// CheckHostedJob applies a hosted job's permission to what is left of it: what its origin wants back is stopped, a
 // job that may start nothing more is closed, and the record of one that is over for both cells is removed.
-func (h *Host) CheckJob(j *jobtable.Job) {
-	j.Permission.Check(h.Now())
+func (h *Host) CheckHostedJob(j *jobtable.Job) {
+	j.Permission.CheckExpiry(h.Now())
 	if j.Final() && h.originNeedsNothing(j) {
 		h.removeRecord(j)
 		return
@@ -128,13 +128,13 @@
 	if j.Permission.Stopping {
 		h.stopAll(j)
 	}
-	if reason := h.closeReason(j); reason != "" && !j.Guest.Closed {
+	if reason := h.closeReason(j); reason != "" && !j.Hosted.Closed {
 		h.close(j, reason)
 	}
-	if j.Permission.Closing || j.Guest.Closed {
+	if j.Permission.Closing || j.Hosted.Closed {
 		h.stopUnstarted(j)
 	}
-	if j.Guest.Closed && len(j.Placed) == 0 {
+	if j.Hosted.Closed && len(j.Placements) == 0 {
 		j.Status = protocol.StatusCancelled
 		h.jobs.NoteHeadChange(j)
 		h.steps.Wake()
@@ -144,12 +144,12 @@
 // originNeedsNothing reports whether a hosted job's origin cell needs nothing of it any more. A cell that
 // isn't in the directory will never say so.
 func (h *Host) originNeedsNothing(j *jobtable.Job) bool {
-	return j.Permission.Forgotten || h.cells.Directory == nil || h.cells.Directory.Cell(j.Guest.Home) == nil
+	return j.Permission.Forgotten || h.cells.Directory == nil || h.cells.Directory.Cell(j.Hosted.OriginCell) == nil
 }
 
 // stopAll stops a job's tasks, with their progress saved.
 func (h *Host) stopAll(j *jobtable.Job) {
-	for task := range ordered.ByKey(j.Placed) {
+	for task := range ordered.ByKey(j.Placements) {
 		h.commands.Stop(j, task, stopRecalled, "")
 	}
 }
@@ -157,7 +157,7 @@
 // close has a hosted job start nothing more.
 func (h *Host) close(j *jobtable.Job, reason string) {
 	slog.Info("hosted job closed", "job", j.Spec.ID, "reason", reason)
-	j.Guest.Closed = true
+	j.Hosted.Closed = true
 	j.Cause = reason
 	h.jobs.NoteHeadChange(j)
 	j.ClosedAtChange = j.ChangeCount
@@ -166,7 +166,7 @@
 // stopUnstarted releases the placements of tasks that their machines haven't told of: they would never be
 // started.
 func (h *Host) stopUnstarted(j *jobtable.Job) {
-	for task, p := range ordered.ByKey(j.Placed) {
+	for task, p := range ordered.ByKey(j.Placements) {
 		m := h.machines.ByName[p.Machine]
 		if m == nil {
 			continue
@@ -210,7 +210,7 @@
 
 // removeRecord deletes the record of a hosted job that is over for both cells.
 func (h *Host) removeRecord(j *jobtable.Job) {
-	if j.InFlight || j.Loading() || len(j.Placed) > 0 || !h.Leads() {
+	if j.InFlight || j.Loading() || len(j.Placements) > 0 || !h.Leads() {
 		return
 	}
 	key := ledger.Key(j.Spec.ID)
--- a/internal/leader/federation/offers.go
+++ b/internal/leader/federation/offers.go
@@ -18,14 +18,14 @@
 // heartbeat tells the origin cell of the record, and its response may permit the start. A refusal is
 // recorded as well, so that the same number is never accepted later.
 func (h *Host) TakeOffer(link *Link, offer delegation.Offer) {
-	id := ledger.GuestID(link.cell, offer.Spec.ID, offer.Number)
+	id := ledger.HostedJobID(link.cell, offer.Spec.ID, offer.Number)
 	if h.jobs.ByID[id] != nil || !h.Leads() {
 		return
 	}
-	record := hostedRecord(link.cell, id, &offer, h.Mailbox.OfDay())
+	record := hostedRecord(link.cell, id, &offer, h.Mailbox.TimeOfDay())
 	if reason := h.refusalReason(link.cell, record, &offer); reason != "" {
 		slog.Info("offer refused", "job", id, "cell", link.cell, "reason", reason)
-		record.Guest.Closed, record.Status, record.Cause = true, protocol.StatusCancelled, reason
+		record.Hosted.Closed, record.Status, record.Cause = true, protocol.StatusCancelled, reason
 	} else {
 		slog.Info("offer accepted", "job", id, "cell", link.cell, "tasks", offer.Tasks.Len())
 	}
@@ -33,11 +33,11 @@
 }
 
 // hostedRecord returns the record of an offered job. Tasks that aren't offered count as done.
-func hostedRecord(origin, id string, offer *delegation.Offer, now clock.Micros) *ledger.Job {
-	record := ledger.New(hostedSpec(origin, id, offer.Spec), int64(now-offer.Age))
-	record.Guest = &ledger.Guest{Home: origin, Number: offer.Number}
+func hostedRecord(origin, id string, offer *delegation.Offer, now clock.Micros) *ledger.Record {
+	record := ledger.New(hostedSpec(origin, id, offer.Spec), int64(now-offer.JobAge))
+	record.Hosted = &ledger.HostedJob{OriginCell: origin, Delegation: offer.Number}
 	for task := range offer.Spec.Tasks {
-		if !offer.Tasks.Has(task) {
+		if !offer.Tasks.Contains(task) {
 			record.Done.Add(task)
 		}
 	}
@@ -55,7 +55,7 @@
 
 // storeHosted creates the record of an offered job. If that fails, watching the records shows it all the
 // same, or the job is offered again.
-func (h *Host) storeHosted(origin string, record *ledger.Job) {
+func (h *Host) storeHosted(origin string, record *ledger.Record) {
 	key := ledger.Key(record.Spec.ID)
 	value := record.Encode()
 	t := h.NewTransaction()
@@ -84,18 +84,18 @@
 )
 
 // refusalReason returns why this cell doesn't accept an offer, "" if it does.
-func (h *Host) refusalReason(origin string, record *ledger.Job, offer *delegation.Offer) string {
+func (h *Host) refusalReason(origin string, record *ledger.Record, offer *delegation.Offer) string {
 	spec := &record.Spec
 	switch {
 	case h.cells.Directory.Own.Draining:
 		return refusedDraining
-	case !h.cells.Directory.TakesFrom(origin):
+	case !h.cells.Directory.AcceptsFrom(origin):
 		return refusedNoRule
 	case spec.Service():
 		return refusedService
 	case !validTasks(spec, &offer.Tasks):
 		return refusedTasks
-	case !fleet.Fits(h.catalogue.Types, spec):
+	case !fleet.FitsAnyType(h.catalogue.Types, spec):
 		return refusedNoType
 	case spec.Spread && spec.Tasks > 1 && (spec.OneZone || spec.Zone != ""):
 		return refusedSpread
@@ -112,7 +112,7 @@
 }
 
 // validTasks reports whether a delegation may consist of the tasks: gangs go as a whole.
-func validTasks(spec *protocol.JobSpec, tasks *ledger.Ranges) bool {
+func validTasks(spec *protocol.JobSpec, tasks *ledger.TaskSet) bool {
 	n := tasks.Len()
 	if n == 0 || n > delegation.MaxTasks || tasks.Max() >= spec.Tasks {
 		return false
@@ -122,16 +122,16 @@
 
 // withinHostedQuota reports whether hosted jobs may use as much more as n tasks need. Memory isn't bounded.
 func (h *Host) withinHostedQuota(spec *protocol.JobSpec, n int) bool {
-	used := h.jobs.HostedAmounts().Plus(planner.Needs(spec).Times(float64(n)))
-	quota := h.cells.Directory.Own.Guests
+	used := h.jobs.HostedAmounts().Plus(planner.TaskResources(spec).Times(float64(n)))
+	quota := h.cells.Directory.Own.HostedQuota
 	return used.Cpus <= quota.Cpus && used.Gpus <= quota.Gpus
 }
 
 // recordHasRoom reports whether a job's record has room for the placement of some task, and for those of all
 // n tasks if they have to start together.
-func (h *Host) recordHasRoom(record *ledger.Job, n int) bool {
+func (h *Host) recordHasRoom(record *ledger.Record, n int) bool {
 	limit, _ := h.writer.Limits()
-	room := record.Room(limit)
+	room := record.StartCapacity(limit)
 	return room != 0 && (!record.Spec.Gang() || room >= n)
 }
 
@@ -139,8 +139,8 @@
 // bytes.
 func hostedTasksWithin(limit int) int {
 	ordinary := protocol.JobSpec{
-		ID:    ledger.GuestID("cell", "job-000000", math.MaxInt32),
+		ID:    ledger.HostedJobID("cell", "job-000000", math.MaxInt32),
 		Tasks: delegation.MaxTasks,
 	}
-	return min(delegation.MaxTasks, ledger.New(ordinary, 0).Room(limit))
+	return min(delegation.MaxTasks, ledger.New(ordinary, 0).StartCapacity(limit))
 }
--- a/internal/leader/federation/offload.go
+++ b/internal/leader/federation/offload.go
@@ -16,8 +16,8 @@
 const (
 	// offloadInterval is from one decision to the next.
 	offloadInterval = 2 * clock.Second
-	// MaxReturned is how often work of one job may come back unfinished: after that it stays.
-	MaxReturned = 3
+	// MaxReturns is how often work of one job may come back unfinished: after that it stays.
+	MaxReturns = 3
 	// MinStayTime is how long work that came back stays at least.
 	MinStayTime = 60 * clock.Second
 	// unschedulableWaitS is the expected wait for work that no machine of this cell could ever run.
@@ -66,7 +66,7 @@
 		}
 		if o.delegationsTo(name) < delegation.MaxPerHost {
 			load := link.host.load
-			load.Room = o.roomLeft(name, load.Room)
+			load.QuotaLeft = o.roomLeft(name, load.QuotaLeft)
 			hosts = append(hosts, spill.Host{Name: name, Load: load})
 		}
 	}
@@ -74,13 +74,13 @@
 }
 
 // roomLeft returns what is left of a host's quota after the delegations that it hasn't accepted yet.
-func (o *Origin) roomLeft(host string, room planner.Amounts) planner.Amounts {
+func (o *Origin) roomLeft(host string, room planner.Resources) planner.Resources {
 	for _, del := range o.Delegations {
 		if del.Host != host || del.State != delegation.Offered {
 			continue
 		}
 		if j := o.jobs.ByID[del.Job]; j != nil {
-			room = room.Minus(planner.Needs(&j.Spec).Times(float64(del.Tasks.Len())))
+			room = room.Minus(planner.TaskResources(&j.Spec).Times(float64(del.Tasks.Len())))
 		}
 	}
 	return room
@@ -98,7 +98,7 @@
 }
 
 // offloadableWork returns the work that has waited for long enough, the most urgent first.
-func (o *Origin) offloadableWork() []spill.Work {
+func (o *Origin) offloadableWork() []spill.Candidate {
 	var waiting []*jobtable.Job
 	for _, j := range o.jobs.ByID {
 		if o.OffloadableTasks(j).Count > 0 {
@@ -107,17 +107,17 @@
 	}
 	slices.SortFunc(waiting, compareQueued)
 	waits := o.expectedWaits()
-	var work []spill.Work
+	var work []spill.Candidate
 	for _, j := range waiting {
-		rule, _ := o.cells.Directory.Rule(j.Spec.Class, j.Spec.Team)
+		rule, _ := o.cells.Directory.OffloadRule(j.Spec.Class, j.Spec.Team)
 		tasks := o.OffloadableTasks(j)
-		work = append(work, spill.Work{
-			Job:   j.Spec.ID,
-			Spec:  &j.Spec,
-			Tasks: tasks.Count,
-			Whole: tasks.AllOrNothing,
-			HomeS: waits[j.Spec.ID],
-			To:    rule.To,
+		work = append(work, spill.Candidate{
+			Job:          j.Spec.ID,
+			Spec:         &j.Spec,
+			Tasks:        tasks.Count,
+			AllOrNothing: tasks.AllOrNothing,
+			OriginWaitS:  waits[j.Spec.ID],
+			Hosts:        rule.To,
 		})
 	}
 	return work
@@ -138,7 +138,7 @@
 	}
 	pending := j.PendingCount()
 	if j.Spec.Gang() || j.Spec.OneZone || j.Spec.Spread {
-		if len(j.Placed) > 0 || pending > delegation.MaxTasks || j.Spec.Gang() && pending < j.Spec.Tasks {
+		if len(j.Placements) > 0 || pending > delegation.MaxTasks || j.Spec.Gang() && pending < j.Spec.Tasks {
 			return Offloadable{AllOrNothing: true}
 		}
 		return Offloadable{Count: pending, AllOrNothing: true}
@@ -151,17 +151,17 @@
 func (o *Origin) mayOffload(j *jobtable.Job) bool {
 	now := o.Now()
 	switch {
-	case j.Over() || j.Guest != nil || j.Spec.Service():
+	case j.Over() || j.Hosted != nil || j.Spec.Service():
 		return false
 	case !readable(j) || j.ShardsUnread() || j.Sharding():
 		return false
 	case !hasUnmetDemand(j, now) || now < j.NotBefore:
 		return false
-	case j.Returned >= MaxReturned || j.GivenBackAt != 0 && now < j.GivenBackAt+MinStayTime:
+	case j.ReturnCount >= MaxReturns || j.GivenBackAt != 0 && now < j.GivenBackAt+MinStayTime:
 		return false
 	}
-	rule, found := o.cells.Directory.Rule(j.Spec.Class, j.Spec.Team)
-	return found && now >= j.UnmetSince+max(rule.After, ShortageTime)
+	rule, found := o.cells.Directory.OffloadRule(j.Spec.Class, j.Spec.Team)
+	return found && now >= j.UnmetSince+max(rule.MinWait, ShortageTime)
 }
 
 // expectedWaits returns how long, in seconds, jobs are expected to wait for room here: for what is queued
@@ -171,7 +171,7 @@
 	queue := slices.SortedFunc(maps.Values(o.jobs.ByID), compareQueued)
 	running := 0.0
 	for _, j := range queue {
-		running += clusterSeconds(j, len(j.Placed), capacity)
+		running += clusterSeconds(j, len(j.Placements), capacity)
 	}
 	waits := make(map[string]float64, len(queue))
 	ahead := running / 2
@@ -190,24 +190,24 @@
 }
 
 // capacity returns the resources of all of this cell's machines.
-func (o *Origin) capacity() planner.Amounts {
-	var sum planner.Amounts
-	for i := range o.snapshots.Views {
-		sum = sum.Plus(o.snapshots.Views[i].Whole)
+func (o *Origin) capacity() planner.Resources {
+	var sum planner.Resources
+	for i := range o.snapshots.LastMachines {
+		sum = sum.Plus(o.snapshots.LastMachines[i].Capacity)
 	}
 	return sum
 }
 
 // clusterSeconds returns for how long n tasks of a job would keep the whole capacity busy.
-func clusterSeconds(j *jobtable.Job, n int, capacity planner.Amounts) float64 {
-	return j.Spec.EstimateS * planner.Needs(&j.Spec).Times(float64(n)).Share(capacity)
+func clusterSeconds(j *jobtable.Job, n int, capacity planner.Resources) float64 {
+	return j.Spec.EstimateS * planner.TaskResources(&j.Spec).Times(float64(n)).DominantShare(capacity)
 }
 
 // fitsAnyMachine reports whether a task would fit on some machine, booting ones included, if that were empty.
 func (o *Origin) fitsAnyMachine(j *jobtable.Job) bool {
-	for i := range o.snapshots.Views {
-		m := &o.snapshots.Views[i]
-		if planner.Needs(&j.Spec).Fits(m.Whole) && planner.Allowed(&j.Spec, m.Type, m.Zone, m.Spot) {
+	for i := range o.snapshots.LastMachines {
+		m := &o.snapshots.LastMachines[i]
+		if planner.TaskResources(&j.Spec).FitsIn(m.Capacity) && planner.MachineAllowed(&j.Spec, m.Type, m.Zone, m.Spot) {
 			return true
 		}
 	}
@@ -216,18 +216,18 @@
 
 // delegateTo carries out a choice: the job's last pending tasks go, as many to a delegation as the host's
 // records have room for.
-func (o *Origin) delegateTo(choice spill.Choice) {
+func (o *Origin) delegateTo(choice spill.Assignment) {
 	j := o.jobs.ByID[choice.Job]
 	tasks := min(choice.Tasks, o.jobs.TasksWithinQuota(j))
-	perDelegation := min(delegation.MaxTasks, max(1, o.cells.ByCell[choice.Cell].host.load.MaxTasks))
+	perDelegation := min(delegation.MaxTasks, max(1, o.cells.ByCell[choice.Host].host.load.MaxTasks))
 	if o.OffloadableTasks(j).AllOrNothing {
 		if tasks < choice.Tasks {
 			return
 		}
 		perDelegation = choice.Tasks
 	}
-	for left := tasks; left > 0 && o.mayDelegateTo(choice.Cell); left -= perDelegation {
-		o.Delegate(j, choice.Cell, j.LastPending(min(perDelegation, left)))
+	for left := tasks; left > 0 && o.mayDelegateTo(choice.Host); left -= perDelegation {
+		o.Delegate(j, choice.Host, j.LastPending(min(perDelegation, left)))
 	}
 }
 
--- a/internal/leader/federation/origin.go
+++ b/internal/leader/federation/origin.go
@@ -20,7 +20,7 @@
 // Origin delegates this cell's own jobs to other cells.
 type Origin struct {
 	*term.State
-	Store      statestore.ResultStore
+	Store      statestore.Store
 	jobs       *jobtable.Table
 	catalogue  *machinetable.Catalogue
 	reader     *recordstore.Reader
@@ -40,7 +40,7 @@
 }
 
 // NewOrigin returns the component that delegates own jobs.
-func NewOrigin(term *term.State, store statestore.ResultStore, jobs *jobtable.Table,
+func NewOrigin(term *term.State, store statestore.Store, jobs *jobtable.Table,
 	catalogue *machinetable.Catalogue, reader *recordstore.Reader, writer *recordstore.Writer,
 	autoscaler *autoscaler.Autoscaler, snapshots *snapshots.Builder, links *Links,
 	steps *term.StepTimer) *Origin {
@@ -83,11 +83,11 @@
 	if o.reader.Loading || j.ShardsUnread() || o.HasMalformed {
 		return
 	}
-	for _, p := range ordered.ByKey(j.Placed) {
-		if p.Host() == "" {
+	for _, p := range ordered.ByKey(j.Placements) {
+		if p.HostCell() == "" {
 			continue
 		}
-		if del := o.Delegations[p.Session]; del == nil || !del.holds(j, p) {
+		if del := o.Delegations[p.Incarnation]; del == nil || !del.holds(j, p) {
 			o.jobs.ReleasePlacement(j, p)
 		}
 	}
@@ -102,21 +102,21 @@
 		Host:      host,
 		Job:       j.Spec.ID,
 		State:     delegation.Offered,
-		OfferedAt: int64(o.Mailbox.OfDay()),
+		OfferedAt: int64(o.Mailbox.TimeOfDay()),
 	}
 	slices.Sort(tasks)
 	attempt := j.CurrentAttempt()
 	for _, task := range tasks {
 		r.Tasks.Add(task)
 		o.jobs.AddPlacement(j, ledger.Placement{
-			Task:    task,
-			Attempt: attempt,
-			Machine: ledger.DelegatedTo(host),
-			Session: number,
+			Task:        task,
+			Attempt:     attempt,
+			Machine:     ledger.DelegatedTo(host),
+			Incarnation: number,
 		})
 	}
 	del := &trackedDelegation{Delegation: delegation.New(r)}
-	del.HeardAt = o.Now()
+	del.LastStatusAt = o.Now()
 	o.Delegations[number] = del
 	slog.Info("tasks delegated", "job", j.Spec.ID, "cell", host, "delegation", number, "tasks", r.Tasks.String())
 }
@@ -148,7 +148,7 @@
 	}
 	freed := del.Expire()
 	slog.Info("delegation expired", "job", del.Job, "cell", del.Host, "delegation", del.Number,
-		"tasks", len(freed.Unfinished), "silent_s", (o.Now() - del.HeardAt).Seconds())
+		"tasks", len(freed.Unfinished), "silent_s", (o.Now() - del.LastStatusAt).Seconds())
 	o.releaseFreed(del, freed)
 }
 
@@ -156,9 +156,9 @@
 // without the host's word: no permission can be left.
 func (o *Origin) mayExpire(j *jobtable.Job, del *trackedDelegation) bool {
 	now := o.Now()
-	silent := now > max(del.HeardAt, o.BegunAt)+lostAfter
+	silent := now > max(del.LastStatusAt, o.BegunAt)+lostAfter
 	switch {
-	case del.Over() || !del.Clear(now):
+	case del.IsOver() || !del.IsClear(now):
 		return false
 	case !silent && del.State != delegation.Recalled:
 		return false
@@ -172,7 +172,7 @@
 }
 
 // releaseFreed releases the placements of tasks that are no longer the host's.
-func (o *Origin) releaseFreed(del *trackedDelegation, freed delegation.Freed) {
+func (o *Origin) releaseFreed(del *trackedDelegation, freed delegation.FreedTasks) {
 	j := o.jobs.ByID[del.Job]
 	if j == nil {
 		return
@@ -202,7 +202,7 @@
 	j.GivenBackAt = o.Now()
 	if del.State != delegation.Refused && !del.returnCounted {
 		del.returnCounted = true
-		j.Returned++
+		j.ReturnCount++
 		o.jobs.NoteHeadChange(j)
 	}
 }
--- a/internal/leader/federation/recall.go
+++ b/internal/leader/federation/recall.go
@@ -38,7 +38,7 @@
 func (o *Origin) lastUnmetDemand() clock.Micros {
 	last := clock.Micros(0)
 	for _, j := range o.jobs.ByID {
-		if j.Guest == nil && !j.Over() {
+		if j.Hosted == nil && !j.Over() {
 			last = max(last, j.UnmetAt)
 		}
 	}
@@ -47,7 +47,7 @@
 
 // waitsInVain reports whether tasks of an accepted delegation wait at the host though there is room here.
 func (o *Origin) waitsInVain(j *jobtable.Job, del *trackedDelegation) bool {
-	waiting := del.Reported.Waiting
+	waiting := del.LastStatus.Waiting
 	return del.State == delegation.Accepted && waiting > 0 && o.fitsHere(j, waiting)
 }
 
@@ -58,9 +58,9 @@
 	if 2*fit >= n {
 		return true
 	}
-	refused := o.autoscaler.Market().Refused
+	refused := o.autoscaler.CloudView().OutOfCapacity
 	available := func(t protocol.MachineType) bool {
-		return machinetable.TypeHolds(t, &j.Spec) && !outOfCapacity(t, refused)
+		return machinetable.TypeFits(t, &j.Spec) && !outOfCapacity(t, refused)
 	}
 	return fit > 0 && slices.ContainsFunc(o.catalogue.Types, available)
 }
@@ -68,10 +68,10 @@
 // freeSlots counts how many tasks of a job fit on the machines that are up.
 func (o *Origin) freeSlots(j *jobtable.Job) int {
 	slots := 0
-	for i := range o.snapshots.Views {
-		m := &o.snapshots.Views[i]
-		if !m.Booting && planner.Allowed(&j.Spec, m.Type, m.Zone, m.Spot) {
-			slots += planner.Needs(&j.Spec).Count(m.Free)
+	for i := range o.snapshots.LastMachines {
+		m := &o.snapshots.LastMachines[i]
+		if !m.Booting && planner.MachineAllowed(&j.Spec, m.Type, m.Zone, m.Spot) {
+			slots += planner.TaskResources(&j.Spec).CopiesIn(m.Free)
 		}
 	}
 	return slots
--- a/internal/leader/federation/responses.go
+++ b/internal/leader/federation/responses.go
@@ -14,21 +14,21 @@
 	maxOfferBytes = 24 << 10
 )
 
-// AnswerReport handles a host's heartbeat, and returns what the host may go on with and what else it may
+// HandleHeartbeat handles a host's heartbeat, and returns what the host may go on with and what else it may
 // take. A node whose lease has expired changes nothing, and offers nothing.
-func (o *Origin) AnswerReport(r *delegation.Report) delegation.Answer {
+func (o *Origin) HandleHeartbeat(r *delegation.Heartbeat) delegation.HeartbeatResponse {
 	leads := o.Leads()
 	o.cells.ByCell[r.Host].host.update(r, o.Now())
-	a := delegation.Answer{Result: delegation.Taken}
+	a := delegation.HeartbeatResponse{Result: delegation.Processed}
 	reported := map[int64]bool{}
-	for _, s := range r.Tasks {
+	for _, s := range r.Statuses {
 		reported[s.Number] = true
 		if directive, ok := o.directiveFor(r, s, leads); ok {
-			a.Rulings = append(a.Rulings, directive)
+			a.Directives = append(a.Directives, directive)
 		}
 	}
 	if leads {
-		a.Offers = o.Offers(r.Host, reported)
+		a.Offers = o.OffersTo(r.Host, reported)
 		o.steps.Wake()
 	}
 	return a
@@ -36,47 +36,47 @@
 
 // directiveFor applies a host's status of one delegation and returns what the host is to do with it. ok is
 // false if there is nothing to say yet.
-func (o *Origin) directiveFor(r *delegation.Report, s delegation.Status,
-	leads bool) (d delegation.Ruling, ok bool) {
+func (o *Origin) directiveFor(r *delegation.Heartbeat, s delegation.Status,
+	leads bool) (d delegation.Directive, ok bool) {
 	d.Number = s.Number
 	del := o.Delegations[s.Number]
 	if del == nil || del.Host != r.Host || del.Job != s.Job {
 		// Only a leader that knows all delegations can say that there is none.
-		d.Verdict = delegation.Forget
+		d.Action = delegation.Forget
 		return d, leads && !o.HasMalformed
 	}
 	j := o.jobs.ByID[del.Job]
 	if leads && (j == nil || readable(j)) {
-		o.releaseFreed(del, del.Hear(s, o.Now()))
+		o.releaseFreed(del, del.ApplyStatus(s, o.Now()))
 	}
 	switch {
 	case o.jobs.Malformed[del.Job]:
 		return d, false
 	case j == nil || j.Over():
-		d.Verdict = delegation.Cancel
+		d.Action = delegation.Cancel
 		return d, true
-	case del.Over():
+	case del.IsOver():
 		return d, false // until the records say so, too
 	}
-	return o.permit(del, r.Clear)
+	return o.permit(del, r.ClearTime)
 }
 
 // permit gives a host a permission for a delegation. It lasts from the time up to which all cancellations and
 // elections are known, as workers' leases do. ok is false if that was too long ago.
-func (o *Origin) permit(del *trackedDelegation, clearTime clock.Micros) (d delegation.Ruling, ok bool) {
-	known := min(o.KnownUntil(), o.SoleUntil())
+func (o *Origin) permit(del *trackedDelegation, clearTime clock.Micros) (d delegation.Directive, ok bool) {
+	known := min(o.KnownUntil(), o.SoleLeaderUntil())
 	workers := o.Settings.Deployment.Workers
-	length := known + cells.LongestPermission(workers, clearTime) - o.Now()
+	length := known + cells.MaxPermission(workers, clearTime) - o.Now()
 	if length <= 0 {
 		return d, false
 	}
-	d = delegation.Ruling{Number: del.Number, Verdict: del.Verdict(o.cells.drained(del.Host)), For: length}
-	del.Permit(known, cells.ProofTime(workers))
+	d = delegation.Directive{Number: del.Number, Action: del.NextAction(o.cells.drained(del.Host)), PermissionFor: length}
+	del.NotePermission(known, cells.ProofTime(workers))
 	return d, true
 }
 
-// Offers returns the delegations to a host that it hasn't reported yet, as many as fit into a response.
-func (o *Origin) Offers(host string, reported map[int64]bool) []delegation.Offer {
+// OffersTo returns the delegations to a host that it hasn't reported yet, as many as fit into a response.
+func (o *Origin) OffersTo(host string, reported map[int64]bool) []delegation.Offer {
 	var offers []delegation.Offer
 	size := 0
 	for number, del := range ordered.ByKey(o.Delegations) {
@@ -105,6 +105,6 @@
 		Number: del.Number,
 		Spec:   j.Spec,
 		Tasks:  del.Tasks,
-		Age:    max(0, o.Mailbox.OfDay()-clock.Micros(j.SubmittedAt)),
+		JobAge: max(0, o.Mailbox.TimeOfDay()-clock.Micros(j.SubmittedAt)),
 	}
 }
--- a/internal/leader/federation/trackeddelegation.go
+++ b/internal/leader/federation/trackeddelegation.go
@@ -52,24 +52,24 @@
 
 // holds reports whether a placement is one of the delegation's outstanding tasks.
 func (d *trackedDelegation) holds(j *jobtable.Job, p ledger.Placement) bool {
-	return d.ownsPlacement(p) && d.Job == j.Spec.ID && d.Left.Has(p.Task)
+	return d.ownsPlacement(p) && d.Job == j.Spec.ID && d.Outstanding.Contains(p.Task)
 }
 
 // ownsPlacement reports whether a placement of its job is with the delegation's host on its account.
 func (d *trackedDelegation) ownsPlacement(p ledger.Placement) bool {
-	return p.Host() == d.Host && p.Session == d.Number
+	return p.HostCell() == d.Host && p.Incarnation == d.Number
 }
 
 // placement returns a task's placement with the delegation's host, if it has one.
 func (d *trackedDelegation) placement(j *jobtable.Job, task int) (ledger.Placement, bool) {
-	p, placed := j.Placed[task]
+	p, placed := j.Placements[task]
 	return p, placed && d.ownsPlacement(p)
 }
 
 // tasksOf iterates over a set of tasks in ascending order.
-func tasksOf(set *ledger.Ranges) iter.Seq[int] {
+func tasksOf(set *ledger.TaskSet) iter.Seq[int] {
 	return func(yield func(int) bool) {
-		for task := set.NextIn(0); task <= set.Max(); task = set.NextIn(task + 1) {
+		for task := set.NextPresent(0); task <= set.Max(); task = set.NextPresent(task + 1) {
 			if !yield(task) {
 				return
 			}
@@ -79,8 +79,8 @@
 
 // holdsAll reports whether all outstanding tasks are placed with the delegation's host.
 func (d *trackedDelegation) holdsAll(j *jobtable.Job) bool {
-	for task := range tasksOf(&d.Left) {
-		if p, placed := j.Placed[task]; !placed || !d.holds(j, p) {
+	for task := range tasksOf(&d.Outstanding) {
+		if p, placed := j.Placements[task]; !placed || !d.holds(j, p) {
 			return false
 		}
 	}
@@ -89,8 +89,8 @@
 
 // holdsAllAsStored reports whether the stored record of its job says so.
 func (d *trackedDelegation) holdsAllAsStored(j *jobtable.Job) bool {
-	for task := range tasksOf(&d.Left) {
-		if p, placed := j.Placed[task]; !placed || !d.holds(j, p) || !j.Committed(p) {
+	for task := range tasksOf(&d.Outstanding) {
+		if p, placed := j.Placements[task]; !placed || !d.holds(j, p) || !j.Committed(p) {
 			return false
 		}
 	}
@@ -101,8 +101,8 @@
 // one that was freed already, is placed with its host.
 func (d *trackedDelegation) holdsNoneAsStored(j *jobtable.Job) bool {
 	for task := range tasksOf(&d.Tasks) {
-		p, placed := j.Placed[task]
-		if placed && p.Session == d.Number && p.Host() != "" || !j.OutcomeStored(task) {
+		p, placed := j.Placements[task]
+		if placed && p.Incarnation == d.Number && p.HostCell() != "" || !j.OutcomeStored(task) {
 			return false
 		}
 	}
--- a/internal/leader/golden_test.go
+++ b/internal/leader/golden_test.go
@@ -111,12 +111,12 @@
 			"\xa5Stamp\x00\x82\xa4Path\xaajobs/job-1\xa5Stamp\x06\xa6Writes\x91\x82\xa5Write\xaddelegatio"+
 			"ns/7\xa4Data\x85\xa4host\xa4beta\xa3job\xa5job-1\xa5tasks\xa30-1\xa5state\xa7offered\xa2at"+
 			"\xce\x05\xf5\xe1\x00")
-	store.answer(storetest.Reply[protocol.TxnAnswer]{Status: 200, Value: protocol.TxnAnswer{Revision: 8}})
-	offers := d.origin.Offers("beta", nil)
+	store.answer(storetest.Reply[protocol.TxnResponse]{Status: 200, Value: protocol.TxnResponse{Revision: 8}})
+	offers := d.origin.OffersTo("beta", nil)
 	if len(offers) != 1 {
 		t.Fatalf("offers %v", offers)
 	}
-	answer := delegation.Answer{Result: delegation.Taken, Offers: offers}
+	answer := delegation.HeartbeatResponse{Result: delegation.Processed, Offers: offers}
 	goldentest.Equal(t, "offer", answer.Encode(),
 		"\x01\x01\x00\x00\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00\x00\x07\x00\xd5\xde\x00\x13\xa3Uid"+
 			"\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa5batch\xa4Rank\xa0\xa4Legs\x02\xa5Vcpus\xcb?"+
@@ -159,20 +159,20 @@
 		d, store, _ := cellLeader(t)
 		d.catalogue.Types = goldenTypes()
 		d.cells.Directory.Own.Draining = c.draining
-		var tasks ledger.Ranges
+		var tasks ledger.TaskSet
 		tasks.Add(1)
 		spec := protocol.JobSpec{
 			ID:       "job-1",
 			Class:    "c",
 			Team:     "t",
 			Shape:    protocol.ShapeArray,
-			Rank:     "normal",
+			Priority: "normal",
 			Tasks:    3,
 			Cpus:     1,
 			MemoryGB: 1,
 			Image:    "i",
 		}
-		offer := delegation.Offer{Number: 7, Spec: spec, Tasks: tasks, Age: 90 * clock.Second}
+		offer := delegation.Offer{Number: 7, Spec: spec, Tasks: tasks, JobAge: 90 * clock.Second}
 		d.host.TakeOffer(d.cells.ByCell["beta"], offer)
 		goldentest.Equal(t, c.name, onlyTxn(t, store), c.want)
 	}
@@ -183,8 +183,8 @@
 	d, _ := newLeader()
 	store := &fakeStore{}
 	useStore(d, store)
-	lost := &recovery.Zone{Name: "somes", Phase: recovery.Lost, Number: 3, Since: 90 * clock.Second, Flaps: 2}
-	d.zones.Zones = map[string]*zonetracker.Zone{"somes": {Zone: lost, Version: 9}}
+	lost := &recovery.Zone{Name: "somes", Phase: recovery.Lost, Losses: 3, Since: 90 * clock.Second, Flaps: 2}
+	d.zones.Zones = map[string]*zonetracker.Zone{"somes": {Zone: lost, RecordVersion: 9}}
 	d.zones.SaveZones()
 	goldentest.Equal(t, "zone", onlyTxn(t, store),
 		"\x82\xa6Guards\x92\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xaerecovery/somes"+
@@ -198,7 +198,7 @@
 	store := &fakeStore{}
 	useStore(d, store)
 	j.RecordDone(0)
-	d.jobs.ReleasePlacement(j, j.Placed[0])
+	d.jobs.ReleasePlacement(j, j.Placements[0])
 	d.jobs.NoteHeadChange(j)
 	j.StoredValue.ChangedAt = 0
 	d.writer.Commit()
@@ -226,8 +226,8 @@
 		Leads:   true,
 		Epoch:   41,
 		Plans:   7,
-		Classes: []overview.ClassOverview{{Class: "train", Jobs: 2, Pending: 3, Placed: 4, Restarting: 1}},
-		Machines: []overview.KindOverview{{
+		Classes: []overview.ClassOverview{{Class: "train", Jobs: 2, PendingTasks: 3, PlacedTasks: 4, Restarting: 1}},
+		Machines: []overview.PoolOverview{{
 			Type:       "g8",
 			Zone:       "a",
 			Spot:       true,
@@ -245,27 +245,27 @@
 		Cells: []federation.CellOverview{{
 			Cell:              "beta",
 			Reachable:         true,
-			Lent:              3,
-			Borrowed:          4,
+			LentTasks:         3,
+			BorrowedTasks:     4,
 			Recalled:          1,
 			OldestUnansweredS: 2.5,
-			ShortS:            7.5,
+			OwnWaitS:          7.5,
 		}},
 		Zones: []overview.ZoneOverview{{
-			Zone:        "somes",
-			Phase:       recovery.Lost,
-			Number:      3,
-			SinceS:      10.5,
-			Reading:     recovery.Dark,
-			Flaps:       2,
-			Machines:    9,
-			Heard:       1,
-			Controllers: 1,
-			Reached:     1,
-			Elsewhere:   4,
-			Held:        6,
-			Displaced:   8,
-			Waiting:     []overview.WaitingJob{{Job: "job-1", Kind: recovery.Gangs, Tasks: 2, Why: "its turn"}},
+			Zone:               "somes",
+			Phase:              recovery.Lost,
+			Losses:             3,
+			SinceS:             10.5,
+			Diagnosis:          recovery.PoweredOff,
+			Flaps:              2,
+			Machines:           9,
+			Heard:              1,
+			Controllers:        1,
+			ControllersReached: 1,
+			HeardElsewhere:     4,
+			HeldTasks:          6,
+			DisplacedTasks:     8,
+			Waiting:            []overview.WaitingJob{{Job: "job-1", Kind: recovery.Gangs, Tasks: 2, Reason: "its turn"}},
 		}},
 	}
 }
@@ -294,7 +294,7 @@
 		{"empty", overview.Overview{}, `{"node":"","leader":"","leads":false,"present_formats":false}`},
 		{"empty lists", overview.Overview{
 			Classes:  []overview.ClassOverview{{}},
-			Machines: []overview.KindOverview{{}},
+			Machines: []overview.PoolOverview{{}},
 			Failing:  []overview.FailingJob{{}},
 			Cells:    []federation.CellOverview{{}},
 			Zones:    []overview.ZoneOverview{{Waiting: []overview.WaitingJob{{}}}},
@@ -318,18 +318,18 @@
 func TestGoldenOverviewOfALeader(t *testing.T) {
 	d, _, _, _ := hostingLeader(t)
 	d.state.KnownLeader, d.scheduler.Plans, d.writer.LimitsTightened = "worker-0", 7, true
-	d.state.Format = rollout.Status{Open: true, Cells: true, Missing: []string{"worker-1"}}
+	d.state.Format = rollout.Status{Services: true, Cells: true, Missing: []string{"worker-1"}}
 	s := recovery.Defaults()
 	d.zones.Options = &s
 	d.zones.Zones = map[string]*zonetracker.Zone{"somes": {
 		Zone: &recovery.Zone{
-			Name:    "somes",
-			Phase:   recovery.Lost,
-			Number:  3,
-			Since:   90 * clock.Second,
-			Reading: recovery.Dark,
+			Name:      "somes",
+			Phase:     recovery.Lost,
+			Losses:    3,
+			Since:     90 * clock.Second,
+			Diagnosis: recovery.PoweredOff,
 		},
-		Evidence: recovery.Evidence{Machines: 4, Heard: 1, Controllers: 1, Reached: 1, Elsewhere: 2},
+		Evidence: recovery.Evidence{Machines: 4, Heard: 1, Controllers: 1, ControllersReached: 1, HeardElsewhere: 2},
 	}}
 	var got []byte
 	d.Overview(func(o any) {
@@ -367,8 +367,8 @@
 		Spot:      true,
 		EstimateS: 600,
 	}
-	job := &planner.Job{ID: "job-1", Spec: spec, Pending: []int{0}, Limit: 1}
-	d.autoscaler.ScaleOut([]planner.Want{{Job: job, Tasks: 1}})
+	job := &planner.Job{ID: "job-1", Spec: spec, Pending: []int{0}, MaxStarts: 1}
+	d.autoscaler.ScaleOut([]planner.UnmetDemand{{Job: job, Tasks: 1}})
 	if len(rented.asked) != 1 {
 		t.Fatalf("%+v", rented.asked)
 	}
@@ -379,16 +379,16 @@
 // rentalRecorder is a cloud that keeps what it is asked for.
 type rentalRecorder struct {
 	cloudtest.Service
-	asked []protocol.Rental
+	asked []protocol.ScaleOutRequest
 }
 
-func (r *rentalRecorder) Rent(x protocol.Rental, _ clock.Micros, _ func(int, protocol.RentalAnswer)) {
+func (r *rentalRecorder) Rent(x protocol.ScaleOutRequest, _ clock.Micros, _ func(int, protocol.ScaleOutResponse)) {
 	r.asked = append(r.asked, x)
 }
 
 // Answers to reports: orders of every verb, redirects and refusals.
 func TestGoldenHeartbeatAnswers(t *testing.T) {
-	answered := func(d *Leader, r protocol.Report) (int, []byte) {
+	answered := func(d *Leader, r protocol.Heartbeat) (int, []byte) {
 		status, body := 0, []byte(nil)
 		d.Heartbeat(r, func(s int, b any) { status, body = s, protocol.Encode(b) })
 		return status, body
@@ -401,7 +401,7 @@
 	if status != 200 {
 		t.Errorf("start: %d", status)
 	}
-	stray := protocol.TaskReport{Task: "job-9/0", Attempt: 1, Status: protocol.TaskRunning}
+	stray := protocol.TaskStatus{Task: "job-9/0", Attempt: 1, Status: protocol.TaskRunning}
 	stop, _, _, _ := leaderWithOneTask(t)
 	status, body = answered(stop, workerHeartbeat(1, 1, stray))
 	goldentest.Equal(t, "stop", body,
@@ -411,7 +411,7 @@
 	if status != 200 {
 		t.Errorf("stop: %d", status)
 	}
-	ended := protocol.TaskReport{
+	ended := protocol.TaskStatus{
 		Task:    "job-9/0",
 		Attempt: 1,
 		Status:  protocol.TaskExited,
@@ -455,7 +455,7 @@
 	}
 	due := 100.0
 	j := jobtable.NewJob()
-	j.Job = ledger.New(protocol.JobSpec{ID: "job-1", Class: "c", DeadlineS: &due}, 1)
+	j.Record = ledger.New(protocol.JobSpec{ID: "job-1", Class: "c", DeadlineS: &due}, 1)
 	if times := d.objectives.DueTimes(j); !slices.Equal(times, []float64{100, 150, 300}) {
 		t.Errorf("due after %v s", times)
 	}
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -27,7 +27,7 @@
 	r.Tasks = append(slices.Clone(r.Tasks), unassignedTask)
 	waiting := slices.Clone(r.Tasks)
 	waiting[0].Status = protocol.TaskWaiting
-	lists := [][]protocol.TaskReport{r.Tasks, waiting}
+	lists := [][]protocol.TaskStatus{r.Tasks, waiting}
 	for b.Loop() {
 		r.Counter++
 		r.Tasks = lists[r.Counter%2]
@@ -78,11 +78,11 @@
 		box.Now = now
 		d.state.BegunAt, d.state.FreshAt, d.state.Loaded = now, 0, false
 		d.state.Term.RenewedAt, d.state.Term.ValidUntil = now, now+4*clock.Second
-		if d.state.MayAnswer() || d.state.Leads() {
+		if d.state.MayRespond() || d.state.Leads() {
 			t.Fatalf("at %.0f s it keeps tasks alive without records", now.Seconds())
 		}
 		d.state.FreshAt, d.state.Loaded = now, true
-		if !d.state.MayAnswer() || !d.state.Leads() {
+		if !d.state.MayRespond() || !d.state.Leads() {
 			t.Fatalf("at %.0f s it doesn't keep them with records", now.Seconds())
 		}
 	}
@@ -98,7 +98,7 @@
 	l.respond = func() { done(storetest.Reply[protocol.ItemList]{Status: 200}) }
 }
 
-func (l *emptyStore) Follow(string, int64, clock.Micros, func(storetest.Reply[protocol.FollowAnswer])) {
+func (l *emptyStore) Follow(string, int64, clock.Micros, func(storetest.Reply[protocol.WatchResponse])) {
 }
 
 // Heartbeats that come while a new leader reads its records are responded to once it has, or
@@ -125,7 +125,7 @@
 			store.respond()
 			want = http.StatusOK
 		} else {
-			d.heartbeats.AnswerDeferred() // after deferredTime
+			d.heartbeats.HandleDeferred() // after deferredTime
 		}
 		if status != want {
 			t.Fatalf("records read %v: status %d, want %d", read, status, want)
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -18,8 +18,8 @@
 func newLeader() (*Leader, *actortest.Still) {
 	box := &actortest.Still{Now: 100 * clock.Second}
 	set := &settings.Settings{}
-	set.Deployment.Workers = settings.Workers{ReportS: 2, LeaseS: 12, GangPeerS: 4, CancelS: 30}
-	set.Deployment.State = settings.State{Rps: 100, WriteRps: 40, ValueKb: 8, TxnOps: 5}
+	set.Deployment.Workers = settings.Workers{HeartbeatS: 2, LeaseS: 12, GangPeerS: 4, CancelS: 30}
+	set.Deployment.KVStore = settings.KVStore{Rps: 100, WriteRps: 40, ValueKb: 8, TxnOps: 5}
 	d := New(box, nil, nil, nil, set, func(int64) {}, func() {}, nil, nil)
 	d.state.Term.Epoch, d.state.BegunAt = 7, box.Now
 	d.state.Term.RenewedAt, d.state.Term.ValidUntil = box.Now, box.Now+4*clock.Second
@@ -48,32 +48,32 @@
 	d, box := newLeader()
 	content := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 1}, 1)
 	content.NextAttempt = 2
-	content.Placed[0] = ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1}
+	content.Placements[0] = ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1}
 	d.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
 	return d, d.jobs.ByID["job-1"], d.machines.ByName["m-1"], box
 }
 
 // workerHeartbeat returns a heartbeat of machine m-1, whose agent knows of epoch 7.
-func workerHeartbeat(session, counter int64, tasks ...protocol.TaskReport) protocol.Report {
-	return protocol.Report{
-		Machine: "m-1",
-		Address: "m-1:1",
-		Session: session,
-		Counter: counter,
-		Epoch:   7,
-		Tasks:   tasks,
+func workerHeartbeat(session, counter int64, tasks ...protocol.TaskStatus) protocol.Heartbeat {
+	return protocol.Heartbeat{
+		Machine:     "m-1",
+		Address:     "m-1:1",
+		Incarnation: session,
+		Counter:     counter,
+		Epoch:       7,
+		Tasks:       tasks,
 	}
 }
 
 // leaderWithEightTasks returns a leader that has heard of a job's eight tasks where they are placed,
 // and the heartbeat that said so.
-func leaderWithEightTasks() (*Leader, *jobtable.Job, protocol.Report) {
+func leaderWithEightTasks() (*Leader, *jobtable.Job, protocol.Heartbeat) {
 	d, _ := newLeader()
 	content := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 8}, 1)
 	r := workerHeartbeat(1, 0)
 	for task := range 8 {
-		content.Placed[task] = ledger.Placement{Task: task, Attempt: 1, Machine: "m-1", Session: 1}
-		r.Tasks = append(r.Tasks, protocol.TaskReport{
+		content.Placements[task] = ledger.Placement{Task: task, Attempt: 1, Machine: "m-1", Incarnation: 1}
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{
 			Task:    protocol.TaskName("job-1", task),
 			Attempt: 1,
 			Status:  protocol.TaskRunning,
--- a/internal/leader/jobtable/job.go
+++ b/internal/leader/jobtable/job.go
@@ -10,7 +10,7 @@
 
 // Job is a record with what this leader knows beyond it.
 type Job struct {
-	*ledger.Job
+	*ledger.Record
 	// StoredValue is the value at the job's key: the whole record, or the head of a sharded one.
 	StoredValue
 	// Shards are the other values of a sharded record.
@@ -23,7 +23,7 @@
 	// in the record once the stored count has reached that.
 	ProposedAt map[int]int
 	// RunningView and RunningSince are what the planner is shown, kept until a placement changes.
-	RunningView  []planner.Running
+	RunningView  []planner.RunningTask
 	RunningSince []clock.Micros
 	RunningStale bool
 	// TasksElsewhere counts the tasks that other cells run, kept with RunningView.
@@ -52,11 +52,11 @@
 	UnmetSince, UnmetAt clock.Micros
 	UnmetTasks          int
 	// Permission is what may be done with a hosted job, nil for this cell's own.
-	Permission *delegation.Permit
+	Permission *delegation.Permission
 	// ClosedAtChange counts the record's changes at the one that closed the hosted job, StoredDone
 	// are the tasks that are done by the stored record.
 	ClosedAtChange int
-	StoredDone     ledger.Ranges
+	StoredDone     ledger.TaskSet
 	// DisplacedAt is when the job lost tasks with a zone, ClearedToStart that they may start again.
 	DisplacedAt    clock.Micros
 	ClearedToStart bool
@@ -103,9 +103,9 @@
 // Rank returns the job's place among ranks, 0 the highest. Hosted jobs come after all of this cell's
 // own.
 func (j *Job) Rank() int {
-	rank := protocol.RankOf(j.Spec.Rank)
-	if j.Guest != nil {
-		rank += len(protocol.Ranks) + 1
+	rank := protocol.PriorityOf(j.Spec.Priority)
+	if j.Hosted != nil {
+		rank += len(protocol.Priorities) + 1
 	}
 	return rank
 }
@@ -127,7 +127,7 @@
 // with the attempt of its other tasks.
 func (j *Job) CurrentAttempt() int64 {
 	if j.Spec.Gang() {
-		for _, p := range j.Placed {
+		for _, p := range j.Placements {
 			return p.Attempt
 		}
 	}
@@ -139,7 +139,7 @@
 func (j *Job) LastPending(n int) []int {
 	tasks := make([]int, 0, n)
 	for task := j.Spec.Tasks - 1; task >= 0 && len(tasks) < n; task-- {
-		if _, placed := j.Placed[task]; !placed && !j.Done.Has(task) {
+		if _, placed := j.Placements[task]; !placed && !j.Done.Contains(task) {
 			tasks = append(tasks, task)
 		}
 	}
--- a/internal/leader/jobtable/jobtable.go
+++ b/internal/leader/jobtable/jobtable.go
@@ -71,7 +71,7 @@
 func (t *Table) NoteTaskChange(j *Job, task int) {
 	j.valueOf(task).NoteChange(t.Now())
 	if j.Sharding() {
-		j.ShardOf(task).NoteChange(t.Now())
+		j.ShardValue(task).NoteChange(t.Now())
 	}
 	j.RunningStale = true
 }
@@ -83,7 +83,7 @@
 
 // AddPlacement adds a placement. It takes capacity from now on, and is acted on once it is durable.
 func (t *Table) AddPlacement(j *Job, p ledger.Placement) {
-	j.Placed[p.Task] = p
+	j.Placements[p.Task] = p
 	t.machines.AddPlacement(j.Spec.ID, p)
 	t.NoteTaskChange(j, p.Task)
 	v := j.valueOf(p.Task)
@@ -94,7 +94,7 @@
 // ReleasePlacement releases a placement. Only proof that its task can't run there any more allows
 // that: see docs/rules.md.
 func (t *Table) ReleasePlacement(j *Job, p ledger.Placement) {
-	delete(j.Placed, p.Task)
+	delete(j.Placements, p.Task)
 	delete(j.Stops, p.Task)
 	delete(j.ProposedAt, p.Task)
 	if v := j.valueOf(p.Task); v.InFlight || v.OutcomeUnknown {
@@ -102,7 +102,7 @@
 	}
 	t.machines.RemovePlacement(j.Spec.ID, p)
 	t.NoteTaskChange(j, p.Task)
-	if !j.Done.Has(p.Task) {
+	if !j.Done.Contains(p.Task) {
 		t.Losses.PlacementLost(j, p.Machine)
 		// The task is to run again, under another attempt than any before.
 		j.NextAttempt = max(j.NextAttempt, p.Attempt+1)
@@ -112,14 +112,14 @@
 
 // RemoveFromMachines removes a job's placements from its machines, but not from its record.
 func (t *Table) RemoveFromMachines(j *Job) {
-	for _, p := range ordered.ByKey(j.Placed) {
+	for _, p := range ordered.ByKey(j.Placements) {
 		t.machines.RemovePlacement(j.Spec.ID, p)
 	}
 }
 
 // ForgetIfOver drops a job that is over, has no placements, and is stored like that.
 func (t *Table) ForgetIfOver(j *Job) {
-	if j.Final() && len(j.Placed) == 0 && j.allStored() && !j.HasStrayShards() && j.Permission == nil {
+	if j.Final() && len(j.Placements) == 0 && j.allStored() && !j.HasStrayShards() && j.Permission == nil {
 		t.Forget(j)
 	}
 }
@@ -142,10 +142,10 @@
 // TasksWithinQuota returns how many more tasks of a job its team's limit allows, over all cells.
 func (t *Table) TasksWithinQuota(j *Job) int {
 	team, _ := t.Settings.Deployment.Team(j.Spec.Team)
-	room := planner.Amounts{Cpus: team.CpusMax, Gpus: team.GpusMax, MemoryGB: planner.PlentyGB}
+	room := planner.Resources{Cpus: team.CpusMax, Gpus: team.GpusMax, MemoryGB: planner.UnlimitedMemoryGB}
 	for _, other := range t.ByID {
 		if other.Spec.Team == j.Spec.Team {
-			room = room.Minus(planner.Needs(&other.Spec).Times(float64(other.PlacesTaken())))
+			room = room.Minus(planner.TaskResources(&other.Spec).Times(float64(other.PlacementsTaken())))
 		}
 	}
 	if team.CpusMax == 0 { // no limit
@@ -154,13 +154,13 @@
 	if team.GpusMax == 0 {
 		room.Gpus = math.MaxInt32
 	}
-	return planner.Needs(&j.Spec).Count(room)
+	return planner.TaskResources(&j.Spec).CopiesIn(room)
 }
 
 // ZonesOf counts a job's placements by zone, those in unknown ones under "".
 func (t *Table) ZonesOf(j *Job) map[string]int {
 	zones := map[string]int{}
-	for _, p := range j.Placed {
+	for _, p := range j.Placements {
 		zone := ""
 		if m := t.machines.ByName[p.Machine]; m != nil {
 			zone = m.Zone
@@ -172,7 +172,7 @@
 
 // AbandonSharding goes on with the undivided record, which has been the valid one all along.
 func (t *Table) AbandonSharding(j *Job) {
-	j.PartSize, j.Marked = 0, j.Spec.Service()
+	j.ShardSize, j.Marked = 0, j.Spec.Service()
 	t.DropShards(j)
 }
 
@@ -201,32 +201,32 @@
 // IsHosted reports whether an id is that of a known hosted job.
 func (t *Table) IsHosted(id string) bool {
 	j := t.ByID[id]
-	return j != nil && j.Guest != nil
+	return j != nil && j.Hosted != nil
 }
 
 // HostedByOrigin returns the hosted jobs by their origin cells, each cell's in the order of their ids.
 func (t *Table) HostedByOrigin() map[string][]*Job {
 	hosted := map[string][]*Job{}
 	for _, j := range ordered.ByKey(t.ByID) {
-		if j.Guest != nil {
-			hosted[j.Guest.Home] = append(hosted[j.Guest.Home], j)
+		if j.Hosted != nil {
+			hosted[j.Hosted.OriginCell] = append(hosted[j.Hosted.OriginCell], j)
 		}
 	}
 	return hosted
 }
 
 // HostedAmounts returns what hosted jobs may use at once.
-func (t *Table) HostedAmounts() planner.Amounts {
-	var used planner.Amounts
+func (t *Table) HostedAmounts() planner.Resources {
+	var used planner.Resources
 	for _, j := range t.ByID {
-		if j.Guest == nil || j.Final() {
+		if j.Hosted == nil || j.Final() {
 			continue
 		}
-		tasks := len(j.Placed)
-		if !j.Guest.Closed {
+		tasks := len(j.Placements)
+		if !j.Hosted.Closed {
 			tasks += j.PendingCount()
 		}
-		used = used.Plus(planner.Needs(&j.Spec).Times(float64(tasks)))
+		used = used.Plus(planner.TaskResources(&j.Spec).Times(float64(tasks)))
 	}
 	return used
 }
@@ -236,7 +236,7 @@
 // job's tasks off.
 func (t *Table) NoteCancelled(j *Job, at clock.Micros) {
 	if !j.Cancelled {
-		slog.Debug("job cancelled", "job", j.Spec.ID, "placed", len(j.Placed), "ago_s", (t.Now() - at).Seconds())
+		slog.Debug("job cancelled", "job", j.Spec.ID, "placed", len(j.Placements), "ago_s", (t.Now() - at).Seconds())
 		j.Cancelled, j.CancelConfirmedAt = true, at
 	}
 	j.CancelConfirmedAt = min(j.CancelConfirmedAt, at)
@@ -245,7 +245,7 @@
 // AwaitPermission has a hosted job wait for the permission of its origin cell. Whatever an earlier
 // leader was permitted, this one has to ask for itself.
 func (t *Table) AwaitPermission(j *Job) {
-	j.Permission = delegation.Patient(t.Now() + AnnounceTime)
+	j.Permission = delegation.NewPermission(t.Now() + AnnounceTime)
 }
 
 const (
--- a/internal/leader/jobtable/recordstate.go
+++ b/internal/leader/jobtable/recordstate.go
@@ -202,7 +202,7 @@
 
 // id returns the job's id, "" before its record is known.
 func (j *Job) id() string {
-	if j.Job == nil {
+	if j.Record == nil {
 		return ""
 	}
 	return j.Spec.ID
--- a/internal/leader/jobtable/replicas.go
+++ b/internal/leader/jobtable/replicas.go
@@ -41,7 +41,7 @@
 func (j *Job) WaitingRestarts(now clock.Micros) int {
 	n := 0
 	for task, restart := range j.Restarts {
-		if _, placed := j.Placed[task]; !placed && now < restart.NotBefore {
+		if _, placed := j.Placements[task]; !placed && now < restart.NotBefore {
 			n++
 		}
 	}
--- a/internal/leader/jobtable/storedvalue.go
+++ b/internal/leader/jobtable/storedvalue.go
@@ -66,29 +66,29 @@
 		unconfirmed = append(unconfirmed, v.UnconfirmedReleases...)
 	}
 	return slices.DeleteFunc(unconfirmed, func(p ledger.Placement) bool {
-		_, placed := j.Placed[p.Task]
+		_, placed := j.Placements[p.Task]
 		return placed
 	})
 }
 
-// PlacesTaken returns how many placements of the job count against its team's limit.
-func (j *Job) PlacesTaken() int { return len(j.Placed) + len(j.unconfirmedReleases()) }
+// PlacementsTaken returns how many placements of the job count against its team's limit.
+func (j *Job) PlacementsTaken() int { return len(j.Placements) + len(j.unconfirmedReleases()) }
 
 // valueOf returns the value in which a task's state is stored. While a record is being sharded that
 // is still its undivided form.
 func (j *Job) valueOf(task int) *StoredValue {
-	if j.PartSize == 0 || j.Sharding() {
+	if j.ShardSize == 0 || j.Sharding() {
 		return &j.StoredValue
 	}
-	return j.ShardOf(task)
+	return j.ShardValue(task)
 }
 
-// ShardOf returns the stored shard that a task belongs to.
-func (j *Job) ShardOf(task int) *StoredValue { return j.Shards[j.PartOf(task)] }
+// ShardValue returns the stored shard that a task belongs to.
+func (j *Job) ShardValue(task int) *StoredValue { return j.Shards[j.ShardOf(task)] }
 
 // MakeShards prepares the bookkeeping of a sharded record, of which no shard exists yet.
 func (j *Job) MakeShards() {
-	j.Shards = make([]*StoredValue, j.Parts())
+	j.Shards = make([]*StoredValue, j.ShardCount())
 	for i := range j.Shards {
 		j.Shards[i] = &StoredValue{}
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -85,7 +85,7 @@
 // New makes the actor. deposed is told of higher epochs, resign asks to give
 // leadership up, attest asks all nodes what they told users, onTypes is told of each
 // new catalogue.
-func New(m actor.Mailbox, st statestore.ResultStore, cl cloud.ResultAPI, ag agent.ResultAPI, set *settings.Settings,
+func New(m actor.Mailbox, st statestore.Store, cl cloud.API, ag agent.API, set *settings.Settings,
 	deposed func(int64), resign func(), attest reconciler.Attester, onTypes func([]protocol.MachineType)) *Leader {
 	state := term.New(m, set, deposed)
 	l := &Leader{state: state, resign: resign}
@@ -126,7 +126,7 @@
 	l.steps.Step = l.step
 	l.jobs.Losses = l.zones
 	l.heartbeats.Zones = l.zones
-	l.cancellations.MachineReleases = l.autoscaler
+	l.cancellations.Releases = l.autoscaler
 	l.reader.Delegations = l.origin
 	l.reader.Zones = l.zones
 	l.writer.Hosted = l.host
@@ -161,7 +161,7 @@
 }
 
 // Heartbeat handles a worker's report. The reply is called from the actor.
-func (l *Leader) Heartbeat(r protocol.Report, reply func(status int, body any)) {
+func (l *Leader) Heartbeat(r protocol.Heartbeat, reply func(status int, body any)) {
 	arrived := l.state.Now()
 	l.state.Mailbox.Post(func() { l.heartbeats.Handle(r, arrived, reply) })
 }
@@ -231,7 +231,7 @@
 	l.state.Loaded = false
 	l.jobs.End()
 	l.machines.End()
-	l.heartbeats.AnswerDeferred()
+	l.heartbeats.HandleDeferred()
 }
 
 func (l *Leader) tick() {
@@ -240,10 +240,10 @@
 	if l.state.Term.Epoch == 0 {
 		return
 	}
-	l.host.CheckHosted()
+	l.host.CheckHostedJobs()
 	l.cancellations.EndCancelled()
 	l.cancellations.SeekAttestation()
-	l.host.ReportToOrigins()
+	l.host.SendHeartbeats()
 	if l.state.Leads() {
 		l.health.ExpireLeases()
 		l.health.DrainRecalled()
@@ -257,7 +257,7 @@
 		l.origin.Manage()
 		l.autoscaler.CordonPeriodically()
 		l.overview.LogState()
-		if l.machines.HearsNoMachine() && !l.zones.NobodyHears() && (l.resignedAt == 0 || l.state.Now() > l.resignedAt+resignAgain) {
+		if l.machines.HearsNoWorker() && !l.zones.OthersHearNothing() && (l.resignedAt == 0 || l.state.Now() > l.resignedAt+resignAgain) {
 			l.resignedAt = l.state.Now()
 			l.resign()
 		}
@@ -275,19 +275,19 @@
 }
 
 // Exchange answers a report of another cell. ok tells that it is one that this cell knows.
-func (l *Leader) Exchange(r delegation.Report, reply func(a delegation.Answer, ok bool)) {
+func (l *Leader) Exchange(r delegation.Heartbeat, reply func(a delegation.HeartbeatResponse, ok bool)) {
 	arrived := l.state.Now()
 	l.state.Mailbox.Post(func() {
 		// Behind a stand of the process nobody waits for the answer any more.
-		if !l.cells.Enabled() || r.Home != l.cells.Directory.Own.Name || l.cells.Directory.Cell(r.Host) == nil || r.Host == r.Home ||
+		if !l.cells.Enabled() || r.Origin != l.cells.Directory.Own.Name || l.cells.Directory.Cell(r.Host) == nil || r.Host == r.Origin ||
 			l.state.Now() > arrived+federation.ExchangeTimeout {
-			reply(delegation.Answer{}, false)
+			reply(delegation.HeartbeatResponse{}, false)
 			return
 		}
-		if !l.state.Leads() && !l.state.MayAnswer() {
-			reply(delegation.Answer{Result: delegation.NotLeader, Leader: l.cells.Directory.Own.Address(l.state.KnownLeader)}, true)
+		if !l.state.Leads() && !l.state.MayRespond() {
+			reply(delegation.HeartbeatResponse{Result: delegation.NotLeader, Leader: l.cells.Directory.Own.Address(l.state.KnownLeader)}, true)
 			return
 		}
-		reply(l.origin.AnswerReport(&r), true)
+		reply(l.origin.HandleHeartbeat(&r), true)
 	})
 }
--- a/internal/leader/machines_test.go
+++ b/internal/leader/machines_test.go
@@ -18,7 +18,7 @@
 	d.objectives.NoteArrival(&j.Spec)
 	other := d.machines.GetOrAdd("m-2")
 	run := func(m *machinetable.Machine, s int) {
-		d.objectives.NotePace(m, &j.Spec, clock.Micros(s)*clock.Second)
+		d.objectives.NoteRun(m, &j.Spec, clock.Micros(s)*clock.Second)
 	}
 	for range 10 {
 		run(other, 30) // three times the estimate, as everywhere
@@ -51,8 +51,8 @@
 	d.machines.Ordered = nil
 	j.NoteRecordEvent(jobtable.EventRecordConflict)
 	d.reader.Adopt(ledger.Key("job-1"), old, 6)
-	if len(j.Placed) != 0 || j.NextAttempt < 2 {
-		t.Fatalf("placements %v, next attempt %d; want none and at least 2", j.Placed, j.NextAttempt)
+	if len(j.Placements) != 0 || j.NextAttempt < 2 {
+		t.Fatalf("placements %v, next attempt %d; want none and at least 2", j.Placements, j.NextAttempt)
 	}
 	// What is still heard of it is outdated, and brings nothing back.
 	status := 0
--- a/internal/leader/machinetable/catalogue.go
+++ b/internal/leader/machinetable/catalogue.go
@@ -19,8 +19,8 @@
 // Catalogue keeps the cloud's machine types and prices, on every node and across terms.
 type Catalogue struct {
 	*term.State
-	cloud cloud.ResultAPI
-	Store statestore.ResultStore
+	cloud cloud.API
+	Store statestore.Store
 	// Published is called with each new list of types.
 	Published func([]protocol.MachineType)
 	// changed is called when types or prices have changed.
@@ -35,7 +35,7 @@
 }
 
 // NewCatalogue returns an empty catalogue; published is called with each new list of types.
-func NewCatalogue(term *term.State, cl cloud.ResultAPI, store statestore.ResultStore,
+func NewCatalogue(term *term.State, cl cloud.API, store statestore.Store,
 	published func([]protocol.MachineType)) *Catalogue {
 	return &Catalogue{
 		State:     term,
@@ -63,7 +63,7 @@
 // Read keeps the catalogue and its prices up to date, on every node.
 func (mc *Catalogue) Read() {
 	mc.cloud.Catalogue(func(c protocol.Catalogue, err error) {
-		mc.Mailbox.After(mc.noteRead(c.Types, err), mc.Read)
+		mc.Mailbox.After(mc.noteRead(c.MachineTypes, err), mc.Read)
 	})
 }
 
@@ -119,11 +119,11 @@
 			return
 		}
 		var c protocol.Catalogue
-		if protocol.Decode(r.Value.Value, &c) != nil || len(c.Types) == 0 {
+		if protocol.Decode(r.Value.Value, &c) != nil || len(c.MachineTypes) == 0 {
 			return
 		}
-		slog.Info("the cloud doesn't respond, using the catalogue that a leader stored", "types", len(c.Types))
-		mc.Replace(c.Types)
+		slog.Info("the cloud doesn't respond, using the catalogue that a leader stored", "types", len(c.MachineTypes))
+		mc.Replace(c.MachineTypes)
 	})
 }
 
@@ -141,15 +141,15 @@
 func (mc *Catalogue) shareUnlessStored(r statestore.Result[protocol.Item]) {
 	var c protocol.Catalogue
 	if r.Err == nil && protocol.Decode(r.Value.Value, &c) == nil &&
-		slices.EqualFunc(c.Types, mc.Types, SameType) {
+		slices.EqualFunc(c.MachineTypes, mc.Types, SameType) {
 		return
 	}
 	if r.Err != nil && !errors.Is(r.Err, statestore.ErrNotFound) {
 		mc.sharedThisTerm = false
 		return
 	}
-	value := protocol.Encode(protocol.Catalogue{Types: mc.Types})
-	limit := ledger.Usable(mc.Settings.Deployment.State.Tightest().ValueBytes())
+	value := protocol.Encode(protocol.Catalogue{MachineTypes: mc.Types})
+	limit := ledger.UsableBytes(mc.Settings.Deployment.KVStore.Tightest().ValueBytes())
 	if size := protocol.JSONSize(value); size > limit {
 		slog.Info("the catalogue is too large to be stored for other nodes", "bytes", size, "limit", limit)
 		return
@@ -175,7 +175,7 @@
 func (mc *Catalogue) SlowestFetchS(s *protocol.JobSpec) float64 {
 	slowest := 0.0
 	for _, t := range mc.Types {
-		if t.FetchGBPerS > 0 && TypeHolds(t, s) {
+		if t.FetchGBPerS > 0 && TypeFits(t, s) {
 			slowest = max(slowest, 1/t.FetchGBPerS)
 		}
 	}
@@ -190,20 +190,20 @@
 func (mc *Catalogue) ReplicaTypes(s *protocol.JobSpec) []string {
 	cheapest := math.MaxFloat64
 	for _, t := range mc.Types {
-		if TypeHolds(t, s) {
+		if TypeFits(t, s) {
 			cheapest = min(cheapest, t.Price)
 		}
 	}
 	var names []string
 	for _, t := range mc.Types {
-		if TypeHolds(t, s) && t.Price <= replicaPriceFactor*cheapest {
+		if TypeFits(t, s) && t.Price <= replicaPriceFactor*cheapest {
 			names = append(names, t.Name)
 		}
 	}
 	return names
 }
 
-// TypeHolds reports whether a job may use a machine type and a task of it fits on an empty machine.
-func TypeHolds(t protocol.MachineType, s *protocol.JobSpec) bool {
-	return planner.Needs(s).Fits(fleet.Whole(t)) && (len(s.Types) == 0 || slices.Contains(s.Types, t.Name))
+// TypeFits reports whether a job may use a machine type and a task of it fits on an empty machine.
+func TypeFits(t protocol.MachineType, s *protocol.JobSpec) bool {
+	return planner.TaskResources(s).FitsIn(fleet.Capacity(t)) && (len(s.Types) == 0 || slices.Contains(s.Types, t.Name))
 }
--- a/internal/leader/machinetable/machine.go
+++ b/internal/leader/machinetable/machine.go
@@ -32,7 +32,7 @@
 	return &Machine{
 		Identity: Identity{Name: name, Address: address},
 		WorkerStatus: WorkerStatus{
-			Tasks:        map[AttemptRef]protocol.TaskReport{},
+			Tasks:        map[AttemptRef]protocol.TaskStatus{},
 			RunningSince: map[AttemptRef]clock.Micros{},
 		},
 		CommandState:   CommandState{Deliveries: map[AttemptRef]*StartDelivery{}},
@@ -51,7 +51,9 @@
 }
 
 // Kind returns what is scaled out to get such a machine.
-func (i *Identity) Kind() fleet.Kind { return fleet.Kind{Type: i.Type, Zone: i.Zone, Spot: i.Spot} }
+func (i *Identity) Kind() fleet.CapacityPool {
+	return fleet.CapacityPool{Type: i.Type, Zone: i.Zone, Spot: i.Spot}
+}
 
 // WorkerStatus is what the last heartbeat of the worker said. The reconciler changes it.
 type WorkerStatus struct {
@@ -60,9 +62,9 @@
 	HeardAt clock.Micros
 	// RecallAt is when the cloud takes the machine back, 0 as long as that isn't announced.
 	RecallAt clock.Micros
-	Tasks    map[AttemptRef]protocol.TaskReport
+	Tasks    map[AttemptRef]protocol.TaskStatus
 	// listedTasks is the list that Tasks was made from.
-	listedTasks []protocol.TaskReport
+	listedTasks []protocol.TaskStatus
 	// RunningSince is when an attempt was first seen running.
 	RunningSince map[AttemptRef]clock.Micros
 	// Steady reports that every placed task stood in the last heartbeat and none of them had
@@ -76,7 +78,7 @@
 
 // SetTasks replaces the tasks by those that a heartbeat lists. Running times are kept of those that
 // are still listed.
-func (s *WorkerStatus) SetTasks(tasks []protocol.TaskReport) {
+func (s *WorkerStatus) SetTasks(tasks []protocol.TaskStatus) {
 	clear(s.Tasks)
 	s.listedTasks, s.ExitedTasks = tasks, 0
 	for _, t := range tasks {
@@ -94,7 +96,7 @@
 }
 
 // SameTasks reports whether a heartbeat lists the tasks that are known, in the states that are known.
-func (s *WorkerStatus) SameTasks(tasks []protocol.TaskReport) bool {
+func (s *WorkerStatus) SameTasks(tasks []protocol.TaskStatus) bool {
 	if len(tasks) != len(s.Tasks) {
 		return false
 	}
@@ -123,8 +125,8 @@
 }
 
 // NumberOf returns the number of a heartbeat.
-func NumberOf(r *protocol.Report) HeartbeatNumber {
-	return HeartbeatNumber{Incarnation: r.Session, Counter: r.Counter}
+func NumberOf(r *protocol.Heartbeat) HeartbeatNumber {
+	return HeartbeatNumber{Incarnation: r.Incarnation, Counter: r.Counter}
 }
 
 // After reports whether a heartbeat was sent after another one.
@@ -136,8 +138,8 @@
 // changes it.
 type IncarnationState struct {
 	HeartbeatNumber
-	// Epoch is the highest fencing token that the worker has seen.
-	Epoch int64
+	// AcknowledgedEpoch is the highest fencing token that the worker has seen.
+	AcknowledgedEpoch int64
 	// IncarnationSeenAt is when the present incarnation was first heard of.
 	IncarnationSeenAt clock.Micros
 }
@@ -177,7 +179,7 @@
 	m.LeaseExpired = true
 	for _, tasks := range m.Placements {
 		for _, p := range tasks {
-			m.Incarnation = max(m.Incarnation, p.Session)
+			m.Incarnation = max(m.Incarnation, p.Incarnation)
 		}
 	}
 	clear(m.Tasks)
@@ -269,7 +271,7 @@
 
 // AdvancePulls subtracts what was fetched of the pulled images since it was last called.
 func (v *PlannerView) AdvancePulls(now clock.Micros, t protocol.MachineType) {
-	if len(v.View.Pulling) == 0 {
+	if len(v.View.PullingImages) == 0 {
 		v.PullGB = 0
 	}
 	v.PullGB = max(0, v.PullGB-(now-v.pulledAt).Seconds()*t.FetchGBPerS)
--- a/internal/leader/machinetable/machine_test.go
+++ b/internal/leader/machinetable/machine_test.go
@@ -33,10 +33,10 @@
 	used := func() *Machine {
 		m := newMachine("m-1", "", 0)
 		m.Seen, m.Incarnation, m.Steady, m.ViewStale = true, 2, true, false
-		m.Tasks[ref] = protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskRunning}
+		m.Tasks[ref] = protocol.TaskStatus{Task: "job-1/0", Attempt: 1, Status: protocol.TaskRunning}
 		m.RunningSince[ref] = 5
 		m.Delivery(ref).InCommand = true
-		m.Placements["job-1"] = map[int]ledger.Placement{0: {Task: 0, Attempt: 1, Machine: "m-1", Session: 3}}
+		m.Placements["job-1"] = map[int]ledger.Placement{0: {Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 3}}
 		return m
 	}
 	m := used()
--- a/internal/leader/machinetable/machinetable.go
+++ b/internal/leader/machinetable/machinetable.go
@@ -139,7 +139,7 @@
 
 // AddPlacement notes a placement at its machine, nil if another cell runs the task.
 func (mt *Table) AddPlacement(jobID string, p ledger.Placement) *Machine {
-	if p.Host() != "" {
+	if p.HostCell() != "" {
 		return nil
 	}
 	m := mt.GetOrAdd(p.Machine)
@@ -168,17 +168,17 @@
 }
 
 // NoteHeartbeat takes what a heartbeat says of the machine itself.
-func (mt *Table) NoteHeartbeat(m *Machine, r *protocol.Report) {
+func (mt *Table) NoteHeartbeat(m *Machine, r *protocol.Heartbeat) {
 	m.Seen = true
 	m.Address, m.Type, m.Zone, m.Spot = r.Address, r.Type, r.Zone, r.Spot
-	m.HeartbeatNumber, m.Epoch = NumberOf(r), r.Epoch
+	m.HeartbeatNumber, m.AcknowledgedEpoch = NumberOf(r), r.Epoch
 	m.HeardAt = mt.Now()
 	if m.ResponsesLost && m.HeardAt > m.IncarnationSeenAt+mt.Settings.Deployment.Workers.Lease()+leaseMargin {
 		m.ResponsesLost = false // this incarnation has outlasted its first lease: responses arrive again
 	}
 	m.RecallAt = 0
-	if r.RecallS != nil {
-		m.RecallAt = mt.Now() + clock.FromSeconds(*r.RecallS)
+	if r.PreemptionNoticeS != nil {
+		m.RecallAt = mt.Now() + clock.FromSeconds(*r.PreemptionNoticeS)
 	}
 }
 
@@ -202,7 +202,7 @@
 		}
 		c := zones[m.Zone]
 		c.Expected++
-		if !mt.Late(m) {
+		if !mt.HeartbeatMissed(m) {
 			c.Heard++
 		}
 		zones[m.Zone] = c
@@ -210,13 +210,13 @@
 	return zones
 }
 
-// Late reports whether a heartbeat of a machine is missing. A new leader gives workers the time to
+// HeartbeatMissed reports whether a heartbeat of a machine is missing. A new leader gives workers the time to
 // find it.
-func (mt *Table) Late(m *Machine) bool {
+func (mt *Table) HeartbeatMissed(m *Machine) bool {
 	if mt.Now() <= mt.BegunAt+TakeoverTime {
 		return false
 	}
-	return !m.Seen || mt.Now() > m.HeardAt+mt.Settings.Deployment.Workers.Report()*5/4+missedHeartbeatMargin
+	return !m.Seen || mt.Now() > m.HeardAt+mt.Settings.Deployment.Workers.HeartbeatInterval()*5/4+missedHeartbeatMargin
 }
 
 // HeardRecently reports whether a machine was heard of about as often as it should be.
@@ -227,14 +227,14 @@
 // withinTwoHeartbeats reports whether something that every heartbeat repeats happened no longer ago
 // than two of them may take.
 func (mt *Table) withinTwoHeartbeats(at clock.Micros) bool {
-	return mt.Now() < at+2*mt.Settings.Deployment.Workers.Report()+2*clock.Second
+	return mt.Now() < at+2*mt.Settings.Deployment.Workers.HeartbeatInterval()+2*clock.Second
 }
 
-// HearsNoMachine reports whether no worker at all has been heard of for a while, though there
+// HearsNoWorker reports whether no worker at all has been heard of for a while, though there
 // are several: this node may be cut off from them while others are not, and their
 // leases expire at a leader that they can't reach. A worker spends four seconds on
 // a node that doesn't respond, so that two missing heartbeats have to be enough.
-func (mt *Table) HearsNoMachine() bool {
+func (mt *Table) HearsNoWorker() bool {
 	since := mt.BegunAt
 	known := 0
 	for _, m := range mt.Ordered {
@@ -243,7 +243,7 @@
 		}
 		since = max(since, m.HeardAt)
 	}
-	return known > 1 && mt.Now() > since+2*mt.Settings.Deployment.Workers.Report()+clock.Second
+	return known > 1 && mt.Now() > since+2*mt.Settings.Deployment.Workers.HeartbeatInterval()+clock.Second
 }
 
 // BootOverdue reports whether a machine should have come up long ago.
@@ -261,8 +261,8 @@
 	return min(most, MaxSpareForLoss)
 }
 
-// Busy reports whether anything runs there, whether or not a record knows it.
-func (mt *Table) Busy(m *Machine) bool {
+// RunsTasks reports whether anything runs there, whether or not a record knows it.
+func (mt *Table) RunsTasks(m *Machine) bool {
 	for _, t := range m.Tasks {
 		if t.Status != protocol.TaskExited {
 			return true
@@ -288,7 +288,7 @@
 // EpochAcknowledged reports whether the worker rejects everything of earlier leaders: what its
 // heartbeats lack is not there, and what an earlier leader sent can't arrive.
 func (mt *Table) EpochAcknowledged(m *Machine) bool {
-	return m.Seen && !m.LeaseExpired && m.Epoch == mt.Term.Epoch
+	return m.Seen && !m.LeaseExpired && m.AcknowledgedEpoch == mt.Term.Epoch
 }
 
 // ProvenEmptyAt returns when every lease that could keep a machine's tasks alive has
@@ -298,7 +298,7 @@
 // cancellations", docs/rules.md.
 func (mt *Table) ProvenEmptyAt(m *Machine) clock.Micros {
 	w := mt.Settings.Deployment.Workers
-	last := max(m.RespondedAt, m.IncarnationSeenAt, mt.BegunAt+w.KeepAlive())
+	last := max(m.RespondedAt, m.IncarnationSeenAt, mt.BegunAt+w.RenewalWindow())
 	return last + w.Lease() + w.Lease()/1000 + leaseMargin
 }
 
--- a/internal/leader/objectives/history.go
+++ b/internal/leader/objectives/history.go
@@ -45,9 +45,9 @@
 	t.Classes[spec.Class] = history
 }
 
-// NotePace learns from a completed run how fast a machine is beside others. The owners' estimates
+// NoteRun learns from a completed run how fast a machine is beside others. The owners' estimates
 // only make runs comparable: what all of them get wrong is in the average of the class.
-func (t *Tracker) NotePace(m *machinetable.Machine, spec *protocol.JobSpec, ran clock.Micros) {
+func (t *Tracker) NoteRun(m *machinetable.Machine, spec *protocol.JobSpec, ran clock.Micros) {
 	history, known := t.Classes[spec.Class]
 	if !known || spec.EstimateS <= 0 || ran <= 0 {
 		return
--- a/internal/leader/objectives/objectives.go
+++ b/internal/leader/objectives/objectives.go
@@ -116,7 +116,7 @@
 // ageS returns the time since a job's submission, in seconds. Clocks of different nodes differ by
 // little beside the times of objectives.
 func (t *Tracker) ageS(j *jobtable.Job) float64 {
-	return (t.Mailbox.OfDay() - clock.Micros(j.SubmittedAt)).Seconds()
+	return (t.Mailbox.TimeOfDay() - clock.Micros(j.SubmittedAt)).Seconds()
 }
 
 // imageFetchS returns how long the fetch of a job's image takes at most, in seconds.
--- a/internal/leader/objectives/urgency.go
+++ b/internal/leader/objectives/urgency.go
@@ -22,13 +22,13 @@
 	SlackS float64
 }
 
-// TierAndSlack returns the urgency of a job.
-func (t *Tracker) TierAndSlack(j *jobtable.Job) Urgency {
+// Urgency returns the urgency of a job.
+func (t *Tracker) Urgency(j *jobtable.Job) Urgency {
 	if j.Spec.Service() {
-		return Urgency{Tier: planner.StartsInTime} // its users wait for whatever doesn't run
+		return Urgency{Tier: planner.TierStartInTime} // its users wait for whatever doesn't run
 	}
 	age := t.ageS(j)
-	started := len(j.Placed)+j.Done.Len() > 0
+	started := len(j.Placements)+j.Done.Len() > 0
 	tier := t.startTier(j, age, started)
 	due := t.DueTimes(j)
 	if !hasEndObjective(due) {
@@ -36,7 +36,7 @@
 		tier = tierWithoutEndObjective(tier, age)
 	}
 	if !started && age+t.imageFetchS(j) > overlookedS {
-		tier = planner.StartsInTime
+		tier = planner.TierStartInTime
 	}
 	return endUrgency(tier, due, j.Spec.EstimateS+age)
 }
@@ -45,10 +45,10 @@
 func (t *Tracker) startTier(j *jobtable.Job, age float64, started bool) planner.Tier {
 	for _, objective := range t.Settings.Deployment.Objectives {
 		if isFor(objective, kindStart, j.Spec.Class) && !started && age < objective.WithinS {
-			return planner.StartsInTime
+			return planner.TierStartInTime
 		}
 	}
-	return planner.TooLate
+	return planner.TierTooLate
 }
 
 // hasEndObjective reports whether any of the sorted due times says something of a job's end.
@@ -58,9 +58,9 @@
 // yield for ever.
 func tierWithoutEndObjective(tier planner.Tier, age float64) planner.Tier {
 	if age > maxYieldS {
-		return planner.StartsInTime
+		return planner.TierStartInTime
 	}
-	return min(tier, planner.EndsInTime)
+	return min(tier, planner.TierEndInTime)
 }
 
 // endUrgency returns the urgency of a job with sorted due times that would end so many seconds after
@@ -69,12 +69,12 @@
 func endUrgency(tier planner.Tier, due []float64, endsS float64) Urgency {
 	for _, dueS := range due {
 		if dueS >= endsS {
-			return Urgency{Tier: min(tier, planner.EndsInTime), SlackS: dueS - endsS}
+			return Urgency{Tier: min(tier, planner.TierEndInTime), SlackS: dueS - endsS}
 		}
 	}
 	latest := due[len(due)-1]
 	if endsS-latest > latest {
-		tier = min(tier, planner.EndsInTime)
+		tier = min(tier, planner.TierEndInTime)
 	}
 	return Urgency{Tier: tier, SlackS: latest - endsS}
 }
--- a/internal/leader/overview/overview.go
+++ b/internal/leader/overview/overview.go
@@ -65,7 +65,7 @@
 	Epoch    int64           `json:"epoch,omitempty"`
 	Plans    int             `json:"plans,omitempty"` // made in this term
 	Classes  []ClassOverview `json:"classes,omitempty"`
-	Machines []KindOverview  `json:"machines,omitempty"`
+	Machines []PoolOverview  `json:"machines,omitempty"`
 	Failing  []FailingJob    `json:"failing,omitempty"`
 	// PresentFormats reports that all controllers read services and sharded records, Missing lists those that
 	// don't as far as is known.
@@ -82,16 +82,16 @@
 
 // ClassOverview counts the open jobs of a class.
 type ClassOverview struct {
-	Class   string `json:"class"`
-	Jobs    int    `json:"jobs"`
-	Pending int    `json:"pending_tasks"`
-	Placed  int    `json:"placed_tasks"`
+	Class        string `json:"class"`
+	Jobs         int    `json:"jobs"`
+	PendingTasks int    `json:"pending_tasks"`
+	PlacedTasks  int    `json:"placed_tasks"`
 	// Restarting are replicas of services that ended soon after their starts and wait for the next.
 	Restarting int `json:"restarting,omitempty"`
 }
 
-// KindOverview counts the machines of one type and zone at one kind of price.
-type KindOverview struct {
+// PoolOverview counts the machines of one type and zone at one kind of price.
+type PoolOverview struct {
 	Type     string `json:"type"`
 	Zone     string `json:"zone"`
 	Spot     bool   `json:"spot"`
@@ -123,7 +123,7 @@
 		Classes:        r.classes(),
 		Machines:       r.machineKinds(),
 		Failing:        r.failingJobs(),
-		PresentFormats: r.Format.Open,
+		PresentFormats: r.Format.Services,
 		Missing:        r.Format.Missing,
 		TightLimits:    r.writer.LimitsTightened,
 		Zones:          r.zonesOverview(),
@@ -140,11 +140,11 @@
 	for _, j := range r.jobs.ByID {
 		c := byName[j.Spec.Class]
 		c.Class = j.Spec.Class
-		c.Placed += len(j.Placed)
+		c.PlacedTasks += len(j.Placements)
 		c.Restarting += j.WaitingRestarts(r.Now())
 		if !j.Final() {
 			c.Jobs++
-			c.Pending += j.PendingCount()
+			c.PendingTasks += j.PendingCount()
 		}
 		byName[c.Class] = c
 	}
@@ -167,19 +167,19 @@
 }
 
 // machineKinds counts machines by type, zone and kind of price.
-func (r *Reader) machineKinds() []KindOverview {
-	byName := map[string]*KindOverview{}
-	refused := r.autoscaler.Market().Refused
+func (r *Reader) machineKinds() []PoolOverview {
+	byName := map[string]*PoolOverview{}
+	refused := r.autoscaler.CloudView().OutOfCapacity
 	for _, m := range r.machines.Ordered {
 		name := kindName(m.Kind())
 		k := byName[name]
 		if k == nil {
-			k = &KindOverview{Type: m.Type, Zone: m.Zone, Spot: m.Spot, NoCapacity: refused[m.Kind()]}
+			k = &PoolOverview{Type: m.Type, Zone: m.Zone, Spot: m.Spot, NoCapacity: refused[m.Kind()]}
 			byName[name] = k
 		}
 		r.countMachine(k, m)
 	}
-	var kinds []KindOverview
+	var kinds []PoolOverview
 	for _, k := range ordered.ByKey(byName) {
 		kinds = append(kinds, *k)
 	}
@@ -187,7 +187,7 @@
 }
 
 // kindName orders kinds of machines by type, zone and price.
-func kindName(k fleet.Kind) string {
+func kindName(k fleet.CapacityPool) string {
 	name := k.Type + " " + k.Zone
 	if k.Spot {
 		name += " spot"
@@ -196,7 +196,7 @@
 }
 
 // countMachine adds a machine to its kind.
-func (r *Reader) countMachine(k *KindOverview, m *machinetable.Machine) {
+func (r *Reader) countMachine(k *PoolOverview, m *machinetable.Machine) {
 	k.Machines++
 	switch {
 	case !m.Seen && m.CloudStatus == protocol.MachineStarting:
@@ -213,10 +213,10 @@
 	var all []federation.CellOverview
 	for name, link := range ordered.ByKey(r.cells.ByCell) {
 		cell := federation.CellOverview{
-			Cell:      name,
-			Reachable: link.Reachable(r.Now()),
-			Borrowed:  r.borrowedTasks(name),
-			ShortS:    link.OwnWait().Seconds(),
+			Cell:          name,
+			Reachable:     link.Reachable(r.Now()),
+			BorrowedTasks: r.borrowedTasks(name),
+			OwnWaitS:      link.OwnWait().Seconds(),
 		}
 		r.countDelegations(&cell)
 		all = append(all, cell)
@@ -230,8 +230,8 @@
 		if del.Host != cell.Cell {
 			continue
 		}
-		cell.Lent += del.Left.Len()
-		cell.OldestUnansweredS = max(cell.OldestUnansweredS, (r.Now() - del.HeardAt).Seconds())
+		cell.LentTasks += del.Outstanding.Len()
+		cell.OldestUnansweredS = max(cell.OldestUnansweredS, (r.Now() - del.LastStatusAt).Seconds())
 		if del.State == delegation.Recalled {
 			cell.Recalled++
 		}
@@ -242,8 +242,8 @@
 func (r *Reader) borrowedTasks(origin string) int {
 	tasks := 0
 	for _, j := range r.jobs.ByID {
-		if j.Guest != nil && j.Guest.Home == origin && !j.Final() {
-			tasks += len(j.Placed) + j.PendingCount()
+		if j.Hosted != nil && j.Hosted.OriginCell == origin && !j.Final() {
+			tasks += len(j.Placements) + j.PendingCount()
 		}
 	}
 	return tasks
@@ -263,7 +263,7 @@
 		if !j.Final() {
 			pending += j.PendingCount()
 		}
-		placed += len(j.Placed)
+		placed += len(j.Placements)
 	}
 	idle, byType := 0, map[string]int{}
 	for _, m := range r.machines.Ordered {
--- a/internal/leader/overview/zoneoverview.go
+++ b/internal/leader/overview/zoneoverview.go
@@ -15,30 +15,30 @@
 
 // ZoneOverview is a zone as the leader sees it.
 type ZoneOverview struct {
-	Zone        string           `json:"zone"`
-	Phase       recovery.Phase   `json:"phase"`
-	Number      int64            `json:"losses,omitempty"`
-	SinceS      float64          `json:"since_s"`
-	Reading     recovery.Reading `json:"reading,omitempty"`
-	Flaps       int              `json:"flaps,omitempty"`
-	Machines    int              `json:"machines"`
-	Heard       int              `json:"heard"`
-	Controllers int              `json:"controllers,omitempty"`
-	Reached     int              `json:"controllers_reached,omitempty"`
-	Elsewhere   int              `json:"heard_elsewhere,omitempty"`
-	// Held are tasks there that aren't proven gone, Displaced those that have to start elsewhere.
-	Held      int `json:"held_tasks,omitempty"`
-	Displaced int `json:"displaced_tasks,omitempty"`
+	Zone               string             `json:"zone"`
+	Phase              recovery.Phase     `json:"phase"`
+	Losses             int64              `json:"losses,omitempty"`
+	SinceS             float64            `json:"since_s"`
+	Diagnosis          recovery.Diagnosis `json:"reading,omitempty"`
+	Flaps              int                `json:"flaps,omitempty"`
+	Machines           int                `json:"machines"`
+	Heard              int                `json:"heard"`
+	Controllers        int                `json:"controllers,omitempty"`
+	ControllersReached int                `json:"controllers_reached,omitempty"`
+	HeardElsewhere     int                `json:"heard_elsewhere,omitempty"`
+	// HeldTasks are tasks there that aren't proven gone, Displaced those that have to start elsewhere.
+	HeldTasks      int `json:"held_tasks,omitempty"`
+	DisplacedTasks int `json:"displaced_tasks,omitempty"`
 	// Waiting are the first of the jobs that have displaced tasks, with what they wait for.
 	Waiting []WaitingJob `json:"waiting,omitempty"`
 }
 
 // WaitingJob is a displaced job and why it doesn't run.
 type WaitingJob struct {
-	Job   string        `json:"job"`
-	Kind  recovery.Kind `json:"kind"`
-	Tasks int           `json:"tasks"`
-	Why   string        `json:"why"`
+	Job    string        `json:"job"`
+	Kind   recovery.Kind `json:"kind"`
+	Tasks  int           `json:"tasks"`
+	Reason string        `json:"why"`
 }
 
 // maxWaiting is how many displaced jobs of a zone are listed.
@@ -59,26 +59,26 @@
 // zoneOverview describes one zone.
 func (r *Reader) zoneOverview(name string, z *zonetracker.Zone) ZoneOverview {
 	overview := ZoneOverview{
-		Zone:        name,
-		Phase:       z.Phase,
-		Number:      z.Number,
-		SinceS:      (r.Now() - z.Since).Seconds(),
-		Reading:     z.Reading,
-		Flaps:       z.Flaps,
-		Machines:    z.Evidence.Machines,
-		Heard:       z.Evidence.Heard,
-		Controllers: z.Evidence.Controllers,
-		Reached:     z.Evidence.Reached,
-		Elsewhere:   z.Evidence.Elsewhere,
-		Held:        r.heldTasks(name),
+		Zone:               name,
+		Phase:              z.Phase,
+		Losses:             z.Losses,
+		SinceS:             (r.Now() - z.Since).Seconds(),
+		Diagnosis:          z.Diagnosis,
+		Flaps:              z.Flaps,
+		Machines:           z.Evidence.Machines,
+		Heard:              z.Evidence.Heard,
+		Controllers:        z.Evidence.Controllers,
+		ControllersReached: z.Evidence.ControllersReached,
+		HeardElsewhere:     z.Evidence.HeardElsewhere,
+		HeldTasks:          r.heldTasks(name),
 	}
 	displaced := r.displacedWork(name)
 	for _, w := range displaced {
-		overview.Displaced += w.Tasks
+		overview.DisplacedTasks += w.PendingTasks
 	}
 	for _, w := range displaced[:min(len(displaced), maxWaiting)] {
 		reason := r.waitReason(r.jobs.ByID[w.Job])
-		overview.Waiting = append(overview.Waiting, WaitingJob{w.Job, w.Kind, w.Tasks, string(reason)})
+		overview.Waiting = append(overview.Waiting, WaitingJob{w.Job, w.Kind, w.PendingTasks, string(reason)})
 	}
 	return overview
 }
@@ -87,7 +87,7 @@
 func (r *Reader) heldTasks(zone string) int {
 	held := 0
 	for _, m := range r.machines.Ordered {
-		if m.Zone != zone || !r.machines.Late(m) {
+		if m.Zone != zone || !r.machines.HeartbeatMissed(m) {
 			continue
 		}
 		for _, tasks := range m.Placements {
@@ -98,14 +98,14 @@
 }
 
 // displacedWork returns the jobs with displaced tasks of a zone, in the order in which they are to start.
-func (r *Reader) displacedWork(zone string) []recovery.Displaced {
-	var displaced []recovery.Displaced
+func (r *Reader) displacedWork(zone string) []recovery.DisplacedJob {
+	var displaced []recovery.DisplacedJob
 	for _, j := range ordered.ByKey(r.jobs.ByID) {
-		if j.Displaced == zone && !j.Over() && j.PendingCount() > 0 {
-			displaced = append(displaced, r.zones.DisplacedWork(j))
+		if j.DisplacedFrom == zone && !j.Over() && j.PendingCount() > 0 {
+			displaced = append(displaced, r.zones.DescribeDisplaced(j))
 		}
 	}
-	recovery.Sort(displaced, r.zones.Options.Order)
+	recovery.SortDisplaced(displaced, r.zones.Options.Order)
 	return displaced
 }
 
@@ -129,11 +129,11 @@
 	switch {
 	case r.zones.AwaitsClearance(j):
 		return waitsForClearance
-	case spec.Zone != "" && r.zones.Avoided(spec.Zone):
+	case spec.Zone != "" && r.zones.IsCordoned(spec.Zone):
 		return waitsForZone
 	case r.jobs.TasksWithinQuota(j) == 0:
 		return waitsForQuota
-	case spec.Gang() && len(j.Placed) > 0:
+	case spec.Gang() && len(j.Placements) > 0:
 		return waitsForGang
 	case spec.Spread && !r.spreadAllowsZone(j):
 		return waitsForSpread
@@ -150,7 +150,7 @@
 	zones := r.jobs.ZonesOf(j)
 	for _, t := range r.catalogue.Types {
 		for _, zone := range t.Zones {
-			if !r.zones.Avoided(zone) && planner.ZoneAllowed(&j.Spec, zones, zone) {
+			if !r.zones.IsCordoned(zone) && planner.ZoneAllowed(&j.Spec, zones, zone) {
 				return true
 			}
 		}
@@ -160,18 +160,18 @@
 
 // capacityAvailable reports whether the cloud may have machines for a job, as far as is known.
 func (r *Reader) capacityAvailable(spec *protocol.JobSpec) bool {
-	refused := r.autoscaler.Market().Refused
+	refused := r.autoscaler.CloudView().OutOfCapacity
 	for _, t := range r.catalogue.Types {
-		if !machinetable.TypeHolds(t, spec) {
+		if !machinetable.TypeFits(t, spec) {
 			continue
 		}
 		for _, zone := range t.Zones {
-			regular := fleet.Kind{Type: t.Name, Zone: zone}
-			spot := fleet.Kind{Type: t.Name, Zone: zone, Spot: true}
-			if !refused[regular] && planner.Allowed(spec, t.Name, zone, false) {
+			regular := fleet.CapacityPool{Type: t.Name, Zone: zone}
+			spot := fleet.CapacityPool{Type: t.Name, Zone: zone, Spot: true}
+			if !refused[regular] && planner.MachineAllowed(spec, t.Name, zone, false) {
 				return true
 			}
-			if !refused[spot] && planner.Allowed(spec, t.Name, zone, true) {
+			if !refused[spot] && planner.MachineAllowed(spec, t.Name, zone, true) {
 				return true
 			}
 		}
@@ -181,7 +181,7 @@
 
 // LogRecovery logs now and then how the recoveries stand.
 func (r *Reader) LogRecovery() {
-	if r.Now() < r.recoveryLoggedAt+zonetracker.RecoveryLogTime || !r.zones.AnyAvoided() {
+	if r.Now() < r.recoveryLoggedAt+zonetracker.RecoveryLogInterval || !r.zones.AnyCordoned() {
 		return
 	}
 	r.recoveryLoggedAt = r.Now()
@@ -195,9 +195,9 @@
 func logRecovery(zone *ZoneOverview) {
 	tasksByReason := map[string]int{}
 	for _, w := range zone.Waiting {
-		tasksByReason[w.Why] += w.Tasks
+		tasksByReason[w.Reason] += w.Tasks
 	}
-	slog.Info("zone recovery state", "zone", zone.Zone, "phase", zone.Phase, "losses", zone.Number,
-		"diagnosis", zone.Reading, "machines", zone.Machines, "heard", zone.Heard, "held_tasks", zone.Held,
-		"displaced_tasks", zone.Displaced, "waiting_for", tasksByReason)
+	slog.Info("zone recovery state", "zone", zone.Zone, "phase", zone.Phase, "losses", zone.Losses,
+		"diagnosis", zone.Diagnosis, "machines", zone.Machines, "heard", zone.Heard, "held_tasks", zone.HeldTasks,
+		"displaced_tasks", zone.DisplacedTasks, "waiting_for", tasksByReason)
 }
--- a/internal/leader/reconciler/cancellations.go
+++ b/internal/leader/reconciler/cancellations.go
@@ -49,8 +49,8 @@
 	jobs     *jobtable.Table
 	machines *machinetable.Table
 	commands *CommandSender
-	// MachineReleases releases machines to the cloud.
-	MachineReleases ReleaseSender
+	// Releases releases machines to the cloud.
+	Releases ReleaseSender
 	// attest asks all nodes what they have told users.
 	attest Attester
 	// attesting reports that an answer to that is awaited.
@@ -79,8 +79,8 @@
 }
 
 const (
-	// ReturnTime is left for the cloud to carry a release out, refusals included.
-	ReturnTime = 7 * clock.Second
+	// ReleaseDuration is left for the cloud to carry a release out, refusals included.
+	ReleaseDuration = 7 * clock.Second
 	// releaseDelay is how long after the end of its lease a machine with cancelled tasks is released.
 	releaseDelay = 3 * clock.Second
 	// attestAfter is the age of the records beyond which attestations are sought: more than following
@@ -102,13 +102,13 @@
 			cn.endPlacements(j, now)
 		}
 	}
-	cn.MachineReleases.SendReleases()
+	cn.Releases.SendReleases()
 }
 
 // endPlacements ends what is left of a job that is over.
 func (cn *Cancellations) endPlacements(j *jobtable.Job, now clock.Micros) {
-	for _, p := range ordered.ByKey(j.Placed) {
-		if p.Host() != "" {
+	for _, p := range ordered.ByKey(j.Placements) {
+		if p.HostCell() != "" {
 			continue // the host cell ends it, or has no permission for long
 		}
 		m := cn.machines.GetOrAdd(p.Machine)
@@ -130,7 +130,7 @@
 		return cn.releaseHostedAt(j)
 	}
 	w := cn.Settings.Deployment.Workers
-	latest := j.CancelConfirmedAt + clock.FromSeconds(w.CancelS) - ReturnTime
+	latest := j.CancelConfirmedAt + clock.FromSeconds(w.CancelS) - ReleaseDuration
 	leaseOver := j.CancelConfirmedAt + w.Lease() + releaseDelay
 	announced := cn.BegunAt + jobtable.AnnounceTime
 	return max(min(leaseOver, latest), min(announced, latest))
@@ -142,9 +142,9 @@
 func (cn *Cancellations) releaseHostedAt(j *jobtable.Job) clock.Micros {
 	silence := cells.SilenceTime(cn.Settings.Deployment.Workers.Lease())
 	switch {
-	case j.Permission.Until() > 0:
-		return j.Permission.Until() + silence
-	case j.Guest.Closed && j.ClosedAtChange == 0:
+	case j.Permission.ExpiresAt() > 0:
+		return j.Permission.ExpiresAt() + silence
+	case j.Hosted.Closed && j.ClosedAtChange == 0:
 		return cn.BegunAt + jobtable.AnnounceTime
 	}
 	return cn.BegunAt + silence - machinetable.TakeoverTime
@@ -182,7 +182,7 @@
 		complete = complete && a.Age >= back
 		for _, c := range a.Cancelled {
 			if j := cn.jobs.ByID[c.Job]; j != nil {
-				cn.jobs.NoteCancelled(j, askedAt-c.Ago)
+				cn.jobs.NoteCancelled(j, askedAt-c.Age)
 			}
 		}
 	}
--- a/internal/leader/reconciler/commands.go
+++ b/internal/leader/reconciler/commands.go
@@ -19,16 +19,16 @@
 // HeartbeatHandler.
 type CommandSender struct {
 	*term.State
-	Agent      agent.ResultAPI
+	Workers    agent.API
 	jobs       *jobtable.Table
 	machines   *machinetable.Table
 	reconciler *Reconciler
 }
 
 // NewCommandSender returns a sender of commands to the workers of the given machines.
-func NewCommandSender(term *term.State, api agent.ResultAPI, jobs *jobtable.Table,
+func NewCommandSender(term *term.State, api agent.API, jobs *jobtable.Table,
 	machines *machinetable.Table) *CommandSender {
-	return &CommandSender{State: term, Agent: api, jobs: jobs, machines: machines}
+	return &CommandSender{State: term, Workers: api, jobs: jobs, machines: machines}
 }
 
 const (
@@ -54,7 +54,7 @@
 type CommandResult struct {
 	Outcome CommandOutcome
 	// Heartbeat is what the worker said of itself, nil if it said nothing.
-	Heartbeat *protocol.Report
+	Heartbeat *protocol.Heartbeat
 }
 
 // resultOf returns what a response says of the machine that the commands were meant for. Another
@@ -76,12 +76,12 @@
 
 // Send sends direct commands, one request at a time to a machine. The worker's response, if there is
 // one, is passed to done and observed before the next request leaves.
-func (cs *CommandSender) Send(m *machinetable.Machine, incarnation int64, commands []protocol.Order,
+func (cs *CommandSender) Send(m *machinetable.Machine, incarnation int64, commands []protocol.Command,
 	done func(CommandResult)) {
 	m.BeginCommand()
-	request := protocol.Commands{Epoch: cs.Term.Epoch, Session: incarnation, Orders: commands}
+	request := protocol.CommandRequest{Epoch: cs.Term.Epoch, Incarnation: incarnation, Commands: commands}
 	until := min(cs.ActsUntil(), cs.permittedUntil(commands))
-	cs.Agent.Commands(m.Address, request, until, term.Guarded(cs.State, func(r agent.Response) {
+	cs.Workers.Commands(m.Address, request, until, term.Guarded(cs.State, func(r agent.Response) {
 		if cs.machines.ByName[m.Name] != m {
 			return
 		}
@@ -99,16 +99,16 @@
 
 // Probe asks a worker for a sign of life by a request without commands.
 func (cs *CommandSender) Probe(m *machinetable.Machine) {
-	cs.Send(m, m.Incarnation, []protocol.Order{}, func(CommandResult) {})
+	cs.Send(m, m.Incarnation, []protocol.Command{}, func(CommandResult) {})
 }
 
 // permittedUntil returns until when starts of hosted jobs may leave.
-func (cs *CommandSender) permittedUntil(commands []protocol.Order) clock.Micros {
+func (cs *CommandSender) permittedUntil(commands []protocol.Command) clock.Micros {
 	until := clock.Micros(math.MaxInt64)
 	for _, c := range commands {
 		id, _, _ := protocol.ParseTask(c.Task)
 		if j := cs.jobs.ByID[id]; c.Verb == protocol.VerbStart && j != nil && j.Permission != nil {
-			until = min(until, j.Permission.Until())
+			until = min(until, j.Permission.ExpiresAt())
 		}
 	}
 	return until
@@ -121,7 +121,7 @@
 // Push sends what is due directly, without waiting for the next heartbeat.
 func (cs *CommandSender) Push(m *machinetable.Machine) {
 	leads := cs.Leads()
-	if !leads && !cs.MayAnswer() || m.Address == "" || m.LeaseExpired {
+	if !leads && !cs.MayRespond() || m.Address == "" || m.LeaseExpired {
 		return
 	}
 	if m.CommandInFlight {
@@ -151,7 +151,7 @@
 }
 
 // noteStartOutcomes notes what became of the starts among direct commands.
-func noteStartOutcomes(m *machinetable.Machine, commands []protocol.Order, outcome CommandOutcome) {
+func noteStartOutcomes(m *machinetable.Machine, commands []protocol.Command, outcome CommandOutcome) {
 	for _, c := range commands {
 		if c.Verb != protocol.VerbStart {
 			continue
@@ -172,7 +172,7 @@
 	if s, ok := j.Stops[p.Task]; ok {
 		return &s
 	}
-	if j.Spec.Gang() && len(j.Placed) < j.Spec.Tasks && !cs.Completable(j) {
+	if j.Spec.Gang() && len(j.Placements) < j.Spec.Tasks && !cs.Completable(j) {
 		// A part of the gang is gone; the next attempt needs the room of all tasks.
 		return &jobtable.StopRequest{Reason: "gang broken"}
 	}
@@ -184,11 +184,11 @@
 // last isn't known, but had the gang started, the others would run or have
 // ended for want of a peer by the time the loss is proven.
 func (cs *CommandSender) Completable(j *jobtable.Job) bool {
-	if !j.Spec.Gang() || len(j.Placed) == 0 || len(j.Stops) > 0 {
+	if !j.Spec.Gang() || len(j.Placements) == 0 || len(j.Stops) > 0 {
 		return false
 	}
 	attempt := int64(0)
-	for _, p := range j.Placed {
+	for _, p := range j.Placements {
 		if p.Attempt <= j.BrokenAttempt || attempt != 0 && p.Attempt != attempt {
 			return false
 		}
@@ -218,14 +218,14 @@
 		cs.stopTask(j, task, reason, forID)
 		return
 	}
-	for task := range ordered.ByKey(j.Placed) {
+	for task := range ordered.ByKey(j.Placements) {
 		cs.stopTask(j, task, reason, forID)
 	}
 }
 
 // stopTask stops one placed task, unless it is being stopped already.
 func (cs *CommandSender) stopTask(j *jobtable.Job, task int, reason, forID string) {
-	p, placed := j.Placed[task]
+	p, placed := j.Placements[task]
 	if _, stopping := j.Stops[task]; !placed || stopping {
 		return
 	}
--- a/internal/leader/reconciler/commands_test.go
+++ b/internal/leader/reconciler/commands_test.go
@@ -14,11 +14,11 @@
 // fixedWorker responds to all commands in the same way.
 type fixedWorker struct {
 	status    int
-	heartbeat protocol.Report
+	heartbeat protocol.Heartbeat
 }
 
-func (w fixedWorker) Commands(_ string, _ protocol.Commands, _ clock.Micros,
-	done func(status int, r protocol.Report)) {
+func (w fixedWorker) Commands(_ string, _ protocol.CommandRequest, _ clock.Micros,
+	done func(status int, r protocol.Heartbeat)) {
 	done(w.status, w.heartbeat)
 }
 
@@ -40,10 +40,10 @@
 		{"no response", "", 0, OutcomeUnknown, false},
 		{"failure of the worker", "m-1", http.StatusInternalServerError, OutcomeUnknown, false},
 	} {
-		worker := agenttest.Client(fixedWorker{c.status, protocol.Report{Machine: c.machine}})
+		worker := agenttest.Client(fixedWorker{c.status, protocol.Heartbeat{Machine: c.machine}})
 		responses := 0
 		var got CommandResult
-		worker.Commands("", protocol.Commands{}, 0, func(r agent.Response) {
+		worker.Commands("", protocol.CommandRequest{}, 0, func(r agent.Response) {
 			responses++
 			got = resultOf("m-1", &r)
 		})
--- a/internal/leader/reconciler/commandset.go
+++ b/internal/leader/reconciler/commandset.go
@@ -31,11 +31,11 @@
 // CommandsFor returns what the worker should do now, given its last heartbeat. Commands can be
 // repeated; responses to heartbeats carry all, direct commands only what is due. Without the leader's
 // lease there is nothing but the ends of what is cancelled.
-func (cs *CommandSender) CommandsFor(m *machinetable.Machine, via Channel) []protocol.Order {
+func (cs *CommandSender) CommandsFor(m *machinetable.Machine, via Channel) []protocol.Command {
 	if cs.upToDate(m) {
-		return []protocol.Order{}
+		return []protocol.Command{}
 	}
-	set := commandSet{sender: cs, m: m, via: via, now: cs.Now(), commands: []protocol.Order{}}
+	set := commandSet{sender: cs, m: m, via: via, now: cs.Now(), commands: []protocol.Command{}}
 	set.addCancellations()
 	if !cs.Leads() || !cs.machines.EpochAcknowledged(m) {
 		return set.commands // the worker has to acknowledge the new epoch first
@@ -61,7 +61,7 @@
 	m        *machinetable.Machine
 	via      Channel
 	now      clock.Micros
-	commands []protocol.Order
+	commands []protocol.Command
 }
 
 // add adds a command without a grace period.
@@ -79,7 +79,7 @@
 // record are acted on.
 func (set *commandSet) addForPlacement(j *jobtable.Job, p ledger.Placement) {
 	m := set.m
-	if !j.Committed(p) || p.Session != m.Incarnation {
+	if !j.Committed(p) || p.Incarnation != m.Incarnation {
 		return
 	}
 	ref := attemptOf(j, p)
@@ -133,8 +133,8 @@
 }
 
 // commandFor returns a command without a grace period.
-func commandFor(verb string, ref machinetable.AttemptRef) protocol.Order {
-	return protocol.Order{Verb: verb, Task: protocol.TaskName(ref.Job, ref.Task), Attempt: ref.Attempt}
+func commandFor(verb string, ref machinetable.AttemptRef) protocol.Command {
+	return protocol.Command{Verb: verb, Task: protocol.TaskName(ref.Job, ref.Task), Attempt: ref.Attempt}
 }
 
 // addForUnassigned stops and forgets what is on a machine and in no record. Each forgotten task is a
@@ -142,7 +142,7 @@
 // are forgotten several at a time, along with other commands, or after a while.
 func (set *commandSet) addForUnassigned() {
 	m := set.m
-	var forgets []protocol.Order
+	var forgets []protocol.Command
 	m.ExitedTasks = 0
 	for _, ref := range set.sender.unassignedTasks(m) {
 		t := m.Tasks[ref]
@@ -189,9 +189,9 @@
 // forgettable reports whether a worker may forget an exited task: its end is stored, and no start can
 // bring the attempt back.
 func (cs *CommandSender) forgettable(m *machinetable.Machine, ref machinetable.AttemptRef,
-	t protocol.TaskReport) bool {
+	t protocol.TaskStatus) bool {
 	j := cs.jobs.ByID[ref.Job]
-	return (j == nil || j.OutcomeStored(ref.Task)) && !m.StartMayArrive(ref) && !MayRepeat(m, ref, t)
+	return (j == nil || j.OutcomeStored(ref.Task)) && !m.StartMayArrive(ref) && !LateStartHarmful(m, ref, t)
 }
 
 // upToDate reports whether a machine runs exactly what it is to run, so that it needs no commands.
@@ -204,7 +204,7 @@
 	placed := 0
 	for id, tasks := range m.Placements {
 		j := cs.jobs.ByID[id]
-		if j == nil || j.Over() || len(j.Stops) > 0 || j.Spec.Gang() && len(j.Placed) < j.Spec.Tasks {
+		if j == nil || j.Over() || len(j.Stops) > 0 || j.Spec.Gang() && len(j.Placements) < j.Spec.Tasks {
 			return false
 		}
 		placed += len(tasks)
--- a/internal/leader/reconciler/exits.go
+++ b/internal/leader/reconciler/exits.go
@@ -31,13 +31,13 @@
 
 // exitEffects are the effects of the causes of the protocol.
 var exitEffects = map[string]exitEffect{
-	protocol.CauseDone:    {breaksAttempt: true},
-	protocol.CauseStopped: {breaksAttempt: true},
-	protocol.CausePeers:   {breaksAttempt: true},
-	protocol.CauseAlone:   {breaksAttempt: true, failedStart: true},
-	protocol.CauseError:   {failedStart: true, startPause: clock.Second, suspectsMachine: true},
-	protocol.CauseNoRoom:  {refused: true, failedStart: true, fullFor: 5 * clock.Second},
-	protocol.CauseBusy: {
+	protocol.CauseDone:           {breaksAttempt: true},
+	protocol.CauseStopped:        {breaksAttempt: true},
+	protocol.CauseGangBroken:     {breaksAttempt: true},
+	protocol.CauseGangIncomplete: {breaksAttempt: true, failedStart: true},
+	protocol.CauseError:          {failedStart: true, startPause: clock.Second, suspectsMachine: true},
+	protocol.CauseNoRoom:         {refused: true, failedStart: true, fullFor: 5 * clock.Second},
+	protocol.CauseOtherAttempt: {
 		refused: true, failedStart: true, startPause: clock.Second, fullFor: 2 * clock.Second,
 	},
 }
@@ -82,7 +82,7 @@
 	}
 	if cause == protocol.CauseDone {
 		j.StartFailures, j.Cause = 0, ""
-		rc.objectives.NotePace(m, &j.Spec, ran)
+		rc.objectives.NoteRun(m, &j.Spec, ran)
 		rc.jobs.CompleteIfDone(j)
 	}
 	if effect.suspectsMachine {
@@ -176,12 +176,12 @@
 // heartbeats stay well within their size limit.
 const maxReportedTasks = 400
 
-// MayRepeat reports whether a late copy of a start that was executed could do harm: the task
+// LateStartHarmful reports whether a late copy of a start that was executed could do harm: the task
 // is to run again, and a worker that has forgotten this attempt would start it where nobody
 // expects it. What was started in earlier terms is safe, since workers reject older epochs, and so
 // is what is done, since it doesn't run again. Only a machine with very many such attempts takes
 // the risk.
-func MayRepeat(m *machinetable.Machine, ref machinetable.AttemptRef, t protocol.TaskReport) bool {
+func LateStartHarmful(m *machinetable.Machine, ref machinetable.AttemptRef, t protocol.TaskStatus) bool {
 	d := m.Deliveries[ref]
 	if d == nil || len(m.Tasks) >= maxReportedTasks {
 		return false
--- a/internal/leader/reconciler/exits_test.go
+++ b/internal/leader/reconciler/exits_test.go
@@ -14,12 +14,12 @@
 	for cause, want := range map[string]exitEffect{
 		protocol.CauseDone:           {breaksAttempt: true},
 		protocol.CauseStopped:        {breaksAttempt: true},
-		protocol.CausePeers:          {breaksAttempt: true},
-		protocol.CauseAlone:          {breaksAttempt: true, failedStart: true},
+		protocol.CauseGangBroken:     {breaksAttempt: true},
+		protocol.CauseGangIncomplete: {breaksAttempt: true, failedStart: true},
 		protocol.CauseError:          {failedStart: true, startPause: second, suspectsMachine: true},
 		protocol.CauseNoRoom:         {refused: true, failedStart: true, fullFor: 5 * second},
-		protocol.CauseBusy:           {refused: true, failedStart: true, startPause: second, fullFor: 2 * second},
-		protocol.CauseNoSuch:         {failedStart: true, startPause: 2 * second},
+		protocol.CauseOtherAttempt:   {refused: true, failedStart: true, startPause: second, fullFor: 2 * second},
+		protocol.CauseNoSuchTask:     {failedStart: true, startPause: 2 * second},
 		"a cause of a later version": {failedStart: true, startPause: 2 * second},
 	} {
 		if got := effectOf(cause); got != want {
--- a/internal/leader/reconciler/health.go
+++ b/internal/leader/reconciler/health.go
@@ -74,7 +74,7 @@
 	now := hm.Now()
 	for _, m := range hm.machines.Ordered {
 		switch {
-		case m.Releasing || !hm.machines.Late(m) || !hm.replaceable(m, zones):
+		case m.Releasing || !hm.machines.HeartbeatMissed(m) || !hm.replaceable(m, zones):
 		case m.ProbedAt <= m.HeardAt || m.ProbedAt == 0:
 			m.ProbedAt = now
 			if !m.CommandInFlight && m.Address != "" {
@@ -118,7 +118,7 @@
 	}
 	m.ChallengedAt = hm.Now()
 	before := m.HeartbeatNumber
-	hm.commands.Send(m, m.Incarnation, []protocol.Order{}, func(result CommandResult) {
+	hm.commands.Send(m, m.Incarnation, []protocol.Command{}, func(result CommandResult) {
 		if result.Heartbeat != nil && !machinetable.NumberOf(result.Heartbeat).After(before) {
 			hm.machines.ScheduleRelease(m, machinetable.ReleaseStartedOver)
 		}
@@ -222,7 +222,7 @@
 // come, a few at a time.
 func (hm *HealthMonitor) AnnounceEpoch() {
 	now := hm.Now()
-	due := now - hm.Settings.Deployment.Workers.Report()*3/2 - clock.Second
+	due := now - hm.Settings.Deployment.Workers.HeartbeatInterval()*3/2 - clock.Second
 	left := epochAnnounceBatch
 	for _, m := range hm.machines.Ordered {
 		if left == 0 {
--- a/internal/leader/reconciler/heartbeats.go
+++ b/internal/leader/reconciler/heartbeats.go
@@ -41,7 +41,7 @@
 
 // HeartbeatWatcher observes heartbeats that reach a node which doesn't lead.
 type HeartbeatWatcher interface {
-	NoteUnansweredHeartbeat(r *protocol.Report)
+	NoteMisdirectedHeartbeat(r *protocol.Heartbeat)
 }
 
 const (
@@ -54,7 +54,7 @@
 
 // Begin has heartbeats wait until the records of the new term are read.
 func (hb *HeartbeatHandler) Begin() {
-	hb.AnswerDeferred()
+	hb.HandleDeferred()
 	hb.Deferring = true
 }
 
@@ -62,13 +62,13 @@
 // how to respond a moment later, and a refusal would send each worker round the other nodes and back.
 func (hb *HeartbeatHandler) deferHeartbeat(heartbeat func()) {
 	if len(hb.deferred) == 0 {
-		hb.AfterInTerm(deferredTime, hb.AnswerDeferred)
+		hb.AfterInTerm(deferredTime, hb.HandleDeferred)
 	}
 	hb.deferred = append(hb.deferred, heartbeat)
 }
 
-// AnswerDeferred handles the heartbeats that were deferred by what is known now.
-func (hb *HeartbeatHandler) AnswerDeferred() {
+// HandleDeferred handles the heartbeats that were deferred by what is known now.
+func (hb *HeartbeatHandler) HandleDeferred() {
 	heartbeats := hb.deferred
 	hb.Deferring, hb.deferred = false, nil
 	for _, heartbeat := range heartbeats {
@@ -101,7 +101,7 @@
 }
 
 // Handle responds to a heartbeat that arrived at the given time.
-func (hb *HeartbeatHandler) Handle(r protocol.Report, arrived clock.Micros,
+func (hb *HeartbeatHandler) Handle(r protocol.Heartbeat, arrived clock.Micros,
 	reply func(status int, body any)) {
 	if hb.Deferring {
 		hb.deferHeartbeat(func() { hb.Handle(r, arrived, reply) })
@@ -112,7 +112,7 @@
 }
 
 // respond decides how to respond to a heartbeat, and returns the body of the response as well.
-func (hb *HeartbeatHandler) respond(r *protocol.Report, arrived clock.Micros) (heartbeatOutcome, any) {
+func (hb *HeartbeatHandler) respond(r *protocol.Heartbeat, arrived clock.Micros) (heartbeatOutcome, any) {
 	// After the process was suspended, or behind more heartbeats than the processor can handle, one
 	// that waited this long says nothing of now, and its worker is about to give up. A refusal costs
 	// next to nothing, lets those be handled whose responses will be in time, and isn't counted as a
@@ -121,8 +121,8 @@
 		return notNow, protocol.Redirect{}
 	}
 	hb.machines.NoteAddress(r.Machine, r.Address)
-	if !hb.Leads() && !hb.MayAnswer() || hb.machines.WasReleased(r.Machine) {
-		hb.Zones.NoteUnansweredHeartbeat(r)
+	if !hb.Leads() && !hb.MayRespond() || hb.machines.WasReleased(r.Machine) {
+		hb.Zones.NoteMisdirectedHeartbeat(r)
 		return misdirected, protocol.Redirect{Node: hb.otherLeader()}
 	}
 	m := hb.machines.GetOrAdd(r.Machine)
@@ -137,7 +137,7 @@
 	m.NoteHeartbeatReceived()
 	commands := hb.commands.CommandsFor(m, ViaHeartbeat)
 	m.NoteResponse(machinetable.NumberOf(r), hb.Now())
-	return accepted, protocol.HeartbeatAnswer{Epoch: hb.Term.Epoch, Orders: commands}
+	return accepted, protocol.HeartbeatResponse{Epoch: hb.Term.Epoch, Commands: commands}
 }
 
 // otherLeader returns the node that workers are to turn to, "" if none is known.
@@ -150,20 +150,20 @@
 
 // isCurrent reports whether an observed heartbeat may be responded to. A late copy may not; one that is
 // only older than the response to a direct command is the worker's current one.
-func (hb *HeartbeatHandler) isCurrent(m *machinetable.Machine, r *protocol.Report) bool {
+func (hb *HeartbeatHandler) isCurrent(m *machinetable.Machine, r *protocol.Heartbeat) bool {
 	if !machinetable.NumberOf(r).After(m.RespondedTo) {
 		hb.health.challenge(m)
 		return false
 	}
-	return r.Session == m.Incarnation && !m.LeaseExpired && r.Epoch <= hb.Term.Epoch
+	return r.Incarnation == m.Incarnation && !m.LeaseExpired && r.Epoch <= hb.Term.Epoch
 }
 
 // checkPermissions looks at the permissions of the hosted jobs on a machine whose heartbeat is about to
 // be responded to.
 func (hb *HeartbeatHandler) checkPermissions(m *machinetable.Machine) {
 	for id := range m.Placements {
-		if j := hb.jobs.ByID[id]; j != nil && j.Guest != nil {
-			j.Permission.Check(hb.Now())
+		if j := hb.jobs.ByID[id]; j != nil && j.Hosted != nil {
+			j.Permission.CheckExpiry(hb.Now())
 		}
 	}
 }
--- a/internal/leader/reconciler/reconciler.go
+++ b/internal/leader/reconciler/reconciler.go
@@ -43,7 +43,7 @@
 }
 
 // Observe takes a heartbeat if it is newer than what is known.
-func (rc *Reconciler) Observe(m *machinetable.Machine, r protocol.Report) {
+func (rc *Reconciler) Observe(m *machinetable.Machine, r protocol.Heartbeat) {
 	if outdated(m, &r) {
 		return
 	}
@@ -55,8 +55,8 @@
 			"tasks", len(r.Tasks))
 		m.IdleSince = rc.Now()
 	}
-	rc.noteIncarnation(m, r.Session)
-	unchanged := m.Steady && r.Session == m.Incarnation && r.Epoch == m.Epoch && m.SameTasks(r.Tasks)
+	rc.noteIncarnation(m, r.Incarnation)
+	unchanged := m.Steady && r.Incarnation == m.Incarnation && r.Epoch == m.AcknowledgedEpoch && m.SameTasks(r.Tasks)
 	rc.machines.NoteHeartbeat(m, &r)
 	if !unchanged {
 		m.ViewStale = true
@@ -66,9 +66,9 @@
 
 // outdated reports whether a heartbeat proves nothing any more, however late it arrives: it was sent
 // before the last one, or before the lease expired.
-func outdated(m *machinetable.Machine, r *protocol.Report) bool {
+func outdated(m *machinetable.Machine, r *protocol.Heartbeat) bool {
 	return m.Seen && !machinetable.NumberOf(r).After(m.HeartbeatNumber) ||
-		m.LeaseExpired && r.Session <= m.Incarnation
+		m.LeaseExpired && r.Incarnation <= m.Incarnation
 }
 
 // noteIncarnation notes which incarnation of the worker a heartbeat is from, before the rest of it is
@@ -105,7 +105,7 @@
 
 // replaceTasks replaces what is known of a machine's tasks by what its heartbeat lists, and acts on
 // what that proves.
-func (rc *Reconciler) replaceTasks(m *machinetable.Machine, tasks []protocol.TaskReport) {
+func (rc *Reconciler) replaceTasks(m *machinetable.Machine, tasks []protocol.TaskStatus) {
 	m.SetTasks(tasks)
 	rc.Reconcile(m)
 	m.DropDeliveries()
@@ -152,15 +152,15 @@
 // is listed. Absence is proof only if the worker rejects whatever an earlier leader sent: see
 // docs/rules.md.
 func (rc *Reconciler) evidenceFor(m *machinetable.Machine, j *jobtable.Job, p ledger.Placement,
-	ref machinetable.AttemptRef) (evidence, protocol.TaskReport) {
-	if p.Session < m.Incarnation {
-		return lostWithLease, protocol.TaskReport{}
+	ref machinetable.AttemptRef) (evidence, protocol.TaskStatus) {
+	if p.Incarnation < m.Incarnation {
+		return lostWithLease, protocol.TaskStatus{}
 	}
-	if p.Session > m.Incarnation {
+	if p.Incarnation > m.Incarnation {
 		if rc.machines.EpochAcknowledged(m) {
-			return startedOver, protocol.TaskReport{}
+			return startedOver, protocol.TaskStatus{}
 		}
-		return unproven, protocol.TaskReport{}
+		return unproven, protocol.TaskStatus{}
 	}
 	t, ok := m.Tasks[ref]
 	switch {
@@ -220,6 +220,6 @@
 	j.StartFailures = 0
 	if term.DebugEnabled() {
 		slog.Debug("task running", "job", ref.Job, "class", j.Spec.Class, "task", ref.Task, "machine", m.Name,
-			"type", m.Type, "since_submission_s", (rc.Mailbox.OfDay() - clock.Micros(j.SubmittedAt)).Seconds())
+			"type", m.Type, "since_submission_s", (rc.Mailbox.TimeOfDay() - clock.Micros(j.SubmittedAt)).Seconds())
 	}
 }
--- a/internal/leader/reconciler/renewal.go
+++ b/internal/leader/reconciler/renewal.go
@@ -19,7 +19,7 @@
 			return false // a hosted job that nobody permits and nobody ends, for a moment
 		}
 		for _, p := range tasks {
-			if _, reported := m.Tasks[attemptOf(j, p)]; !reported && p.Session >= m.Incarnation {
+			if _, reported := m.Tasks[attemptOf(j, p)]; !reported && p.Incarnation >= m.Incarnation {
 				return false
 			}
 		}
@@ -33,5 +33,5 @@
 	if j.Permission != nil {
 		return !j.Permission.MayKeep(cs.Now())
 	}
-	return j.Cancelled && cs.Now() > j.CancelConfirmedAt+cs.Settings.Deployment.Workers.KeepAlive()
+	return j.Cancelled && cs.Now() > j.CancelConfirmedAt+cs.Settings.Deployment.Workers.RenewalWindow()
 }
--- a/internal/leader/reconciler_test.go
+++ b/internal/leader/reconciler_test.go
@@ -14,8 +14,8 @@
 var firstAttempt = machinetable.AttemptRef{Job: "job-1", Task: 0, Attempt: 1}
 
 // taskOfOne is the task that leaderWithOneTask places, as a heartbeat lists it.
-func taskOfOne(status, cause string) protocol.TaskReport {
-	return protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: status, Cause: cause}
+func taskOfOne(status, cause string) protocol.TaskStatus {
+	return protocol.TaskStatus{Task: "job-1/0", Attempt: 1, Status: status, Cause: cause}
 }
 
 // A heartbeat that is older than one observed already proves nothing, however late it arrives.
@@ -23,9 +23,9 @@
 	d, j, m, _ := leaderWithOneTask(t)
 	d.reconciler.Observe(m, workerHeartbeat(1, 9, taskOfOne(protocol.TaskRunning, "")))
 	d.reconciler.Observe(m, workerHeartbeat(1, 4, taskOfOne(protocol.TaskExited, protocol.CauseError)))
-	if len(j.Placed) != 1 || m.Counter != 9 {
+	if len(j.Placements) != 1 || m.Counter != 9 {
 		t.Fatalf("placements %v, counter %d after an outdated heartbeat; want the placement and 9",
-			j.Placed, m.Counter)
+			j.Placements, m.Counter)
 	}
 }
 
@@ -38,7 +38,7 @@
 	m.Deliveries[firstAttempt] = &machinetable.StartDelivery{OutcomeUnknown: true}
 	j.Stops[0] = jobtable.StopRequest{Reason: "room"}
 	d.reconciler.Observe(m, workerHeartbeat(1, 2))
-	if len(j.Placed) != 1 {
+	if len(j.Placements) != 1 {
 		t.Fatal("the placement was released, want it kept")
 	}
 	commands := d.commands.CommandsFor(m, reconciler.ViaHeartbeat)
@@ -47,13 +47,13 @@
 	}
 	m.Deliveries[firstAttempt] = &machinetable.StartDelivery{OutcomeUnknown: true}
 	j.Status = protocol.StatusCancelled
-	if commands := d.commands.CommandsFor(m, reconciler.ViaHeartbeat); len(commands) != 0 || len(j.Placed) != 1 {
-		t.Fatalf("commands %v, placements %v of a cancelled job; want none, and the placement", commands, j.Placed)
+	if commands := d.commands.CommandsFor(m, reconciler.ViaHeartbeat); len(commands) != 0 || len(j.Placements) != 1 {
+		t.Fatalf("commands %v, placements %v of a cancelled job; want none, and the placement", commands, j.Placements)
 	}
 	m.Deliveries[firstAttempt] = &machinetable.StartDelivery{}
 	d.reconciler.Observe(m, workerHeartbeat(1, 3))
-	if len(j.Placed) != 0 {
-		t.Fatalf("placements %v though no start can arrive, want none", j.Placed)
+	if len(j.Placements) != 0 {
+		t.Fatalf("placements %v though no start can arrive, want none", j.Placements)
 	}
 }
 
@@ -64,8 +64,8 @@
 	d.reconciler.Observe(m, workerHeartbeat(1, 1, taskOfOne(protocol.TaskRunning, "")))
 	box.Now += 60 * clock.Second
 	d.health.ExpireLeases()
-	if !m.LeaseExpired || len(j.Placed) != 0 {
-		t.Fatalf("expired %v, placements %v; want true and none", m.LeaseExpired, j.Placed)
+	if !m.LeaseExpired || len(j.Placements) != 0 {
+		t.Fatalf("expired %v, placements %v; want true and none", m.LeaseExpired, j.Placements)
 	}
 	d.reconciler.Observe(m, workerHeartbeat(1, 8))
 	if !m.LeaseExpired || d.machines.EpochAcknowledged(m) {
@@ -84,9 +84,9 @@
 	box.Now += 60 * clock.Second
 	d.reconciler.Observe(m, workerHeartbeat(1, 1, taskOfOne(protocol.TaskRunning, "")))
 	d.health.ExpireLeases()
-	if m.LeaseExpired || len(j.Placed) != 1 {
+	if m.LeaseExpired || len(j.Placements) != 1 {
 		t.Fatalf("expired %v, placements %v; want the lease that the incarnation began with to count",
-			m.LeaseExpired, j.Placed)
+			m.LeaseExpired, j.Placements)
 	}
 }
 
@@ -138,7 +138,7 @@
 	old.Epoch, old.Type = 6, "t"
 	j.Status = protocol.StatusCancelled
 	d.Heartbeat(old, func(int, any) {})
-	if len(j.Placed) != 1 {
+	if len(j.Placements) != 1 {
 		t.Fatal("the placement was released, want it kept")
 	}
 	if _, ok := d.snapshots.PlannedMachine(m, box.Now); ok {
--- a/internal/leader/recordfixtures_test.go
+++ b/internal/leader/recordfixtures_test.go
@@ -18,10 +18,10 @@
 type fakeStore struct {
 	storetest.Service
 	txns   []protocol.Txn
-	answer func(storetest.Reply[protocol.TxnAnswer])
+	answer func(storetest.Reply[protocol.TxnResponse])
 }
 
-func (c *fakeStore) Commit(_ statestore.Use, t protocol.Txn, done func(storetest.Reply[protocol.TxnAnswer])) {
+func (c *fakeStore) Commit(_ statestore.Priority, t protocol.Txn, done func(storetest.Reply[protocol.TxnResponse])) {
 	c.txns, c.answer = append(c.txns, t), done
 }
 
@@ -50,32 +50,32 @@
 }
 
 // committedAt is the response to a transaction that was carried out.
-func committedAt(revision int64) storetest.Reply[protocol.TxnAnswer] {
-	return storetest.Reply[protocol.TxnAnswer]{
+func committedAt(revision int64) storetest.Reply[protocol.TxnResponse] {
+	return storetest.Reply[protocol.TxnResponse]{
 		Status: http.StatusOK,
-		Value:  protocol.TxnAnswer{Revision: revision},
+		Value:  protocol.TxnResponse{Revision: revision},
 	}
 }
 
 // conflictOn is the response to a transaction of whose conditions those on the given keys don't hold.
-func conflictOn(keys ...string) storetest.Reply[protocol.TxnAnswer] {
-	return storetest.Reply[protocol.TxnAnswer]{
+func conflictOn(keys ...string) storetest.Reply[protocol.TxnResponse] {
+	return storetest.Reply[protocol.TxnResponse]{
 		Status: http.StatusConflict,
-		Value:  protocol.TxnAnswer{Failed: keys},
+		Value:  protocol.TxnResponse{Failed: keys},
 	}
 }
 
 // noResponse is the reply to a transaction whose outcome is unknown.
-func noResponse() storetest.Reply[protocol.TxnAnswer] {
-	return storetest.Reply[protocol.TxnAnswer]{}
+func noResponse() storetest.Reply[protocol.TxnResponse] {
+	return storetest.Reply[protocol.TxnResponse]{}
 }
 
 // resultOf returns the typed result of a transaction to which the store replies as given.
-func resultOf(reply storetest.Reply[protocol.TxnAnswer]) statestore.Result[statestore.Revision] {
+func resultOf(reply storetest.Reply[protocol.TxnResponse]) statestore.Result[statestore.Revision] {
 	var result statestore.Result[statestore.Revision]
 	store := &fakeStore{}
 	client := storetest.Client(store)
-	client.Commit(statestore.ForLeadership, protocol.Txn{},
+	client.Commit(statestore.PriorityElection, protocol.Txn{},
 		func(r statestore.Result[statestore.Revision]) { result = r })
 	store.answer(reply)
 	return result
@@ -92,9 +92,9 @@
 func tightLeader(sharding bool) (*Leader, *fakeStore) {
 	l, _ := newLeader()
 	valueKb, txnOps := 2.0, 4
-	l.state.Settings.Deployment.State = settings.State{Rps: 100, WriteRps: 40, ValueKb: 32, TxnOps: 12,
-		Next: &settings.NextState{ValueKb: &valueKb, TxnOps: &txnOps}}
-	l.state.Format = rollout.Status{Open: sharding}
+	l.state.Settings.Deployment.KVStore = settings.KVStore{Rps: 100, WriteRps: 40, ValueKb: 32, TxnOps: 12,
+		Next: &settings.NextKVStore{ValueKb: &valueKb, TxnOps: &txnOps}}
+	l.state.Format = rollout.Status{Services: sharding}
 	store := &fakeStore{}
 	useStore(l, store)
 	return l, store
@@ -102,16 +102,16 @@
 
 // arraySpec is a job without needs of its own.
 func arraySpec(id string, tasks int) protocol.JobSpec {
-	return protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Rank: "normal", Tasks: tasks}
+	return protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Priority: "normal", Tasks: tasks}
 }
 
 // wideArray is the record of an array of 300 tasks, all of which run on machines of their own.
-func wideArray() *ledger.Job {
+func wideArray() *ledger.Record {
 	content := ledger.New(arraySpec("job-1", 300), 1)
 	content.NextAttempt = 2
 	for task := range content.Spec.Tasks {
 		machine := fmt.Sprintf("m-%06d", task)
-		content.Placed[task] = ledger.Placement{Task: task, Attempt: 1, Machine: machine, Session: 1}
+		content.Placements[task] = ledger.Placement{Task: task, Attempt: 1, Machine: machine, Incarnation: 1}
 	}
 	return content
 }
@@ -121,10 +121,10 @@
 	t.Helper()
 	l, store := tightLeader(true)
 	content := ledger.New(arraySpec("job-1", 250), 1)
-	content.PartSize, content.Marked = 100, true
+	content.ShardSize, content.Marked = 100, true
 	l.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
 	j := l.jobs.ByID["job-1"]
-	l.jobs.AddPlacement(j, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1})
+	l.jobs.AddPlacement(j, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1})
 	l.writer.Commit()
 	return l, store, j
 }
--- a/internal/leader/recordstore/adoption.go
+++ b/internal/leader/recordstore/adoption.go
@@ -35,7 +35,7 @@
 		r.jobs.Malformed[id] = true
 	case j == nil:
 		r.adoptNew(id, content, version)
-	case content.PartSize > 0:
+	case content.ShardSize > 0:
 		r.adoptSharded(j, content, version)
 	default:
 		r.adoptWhole(j, content, version)
@@ -64,27 +64,27 @@
 
 // noteCancelled notes the cancellation of one of this cell's own jobs, if its record has it. Hosted
 // jobs have that status once this cell itself has closed them, which no user was told.
-func (r *Reader) noteCancelled(j *jobtable.Job, content *ledger.Job) {
-	if content.Status == protocol.StatusCancelled && content.Guest == nil {
+func (r *Reader) noteCancelled(j *jobtable.Job, content *ledger.Record) {
+	if content.Status == protocol.StatusCancelled && content.Hosted == nil {
 		r.jobs.NoteCancelled(j, r.ConfirmedAt(content))
 	}
 }
 
 // adoptNew takes over the record of a job that isn't known.
-func (r *Reader) adoptNew(id string, content *ledger.Job, version int64) {
+func (r *Reader) adoptNew(id string, content *ledger.Record, version int64) {
 	// Of a sharded record only the shards say whether anything may still run.
-	shardsUnread := content.PartSize > 0 && r.Loading
-	if content.Final() && len(content.Placed) == 0 && !shardsUnread && content.Guest == nil {
+	shardsUnread := content.ShardSize > 0 && r.Loading
+	if content.Final() && len(content.Placements) == 0 && !shardsUnread && content.Hosted == nil {
 		return
 	}
-	if content.Guest == nil {
+	if content.Hosted == nil {
 		r.objectives.NoteArrival(&content.Spec)
 	}
-	if r.Format.Open && content.Spec.Service() {
+	if r.Format.Services && content.Spec.Service() {
 		content.Marked = true // it was left by a version that took it for an array
 	}
 	j := jobtable.NewJob()
-	if content.Guest != nil {
+	if content.Hosted != nil {
 		r.jobs.AwaitPermission(j)
 	}
 	r.jobs.ByID[id] = j
@@ -97,10 +97,10 @@
 }
 
 // adoptWhole takes over a newer undivided record of a known job.
-func (r *Reader) adoptWhole(j *jobtable.Job, content *ledger.Job, version int64) {
+func (r *Reader) adoptWhole(j *jobtable.Job, content *ledger.Record, version int64) {
 	if content.Truncated {
 		// What is known of the tasks is all there is.
-		content.Placed, content.NextAttempt = maps.Clone(j.Placed), j.NextAttempt
+		content.Placements, content.NextAttempt = maps.Clone(j.Placements), j.NextAttempt
 	}
 	r.jobs.RemoveFromMachines(j)
 	r.jobs.DropShards(j)
@@ -110,9 +110,9 @@
 
 // adoptSharded takes over a newer head of a known job. Users' nodes only cancel: anything else is a
 // change of this leader's own whose response was lost, and the shards have to be read as well.
-func (r *Reader) adoptSharded(j *jobtable.Job, content *ledger.Job, version int64) {
+func (r *Reader) adoptSharded(j *jobtable.Job, content *ledger.Record, version int64) {
 	cancelled := content.Status == protocol.StatusCancelled
-	if cancelled && !j.MustReload() && !j.Sharding() && content.PartSize == j.PartSize {
+	if cancelled && !j.MustReload() && !j.Sharding() && content.ShardSize == j.ShardSize {
 		r.cancelSharded(j, content, version)
 		return
 	}
@@ -124,11 +124,11 @@
 
 // cancelSharded takes over the cancellation of a sharded record: the head is all that a user's node
 // changes, and what is known of the tasks stays.
-func (r *Reader) cancelSharded(j *jobtable.Job, content *ledger.Job, version int64) {
+func (r *Reader) cancelSharded(j *jobtable.Job, content *ledger.Record, version int64) {
 	j.Status, j.CancelledAt = content.Status, content.CancelledAt
 	j.StoredValue.Replace(version)
-	r.jobs.NoteCancelled(j, r.ConfirmedAt(j.Job))
-	for _, p := range ordered.ByKey(j.Placed) {
+	r.jobs.NoteCancelled(j, r.ConfirmedAt(j.Record))
+	for _, p := range ordered.ByKey(j.Placements) {
 		if m := r.machines.ByName[p.Machine]; m != nil {
 			r.commands.Push(m)
 		}
@@ -137,25 +137,25 @@
 }
 
 // replaceContent makes a record what is known of its job and its tasks.
-func (r *Reader) replaceContent(j *jobtable.Job, content *ledger.Job, version int64) {
+func (r *Reader) replaceContent(j *jobtable.Job, content *ledger.Record, version int64) {
 	r.setContent(j, content, version, jobtable.EventRecordLoaded)
 	r.matchPlacements(j)
 }
 
 // replaceHead makes the head of a sharded record what is known of its job. Its tasks are known once
 // its shards are loaded.
-func (r *Reader) replaceHead(j *jobtable.Job, content *ledger.Job, version int64) {
+func (r *Reader) replaceHead(j *jobtable.Job, content *ledger.Record, version int64) {
 	r.setContent(j, content, version, jobtable.EventHeadLoaded)
 }
 
-func (r *Reader) setContent(j *jobtable.Job, content *ledger.Job, version int64, event jobtable.RecordEvent) {
-	j.Job = content
+func (r *Reader) setContent(j *jobtable.Job, content *ledger.Record, version int64, event jobtable.RecordEvent) {
+	j.Record = content
 	j.NoteRecordEvent(event)
 	j.StoredValue.Replace(version)
 	j.RunningStale = true
 	j.ClosedAtChange, j.StoredDone = 0, content.Done.Clone()
 	clear(j.ProposedAt)
-	if content.PartSize > 0 && len(j.Shards) != j.Parts() {
+	if content.ShardSize > 0 && len(j.Shards) != j.ShardCount() {
 		j.MakeShards()
 	}
 	r.noteCancelled(j, content)
@@ -191,7 +191,7 @@
 // addToMachines adds a job's placements to their machines, which it returns by name.
 func (r *Reader) addToMachines(j *jobtable.Job) map[string]*machinetable.Machine {
 	machines := map[string]*machinetable.Machine{}
-	for _, p := range ordered.ByKey(j.Placed) {
+	for _, p := range ordered.ByKey(j.Placements) {
 		if r.machines.WasReleased(p.Machine) {
 			// The machine was released meanwhile, with all on it: the record is behind.
 			r.jobs.ReleasePlacement(j, p)
--- a/internal/leader/recordstore/outcome.go
+++ b/internal/leader/recordstore/outcome.go
@@ -83,8 +83,8 @@
 		w.noteUnexpected(writes)
 	}
 	for _, write := range writes {
-		w.reader.adoptDeferred(write.J)
-		w.jobs.ForgetIfOver(write.J)
+		w.reader.adoptDeferred(write.Job)
+		w.jobs.ForgetIfOver(write.Job)
 	}
 }
 
@@ -103,7 +103,7 @@
 func (w *Writer) noteUnknown(writes []Write) {
 	w.Pause()
 	for _, write := range writes {
-		write.V.OutcomeUnknown = true
+		write.Value.OutcomeUnknown = true
 	}
 }
 
@@ -112,10 +112,10 @@
 	w.Pause()
 	for _, write := range writes {
 		event := jobtable.EventShardConflict
-		if write.Part == HeadIndex {
+		if write.Shard == HeadIndex {
 			event = jobtable.EventRecordConflict
 		}
-		write.J.NoteRecordEvent(event)
+		write.Job.NoteRecordEvent(event)
 	}
 }
 
@@ -123,7 +123,7 @@
 func noteConflicts(jobs *jobtable.Table, writes []Write, failed []string) {
 	for i := range writes {
 		write := &writes[i]
-		if slices.Contains(failed, ledger.Key(write.J.Spec.ID)) {
+		if slices.Contains(failed, ledger.Key(write.Job.Spec.ID)) {
 			noteHeadConflict(write)
 		} else if slices.Contains(failed, write.key()) {
 			noteShardConflict(jobs, write)
@@ -134,16 +134,16 @@
 // noteHeadConflict handles a write whose record or head has changed.
 func noteHeadConflict(write *Write) {
 	// If the head's change is known by now, the shard just goes again.
-	if write.Part == HeadIndex || write.headVersion == write.J.Version {
-		write.J.NoteRecordEvent(jobtable.EventRecordConflict)
+	if write.Shard == HeadIndex || write.headVersion == write.Job.Version {
+		write.Job.NoteRecordEvent(jobtable.EventRecordConflict)
 	}
 }
 
 // noteShardConflict handles a write of a shard that has changed though its head hasn't.
 func noteShardConflict(jobs *jobtable.Table, write *Write) {
-	switch j := write.J; {
+	switch j := write.Job; {
 	case j.Final():
-		write.V.OutcomeUnknown = true // the shard is looked for, to be removed
+		write.Value.OutcomeUnknown = true // the shard is looked for, to be removed
 	case j.Sharding():
 		jobs.AbandonSharding(j)
 	default:
@@ -165,7 +165,7 @@
 		w.learnedTxnOps = len(writes) / 2
 	default:
 		write := &writes[0]
-		write.V.RefusedBytes = protocol.JSONSize(write.change().Value)
+		write.Value.RefusedBytes = protocol.JSONSize(write.change().Value)
 	}
 }
 
@@ -176,9 +176,9 @@
 	for i := range writes {
 		write := &writes[i]
 		write.markStored(revision)
-		if write.Part == HeadIndex {
-			write.J.NoteHeadStored()
-			w.Hosted.NoteHostedStored(write.J)
+		if write.Shard == HeadIndex {
+			write.Job.NoteHeadStored()
+			w.Hosted.NoteHostedStored(write.Job)
 		}
 		w.collectCommitted(write, affected)
 	}
@@ -193,9 +193,9 @@
 // collectCommitted drops the value's placements that have become durable from those that wait for
 // it, and adds their machines to those affected.
 func (w *Writer) collectCommitted(write *Write, affected map[string]*machinetable.Machine) {
-	write.V.Uncommitted = slices.DeleteFunc(write.V.Uncommitted, func(task int) bool {
-		p, placed := write.J.Placed[task]
-		if placed && !write.J.Committed(p) {
+	write.Value.Uncommitted = slices.DeleteFunc(write.Value.Uncommitted, func(task int) bool {
+		p, placed := write.Job.Placements[task]
+		if placed && !write.Job.Committed(p) {
 			return false
 		}
 		if m := w.machines.ByName[p.Machine]; placed && m != nil {
--- a/internal/leader/recordstore/outcome_test.go
+++ b/internal/leader/recordstore/outcome_test.go
@@ -13,17 +13,17 @@
 // fixedStore responds to every transaction in the same way.
 type fixedStore struct {
 	storetest.Service
-	reply storetest.Reply[protocol.TxnAnswer]
+	reply storetest.Reply[protocol.TxnResponse]
 }
 
-func (s fixedStore) Commit(_ statestore.Use, _ protocol.Txn, done func(storetest.Reply[protocol.TxnAnswer])) {
+func (s fixedStore) Commit(_ statestore.Priority, _ protocol.Txn, done func(storetest.Reply[protocol.TxnResponse])) {
 	done(s.reply)
 }
 
 // commit returns the error of a leader's transaction to which the store responds in the given way.
 func commit(status int, failed []string) error {
-	store := fixedStore{reply: storetest.Reply[protocol.TxnAnswer]{
-		Status: status, Value: protocol.TxnAnswer{Failed: failed}}}
+	store := fixedStore{reply: storetest.Reply[protocol.TxnResponse]{
+		Status: status, Value: protocol.TxnResponse{Failed: failed}}}
 	err := errors.New("no outcome")
 	leadership.NewTransaction(1).Commit(storetest.Client(store),
 		func(r statestore.Result[statestore.Revision]) { err = r.Err })
@@ -38,7 +38,7 @@
 		decided bool
 	}{
 		"committed":             {200, nil, outcomeCommitted, true},
-		"another leader":        {409, []string{"jobs/job-1", leadership.Key}, outcomeDeposed, true},
+		"another leader":        {409, []string{"jobs/job-1", leadership.LeaderKey}, outcomeDeposed, true},
 		"conflict":              {409, []string{"jobs/job-1"}, outcomeConflict, true},
 		"malformed":             {400, nil, outcomeRejected, true},
 		"throttled":             {429, nil, outcomeNotExecuted, true},
--- a/internal/leader/recordstore/reader.go
+++ b/internal/leader/recordstore/reader.go
@@ -20,7 +20,7 @@
 // Reader loads the job records at the beginning of a term and follows their changes.
 type Reader struct {
 	*term.State
-	Store      statestore.ResultStore
+	Store      statestore.Store
 	jobs       *jobtable.Table
 	machines   *machinetable.Table
 	writer     *Writer
@@ -38,7 +38,7 @@
 }
 
 // NewReader returns a reader, and makes it the one that the writer asks to reload records.
-func NewReader(term *term.State, store statestore.ResultStore, jobs *jobtable.Table, machines *machinetable.Table,
+func NewReader(term *term.State, store statestore.Store, jobs *jobtable.Table, machines *machinetable.Table,
 	writer *Writer, reconciler *reconciler.Reconciler, commands *reconciler.CommandSender,
 	heartbeats *reconciler.HeartbeatHandler, objectives *objectives.Tracker, steps *term.StepTimer) *Reader {
 	r := &Reader{
@@ -97,7 +97,7 @@
 
 // loadShards comes after the heads: only the leader writes shards, so none is missed.
 func (r *Reader) loadShards(pass *loadPass) {
-	r.LoadAll(ledger.PartsPrefix, r.AdoptShard, func() { r.loadDelegations(pass) })
+	r.LoadAll(ledger.ShardsPrefix, r.AdoptShard, func() { r.loadDelegations(pass) })
 }
 
 func (r *Reader) loadDelegations(pass *loadPass) {
@@ -140,14 +140,14 @@
 // AdoptShard takes over a shard as read, if its job waits for it. A shard that belongs to no sharded
 // record is left over from a leader that ended while it sharded one.
 func (r *Reader) AdoptShard(item protocol.Item) {
-	id, shard, ok := ledger.ParsePartKey(item.Key)
+	id, shard, ok := ledger.ParseShardKey(item.Key)
 	j := r.jobs.ByID[id]
 	switch {
 	case !ok || r.jobs.Malformed[id]:
-	case j == nil || j.PartSize == 0 || shard >= len(j.Shards):
+	case j == nil || j.ShardSize == 0 || shard >= len(j.Shards):
 		r.jobs.StrayShards[item.Key] = item.Version
 	case j.ShardsUnread():
-		if err := j.ApplyPart(shard, item.Value); err != nil {
+		if err := j.ApplyShard(shard, item.Value); err != nil {
 			r.jobs.QuarantineRecord(id, err)
 			return
 		}
@@ -167,7 +167,7 @@
 	r.Delegations.MatchDelegations()
 	r.FreshAt = pass.startedAt
 	if first {
-		r.heartbeats.AnswerDeferred()
+		r.heartbeats.HandleDeferred()
 		slog.Info("records read", "epoch", r.Term.Epoch, "open_jobs", len(r.jobs.ByID),
 			"took_ms", (r.Now()-pass.startedAt)/clock.Millisecond)
 	}
@@ -179,13 +179,13 @@
 // every FollowInterval, which shows how fresh the records are.
 func (r *Reader) follow(from int64) {
 	sentAt := r.Now()
-	handle := func(reply statestore.Result[protocol.FollowAnswer]) { r.handleFollowed(from, sentAt, reply) }
+	handle := func(reply statestore.Result[protocol.WatchResponse]) { r.handleFollowed(from, sentAt, reply) }
 	r.Store.Follow(ledger.Prefix, statestore.Revision(from), term.FollowInterval, term.Guarded(r.State, handle))
 }
 
 // handleFollowed takes over the changes of the records since a revision, and goes on from there.
 func (r *Reader) handleFollowed(from int64, sentAt clock.Micros,
-	reply statestore.Result[protocol.FollowAnswer]) {
+	reply statestore.Result[protocol.WatchResponse]) {
 	switch {
 	case reply.Err == nil:
 		r.FreshAt = sentAt
@@ -199,7 +199,7 @@
 }
 
 // adoptChanges takes over followed changes. Deletions are this leader's own.
-func (r *Reader) adoptChanges(changes protocol.FollowAnswer) {
+func (r *Reader) adoptChanges(changes protocol.WatchResponse) {
 	for _, e := range changes.Events {
 		if e.Put != "" {
 			r.Adopt(e.Put, e.Value, e.Version)
--- a/internal/leader/recordstore/reload.go
+++ b/internal/leader/recordstore/reload.go
@@ -13,7 +13,7 @@
 
 // shardedRecord is a sharded record as read.
 type shardedRecord struct {
-	head    *ledger.Job
+	head    *ledger.Record
 	version int64 // of the head
 	shards  []protocol.Item
 }
@@ -32,7 +32,7 @@
 // handleReload takes over the record of a reload. For a sharded one it goes on to the shards.
 func (r *Reader) handleReload(j *jobtable.Job, reply statestore.Result[protocol.Item]) {
 	head, err := ledger.Decode(reply.Value.Value)
-	if reply.Err == nil && err == nil && head.PartSize > 0 {
+	if reply.Err == nil && err == nil && head.ShardSize > 0 {
 		r.listShards(j, func(shards []protocol.Item) {
 			r.replaceSharded(j, shardedRecord{head, reply.Value.Version, shards})
 		})
@@ -45,7 +45,7 @@
 	switch {
 	case reply.Err == nil:
 		r.Adopt(ledger.Key(j.Spec.ID), reply.Value.Value, reply.Value.Version)
-	case errors.Is(reply.Err, statestore.ErrNotFound) && j.Guest != nil:
+	case errors.Is(reply.Err, statestore.ErrNotFound) && j.Hosted != nil:
 		r.jobs.Forget(j) // only this leader removes it
 	default:
 		r.writer.Pause()
@@ -62,7 +62,7 @@
 		shards = append(shards, page.Items...)
 		return same()
 	}
-	statestore.WalkPages(r.Store, ledger.PartsOf(j.Spec.ID), "", collect,
+	statestore.WalkPages(r.Store, ledger.JobShardsPrefix(j.Spec.ID), "", collect,
 		term.Guarded2(r.State, func(err error, _ string) {
 			if err == nil {
 				r.endListing(j, shards, found)
@@ -114,11 +114,11 @@
 func applyShards(record shardedRecord) (versions map[int]int64, err error) {
 	versions = map[int]int64{}
 	for _, item := range record.shards {
-		_, shard, ok := ledger.ParsePartKey(item.Key)
+		_, shard, ok := ledger.ParseShardKey(item.Key)
 		if !ok {
 			continue
 		}
-		if err := record.head.ApplyPart(shard, item.Value); err != nil {
+		if err := record.head.ApplyShard(shard, item.Value); err != nil {
 			return nil, err
 		}
 		versions[shard] = item.Version
@@ -143,7 +143,7 @@
 		v.Version, v.OutcomeUnknown = 0, false
 	}
 	for _, item := range shards {
-		if _, shard, ok := ledger.ParsePartKey(item.Key); ok && shard < len(j.Shards) {
+		if _, shard, ok := ledger.ParseShardKey(item.Key); ok && shard < len(j.Shards) {
 			j.Shards[shard].Version = item.Version
 		}
 	}
--- a/internal/leader/recordstore/sharding.go
+++ b/internal/leader/recordstore/sharding.go
@@ -11,8 +11,8 @@
 // Limits returns the limits that records are written within: the tightest that may hold once no
 // controller needs undivided records any more.
 func (w *Writer) Limits() (valueBytes, txnOps int) {
-	state := w.Settings.Deployment.State
-	if w.Format.Open || w.LimitsTightened {
+	state := w.Settings.Deployment.KVStore
+	if w.Format.Services || w.LimitsTightened {
 		state = state.Tightest()
 	}
 	txnOps = state.TxnOps
@@ -24,15 +24,15 @@
 
 // ShardLargeRecords starts to shard the records that have no room for all of their jobs' tasks.
 func (w *Writer) ShardLargeRecords() {
-	if !w.Format.Open {
+	if !w.Format.Services {
 		return
 	}
 	limit, _ := w.Limits()
 	for _, j := range ordered.ByKey(w.jobs.ByID) {
-		if j.PartSize != 0 || j.Over() || j.Guest != nil {
+		if j.ShardSize != 0 || j.Over() || j.Hosted != nil {
 			continue
 		}
-		if pending := j.PendingCount(); pending > 0 && j.Room(limit) < pending {
+		if pending := j.PendingCount(); pending > 0 && j.StartCapacity(limit) < pending {
 			w.Shard(j)
 		}
 	}
@@ -47,10 +47,10 @@
 		return
 	}
 	limit, _ := w.Limits()
-	size := ledger.PartSizeWithin(limit)
+	size := ledger.ShardSizeWithin(limit)
 	slog.Info("sharding a record that is too large for one value", "job", j.Spec.ID, "tasks", j.Spec.Tasks,
 		"shard_tasks", size)
-	j.PartSize, j.Marked = size, true
+	j.ShardSize, j.Marked = size, true
 	j.NoteRecordEvent(jobtable.EventShardingStarted)
 	j.MakeShards()
 	w.noteShardContents(j)
@@ -66,15 +66,15 @@
 	case j.HasStrayShards(), len(w.jobs.StrayShards) > 0:
 		return false
 	}
-	return j.PartSize == 0 && j.Guest == nil
+	return j.ShardSize == 0 && j.Hosted == nil
 }
 
 // noteShardContents has all shards written that anything is known of.
 func (w *Writer) noteShardContents(j *jobtable.Job) {
-	for task := range j.Placed {
-		j.ShardOf(task).NoteChange(w.Now())
+	for task := range j.Placements {
+		j.ShardValue(task).NoteChange(w.Now())
 	}
-	for task := j.Done.NextIn(0); task < j.Spec.Tasks; task = j.Done.NextIn(task + 1) {
-		j.ShardOf(task).NoteChange(w.Now())
+	for task := j.Done.NextPresent(0); task < j.Spec.Tasks; task = j.Done.NextPresent(task + 1) {
+		j.ShardValue(task).NoteChange(w.Now())
 	}
 }
--- a/internal/leader/recordstore/units.go
+++ b/internal/leader/recordstore/units.go
@@ -13,11 +13,11 @@
 
 // Write is a change of one stored value of a job.
 type Write struct {
-	J    *jobtable.Job
-	V    *jobtable.StoredValue
-	Part int // the shard's number, or HeadIndex
-	// Changed is the value's count of changes that this write stores.
-	Changed int
+	Job   *jobtable.Job
+	Value *jobtable.StoredValue
+	Shard int // the shard's number, or HeadIndex
+	// ChangeCount is the value's count of changes that this write stores.
+	ChangeCount int
 	// headVersion is the version of the head that a shard's change depends on.
 	headVersion int64
 	remove      bool
@@ -25,48 +25,48 @@
 
 // headWrite returns the write of a job's record or head as it is now.
 func headWrite(j *jobtable.Job) Write {
-	return Write{J: j, V: &j.StoredValue, Part: HeadIndex, Changed: j.ChangeCount}
+	return Write{Job: j, Value: &j.StoredValue, Shard: HeadIndex, ChangeCount: j.ChangeCount}
 }
 
 // shardWrite returns the write of a shard as it is now.
 func shardWrite(j *jobtable.Job, shard int) Write {
 	v := j.Shards[shard]
-	return Write{J: j, V: v, Part: shard, Changed: v.ChangeCount, headVersion: j.Version}
+	return Write{Job: j, Value: v, Shard: shard, ChangeCount: v.ChangeCount, headVersion: j.Version}
 }
 
 func (w *Write) key() string {
-	if w.Part == HeadIndex {
-		return ledger.Key(w.J.Spec.ID)
+	if w.Shard == HeadIndex {
+		return ledger.Key(w.Job.Spec.ID)
 	}
-	return ledger.PartKey(w.J.Spec.ID, w.Part)
+	return ledger.ShardKey(w.Job.Spec.ID, w.Shard)
 }
 
 // change returns what is written, encoded only when it is about to be sent.
 func (w *Write) change() protocol.Change {
 	switch {
-	case w.Part == HeadIndex:
-		return protocol.Change{Put: w.key(), Value: w.J.Encode()}
+	case w.Shard == HeadIndex:
+		return protocol.Change{Put: w.key(), Value: w.Job.Encode()}
 	case w.remove:
 		return protocol.Change{Delete: w.key()}
 	}
-	return protocol.Change{Put: w.key(), Value: w.J.EncodePart(w.Part)}
+	return protocol.Change{Put: w.key(), Value: w.Job.EncodeShard(w.Shard)}
 }
 
 // end ends the time in which the write is in flight. Releases that it may contradict are confirmed
 // if it is decided, and no earlier write of the value can come late.
 func (w *Write) end(decided bool) {
-	w.V.InFlight = false
-	if decided && !w.V.OutcomeUnknown {
-		w.V.UnconfirmedReleases = nil
+	w.Value.InFlight = false
+	if decided && !w.Value.OutcomeUnknown {
+		w.Value.UnconfirmedReleases = nil
 	}
 }
 
 // markStored notes that the write was carried out.
 func (w *Write) markStored(revision int64) {
-	w.V.Version, w.V.StoredCount, w.V.RefusedBytes = revision, w.Changed, 0
-	w.V.ResolveOutcome()
+	w.Value.Version, w.Value.StoredCount, w.Value.RefusedBytes = revision, w.ChangeCount, 0
+	w.Value.ResolveOutcome()
 	if w.remove {
-		w.V.Version = 0
+		w.Value.Version = 0
 	}
 }
 
@@ -185,9 +185,9 @@
 		return nil // until its end is stored they are needed
 	}
 	needed := map[int]bool{}
-	if j.PartSize > 0 {
-		for task := range j.Placed {
-			needed[j.PartOf(task)] = true
+	if j.ShardSize > 0 {
+		for task := range j.Placements {
+			needed[j.ShardOf(task)] = true
 		}
 	}
 	var units []WriteUnit
@@ -208,7 +208,7 @@
 	switch {
 	case j.Sharding():
 		return urgencyStart
-	case j.Final() || j.Spec.Gang() || len(j.Uncommitted) > 0 && len(j.Uncommitted) == len(j.Placed):
+	case j.Final() || j.Spec.Gang() || len(j.Uncommitted) > 0 && len(j.Uncommitted) == len(j.Placements):
 		return urgencyWhole
 	case len(j.Uncommitted) > 0:
 		return urgencyStart
@@ -230,7 +230,7 @@
 	switch {
 	case urgency != urgencyEnds:
 		return 0
-	case j.PartSize > 0:
+	case j.ShardSize > 0:
 		return shardEndedTasksDelay
 	}
 	return endedTasksDelay
--- a/internal/leader/recordstore/writer.go
+++ b/internal/leader/recordstore/writer.go
@@ -22,7 +22,7 @@
 // Writer commits changed job records, within the limits of the key-value store.
 type Writer struct {
 	*term.State
-	Store    statestore.ResultStore
+	Store    statestore.Store
 	jobs     *jobtable.Table
 	machines *machinetable.Table
 	reader   *Reader
@@ -43,7 +43,7 @@
 }
 
 // NewWriter returns a writer to the given store.
-func NewWriter(term *term.State, store statestore.ResultStore, jobs *jobtable.Table, machines *machinetable.Table,
+func NewWriter(term *term.State, store statestore.Store, jobs *jobtable.Table, machines *machinetable.Table,
 	commands *reconciler.CommandSender, steps *term.StepTimer) *Writer {
 	return &Writer{
 		State:    term,
@@ -121,29 +121,29 @@
 	}
 	t.size = size
 	for i, write := range u.writes {
-		if write.Part != HeadIndex {
-			t.RequireOnce(ledger.Key(write.J.Spec.ID), write.headVersion)
+		if write.Shard != HeadIndex {
+			t.RequireOnce(ledger.Key(write.Job.Spec.ID), write.headVersion)
 		}
-		t.RequireOnce(write.key(), write.V.Version)
+		t.RequireOnce(write.key(), write.Value.Version)
 		t.Add(changes[i])
 		t.writes = append(t.writes, write)
-		write.V.InFlight, write.V.ChangedAt = true, w.Now()
+		write.Value.InFlight, write.Value.ChangedAt = true, w.Now()
 	}
 }
 
 // tooLarge reports whether a value can't be stored as it is. An undivided record is sharded if it
 // may be; until then its job goes on with what is stored, and other changes go out.
 func (w *Writer) tooLarge(write *Write, value []byte, limit int) bool {
-	refusedBytes := write.V.RefusedBytes
+	refusedBytes := write.Value.RefusedBytes
 	if len(value) < limit/2 && refusedBytes == 0 {
 		return false
 	}
 	size := protocol.JSONSize(value)
-	if size <= ledger.Usable(limit) && (refusedBytes == 0 || size < refusedBytes) {
+	if size <= ledger.UsableBytes(limit) && (refusedBytes == 0 || size < refusedBytes) {
 		return false
 	}
-	if write.Part == HeadIndex && write.J.PartSize == 0 && w.Format.Open {
-		w.Shard(write.J)
+	if write.Shard == HeadIndex && write.Job.ShardSize == 0 && w.Format.Services {
+		w.Shard(write.Job)
 		w.steps.Wake()
 	}
 	return true
@@ -202,7 +202,7 @@
 		cmp.Compare(a.rank, b.rank),
 		cmp.Compare(a.urgency, b.urgency),
 		cmp.Compare(a.changedAt, b.changedAt),
-		cmp.Compare(first.J.Spec.ID, second.J.Spec.ID),
-		cmp.Compare(first.Part, second.Part),
+		cmp.Compare(first.Job.Spec.ID, second.Job.Spec.ID),
+		cmp.Compare(first.Shard, second.Shard),
 	)
 }
--- a/internal/leader/reserve_test.go
+++ b/internal/leader/reserve_test.go
@@ -72,7 +72,7 @@
 // jobs of lower ranks were left pending beside empty machines that were reserved.
 func TestReplicaReserveComesAfterAllPendingJobs(t *testing.T) {
 	d, _, _ := leaderWithService(t)
-	spec := protocol.JobSpec{ID: "job-2", Shape: protocol.ShapeArray, Rank: "idle", Tasks: 3}
+	spec := protocol.JobSpec{ID: "job-2", Shape: protocol.ShapeArray, Priority: "idle", Tasks: 3}
 	d.reader.Adopt(ledger.Key("job-2"), ledger.New(spec, 1).Encode(), 6)
 	reserves, lowest := 0, 0
 	for _, j := range d.snapshots.Snapshot().Jobs {
--- a/internal/leader/scaleout_test.go
+++ b/internal/leader/scaleout_test.go
@@ -16,15 +16,15 @@
 // fakeCloud keeps requests until the test responds to them.
 type fakeCloud struct {
 	cloudtest.Service
-	scaleOuts   []protocol.Rental
-	scaledOut   []func(int, protocol.RentalAnswer)
+	scaleOuts   []protocol.ScaleOutRequest
+	scaledOut   []func(int, protocol.ScaleOutResponse)
 	scaledIn    []func(int)
 	pages       []string
 	listed      []func(int, protocol.MachineList)
 	releaseSets [][]string
 }
 
-func (s *fakeCloud) Rent(r protocol.Rental, _ clock.Micros, done func(int, protocol.RentalAnswer)) {
+func (s *fakeCloud) Rent(r protocol.ScaleOutRequest, _ clock.Micros, done func(int, protocol.ScaleOutResponse)) {
 	s.scaleOuts, s.scaledOut = append(s.scaleOuts, r), append(s.scaledOut, done)
 }
 
@@ -63,21 +63,21 @@
 }
 
 // unmetDemand is a job that needs a machine which isn't spot for each of its tasks.
-func unmetDemand(tasks int) []planner.Want {
+func unmetDemand(tasks int) []planner.UnmetDemand {
 	spec := &protocol.JobSpec{
 		ID: "job-1", Shape: protocol.ShapeArray, Tasks: tasks, Cpus: 8, MemoryGB: 1, EstimateS: 60,
 	}
-	return []planner.Want{{Job: &planner.Job{ID: "job-1", Spec: spec, Limit: tasks}, Tasks: tasks}}
+	return []planner.UnmetDemand{{Job: &planner.Job{ID: "job-1", Spec: spec, MaxStarts: tasks}, Tasks: tasks}}
 }
 
 // onDemandPool is where unmetDemand is served first.
-var onDemandPool = fleet.Kind{Type: "t", Zone: "a"}
+var onDemandPool = fleet.CapacityPool{Type: "t", Zone: "a"}
 
 func TestScaleOutWithoutResponseIsRepeatedUnderItsBooking(t *testing.T) {
 	d, stub, mailbox := scalingLeader()
 	d.autoscaler.ScaleOut(unmetDemand(1))
 	for attempt := 1; attempt < 4; attempt++ {
-		stub.scaledOut[len(stub.scaledOut)-1](0, protocol.RentalAnswer{})
+		stub.scaledOut[len(stub.scaledOut)-1](0, protocol.ScaleOutResponse{})
 		if len(mailbox.delayed) != attempt {
 			t.Fatalf("after attempt %d: %d repetitions, want %d", attempt, len(mailbox.delayed), attempt)
 		}
@@ -90,7 +90,7 @@
 			t.Fatalf("after attempt %d: another request while the first has no response", attempt)
 		}
 	}
-	stub.scaledOut[3](0, protocol.RentalAnswer{})
+	stub.scaledOut[3](0, protocol.ScaleOutResponse{})
 	if len(mailbox.delayed) != 3 {
 		t.Fatalf("%d repetitions, want no more than 3", len(mailbox.delayed))
 	}
@@ -100,7 +100,7 @@
 	}
 	mailbox.Now += 2 * clock.Second
 	d.autoscaler.ScaleOut(unmetDemand(1))
-	if len(stub.scaleOuts) != 5 || stub.scaleOuts[4].Booking == stub.scaleOuts[0].Booking {
+	if len(stub.scaleOuts) != 5 || stub.scaleOuts[4].IdempotencyKey == stub.scaleOuts[0].IdempotencyKey {
 		t.Fatalf("requests %+v, want a fifth under a booking of its own", stub.scaleOuts)
 	}
 }
@@ -109,26 +109,26 @@
 	d, stub, _ := scalingLeader()
 	d.autoscaler.ScaleOut(unmetDemand(2))
 	request := stub.scaleOuts[0]
-	stub.scaledOut[0](http.StatusOK, protocol.RentalAnswer{Machines: []string{"m-1", "m-2"}})
+	stub.scaledOut[0](http.StatusOK, protocol.ScaleOutResponse{Machines: []string{"m-1", "m-2"}})
 	for _, name := range []string{"m-1", "m-2"} {
 		m := d.machines.ByName[name]
 		if m == nil || m.CloudStatus != protocol.MachineStarting ||
-			m.Kind() != (fleet.Kind{Type: request.Type, Zone: request.Zone, Spot: request.Spot}) {
+			m.Kind() != (fleet.CapacityPool{Type: request.Type, Zone: request.Zone, Spot: request.Spot}) {
 			t.Errorf("%s is %+v, want a starting machine of %+v", name, m, request)
 		}
 	}
-	if refused := d.autoscaler.Market().Refused; len(refused) != 0 {
+	if refused := d.autoscaler.CloudView().OutOfCapacity; len(refused) != 0 {
 		t.Errorf("out of capacity: %v, want none", refused)
 	}
 }
 
 func TestPoolWithoutCapacityPausesTwiceAsLongEachTime(t *testing.T) {
-	for name, respond := range map[string]func(done func(int, protocol.RentalAnswer)){
-		"no capacity": func(done func(int, protocol.RentalAnswer)) {
-			done(http.StatusServiceUnavailable, protocol.RentalAnswer{Error: protocol.NoCapacity})
+	for name, respond := range map[string]func(done func(int, protocol.ScaleOutResponse)){
+		"no capacity": func(done func(int, protocol.ScaleOutResponse)) {
+			done(http.StatusServiceUnavailable, protocol.ScaleOutResponse{Error: protocol.NoCapacity})
 		},
-		"fewer machines than asked for": func(done func(int, protocol.RentalAnswer)) {
-			done(http.StatusOK, protocol.RentalAnswer{})
+		"fewer machines than asked for": func(done func(int, protocol.ScaleOutResponse)) {
+			done(http.StatusOK, protocol.ScaleOutResponse{})
 		},
 	} {
 		d, stub, mailbox := scalingLeader()
@@ -138,13 +138,13 @@
 			demand[0].Job.Spec.Spot = false
 			d.autoscaler.ScaleOut(demand)
 			request := stub.scaleOuts[len(stub.scaleOuts)-1]
-			pool := fleet.Kind{Type: request.Type, Zone: request.Zone, Spot: request.Spot}
+			pool := fleet.CapacityPool{Type: request.Type, Zone: request.Zone, Spot: request.Spot}
 			if pool != onDemandPool {
 				t.Fatalf("%s: scaled out %v, want %v", name, pool, onDemandPool)
 			}
 			respond(stub.scaledOut[len(stub.scaledOut)-1])
 			begun := mailbox.Now
-			for d.autoscaler.Market().Refused[pool] {
+			for d.autoscaler.CloudView().OutOfCapacity[pool] {
 				mailbox.Now += clock.Second
 			}
 			pauses = append(pauses, mailbox.Now-begun)
@@ -163,8 +163,8 @@
 func TestRefusedScaleOutPausesRequests(t *testing.T) {
 	d, stub, mailbox := scalingLeader()
 	d.autoscaler.ScaleOut(unmetDemand(1))
-	stub.scaledOut[0](http.StatusTooManyRequests, protocol.RentalAnswer{})
-	if refused := d.autoscaler.Market().Refused; len(refused) != 0 {
+	stub.scaledOut[0](http.StatusTooManyRequests, protocol.ScaleOutResponse{})
+	if refused := d.autoscaler.CloudView().OutOfCapacity; len(refused) != 0 {
 		t.Errorf("out of capacity: %v, want none", refused)
 	}
 	d.autoscaler.ScaleOut(unmetDemand(1))
@@ -192,7 +192,7 @@
 			len(stub.scaledIn))
 	}
 	d.state.Term.Epoch = 9
-	stub.scaledOut[0](http.StatusOK, protocol.RentalAnswer{Machines: []string{"m-1"}})
+	stub.scaledOut[0](http.StatusOK, protocol.ScaleOutResponse{Machines: []string{"m-1"}})
 	stub.listed[0](http.StatusOK, protocol.MachineList{Machines: []protocol.ListedMachine{{Name: "m-2"}}})
 	stub.scaledIn[0](http.StatusOK)
 	if len(d.machines.ByName) != 1 || d.machines.ByName["m-9"] != m {
--- a/internal/leader/scheduler/actions.go
+++ b/internal/leader/scheduler/actions.go
@@ -17,13 +17,13 @@
 
 // applyPlacements proposes the placements on machines that are up. The plan keeps capacity free for
 // the others: reserves, and what waits for a machine to boot.
-func (s *Scheduler) applyPlacements(placements []planner.Place) {
+func (s *Scheduler) applyPlacements(placements []planner.Placement) {
 	waiting := s.gangsWaitingForBoot(placements)
 	for _, p := range placements {
 		switch {
 		case snapshots.IsReserve(p.Job):
 			s.machines.ByName[p.Machine].ReservedAt = s.Now()
-		case !p.Booting && !waiting[p.Job]:
+		case !p.MachineBooting && !waiting[p.Job]:
 			s.place(s.jobs.ByID[p.Job], p.Task, s.machines.ByName[p.Machine])
 		}
 	}
@@ -32,10 +32,10 @@
 // gangsWaitingForBoot returns the gangs of which a plan places some task on a machine that boots. They
 // start whole or not at all: in part they would hold capacity, fail for want of the rest and start
 // over.
-func (s *Scheduler) gangsWaitingForBoot(placements []planner.Place) map[string]bool {
+func (s *Scheduler) gangsWaitingForBoot(placements []planner.Placement) map[string]bool {
 	waiting := map[string]bool{}
 	for _, p := range placements {
-		if p.Booting && !snapshots.IsReserve(p.Job) && s.jobs.ByID[p.Job].Spec.Gang() {
+		if p.MachineBooting && !snapshots.IsReserve(p.Job) && s.jobs.ByID[p.Job].Spec.Gang() {
 			waiting[p.Job] = true
 		}
 	}
@@ -45,29 +45,29 @@
 // place proposes the placement of a task.
 func (s *Scheduler) place(j *jobtable.Job, task int, m *machinetable.Machine) {
 	if term.DebugEnabled() {
-		sinceSubmission := s.Mailbox.OfDay() - clock.Micros(j.SubmittedAt)
+		sinceSubmission := s.Mailbox.TimeOfDay() - clock.Micros(j.SubmittedAt)
 		slog.Debug("placing task", "job", j.Spec.ID, "class", j.Spec.Class, "task", task,
 			"machine", m.Name, "type", m.Type, "image_cached", m.HasImage(j.Spec.Image),
 			"since_submission_s", sinceSubmission.Seconds())
 	}
 	s.jobs.AddPlacement(j, ledger.Placement{
-		Task:    task,
-		Attempt: j.CurrentAttempt(),
-		Machine: m.Name,
-		Session: m.Incarnation,
+		Task:        task,
+		Attempt:     j.CurrentAttempt(),
+		Machine:     m.Name,
+		Incarnation: m.Incarnation,
 	})
-	if j.Displaced != "" && j.PendingCount() == 0 {
+	if j.DisplacedFrom != "" && j.PendingCount() == 0 {
 		s.zones.EndDisplacement(j) // all that the lost zone ran is placed again
 	}
 }
 
 // applyPreemptions stops the tasks that are preempted. The job that they are preempted for returns the
 // capacity when it ends.
-func (s *Scheduler) applyPreemptions(preemptions []planner.Stop) {
+func (s *Scheduler) applyPreemptions(preemptions []planner.Preemption) {
 	for _, p := range preemptions {
-		slog.Info("preempting task", "job", p.Job, "task", p.Task, "preemptor", p.For)
-		s.commands.Stop(s.jobs.ByID[p.Job], p.Task, stopReasonPreempted, p.For)
-		if preemptor := s.jobs.ByID[p.For]; preemptor.Lend(p.Job) {
+		slog.Info("preempting task", "job", p.Job, "task", p.Task, "preemptor", p.Preemptor)
+		s.commands.Stop(s.jobs.ByID[p.Job], p.Task, stopReasonPreempted, p.Preemptor)
+		if preemptor := s.jobs.ByID[p.Preemptor]; preemptor.AddLender(p.Job) {
 			s.jobs.NoteHeadChange(preemptor)
 		}
 	}
--- a/internal/leader/scheduler/demand.go
+++ b/internal/leader/scheduler/demand.go
@@ -9,7 +9,7 @@
 )
 
 // noteUnmetDemand notes since when machines have been needed for each job.
-func (s *Scheduler) noteUnmetDemand(demand []planner.Want) {
+func (s *Scheduler) noteUnmetDemand(demand []planner.UnmetDemand) {
 	for _, unmet := range demand {
 		j := s.jobs.ByID[unmet.Job.ID]
 		if j == nil {
@@ -24,30 +24,30 @@
 
 // cheaperCapacity returns the tasks that wait for costly machines to boot as demand that only a fair
 // price is paid for: a cheaper machine leaves the costly one to tasks that need it.
-func (s *Scheduler) cheaperCapacity(made *planned) []planner.Want {
-	view := s.autoscaler.Market()
-	awaited := s.awaitedPools(made.plan.Places)
-	var demand []planner.Want
+func (s *Scheduler) cheaperCapacity(made *planned) []planner.UnmetDemand {
+	view := s.autoscaler.CloudView()
+	awaited := s.awaitedPools(made.plan.Placements)
+	var demand []planner.UnmetDemand
 	for i := range made.snapshot.Jobs {
 		j := &made.snapshot.Jobs[i]
 		costly := 0
 		for _, pool := range awaited[j.ID] {
-			if !view.Fair(pool, j) {
+			if !view.FairlyPriced(pool, j) {
 				costly++
 			}
 		}
 		if costly > 0 {
-			demand = append(demand, planner.Want{Job: patient(j), Tasks: costly})
+			demand = append(demand, planner.UnmetDemand{Job: patient(j), Tasks: costly})
 		}
 	}
 	return demand
 }
 
 // awaitedPools returns, by job, the pools of the booting machines that its tasks wait for.
-func (s *Scheduler) awaitedPools(placements []planner.Place) map[string][]fleet.Kind {
-	awaited := map[string][]fleet.Kind{}
+func (s *Scheduler) awaitedPools(placements []planner.Placement) map[string][]fleet.CapacityPool {
+	awaited := map[string][]fleet.CapacityPool{}
 	for _, p := range placements {
-		if p.Booting {
+		if p.MachineBooting {
 			awaited[p.Job] = append(awaited[p.Job], s.machines.ByName[p.Machine].Kind())
 		}
 	}
@@ -57,24 +57,24 @@
 // patient returns a copy of a job that has all the time in the world.
 func patient(j *planner.Job) *planner.Job {
 	copied := *j
-	copied.SlackS, copied.StartAim = math.MaxFloat64, false
+	copied.SlackS, copied.HasStartObjective = math.MaxFloat64, false
 	return &copied
 }
 
 // hostedDemand returns the tasks of other cells' jobs that this cell's reserve keeps off the machines
 // that are up: machines are scaled out for them.
-func (s *Scheduler) hostedDemand(snapshot *planner.Snapshot) []planner.Want {
-	var demand []planner.Want
+func (s *Scheduler) hostedDemand(snapshot *planner.Snapshot) []planner.UnmetDemand {
+	var demand []planner.UnmetDemand
 	for i := range snapshot.Jobs {
 		j := &snapshot.Jobs[i]
-		beyond := len(j.Pending) - j.Limit
-		if beyond <= 0 || j.Waiting || !s.jobs.IsHosted(j.ID) {
+		beyond := len(j.Pending) - j.MaxStarts
+		if beyond <= 0 || j.BackingOff || !s.jobs.IsHosted(j.ID) {
 			continue
 		}
 		if j.Spec.Gang() {
 			beyond = len(j.Pending) // it starts whole or not at all
 		}
-		demand = append(demand, planner.Want{Job: j, Tasks: beyond})
+		demand = append(demand, planner.UnmetDemand{Job: j, Tasks: beyond})
 	}
 	return demand
 }
--- a/internal/leader/scheduler/scheduler.go
+++ b/internal/leader/scheduler/scheduler.go
@@ -60,10 +60,10 @@
 	}
 	s.writer.ShardLargeRecords()
 	made := s.planWithCordoned()
-	s.applyPlacements(made.plan.Places)
-	s.applyPreemptions(made.plan.Stops)
-	s.noteUnmetDemand(made.plan.Wants)
-	demand := slices.Concat(made.plan.Wants, s.cheaperCapacity(&made), s.hostedDemand(&made.snapshot))
+	s.applyPlacements(made.plan.Placements)
+	s.applyPreemptions(made.plan.Preemptions)
+	s.noteUnmetDemand(made.plan.UnmetDemand)
+	demand := slices.Concat(made.plan.UnmetDemand, s.cheaperCapacity(&made), s.hostedDemand(&made.snapshot))
 	s.autoscaler.ScaleOut(demand)
 }
 
@@ -78,7 +78,7 @@
 func (s *Scheduler) planWithCordoned() planned {
 	made := s.makePlan()
 	machines := 1
-	for len(made.plan.Wants) > 0 && s.autoscaler.Uncordon(made.plan.Wants, machines) {
+	for len(made.plan.UnmetDemand) > 0 && s.autoscaler.Uncordon(made.plan.UnmetDemand, machines) {
 		made = s.makePlan()
 		machines *= 2
 	}
@@ -89,5 +89,5 @@
 func (s *Scheduler) makePlan() planned {
 	s.Plans++
 	snapshot := s.snapshots.Snapshot()
-	return planned{snapshot: snapshot, plan: planner.Make(snapshot)}
+	return planned{snapshot: snapshot, plan: planner.MakePlan(snapshot)}
 }
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -16,11 +16,11 @@
 	t.Helper()
 	d, _ := newLeader()
 	content := ledger.New(protocol.JobSpec{
-		ID: "job-1", Class: "portal", Shape: protocol.ShapeService, Rank: "prod", Tasks: 3,
+		ID: "job-1", Class: "portal", Shape: protocol.ShapeService, Priority: "prod", Tasks: 3,
 	}, 1)
-	content.Placed[0] = ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1}
+	content.Placements[0] = ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1}
 	d.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
-	running := protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskRunning}
+	running := protocol.TaskStatus{Task: "job-1/0", Attempt: 1, Status: protocol.TaskRunning}
 	d.reconciler.Observe(d.machines.ByName["m-1"], workerHeartbeat(1, 1, running))
 	return d, d.jobs.ByID["job-1"], d.machines.ByName["m-1"]
 }
@@ -29,15 +29,15 @@
 // machine isn't quarantined for it.
 func TestReplicasRunAgainWhateverTheirEnd(t *testing.T) {
 	causes := []string{
-		protocol.CauseDone, protocol.CauseError, protocol.CausePeers, protocol.CauseStopped, "unheard of",
+		protocol.CauseDone, protocol.CauseError, protocol.CauseGangBroken, protocol.CauseStopped, "unheard of",
 	}
 	for _, cause := range causes {
 		d, j, m := leaderWithService(t)
-		exited := protocol.TaskReport{Task: "job-1/0", Attempt: 1, Status: protocol.TaskExited, Cause: cause}
+		exited := protocol.TaskStatus{Task: "job-1/0", Attempt: 1, Status: protocol.TaskExited, Cause: cause}
 		d.reconciler.Observe(m, workerHeartbeat(1, 2, exited))
-		if j.Final() || j.Done.Len() > 0 || len(j.Placed) > 0 || j.NextAttempt < 2 {
+		if j.Final() || j.Done.Len() > 0 || len(j.Placements) > 0 || j.NextAttempt < 2 {
 			t.Errorf("%s: final %v, done %q, placed %v, next attempt %d, want a service with nothing done or "+
-				"placed and a next attempt of 2 at least", cause, j.Final(), j.Done.String(), j.Placed, j.NextAttempt)
+				"placed and a next attempt of 2 at least", cause, j.Final(), j.Done.String(), j.Placements, j.NextAttempt)
 		}
 		pending := j.Restartable(j.Startable(8<<10, 10), d.state.Now())
 		if len(pending) != 3 {
@@ -53,7 +53,7 @@
 // others start at once. After a good run it starts at once again.
 func TestReplicaThatEndsAtOnceBacksOff(t *testing.T) {
 	d, j, m := leaderWithService(t)
-	p := ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Session: 1}
+	p := ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1}
 	end := func(ran clock.Micros) clock.Micros {
 		d.reconciler.ReplicaEnded(m, j, p, protocol.CauseError, ran)
 		return j.Restarts[0].NotBefore - d.state.Now()
@@ -80,7 +80,7 @@
 	if n := j.WaitingRestarts(d.state.Now()); n != 0 {
 		t.Errorf("%d replicas wait while the first is placed, want 0", n)
 	}
-	delete(j.Placed, 0)
+	delete(j.Placements, 0)
 	if n := j.WaitingRestarts(d.state.Now()); n != 1 {
 		t.Errorf("%d replicas wait once the first is no longer placed, want 1", n)
 	}
@@ -93,13 +93,13 @@
 // service is over: a late copy of the start command would run it again.
 func TestEndsOfReplicasAreRemembered(t *testing.T) {
 	d, j, m := leaderWithService(t)
-	d.jobs.AddPlacement(j, ledger.Placement{Task: 1, Attempt: 1, Machine: "m-1", Session: 1})
+	d.jobs.AddPlacement(j, ledger.Placement{Task: 1, Attempt: 1, Machine: "m-1", Incarnation: 1})
 	j.StoredCount = j.ChangeCount
 	m.Steady = false
 	d.commands.CommandsFor(m, reconciler.ViaHeartbeat)
 	ref := machinetable.AttemptRef{Job: "job-1", Task: 1, Attempt: 1}
 	delete(d.jobs.ByID, "job-1")
-	if !reconciler.MayRepeat(m, ref, protocol.TaskReport{Cause: protocol.CauseDone}) {
+	if !reconciler.LateStartHarmful(m, ref, protocol.TaskStatus{Cause: protocol.CauseDone}) {
 		t.Error("a replica that ended as done may not run again, want that it may")
 	}
 }
@@ -126,7 +126,7 @@
 func TestReplicasMoveOneAtATime(t *testing.T) {
 	d, j, m := leaderWithService(t)
 	for task := 1; task < 3; task++ {
-		d.jobs.AddPlacement(j, ledger.Placement{Task: task, Attempt: 1, Machine: "m-1", Session: 1})
+		d.jobs.AddPlacement(j, ledger.Placement{Task: task, Attempt: 1, Machine: "m-1", Incarnation: 1})
 	}
 	m.Address = "" // nothing is sent
 	m.RecallAt = d.state.Now() + 20*clock.Second
@@ -135,12 +135,12 @@
 	if len(j.Stops) != 1 {
 		t.Fatalf("%d replicas are stopped at once, want 1", len(j.Stops))
 	}
-	d.jobs.ReleasePlacement(j, j.Placed[0])
+	d.jobs.ReleasePlacement(j, j.Placements[0])
 	d.health.DrainRecalled()
 	if len(j.Stops) != 0 {
 		t.Fatalf("%d replicas are stopped before the first is placed again, want 0", len(j.Stops))
 	}
-	d.jobs.AddPlacement(j, ledger.Placement{Task: 0, Attempt: 2, Machine: "m-2", Session: 1})
+	d.jobs.AddPlacement(j, ledger.Placement{Task: 0, Attempt: 2, Machine: "m-2", Incarnation: 1})
 	d.health.DrainRecalled()
 	if len(j.Stops) != 1 {
 		t.Fatalf("%d replicas are stopped once the first is placed again, want 1", len(j.Stops))
@@ -152,10 +152,10 @@
 func TestUnheardMachinesWithReplicasAreProbedThenReleased(t *testing.T) {
 	for _, others := range []int{0, 4} {
 		d, box := newLeader()
-		spec := protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeService, Rank: "prod", Tasks: 4}
+		spec := protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeService, Priority: "prod", Tasks: 4}
 		content := ledger.New(spec, 1)
 		for task, machine := range []string{"m-1", "m-2", "m-3", "m-4"} {
-			content.Placed[task] = ledger.Placement{Task: task, Attempt: 1, Machine: machine, Session: 1}
+			content.Placements[task] = ledger.Placement{Task: task, Attempt: 1, Machine: machine, Incarnation: 1}
 		}
 		d.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
 		for i := range others {
@@ -182,10 +182,10 @@
 	for _, spread := range []bool{false, true} {
 		d, box := newLeader()
 		content := ledger.New(protocol.JobSpec{
-			ID: "job-1", Shape: protocol.ShapeService, Rank: "prod", Tasks: 4, Spread: spread,
+			ID: "job-1", Shape: protocol.ShapeService, Priority: "prod", Tasks: 4, Spread: spread,
 		}, 1)
 		for task, machine := range []string{"m-1", "m-2", "m-3", "m-4"} {
-			content.Placed[task] = ledger.Placement{Task: task, Attempt: 1, Machine: machine, Session: 1}
+			content.Placements[task] = ledger.Placement{Task: task, Attempt: 1, Machine: machine, Incarnation: 1}
 		}
 		d.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
 		for name, zone := range map[string]string{"m-1": "a", "m-2": "a", "m-3": "b", "m-4": "b", "m-5": "a"} {
--- a/internal/leader/sharding_test.go
+++ b/internal/leader/sharding_test.go
@@ -18,7 +18,7 @@
 	l, store := tightLeader(true)
 	l.reader.Adopt(ledger.Key("job-1"), wideArray().Encode(), 5)
 	j := l.jobs.ByID["job-1"]
-	l.jobs.ReleasePlacement(j, j.Placed[0])
+	l.jobs.ReleasePlacement(j, j.Placements[0])
 	j.ChangedAt = 0 // long enough ago
 	l.writer.Commit()
 	if len(store.txns) != 0 || !j.Sharding() {
@@ -43,8 +43,8 @@
 		t.Fatalf("head written %v, sharding %v, %d shards, want true, false and 3 or more", headWritten,
 			j.Sharding(), len(j.Shards))
 	}
-	if len(j.Placed) != 299 || !j.Committed(j.Placed[7]) {
-		t.Fatalf("%d placed, committed %v, want 299 and true", len(j.Placed), j.Committed(j.Placed[7]))
+	if len(j.Placements) != 299 || !j.Committed(j.Placements[7]) {
+		t.Fatalf("%d placed, committed %v, want 299 and true", len(j.Placements), j.Committed(j.Placements[7]))
 	}
 }
 
@@ -52,16 +52,16 @@
 // record's version.
 func requireTightLimits(t *testing.T, txn protocol.Txn) {
 	t.Helper()
-	if len(txn.Changes) > 4 || len(txn.Guards) > 16 {
-		t.Fatalf("%d changes and %d guards, want at most 4 and 16", len(txn.Changes), len(txn.Guards))
+	if len(txn.Changes) > 4 || len(txn.Conditions) > 16 {
+		t.Fatalf("%d changes and %d guards, want at most 4 and 16", len(txn.Changes), len(txn.Conditions))
 	}
 	for _, c := range txn.Changes {
-		if size := protocol.JSONSize(c.Value); size > ledger.Usable(2<<10) {
-			t.Fatalf("%s has %d bytes, want at most %d", c.Put, size, ledger.Usable(2<<10))
+		if size := protocol.JSONSize(c.Value); size > ledger.UsableBytes(2<<10) {
+			t.Fatalf("%s has %d bytes, want at most %d", c.Put, size, ledger.UsableBytes(2<<10))
 		}
 	}
-	if want := (protocol.Guard{Key: ledger.Key("job-1"), Version: 5}); !slices.Contains(txn.Guards, want) {
-		t.Fatalf("guards %v, want %v among them", txn.Guards, want)
+	if want := (protocol.Condition{Key: ledger.Key("job-1"), Version: 5}); !slices.Contains(txn.Conditions, want) {
+		t.Fatalf("guards %v, want %v among them", txn.Conditions, want)
 	}
 }
 
@@ -72,16 +72,16 @@
 	l.reader.Adopt(ledger.Key("job-1"), wideArray().Encode(), 5)
 	l.reader.Adopt(ledger.Key("job-2"), ledger.New(arraySpec("job-2", 1), 1).Encode(), 6)
 	j := l.jobs.ByID["job-1"]
-	l.jobs.ReleasePlacement(j, j.Placed[0])
+	l.jobs.ReleasePlacement(j, j.Placements[0])
 	j.ChangedAt = 0
 	small := l.jobs.ByID["job-2"]
-	l.jobs.AddPlacement(small, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-z", Session: 1})
+	l.jobs.AddPlacement(small, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-z", Incarnation: 1})
 	l.writer.Commit()
 	if len(store.txns) != 1 || len(store.txns[0].Changes) != 2 {
 		t.Fatalf("transactions %v, want one of two changes", store.txns)
 	}
 	// The limits have come: the same changes are refused, and go again without the large one.
-	store.answer(storetest.Reply[protocol.TxnAnswer]{Status: http.StatusBadRequest})
+	store.answer(storetest.Reply[protocol.TxnResponse]{Status: http.StatusBadRequest})
 	commitAfterPause(l)
 	last := store.last()
 	if len(store.txns) != 2 || len(last.Changes) != 1 || last.Changes[0].Put != ledger.Key("job-2") {
@@ -90,12 +90,12 @@
 	}
 	store.answer(committedAt(9))
 	commitAfterPause(l)
-	if len(store.txns) != 2 || j.MustReload() || len(j.Placed) != 299 || j.PartSize != 0 {
+	if len(store.txns) != 2 || j.MustReload() || len(j.Placements) != 299 || j.ShardSize != 0 {
 		t.Fatalf("%d transactions, to be reloaded %v, %d placed, shards of %d tasks, want 2, false, 299 and 0",
-			len(store.txns), j.MustReload(), len(j.Placed), j.PartSize)
+			len(store.txns), j.MustReload(), len(j.Placements), j.ShardSize)
 	}
 	// Once the last controller is new, the record is sharded and written.
-	l.SetFormat(rollout.Status{Open: true})
+	l.SetFormat(rollout.Status{Services: true})
 	j.ChangedAt = 0
 	l.writer.Commit()
 	l.writer.Commit()
@@ -108,17 +108,17 @@
 // it depends on is that the head hasn't.
 func TestShardsAreCommittedWithoutTheirHead(t *testing.T) {
 	l, store, j := shardedArray(t)
-	if j.Committed(j.Placed[0]) {
+	if j.Committed(j.Placements[0]) {
 		t.Fatal("the placement counts as committed before it is stored")
 	}
 	txn := store.txns[0]
-	if len(txn.Changes) != 1 || txn.Changes[0].Put != ledger.PartKey("job-1", 0) || len(txn.Guards) != 3 {
+	if len(txn.Changes) != 1 || txn.Changes[0].Put != ledger.ShardKey("job-1", 0) || len(txn.Conditions) != 3 {
 		t.Fatalf("%+v, want the change of shard 0 alone, with 3 guards", txn)
 	}
 	store.answer(committedAt(9))
-	if !j.Committed(j.Placed[0]) || j.Version != 5 || j.Shards[0].Version != 9 || l.jobs.ByID["job-1"] != j {
+	if !j.Committed(j.Placements[0]) || j.Version != 5 || j.Shards[0].Version != 9 || l.jobs.ByID["job-1"] != j {
 		t.Fatalf("committed %v, head at version %d, shard at version %d, want true, 5 and 9, of the same job",
-			j.Committed(j.Placed[0]), j.Version, j.Shards[0].Version)
+			j.Committed(j.Placements[0]), j.Version, j.Shards[0].Version)
 	}
 }
 
@@ -128,8 +128,8 @@
 	l, store := tightLeader(true)
 	spec := protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 300}
 	l.reader.Adopt(ledger.Key("job-1"), ledger.New(spec, 1).Encode(), 5)
-	l.reader.AdoptShard(protocol.Item{Key: ledger.PartKey("job-1", 0), Version: 4})
-	l.reader.AdoptShard(protocol.Item{Key: ledger.PartKey("job-9", 2), Version: 3})
+	l.reader.AdoptShard(protocol.Item{Key: ledger.ShardKey("job-1", 0), Version: 4})
+	l.reader.AdoptShard(protocol.Item{Key: ledger.ShardKey("job-9", 2), Version: 3})
 	l.writer.ShardLargeRecords()
 	if l.jobs.ByID["job-1"].Sharding() {
 		t.Fatal("the record is sharded while stray shards are stored")
@@ -161,9 +161,9 @@
 	store.down = true
 	store.answer(conflictOn(first))
 	commitAfterPause(l) // the shards can't be listed
-	if len(j.Placed) != 300 || j.MustReload() {
+	if len(j.Placements) != 300 || j.MustReload() {
 		t.Fatalf("%d placed, to be reloaded %v, want 300 and false: the undivided record is what counts",
-			len(j.Placed), j.MustReload())
+			len(j.Placements), j.MustReload())
 	}
 	if j.Sharding() || !j.HasStrayShards() {
 		t.Fatalf("sharding %v, stray shards %v, want false and true", j.Sharding(), j.HasStrayShards())
--- a/internal/leader/snapshot_test.go
+++ b/internal/leader/snapshot_test.go
@@ -21,7 +21,7 @@
 	}{
 		{"jobs alike", func(*Leader) {}, 0},
 		{"two ranks", func(d *Leader) {
-			spec := protocol.JobSpec{ID: "job-2", Shape: protocol.ShapeArray, Rank: "urgent", Tasks: 1}
+			spec := protocol.JobSpec{ID: "job-2", Shape: protocol.ShapeArray, Priority: "urgent", Tasks: 1}
 			d.reader.Adopt(ledger.Key("job-2"), ledger.New(spec, 1).Encode(), 6)
 		}, 20},
 		{"a guarantee", func(d *Leader) {
@@ -33,8 +33,8 @@
 		d.state.Mailbox.(*actortest.Still).Now += 20 * clock.Second
 		for _, j := range d.snapshots.Snapshot().Jobs {
 			for _, r := range j.Running {
-				if r.Overhead != c.want {
-					t.Errorf("%s: task %d loses %v s, want %v", c.name, r.Task, r.Overhead, c.want)
+				if r.OverheadS != c.want {
+					t.Errorf("%s: task %d loses %v s, want %v", c.name, r.Task, r.OverheadS, c.want)
 				}
 			}
 		}
@@ -48,7 +48,7 @@
 	snapshots.MarkOverQuota(&s)
 	for _, j := range s.Jobs {
 		for _, r := range j.Running {
-			if r.Borrowed {
+			if r.OverQuota {
 				t.Errorf("replica %s/%d is over quota, want none to be", j.ID, r.Task)
 			}
 		}
