--- a/internal/leader/snapshots/jobs.go
+++ b/internal/leader/snapshots/jobs.go
@@ -41,7 +41,7 @@
 // running tasks in each plan, so that the losses are computed only then.
 func (b *Builder) overheadsNeeded(teams map[string]planner.Team) Overheads {
 	for _, team := range teams {
-		if team.Guaranteed() {
+		if team.HasGuarantee() {
 			return WithOverheads
 		}
 	}
@@ -58,21 +58,21 @@
 	if j.Over() || !j.ContentKnown() {
 		return false
 	}
-	return j.Permission == nil || j.Permission.MayStart(now) || len(j.Placed) > 0
+	return j.Permission == nil || j.Permission.MayStart(now) || len(j.Placements) > 0
 }
 
 // PlannedJob returns a job as the planner is shown it.
 func (b *Builder) PlannedJob(j *jobtable.Job, now clock.Micros, overheads Overheads) planner.Job {
 	planned := planner.Job{
-		ID:          j.Spec.ID,
-		Spec:        &j.Spec,
-		Rank:        j.Rank(),
-		SubmittedAt: j.SubmittedAt,
-		Returning:   j.Reclaiming,
-		Waiting:     now < j.NotBefore || b.zones.AwaitsClearance(j),
-		MayEvict:    j.StartFailures <= maxPreemptingFailures,
-		Avoid:       j.AvoidMachines,
-		Unmet:       scaleOutOverdue(j, now),
+		ID:              j.Spec.ID,
+		Spec:            &j.Spec,
+		Rank:            j.Rank(),
+		SubmittedAt:     j.SubmittedAt,
+		Lender:          j.Reclaiming,
+		BackingOff:      now < j.NotBefore || b.zones.AwaitsClearance(j),
+		MayPreempt:      j.StartFailures <= maxPreemptingFailures,
+		AvoidedMachines: j.AvoidMachines,
+		ScaleOutOverdue: scaleOutOverdue(j, now),
 	}
 	b.judge(j, &planned)
 	planned.Running = b.runningTasks(j, now, overheads)
@@ -90,10 +90,10 @@
 
 // judge sets by when a job should start and end.
 func (b *Builder) judge(j *jobtable.Job, planned *planner.Job) {
-	urgency := b.objectives.TierAndSlack(j)
+	urgency := b.objectives.Urgency(j)
 	planned.Tier, planned.SlackS = urgency.Tier, urgency.SlackS
-	planned.StartAim = j.Spec.Service() || b.objectives.StartObjectiveS(j.Spec.Class) > 0
-	planned.StartS = b.objectives.StartSlackS(j)
+	planned.HasStartObjective = j.Spec.Service() || b.objectives.StartObjectiveS(j.Spec.Class) > 0
+	planned.StartSlackS = b.objectives.StartSlackS(j)
 }
 
 // scaleOutOverdue reports whether a job has needed machines for long and still does.
@@ -110,7 +110,7 @@
 	if j.TasksElsewhere > 0 && (j.Spec.OneZone || j.Spec.Spread) {
 		return false
 	}
-	return !j.Spec.Gang() || len(j.Placed) == 0 || b.commands.Completable(j)
+	return !j.Spec.Gang() || len(j.Placements) == 0 || b.commands.Completable(j)
 }
 
 // setPending sets the tasks that a plan may start, within what the record has room for.
@@ -118,19 +118,19 @@
 	valueBytes, _ := b.writer.Limits()
 	if j.Spec.Gang() {
 		planned.Pending = j.Pending(j.Spec.Tasks)
-		planned.Limit = len(j.Startable(valueBytes, j.Spec.Tasks))
-		planned.Avoid = b.machinesWithEndedTasks(j)
+		planned.MaxStarts = len(j.Startable(valueBytes, j.Spec.Tasks))
+		planned.AvoidedMachines = b.machinesWithEndedTasks(j)
 		return
 	}
 	planned.Pending = j.Restartable(j.Startable(valueBytes, maxTasksPerPlan), now)
-	planned.Limit = len(planned.Pending)
+	planned.MaxStarts = len(planned.Pending)
 }
 
 // machinesWithEndedTasks returns the machines that a gang avoids, together with those that still
 // report an ended task of the attempt that it may be completed with: a start of the same task and
 // attempt has no effect there.
 func (b *Builder) machinesWithEndedTasks(j *jobtable.Job) map[string]bool {
-	if len(j.Placed) == 0 {
+	if len(j.Placements) == 0 {
 		return j.AvoidMachines
 	}
 	avoid := maps.Clone(j.AvoidMachines)
@@ -147,22 +147,22 @@
 // restrictHosted shows another cell's job to the planner. It preempts nothing, and takes only the
 // room that is left beyond the cell's reserve.
 func (b *Builder) restrictHosted(j *jobtable.Job, planned *planner.Job, now clock.Micros) {
-	planned.MayEvict, planned.StartAim, planned.Returning = false, false, false
-	planned.Tier, planned.SlackS, planned.StartS = planner.EndsInTime, math.MaxFloat64, math.MaxFloat64
-	planned.Waiting = planned.Waiting || !j.Permission.MayStart(now+startMargin) || j.Guest.Closed
-	if b.Directory == nil || b.Directory.Own.Reserve == (planner.Amounts{}) {
+	planned.MayPreempt, planned.HasStartObjective, planned.Lender = false, false, false
+	planned.Tier, planned.SlackS, planned.StartSlackS = planner.TierEndInTime, math.MaxFloat64, math.MaxFloat64
+	planned.BackingOff = planned.BackingOff || !j.Permission.MayStart(now+startMargin) || j.Hosted.Closed
+	if b.Directory == nil || b.Directory.Own.Reserve == (planner.Resources{}) {
 		return
 	}
 	room := b.free.Minus(b.Directory.Own.Reserve)
-	room.MemoryGB = planner.PlentyGB // the reserve is of CPUs and GPUs only
-	if fits := planner.Needs(&j.Spec).Count(room); fits < len(planned.Pending) {
-		planned.Limit = min(planned.Limit, fits)
+	room.MemoryGB = planner.UnlimitedMemoryGB // the reserve is of CPUs and GPUs only
+	if fits := planner.TaskResources(&j.Spec).CopiesIn(room); fits < len(planned.Pending) {
+		planned.MaxStarts = min(planned.MaxStarts, fits)
 	}
 }
 
 // runningTasks returns what a job has placed in this cell, kept from one snapshot to the next as long
 // as no placement changes.
-func (b *Builder) runningTasks(j *jobtable.Job, now clock.Micros, overheads Overheads) []planner.Running {
+func (b *Builder) runningTasks(j *jobtable.Job, now clock.Micros, overheads Overheads) []planner.RunningTask {
 	if j.RunningStale {
 		b.rebuildRunning(j)
 	}
@@ -176,9 +176,9 @@
 func (b *Builder) rebuildRunning(j *jobtable.Job) {
 	j.RunningStale = false
 	j.RunningView, j.RunningSince, j.TasksElsewhere = j.RunningView[:0], j.RunningSince[:0], 0
-	for _, task := range slices.Sorted(maps.Keys(j.Placed)) {
-		placement := j.Placed[task]
-		if placement.Host() != "" {
+	for _, task := range slices.Sorted(maps.Keys(j.Placements)) {
+		placement := j.Placements[task]
+		if placement.HostCell() != "" {
 			j.TasksElsewhere++
 			continue // its preemption makes no room here
 		}
@@ -188,8 +188,8 @@
 }
 
 // runningTask returns a placed task and when it was first seen running, 0 if it wasn't yet.
-func (b *Builder) runningTask(j *jobtable.Job, placement ledger.Placement) (planner.Running, clock.Micros) {
-	running := planner.Running{Task: placement.Task, Machine: placement.Machine}
+func (b *Builder) runningTask(j *jobtable.Job, placement ledger.Placement) (planner.RunningTask, clock.Micros) {
+	running := planner.RunningTask{Task: placement.Task, Machine: placement.Machine}
 	_, running.Stopping = j.Stops[placement.Task]
 	m := b.machines.ByName[placement.Machine]
 	if m == nil {
@@ -205,13 +205,13 @@
 func setOverheads(j *jobtable.Job, now clock.Micros) {
 	for i, since := range j.RunningSince {
 		running := &j.RunningView[i]
-		running.Overhead, running.Borrowed = 0, false
+		running.OverheadS, running.OverQuota = 0, false
 		if since == 0 {
 			continue
 		}
-		running.Overhead = (now - since).Seconds()
+		running.OverheadS = (now - since).Seconds()
 		if j.Spec.CheckpointS > 0 {
-			running.Overhead = math.Mod(running.Overhead, j.Spec.CheckpointS)
+			running.OverheadS = math.Mod(running.OverheadS, j.Spec.CheckpointS)
 		}
 	}
 }
--- a/internal/leader/snapshots/machines.go
+++ b/internal/leader/snapshots/machines.go
@@ -30,20 +30,20 @@
 	if m.ViewStale {
 		b.rebuildView(m, machineType)
 	}
-	m.View.Doubtful = b.zones.Returning(m.Zone)
+	m.View.ZoneAtRisk = b.zones.IsReturning(m.Zone)
 	if !m.Seen {
 		setBooting(m, machineType, now)
 		return m.View, m.View.Booting && len(m.Placements) == 0
 	}
 	m.AdvancePulls(now, machineType)
-	m.View.PullS = m.PullGB * m.View.FetchS
-	m.View.Late = b.machines.Late(m)
+	m.View.PullRemainingS = m.PullGB * m.View.FetchSPerGB
+	m.View.HeartbeatLate = b.machines.HeartbeatMissed(m)
 	return m.View, !m.Unrecognized
 }
 
 // acceptsTasks reports whether a machine may get tasks, as far as it isn't a matter of what it runs.
 func (b *Builder) acceptsTasks(m *machinetable.Machine, now clock.Micros) bool {
-	if m.Releasing || m.Quarantined || m.RecallAt != 0 || now < m.FullUntil || b.zones.Lost(m.Zone) {
+	if m.Releasing || m.Quarantined || m.RecallAt != 0 || now < m.FullUntil || b.zones.IsLost(m.Zone) {
 		return false
 	}
 	if !m.Seen {
@@ -65,14 +65,14 @@
 		m.View.Booting = false
 	}
 	late := now - m.FirstSeen - boot
-	m.View.BootS = max(-late, late).Seconds()
+	m.View.BootRemainingS = max(-late, late).Seconds()
 }
 
 // rebuildView makes the planner's view of a machine anew.
 func (b *Builder) rebuildView(m *machinetable.Machine, machineType protocol.MachineType) {
 	m.ViewStale = false
 	m.AdvancePulls(b.Now(), machineType)
-	pulling := m.View.Pulling
+	pulling := m.View.PullingImages
 	m.View = emptyView(m, machineType)
 	b.addPlacements(m, pulling)
 	m.Unrecognized = runsUnrecognizedTask(m)
@@ -81,20 +81,20 @@
 // emptyView returns the planner's view of a machine without any placements.
 func emptyView(m *machinetable.Machine, machineType protocol.MachineType) planner.Machine {
 	view := planner.Machine{
-		Name:  m.Name,
-		Type:  m.Type,
-		Zone:  m.Zone,
-		Spot:  m.Spot,
-		Whole: fleet.Whole(machineType),
-		Free:  fleet.Whole(machineType),
-		Price: fleet.Price(machineType, m.Spot),
-		Slow:  m.Slowness(),
+		Name:        m.Name,
+		Type:        m.Type,
+		Zone:        m.Zone,
+		Spot:        m.Spot,
+		Capacity:    fleet.Capacity(machineType),
+		Free:        fleet.Capacity(machineType),
+		HourlyPrice: fleet.HourlyPrice(machineType, m.Spot),
+		Slowdown:    m.Slowness(),
 	}
 	if machineType.FetchGBPerS > 0 {
-		view.FetchS = 1 / machineType.FetchGBPerS
+		view.FetchSPerGB = 1 / machineType.FetchGBPerS
 	}
 	for _, image := range m.Images {
-		view.Images = append(view.Images, image.Name)
+		view.CachedImages = append(view.CachedImages, image.Name)
 	}
 	return view
 }
@@ -104,12 +104,12 @@
 func (b *Builder) addPlacements(m *machinetable.Machine, pulling []string) {
 	for id, tasks := range ordered.ByKey(m.Placements) {
 		spec := &b.jobs.ByID[id].Spec
-		m.View.Free = m.View.Free.Minus(planner.Needs(spec).Times(float64(len(tasks))))
+		m.View.Free = m.View.Free.Minus(planner.TaskResources(spec).Times(float64(len(tasks))))
 		if spec.Service() {
 			m.View.Replicas += len(tasks)
 		}
-		m.View.Pull(spec)
-		if !slices.Contains(pulling, spec.Image) && slices.Contains(m.View.Pulling, spec.Image) {
+		m.View.StartPull(spec)
+		if !slices.Contains(pulling, spec.Image) && slices.Contains(m.View.PullingImages, spec.Image) {
 			m.PullGB += spec.ImageGB
 			pulling = append(pulling, spec.Image)
 		}
--- a/internal/leader/snapshots/quota.go
+++ b/internal/leader/snapshots/quota.go
@@ -22,8 +22,8 @@
 	teams := map[string]planner.Team{}
 	for _, team := range b.Settings.Deployment.Teams {
 		teams[team.Name] = planner.Team{
-			Limit:     planner.Amounts{Cpus: team.CpusMax, Gpus: team.GpusMax},
-			Guarantee: planner.Amounts{Cpus: team.Cpus, Gpus: team.Gpus},
+			Limit:     planner.Resources{Cpus: team.CpusMax, Gpus: team.GpusMax},
+			Guarantee: planner.Resources{Cpus: team.Cpus, Gpus: team.Gpus},
 		}
 	}
 	return teams
@@ -33,11 +33,11 @@
 // until its end is proven.
 func addUsage(teams map[string]planner.Team, j *jobtable.Job) {
 	team := teams[j.Spec.Team]
-	needs := planner.Needs(&j.Spec)
-	team.Used = team.Used.Plus(needs.Times(float64(j.PlacesTaken())))
+	needs := planner.TaskResources(&j.Spec)
+	team.Used = team.Used.Plus(needs.Times(float64(j.PlacementsTaken())))
 	if !j.Final() {
 		unfinished := needs.Times(float64(j.Spec.Tasks - j.Done.Len()))
-		team.BacklogS += j.Spec.EstimateS * unfinished.Share(team.Limit)
+		team.BacklogS += j.Spec.EstimateS * unfinished.DominantShare(team.Limit)
 	}
 	teams[j.Spec.Team] = team
 }
@@ -48,23 +48,23 @@
 	restS := remainingWorkS(s)
 	for i := range s.Jobs {
 		j := &s.Jobs[i]
-		if j.Tier == planner.TooLate && s.Teams[j.Spec.Team].BacklogS > quotaBoundFactor*restS {
-			j.Tier, j.SlackS = planner.EndsInTime, 0
+		if j.Tier == planner.TierTooLate && s.Teams[j.Spec.Team].BacklogS > quotaBoundFactor*restS {
+			j.Tier, j.SlackS = planner.TierEndInTime, 0
 		}
 	}
 }
 
 // remainingWorkS returns how long all jobs take together on all machines, in seconds.
 func remainingWorkS(s *planner.Snapshot) float64 {
-	var capacity planner.Amounts
+	var capacity planner.Resources
 	for _, m := range s.Machines {
-		capacity = capacity.Plus(m.Whole)
+		capacity = capacity.Plus(m.Capacity)
 	}
 	totalS := 0.0
 	for i := range s.Jobs {
 		j := &s.Jobs[i]
-		unfinished := planner.Needs(j.Spec).Times(float64(len(j.Pending) + len(j.Running)))
-		totalS += j.Spec.EstimateS * unfinished.Share(capacity)
+		unfinished := planner.TaskResources(j.Spec).Times(float64(len(j.Pending) + len(j.Running)))
+		totalS += j.Spec.EstimateS * unfinished.DominantShare(capacity)
 	}
 	return totalS
 }
@@ -82,17 +82,17 @@
 			continue
 		}
 		unfinished := j.Spec.Tasks - b.jobs.ByID[j.ID].Done.Len()
-		needs := planner.Needs(j.Spec).Times(float64(unfinished))
-		j.Within = fitsGuarantee(needs, room, s.Teams[j.Spec.Team].Guarantee)
+		needs := planner.TaskResources(j.Spec).Times(float64(unfinished))
+		j.WithinGuarantee = fitsGuarantee(needs, room, s.Teams[j.Spec.Team].Guarantee)
 		left[j.Spec.Team] = room.Minus(needs)
 	}
 }
 
 // guaranteesOf returns the guarantees of the teams that have one.
-func guaranteesOf(teams map[string]planner.Team) map[string]planner.Amounts {
-	guarantees := map[string]planner.Amounts{}
+func guaranteesOf(teams map[string]planner.Team) map[string]planner.Resources {
+	guarantees := map[string]planner.Resources{}
 	for name, team := range teams {
-		if team.Guaranteed() {
+		if team.HasGuarantee() {
 			guarantees[name] = team.Guarantee
 		}
 	}
@@ -101,7 +101,7 @@
 
 // fitsGuarantee reports whether resources fit into what is left of a guarantee, in every respect in
 // which it guarantees anything.
-func fitsGuarantee(needs, left, guarantee planner.Amounts) bool {
+func fitsGuarantee(needs, left, guarantee planner.Resources) bool {
 	return (guarantee.Cpus == 0 || needs.Cpus <= left.Cpus+resourceTolerance) &&
 		(guarantee.Gpus == 0 || needs.Gpus <= left.Gpus+resourceTolerance)
 }
@@ -112,7 +112,7 @@
 	if len(guaranteesOf(s.Teams)) == 0 {
 		return
 	}
-	excess := map[string]planner.Amounts{}
+	excess := map[string]planner.Resources{}
 	for name, team := range s.Teams {
 		excess[name] = team.Used.Minus(team.Guarantee)
 	}
@@ -128,16 +128,16 @@
 // service isn't: that costs its users more than a guarantee that is met later. Nor are jobs of other
 // cells, whose rank is below all others anyway.
 func preemptibleForGuarantee(j *planner.Job) bool {
-	return !j.Spec.Service() && j.Rank <= len(protocol.Ranks)
+	return !j.Spec.Service() && j.Rank <= len(protocol.Priorities)
 }
 
 // markJobOverQuota marks a job's running tasks as long as its team exceeds its guarantee, and returns
 // by how much it would exceed it without them.
-func markJobOverQuota(j *planner.Job, excess, guarantee planner.Amounts) planner.Amounts {
+func markJobOverQuota(j *planner.Job, excess, guarantee planner.Resources) planner.Resources {
 	for i := range j.Running {
 		if exceeds(excess, guarantee) {
-			j.Running[i].Borrowed = true
-			excess = excess.Minus(planner.Needs(j.Spec))
+			j.Running[i].OverQuota = true
+			excess = excess.Minus(planner.TaskResources(j.Spec))
 		}
 	}
 	return excess
@@ -145,7 +145,7 @@
 
 // exceeds reports whether a team with this excess uses more than its guarantee in any respect in which
 // it guarantees anything. All that is used without a guarantee is beyond it.
-func exceeds(excess, guarantee planner.Amounts) bool {
+func exceeds(excess, guarantee planner.Resources) bool {
 	return guarantee.Cpus > 0 && excess.Cpus > resourceTolerance ||
 		guarantee.Gpus > 0 && excess.Gpus > resourceTolerance ||
 		guarantee.Cpus == 0 && guarantee.Gpus == 0
--- a/internal/leader/snapshots/reserve.go
+++ b/internal/leader/snapshots/reserve.go
@@ -44,9 +44,9 @@
 		Rank:        rank,
 		SubmittedAt: math.MaxInt64,
 		Tier:        tier,
-		StartS:      math.MaxFloat64,
+		StartSlackS: math.MaxFloat64,
 		SlackS:      math.MaxFloat64,
-		Limit:       tasks,
+		MaxStarts:   tasks,
 		Pending:     firstTasks(tasks),
 	}
 }
@@ -78,12 +78,12 @@
 func (b *Builder) arrivalReserve(class string, history objectives.ClassHistory) planner.Job {
 	spec := history.Spec
 	expected := float64(len(history.Arrivals)) * arrivalHorizonS / objectives.ArrivalWindow.Seconds()
-	tasks, rank := history.Spec.Tasks*(1+int(expected)), protocol.RankOf(spec.Rank)
+	tasks, rank := history.Spec.Tasks*(1+int(expected)), protocol.PriorityOf(spec.Priority)
 	if history.Spec.Service() {
-		tasks, rank = b.ReplicaReserve(history), len(protocol.Ranks)
+		tasks, rank = b.ReplicaReserve(history), len(protocol.Priorities)
 		spec.Types = b.catalogue.ReplicaTypes(&history.Spec)
 	}
-	return newReserve(reservePrefix+class, &spec, tasks, rank, planner.StartsInTime)
+	return newReserve(reservePrefix+class, &spec, tasks, rank, planner.TierStartInTime)
 }
 
 // ReplicaReserve returns how many replicas of a class room is reserved for: those of one more job, or
@@ -108,7 +108,7 @@
 // settings of zone recovery ask for it. They come after everything that is pending. As long as a zone
 // isn't healthy there are none: it is what the room is for.
 func (b *Builder) zoneReserves() []planner.Job {
-	if b.zones.Options == nil || b.zones.Options.Reserve.Share == 0 || b.zones.AnyAvoided() {
+	if b.zones.Options == nil || b.zones.Options.Reserve.Share == 0 || b.zones.AnyCordoned() {
 		return nil
 	}
 	reserve := b.zones.Options.Reserve
@@ -161,7 +161,7 @@
 		spec := *like
 		spec.Zone, spec.OneZone, spec.Spread = zone, false, false
 		id := zoneReservePrefix + like.Class + "/" + lostZone + "/" + zone
-		jobs = append(jobs, newReserve(id, &spec, share, len(protocol.Ranks), planner.EndsInTime))
+		jobs = append(jobs, newReserve(id, &spec, share, len(protocol.Priorities), planner.TierEndInTime))
 	}
 	return jobs
 }
@@ -174,7 +174,7 @@
 	var jobs []planner.Job
 	for id, tasks := range ordered.ByKey(b.lostTasks()) {
 		j := b.jobs.ByID[id]
-		if j == nil || j.Over() || j.Spec.Zone != "" && b.zones.Avoided(j.Spec.Zone) {
+		if j == nil || j.Over() || j.Spec.Zone != "" && b.zones.IsCordoned(j.Spec.Zone) {
 			continue
 		}
 		jobs = append(jobs, b.displacedReserve(j, tasks))
@@ -187,7 +187,7 @@
 	lost := map[string]int{}
 	for _, m := range b.machines.Ordered {
 		zone := b.zones.Zones[m.Zone]
-		if zone == nil || zone.Phase != recovery.Lost || !b.machines.Late(m) {
+		if zone == nil || zone.Phase != recovery.Lost || !b.machines.HeartbeatMissed(m) {
 			continue
 		}
 		for id, tasks := range m.Placements {
@@ -200,14 +200,14 @@
 // displacedReserve returns the reserve for tasks of a job, which is as urgent as the job itself.
 func (b *Builder) displacedReserve(j *jobtable.Job, tasks int) planner.Job {
 	spec := j.Spec
-	urgency := b.objectives.TierAndSlack(j)
+	urgency := b.objectives.Urgency(j)
 	reserve := newReserve(displacedReservePrefix+j.Spec.ID, &spec, tasks, j.Rank(), urgency.Tier)
 	reserve.SubmittedAt = j.SubmittedAt
-	reserve.SlackS, reserve.StartS = urgency.SlackS, b.objectives.StartSlackS(j)
-	reserve.Avoid = j.AvoidMachines
+	reserve.SlackS, reserve.StartSlackS = urgency.SlackS, b.objectives.StartSlackS(j)
+	reserve.AvoidedMachines = j.AvoidMachines
 	if spec.OneZone || spec.Spread {
 		spec.OneZone, spec.Tasks = false, j.Spec.Tasks
-		reserve.Zones = b.tasksByHealthyZone(j)
+		reserve.OtherTasksByZone = b.tasksByHealthyZone(j)
 	}
 	return reserve
 }
@@ -215,8 +215,8 @@
 // tasksByHealthyZone counts a job's tasks by zone, except for those in lost zones, which will be gone.
 func (b *Builder) tasksByHealthyZone(j *jobtable.Job) map[string]int {
 	zones := map[string]int{}
-	for _, placement := range j.Placed {
-		if m := b.machines.ByName[placement.Machine]; m != nil && !b.zones.Lost(m.Zone) {
+	for _, placement := range j.Placements {
+		if m := b.machines.ByName[placement.Machine]; m != nil && !b.zones.IsLost(m.Zone) {
 			zones[m.Zone]++
 		}
 	}
--- a/internal/leader/snapshots/snapshot.go
+++ b/internal/leader/snapshots/snapshot.go
@@ -32,10 +32,10 @@
 	// Directory lists the cells, nil if they are switched off.
 	Directory *cells.Directory
 
-	// Views are the machines of the last snapshot.
-	Views []planner.Machine
+	// LastMachines are the machines of the last snapshot.
+	LastMachines []planner.Machine
 	// free is what these machines have left, known only if cells are switched on.
-	free planner.Amounts
+	free planner.Resources
 }
 
 // New returns a builder of snapshots of the given components.
@@ -78,13 +78,13 @@
 // plannedMachines returns the machines that the planner may use. It overwrites those of the last
 // snapshot, which nobody needs any more.
 func (b *Builder) plannedMachines(now clock.Micros) []planner.Machine {
-	planned := slices.Grow(b.Views[:0], len(b.machines.Ordered))
+	planned := slices.Grow(b.LastMachines[:0], len(b.machines.Ordered))
 	for _, m := range b.machines.Ordered {
 		if view, usable := b.PlannedMachine(m, now); usable {
 			planned = append(planned, view)
 		}
 	}
-	b.Views = planned
+	b.LastMachines = planned
 	if b.Directory != nil {
 		b.free = freeResources(planned)
 	}
@@ -92,8 +92,8 @@
 }
 
 // freeResources returns what machines have left, those that boot included.
-func freeResources(machines []planner.Machine) planner.Amounts {
-	var free planner.Amounts
+func freeResources(machines []planner.Machine) planner.Resources {
+	var free planner.Resources
 	for i := range machines {
 		free = free.Plus(machines[i].Free)
 	}
@@ -114,7 +114,7 @@
 func (b *Builder) PlanningCost() clock.Micros {
 	placements := 0
 	for _, j := range b.jobs.ByID {
-		placements += len(j.Placed)
+		placements += len(j.Placements)
 	}
 	return clock.Micros(len(b.machines.Ordered))*machineCost + clock.Micros(len(b.jobs.ByID))*jobCost +
 		clock.Micros(placements)*placementCost
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -67,7 +67,7 @@
 }
 
 // Now returns the time on the monotonic clock.
-func (s *State) Now() clock.Micros { return s.Mailbox.Steady() }
+func (s *State) Now() clock.Micros { return s.Mailbox.Monotonic() }
 
 // Leads reports whether this node may act: its lease holds, and what users changed through other
 // nodes is known.
@@ -90,32 +90,32 @@
 // the records, or from what every node has attested.
 func (s *State) KnownUntil() clock.Micros { return max(s.FreshAt, s.AttestedAt) }
 
-// SoleUntil returns the time up to which no other node can have been elected: this node's lease held,
+// SoleLeaderUntil returns the time up to which no other node can have been elected: this node's lease held,
 // or every node attested that it hadn't been.
-func (s *State) SoleUntil() clock.Micros { return max(s.Term.RenewedAt, s.AttestedAt) }
+func (s *State) SoleLeaderUntil() clock.Micros { return max(s.Term.RenewedAt, s.AttestedAt) }
 
-// AnswersUntil returns the time until which heartbeats may be responded to. A cancellation that isn't
+// RespondsUntil returns the time until which heartbeats may be responded to. A cancellation that isn't
 // known was told after KnownUntil, and a leader that isn't known was elected after SoleUntil. Before
 // the records are read nothing is known at all, whoever led before: no heartbeat is responded to.
-func (s *State) AnswersUntil() clock.Micros {
+func (s *State) RespondsUntil() clock.Micros {
 	if s.Term.Epoch == 0 || !s.Loaded {
 		return 0
 	}
-	return min(s.KnownUntil(), s.SoleUntil()) + s.Settings.Deployment.Workers.KeepAlive()
+	return min(s.KnownUntil(), s.SoleLeaderUntil()) + s.Settings.Deployment.Workers.RenewalWindow()
 }
 
-// MayAnswer reports whether heartbeats may still be responded to, without commands other than those by
+// MayRespond reports whether heartbeats may still be responded to, without commands other than those by
 // which cancelled tasks end.
-func (s *State) MayAnswer() bool { return s.Now() < s.AnswersUntil() }
+func (s *State) MayRespond() bool { return s.Now() < s.RespondsUntil() }
 
 // ConfirmedAt returns a record's time of cancellation on this node's monotonic clock, no later than it
 // was: clocks of the time of day, the record's and this node's, are off by a bounded error either way.
-func (s *State) ConfirmedAt(r *ledger.Job) clock.Micros {
+func (s *State) ConfirmedAt(r *ledger.Record) clock.Micros {
 	if r.CancelledAt == 0 {
 		return s.Now() // a record of an earlier version
 	}
 	clockError := clock.Micros(s.Settings.Deployment.ClockErrorMs * float64(clock.Millisecond))
-	age := max(0, s.Mailbox.OfDay()-clock.Micros(r.CancelledAt))
+	age := max(0, s.Mailbox.TimeOfDay()-clock.Micros(r.CancelledAt))
 	return s.Now() - age - 2*clockError
 }
 
@@ -125,7 +125,7 @@
 	if s.Leads() {
 		return s.Term.ValidUntil
 	}
-	return s.AnswersUntil()
+	return s.RespondsUntil()
 }
 
 // NewRandom returns a source of jitter from which the same events draw the same numbers.
--- a/internal/leader/term/transaction_test.go
+++ b/internal/leader/term/transaction_test.go
@@ -13,14 +13,14 @@
 // recordingStore keeps the last transaction and its priority.
 type recordingStore struct {
 	storetest.Service
-	use statestore.Use
+	use statestore.Priority
 	txn protocol.Txn
 }
 
-func (s *recordingStore) Commit(use statestore.Use, t protocol.Txn,
-	done func(storetest.Reply[protocol.TxnAnswer])) {
+func (s *recordingStore) Commit(use statestore.Priority, t protocol.Txn,
+	done func(storetest.Reply[protocol.TxnResponse])) {
 	s.use, s.txn = use, t
-	done(storetest.Reply[protocol.TxnAnswer]{Status: 200})
+	done(storetest.Reply[protocol.TxnResponse]{Status: 200})
 }
 
 func TestTransactionEncodesLikeOneMadeByHand(t *testing.T) {
@@ -41,8 +41,8 @@
 		}
 	})
 	want := protocol.Txn{
-		Guards: []protocol.Guard{
-			{Key: leadership.Key, Version: 7},
+		Conditions: []protocol.Condition{
+			{Key: leadership.LeaderKey, Version: 7},
 			{Key: "jobs/job-1", Version: 5},
 			{Key: "parts/job-1/0", Version: 0},
 		},
@@ -54,9 +54,9 @@
 	if !bytes.Equal(protocol.Encode(store.txn), protocol.Encode(want)) {
 		t.Errorf("committed %+v, want %+v", store.txn, want)
 	}
-	if store.use != statestore.ForLeader || committed != 1 || txn.Len() != 2 || len(txn.Changes()) != 2 {
+	if store.use != statestore.PriorityLeader || committed != 1 || txn.Len() != 2 || len(txn.Changes()) != 2 {
 		t.Errorf("use %v, %d responses, %d changes, want use %v, 1 response and 2 changes", store.use, committed,
-			txn.Len(), statestore.ForLeader)
+			txn.Len(), statestore.PriorityLeader)
 	}
 }
 
@@ -67,7 +67,7 @@
 	txn.RequireOnce("jobs/job-1", 6) // a contradiction for the store to refuse, not to be dropped here
 	store := &recordingStore{}
 	txn.Commit(storetest.Client(store), func(statestore.Result[statestore.Revision]) {})
-	if guards := store.txn.Guards; len(guards) != 3 || guards[1].Version != 5 || guards[2].Version != 6 {
+	if guards := store.txn.Conditions; len(guards) != 3 || guards[1].Version != 5 || guards[2].Version != 6 {
 		t.Errorf("guards %+v, want the leader's key and both versions", guards)
 	}
 }
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -21,8 +21,8 @@
 	store := &fakeStore{}
 	useStore(l, store)
 	z := &zonetracker.Zone{
-		Zone:    &recovery.Zone{Name: "a", Phase: recovery.Lost, Number: 1, Since: 90 * clock.Second},
-		Version: 5,
+		Zone:          &recovery.Zone{Name: "a", Phase: recovery.Lost, Losses: 1, Since: 90 * clock.Second},
+		RecordVersion: 5,
 	}
 	l.zones.Zones = map[string]*zonetracker.Zone{"a": z}
 	l.zones.SaveZones()
@@ -52,7 +52,7 @@
 
 // A zone's record whose change may have been carried out is read, and written at the version that was read.
 func TestZonesAreReadAfterUnknownOutcomes(t *testing.T) {
-	for name, response := range map[string]storetest.Reply[protocol.TxnAnswer]{
+	for name, response := range map[string]storetest.Reply[protocol.TxnResponse]{
 		"no response":     {},
 		"server failure":  {Status: http.StatusInternalServerError},
 		"another version": conflictOn(recovery.Key("a")),
@@ -76,7 +76,7 @@
 func TestDeclinedZonesGoAgain(t *testing.T) {
 	for _, status := range []int{http.StatusTooManyRequests, http.StatusServiceUnavailable} {
 		l, _, store, box := saveLostZone(t)
-		store.answer(storetest.Reply[protocol.TxnAnswer]{Status: status})
+		store.answer(storetest.Reply[protocol.TxnResponse]{Status: status})
 		l.zones.SaveZones()
 		if len(store.txns) != 1 {
 			t.Errorf("status %d: got %d transactions during the pause, want 1", status, len(store.txns))
@@ -94,7 +94,7 @@
 	l, _, store, _ := saveLostZone(t)
 	deposedBy := int64(0)
 	l.state.Deposed = func(epoch int64) { deposedBy = epoch }
-	store.answer(conflictOn(leadership.Key, recovery.Key("a")))
+	store.answer(conflictOn(leadership.LeaderKey, recovery.Key("a")))
 	if deposedBy != 8 {
 		t.Errorf("got deposed by epoch %d, want 8", deposedBy)
 	}
--- a/internal/leader/zonetracker/displaced.go
+++ b/internal/leader/zonetracker/displaced.go
@@ -20,51 +20,51 @@
 		return
 	}
 	m := t.machines.ByName[machineName]
-	if m == nil || !t.Lost(m.Zone) && !t.Returning(m.Zone) || j.Displaced == m.Zone {
+	if m == nil || !t.IsLost(m.Zone) && !t.IsReturning(m.Zone) || j.DisplacedFrom == m.Zone {
 		return
 	}
-	j.Displaced, j.DisplacedAt, j.ClearedToStart = m.Zone, t.Now(), false
+	j.DisplacedFrom, j.DisplacedAt, j.ClearedToStart = m.Zone, t.Now(), false
 	t.jobs.NoteHeadChange(j)
 }
 
 // EndDisplacement ends a job's displacement: the tasks that it had lost have placements again, or are done.
 func (t *Tracker) EndDisplacement(j *jobtable.Job) {
-	j.Displaced = ""
+	j.DisplacedFrom = ""
 	t.jobs.NoteHeadChange(j)
 }
 
 // AwaitsClearance reports whether a job's tasks mustn't start yet.
 func (t *Tracker) AwaitsClearance(j *jobtable.Job) bool {
-	return t.Options != nil && j.Displaced != "" && !j.ClearedToStart
+	return t.Options != nil && j.DisplacedFrom != "" && !j.ClearedToStart
 }
 
 // clearDisplaced clears displaced work to start, in the order and at the pace of the settings.
 func (t *Tracker) clearDisplaced() {
 	now := t.Now()
-	var waiting []recovery.Displaced
+	var waiting []recovery.DisplacedJob
 	for _, j := range ordered.ByKey(t.jobs.ByID) {
 		if j.DisplacedAt == 0 {
 			j.DisplacedAt = now // under an earlier leader, if at all
 		}
 		if t.checkDisplaced(j, now) {
-			waiting = append(waiting, t.DisplacedWork(j))
+			waiting = append(waiting, t.DescribeDisplaced(j))
 		}
 	}
-	recovery.Sort(waiting, t.Options.Order)
+	recovery.SortDisplaced(waiting, t.Options.Order)
 	for _, id := range t.pace.Release(waiting, now, t.Options.TasksPerS) {
 		j := t.jobs.ByID[id]
 		j.ClearedToStart = true
-		slog.Debug("displaced job cleared to start", "job", id, "zone", j.Displaced)
+		slog.Debug("displaced job cleared to start", "job", id, "zone", j.DisplacedFrom)
 	}
 }
 
 // checkDisplaced ends a job's displacement if nothing of it is left and clears it to start if it needn't wait
 // any longer. It reports whether the job has to wait for its turn.
 func (t *Tracker) checkDisplaced(j *jobtable.Job, now clock.Micros) (waits bool) {
-	if j.Displaced == "" || j.Over() {
+	if j.DisplacedFrom == "" || j.Over() {
 		return false
 	}
-	z := t.Zones[j.Displaced]
+	z := t.Zones[j.DisplacedFrom]
 	if z == nil || j.PendingCount() == 0 && !j.MustReload() {
 		t.EndDisplacement(j)
 		return false
@@ -80,18 +80,18 @@
 	return true
 }
 
-// DisplacedWork describes a displaced job for the order in which work is cleared to start.
-func (t *Tracker) DisplacedWork(j *jobtable.Job) recovery.Displaced {
-	urgency := t.objectives.TierAndSlack(j)
+// DescribeDisplaced describes a displaced job for the order in which work is cleared to start.
+func (t *Tracker) DescribeDisplaced(j *jobtable.Job) recovery.DisplacedJob {
+	urgency := t.objectives.Urgency(j)
 	pending := j.PendingCount()
-	return recovery.Displaced{
-		Job:         j.Spec.ID,
-		Kind:        displacedKind(j, urgency.Tier, urgency.SlackS),
-		Rank:        j.Rank(),
-		SubmittedAt: j.SubmittedAt,
-		Tasks:       pending,
-		LostShare:   float64(pending) / float64(j.Spec.Tasks),
-		SlackS:      urgency.SlackS,
+	return recovery.DisplacedJob{
+		Job:          j.Spec.ID,
+		Kind:         displacedKind(j, urgency.Tier, urgency.SlackS),
+		Rank:         j.Rank(),
+		SubmittedAt:  j.SubmittedAt,
+		PendingTasks: pending,
+		LostShare:    float64(pending) / float64(j.Spec.Tasks),
+		SlackS:       urgency.SlackS,
 	}
 }
 
@@ -102,8 +102,8 @@
 		return recovery.Services
 	case j.Spec.DeadlineS != nil && slackS >= 0:
 		return recovery.Deadlines
-	case tier == planner.TooLate:
-		return recovery.Rest
+	case tier == planner.TierTooLate:
+		return recovery.PastObjective
 	case j.Spec.Gang():
 		return recovery.Gangs
 	}
--- a/internal/leader/zonetracker/evidence.go
+++ b/internal/leader/zonetracker/evidence.go
@@ -29,8 +29,8 @@
 	unlistedTime = 60 * clock.Second
 )
 
-// NoteUnansweredHeartbeat notes from which zone a heartbeat reached this node while it didn't lead.
-func (t *Tracker) NoteUnansweredHeartbeat(r *protocol.Report) {
+// NoteMisdirectedHeartbeat notes from which zone a heartbeat reached this node while it didn't lead.
+func (t *Tracker) NoteMisdirectedHeartbeat(r *protocol.Heartbeat) {
 	if t.Options == nil {
 		return
 	}
@@ -61,7 +61,7 @@
 		z.Evidence = recovery.Evidence{}
 	}
 	total := t.countMachines()
-	for _, p := range t.Settings.Known {
+	for _, p := range t.Settings.Peers {
 		t.getOrAdd(p.Domain).Evidence.Controllers++
 	}
 	for i := range t.reports {
@@ -81,7 +81,7 @@
 		e.Machines++
 		total.Expected++
 		switch {
-		case !t.machines.Late(m):
+		case !t.machines.HeartbeatMissed(m):
 			e.Heard++
 			total.Heard++
 		case t.goneByCloud(m):
@@ -108,9 +108,9 @@
 // countReport adds what a controller has reported to the evidence: that it is reached, and which machines it
 // hears.
 func (t *Tracker) countReport(report *intake.ZoneReports) {
-	for _, p := range t.Settings.Known {
+	for _, p := range t.Settings.Peers {
 		if p.Node == report.Node {
-			t.getOrAdd(p.Domain).Evidence.Reached++
+			t.getOrAdd(p.Domain).Evidence.ControllersReached++
 		}
 	}
 	if report.Node == t.Settings.Node {
@@ -118,13 +118,13 @@
 	}
 	for name, n := range report.Machines {
 		if z := t.Zones[name]; z != nil {
-			z.Evidence.Elsewhere += n
+			z.Evidence.HeardElsewhere += n
 		}
 	}
 }
 
-// NobodyHears reports whether other controllers respond and hear no machine either: resigning wouldn't help.
-func (t *Tracker) NobodyHears() bool {
+// OthersHearNothing reports whether other controllers respond and hear no machine either: resigning wouldn't help.
+func (t *Tracker) OthersHearNothing() bool {
 	others := 0
 	for _, report := range t.reports {
 		if report.Node == t.Settings.Node {
@@ -141,7 +141,7 @@
 // askAboutZones asks the other controllers which machines they hear, while some zone isn't healthy or goes
 // silent.
 func (t *Tracker) askAboutZones() {
-	if !t.AnyAvoided() && !t.anySilent() {
+	if !t.AnyCordoned() && !t.anySilent() {
 		t.reports = nil
 		return
 	}
@@ -167,13 +167,13 @@
 // probeZones sends empty commands to a few silent machines of zones that aren't healthy. A response counts
 // like a heartbeat.
 func (t *Tracker) probeZones() {
-	if t.Now() < t.probedAt+probeInterval || !t.AnyAvoided() {
+	if t.Now() < t.probedAt+probeInterval || !t.AnyCordoned() {
 		return
 	}
 	t.probedAt = t.Now()
 	left := map[string]int{}
 	for name, z := range t.Zones {
-		if z.Avoided() {
+		if z.IsCordoned() {
 			left[name] = probesPerZone
 		}
 	}
@@ -191,5 +191,5 @@
 	if m.Releasing || m.CommandInFlight || m.Address == "" {
 		return false
 	}
-	return t.machines.Late(m) && t.Now() > m.ProbedAt+probeInterval
+	return t.machines.HeartbeatMissed(m) && t.Now() > m.ProbedAt+probeInterval
 }
--- a/internal/leader/zonetracker/tracker.go
+++ b/internal/leader/zonetracker/tracker.go
@@ -25,7 +25,7 @@
 // switched off.
 type Tracker struct {
 	*term.State
-	Store      statestore.ResultStore
+	Store      statestore.Store
 	jobs       *jobtable.Table
 	machines   *machinetable.Table
 	catalogue  *machinetable.Catalogue
@@ -37,7 +37,7 @@
 
 	Options *recovery.Settings
 	Zones   map[string]*Zone
-	pace    recovery.Pace
+	pace    recovery.Pacer
 	// saving reports that a zone's record is being written or read.
 	saving bool
 	// ask asks all controllers which zones' machines send them heartbeats.
@@ -53,7 +53,7 @@
 }
 
 // New returns a tracker that is switched off until it is enabled.
-func New(term *term.State, store statestore.ResultStore, jobs *jobtable.Table, machines *machinetable.Table,
+func New(term *term.State, store statestore.Store, jobs *jobtable.Table, machines *machinetable.Table,
 	catalogue *machinetable.Catalogue, objectives *objectives.Tracker, reader *recordstore.Reader,
 	writer *recordstore.Writer, commands *reconciler.CommandSender, steps *term.StepTimer) *Tracker {
 	return &Tracker{
@@ -78,7 +78,7 @@
 
 // Begin drops what was known in earlier terms.
 func (t *Tracker) Begin() {
-	t.Zones, t.pace = map[string]*Zone{}, recovery.Pace{}
+	t.Zones, t.pace = map[string]*Zone{}, recovery.Pacer{}
 	t.saving, t.asking, t.reports = false, false, nil
 }
 
@@ -86,13 +86,13 @@
 type Zone struct {
 	*recovery.Zone
 	Evidence recovery.Evidence
-	// Version is that of the record's key, 0 if there is none.
-	Version int64
-	record  storedRecord
+	// RecordVersion is that of the record's key, 0 if there is none.
+	RecordVersion int64
+	record        storedRecord
 }
 
-// RecoveryLogTime is from one log line on a recovery to the next.
-const RecoveryLogTime = 15 * clock.Second
+// RecoveryLogInterval is from one log line on a recovery to the next.
+const RecoveryLogInterval = 15 * clock.Second
 
 // Advance follows the zones and carries recoveries on, twice a second. It reports whether it did: not as
 // long after an election as workers take to find a new leader.
@@ -126,9 +126,9 @@
 }
 
 func logPhase(name string, z *Zone) {
-	slog.Info("zone phase changed", "zone", name, "phase", z.Phase, "losses", z.Number, "diagnosis", z.Reading,
+	slog.Info("zone phase changed", "zone", name, "phase", z.Phase, "losses", z.Losses, "diagnosis", z.Diagnosis,
 		"machines", z.Evidence.Machines, "heard", z.Evidence.Heard, "controllers", z.Evidence.Controllers,
-		"controllers_reached", z.Evidence.Reached, "flaps", z.Flaps)
+		"controllers_reached", z.Evidence.ControllersReached, "flaps", z.Flaps)
 }
 
 // replan has the next plan take the zones' phases into account.
@@ -147,24 +147,24 @@
 	return z
 }
 
-// Avoided reports whether no machines are started in a zone. If no zone is healthy all of them are tried.
-func (t *Tracker) Avoided(name string) bool {
+// IsCordoned reports whether no machines are started in a zone. If no zone is healthy all of them are tried.
+func (t *Tracker) IsCordoned(name string) bool {
 	if t.Options == nil {
 		return false
 	}
 	z := t.Zones[name]
-	return z != nil && z.Avoided() && t.someHealthy
+	return z != nil && z.IsCordoned() && t.someHealthy
 }
 
-// Lost reports whether nothing is placed on a zone's machines.
-func (t *Tracker) Lost(name string) bool {
+// IsLost reports whether nothing is placed on a zone's machines.
+func (t *Tracker) IsLost(name string) bool {
 	z := t.Zones[name]
 	return z != nil && z.Phase == recovery.Lost
 }
 
-// Returning reports whether a zone hasn't been back for long enough while another is healthy: only what
+// IsReturning reports whether a zone hasn't been back for long enough while another is healthy: only what
 // depends on it is placed there.
-func (t *Tracker) Returning(name string) bool {
+func (t *Tracker) IsReturning(name string) bool {
 	z := t.Zones[name]
 	return z != nil && z.Phase == recovery.Returning && t.someHealthy
 }
@@ -181,10 +181,10 @@
 	return false
 }
 
-// AnyAvoided reports whether some zone isn't healthy.
-func (t *Tracker) AnyAvoided() bool {
+// AnyCordoned reports whether some zone isn't healthy.
+func (t *Tracker) AnyCordoned() bool {
 	for _, z := range t.Zones {
-		if z.Avoided() {
+		if z.IsCordoned() {
 			return true
 		}
 	}
--- a/internal/leader/zonetracker/zonestore.go
+++ b/internal/leader/zonetracker/zonestore.go
@@ -42,7 +42,7 @@
 	case z.record.phase == recordSaved:
 		return z.record.zone != z.Phase
 	}
-	return z.Worth()
+	return z.ShouldPersist()
 }
 
 // LoadZones reads the recoveries that an earlier leader was in the middle of.
@@ -58,7 +58,7 @@
 func (t *Tracker) adoptRecord(item protocol.Item) {
 	name := item.Key[len(recovery.Prefix):]
 	if known := t.Zones[name]; known != nil {
-		known.Version = item.Version // read again within a term
+		known.RecordVersion = item.Version // read again within a term
 		return
 	}
 	z, err := recovery.Decode(name, item.Value, t.timeOfDayOffset())
@@ -67,14 +67,14 @@
 		z = &recovery.Zone{Name: name, Phase: recovery.Healthy}
 	}
 	record := storedRecord{phase: recordSaved, zone: z.Phase}
-	t.Zones[name] = &Zone{Zone: z, Version: item.Version, record: record}
-	if z.Avoided() {
-		slog.Info("zone recovery resumed", "zone", name, "phase", z.Phase, "losses", z.Number)
+	t.Zones[name] = &Zone{Zone: z, RecordVersion: item.Version, record: record}
+	if z.IsCordoned() {
+		slog.Info("zone recovery resumed", "zone", name, "phase", z.Phase, "losses", z.Losses)
 	}
 }
 
 // timeOfDayOffset returns how far the time of day is ahead of this node's monotonic clock.
-func (t *Tracker) timeOfDayOffset() clock.Micros { return t.Mailbox.OfDay() - t.Now() }
+func (t *Tracker) timeOfDayOffset() clock.Micros { return t.Mailbox.TimeOfDay() - t.Now() }
 
 // SaveZones stores the zones' phases for the next leader, one change at a time.
 func (t *Tracker) SaveZones() {
@@ -98,7 +98,7 @@
 	phase := z.Phase
 	key := recovery.Key(name)
 	txn := t.NewTransaction()
-	txn.Require(key, z.Version)
+	txn.Require(key, z.RecordVersion)
 	txn.Put(key, z.Encode(t.timeOfDayOffset()))
 	t.saving = true
 	handle := func(r statestore.Result[statestore.Revision]) { t.handleSaved(z, phase, r) }
@@ -110,7 +110,7 @@
 	t.saving = false
 	switch {
 	case r.Err == nil:
-		z.Version, z.record = int64(r.Value), storedRecord{phase: recordSaved, zone: phase}
+		z.RecordVersion, z.record = int64(r.Value), storedRecord{phase: recordSaved, zone: phase}
 	case errors.Is(r.Err, leadership.ErrNotLeader):
 		t.Deposed(t.Term.Epoch + 1)
 	case statestore.NotExecuted(r.Err):
@@ -133,6 +133,6 @@
 func (t *Tracker) handleRead(z *Zone, r statestore.Result[protocol.Item]) {
 	t.saving = false
 	if r.Err == nil || errors.Is(r.Err, statestore.ErrNotFound) {
-		z.Version, z.record = r.Value.Version, storedRecord{phase: recordUnsaved}
+		z.RecordVersion, z.record = r.Value.Version, storedRecord{phase: recordUnsaved}
 	}
 }
--- a/internal/leadership/election.go
+++ b/internal/leadership/election.go
@@ -27,8 +27,8 @@
 	"postpoint/internal/statestore"
 )
 
-// Key is the leader's key, by which every write of the leader is guarded.
-const Key = "lead/controller"
+// LeaderKey is the leader's key, by which every write of the leader is guarded.
+const LeaderKey = "lead/controller"
 
 // Epoch is the fencing token of a term: the revision at which the leader's key was claimed. It is
 // 0 for a node that doesn't lead.
@@ -85,7 +85,7 @@
 // lease. All its state belongs to its mailbox.
 type Candidate struct {
 	mailbox        actor.Mailbox
-	store          statestore.ResultStore
+	store          statestore.Store
 	cfg            Config
 	publishTerm    func(Term)
 	announceLeader func(node string)
@@ -106,7 +106,7 @@
 
 // New returns a candidate that does nothing yet. publishTerm and announceLeader are called from
 // its mailbox, on every change of the term and of who is known to lead ("" for nobody).
-func New(m actor.Mailbox, s statestore.ResultStore, cfg Config, publishTerm func(Term),
+func New(m actor.Mailbox, s statestore.Store, cfg Config, publishTerm func(Term),
 	announceLeader func(node string)) *Candidate {
 	return &Candidate{mailbox: m, store: s, cfg: cfg, publishTerm: publishTerm,
 		announceLeader: announceLeader}
@@ -137,14 +137,14 @@
 		return
 	}
 	slog.Info("resigning: no worker reaches this node", "epoch", c.term.Epoch)
-	c.standAt = c.mailbox.Steady() + resignTime
+	c.standAt = c.mailbox.Monotonic() + resignTime
 	release := protocol.Txn{
-		Guards:  []protocol.Guard{{Key: Key, Version: c.term.Epoch}},
-		Changes: []protocol.Change{{Delete: Key}},
+		Conditions: []protocol.Condition{{Key: LeaderKey, Version: c.term.Epoch}},
+		Changes:    []protocol.Change{{Delete: LeaderKey}},
 	}
 	c.stepDown()
 	// If this fails, the lease expires all the same: nobody renews it.
-	c.store.Commit(statestore.ForLeadership, release,
+	c.store.Commit(statestore.PriorityElection, release,
 		func(statestore.Result[statestore.Revision]) { c.observe() })
 }
 
@@ -190,16 +190,16 @@
 // observe reads the leader's key.
 func (c *Candidate) observe() {
 	c.round++
-	c.store.Get(Key, resultInRound(c, c.observed))
+	c.store.Get(LeaderKey, resultInRound(c, c.observed))
 }
 
 func (c *Candidate) observed(r statestore.Result[protocol.Item]) {
 	switch {
 	case r.Err == nil:
-		c.observedAt = c.mailbox.Steady()
+		c.observedAt = c.mailbox.Monotonic()
 		c.keyFound(r.Value.Value, r.Value.Version)
 	case errors.Is(r.Err, statestore.ErrNotFound):
-		c.observedAt = c.mailbox.Steady()
+		c.observedAt = c.mailbox.Monotonic()
 		c.keyAbsent()
 	default:
 		c.observationFailed()
@@ -212,7 +212,7 @@
 // observationFailed tries again later. A leader that hasn't been seen for a while isn't named any
 // more: workers sent there could find another in its place, or nobody.
 func (c *Candidate) observationFailed() {
-	if !c.leading() && c.mailbox.Steady() > c.observedAt+leaderStaleTime {
+	if !c.leading() && c.mailbox.Monotonic() > c.observedAt+leaderStaleTime {
 		c.announceLeader("")
 	}
 	c.observeAfter(retryDelay)
@@ -253,11 +253,11 @@
 // campaign stands for election against the given version of the key, 0 if it doesn't exist.
 func (c *Candidate) campaign(version int64) {
 	c.round++
-	if wait := c.standAt - c.mailbox.Steady(); wait > 0 {
+	if wait := c.standAt - c.mailbox.Monotonic(); wait > 0 {
 		c.observeAfter(min(wait, standCheckTime))
 		return
 	}
-	sent := c.mailbox.Steady()
+	sent := c.mailbox.Monotonic()
 	c.store.Grant(c.cfg.TTL, resultInRound(c, func(r statestore.Result[statestore.LeaseID]) {
 		if r.Err != nil {
 			c.observeAfter(retryDelay)
@@ -272,11 +272,11 @@
 func (c *Candidate) claimKey(version int64) {
 	lease := int64(c.lease)
 	claim := protocol.Txn{
-		Guards: []protocol.Guard{{Key: Key, Version: version}},
-		Changes: []protocol.Change{{Put: Key, Lease: lease,
+		Conditions: []protocol.Condition{{Key: LeaderKey, Version: version}},
+		Changes: []protocol.Change{{Put: LeaderKey, Lease: lease,
 			Value: protocol.Encode(holder{c.cfg.Node, c.cfg.Incarnation, lease})}},
 	}
-	c.store.Commit(statestore.ForLeadership, claim, resultInRound(c, c.claimEnded))
+	c.store.Commit(statestore.PriorityElection, claim, resultInRound(c, c.claimEnded))
 }
 
 func (c *Candidate) claimEnded(r statestore.Result[statestore.Revision]) {
@@ -315,7 +315,7 @@
 // renew sends renewals at a steady pace, whatever became of earlier ones: one that hangs must not
 // cost the lease.
 func (c *Candidate) renew() {
-	sent := c.mailbox.Steady()
+	sent := c.mailbox.Monotonic()
 	var renewal error
 	ended := c.inTerm(func() { c.renewalEnded(sent, renewal) })
 	next := c.inTerm(c.renew)
@@ -342,18 +342,18 @@
 // follow waits for the key to change after a revision.
 func (c *Candidate) follow(from int64) {
 	c.round++
-	c.store.Follow(Key, statestore.Revision(from), followTime, resultInRound(c, c.followed))
+	c.store.Follow(LeaderKey, statestore.Revision(from), followTime, resultInRound(c, c.followed))
 }
 
 // followed acts on the last change of the key, if there is one.
-func (c *Candidate) followed(r statestore.Result[protocol.FollowAnswer]) {
+func (c *Candidate) followed(r statestore.Result[protocol.WatchResponse]) {
 	if r.Err != nil {
 		c.observationFailed()
 		return
 	}
-	c.observedAt = c.mailbox.Steady()
+	c.observedAt = c.mailbox.Monotonic()
 	for i := len(r.Value.Events) - 1; i >= 0; i-- {
-		switch e := r.Value.Events[i]; Key {
+		switch e := r.Value.Events[i]; LeaderKey {
 		case e.Delete:
 			c.keyAbsent()
 			return
--- a/internal/leadership/election_test.go
+++ b/internal/leadership/election_test.go
@@ -15,8 +15,8 @@
 	delayed []func()
 }
 
-func (m *manualMailbox) Steady() clock.Micros                 { return m.now }
-func (m *manualMailbox) OfDay() clock.Micros                  { return m.now }
+func (m *manualMailbox) Monotonic() clock.Micros              { return m.now }
+func (m *manualMailbox) TimeOfDay() clock.Micros              { return m.now }
 func (m *manualMailbox) Post(message func())                  { message() }
 func (m *manualMailbox) After(_ clock.Micros, message func()) { m.delayed = append(m.delayed, message) }
 
@@ -33,11 +33,11 @@
 // pendingStore is a state service that grants leases at once and keeps everything else until the
 // test responds.
 type pendingStore struct {
-	statestore.ResultStore
+	statestore.Store
 	leases  statestore.LeaseID
 	get     func(statestore.Result[protocol.Item])
 	commit  func(statestore.Result[statestore.Revision])
-	follow  func(statestore.Result[protocol.FollowAnswer])
+	follow  func(statestore.Result[protocol.WatchResponse])
 	renew   func(error)
 	txns    []protocol.Txn
 	renewed []statestore.LeaseID
@@ -48,7 +48,7 @@
 	s.leases++
 	done(statestore.Result[statestore.LeaseID]{Value: s.leases})
 }
-func (s *pendingStore) Commit(_ statestore.Use, t protocol.Txn,
+func (s *pendingStore) Commit(_ statestore.Priority, t protocol.Txn,
 	done func(statestore.Result[statestore.Revision])) {
 	s.txns, s.commit = append(s.txns, t), done
 }
@@ -56,13 +56,13 @@
 	s.renewed, s.renew = append(s.renewed, lease), done
 }
 func (s *pendingStore) Follow(_ string, _ statestore.Revision, _ clock.Micros,
-	done func(statestore.Result[protocol.FollowAnswer])) {
+	done func(statestore.Result[protocol.WatchResponse])) {
 	s.follow = done
 }
 
 // keyIs responds to the read of the leader's key.
 func (s *pendingStore) keyIs(value []byte, version int64) {
-	s.get(statestore.Result[protocol.Item]{Value: protocol.Item{Key: Key, Value: value, Version: version}})
+	s.get(statestore.Result[protocol.Item]{Value: protocol.Item{Key: LeaderKey, Value: value, Version: version}})
 }
 
 // keyIsAbsent responds that there is no leader's key.
@@ -129,7 +129,7 @@
 	if len(store.renewed) > 0 {
 		t.Fatalf("renews %v, expected no renewal", store.renewed)
 	}
-	if len(store.txns) != 3 || store.txns[2].Guards[0].Version != 9 {
+	if len(store.txns) != 3 || store.txns[2].Conditions[0].Version != 9 {
 		t.Fatalf("campaigns %+v, expected a third against version 9", store.txns)
 	}
 	// The last one is recognized although its response is lost.
@@ -191,8 +191,8 @@
 	x.Resign()
 	x.expectEpoch(t, 0)
 	release := x.store.txns[1]
-	if len(release.Guards) != 1 || release.Guards[0] != (protocol.Guard{Key: Key, Version: 5}) ||
-		release.Changes[0].Delete != Key {
+	if len(release.Conditions) != 1 || release.Conditions[0] != (protocol.Condition{Key: LeaderKey, Version: 5}) ||
+		release.Changes[0].Delete != LeaderKey {
 		t.Fatalf("released by %+v, expected the removal of the key at version 5", release)
 	}
 	x.store.commitsAt(6)
@@ -216,13 +216,13 @@
 	if !slices.Equal(x.leader, []string{"m"}) {
 		t.Fatalf("announced %q, expected m", x.leader)
 	}
-	x.store.follow(statestore.Result[protocol.FollowAnswer]{Value: protocol.FollowAnswer{Revision: 4}})
+	x.store.follow(statestore.Result[protocol.WatchResponse]{Value: protocol.WatchResponse{Revision: 4}})
 	if len(x.store.txns) > 0 {
 		t.Fatal("campaigns against a leader whose key hasn't changed")
 	}
-	gone := protocol.FollowAnswer{Revision: 5, Events: []protocol.Event{{Delete: Key, Version: 5}}}
-	x.store.follow(statestore.Result[protocol.FollowAnswer]{Value: gone})
-	if len(x.store.txns) != 1 || x.store.txns[0].Guards[0].Version != 0 {
+	gone := protocol.WatchResponse{Revision: 5, Events: []protocol.Event{{Delete: LeaderKey, Version: 5}}}
+	x.store.follow(statestore.Result[protocol.WatchResponse]{Value: gone})
+	if len(x.store.txns) != 1 || x.store.txns[0].Conditions[0].Version != 0 {
 		t.Fatalf("%+v, expected one claim of an absent key", x.store.txns)
 	}
 }
@@ -230,7 +230,7 @@
 func TestLeaderUnseenForAWhileIsNotNamed(t *testing.T) {
 	x := newCandidacy()
 	x.store.keyIs(protocol.Encode(holder{Node: "m", Incarnation: "other", Lease: 1}), 3)
-	x.store.follow(statestore.Result[protocol.FollowAnswer]{Err: statestore.ErrUnavailable})
+	x.store.follow(statestore.Result[protocol.WatchResponse]{Err: statestore.ErrUnavailable})
 	x.box.advance(7 * clock.Second)
 	x.store.get(statestore.Result[protocol.Item]{Err: statestore.ErrNoResponse})
 	if !slices.Equal(x.leader, []string{"m"}) {
--- a/internal/leadership/transaction.go
+++ b/internal/leadership/transaction.go
@@ -40,18 +40,18 @@
 // NewTransaction returns a transaction of an epoch's leader without changes.
 func NewTransaction(epoch Epoch) *Transaction {
 	t := &Transaction{epoch: epoch}
-	t.Require(Key, epoch)
+	t.Require(LeaderKey, epoch)
 	return t
 }
 
 // Require adds the condition that a key has the given version, 0 if it must not exist.
 func (t *Transaction) Require(key string, version int64) {
-	t.txn.Guards = append(t.txn.Guards, protocol.Guard{Key: key, Version: version})
+	t.txn.Conditions = append(t.txn.Conditions, protocol.Condition{Key: key, Version: version})
 }
 
 // RequireOnce adds a condition unless the transaction has it already.
 func (t *Transaction) RequireOnce(key string, version int64) {
-	if !slices.Contains(t.txn.Guards, protocol.Guard{Key: key, Version: version}) {
+	if !slices.Contains(t.txn.Conditions, protocol.Condition{Key: key, Version: version}) {
 		t.Require(key, version)
 	}
 }
@@ -73,9 +73,9 @@
 
 // Commit applies the transaction. If the leader's key is among those that failed, the error is a
 // *NotLeaderError.
-func (t *Transaction) Commit(store statestore.ResultStore,
+func (t *Transaction) Commit(store statestore.Store,
 	done func(statestore.Result[statestore.Revision])) {
-	store.Commit(statestore.ForLeader, t.txn, func(r statestore.Result[statestore.Revision]) {
+	store.Commit(statestore.PriorityLeader, t.txn, func(r statestore.Result[statestore.Revision]) {
 		r.Err = t.classify(r.Err)
 		done(r)
 	})
@@ -84,7 +84,7 @@
 // classify tells the loss of leadership apart from other conflicts.
 func (t *Transaction) classify(err error) error {
 	conflict, ok := errors.AsType[*statestore.ConflictError](err)
-	if !ok || !slices.Contains(conflict.Keys, Key) {
+	if !ok || !slices.Contains(conflict.Keys, LeaderKey) {
 		return err
 	}
 	return &NotLeaderError{Epoch: t.epoch, Conflict: conflict}
--- a/internal/leadership/transaction_test.go
+++ b/internal/leadership/transaction_test.go
@@ -17,12 +17,12 @@
 	txn.Require("a", 3)
 	txn.RequireOnce("a", 3)
 	txn.RequireOnce("a", 4)
-	txn.RequireOnce(Key, 7)
+	txn.RequireOnce(LeaderKey, 7)
 	txn.Put("a", []byte{0xc0})
 	txn.Delete("b")
 	txn.Commit(store, func(statestore.Result[statestore.Revision]) {})
 	want := protocol.Txn{
-		Guards: []protocol.Guard{{Key: Key, Version: 7}, {Key: "a", Version: 3}, {Key: "a", Version: 3},
+		Conditions: []protocol.Condition{{Key: LeaderKey, Version: 7}, {Key: "a", Version: 3}, {Key: "a", Version: 3},
 			{Key: "a", Version: 4}},
 		Changes: []protocol.Change{{Put: "a", Value: []byte{0xc0}}, {Delete: "b"}},
 	}
@@ -43,9 +43,9 @@
 		{nil, false, false},
 		{conflict("a"), false, true},
 		{conflict(), false, true},
-		{conflict("a", Key), true, true},
+		{conflict("a", LeaderKey), true, true},
 		{statestore.ErrNoResponse, false, false},
-		{fmt.Errorf("wrapped: %w", conflict(Key)), true, true},
+		{fmt.Errorf("wrapped: %w", conflict(LeaderKey)), true, true},
 	} {
 		store := &pendingStore{}
 		var got error
--- a/internal/ledger/capacity.go
+++ b/internal/ledger/capacity.go
@@ -36,46 +36,46 @@
 	tasksPerBitmapByte = 4
 )
 
-// Usable returns how much of the limit of a value, in bytes, is used.
-func Usable(limit int) int { return limit * usablePercent / 100 }
+// UsableBytes returns how much of the limit of a value, in bytes, is used.
+func UsableBytes(limit int) int { return limit * usablePercent / 100 }
 
-// PartSizeWithin returns the number of tasks in a shard that may take limit bytes.
-func PartSizeWithin(limit int) int {
-	return max(1, (Usable(limit)-shardOverheadBytes)/shardTaskBytes)
+// ShardSizeWithin returns the number of tasks in a shard that may take limit bytes.
+func ShardSizeWithin(limit int) int {
+	return max(1, (UsableBytes(limit)-shardOverheadBytes)/shardTaskBytes)
 }
 
 // ShardSizeFor returns the number of tasks in a shard of a new record, or 0 if one value of limit
 // bytes has room for the whole record at any time.
 func ShardSizeFor(spec *protocol.JobSpec, limit int) int {
-	if New(*spec, 0).Room(limit) >= spec.Tasks {
+	if New(*spec, 0).StartCapacity(limit) >= spec.Tasks {
 		return 0
 	}
-	return PartSizeWithin(limit)
+	return ShardSizeWithin(limit)
 }
 
 // Recordable reports whether a job can be recorded in values of limit bytes and transactions of
 // txnOps changes. A gang starts whole, so that all of its shards must fit one transaction.
 func Recordable(spec *protocol.JobSpec, limit, txnOps int) bool {
 	record := New(*spec, 0)
-	record.PartSize = ShardSizeFor(spec, limit)
-	if record.PartSize == 0 {
+	record.ShardSize = ShardSizeFor(spec, limit)
+	if record.ShardSize == 0 {
 		return true
 	}
-	return record.headBytes() <= Usable(limit) && (!spec.Gang() || record.Parts() <= txnOps)
+	return record.headBytes() <= UsableBytes(limit) && (!spec.Gang() || record.ShardCount() <= txnOps)
 }
 
-// Room returns how many more tasks may start before a record that isn't sharded could outgrow limit
+// StartCapacity returns how many more tasks may start before a record that isn't sharded could outgrow limit
 // bytes. It assumes the worst: every running task ends up as a range of its own, among the
 // done ones or among those that run on, and every new one is alone on its machine.
-func (j *Job) Room(limit int) int {
+func (j *Record) StartCapacity(limit int) int {
 	numberBytes := len(strconv.Itoa(j.Spec.Tasks)) + 1 // with its comma
-	used := j.headBytes() + len(j.Done.spans)*2*numberBytes + len(j.Placed)*numberBytes +
+	used := j.headBytes() + len(j.Done.spans)*2*numberBytes + len(j.Placements)*numberBytes +
 		j.groupCount()*(groupBytes+machineBytes)
-	return max(0, (Usable(limit)-used)/(numberBytes+groupBytes+machineBytes))
+	return max(0, (UsableBytes(limit)-used)/(numberBytes+groupBytes+machineBytes))
 }
 
 // headBytes returns what a record takes at most without what belongs to single tasks.
-func (j *Job) headBytes() int {
+func (j *Record) headBytes() int {
 	spec := &j.Spec
 	used := headFieldBytes + len(spec.ID) + len(spec.Class) + len(spec.Team) + len(spec.Image) +
 		len(spec.Zone) + len(j.Cause)
@@ -89,9 +89,9 @@
 }
 
 // groupCount returns the number of texts that the placements take.
-func (j *Job) groupCount() int {
-	groups := make(map[placementGroup]bool, len(j.Placed)/tasksPerGroup)
-	for _, placement := range j.Placed {
+func (j *Record) groupCount() int {
+	groups := make(map[placementGroup]bool, len(j.Placements)/tasksPerGroup)
+	for _, placement := range j.Placements {
 		groups[placement.group()] = true
 	}
 	return len(groups)
@@ -99,19 +99,19 @@
 
 // Startable returns up to most pending tasks, in increasing order, that may start now: however they
 // end, no value of the record outgrows limit bytes.
-func (j *Job) Startable(limit, most int) []int {
-	if j.PartSize == 0 {
-		return j.Pending(min(most, j.Room(limit)))
+func (j *Record) Startable(limit, most int) []int {
+	if j.ShardSize == 0 {
+		return j.Pending(min(most, j.StartCapacity(limit)))
 	}
 	used := j.shardBytes()
 	var tasks []int
 	next := j.Done.NextMissing
 	for task := next(0); task < j.Spec.Tasks && len(tasks) < most; task = next(task + 1) {
-		if _, placed := j.Placed[task]; placed {
+		if _, placed := j.Placements[task]; placed {
 			continue
 		}
-		shard := j.PartOf(task)
-		if used[shard]+newPlacementBytes <= Usable(limit) {
+		shard := j.ShardOf(task)
+		if used[shard]+newPlacementBytes <= UsableBytes(limit) {
 			used[shard] += newPlacementBytes
 			tasks = append(tasks, task)
 		}
@@ -121,17 +121,17 @@
 
 // shardBytes returns what each shard takes at most while what is placed goes on: every task ends
 // up alone on its machine.
-func (j *Job) shardBytes() []int {
-	used := make([]int, j.Parts())
+func (j *Record) shardBytes() []int {
+	used := make([]int, j.ShardCount())
 	counts := make([]map[start]int, len(used))
 	placed := make([]int, len(used))
-	digits := len(strconv.Itoa(j.PartSize))
+	digits := len(strconv.Itoa(j.ShardSize))
 	for shard := range used {
-		used[shard] = shardOverheadBytes + j.PartSize/tasksPerBitmapByte
+		used[shard] = shardOverheadBytes + j.ShardSize/tasksPerBitmapByte
 		counts[shard] = map[start]int{}
 	}
-	for task, placement := range j.Placed {
-		shard := j.PartOf(task)
+	for task, placement := range j.Placements {
+		shard := j.ShardOf(task)
 		used[shard] += len(placement.Machine) + digits + 2 // a space and a semicolon
 		counts[shard][placement.start()]++
 		placed[shard]++
--- a/internal/ledger/capacity_test.go
+++ b/internal/ledger/capacity_test.go
@@ -11,35 +11,35 @@
 func TestRecordStaysWithinLimit(t *testing.T) {
 	const limit = 8 << 10
 	record := New(protocol.JobSpec{ID: "job-000001", Class: "c", Team: "t", Shape: protocol.ShapeArray,
-		Rank: "normal", Tasks: 100_000}, 1)
+		Priority: "normal", Tasks: 100_000}, 1)
 	checkSize := func() {
 		t.Helper()
 		if size := jsonSize(t, record.Encode()); size > limit {
 			t.Fatalf("%d bytes with %d placed and %d done, want at most %d",
-				size, len(record.Placed), record.Done.Len(), limit)
+				size, len(record.Placements), record.Done.Len(), limit)
 		}
 	}
 	for range 200 {
-		tasks := record.Pending(record.Room(limit))
+		tasks := record.Pending(record.StartCapacity(limit))
 		for i, task := range tasks {
 			machine := "m-1" + string(rune('a'+i%26)) + "23456"
-			record.Placed[task] = Placement{Task: task, Attempt: int64(100_000 + i), Machine: machine, Session: 123}
+			record.Placements[task] = Placement{Task: task, Attempt: int64(100_000 + i), Machine: machine, Incarnation: 123}
 		}
 		checkSize()
 		for i, task := range tasks {
 			if i%2 == 0 {
 				record.Done.Add(task)
-				delete(record.Placed, task)
+				delete(record.Placements, task)
 			}
 		}
 		checkSize()
 	}
 	// What runs ends in the end, and the rest can start.
-	for task := range record.Placed {
-		delete(record.Placed, task)
+	for task := range record.Placements {
+		delete(record.Placements, task)
 		record.Done.Add(task)
 	}
-	if len(record.Pending(record.Room(limit))) == 0 {
+	if len(record.Pending(record.StartCapacity(limit))) == 0 {
 		t.Fatal("no task can start once all others have ended, want some")
 	}
 }
@@ -48,16 +48,16 @@
 // stays within the limit as their tasks end one by one.
 func TestWideArraysRunAtOnce(t *testing.T) {
 	record := wideArray()
-	if len(record.Placed) != record.Spec.Tasks {
-		t.Fatalf("%d tasks run, want all %d", len(record.Placed), record.Spec.Tasks)
+	if len(record.Placements) != record.Spec.Tasks {
+		t.Fatalf("%d tasks run, want all %d", len(record.Placements), record.Spec.Tasks)
 	}
 	for step := range 4 {
 		if size := jsonSize(t, record.Encode()); size > wideLimit {
 			t.Fatalf("%d bytes with %d placed and %d done, want at most %d",
-				size, len(record.Placed), record.Done.Len(), wideLimit)
+				size, len(record.Placements), record.Done.Len(), wideLimit)
 		}
 		for task := step; task < record.Spec.Tasks; task += 4 {
-			delete(record.Placed, task)
+			delete(record.Placements, task)
 			record.Done.Add(task)
 		}
 	}
--- a/internal/ledger/codec.go
+++ b/internal/ledger/codec.go
@@ -8,7 +8,7 @@
 
 // Encode returns the value to store at the job's key: the whole record, or the head of a
 // sharded one.
-func (j *Job) Encode() []byte {
+func (j *Record) Encode() []byte {
 	stored := storedRecord{
 		Spec:        j.Spec,
 		Status:      j.Status,
@@ -19,10 +19,10 @@
 		Lenders:     j.Lenders,
 		Cause:       j.Cause,
 		Truncated:   j.Truncated,
-		Returned:    j.Returned,
-		Displaced:   j.Displaced,
+		Returned:    j.ReturnCount,
+		Displaced:   j.DisplacedFrom,
 	}
-	if !j.Truncated && j.PartSize == 0 {
+	if !j.Truncated && j.ShardSize == 0 {
 		stored.Done = j.Done.String()
 		stored.Placed = append(stored.Placed, j.encodePlacements()...)
 	}
@@ -31,10 +31,10 @@
 
 // Decode reads the value at a job's key, for callers that don't know the key. Its error is a
 // *MalformedError.
-func Decode(value []byte) (*Job, error) { return DecodeAt("", value) }
+func Decode(value []byte) (*Record, error) { return DecodeAt("", value) }
 
 // DecodeAt reads the value at a job's key. Its error is a *MalformedError with that key.
-func DecodeAt(key string, value []byte) (*Job, error) {
+func DecodeAt(key string, value []byte) (*Record, error) {
 	record, err := decode(value)
 	if err != nil {
 		return nil, &MalformedError{Key: key, Cause: err}
@@ -42,27 +42,27 @@
 	return record, nil
 }
 
-func decode(value []byte) (*Job, error) {
+func decode(value []byte) (*Record, error) {
 	var stored storedRecord
 	if err := protocol.Decode(value, &stored); err != nil {
 		return nil, err
 	}
-	done, err := ParseRanges(stored.Done)
+	done, err := ParseTaskSet(stored.Done)
 	if err != nil {
 		return nil, fmt.Errorf("done tasks %q: %w", stored.Done, err)
 	}
-	record := &Job{
-		Spec:        stored.Spec,
-		Status:      stored.Status,
-		SubmittedAt: stored.SubmittedAt,
-		CancelledAt: stored.CancelledAt,
-		NextAttempt: stored.NextAttempt,
-		Placed:      map[int]Placement{},
-		Lenders:     stored.Lenders[:min(len(stored.Lenders), maxLenders)],
-		Cause:       stored.Cause,
-		Truncated:   stored.Truncated,
-		Returned:    stored.Returned,
-		Displaced:   stored.Displaced,
+	record := &Record{
+		Spec:          stored.Spec,
+		Status:        stored.Status,
+		SubmittedAt:   stored.SubmittedAt,
+		CancelledAt:   stored.CancelledAt,
+		NextAttempt:   stored.NextAttempt,
+		Placements:    map[int]Placement{},
+		Lenders:       stored.Lenders[:min(len(stored.Lenders), maxLenders)],
+		Cause:         stored.Cause,
+		Truncated:     stored.Truncated,
+		ReturnCount:   stored.Returned,
+		DisplacedFrom: stored.Displaced,
 	}
 	if !record.Spec.Service() {
 		record.Done = done // controllers that take services for arrays record ends of their tasks
--- a/internal/ledger/codec_test.go
+++ b/internal/ledger/codec_test.go
@@ -11,20 +11,20 @@
 	"postpoint/internal/protocol"
 )
 
-func drawRecord(t *rapid.T) *Job {
+func drawRecord(t *rapid.T) *Record {
 	tasks := rapid.IntRange(1, 300).Draw(t, "tasks")
 	record := New(protocol.JobSpec{ID: "job-1", Class: "c", Team: "t", Shape: protocol.ShapeArray,
-		Rank: "normal", Tasks: tasks, Cpus: 1.5, Image: "i", Types: []string{"x"}}, 42)
+		Priority: "normal", Tasks: tasks, Cpus: 1.5, Image: "i", Types: []string{"x"}}, 42)
 	for task := range record.Spec.Tasks {
 		switch rapid.IntRange(0, 3).Draw(t, "state") {
 		case 0:
 			record.Done.Add(task)
 		case 1:
-			record.Placed[task] = Placement{
-				Task:    task,
-				Attempt: int64(rapid.IntRange(1, 3).Draw(t, "attempt")),
-				Machine: rapid.SampledFrom([]string{"m-000001", "m-000002"}).Draw(t, "machine"),
-				Session: 1,
+			record.Placements[task] = Placement{
+				Task:        task,
+				Attempt:     int64(rapid.IntRange(1, 3).Draw(t, "attempt")),
+				Machine:     rapid.SampledFrom([]string{"m-000001", "m-000002"}).Draw(t, "machine"),
+				Incarnation: 1,
 			}
 		}
 	}
@@ -54,9 +54,9 @@
 // Errors about stored values name the key and can be told from others.
 func TestMalformedValuesNameTheirKey(t *testing.T) {
 	record := New(arraySpec(200), 1)
-	record.PartSize = 50
+	record.ShardSize = 50
 	_, headError := DecodeAt("jobs/job-000001", []byte{0xc1})
-	shardError := record.ApplyPart(2, protocol.Encode(storedShard{Done: "zz"}))
+	shardError := record.ApplyShard(2, protocol.Encode(storedShard{Done: "zz"}))
 	for key, err := range map[string]error{"jobs/job-000001": headError, "parts/job-000001/2": shardError} {
 		var malformed *MalformedError
 		if !errors.As(err, &malformed) || !errors.Is(err, ErrMalformed) || malformed.Key != key {
@@ -88,7 +88,7 @@
 	record := New(protocol.JobSpec{ID: "job-000001", Tasks: 248}, 1)
 	for task := range 248 {
 		machine := "m-00000" + string(rune('0'+task%10))
-		record.Placed[task] = Placement{Task: task, Attempt: 3, Machine: machine, Session: 1}
+		record.Placements[task] = Placement{Task: task, Attempt: 3, Machine: machine, Incarnation: 1}
 	}
 	for b.Loop() {
 		if _, err := Decode(record.Encode()); err != nil {
--- a/internal/ledger/delegation.go
+++ b/internal/ledger/delegation.go
@@ -10,8 +10,8 @@
 // spaces, so that it can't be taken for one.
 func DelegatedTo(cell string) string { return cellMarker + " " + cell }
 
-// Host returns the cell that runs the placement's task, or "" if it is this one.
-func (p Placement) Host() string {
+// HostCell returns the cell that runs the placement's task, or "" if it is this one.
+func (p Placement) HostCell() string {
 	cell, delegated := strings.CutPrefix(p.Machine, cellMarker+" ")
 	if !delegated {
 		return ""
@@ -32,17 +32,17 @@
 	return words[0], words
 }
 
-// Guest says to which cell and delegation a hosted job belongs.
-type Guest struct {
-	Home   string // the origin cell
-	Number int64  // of the delegation
+// HostedJob says to which cell and delegation a hosted job belongs.
+type HostedJob struct {
+	OriginCell string // the origin cell
+	Delegation int64  // of the delegation
 	// Closed hosted jobs start no further tasks.
 	Closed bool
 }
 
 // encode returns the text that follows the marker: "cell delegation" or "cell delegation closed".
-func (g *Guest) encode() string {
-	text := g.Home + " " + strconv.FormatInt(g.Number, 10)
+func (g *HostedJob) encode() string {
+	text := g.OriginCell + " " + strconv.FormatInt(g.Delegation, 10)
 	if g.Closed {
 		text += " " + closedMarker
 	}
@@ -50,7 +50,7 @@
 }
 
 // parseHostedJob reads what encode wrote, or returns nil.
-func parseHostedJob(text string) *Guest {
+func parseHostedJob(text string) *HostedJob {
 	words := strings.Fields(text)
 	closed := len(words) == 3 && words[2] == closedMarker
 	if len(words) != 2 && !closed {
@@ -60,17 +60,17 @@
 	if err != nil {
 		return nil
 	}
-	return &Guest{Home: words[0], Number: number, Closed: closed}
+	return &HostedJob{OriginCell: words[0], Delegation: number, Closed: closed}
 }
 
-// GuestID returns the id under which a host cell keeps a hosted job and its workers run it. It has
+// HostedJobID returns the id under which a host cell keeps a hosted job and its workers run it. It has
 // dots, which no id that a user may choose has, so that the two can't clash.
-func GuestID(cell, job string, delegation int64) string {
+func HostedJobID(cell, job string, delegation int64) string {
 	return cell + "." + job + "." + strconv.FormatInt(delegation, 10)
 }
 
-// ParseGuestID splits an id that GuestID made.
-func ParseGuestID(id string) (cell, job string, delegation int64, ok bool) {
+// ParseHostedJobID splits an id that GuestID made.
+func ParseHostedJobID(id string) (cell, job string, delegation int64, ok bool) {
 	cell, rest, hasCell := strings.Cut(id, ".")
 	job, number, hasNumber := strings.Cut(rest, ".")
 	delegation, err := strconv.ParseInt(number, 10, 64)
--- a/internal/ledger/format.go
+++ b/internal/ledger/format.go
@@ -64,35 +64,35 @@
 }
 
 // markers returns the markers that stand before the record's placements.
-func (j *Job) markers() []string {
+func (j *Record) markers() []string {
 	var markers []string
-	if j.Guest != nil {
-		markers = append(markers, hostedMarker+" "+j.Guest.encode())
+	if j.Hosted != nil {
+		markers = append(markers, hostedMarker+" "+j.Hosted.encode())
 	}
 	if j.Marked && j.Spec.Service() {
 		markers = append(markers, serviceMarker)
 	}
-	if j.PartSize > 0 && !j.Truncated {
-		markers = append(markers, shardsMarker+" "+strconv.Itoa(j.PartSize))
+	if j.ShardSize > 0 && !j.Truncated {
+		markers = append(markers, shardsMarker+" "+strconv.Itoa(j.ShardSize))
 	}
 	return markers
 }
 
 // applyMarker notes what a marker says; ok reports whether the text is a valid one.
-func (j *Job) applyMarker(text string) (ok bool) {
+func (j *Record) applyMarker(text string) (ok bool) {
 	if text == serviceMarker {
 		j.Marked = true
 		return true
 	}
 	if hosted, isHosted := strings.CutPrefix(text, hostedMarker+" "); isHosted {
-		j.Guest = parseHostedJob(hosted)
-		return j.Guest != nil
+		j.Hosted = parseHostedJob(hosted)
+		return j.Hosted != nil
 	}
 	size, isSharded := strings.CutPrefix(text, shardsMarker+" ")
 	n, err := strconv.Atoi(size)
 	if !isSharded || err != nil || n < 1 || n > maxShardTasks {
 		return false
 	}
-	j.PartSize, j.Marked = n, true
+	j.ShardSize, j.Marked = n, true
 	return true
 }
--- a/internal/ledger/format_test.go
+++ b/internal/ledger/format_test.go
@@ -16,7 +16,7 @@
 // format1Records are values that the first version in production stored.
 var format1Records = map[string]struct {
 	hex  string
-	want Job
+	want Record
 }{
 	"an array with ends and placements": {`
 		87a473706563de0013a3556964aa6a6f622d303030303031a44c616e65a765787472617365a44465736ba86576616c756172
@@ -26,12 +26,12 @@
 		cb4044000000000000a9536e617073686f7453cb0000000000000000a6466c75736853cb0000000000000000a444756553cb
 		4056800000000000a26174cf000644f4e120dc00a4646f6e65a5302d312c34a374727903a6706c6163656492b06d2d303030
 		3030312031203220322d33ae6d2d303030303037203420312038a76c656e6465727391aa6a6f622d303030303032a5636175
-		7365b16572726f72206f6e206d2d303030303031`, Job{
-		Spec: protocol.JobSpec{ID: "job-000001", Class: "extrase", Team: "evaluare", Shape: "batch", Rank: "normal",
+		7365b16572726f72206f6e206d2d303030303031`, Record{
+		Spec: protocol.JobSpec{ID: "job-000001", Class: "extrase", Team: "evaluare", Shape: "batch", Priority: "normal",
 			Tasks: 9, Cpus: 1.5, MemoryGB: 2, Image: "img-1", ImageGB: 1, Spot: true, EstimateS: 40, DeadlineS: &due},
 		SubmittedAt: 1764668400000000, NextAttempt: 3, Lenders: []string{"job-000002"}, Cause: "error on m-000001",
-		Done: Ranges{spans: []span{{0, 1}, {4, 4}}, count: 3},
-		Placed: map[int]Placement{
+		Done: TaskSet{spans: []span{{0, 1}, {4, 4}}, count: 3},
+		Placements: map[int]Placement{
 			2: {2, 2, "m-000001", 1}, 3: {3, 2, "m-000001", 1}, 8: {8, 1, "m-000007", 4},
 		},
 	}},
@@ -43,12 +43,12 @@
 		6164c2a74c6f616e657273c2a9457870656374656453cb4054000000000000a9536e617073686f7453cb4046800000000000
 		a6466c75736853cb4018000000000000a444756553c0a6737461747573a761626f72746564a26174cf000644f4e120dc00a9
 		63616e63656c6c6564cf000644f4e4b46300a374727902a6706c6163656492ae6d2d303030303033203120312030ae6d2d30
-		3030303034203120312031`, Job{
+		3030303034203120312031`, Record{
 		Spec: protocol.JobSpec{ID: "job-000002", Class: "tariffa", Team: "percorsi", Shape: "ensemble",
-			Rank: "urgent", Tasks: 2, Cpus: 60, MemoryGB: 200, Image: "img-2", ImageGB: 2.5, Types: []string{"aquila"},
+			Priority: "urgent", Tasks: 2, Cpus: 60, MemoryGB: 200, Image: "img-2", ImageGB: 2.5, Types: []string{"aquila"},
 			Zone: "torino", OneZone: true, EstimateS: 80, CheckpointS: 45, SaveS: 6},
 		Status: "aborted", SubmittedAt: 1764668400000000, CancelledAt: 1764668460000000, NextAttempt: 2,
-		Placed: map[int]Placement{0: {0, 1, "m-000003", 1}, 1: {1, 1, "m-000004", 1}},
+		Placements: map[int]Placement{0: {0, 1, "m-000003", 1}, 1: {1, 1, "m-000004", 1}},
 	}},
 	// That version records the end of a replica as the end of a task, which it isn't.
 	"a service taken for an array": {`
@@ -57,11 +57,11 @@
 		0000000000000000a54d656d4762cb3ff999999999999aa642756e646c65a5696d672d33a650756c6c4762cb400000000000
 		0000a6466c65657473c0a953616d65506c616365c2a6537072656164c3a74c6f616e657273c2a9457870656374656453cb00
 		00000000000000a9536e617073686f7453cb0000000000000000a6466c75736853cb0000000000000000a444756553c0a261
-		74cf000644f4e120dc00a4646f6e65a130a374727902a6706c6163656491ae6d2d303030303035203120312031`, Job{
-		Spec: protocol.JobSpec{ID: "job-000003", Class: "portal", Team: "evaluare", Shape: "daemon", Rank: "prod",
+		74cf000644f4e120dc00a4646f6e65a130a374727902a6706c6163656491ae6d2d303030303035203120312031`, Record{
+		Spec: protocol.JobSpec{ID: "job-000003", Class: "portal", Team: "evaluare", Shape: "daemon", Priority: "prod",
 			Tasks: 2, Cpus: 1, MemoryGB: 1.6, Image: "img-3", ImageGB: 2, Spread: true},
 		SubmittedAt: 1764668400000000, NextAttempt: 2,
-		Placed: map[int]Placement{1: {1, 1, "m-000005", 1}},
+		Placements: map[int]Placement{1: {1, 1, "m-000005", 1}},
 	}},
 }
 
@@ -93,8 +93,8 @@
 	service := New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeService, Tasks: 3}, 1)
 	service.Marked = true
 	sharded := New(protocol.JobSpec{ID: "job-2", Shape: protocol.ShapeArray, Tasks: 3000}, 1)
-	sharded.PartSize, sharded.Marked = 100, true
-	for _, record := range []*Job{service, sharded} {
+	sharded.ShardSize, sharded.Marked = 100, true
+	for _, record := range []*Record{service, sharded} {
 		var stored struct {
 			Placed []string `msgpack:"placed"`
 		}
@@ -105,9 +105,9 @@
 			t.Errorf("%s: placements %q, want the first to have other than four fields",
 				record.Spec.Shape, stored.Placed)
 		}
-		if again := reassembled(t, record); !again.Marked || again.PartSize != record.PartSize {
+		if again := reassembled(t, record); !again.Marked || again.ShardSize != record.ShardSize {
 			t.Errorf("%s: read as %+v, want it marked, with %d tasks in a shard",
-				record.Spec.Shape, again, record.PartSize)
+				record.Spec.Shape, again, record.ShardSize)
 		}
 	}
 }
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -17,7 +17,7 @@
 		Class:       "train",
 		Team:        "vision",
 		Shape:       protocol.ShapeArray,
-		Rank:        "urgent",
+		Priority:    "urgent",
 		Tasks:       12,
 		Cpus:        8,
 		Gpus:        1,
@@ -41,8 +41,8 @@
 	return protocol.JobSpec{ID: "job-1", Shape: shape, Tasks: tasks}
 }
 
-func goldenRanges(spans ...span) Ranges {
-	r := Ranges{spans: spans}
+func goldenRanges(spans ...span) TaskSet {
+	r := TaskSet{spans: spans}
 	for _, s := range spans {
 		r.count += s.hi - s.lo + 1
 	}
@@ -52,18 +52,18 @@
 // goldenPlaces are on machines and with another cell.
 func goldenPlaces() map[int]Placement {
 	return map[int]Placement{
-		5:  {Task: 5, Attempt: 2, Machine: "m-000001", Session: 3},
-		6:  {Task: 6, Attempt: 2, Machine: "m-000001", Session: 3},
-		8:  {Task: 8, Attempt: 2, Machine: "m-000001", Session: 3},
-		9:  {Task: 9, Attempt: 1, Machine: "m-000001", Session: 3},
-		10: {Task: 10, Attempt: 4, Machine: DelegatedTo("beta"), Session: 7},
-		11: {Task: 11, Attempt: 1, Machine: "m-000002", Session: 70_000},
+		5:  {Task: 5, Attempt: 2, Machine: "m-000001", Incarnation: 3},
+		6:  {Task: 6, Attempt: 2, Machine: "m-000001", Incarnation: 3},
+		8:  {Task: 8, Attempt: 2, Machine: "m-000001", Incarnation: 3},
+		9:  {Task: 9, Attempt: 1, Machine: "m-000001", Incarnation: 3},
+		10: {Task: 10, Attempt: 4, Machine: DelegatedTo("beta"), Incarnation: 7},
+		11: {Task: 11, Attempt: 1, Machine: "m-000002", Incarnation: 70_000},
 	}
 }
 
 type goldenRecord struct {
 	name string
-	job  Job
+	job  Record
 	head string
 	// parts are those of a divided record.
 	parts []string
@@ -72,11 +72,11 @@
 var goldenRecords = []goldenRecord{
 	{
 		name: "a new job",
-		job: Job{
+		job: Record{
 			Spec:        smallSpec(protocol.ShapeArray, 3),
 			SubmittedAt: 1764668400000000,
 			NextAttempt: 1,
-			Placed:      map[int]Placement{},
+			Placements:  map[int]Placement{},
 		},
 		head: "\x83\xa4spec\xde\x00\x13\xa3Uid\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa5batch\xa4Ra" +
 			"nk\xa0\xa4Legs\x03\xa5Vcpus\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00\x00\x00" +
@@ -88,19 +88,19 @@
 	},
 	{
 		name: "a whole record with all that it may have",
-		job: Job{
-			Spec:        goldenSpec(),
-			Status:      protocol.StatusCancelled,
-			SubmittedAt: 1764668400000000,
-			CancelledAt: 1764668460000000,
-			Done:        goldenRanges(span{0, 3}, span{7, 7}),
-			NextAttempt: 5,
-			Placed:      goldenPlaces(),
-			Lenders:     []string{"job-000001", "job-000002"},
-			Cause:       "error on m-000001",
-			Guest:       &Guest{Home: "gamma", Number: 9, Closed: true},
-			Returned:    2,
-			Displaced:   "b",
+		job: Record{
+			Spec:          goldenSpec(),
+			Status:        protocol.StatusCancelled,
+			SubmittedAt:   1764668400000000,
+			CancelledAt:   1764668460000000,
+			Done:          goldenRanges(span{0, 3}, span{7, 7}),
+			NextAttempt:   5,
+			Placements:    goldenPlaces(),
+			Lenders:       []string{"job-000001", "job-000002"},
+			Cause:         "error on m-000001",
+			Hosted:        &HostedJob{OriginCell: "gamma", Delegation: 9, Closed: true},
+			ReturnCount:   2,
+			DisplacedFrom: "b",
 		},
 		head: "\x8b\xa4spec\xde\x00\x14\xa3Uid\xaajob-000412\xa4Lane\xa5train\xa4Desk\xa6vision\xa5Shap" +
 			"e\xa5batch\xa4Rank\xa6urgent\xa4Legs\x0c\xa5Vcpus\xcb@ \x00\x00\x00\x00\x00\x00\xa4Gpus" +
@@ -116,13 +116,13 @@
 	},
 	{
 		name: "a truncated record",
-		job: Job{
+		job: Record{
 			Spec:        smallSpec(protocol.ShapeGang, 3),
 			Status:      protocol.StatusCancelled,
 			SubmittedAt: 1764668400000000,
 			CancelledAt: 1764668460000000,
 			NextAttempt: 5,
-			Placed:      map[int]Placement{},
+			Placements:  map[int]Placement{},
 			Truncated:   true,
 		},
 		head: "\x86\xa4spec\xde\x00\x13\xa3Uid\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa8ensemble" +
@@ -136,13 +136,13 @@
 	},
 	{
 		name: "a job that is done",
-		job: Job{
+		job: Record{
 			Spec:        smallSpec(protocol.ShapeArray, 3),
 			Status:      protocol.StatusDone,
 			SubmittedAt: 1764668400000000,
 			Done:        goldenRanges(span{0, 2}),
 			NextAttempt: 2,
-			Placed:      map[int]Placement{},
+			Placements:  map[int]Placement{},
 		},
 		head: "\x85\xa4spec\xde\x00\x13\xa3Uid\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa5batch\xa4Ra" +
 			"nk\xa0\xa4Legs\x03\xa5Vcpus\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00\x00\x00" +
@@ -154,11 +154,11 @@
 	},
 	{
 		name: "a service, not marked",
-		job: Job{
+		job: Record{
 			Spec:        smallSpec(protocol.ShapeService, 3),
 			SubmittedAt: 1764668400000000,
 			NextAttempt: 2,
-			Placed:      map[int]Placement{1: {Task: 1, Attempt: 1, Machine: "m-000005", Session: 1}},
+			Placements:  map[int]Placement{1: {Task: 1, Attempt: 1, Machine: "m-000005", Incarnation: 1}},
 		},
 		head: "\x84\xa4spec\xde\x00\x13\xa3Uid\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa6daemon\xa4R" +
 			"ank\xa0\xa4Legs\x03\xa5Vcpus\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00\x00\x00" +
@@ -170,11 +170,11 @@
 	},
 	{
 		name: "a service",
-		job: Job{
+		job: Record{
 			Spec:        smallSpec(protocol.ShapeService, 3),
 			SubmittedAt: 1764668400000000,
 			NextAttempt: 2,
-			Placed:      map[int]Placement{1: {Task: 1, Attempt: 1, Machine: "m-000005", Session: 1}},
+			Placements:  map[int]Placement{1: {Task: 1, Attempt: 1, Machine: "m-000005", Incarnation: 1}},
 			Marked:      true,
 		},
 		head: "\x84\xa4spec\xde\x00\x13\xa3Uid\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa6daemon\xa4R" +
@@ -187,12 +187,12 @@
 	},
 	{
 		name: "a guest",
-		job: Job{
+		job: Record{
 			Spec:        smallSpec(protocol.ShapeGang, 2),
 			SubmittedAt: 1764668400000000,
 			NextAttempt: 2,
-			Placed:      map[int]Placement{1: {Task: 1, Attempt: 1, Machine: "m-000005", Session: 1}},
-			Guest:       &Guest{Home: "gamma", Number: 9},
+			Placements:  map[int]Placement{1: {Task: 1, Attempt: 1, Machine: "m-000005", Incarnation: 1}},
+			Hosted:      &HostedJob{OriginCell: "gamma", Delegation: 9},
 		},
 		head: "\x84\xa4spec\xde\x00\x13\xa3Uid\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa8ensemble" +
 			"\xa4Rank\xa0\xa4Legs\x02\xa5Vcpus\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00" +
@@ -205,13 +205,13 @@
 	},
 	{
 		name: "a guest that is a marked service",
-		job: Job{
+		job: Record{
 			Spec:        smallSpec(protocol.ShapeService, 2),
 			SubmittedAt: 1764668400000000,
 			NextAttempt: 2,
-			Placed:      map[int]Placement{},
+			Placements:  map[int]Placement{},
 			Marked:      true,
-			Guest:       &Guest{Home: "gamma", Number: 9},
+			Hosted:      &HostedJob{OriginCell: "gamma", Delegation: 9},
 		},
 		head: "\x84\xa4spec\xde\x00\x13\xa3Uid\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa6daemon\xa4R" +
 			"ank\xa0\xa4Legs\x02\xa5Vcpus\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00\x00\x00" +
@@ -223,18 +223,18 @@
 	},
 	{
 		name: "a divided record",
-		job: Job{
-			Spec:        goldenSpec(),
-			SubmittedAt: 1764668400000000,
-			Done:        goldenRanges(span{0, 3}, span{7, 7}),
-			NextAttempt: 5,
-			Placed:      goldenPlaces(),
-			Lenders:     []string{"job-000001"},
-			Cause:       "error on m-000001",
-			PartSize:    5,
-			Marked:      true,
-			Returned:    1,
-			Displaced:   "b",
+		job: Record{
+			Spec:          goldenSpec(),
+			SubmittedAt:   1764668400000000,
+			Done:          goldenRanges(span{0, 3}, span{7, 7}),
+			NextAttempt:   5,
+			Placements:    goldenPlaces(),
+			Lenders:       []string{"job-000001"},
+			Cause:         "error on m-000001",
+			ShardSize:     5,
+			Marked:        true,
+			ReturnCount:   1,
+			DisplacedFrom: "b",
 		},
 		head: "\x88\xa4spec\xde\x00\x14\xa3Uid\xaajob-000412\xa4Lane\xa5train\xa4Desk\xa6vision\xa5Shap" +
 			"e\xa5batch\xa4Rank\xa6urgent\xa4Legs\x0c\xa5Vcpus\xcb@ \x00\x00\x00\x00\x00\x00\xa4Gpus" +
@@ -252,14 +252,14 @@
 	},
 	{
 		name: "a divided service of a guest",
-		job: Job{
+		job: Record{
 			Spec:        smallSpec(protocol.ShapeService, 3),
 			SubmittedAt: 1764668400000000,
 			NextAttempt: 2,
-			Placed:      map[int]Placement{2: {Task: 2, Attempt: 1, Machine: "m-000005", Session: 1}},
-			PartSize:    2,
+			Placements:  map[int]Placement{2: {Task: 2, Attempt: 1, Machine: "m-000005", Incarnation: 1}},
+			ShardSize:   2,
 			Marked:      true,
-			Guest:       &Guest{Home: "gamma", Number: 9},
+			Hosted:      &HostedJob{OriginCell: "gamma", Delegation: 9},
 		},
 		head: "\x84\xa4spec\xde\x00\x13\xa3Uid\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa6daemon\xa4R" +
 			"ank\xa0\xa4Legs\x03\xa5Vcpus\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00\x00\x00" +
@@ -278,8 +278,8 @@
 func TestGoldenRecords(t *testing.T) {
 	for _, record := range goldenRecords {
 		goldentest.Equal(t, record.name, record.job.Encode(), record.head)
-		if record.job.Parts() != len(record.parts) {
-			t.Errorf("%s: %d parts", record.name, record.job.Parts())
+		if record.job.ShardCount() != len(record.parts) {
+			t.Errorf("%s: %d parts", record.name, record.job.ShardCount())
 			continue
 		}
 		job, err := Decode([]byte(record.head))
@@ -288,12 +288,12 @@
 			continue
 		}
 		for i, part := range record.parts {
-			goldentest.Equal(t, record.name, record.job.EncodePart(i), part)
-			if err := job.ApplyPart(i, []byte(part)); err != nil {
+			goldentest.Equal(t, record.name, record.job.EncodeShard(i), part)
+			if err := job.ApplyShard(i, []byte(part)); err != nil {
 				t.Errorf("%s: part %d: %v", record.name, i, err)
 			}
 		}
-		if d := cmp.Diff(&record.job, job, cmp.AllowUnexported(Ranges{}, span{})); d != "" {
+		if d := cmp.Diff(&record.job, job, cmp.AllowUnexported(TaskSet{}, span{})); d != "" {
 			t.Errorf("%s: read with a difference: %s", record.name, d)
 		}
 	}
@@ -366,49 +366,49 @@
 	for _, c := range []struct{ name, got, want string }{
 		{"prefix of records", Prefix, "jobs/"},
 		{"key of a record", Key("job-000412"), "jobs/job-000412"},
-		{"prefix of parts", PartsPrefix, "parts/"},
-		{"prefix of a job's parts", PartsOf("job-000412"), "parts/job-000412/"},
-		{"key of a part", PartKey("job-000412", 12), "parts/job-000412/12"},
+		{"prefix of parts", ShardsPrefix, "parts/"},
+		{"prefix of a job's parts", JobShardsPrefix("job-000412"), "parts/job-000412/"},
+		{"key of a part", ShardKey("job-000412", 12), "parts/job-000412/12"},
 		{"a delegated place", DelegatedTo("beta"), "cell beta"},
-		{"id of a guest", GuestID("alpha", "job-1", 7), "alpha.job-1.7"},
+		{"id of a guest", HostedJobID("alpha", "job-1", 7), "alpha.job-1.7"},
 		{"marker of a service", serviceMarker, "service"},
 		{"marker of a divided record", shardsMarker, "parts"},
 		{"marker of a guest", hostedMarker, "guest"},
-		{"a guest", (&Guest{Home: "beta", Number: 7}).encode(), "beta 7"},
-		{"a closed guest", (&Guest{Home: "beta", Number: 7, Closed: true}).encode(), "beta 7 closed"},
-		{"the host of a place", Placement{Machine: "cell beta"}.Host(), "beta"},
-		{"the host of a place here", Placement{Machine: "m-000001"}.Host(), ""},
+		{"a guest", (&HostedJob{OriginCell: "beta", Delegation: 7}).encode(), "beta 7"},
+		{"a closed guest", (&HostedJob{OriginCell: "beta", Delegation: 7, Closed: true}).encode(), "beta 7 closed"},
+		{"the host of a place", Placement{Machine: "cell beta"}.HostCell(), "beta"},
+		{"the host of a place here", Placement{Machine: "m-000001"}.HostCell(), ""},
 	} {
 		goldentest.Equal(t, c.name, []byte(c.got), c.want)
 	}
-	if job, part, ok := ParsePartKey("parts/job-000412/12"); job != "job-000412" || part != 12 || !ok {
+	if job, part, ok := ParseShardKey("parts/job-000412/12"); job != "job-000412" || part != 12 || !ok {
 		t.Errorf("a part's key is read as %q %d %v", job, part, ok)
 	}
-	home, job, number, ok := ParseGuestID("alpha.job-1.7")
+	home, job, number, ok := ParseHostedJobID("alpha.job-1.7")
 	if home != "alpha" || job != "job-1" || number != 7 || !ok {
 		t.Errorf("a guest's id is read as %q %q %d %v", home, job, number, ok)
 	}
-	if _, _, _, ok := ParseGuestID("job-000412"); ok {
+	if _, _, _, ok := ParseHostedJobID("job-000412"); ok {
 		t.Error("a job of this cell is taken for a guest")
 	}
 }
 
 // Sets of tasks as they are stored.
 func TestGoldenRanges(t *testing.T) {
-	for text, r := range map[string]Ranges{
+	for text, r := range map[string]TaskSet{
 		"":             {},
 		"0":            goldenRanges(span{0, 0}),
 		"0-5,7,9-10":   goldenRanges(span{0, 5}, span{7, 7}, span{9, 10}),
 		"3,1073741824": goldenRanges(span{3, 3}, span{1 << 30, 1 << 30}),
 	} {
 		goldentest.Equal(t, "ranges", []byte(r.String()), text)
-		got, err := ParseRanges(text)
-		if d := cmp.Diff(r, got, cmp.AllowUnexported(Ranges{}, span{})); err != nil || d != "" {
+		got, err := ParseTaskSet(text)
+		if d := cmp.Diff(r, got, cmp.AllowUnexported(TaskSet{}, span{})); err != nil || d != "" {
 			t.Errorf("%q: %v %s", text, err, d)
 		}
 	}
 	for _, text := range []string{"0-", "-1", "1,2", "2-1", "a", "0-1073741825", "1,,3"} {
-		if _, err := ParseRanges(text); err == nil {
+		if _, err := ParseTaskSet(text); err == nil {
 			t.Errorf("%q is taken", text)
 		}
 	}
@@ -424,35 +424,35 @@
 	spec := map[string]any{"Uid": "job-1", "Shape": "batch", "Legs": 5}
 	for _, c := range []struct {
 		placed []string
-		want   Job
+		want   Record
 	}{
-		{nil, Job{}},
-		{[]string{"m-2 1 3 1", "m-1 1 2 0,4-9"}, Job{Placed: map[int]Placement{
-			0: {Task: 0, Attempt: 2, Machine: "m-1", Session: 1},
-			1: {Task: 1, Attempt: 3, Machine: "m-2", Session: 1},
-			4: {Task: 4, Attempt: 2, Machine: "m-1", Session: 1},
+		{nil, Record{}},
+		{[]string{"m-2 1 3 1", "m-1 1 2 0,4-9"}, Record{Placements: map[int]Placement{
+			0: {Task: 0, Attempt: 2, Machine: "m-1", Incarnation: 1},
+			1: {Task: 1, Attempt: 3, Machine: "m-2", Incarnation: 1},
+			4: {Task: 4, Attempt: 2, Machine: "m-1", Incarnation: 1},
 		}}},
-		{[]string{"cell beta 7 2 1"}, Job{Placed: map[int]Placement{
-			1: {Task: 1, Attempt: 2, Machine: "cell beta", Session: 7},
+		{[]string{"cell beta 7 2 1"}, Record{Placements: map[int]Placement{
+			1: {Task: 1, Attempt: 2, Machine: "cell beta", Incarnation: 7},
 		}}},
-		{[]string{"service"}, Job{Marked: true}},
-		{[]string{"parts 3"}, Job{Marked: true, PartSize: 3}},
-		{[]string{"guest beta 7"}, Job{Guest: &Guest{Home: "beta", Number: 7}}},
+		{[]string{"service"}, Record{Marked: true}},
+		{[]string{"parts 3"}, Record{Marked: true, ShardSize: 3}},
+		{[]string{"guest beta 7"}, Record{Hosted: &HostedJob{OriginCell: "beta", Delegation: 7}}},
 		{
 			[]string{"guest beta 7 closed", "service"},
-			Job{Guest: &Guest{Home: "beta", Number: 7, Closed: true}, Marked: true},
+			Record{Hosted: &HostedJob{OriginCell: "beta", Delegation: 7, Closed: true}, Marked: true},
 		},
 	} {
 		c.want.Spec = smallSpec(protocol.ShapeArray, 5)
-		if c.want.Placed == nil {
-			c.want.Placed = map[int]Placement{}
+		if c.want.Placements == nil {
+			c.want.Placements = map[int]Placement{}
 		}
 		got, err := Decode(protocol.Encode(stored{spec, c.placed}))
 		if err != nil {
 			t.Errorf("%v: %v", c.placed, err)
 			continue
 		}
-		if d := cmp.Diff(&c.want, got, cmp.AllowUnexported(Ranges{}, span{})); d != "" {
+		if d := cmp.Diff(&c.want, got, cmp.AllowUnexported(TaskSet{}, span{})); d != "" {
 			t.Errorf("%v: %s", c.placed, d)
 		}
 	}
@@ -467,29 +467,29 @@
 // The answer to users.
 func TestGoldenUserStatus(t *testing.T) {
 	for _, c := range []struct {
-		job  Job
+		job  Record
 		want protocol.JobStatus
 	}{
-		{Job{Spec: smallSpec(protocol.ShapeArray, 3)}, protocol.JobStatus{ID: "job-1", Status: "pending"}},
+		{Record{Spec: smallSpec(protocol.ShapeArray, 3)}, protocol.JobStatus{ID: "job-1", Status: "pending"}},
 		{
-			Job{
-				Spec:   smallSpec(protocol.ShapeArray, 3),
-				Done:   goldenRanges(span{0, 0}),
-				Placed: map[int]Placement{1: {Task: 1, Attempt: 1, Machine: "m-1", Session: 1}},
-				Cause:  "error on m-1",
+			Record{
+				Spec:       smallSpec(protocol.ShapeArray, 3),
+				Done:       goldenRanges(span{0, 0}),
+				Placements: map[int]Placement{1: {Task: 1, Attempt: 1, Machine: "m-1", Incarnation: 1}},
+				Cause:      "error on m-1",
 			},
 			protocol.JobStatus{ID: "job-1", Status: "running", Done: 1, Running: 1, Cause: "error on m-1"},
 		},
 		{
-			Job{
-				Spec:   smallSpec(protocol.ShapeArray, 3),
-				Status: protocol.StatusCancelled,
-				Placed: map[int]Placement{1: {Task: 1, Attempt: 1, Machine: "m-1", Session: 1}},
+			Record{
+				Spec:       smallSpec(protocol.ShapeArray, 3),
+				Status:     protocol.StatusCancelled,
+				Placements: map[int]Placement{1: {Task: 1, Attempt: 1, Machine: "m-1", Incarnation: 1}},
 			},
 			protocol.JobStatus{ID: "job-1", Status: "aborted"},
 		},
 		{
-			Job{Spec: smallSpec(protocol.ShapeArray, 3), Status: protocol.StatusDone, PartSize: 2},
+			Record{Spec: smallSpec(protocol.ShapeArray, 3), Status: protocol.StatusDone, ShardSize: 2},
 			protocol.JobStatus{ID: "job-1", Status: "done", Done: 3},
 		},
 	} {
--- a/internal/ledger/helpers_test.go
+++ b/internal/ledger/helpers_test.go
@@ -16,7 +16,7 @@
 func TestMain(m *testing.M) { rapidtest.Main(m, 100) }
 
 // allFields compares sets by what they hold.
-var allFields = cmp.AllowUnexported(Ranges{}, span{})
+var allFields = cmp.AllowUnexported(TaskSet{}, span{})
 
 // failer is what the helpers need of *testing.T and *rapid.T.
 type failer interface {
@@ -39,14 +39,14 @@
 }
 
 // reassembled returns a record as a reader of all its values sees it.
-func reassembled(t failer, record *Job) *Job {
+func reassembled(t failer, record *Record) *Record {
 	t.Helper()
 	again, err := Decode(record.Encode())
 	if err != nil {
 		t.Fatal(err)
 	}
-	for shard := range record.Parts() {
-		if err := again.ApplyPart(shard, record.EncodePart(shard)); err != nil {
+	for shard := range record.ShardCount() {
+		if err := again.ApplyShard(shard, record.EncodeShard(shard)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -56,19 +56,19 @@
 // arraySpec returns the description of an array.
 func arraySpec(tasks int) protocol.JobSpec {
 	return protocol.JobSpec{ID: "job-000001", Class: "extrase", Team: "evaluare",
-		Shape: protocol.ShapeArray, Rank: "normal", Tasks: tasks}
+		Shape: protocol.ShapeArray, Priority: "normal", Tasks: tasks}
 }
 
 const wideLimit = 32 << 10 // bytes of a value
 
 // wideArray returns an array of 2,000 tasks all of which run, eight on a machine.
-func wideArray() *Job {
+func wideArray() *Record {
 	record := New(arraySpec(2000), 1)
 	for range 6 {
-		for _, task := range record.Pending(record.Room(wideLimit)) {
+		for _, task := range record.Pending(record.StartCapacity(wideLimit)) {
 			// As plans deal them out: neighbours on different machines.
 			machine := fmt.Sprintf("m-%06d", task%250)
-			record.Placed[task] = Placement{Task: task, Attempt: 1, Machine: machine, Session: 1}
+			record.Placements[task] = Placement{Task: task, Attempt: 1, Machine: machine, Incarnation: 1}
 		}
 	}
 	return record
--- a/internal/ledger/placement.go
+++ b/internal/ledger/placement.go
@@ -11,10 +11,10 @@
 // that this attempt no longer is, and never again can be, on that machine. A task that another cell
 // runs has that cell in place of a machine: see DelegatedTo.
 type Placement struct {
-	Task    int
-	Attempt int64
-	Machine string
-	Session int64 // the incarnation of the machine's worker, or the number of the delegation
+	Task        int
+	Attempt     int64
+	Machine     string
+	Incarnation int64 // the incarnation of the machine's worker, or the number of the delegation
 }
 
 // placementGroup is what the placements have in common that share one text of the record.
@@ -29,7 +29,7 @@
 // start identifies one start of a task among all others.
 type start struct{ incarnation, attempt int64 }
 
-func (p Placement) start() start { return start{p.Session, p.Attempt} }
+func (p Placement) start() start { return start{p.Incarnation, p.Attempt} }
 
 func (p Placement) group() placementGroup { return placementGroup{p.Machine, p.start()} }
 
@@ -53,12 +53,12 @@
 }
 
 // encodePlacements returns the texts of all placements, "machine incarnation attempt tasks".
-func (j *Job) encodePlacements() []string {
-	groups := make(map[placementGroup]*Ranges, len(j.Placed)/tasksPerGroup)
-	for _, task := range slices.Sorted(maps.Keys(j.Placed)) { // in order, sets grow at their ends
-		group := j.Placed[task].group()
+func (j *Record) encodePlacements() []string {
+	groups := make(map[placementGroup]*TaskSet, len(j.Placements)/tasksPerGroup)
+	for _, task := range slices.Sorted(maps.Keys(j.Placements)) { // in order, sets grow at their ends
+		group := j.Placements[task].group()
 		if groups[group] == nil {
-			groups[group] = &Ranges{}
+			groups[group] = &TaskSet{}
 		}
 		groups[group].Add(task)
 	}
@@ -76,7 +76,7 @@
 }
 
 // applyPlacements adds the placements of one text. Tasks that the job doesn't have are ignored.
-func (j *Job) applyPlacements(text string) error {
+func (j *Record) applyPlacements(text string) error {
 	placement, tasks, err := parsePlacements(text)
 	if err != nil {
 		return err
@@ -84,23 +84,23 @@
 	for _, s := range tasks.spans {
 		for task := s.lo; task <= s.hi && task < j.Spec.Tasks; task++ {
 			placement.Task = task
-			j.Placed[task] = placement
+			j.Placements[task] = placement
 		}
 	}
 	return nil
 }
 
 // parsePlacements reads "machine incarnation attempt tasks".
-func parsePlacements(text string) (Placement, Ranges, error) {
+func parsePlacements(text string) (Placement, TaskSet, error) {
 	const incarnation, attempt, taskRanges, count = 1, 2, 3, 4
 	machine, words := splitMachine(strings.Fields(text))
 	if len(words) != count {
-		return Placement{}, Ranges{}, errInvalidPlacement
+		return Placement{}, TaskSet{}, errInvalidPlacement
 	}
 	s, err := parseStart(words[incarnation], words[attempt])
 	if err != nil {
-		return Placement{}, Ranges{}, err
+		return Placement{}, TaskSet{}, err
 	}
-	tasks, err := ParseRanges(words[taskRanges])
-	return Placement{Machine: machine, Session: s.incarnation, Attempt: s.attempt}, tasks, err
+	tasks, err := ParseTaskSet(words[taskRanges])
+	return Placement{Machine: machine, Incarnation: s.incarnation, Attempt: s.attempt}, tasks, err
 }
--- a/internal/ledger/ranges.go
+++ b/internal/ledger/ranges.go
@@ -10,9 +10,9 @@
 // maxTask bounds the numbers that a set may hold, far above the tasks of any job.
 const maxTask = 1 << 30
 
-// Ranges is a set of task numbers, kept as sorted ranges that neither touch nor overlap, so that a
+// TaskSet is a set of task numbers, kept as sorted ranges that neither touch nor overlap, so that a
 // job of very many tasks has a short record. The zero value is the empty set.
-type Ranges struct {
+type TaskSet struct {
 	spans []span
 	count int
 }
@@ -21,24 +21,24 @@
 type span struct{ lo, hi int }
 
 // find returns the index of the first span whose end is at least n.
-func (r *Ranges) find(n int) int {
+func (r *TaskSet) find(n int) int {
 	return sort.Search(len(r.spans), func(i int) bool { return r.spans[i].hi >= n })
 }
 
-// Has reports whether n is in the set.
-func (r *Ranges) Has(n int) bool {
+// Contains reports whether n is in the set.
+func (r *TaskSet) Contains(n int) bool {
 	i := r.find(n)
 	return i < len(r.spans) && r.spans[i].lo <= n
 }
 
 // Clone returns a copy that changes independently.
-func (r *Ranges) Clone() Ranges { return Ranges{slices.Clone(r.spans), r.count} }
+func (r *TaskSet) Clone() TaskSet { return TaskSet{slices.Clone(r.spans), r.count} }
 
 // Len returns how many numbers are in the set.
-func (r *Ranges) Len() int { return r.count }
+func (r *TaskSet) Len() int { return r.count }
 
 // Add adds n to the set.
-func (r *Ranges) Add(n int) {
+func (r *TaskSet) Add(n int) {
 	if last := len(r.spans) - 1; last < 0 || n > r.spans[last].hi {
 		r.appendNumber(n) // the usual case: numbers come in increasing order
 		return
@@ -64,7 +64,7 @@
 }
 
 // appendNumber adds a number above all others.
-func (r *Ranges) appendNumber(n int) {
+func (r *TaskSet) appendNumber(n int) {
 	r.count++
 	if last := len(r.spans) - 1; last >= 0 && r.spans[last].hi == n-1 {
 		r.spans[last].hi = n
@@ -74,7 +74,7 @@
 }
 
 // NextMissing returns the smallest number from n on that is not in the set.
-func (r *Ranges) NextMissing(n int) int {
+func (r *TaskSet) NextMissing(n int) int {
 	i := r.find(n)
 	if i < len(r.spans) && r.spans[i].lo <= n {
 		return r.spans[i].hi + 1
@@ -82,8 +82,8 @@
 	return n
 }
 
-// NextIn returns the smallest number from n on that is in the set, or maxTask if there is none.
-func (r *Ranges) NextIn(n int) int {
+// NextPresent returns the smallest number from n on that is in the set, or maxTask if there is none.
+func (r *TaskSet) NextPresent(n int) int {
 	i := r.find(n)
 	if i == len(r.spans) {
 		return maxTask
@@ -92,7 +92,7 @@
 }
 
 // Max returns the largest number in the set, or -1 if it is empty.
-func (r *Ranges) Max() int {
+func (r *TaskSet) Max() int {
 	if len(r.spans) == 0 {
 		return -1
 	}
@@ -100,13 +100,13 @@
 }
 
 // String returns the set as text: single numbers and ranges in increasing order, as in "0-5,7".
-func (r *Ranges) String() string {
+func (r *TaskSet) String() string {
 	var buffer [64]byte // enough for most sets, so that they need no other
 	return string(r.appendTo(buffer[:0]))
 }
 
 // appendTo appends what String returns.
-func (r *Ranges) appendTo(text []byte) []byte {
+func (r *TaskSet) appendTo(text []byte) []byte {
 	for i, s := range r.spans {
 		if i > 0 {
 			text = append(text, ',')
@@ -120,9 +120,9 @@
 	return text
 }
 
-// ParseRanges reads what String wrote.
-func ParseRanges(text string) (Ranges, error) {
-	var r Ranges
+// ParseTaskSet reads what String wrote.
+func ParseTaskSet(text string) (TaskSet, error) {
+	var r TaskSet
 	if text == "" {
 		return r, nil
 	}
@@ -130,10 +130,10 @@
 	for part := range strings.SplitSeq(text, ",") {
 		s, err := parseSpan(part)
 		if err != nil {
-			return Ranges{}, err
+			return TaskSet{}, err
 		}
 		if s.lo <= last+1 {
-			return Ranges{}, errInvalidRanges
+			return TaskSet{}, errInvalidRanges
 		}
 		r.spans = append(r.spans, s)
 		r.count += s.hi - s.lo + 1
--- a/internal/ledger/ranges_test.go
+++ b/internal/ledger/ranges_test.go
@@ -10,23 +10,23 @@
 // were written and read.
 func TestRangesBehaveLikeASetOfNumbers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var added Ranges
+		var added TaskSet
 		set := map[int]bool{}
 		for _, n := range rapid.SliceOf(rapid.IntRange(0, 40)).Draw(t, "numbers") {
 			added.Add(n)
 			set[n] = true
 		}
-		parsed, err := ParseRanges(added.String())
+		parsed, err := ParseTaskSet(added.String())
 		if err != nil {
 			t.Fatalf("ParseRanges(%q): %v, want no error", added.String(), err)
 		}
-		for _, ranges := range []*Ranges{&added, &parsed} {
+		for _, ranges := range []*TaskSet{&added, &parsed} {
 			compareWithSet(t, ranges, set)
 		}
 	})
 }
 
-func compareWithSet(t *rapid.T, ranges *Ranges, set map[int]bool) {
+func compareWithSet(t *rapid.T, ranges *TaskSet, set map[int]bool) {
 	if ranges.Len() != len(set) {
 		t.Fatalf("%s has length %d, want %d", ranges, ranges.Len(), len(set))
 	}
@@ -35,9 +35,9 @@
 		for set[missing] {
 			missing++
 		}
-		if ranges.Has(n) != set[n] || ranges.NextMissing(n) != missing {
+		if ranges.Contains(n) != set[n] || ranges.NextMissing(n) != missing {
 			t.Fatalf("%s: Has(%d) = %v, NextMissing(%d) = %d, want %v and %d",
-				ranges, n, ranges.Has(n), n, ranges.NextMissing(n), set[n], missing)
+				ranges, n, ranges.Contains(n), n, ranges.NextMissing(n), set[n], missing)
 		}
 	}
 }
@@ -47,11 +47,11 @@
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		r, err := ParseRanges(text)
+		r, err := ParseTaskSet(text)
 		if err != nil {
 			return
 		}
-		again, err := ParseRanges(r.String())
+		again, err := ParseTaskSet(r.String())
 		if err != nil || again.Len() != r.Len() {
 			t.Fatalf("%q was written as %q, which has %d numbers (%v), want %d",
 				text, r.String(), again.Len(), err, r.Len())
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -6,19 +6,19 @@
 	"postpoint/internal/protocol"
 )
 
-// Job is the record of a job.
-type Job struct {
+// Record is the record of a job.
+type Record struct {
 	Spec        protocol.JobSpec
-	Status      string // empty, StatusDone or StatusCancelled; the latter two are final
-	SubmittedAt int64  // time of day in microseconds, by the accepting node
-	CancelledAt int64  // likewise, by the cancelling node before its user is told
-	Done        Ranges // completed tasks
+	Status      string  // empty, StatusDone or StatusCancelled; the latter two are final
+	SubmittedAt int64   // time of day in microseconds, by the accepting node
+	CancelledAt int64   // likewise, by the cancelling node before its user is told
+	Done        TaskSet // completed tasks
 	NextAttempt int64
-	Placed      map[int]Placement // by task
+	Placements  map[int]Placement // by task
 	Lenders     []string          // jobs that were preempted for this one and are owed their resources
 	Cause       string            // why the last failed start failed
-	// PartSize is the number of tasks in a shard, 0 if the record isn't sharded.
-	PartSize int
+	// ShardSize is the number of tasks in a shard, 0 if the record isn't sharded.
+	ShardSize int
 	// Marked records are refused as malformed by controllers that know neither services nor
 	// sharded records: they would take a service for an array, and a sharded record's running
 	// tasks for pending. Records are marked only once no such controller runs any more.
@@ -26,13 +26,13 @@
 	// Truncated reports that the placements of a cancelled job were left out, because the
 	// record had become too large for the store.
 	Truncated bool
-	// Guest is set for a hosted job, one that belongs to another cell.
-	Guest *Guest
-	// Returned counts how often other cells have given tasks of the job back unfinished.
-	Returned int
-	// Displaced is the lost zone from which tasks of the job were displaced that haven't started
+	// Hosted is set for a hosted job, one that belongs to another cell.
+	Hosted *HostedJob
+	// ReturnCount counts how often other cells have given tasks of the job back unfinished.
+	ReturnCount int
+	// DisplacedFrom is the lost zone from which tasks of the job were displaced that haven't started
 	// elsewhere, empty if there are none.
-	Displaced string
+	DisplacedFrom string
 }
 
 // maxLenders bounds the growth of a record whose job needs preemption again and again. It is
@@ -40,23 +40,23 @@
 const maxLenders = 8
 
 // New returns the record of a job that has just been accepted.
-func New(spec protocol.JobSpec, submittedAt int64) *Job {
-	return &Job{Spec: spec, SubmittedAt: submittedAt, NextAttempt: 1, Placed: map[int]Placement{}}
+func New(spec protocol.JobSpec, submittedAt int64) *Record {
+	return &Record{Spec: spec, SubmittedAt: submittedAt, NextAttempt: 1, Placements: map[int]Placement{}}
 }
 
 // Final reports whether the job is done or cancelled, so that none of its tasks may start.
-func (j *Job) Final() bool { return j.Status != "" }
+func (j *Record) Final() bool { return j.Status != "" }
 
 // complete notes that a task is done. Tasks of a service never are.
-func (j *Job) complete(task int) {
+func (j *Record) complete(task int) {
 	if !j.Spec.Service() {
 		j.Done.Add(task)
 	}
 }
 
-// Lend adds a job that was preempted for this one and reports whether the record has changed.
+// AddLender adds a job that was preempted for this one and reports whether the record has changed.
 // The first maxLenders are kept.
-func (j *Job) Lend(lender string) bool {
+func (j *Record) AddLender(lender string) bool {
 	if slices.Contains(j.Lenders, lender) || len(j.Lenders) >= maxLenders {
 		return false
 	}
@@ -65,11 +65,11 @@
 }
 
 // Pending returns up to limit tasks, in increasing order, that are neither done nor placed.
-func (j *Job) Pending(limit int) []int {
+func (j *Record) Pending(limit int) []int {
 	var tasks []int
 	next := j.Done.NextMissing
 	for task := next(0); task < j.Spec.Tasks && len(tasks) < limit; task = next(task + 1) {
-		if _, placed := j.Placed[task]; !placed {
+		if _, placed := j.Placements[task]; !placed {
 			tasks = append(tasks, task)
 		}
 	}
@@ -77,18 +77,18 @@
 }
 
 // PendingCount returns the number of tasks that are neither done nor placed.
-func (j *Job) PendingCount() int { return j.Spec.Tasks - j.Done.Len() - len(j.Placed) }
+func (j *Record) PendingCount() int { return j.Spec.Tasks - j.Done.Len() - len(j.Placements) }
 
 // UserStatus returns the state of the job as its user sees it.
-func (j *Job) UserStatus() protocol.JobStatus {
+func (j *Record) UserStatus() protocol.JobStatus {
 	status := protocol.JobStatus{ID: j.Spec.ID, Status: j.Status, Done: j.Done.Len(), Cause: j.Cause}
-	if j.Status == protocol.StatusDone && j.PartSize > 0 {
+	if j.Status == protocol.StatusDone && j.ShardSize > 0 {
 		status.Done = j.Spec.Tasks // its shards are being deleted
 	}
 	if j.Final() {
 		return status
 	}
-	status.Running = len(j.Placed)
+	status.Running = len(j.Placements)
 	status.Status = protocol.StatusPending
 	if status.Running > 0 {
 		status.Status = protocol.StatusRunning
--- a/internal/ledger/shards.go
+++ b/internal/ledger/shards.go
@@ -18,35 +18,35 @@
 // more tasks.
 const maxShardTasks = 100_000
 
-// Parts returns the number of shards, 0 for a record that isn't sharded.
-func (j *Job) Parts() int {
-	if j.PartSize == 0 {
+// ShardCount returns the number of shards, 0 for a record that isn't sharded.
+func (j *Record) ShardCount() int {
+	if j.ShardSize == 0 {
 		return 0
 	}
-	return (j.Spec.Tasks + j.PartSize - 1) / j.PartSize
+	return (j.Spec.Tasks + j.ShardSize - 1) / j.ShardSize
 }
 
-// PartOf returns the shard of a task.
-func (j *Job) PartOf(task int) int { return task / j.PartSize }
+// ShardOf returns the shard of a task.
+func (j *Record) ShardOf(task int) int { return task / j.ShardSize }
 
 // shardTasks returns the first task of a shard and the first after it.
-func (j *Job) shardTasks(shard int) (first, end int) {
-	return shard * j.PartSize, min((shard+1)*j.PartSize, j.Spec.Tasks)
+func (j *Record) shardTasks(shard int) (first, end int) {
+	return shard * j.ShardSize, min((shard+1)*j.ShardSize, j.Spec.Tasks)
 }
 
-// EncodePart returns the value to store at a shard's key.
-func (j *Job) EncodePart(shard int) []byte {
+// EncodeShard returns the value to store at a shard's key.
+func (j *Record) EncodeShard(shard int) []byte {
 	first, end := j.shardTasks(shard)
-	groups := map[placementGroup]*Ranges{}
+	groups := map[placementGroup]*TaskSet{}
 	counts := map[start]int{}
 	for task := first; task < end; task++ {
-		placement, placed := j.Placed[task]
+		placement, placed := j.Placements[task]
 		if !placed {
 			continue
 		}
 		group := placement.group()
 		if groups[group] == nil {
-			groups[group] = &Ranges{}
+			groups[group] = &TaskSet{}
 		}
 		groups[group].Add(task - first)
 		counts[group.start]++
@@ -62,7 +62,7 @@
 }
 
 // encodeShardPlacements writes a start only where it differs from the most common one.
-func encodeShardPlacements(groups map[placementGroup]*Ranges, common start) string {
+func encodeShardPlacements(groups map[placementGroup]*TaskSet, common start) string {
 	texts := make([]string, 0, len(groups))
 	var text []byte
 	for group, tasks := range groups {
@@ -96,10 +96,10 @@
 }
 
 // doneBitmap returns the completed tasks from first to end, empty if there are none.
-func (j *Job) doneBitmap(first, end int) string {
+func (j *Record) doneBitmap(first, end int) string {
 	bits := make([]byte, bitmapBytes(end-first))
 	found := false
-	for task := j.Done.NextIn(first); task < end; task = j.Done.NextIn(task + 1) {
+	for task := j.Done.NextPresent(first); task < end; task = j.Done.NextPresent(task + 1) {
 		bits[(task-first)/8] |= 1 << ((task - first) % 8)
 		found = true
 	}
@@ -112,17 +112,17 @@
 // bitmapBytes returns how many bytes a bitmap of so many tasks has.
 func bitmapBytes(tasks int) int { return (tasks + 7) / 8 }
 
-// ApplyPart adds what the value at a shard's key says. A malformed value changes nothing; its error
+// ApplyShard adds what the value at a shard's key says. A malformed value changes nothing; its error
 // is a *MalformedError with the shard's key.
-func (j *Job) ApplyPart(shard int, value []byte) error {
+func (j *Record) ApplyShard(shard int, value []byte) error {
 	if err := j.applyShard(shard, value); err != nil {
-		return &MalformedError{Key: PartKey(j.Spec.ID, shard), Cause: err}
+		return &MalformedError{Key: ShardKey(j.Spec.ID, shard), Cause: err}
 	}
 	return nil
 }
 
-func (j *Job) applyShard(shard int, value []byte) error {
-	if shard >= j.Parts() {
+func (j *Record) applyShard(shard int, value []byte) error {
+	if shard >= j.ShardCount() {
 		return errNoSuchShard
 	}
 	var stored storedShard
@@ -145,7 +145,7 @@
 	}
 	for _, placement := range placements {
 		if placement.Task += first; placement.Task < end {
-			j.Placed[placement.Task] = placement
+			j.Placements[placement.Task] = placement
 		}
 	}
 	j.NextAttempt = max(j.NextAttempt, stored.NextAttempt)
@@ -174,7 +174,7 @@
 }
 
 // parsePlacements reads "machine tasks" or "machine tasks incarnation attempt".
-func (s *storedShard) parsePlacements(text string) (Placement, Ranges, error) {
+func (s *storedShard) parsePlacements(text string) (Placement, TaskSet, error) {
 	const taskRanges, incarnation, attempt = 1, 2, 3
 	const countWithoutStart, countWithStart = 2, 4
 	machine, words := splitMachine(strings.Fields(text))
@@ -184,17 +184,17 @@
 	case countWithStart:
 		var err error
 		if from, err = parseStart(words[incarnation], words[attempt]); err != nil {
-			return Placement{}, Ranges{}, err
+			return Placement{}, TaskSet{}, err
 		}
 	default:
-		return Placement{}, Ranges{}, errInvalidPlacement
+		return Placement{}, TaskSet{}, errInvalidPlacement
 	}
-	tasks, err := ParseRanges(words[taskRanges])
+	tasks, err := ParseTaskSet(words[taskRanges])
 	if err != nil {
-		return Placement{}, Ranges{}, err
+		return Placement{}, TaskSet{}, err
 	}
 	if tasks.Max() >= maxShardTasks {
-		return Placement{}, Ranges{}, errInvalidPlacement
+		return Placement{}, TaskSet{}, errInvalidPlacement
 	}
-	return Placement{Machine: machine, Session: from.incarnation, Attempt: from.attempt}, tasks, nil
+	return Placement{Machine: machine, Incarnation: from.incarnation, Attempt: from.attempt}, tasks, nil
 }
--- a/internal/ledger/shards_test.go
+++ b/internal/ledger/shards_test.go
@@ -23,7 +23,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		spec := arraySpec(rapid.SampledFrom([]int{30, 150, 700}).Draw(t, "tasks"))
 		record := New(spec, 42)
-		record.PartSize = ShardSizeFor(&spec, tightValueBytes)
+		record.ShardSize = ShardSizeFor(&spec, tightValueBytes)
 		record.Marked = true
 		steps := rapid.IntRange(1, 8).Draw(t, "steps")
 		for step := range steps {
@@ -35,7 +35,7 @@
 		if d := cmp.Diff(record, reassembled(t, record), allFields); d != "" {
 			t.Fatalf("read from its values the record differs (-want +got):\n%s", d)
 		}
-		clear(record.Placed)
+		clear(record.Placements)
 		if record.PendingCount() > 0 && len(record.Startable(tightValueBytes, 1)) == 0 {
 			t.Fatal("no task can start though none is placed, want one")
 		}
@@ -43,36 +43,36 @@
 }
 
 // startTasks places what may start on machines that rapid draws.
-func startTasks(t *rapid.T, record *Job) {
+func startTasks(t *rapid.T, record *Record) {
 	for _, task := range record.Startable(tightValueBytes, 400) {
-		record.Placed[task] = Placement{
-			Task:    task,
-			Attempt: record.NextAttempt,
-			Session: int64(rapid.SampledFrom([]int{1, 1, 1, 2, 130}).Draw(t, "incarnation")),
-			Machine: fmt.Sprintf("m-%06d", rapid.IntRange(1, 300).Draw(t, "machine")),
+		record.Placements[task] = Placement{
+			Task:        task,
+			Attempt:     record.NextAttempt,
+			Incarnation: int64(rapid.SampledFrom([]int{1, 1, 1, 2, 130}).Draw(t, "incarnation")),
+			Machine:     fmt.Sprintf("m-%06d", rapid.IntRange(1, 300).Draw(t, "machine")),
 		}
 	}
 }
 
 // endTasks completes a part of the placed tasks and fails another.
-func endTasks(t *rapid.T, record *Job, step int) {
+func endTasks(t *rapid.T, record *Record, step int) {
 	done := rapid.IntRange(0, 3).Draw(t, "done")
-	for task, placement := range record.Placed {
+	for task, placement := range record.Placements {
 		switch (task + step) % 4 {
 		case done:
-			delete(record.Placed, task)
+			delete(record.Placements, task)
 			record.Done.Add(task)
 		case 3 - done:
-			delete(record.Placed, task)
+			delete(record.Placements, task)
 			record.NextAttempt = max(record.NextAttempt, placement.Attempt+1)
 		}
 	}
 }
 
-func checkValueSizes(t *rapid.T, record *Job, step int) {
+func checkValueSizes(t *rapid.T, record *Record, step int) {
 	t.Helper()
-	for shard := range record.Parts() {
-		if size := jsonSize(t, record.EncodePart(shard)); size > tightValueBytes {
+	for shard := range record.ShardCount() {
+		if size := jsonSize(t, record.EncodeShard(shard)); size > tightValueBytes {
 			t.Fatalf("step %d: shard %d has %d bytes, want at most %d", step, shard, size, tightValueBytes)
 		}
 	}
@@ -86,17 +86,17 @@
 func TestShardedRecordsHoldTheLargestJobs(t *testing.T) {
 	array := arraySpec(2000)
 	record := New(array, 1)
-	record.PartSize = ShardSizeFor(&array, tightValueBytes)
+	record.ShardSize = ShardSizeFor(&array, tightValueBytes)
 	for range 6 {
 		for i, task := range record.Startable(tightValueBytes, 2000) {
-			record.Placed[task] = Placement{Task: task, Attempt: 1, Machine: fmt.Sprintf("m-%06d", i%250), Session: 1}
+			record.Placements[task] = Placement{Task: task, Attempt: 1, Machine: fmt.Sprintf("m-%06d", i%250), Incarnation: 1}
 		}
 	}
-	if len(record.Placed) != 2000 {
-		t.Fatalf("%d tasks run, want all 2000", len(record.Placed))
+	if len(record.Placements) != 2000 {
+		t.Fatalf("%d tasks run, want all 2000", len(record.Placements))
 	}
 	gang := array
-	gang.Shape, gang.Tasks = protocol.ShapeGang, tightTxnOps*PartSizeWithin(tightValueBytes)
+	gang.Shape, gang.Tasks = protocol.ShapeGang, tightTxnOps*ShardSizeWithin(tightValueBytes)
 	if !Recordable(&gang, tightValueBytes, tightTxnOps) {
 		t.Fatalf("a gang of %d tasks is refused, want it accepted", gang.Tasks)
 	}
@@ -111,24 +111,24 @@
 }
 
 func FuzzApplyPart(f *testing.F) {
-	sharded := func() *Job {
+	sharded := func() *Record {
 		record := New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 200}, 1)
-		record.PartSize = 50
+		record.ShardSize = 50
 		return record
 	}
 	record := sharded()
 	record.Done.Add(3)
-	record.Placed[7] = Placement{Task: 7, Attempt: 2, Machine: "m-000001", Session: 1}
-	f.Add(record.EncodePart(0))
+	record.Placements[7] = Placement{Task: 7, Attempt: 2, Machine: "m-000001", Incarnation: 1}
+	f.Add(record.EncodeShard(0))
 	f.Add(protocol.Encode(storedShard{Done: "ffffffffffffffffffffff", Placed: "m 1"}))
 	f.Add(protocol.Encode(storedShard{Placed: "m 0-99999999"}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		record := sharded()
-		if err := record.ApplyPart(3, raw); err != nil && len(record.Placed)+record.Done.Len() > 0 {
+		if err := record.ApplyShard(3, raw); err != nil && len(record.Placements)+record.Done.Len() > 0 {
 			t.Fatalf("a malformed shard (%v) adds %d placed and %d done tasks, want none",
-				err, len(record.Placed), record.Done.Len())
+				err, len(record.Placements), record.Done.Len())
 		}
-		for task := range record.Placed {
+		for task := range record.Placements {
 			if task < 150 || task >= 200 {
 				t.Fatalf("task %d is placed, want only tasks of the shard, 150 to 199", task)
 			}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -22,19 +22,19 @@
 
 // Mailboxes are those of a node's actors.
 type Mailboxes struct {
-	Dispatch, Leadership, Intake, Rollout actor.Mailbox
+	Leader, Election, Admission, Rollout actor.Mailbox
 }
 
 // Environment is what a node's actors talk to.
 type Environment struct {
-	Settings   *settings.Settings
-	Leadership leadership.Config
-	Mailboxes  Mailboxes
+	Settings  *settings.Settings
+	Election  leadership.Config
+	Mailboxes Mailboxes
 	// Store returns the state service whose results arrive in a mailbox.
-	Store func(actor.Mailbox) statestore.ResultStore
+	Store func(actor.Mailbox) statestore.Store
 	// Cloud and Agent respond to the mailbox of Dispatch, Forward to that of Intake.
-	Cloud   cloud.ResultAPI
-	Agent   agent.ResultAPI
+	Cloud   cloud.API
+	Agent   agent.API
 	Forward intake.Forward
 	// Cells lists the cells, nil if they are switched off; Exchange reaches them and responds to the
 	// mailbox of Dispatch.
@@ -43,30 +43,30 @@
 	// Recovery has the settings of zone recovery, nil if it is switched off.
 	Recovery *recovery.Settings
 	// Everyone asks all nodes, given this one's own actor; ok reports whether all have responded.
-	Everyone func(own *intake.Intake, r intake.Request, done func(answers []intake.Answer, ok bool))
+	Everyone func(own *intake.Admission, r intake.Request, done func(answers []intake.Response, ok bool))
 }
 
 // Node has the actors of one controller.
 type Node struct {
-	Dispatch   *leader.Leader
-	Leadership *leadership.Candidate
-	Intake     *intake.Intake
-	Rollout    *rollout.Rollout
+	Leader    *leader.Leader
+	Candidate *leadership.Candidate
+	Admission *intake.Admission
+	Rollout   *rollout.Rollout
 }
 
 // New returns a node that does nothing yet.
 func New(e Environment) *Node {
 	n := &Node{}
-	n.Intake = intake.New(e.Mailboxes.Intake, e.Store(e.Mailboxes.Intake), e.Settings,
+	n.Admission = intake.New(e.Mailboxes.Admission, e.Store(e.Mailboxes.Admission), e.Settings,
 		e.Forward)
-	n.Dispatch = n.newLeader(e)
-	n.Leadership = n.newCandidate(e)
-	n.Intake.ZoneReportsFrom(n.Dispatch.ZoneReports)
+	n.Leader = n.newLeader(e)
+	n.Candidate = n.newCandidate(e)
+	n.Admission.ZoneReportsFrom(n.Leader.ZoneReports)
 	if e.Recovery != nil {
-		n.Dispatch.Recover(e.Recovery, n.zoneReports(e))
+		n.Leader.Recover(e.Recovery, n.zoneReports(e))
 	}
 	if e.Cells != nil {
-		n.Dispatch.JoinCells(e.Cells, e.Exchange)
+		n.Leader.JoinCells(e.Cells, e.Exchange)
 	}
 	n.Rollout = n.newRollout(e)
 	return n
@@ -74,19 +74,19 @@
 
 // newLeader returns the leader's actor.
 func (n *Node) newLeader(e Environment) *leader.Leader {
-	box := e.Mailboxes.Dispatch
+	box := e.Mailboxes.Leader
 	return leader.New(box, e.Store(box), e.Cloud, e.Agent, e.Settings,
-		func(epoch int64) { n.Leadership.ObserveEpoch(epoch) },
-		func() { n.Leadership.Resign() },
+		func(epoch int64) { n.Candidate.ObserveEpoch(epoch) },
+		func() { n.Candidate.Resign() },
 		n.attestations(e),
-		func(types []protocol.MachineType) { n.Intake.Types(types) })
+		func(types []protocol.MachineType) { n.Admission.SetMachineTypes(types) })
 }
 
 // attestations returns how the leader asks all nodes to vouch for what they have told users.
 func (n *Node) attestations(e Environment) func(back clock.Micros, done func([]intake.Attestation, bool)) {
 	return func(back clock.Micros, done func([]intake.Attestation, bool)) {
-		e.Everyone(n.Intake, intake.AttestRequest(back), func(answers []intake.Answer, ok bool) {
-			done(intake.Attestations(answers, ok))
+		e.Everyone(n.Admission, intake.NewAttestationRequest(back), func(answers []intake.Response, ok bool) {
+			done(intake.DecodeAttestations(answers, ok))
 		})
 	}
 }
@@ -94,19 +94,19 @@
 // zoneReports returns how the leader asks all nodes which zones' machines they hear from.
 func (n *Node) zoneReports(e Environment) func(done func([]intake.ZoneReports)) {
 	return func(done func([]intake.ZoneReports)) {
-		e.Everyone(n.Intake, intake.Request{Kind: intake.Zones}, func(answers []intake.Answer, _ bool) {
-			done(intake.AllZoneReports(answers))
+		e.Everyone(n.Admission, intake.Request{Kind: intake.GetZoneReports}, func(answers []intake.Response, _ bool) {
+			done(intake.DecodeAllZoneReports(answers))
 		})
 	}
 }
 
 func (n *Node) newCandidate(e Environment) *leadership.Candidate {
-	box := e.Mailboxes.Leadership
+	box := e.Mailboxes.Election
 	publishTerm := func(t leadership.Term) {
-		n.Intake.Elected(t.Epoch) // first: nothing is vouched for after the term has begun
-		n.Dispatch.SetTerm(t)
+		n.Admission.NoteElection(t.Epoch) // first: nothing is vouched for after the term has begun
+		n.Leader.SetTerm(t)
 	}
-	return leadership.New(box, e.Store(box), e.Leadership, publishTerm, n.Dispatch.SetLeader)
+	return leadership.New(box, e.Store(box), e.Election, publishTerm, n.Leader.SetLeader)
 }
 
 func (n *Node) newRollout(e Environment) *rollout.Rollout {
@@ -115,24 +115,24 @@
 		format = rollout.FormatCells
 	}
 	onStatus := func(s rollout.Status) {
-		n.Dispatch.SetFormat(s)
-		n.Intake.Format(s)
+		n.Leader.SetFormat(s)
+		n.Admission.SetFormatStatus(s)
 	}
 	box := e.Mailboxes.Rollout
 	// The election waits: what this node writes comes after the format that it reads.
 	return rollout.New(box, e.Store(box), e.Settings.Node, e.Settings.Nodes(), format,
-		n.Leadership.Start, onStatus)
+		n.Candidate.Start, onStatus)
 }
 
 // Start lets the node publish its format, stand for election and serve.
 func (n *Node) Start() {
-	n.Dispatch.Start()
+	n.Leader.Start()
 	n.Rollout.Start()
 }
 
 // StartUnpublished starts it like a version that publishes no format, for tests of versions side by
 // side.
 func (n *Node) StartUnpublished() {
-	n.Dispatch.Start()
-	n.Leadership.Start()
+	n.Leader.Start()
+	n.Candidate.Start()
 }
--- a/internal/peer/cellclient.go
+++ b/internal/peer/cellclient.go
@@ -24,28 +24,28 @@
 // Exchange sends a report to a controller of another cell. An answer that takes too long counts as
 // none: what it permits would have expired by the time that it is read.
 func (x *CellClient) Exchange(
-	address string, r delegation.Report, done func(a delegation.Answer, answered bool),
+	address string, r delegation.Heartbeat, done func(a delegation.HeartbeatResponse, answered bool),
 ) {
 	select {
 	case x.slots <- struct{}{}:
 	default:
-		done(delegation.Answer{}, false)
+		done(delegation.HeartbeatResponse{}, false)
 		return
 	}
 	go func() {
 		defer func() { <-x.slots }()
 		a, err := exchange(address, r)
 		if err != nil {
-			slog.Debug("no response from other cell", "cell", r.Home, "address", address, "error", err)
+			slog.Debug("no response from other cell", "cell", r.Origin, "address", address, "error", err)
 		}
 		x.mailbox.Post(func() { done(a, err == nil) })
 	}()
 }
 
-func exchange(address string, r delegation.Report) (delegation.Answer, error) {
+func exchange(address string, r delegation.Heartbeat) (delegation.HeartbeatResponse, error) {
 	payload, err := call(address, frame(append([]byte{kindExchange}, r.Encode()...)))
 	if err != nil {
-		return delegation.Answer{}, err
+		return delegation.HeartbeatResponse{}, err
 	}
-	return delegation.DecodeAnswer(payload)
+	return delegation.DecodeHeartbeatResponse(payload)
 }
--- a/internal/peer/cellserver.go
+++ b/internal/peer/cellserver.go
@@ -18,8 +18,8 @@
 // Leaders of different cells exchange messages on an address of its own, so that no other cell can
 // use up the connections of a cell's own nodes.
 
-// CellSockets bounds the connections to other cells and those from them.
-const CellSockets = maxCellServing + maxCellAsking
+// MaxCellConnections bounds the connections to other cells and those from them.
+const MaxCellConnections = maxCellServing + maxCellAsking
 
 const (
 	maxCellServing   = 16
@@ -36,7 +36,7 @@
 // CellHandler answers what leaders of other cells report; ok is false if the sender is none of the
 // known cells.
 type CellHandler interface {
-	Exchange(r delegation.Report, reply func(a delegation.Answer, ok bool))
+	Exchange(r delegation.Heartbeat, reply func(a delegation.HeartbeatResponse, ok bool))
 }
 
 // ErrUnknownCell is a message of a cell that isn't known here, or for another cell.
@@ -93,7 +93,7 @@
 	if len(payload) == 0 || payload[0] != kindExchange {
 		return fmt.Errorf("%w: no exchange between cells", ErrMalformed)
 	}
-	report, err := delegation.DecodeReport(payload[1:])
+	report, err := delegation.DecodeHeartbeat(payload[1:])
 	if err != nil {
 		return err
 	}
@@ -107,17 +107,17 @@
 
 // exchangeResult is the answer of a CellHandler.
 type exchangeResult struct {
-	answer delegation.Answer
+	answer delegation.HeartbeatResponse
 	known  bool // the sender is a known cell
 }
 
 // handleExchange waits for the answer of the handler.
-func handleExchange(h CellHandler, report delegation.Report) (delegation.Answer, error) {
+func handleExchange(h CellHandler, report delegation.Heartbeat) (delegation.HeartbeatResponse, error) {
 	answered := make(chan exchangeResult, 1)
-	h.Exchange(report, func(a delegation.Answer, ok bool) { answered <- exchangeResult{a, ok} })
+	h.Exchange(report, func(a delegation.HeartbeatResponse, ok bool) { answered <- exchangeResult{a, ok} })
 	result := <-answered
 	if !result.known {
-		return delegation.Answer{}, ErrUnknownCell
+		return delegation.HeartbeatResponse{}, ErrUnknownCell
 	}
 	return result.answer, nil
 }
--- a/internal/peer/cellserver_test.go
+++ b/internal/peer/cellserver_test.go
@@ -16,11 +16,11 @@
 // alpha is the leader of a cell that knows beta.
 type alpha struct{ reports atomic.Int64 }
 
-func (a *alpha) Exchange(r delegation.Report, reply func(delegation.Answer, bool)) {
+func (a *alpha) Exchange(r delegation.Heartbeat, reply func(delegation.HeartbeatResponse, bool)) {
 	a.reports.Add(1)
-	ruling := delegation.Ruling{Number: r.Counter, Verdict: delegation.Close}
-	answer := delegation.Answer{Result: delegation.Taken, Rulings: []delegation.Ruling{ruling}}
-	reply(answer, r.Host == "beta" && r.Home == "alpha")
+	ruling := delegation.Directive{Number: r.Sequence, Action: delegation.Close}
+	answer := delegation.HeartbeatResponse{Result: delegation.Processed, Directives: []delegation.Directive{ruling}}
+	reply(answer, r.Host == "beta" && r.Origin == "alpha")
 }
 
 // lineCounter counts the log lines about closed connections.
@@ -57,7 +57,7 @@
 	go func() { _ = serveCells(l, &alpha{}) }()
 	address := l.Addr().String()
 
-	if a, ok := exchangeWith(address, "beta"); !ok || len(a.Rulings) != 1 || a.Rulings[0].Number != 9 {
+	if a, ok := exchangeWith(address, "beta"); !ok || len(a.Directives) != 1 || a.Directives[0].Number != 9 {
 		t.Fatalf("answer %+v, ok %v, want one ruling of delegation 9", a, ok)
 	}
 	if _, ok := exchangeWith(address, "gamma"); ok {
@@ -86,10 +86,10 @@
 }
 
 // exchangeWith reports to alpha as the leader of a cell.
-func exchangeWith(address, host string) (a delegation.Answer, ok bool) {
+func exchangeWith(address, host string) (a delegation.HeartbeatResponse, ok bool) {
 	box := actortest.Instant{Messages: make(chan func(), 1)}
-	r := delegation.Report{Host: host, Home: "alpha", Counter: 9}
-	NewCellClient(box).Exchange(address, r, func(answer delegation.Answer, answered bool) {
+	r := delegation.Heartbeat{Host: host, Origin: "alpha", Sequence: 9}
+	NewCellClient(box).Exchange(address, r, func(answer delegation.HeartbeatResponse, answered bool) {
 		a, ok = answer, answered
 	})
 	(<-box.Messages)()
--- a/internal/peer/forwarder.go
+++ b/internal/peer/forwarder.go
@@ -9,8 +9,8 @@
 	"postpoint/internal/intake"
 )
 
-// Sockets bounds the connections to other nodes of the cell, and those from them.
-const Sockets = 64
+// MaxConnections bounds the connections to other nodes of the cell, and those from them.
+const MaxConnections = 64
 
 const (
 	// dialTimeout and callTimeout bound how long one node can take of the time that users wait.
@@ -27,22 +27,22 @@
 
 // NewForwarder returns a client of the nodes at the addresses that answers into the given mailbox.
 func NewForwarder(addresses []string, m actor.Mailbox) *Forwarder {
-	return &Forwarder{addresses, m, make(chan struct{}, Sockets)}
+	return &Forwarder{addresses, m, make(chan struct{}, MaxConnections)}
 }
 
 // result is the answer of a node, if it gave one.
 type result struct {
-	answer   intake.Answer
+	answer   intake.Response
 	answered bool
 }
 
 // Forward asks the nodes one after another for an answer other than to come back later, within the
 // time that users wait. done is told whether any has answered.
-func (f *Forwarder) Forward(r intake.Request, done func(a intake.Answer, answered bool)) {
+func (f *Forwarder) Forward(r intake.Request, done func(a intake.Response, answered bool)) {
 	select {
 	case f.slots <- struct{}{}:
 	default:
-		done(intake.Answer{}, false)
+		done(intake.Response{}, false)
 		return
 	}
 	go func() {
@@ -61,25 +61,25 @@
 			continue
 		}
 		last = next
-		if !next.answer.Later() {
+		if !next.answer.ShouldRetryLater() {
 			break
 		}
 	}
 	return last
 }
 
-// Everyone asks all nodes at once, this one included. done is told whether all have answered.
-func (f *Forwarder) Everyone(
-	own *intake.Intake, r intake.Request, done func(answers []intake.Answer, all bool),
+// AskAll asks all nodes at once, this one included. done is told whether all have answered.
+func (f *Forwarder) AskAll(
+	own *intake.Admission, r intake.Request, done func(answers []intake.Response, all bool),
 ) {
 	nodes := len(f.addresses) + 1
 	results := make(chan result, nodes)
-	own.Handle(r, func(a intake.Answer) { results <- result{a, true} })
+	own.Handle(r, func(a intake.Response) { results <- result{a, true} })
 	for _, address := range f.addresses {
 		go func() { results <- ask(address, r) }()
 	}
 	go func() {
-		var answers []intake.Answer
+		var answers []intake.Response
 		for range nodes {
 			if next := <-results; next.answered {
 				answers = append(answers, next.answer)
@@ -98,10 +98,10 @@
 	return result{answer, err == nil}
 }
 
-func askOnce(address string, r intake.Request) (intake.Answer, error) {
+func askOnce(address string, r intake.Request) (intake.Response, error) {
 	payload, err := call(address, RequestFrame(r))
 	if err != nil {
-		return intake.Answer{}, err
+		return intake.Response{}, err
 	}
 	return decodeAnswer(payload)
 }
--- a/internal/peer/forwarder_test.go
+++ b/internal/peer/forwarder_test.go
@@ -22,7 +22,7 @@
 }
 
 // serveAll answers the requests of all connections until the listener is closed.
-func serveAll(t *testing.T, l net.Listener, in *intake.Intake) {
+func serveAll(t *testing.T, l net.Listener, in *intake.Admission) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -57,9 +57,9 @@
 		own := intake.New(quiet, nil, &settings.Settings{}, nil)
 		var all []intake.Attestation
 		vouched := false
-		request := intake.AttestRequest(clock.Second)
-		NewForwarder(addresses, box).Everyone(own, request, func(answers []intake.Answer, ok bool) {
-			all, vouched = intake.Attestations(answers, ok)
+		request := intake.NewAttestationRequest(clock.Second)
+		NewForwarder(addresses, box).AskAll(own, request, func(answers []intake.Response, ok bool) {
+			all, vouched = intake.DecodeAttestations(answers, ok)
 		})
 		(<-box.Messages)()
 		if len(all) != 2 || vouched != allThere {
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -18,7 +18,7 @@
 	// lengthOffset is where the length is in the header.
 	lengthOffset = 4
 	// maxFrameBytes bounds a payload: the largest body with room for the fields before it.
-	maxFrameBytes = protocol.MaxBody + 1024
+	maxFrameBytes = protocol.MaxBodyBytes + 1024
 )
 
 // Errors of what comes by a connection. They are wrapped with details.
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -11,9 +11,9 @@
 )
 
 func FuzzFrames(f *testing.F) {
-	f.Add(frame(encodeRequest(intake.Request{Kind: intake.Show, ID: "job-1"})))
+	f.Add(frame(encodeRequest(intake.Request{Kind: intake.GetStatus, ID: "job-1"})))
 	f.Add(frame(encodeRequest(intake.Request{Kind: intake.Submit, Body: []byte{0x80}})))
-	f.Add(frame(encodeAnswer(intake.Answer{Status: 503, RetryS: 1, Body: []byte("x")})))
+	f.Add(frame(encodeAnswer(intake.Response{Status: 503, RetryAfterS: 1, Body: []byte("x")})))
 	f.Add([]byte("GET / HTTP/1.1\r\n\r\n"))
 	f.Add([]byte{0x70, 0x70, 0x30, 0x31, 0xff, 0xff, 0xff, 0xff, 0})
 	f.Fuzz(func(t *testing.T, raw []byte) {
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -22,13 +22,13 @@
 	}{
 		{intake.Request{Kind: intake.Submit, ID: "x", Body: []byte("\x81\xc0"), Forwarded: true},
 			"pp01\x00\x00\x00\x06\x01\x00\x01x\x81\xc0"},
-		{intake.Request{Kind: intake.Show, ID: "job-000412", Body: []byte{}, Forwarded: true},
+		{intake.Request{Kind: intake.GetStatus, ID: "job-000412", Body: []byte{}, Forwarded: true},
 			"pp01\x00\x00\x00\x0d\x02\x00\x0ajob-000412"},
 		{intake.Request{Kind: intake.Cancel, ID: "job-000412", Body: []byte("b"), Forwarded: true},
 			"pp01\x00\x00\x00\x0e\x03\x00\x0ajob-000412b"},
-		{intake.Request{Kind: intake.Attest, Body: intake.AttestRequest(clock.Second).Body, Forwarded: true},
+		{intake.Request{Kind: intake.GetAttestation, Body: intake.NewAttestationRequest(clock.Second).Body, Forwarded: true},
 			"pp01\x00\x00\x00\x0b\x04\x00\x00\x00\x00\x00\x00\x00\x0fB@"},
-		{intake.Request{Kind: intake.Zones, Body: []byte{}, Forwarded: true},
+		{intake.Request{Kind: intake.GetZoneReports, Body: []byte{}, Forwarded: true},
 			"pp01\x00\x00\x00\x03\x05\x00\x00"},
 	} {
 		goldentest.Equal(t, "request", frame(encodeRequest(c.request)), c.frame)
@@ -50,12 +50,12 @@
 // Answers are the recorded frames, and are read from them.
 func TestGoldenAnswers(t *testing.T) {
 	for _, c := range []struct {
-		answer intake.Answer
+		answer intake.Response
 		frame  string
 	}{
-		{intake.Answer{Status: 503, RetryS: 300, Body: []byte("\x81\xa5error\xa1x")},
+		{intake.Response{Status: 503, RetryAfterS: 300, Body: []byte("\x81\xa5error\xa1x")},
 			"pp01\x00\x00\x00\x0d\x01\xf7\x01,\x81\xa5error\xa1x"},
-		{intake.Answer{Status: 201, Body: []byte{}}, "pp01\x00\x00\x00\x04\x00\xc9\x00\x00"},
+		{intake.Response{Status: 201, Body: []byte{}}, "pp01\x00\x00\x00\x04\x00\xc9\x00\x00"},
 	} {
 		goldentest.Equal(t, "answer", frame(encodeAnswer(c.answer)), c.frame)
 		payload, err := readFrame(strings.NewReader(c.frame))
@@ -80,10 +80,10 @@
 		{maxFrameBytes, 66560},
 		{kindExchange, 16},
 		{int(intake.Submit), 1},
-		{int(intake.Show), 2},
+		{int(intake.GetStatus), 2},
 		{int(intake.Cancel), 3},
-		{int(intake.Attest), 4},
-		{int(intake.Zones), 5},
+		{int(intake.GetAttestation), 4},
+		{int(intake.GetZoneReports), 5},
 	} {
 		if c.constant != c.want {
 			t.Errorf("%#x, not %#x", c.constant, c.want)
@@ -143,16 +143,16 @@
 		_, _ = c.Write([]byte(goldenExchangeAnswer))
 	}()
 	box := actortest.Instant{Messages: make(chan func(), 1)}
-	var got delegation.Answer
+	var got delegation.HeartbeatResponse
 	answered := false
-	report := delegation.Report{Host: "beta", Home: "alpha", Epoch: 41, Counter: 9}
+	report := delegation.Heartbeat{Host: "beta", Origin: "alpha", Epoch: 41, Sequence: 9}
 	NewCellClient(box).Exchange(l.Addr().String(), report,
-		func(a delegation.Answer, ok bool) { got, answered = a, ok })
+		func(a delegation.HeartbeatResponse, ok bool) { got, answered = a, ok })
 	(<-box.Messages)()
 	goldentest.Equal(t, "request", <-asked, goldenExchangeRequest)
-	want := delegation.Answer{
-		Result:  delegation.Taken,
-		Rulings: []delegation.Ruling{{Number: 9, Verdict: delegation.Close}},
+	want := delegation.HeartbeatResponse{
+		Result:     delegation.Processed,
+		Directives: []delegation.Directive{{Number: 9, Action: delegation.Close}},
 	}
 	if d := cmp.Diff(want, got); !answered || d != "" {
 		t.Errorf("answered %v: %s", answered, d)
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -33,8 +33,8 @@
 // RequestFrame returns the frame that carries a request to another node.
 func RequestFrame(r intake.Request) []byte { return frame(encodeRequest(r)) }
 
-// AnswerFrame returns the frame that carries the answer back.
-func AnswerFrame(a intake.Answer) []byte { return frame(encodeAnswer(a)) }
+// ResponseFrame returns the frame that carries the answer back.
+func ResponseFrame(a intake.Response) []byte { return frame(encodeAnswer(a)) }
 
 func encodeRequest(r intake.Request) []byte {
 	b := []byte{byte(r.Kind)}
@@ -49,36 +49,36 @@
 		return intake.Request{}, fmt.Errorf("%w: request of %d bytes", ErrMalformed, len(b))
 	}
 	kind := intake.Kind(b[0])
-	if kind < intake.Submit || kind > intake.Zones {
+	if kind < intake.Submit || kind > intake.GetZoneReports {
 		return intake.Request{}, fmt.Errorf("%w: request of unknown kind %d", ErrMalformed, kind)
 	}
 	idLength := int(binary.BigEndian.Uint16(b[idLengthOffset:]))
 	rest := b[requestHeaderBytes:]
-	if len(rest) < idLength || len(rest)-idLength > protocol.MaxBody {
+	if len(rest) < idLength || len(rest)-idLength > protocol.MaxBodyBytes {
 		return intake.Request{}, fmt.Errorf("%w: request of %d bytes, id of %d", ErrMalformed, len(b), idLength)
 	}
 	return intake.Request{Kind: kind, ID: string(rest[:idLength]), Body: rest[idLength:], Forwarded: true}, nil
 }
 
-func encodeAnswer(a intake.Answer) []byte {
+func encodeAnswer(a intake.Response) []byte {
 	var b []byte
 	b = binary.BigEndian.AppendUint16(b, uint16(a.Status))
-	b = binary.BigEndian.AppendUint16(b, uint16(a.RetryS))
+	b = binary.BigEndian.AppendUint16(b, uint16(a.RetryAfterS))
 	return append(b, a.Body...)
 }
 
 // decodeAnswer reads the answer of another node.
-func decodeAnswer(b []byte) (intake.Answer, error) {
+func decodeAnswer(b []byte) (intake.Response, error) {
 	if len(b) < answerHeaderBytes {
-		return intake.Answer{}, fmt.Errorf("%w: answer of %d bytes", ErrMalformed, len(b))
+		return intake.Response{}, fmt.Errorf("%w: answer of %d bytes", ErrMalformed, len(b))
 	}
-	a := intake.Answer{
-		Status: int(binary.BigEndian.Uint16(b)),
-		RetryS: int(binary.BigEndian.Uint16(b[retryOffset:])),
-		Body:   b[answerHeaderBytes:],
+	a := intake.Response{
+		Status:      int(binary.BigEndian.Uint16(b)),
+		RetryAfterS: int(binary.BigEndian.Uint16(b[retryOffset:])),
+		Body:        b[answerHeaderBytes:],
 	}
 	if a.Status < minStatus || a.Status > maxStatus {
-		return intake.Answer{}, fmt.Errorf("%w: answer of status %d", ErrMalformed, a.Status)
+		return intake.Response{}, fmt.Errorf("%w: answer of status %d", ErrMalformed, a.Status)
 	}
 	return a, nil
 }
--- a/internal/peer/messages_test.go
+++ b/internal/peer/messages_test.go
@@ -31,11 +31,11 @@
 	second := []byte("\x00\x00\x00\x00\x00\x0fB@")
 	for raw, want := range map[string]intake.Request{
 		"pp01\x00\x00\x00\x0d\x02\x00\x0ajob-000412": {
-			Kind: intake.Show, ID: "job-000412", Body: []byte{}, Forwarded: true},
+			Kind: intake.GetStatus, ID: "job-000412", Body: []byte{}, Forwarded: true},
 		"pp01\x00\x00\x00\x05\x01\x00\x00\x81\xc0": {
 			Kind: intake.Submit, Body: []byte("\x81\xc0"), Forwarded: true},
 		"pp01\x00\x00\x00\x0b\x04\x00\x00\x00\x00\x00\x00\x00\x0fB@": {
-			Kind: intake.Attest, Body: second, Forwarded: true},
+			Kind: intake.GetAttestation, Body: second, Forwarded: true},
 	} {
 		got := mustReadRequest(t, []byte(raw))
 		if d := cmp.Diff(want, got); d != "" {
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := cmp.Diff(intake.Answer{Status: 503, RetryS: 1, Body: []byte("err")}, got); d != "" {
+	if d := cmp.Diff(intake.Response{Status: 503, RetryAfterS: 1, Body: []byte("err")}, got); d != "" {
 		t.Fatalf("answer read with a difference (-want +got):\n%s", d)
 	}
 	if again := string(frame(encodeAnswer(got))); again != raw {
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	want := intake.Attestation{Age: clock.Second, Epoch: 41,
-		Cancelled: []intake.CancelledJob{{Job: "job-7", Ago: 2}}}
+		Cancelled: []intake.CancelledJob{{Job: "job-7", Age: 2}}}
 	if d := cmp.Diff(want, a); d != "" {
 		t.Fatalf("attestation read with a difference (-want +got):\n%s", d)
 	}
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -21,12 +21,12 @@
 )
 
 // Serve answers other nodes of the cell. A malformed frame ends its connection only.
-func Serve(address string, in *intake.Intake) error {
+func Serve(address string, in *intake.Admission) error {
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
 		return err
 	}
-	l = netutil.LimitListener(l, Sockets)
+	l = netutil.LimitListener(l, MaxConnections)
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-func serveAndClose(c net.Conn, in *intake.Intake) {
+func serveAndClose(c net.Conn, in *intake.Admission) {
 	defer c.Close()
 	if err := serve(c, in); err != nil && !errors.Is(err, io.EOF) {
 		slog.Info("closing connection of peer node", "address", c.RemoteAddr(), "error", err)
@@ -49,7 +49,7 @@
 }
 
 // serve answers the one request of a connection.
-func serve(c net.Conn, in *intake.Intake) error {
+func serve(c net.Conn, in *intake.Admission) error {
 	if err := c.SetDeadline(time.Now().Add(serveTimeout)); err != nil {
 		return err
 	}
@@ -61,8 +61,8 @@
 	if err != nil {
 		return err
 	}
-	answered := make(chan intake.Answer, 1)
-	in.Handle(r, func(a intake.Answer) { answered <- a })
-	_, err = c.Write(AnswerFrame(<-answered))
+	answered := make(chan intake.Response, 1)
+	in.Handle(r, func(a intake.Response) { answered <- a })
+	_, err = c.Write(ResponseFrame(<-answered))
 	return err
 }
--- a/internal/planner/assign.go
+++ b/internal/planner/assign.go
@@ -21,7 +21,7 @@
 		return
 	}
 	_, assigned := p.assignTasks(job, candidates)
-	job.Limit -= assigned
+	job.MaxStarts -= assigned
 	job.Pending = job.Pending[assigned:]
 }
 
@@ -30,11 +30,11 @@
 // should run now and how many were assigned.
 func (p *planning) assignTasks(job *Job, candidates []*Machine) (wanted, assigned int) {
 	team := p.teams[job.Spec.Team]
-	request := Needs(job.Spec)
+	request := TaskResources(job.Spec)
 	zones := job.tasksByZone()
 	machines := newMachineHeap(job, candidates)
 	job.unshareRunning()
-	tasks := job.Pending[:min(len(job.Pending), job.Limit)]
+	tasks := job.Pending[:min(len(job.Pending), job.MaxStarts)]
 	for i, task := range tasks {
 		if !team.withinLimit(request, 1) {
 			return i, i
@@ -55,7 +55,7 @@
 // and how many were assigned.
 func (p *planning) assignGang(job *Job) (wanted, assigned int) {
 	n := len(job.Pending)
-	if n > job.Limit || !p.teams[job.Spec.Team].withinLimit(Needs(job.Spec), n) {
+	if n > job.MaxStarts || !p.teams[job.Spec.Team].withinLimit(TaskResources(job.Spec), n) {
 		return 0, 0
 	}
 	// Machines that are up come first: a gang of which a part waits for a machine to
@@ -80,19 +80,19 @@
 
 // assign adds a placement to the plan and takes the resources for it.
 func (p *planning) assign(job *Job, task int, machine *Machine) {
-	request := Needs(job.Spec)
+	request := TaskResources(job.Spec)
 	machine.Free = machine.Free.Minus(request)
 	if team := p.teams[job.Spec.Team]; team != nil {
 		team.Used = team.Used.Plus(request)
 	}
-	machine.Pull(job.Spec)
+	machine.StartPull(job.Spec)
 	if job.Spec.Service() {
 		machine.Replicas++
 	}
 	if job.zoneConstrained() {
-		job.Running = append(job.Running, Running{Task: task, Machine: machine.Name, Zone: machine.Zone})
+		job.Running = append(job.Running, RunningTask{Task: task, Machine: machine.Name, Zone: machine.Zone})
 	} else {
 		job.startedUnlisted++
 	}
-	p.plan.Places = append(p.plan.Places, Place{job.ID, task, machine.Name, machine.Booting})
+	p.plan.Placements = append(p.plan.Placements, Placement{job.ID, task, machine.Name, machine.Booting})
 }
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -11,7 +11,7 @@
 		s.Jobs = append(s.Jobs, arrayJob(fmt.Sprint("job-", i), 2, 20, 1))
 	}
 	for b.Loop() {
-		Make(s)
+		MakePlan(s)
 	}
 }
 
@@ -21,9 +21,9 @@
 	s := Snapshot{Machines: machinesWith(650, 16, 16)}
 	for i := range s.Machines {
 		s.Machines[i].Name = fmt.Sprintf("m-%06d", i)
-		s.Machines[i].FetchS = 2
+		s.Machines[i].FetchSPerGB = 2
 		if i%8 != 0 {
-			s.Machines[i].Free = Amounts{Cpus: 1}
+			s.Machines[i].Free = Resources{Cpus: 1}
 		}
 	}
 	for i := range 20 {
@@ -38,6 +38,6 @@
 func BenchmarkMakeGrown(b *testing.B) {
 	s := grownSnapshot()
 	for b.Loop() {
-		Make(s)
+		MakePlan(s)
 	}
 }
--- a/internal/planner/build_test.go
+++ b/internal/planner/build_test.go
@@ -9,8 +9,8 @@
 
 // arrayJob returns an array that may preempt, of which the given tasks run and the rest
 // are pending.
-func arrayJob(id string, rank, tasks int, cpus float64, running ...Running) Job {
-	j := Job{ID: id, Rank: rank, Limit: 100, MayEvict: true, Running: running,
+func arrayJob(id string, rank, tasks int, cpus float64, running ...RunningTask) Job {
+	j := Job{ID: id, Rank: rank, MaxStarts: 100, MayPreempt: true, Running: running,
 		Spec: &protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Tasks: tasks, Cpus: cpus}}
 	for task := len(running); task < tasks; task++ {
 		j.Pending = append(j.Pending, task)
@@ -30,7 +30,7 @@
 	var machines []Machine
 	for i := range n {
 		machines = append(machines, Machine{Name: fmt.Sprint("m", i),
-			Whole: Amounts{Cpus: cpus}, Free: Amounts{Cpus: free}})
+			Capacity: Resources{Cpus: cpus}, Free: Resources{Cpus: free}})
 	}
 	return machines
 }
@@ -45,7 +45,7 @@
 }
 
 // countZones counts running tasks by zone.
-func countZones(running []Running) map[string]int {
+func countZones(running []RunningTask) map[string]int {
 	zones := map[string]int{}
 	for _, r := range running {
 		zones[r.Zone]++
@@ -55,8 +55,8 @@
 
 // hasUnmetGang reports whether a gang of several tasks is among the unmet demand: then
 // room that is free may be kept for it.
-func hasUnmetGang(wants []Want) bool {
-	return slices.ContainsFunc(wants, func(w Want) bool { return isRealGang(w.Job) })
+func hasUnmetGang(wants []UnmetDemand) bool {
+	return slices.ContainsFunc(wants, func(w UnmetDemand) bool { return isRealGang(w.Job) })
 }
 
 // isRealGang reports whether a job is a gang of more than one task.
--- a/internal/planner/constraints.go
+++ b/internal/planner/constraints.go
@@ -6,9 +6,9 @@
 	"postpoint/internal/protocol"
 )
 
-// Allowed reports whether a job may use machines of a type in a zone, regardless of
+// MachineAllowed reports whether a job may use machines of a type in a zone, regardless of
 // where its other tasks are.
-func Allowed(s *protocol.JobSpec, typ, zone string, spot bool) bool {
+func MachineAllowed(s *protocol.JobSpec, typ, zone string, spot bool) bool {
 	return (len(s.Types) == 0 || slices.Contains(s.Types, typ)) &&
 		(s.Zone == "" || s.Zone == zone) && (s.Spot || !spot)
 }
@@ -44,10 +44,10 @@
 // where its other tasks are.
 func (p *planning) candidates(job *Job, ready readiness) []*Machine {
 	var machines []*Machine
-	request := Needs(job.Spec)
+	request := TaskResources(job.Spec)
 	for i := range p.machines {
 		machine := &p.machines[i]
-		if request.Fits(machine.Free) && !(machine.Booting && ready == readyNow) && job.accepts(machine) {
+		if request.FitsIn(machine.Free) && !(machine.Booting && ready == readyNow) && job.accepts(machine) {
 			machines = append(machines, machine)
 		}
 	}
@@ -57,10 +57,10 @@
 // accepts reports whether the job's tasks may be assigned to the machine if it has
 // room for them.
 func (j *Job) accepts(machine *Machine) bool {
-	if machine.Late && j.Spec.Service() {
+	if machine.HeartbeatLate && j.Spec.Service() {
 		return false
 	}
-	if machine.Doubtful && !MayNeedZone(j.Spec, machine.Zone) {
+	if machine.ZoneAtRisk && !MayNeedZone(j.Spec, machine.Zone) {
 		return false
 	}
 	return j.mayUse(machine)
@@ -69,5 +69,5 @@
 // mayUse reports whether the job's tasks may be on the machine at all, whatever its
 // present state.
 func (j *Job) mayUse(machine *Machine) bool {
-	return Allowed(j.Spec, machine.Type, machine.Zone, machine.Spot) && !j.Avoid[machine.Name]
+	return MachineAllowed(j.Spec, machine.Type, machine.Zone, machine.Spot) && !j.AvoidedMachines[machine.Name]
 }
--- a/internal/planner/cost.go
+++ b/internal/planner/cost.go
@@ -32,18 +32,18 @@
 func placementCost(job *Job, machine *Machine) float64 {
 	cost := machine.ImageWaitS(job.Spec)
 	if machine.Booting {
-		cost += machine.BootS + bootRiskS
+		cost += machine.BootRemainingS + bootRiskS
 	}
-	request := Needs(job.Spec)
-	cost += machine.Slow * job.Spec.EstimateS
+	request := TaskResources(job.Spec)
+	cost += machine.Slowdown * job.Spec.EstimateS
 	if machine.Spot && job.Spec.CheckpointS == 0 {
 		cost += spotLoss * job.Spec.EstimateS
 	}
 	if job.Spec.Service() {
 		cost += replicaCost(machine)
 	}
-	cost += priceWeight * machine.Price * request.Share(machine.Whole)
-	cost += fragmentationS * machine.Free.Minus(request).Share(machine.Whole)
+	cost += priceWeight * machine.HourlyPrice * request.DominantShare(machine.Capacity)
+	cost += fragmentationS * machine.Free.Minus(request).DominantShare(machine.Capacity)
 	return cost
 }
 
@@ -51,7 +51,7 @@
 // keeps the whole machine from being returned, others would be lost together.
 func replicaCost(machine *Machine) float64 {
 	if machine.Replicas == 0 {
-		return pinningWeight * machine.Price
+		return pinningWeight * machine.HourlyPrice
 	}
 	return replicaCrowdingS * float64(machine.Replicas)
 }
--- a/internal/planner/draw_test.go
+++ b/internal/planner/draw_test.go
@@ -14,7 +14,7 @@
 // drawSnapshot draws machines and jobs of which some run already.
 func drawSnapshot(t *rapid.T) Snapshot {
 	s := Snapshot{Teams: map[string]Team{
-		"limited": {Limit: Amounts{Cpus: limitedCpus}, Guarantee: Amounts{Cpus: 6}},
+		"limited": {Limit: Resources{Cpus: limitedCpus}, Guarantee: Resources{Cpus: 6}},
 		"open":    {},
 	}}
 	for i := range rapid.IntRange(1, 6).Draw(t, "machines") {
@@ -23,7 +23,7 @@
 	for i := range rapid.IntRange(1, 6).Draw(t, "jobs") {
 		spec := drawSpec(t, fmt.Sprint("job-", i))
 		j := Job{ID: spec.ID, Spec: spec, Rank: rapid.IntRange(0, 3).Draw(t, "rank"),
-			SubmittedAt: int64(i), Limit: 100, MayEvict: true}
+			SubmittedAt: int64(i), MaxStarts: 100, MayPreempt: true}
 		start := rapid.Bool().Draw(t, "running")
 		for task := range spec.Tasks {
 			if !start || !runSomewhere(t, &s, &j, task) {
@@ -39,9 +39,9 @@
 }
 
 func drawMachine(t *rapid.T, name string) Machine {
-	whole := Amounts{Cpus: float64(rapid.IntRange(2, 12).Draw(t, "cpus")), MemoryGB: 64}
+	whole := Resources{Cpus: float64(rapid.IntRange(2, 12).Draw(t, "cpus")), MemoryGB: 64}
 	return Machine{Name: name, Type: "t", Zone: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"),
-		Spot: rapid.Bool().Draw(t, "spot"), Whole: whole, Free: whole, Price: 1}
+		Spot: rapid.Bool().Draw(t, "spot"), Capacity: whole, Free: whole, HourlyPrice: 1}
 }
 
 func drawSpec(t *rapid.T, id string) *protocol.JobSpec {
@@ -56,16 +56,16 @@
 // runSomewhere has a task run on the first machine that may hold it, and reports whether
 // there is one.
 func runSomewhere(t *rapid.T, s *Snapshot, j *Job, task int) bool {
-	request, zones := Needs(j.Spec), countZones(j.Running)
+	request, zones := TaskResources(j.Spec), countZones(j.Running)
 	for i := range s.Machines {
 		m := &s.Machines[i]
-		if !request.Fits(m.Free) || !Allowed(j.Spec, m.Type, m.Zone, m.Spot) ||
+		if !request.FitsIn(m.Free) || !MachineAllowed(j.Spec, m.Type, m.Zone, m.Spot) ||
 			!ZoneAllowed(j.Spec, zones, m.Zone) {
 			continue
 		}
 		m.Free = m.Free.Minus(request)
-		j.Running = append(j.Running, Running{Task: task, Machine: m.Name, Zone: m.Zone,
-			Overhead: float64(rapid.IntRange(0, 50).Draw(t, "overhead"))})
+		j.Running = append(j.Running, RunningTask{Task: task, Machine: m.Name, Zone: m.Zone,
+			OverheadS: float64(rapid.IntRange(0, 50).Draw(t, "overhead"))})
 		team := s.Teams[j.Spec.Team]
 		team.Used = team.Used.Plus(request)
 		s.Teams[j.Spec.Team] = team
@@ -81,11 +81,11 @@
 	images := []string{"x", "y", "z"}
 	for i := range s.Machines {
 		m := &s.Machines[i]
-		m.Price = float64(rapid.IntRange(1, 4).Draw(t, "price"))
-		m.FetchS = 2
-		m.Images = rapid.SliceOfNDistinct(rapid.SampledFrom(images), 0, 2, rapid.ID[string]).Draw(t, "images")
-		if rapid.IntRange(0, 3).Draw(t, "boots") == 0 && m.Free == m.Whole {
-			m.Booting, m.BootS = true, float64(rapid.IntRange(0, 30).Draw(t, "boot"))
+		m.HourlyPrice = float64(rapid.IntRange(1, 4).Draw(t, "price"))
+		m.FetchSPerGB = 2
+		m.CachedImages = rapid.SliceOfNDistinct(rapid.SampledFrom(images), 0, 2, rapid.ID[string]).Draw(t, "images")
+		if rapid.IntRange(0, 3).Draw(t, "boots") == 0 && m.Free == m.Capacity {
+			m.Booting, m.BootRemainingS = true, float64(rapid.IntRange(0, 30).Draw(t, "boot"))
 		}
 	}
 	for i := range s.Jobs {
@@ -94,12 +94,12 @@
 		spec.Image, spec.ImageGB, spec.EstimateS = rapid.SampledFrom(images).Draw(t, "image"), 3, 40
 		spec.CheckpointS = float64(10 * rapid.IntRange(0, 1).Draw(t, "checkpoints"))
 		j.Spec = &spec
-		j.MayEvict, j.Rank = false, rapid.IntRange(0, 1).Draw(t, "rank")
+		j.MayPreempt, j.Rank = false, rapid.IntRange(0, 1).Draw(t, "rank")
 		j.Tier = Tier(rapid.IntRange(0, 2).Draw(t, "tier"))
 		j.SlackS = float64(rapid.IntRange(-50, 100).Draw(t, "slack"))
-		j.Within = rapid.IntRange(0, 4).Draw(t, "within") == 0
-		j.Limit = rapid.IntRange(1, 6).Draw(t, "limit")
-		j.Unmet = rapid.Bool().Draw(t, "unmet")
+		j.WithinGuarantee = rapid.IntRange(0, 4).Draw(t, "within") == 0
+		j.MaxStarts = rapid.IntRange(1, 6).Draw(t, "limit")
+		j.ScaleOutOverdue = rapid.Bool().Draw(t, "unmet")
 	}
 	return s
 }
--- a/internal/planner/gang.go
+++ b/internal/planner/gang.go
@@ -10,7 +10,7 @@
 	candidates := p.candidates(job, ready)
 	room := 0
 	for _, machine := range candidates {
-		room += Needs(job.Spec).Count(machine.Free)
+		room += TaskResources(job.Spec).CopiesIn(machine.Free)
 	}
 	if room < n {
 		return nil
@@ -45,8 +45,8 @@
 func (p *planning) fitMost(job *Job, n int, candidates []*Machine) (machines []*Machine, cost float64) {
 	available := newMachineHeap(job, candidates)
 	zones := job.tasksByZone()
-	request := Needs(job.Spec)
-	var freeBefore []Amounts
+	request := TaskResources(job.Spec)
+	var freeBefore []Resources
 	for len(machines) < n {
 		machine := available.cheapest(zones)
 		if machine == nil {
@@ -75,10 +75,10 @@
 // Nothing is kept for a gang that the present machines can't hold and for which none
 // have come: that would be kept for ever.
 func (p *planning) reserveForGang(job *Job, n int) int {
-	if p.gangReserved || !job.Spec.Gang() || job.Tier != StartsInTime {
+	if p.gangReserved || !job.Spec.Gang() || job.Tier != TierStartInTime {
 		return 0
 	}
-	if job.Unmet && !p.fitsWhenEmpty(job, n) {
+	if job.ScaleOutOverdue && !p.fitsWhenEmpty(job, n) {
 		return 0
 	}
 	p.gangReserved = true
@@ -98,7 +98,7 @@
 // of the plan.
 func (p *planning) hold(job *Job, machines []*Machine) {
 	for _, machine := range machines {
-		machine.Free = machine.Free.Minus(Needs(job.Spec))
+		machine.Free = machine.Free.Minus(TaskResources(job.Spec))
 	}
 }
 
@@ -114,7 +114,7 @@
 	for _, group := range p.zoneGroups(job, usable) {
 		room := 0
 		for _, machine := range group {
-			room += Needs(job.Spec).Count(machine.Whole)
+			room += TaskResources(job.Spec).CopiesIn(machine.Capacity)
 		}
 		if room >= n {
 			return true
--- a/internal/planner/job.go
+++ b/internal/planner/job.go
@@ -6,18 +6,18 @@
 	"postpoint/internal/protocol"
 )
 
-// Running is a task that runs, or may run, on a machine.
-type Running struct {
+// RunningTask is a task that runs, or may run, on a machine.
+type RunningTask struct {
 	Task    int
 	Machine string
 	Zone    string
 	// Stopping tasks have been told to stop and still hold their resources.
 	Stopping bool
-	// Overhead is the paper's preemption overhead: how many seconds of work are lost
+	// OverheadS is the paper's preemption overhead: how many seconds of work are lost
 	// if the task is stopped now.
-	Overhead float64
-	// Borrowed tells that the task's team runs it beyond its guarantee.
-	Borrowed bool
+	OverheadS float64
+	// OverQuota tells that the task's team runs it beyond its guarantee.
+	OverQuota bool
 }
 
 // Job is a job that isn't over.
@@ -28,41 +28,41 @@
 	Rank int
 	// SubmittedAt orders jobs that are otherwise alike. Preempted jobs keep it.
 	SubmittedAt int64
-	// Returning tells that the job is one of the paper's lenders: it was preempted for
+	// Lender tells that the job is one of the paper's lenders: it was preempted for
 	// a job that has ended, and resumes before others of its rank.
-	Returning bool
+	Lender bool
 	// Pending are the tasks to start, in this order. A gang starts whole or not at
 	// all.
 	Pending []int
-	// Limit is how many tasks may be started in this plan, so that the job's record
+	// MaxStarts is how many tasks may be started in this plan, so that the job's record
 	// keeps within the size of a value.
-	Limit   int
-	Running []Running
-	// Zones counts tasks, by zone, that aren't among those running and still
+	MaxStarts int
+	Running   []RunningTask
+	// OtherTasksByZone counts tasks, by zone, that aren't among those running and still
 	// restrict where others may go, such as those of earlier attempts.
-	Zones map[string]int
-	// Waiting tells that the job waits after failures: it starts nothing and preempts
+	OtherTasksByZone map[string]int
+	// BackingOff tells that the job waits after failures: it starts nothing and preempts
 	// nothing.
-	Waiting bool
-	// MayEvict allows the job to have others preempted.
-	MayEvict bool
-	// Within tells that the job, counted together with the team's earlier jobs, fits
+	BackingOff bool
+	// MayPreempt allows the job to have others preempted.
+	MayPreempt bool
+	// WithinGuarantee tells that the job, counted together with the team's earlier jobs, fits
 	// into its team's guarantee, so that it needn't wait for other teams.
-	Within bool
-	// StartAim tells that the job's class has an objective for its start.
-	StartAim bool
-	// StartS is how many seconds are left to start the job within its objective.
-	StartS float64
+	WithinGuarantee bool
+	// HasStartObjective tells that the job's class has an objective for its start.
+	HasStartObjective bool
+	// StartSlackS is how many seconds are left to start the job within its objective.
+	StartSlackS float64
 	// Tier tells which of the job's objectives can still be met.
 	Tier Tier
 	// SlackS is how many seconds the job can wait before its tasks must run for it to
 	// end within its objective.
 	SlackS float64
-	// Avoid are the machines on which the job failed.
-	Avoid map[string]bool
-	// Unmet tells that machines have been wanted for the job for long
+	// AvoidedMachines are the machines on which the job failed.
+	AvoidedMachines map[string]bool
+	// ScaleOutOverdue tells that machines have been wanted for the job for long
 	// and haven't come.
-	Unmet bool
+	ScaleOutOverdue bool
 	// startedUnlisted counts the tasks that the plan has started and not added to
 	// Running, because their machines make no difference to the rest of the plan.
 	startedUnlisted int
@@ -73,15 +73,15 @@
 type Tier int
 
 const (
-	// StartsInTime is the tier of jobs that meet the objective for their start if
+	// TierStartInTime is the tier of jobs that meet the objective for their start if
 	// they start now.
-	StartsInTime Tier = iota
-	// EndsInTime is the tier of jobs that can meet the objective for their end. The
+	TierStartInTime Tier = iota
+	// TierEndInTime is the tier of jobs that can meet the objective for their end. The
 	// one with the least slack goes first.
-	EndsInTime
-	// TooLate is the tier of jobs that can't meet any objective. They let others go
+	TierEndInTime
+	// TierTooLate is the tier of jobs that can't meet any objective. They let others go
 	// first until they have waited so long that the caller raises them again.
-	TooLate
+	TierTooLate
 )
 
 // zoneConstrained reports whether the zone of one task restricts those of the others.
@@ -94,7 +94,7 @@
 	if !j.zoneConstrained() {
 		return zones
 	}
-	maps.Copy(zones, j.Zones)
+	maps.Copy(zones, j.OtherTasksByZone)
 	for _, r := range j.Running {
 		zones[r.Zone]++
 	}
--- a/internal/planner/machineheap.go
+++ b/internal/planner/machineheap.go
@@ -47,7 +47,7 @@
 // updateCheapest restores the order after a task was assigned to the cheapest machine.
 func (h *machineHeap) updateCheapest() {
 	first := &h.entries[0]
-	if !Needs(h.job.Spec).Fits(first.machine.Free) {
+	if !TaskResources(h.job.Spec).FitsIn(first.machine.Free) {
 		heap.Pop(h)
 		return
 	}
--- a/internal/planner/model_test.go
+++ b/internal/planner/model_test.go
@@ -13,7 +13,7 @@
 func modelRoom(j *Job, machines []Machine) int {
 	byZone := map[string]int{}
 	for _, m := range machines {
-		if !m.Booting && Allowed(j.Spec, m.Type, m.Zone, m.Spot) && !j.Avoid[m.Name] {
+		if !m.Booting && MachineAllowed(j.Spec, m.Type, m.Zone, m.Spot) && !j.AvoidedMachines[m.Name] {
 			byZone[m.Zone] += modelCount(j, m.Free)
 		}
 	}
@@ -36,10 +36,10 @@
 }
 
 // modelCount counts, one by one, the tasks of a job that fit into free resources.
-func modelCount(j *Job, free Amounts) int {
+func modelCount(j *Job, free Resources) int {
 	n := 0
-	for ; Needs(j.Spec).Fits(free); n++ {
-		free = free.Minus(Needs(j.Spec))
+	for ; TaskResources(j.Spec).FitsIn(free); n++ {
+		free = free.Minus(TaskResources(j.Spec))
 	}
 	return n
 }
@@ -66,17 +66,17 @@
 		c.jobs[j.ID], c.jobsAfter[j.ID] = j, &after
 	}
 	byName := machinesByName(c.machinesAfter)
-	for _, p := range plan.Places {
+	for _, p := range plan.Placements {
 		j, m := c.jobsAfter[p.Job], byName[p.Machine]
-		if !Allowed(j.Spec, m.Type, m.Zone, m.Spot) {
+		if !MachineAllowed(j.Spec, m.Type, m.Zone, m.Spot) {
 			t.Fatalf("%s is placed on %s, which it may not use", p.Job, p.Machine)
 		}
-		m.Free = m.Free.Minus(Needs(j.Spec))
+		m.Free = m.Free.Minus(TaskResources(j.Spec))
 		if m.Free.Cpus < -roundingSlack {
 			t.Fatalf("%s has %v processors free, want at least 0", m.Name, m.Free.Cpus)
 		}
 		c.placed[p.Job]++
-		j.Running = append(j.Running, Running{Task: p.Task, Machine: p.Machine, Zone: m.Zone})
+		j.Running = append(j.Running, RunningTask{Task: p.Task, Machine: p.Machine, Zone: m.Zone})
 	}
 	return c
 }
@@ -92,7 +92,7 @@
 func TestPlanAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSnapshot(t)
-		c := applyPlacements(t, s, Make(s))
+		c := applyPlacements(t, s, MakePlan(s))
 		c.checkLimit(t)
 		c.checkZones(t)
 		c.checkGangsAreWhole(t)
@@ -107,7 +107,7 @@
 func (c *checkedPlan) checkLimit(t *rapid.T) {
 	before := c.before.Teams["limited"].Used.Cpus
 	used := before
-	for _, p := range c.Places {
+	for _, p := range c.Placements {
 		if spec := c.jobs[p.Job].Spec; spec.Team == "limited" {
 			used += spec.Cpus
 		}
@@ -143,8 +143,8 @@
 
 // checkUnmetDemandDoesNotFit checks that what is left without room really has none.
 func (c *checkedPlan) checkUnmetDemandDoesNotFit(t *rapid.T) {
-	for _, w := range c.Wants {
-		if len(c.Stops) > 0 || isRealGang(w.Job) {
+	for _, w := range c.UnmetDemand {
+		if len(c.Preemptions) > 0 || isRealGang(w.Job) {
 			return // what is free may be held for who is making room, or a gang
 		}
 		j := c.jobsAfter[w.Job.ID]
@@ -162,18 +162,18 @@
 // tasks by the job that they yield to.
 func (c *checkedPlan) checkRanksOfPreempted(t *rapid.T) map[string]preempted {
 	winners := map[string]preempted{}
-	for _, stop := range c.Stops {
-		if c.jobs[stop.Job].Rank <= c.jobs[stop.For].Rank {
+	for _, stop := range c.Preemptions {
+		if c.jobs[stop.Job].Rank <= c.jobs[stop.Preemptor].Rank {
 			t.Fatalf("%s of rank %d is preempted for %s of rank %d, want only lower work to yield",
-				stop.Job, c.jobs[stop.Job].Rank, stop.For, c.jobs[stop.For].Rank)
+				stop.Job, c.jobs[stop.Job].Rank, stop.Preemptor, c.jobs[stop.Preemptor].Rank)
 		}
-		if winners[stop.For] == nil {
-			winners[stop.For] = preempted{}
+		if winners[stop.Preemptor] == nil {
+			winners[stop.Preemptor] = preempted{}
 		}
-		if winners[stop.For][stop.Job] == nil {
-			winners[stop.For][stop.Job] = map[int]bool{}
+		if winners[stop.Preemptor][stop.Job] == nil {
+			winners[stop.Preemptor][stop.Job] = map[int]bool{}
 		}
-		winners[stop.For][stop.Job][stop.Task] = true
+		winners[stop.Preemptor][stop.Job][stop.Task] = true
 	}
 	return winners
 }
@@ -190,7 +190,7 @@
 		for _, r := range c.jobs[loser].Running {
 			kept := loser == keptJob && (keptTask == everyTask || r.Task == keptTask)
 			if m := byName[r.Machine]; stopped[r.Task] && !kept {
-				m.Free = m.Free.Plus(Needs(c.jobs[loser].Spec))
+				m.Free = m.Free.Plus(TaskResources(c.jobs[loser].Spec))
 			}
 		}
 	}
@@ -208,7 +208,7 @@
 		if room := modelRoom(j, c.machinesWithout(losers, "", everyTask)); room < missing {
 			t.Fatalf("preempting for %s makes room for %d tasks, want %d", winner, room, missing)
 		}
-		if hasUnmetGang(c.Wants) {
+		if hasUnmetGang(c.UnmetDemand) {
 			continue // what is free may be kept for a gang before the winner
 		}
 		for loser, tasks := range losers {
@@ -234,10 +234,10 @@
 // checkNothingElseToPreempt checks that, if nothing is preempted, preempting all lower
 // work wouldn't have helped the first job with unmet demand.
 func (c *checkedPlan) checkNothingElseToPreempt(t *rapid.T) {
-	if len(c.Stops) > 0 {
+	if len(c.Preemptions) > 0 {
 		return
 	}
-	for _, w := range c.Wants {
+	for _, w := range c.UnmetDemand {
 		j := c.jobsAfter[w.Job.ID]
 		if j.Spec.Team == "limited" {
 			continue // its limit may be what it waits for
@@ -258,7 +258,7 @@
 	}
 }
 
-func allTasks(running []Running) map[int]bool {
+func allTasks(running []RunningTask) map[int]bool {
 	tasks := map[int]bool{}
 	for _, r := range running {
 		tasks[r.Task] = true
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -2,33 +2,33 @@
 
 // Plan is what is to be done now, in the order in which it was decided.
 type Plan struct {
-	// Places are the tasks to start.
-	Places []Place
-	// Stops are the tasks to preempt.
-	Stops []Stop
-	// Wants lists what found no room, in the order of the queue.
-	Wants []Want
+	// Placements are the tasks to start.
+	Placements []Placement
+	// Preemptions are the tasks to preempt.
+	Preemptions []Preemption
+	// UnmetDemand lists what found no room, in the order of the queue.
+	UnmetDemand []UnmetDemand
 }
 
-// Place assigns a task to a machine.
-type Place struct {
+// Placement assigns a task to a machine.
+type Placement struct {
 	Job     string
 	Task    int
 	Machine string
-	// Booting tells that the machine still boots, so that the task starts later.
-	Booting bool
+	// MachineBooting tells that the machine still boots, so that the task starts later.
+	MachineBooting bool
 }
 
-// Stop has a running task stopped for another job.
-type Stop struct {
+// Preemption has a running task stopped for another job.
+type Preemption struct {
 	Job  string
 	Task int
-	// For is the job that gets the room.
-	For string
+	// Preemptor is the job that gets the room.
+	Preemptor string
 }
 
-// Want counts the tasks of a job that should run now and found no room.
-type Want struct {
+// UnmetDemand counts the tasks of a job that should run now and found no room.
+type UnmetDemand struct {
 	Job   *Job
 	Tasks int
 }
--- a/internal/planner/planning.go
+++ b/internal/planner/planning.go
@@ -40,8 +40,8 @@
 
 var machineBuffers = sync.Pool{New: func() any { return &machineBuffer{byName: map[string]*Machine{}} }}
 
-// Make plans for the snapshot, which it leaves unchanged.
-func Make(s Snapshot) Plan {
+// MakePlan plans for the snapshot, which it leaves unchanged.
+func MakePlan(s Snapshot) Plan {
 	buffer := machineBuffers.Get().(*machineBuffer)
 	defer machineBuffers.Put(buffer)
 	p := newPlanning(s, buffer)
@@ -83,7 +83,7 @@
 	for i := range jobs {
 		job := &jobs[i]
 		for _, r := range job.Running {
-			p.anyOverQuota = p.anyOverQuota || r.Borrowed
+			p.anyOverQuota = p.anyOverQuota || r.OverQuota
 			if r.Stopping {
 				p.stopping = append(p.stopping, victim{job, r})
 				p.preempting = true
@@ -121,11 +121,11 @@
 	if missing == 0 {
 		return
 	}
-	if job.MayEvict && p.makeRoom(job, all, missing) {
+	if job.MayPreempt && p.makeRoom(job, all, missing) {
 		return
 	}
 	reserved := p.reserveForGang(job, wanted)
-	p.plan.Wants = append(p.plan.Wants, Want{job, missing - reserved})
+	p.plan.UnmetDemand = append(p.plan.UnmetDemand, UnmetDemand{job, missing - reserved})
 }
 
 // makeRoom preempts for n tasks of the job, unless room is being made already: then it
--- a/internal/planner/preempt.go
+++ b/internal/planner/preempt.go
@@ -8,7 +8,7 @@
 // victim is a running task that can be preempted.
 type victim struct {
 	job *Job
-	run Running
+	run RunningTask
 }
 
 // preempt has lower work stopped to make room for n more tasks of the job, and holds
@@ -31,7 +31,7 @@
 		return false
 	}
 	for _, v := range victims {
-		p.plan.Stops = append(p.plan.Stops, Stop{v.job.ID, v.run.Task, job.ID})
+		p.plan.Preemptions = append(p.plan.Preemptions, Preemption{v.job.ID, v.run.Task, job.ID})
 	}
 	p.reserveRoom(job, n, victims)
 	return true
@@ -40,21 +40,21 @@
 // anythingYieldsTo reports whether some running task may have to yield to the job: see
 // yields.
 func (p *planning) anythingYieldsTo(job *Job) bool {
-	return p.lowestRank > job.Rank || p.anyOverQuota && job.Within
+	return p.lowestRank > job.Rank || p.anyOverQuota && job.WithinGuarantee
 }
 
 // yields reports whether a running task of one job may be preempted for another: work of a
 // lower rank, or, if the other is within its team's guarantee, work of its own rank that
 // another team runs over quota. Work of a higher rank goes before it in the queue and would
 // take the room back at once.
-func yields(owner *Job, run Running, job *Job) bool {
+func yields(owner *Job, run RunningTask, job *Job) bool {
 	if owner.ID == job.ID || run.Stopping {
 		return false
 	}
 	if owner.Rank > job.Rank {
 		return true
 	}
-	return run.Borrowed && owner.Rank == job.Rank && owner.Spec.Team != job.Spec.Team && job.Within
+	return run.OverQuota && owner.Rank == job.Rank && owner.Spec.Team != job.Spec.Team && job.WithinGuarantee
 }
 
 // reserveRoom holds the machines that n tasks of the job will have once the victims have
@@ -72,7 +72,7 @@
 func (p *planning) release(victims []victim) {
 	for _, v := range victims {
 		if machine := p.byName[v.run.Machine]; machine != nil {
-			machine.Free = machine.Free.Plus(Needs(v.job.Spec))
+			machine.Free = machine.Free.Plus(TaskResources(v.job.Spec))
 		}
 	}
 }
@@ -81,7 +81,7 @@
 func (p *planning) unrelease(victims []victim) {
 	for _, v := range victims {
 		if machine := p.byName[v.run.Machine]; machine != nil {
-			machine.Free = machine.Free.Minus(Needs(v.job.Spec))
+			machine.Free = machine.Free.Minus(TaskResources(v.job.Spec))
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	for _, r := range lower.Running {
 		if yields(lower, r, job) {
 			c.tasks = append(c.tasks, victim{lower, r})
-			c.overhead = max(c.overhead, r.Overhead)
+			c.overhead = max(c.overhead, r.OverheadS)
 		}
 	}
 	return c
--- a/internal/planner/preempt_test.go
+++ b/internal/planner/preempt_test.go
@@ -5,10 +5,10 @@
 )
 
 // runningOn returns running tasks of one machine with the given overheads.
-func runningOn(machine string, overheads ...float64) []Running {
-	var running []Running
+func runningOn(machine string, overheads ...float64) []RunningTask {
+	var running []RunningTask
 	for i, overhead := range overheads {
-		running = append(running, Running{Task: i, Machine: machine, Overhead: overhead})
+		running = append(running, RunningTask{Task: i, Machine: machine, OverheadS: overhead})
 	}
 	return running
 }
@@ -18,9 +18,9 @@
 	urgent := arrayJob("job-u", 1, 1, 4)
 	a := arrayJob("job-a", 2, 4, 1, runningOn("m0", 40, 30, 20, 10)...)
 	b := arrayJob("job-b", 2, 4, 1, runningOn("m0", 8, 7, 6, 5)...)
-	plan := Make(Snapshot{Jobs: []Job{urgent, a, b}, Machines: machinesWith(1, 8, 0)})
+	plan := MakePlan(Snapshot{Jobs: []Job{urgent, a, b}, Machines: machinesWith(1, 8, 0)})
 	preempted := map[string][]int{}
-	for _, s := range plan.Stops {
+	for _, s := range plan.Preemptions {
 		preempted[s.Job] = append(preempted[s.Job], s.Task)
 	}
 	if len(preempted["job-a"]) != 2 || len(preempted["job-b"]) != 2 {
@@ -40,10 +40,10 @@
 func TestScatteredRoomPreemptsNothing(t *testing.T) {
 	urgent := arrayJob("job-u", 1, 1, 6)
 	lower := arrayJob("job-l", 2, 4, 2,
-		Running{Task: 0, Machine: "m0"}, Running{Task: 1, Machine: "m1"},
-		Running{Task: 2, Machine: "m0"}, Running{Task: 3, Machine: "m1"})
-	plan := Make(Snapshot{Jobs: []Job{urgent, lower}, Machines: machinesWith(2, 4, 0)})
-	if len(plan.Stops) != 0 || len(plan.Wants) != 1 {
+		RunningTask{Task: 0, Machine: "m0"}, RunningTask{Task: 1, Machine: "m1"},
+		RunningTask{Task: 2, Machine: "m0"}, RunningTask{Task: 3, Machine: "m1"})
+	plan := MakePlan(Snapshot{Jobs: []Job{urgent, lower}, Machines: machinesWith(2, 4, 0)})
+	if len(plan.Preemptions) != 0 || len(plan.UnmetDemand) != 1 {
 		t.Fatalf("plan %+v, want no preemption and unmet demand of the urgent job", plan)
 	}
 }
@@ -51,22 +51,22 @@
 // While tasks are stopping, no more are preempted: the room is on its way.
 func TestNothingIsPreemptedWhileTasksStop(t *testing.T) {
 	lower := arrayJob("job-l", 2, 2, 4,
-		Running{Task: 0, Machine: "m0", Stopping: true}, Running{Task: 1, Machine: "m1"})
-	plan := Make(Snapshot{Jobs: []Job{arrayJob("job-u", 1, 1, 4), lower}, Machines: machinesWith(2, 4, 0)})
-	if len(plan.Stops) != 0 {
-		t.Fatalf("preempted %v, want nothing while room is being made", plan.Stops)
+		RunningTask{Task: 0, Machine: "m0", Stopping: true}, RunningTask{Task: 1, Machine: "m1"})
+	plan := MakePlan(Snapshot{Jobs: []Job{arrayJob("job-u", 1, 1, 4), lower}, Machines: machinesWith(2, 4, 0)})
+	if len(plan.Preemptions) != 0 {
+		t.Fatalf("preempted %v, want nothing while room is being made", plan.Preemptions)
 	}
 }
 
 // A job that fails everywhere has lost the right to preempt: it would return and preempt
 // for ever.
 func TestFailingJobPreemptsNothing(t *testing.T) {
-	lower := arrayJob("job-l", 2, 2, 4, Running{Task: 0, Machine: "m0"}, Running{Task: 1, Machine: "m1"})
+	lower := arrayJob("job-l", 2, 2, 4, RunningTask{Task: 0, Machine: "m0"}, RunningTask{Task: 1, Machine: "m1"})
 	failing := arrayJob("job-u", 1, 1, 4)
-	failing.MayEvict = false
-	plan := Make(Snapshot{Jobs: []Job{failing, lower}, Machines: machinesWith(2, 4, 0)})
-	if len(plan.Stops) != 0 {
-		t.Fatalf("preempted %v, want nothing for a job that fails everywhere", plan.Stops)
+	failing.MayPreempt = false
+	plan := MakePlan(Snapshot{Jobs: []Job{failing, lower}, Machines: machinesWith(2, 4, 0)})
+	if len(plan.Preemptions) != 0 {
+		t.Fatalf("preempted %v, want nothing for a job that fails everywhere", plan.Preemptions)
 	}
 }
 
@@ -74,16 +74,16 @@
 // doesn't take the room that is free already.
 func TestRoomBeingMadeIsReserved(t *testing.T) {
 	urgent := gangJob("job-u", 1, 2, 4)
-	urgent.Tier = EndsInTime
-	leaving := arrayJob("job-l", 3, 1, 4, Running{Task: 0, Machine: "m0", Stopping: true})
+	urgent.Tier = TierEndInTime
+	leaving := arrayJob("job-l", 3, 1, 4, RunningTask{Task: 0, Machine: "m0", Stopping: true})
 	lower := arrayJob("job-w", 3, 1, 4)
-	plan := Make(Snapshot{Jobs: []Job{urgent, leaving, lower}, Machines: machinesWith(1, 8, 4)})
-	if len(plan.Places) != 0 || len(plan.Stops) != 0 {
-		t.Fatalf("placed %v, preempted %v, want neither while a task leaves", plan.Places, plan.Stops)
+	plan := MakePlan(Snapshot{Jobs: []Job{urgent, leaving, lower}, Machines: machinesWith(1, 8, 4)})
+	if len(plan.Placements) != 0 || len(plan.Preemptions) != 0 {
+		t.Fatalf("placed %v, preempted %v, want neither while a task leaves", plan.Placements, plan.Preemptions)
 	}
 	// Nothing leaves for it any more, and what is free doesn't hold it.
-	plan = Make(Snapshot{Jobs: []Job{urgent, lower}, Machines: machinesWith(1, 8, 4)})
-	if len(plan.Places) != 1 || plan.Places[0].Job != "job-w" {
-		t.Fatalf("placed %v, want the lower job, since the urgent one doesn't fit", plan.Places)
+	plan = MakePlan(Snapshot{Jobs: []Job{urgent, lower}, Machines: machinesWith(1, 8, 4)})
+	if len(plan.Placements) != 1 || plan.Placements[0].Job != "job-w" {
+		t.Fatalf("placed %v, want the lower job, since the urgent one doesn't fit", plan.Placements)
 	}
 }
--- a/internal/planner/queue.go
+++ b/internal/planner/queue.go
@@ -15,8 +15,8 @@
 func (p *planning) compareJobs(a, b Job) int {
 	return cmp.Or(
 		cmp.Compare(a.Rank, b.Rank),
-		compareTrueFirst(a.Within, b.Within),
-		compareTrueFirst(a.Returning, b.Returning),
+		compareTrueFirst(a.WithinGuarantee, b.WithinGuarantee),
+		compareTrueFirst(a.Lender, b.Lender),
 		cmp.Compare(a.Tier, b.Tier),
 		p.compareWithinTier(a, b),
 		cmp.Compare(a.SubmittedAt, b.SubmittedAt),
@@ -38,13 +38,13 @@
 // Jobs that can't any more only count for when all work is done, so that the team
 // whose limit holds it back longest goes first.
 func (p *planning) compareWithinTier(a, b Job) int {
-	if a.Tier == StartsInTime && b.Tier == StartsInTime {
-		return cmp.Compare(a.StartS, b.StartS)
+	if a.Tier == TierStartInTime && b.Tier == TierStartInTime {
+		return cmp.Compare(a.StartSlackS, b.StartSlackS)
 	}
-	if a.Tier == EndsInTime && b.Tier == EndsInTime {
+	if a.Tier == TierEndInTime && b.Tier == TierEndInTime {
 		return cmp.Compare(a.SlackS, b.SlackS)
 	}
-	if a.Tier == TooLate && b.Tier == TooLate {
+	if a.Tier == TierTooLate && b.Tier == TierTooLate {
 		x, y := p.teams[a.Spec.Team], p.teams[b.Spec.Team]
 		if x != nil && y != nil {
 			return cmp.Compare(y.BacklogS, x.BacklogS)
@@ -73,7 +73,7 @@
 func startable(jobs []Job) iter.Seq[*Job] {
 	return func(yield func(*Job) bool) {
 		for i := range jobs {
-			if job := &jobs[i]; !job.Waiting && len(job.Pending) > 0 && !yield(job) {
+			if job := &jobs[i]; !job.BackingOff && len(job.Pending) > 0 && !yield(job) {
 				return
 			}
 		}
@@ -83,8 +83,8 @@
 // canWaitForImage reports whether the job loses nothing by waiting for machines that
 // have its image.
 func (j *Job) canWaitForImage() bool {
-	if j.Spec.Gang() || j.Within || j.Returning || j.Tier == StartsInTime {
+	if j.Spec.Gang() || j.WithinGuarantee || j.Lender || j.Tier == TierStartInTime {
 		return false
 	}
-	return j.Tier == TooLate || j.SlackS > imageWaitSlackS
+	return j.Tier == TierTooLate || j.SlackS > imageWaitSlackS
 }
--- a/internal/planner/queue_test.go
+++ b/internal/planner/queue_test.go
@@ -13,20 +13,20 @@
 	}
 	job := func(id string, rank int, tier Tier) Job {
 		j := arrayJob(id, rank, 1, 1)
-		j.Tier, j.MayEvict = tier, false
+		j.Tier, j.MayPreempt = tier, false
 		return j
 	}
-	within, lender := job("within", 1, TooLate), job("lender", 1, TooLate)
-	within.Within, lender.Returning = true, true
-	startsSoon, startsLater := job("starts soon", 1, StartsInTime), job("starts later", 1, StartsInTime)
-	startsSoon.StartS, startsLater.StartS = 10, 20
-	tight, loose := job("tight", 1, EndsInTime), job("loose", 1, EndsInTime)
+	within, lender := job("within", 1, TierTooLate), job("lender", 1, TierTooLate)
+	within.WithinGuarantee, lender.Lender = true, true
+	startsSoon, startsLater := job("starts soon", 1, TierStartInTime), job("starts later", 1, TierStartInTime)
+	startsSoon.StartSlackS, startsLater.StartSlackS = 10, 20
+	tight, loose := job("tight", 1, TierEndInTime), job("loose", 1, TierEndInTime)
 	tight.SlackS, loose.SlackS = 1, 2
-	heldBack := withTeam(job("held back", 1, TooLate), "long backlog")
-	early := withTeam(job("early", 1, TooLate), "short backlog")
-	late := withTeam(job("late", 1, TooLate), "short backlog")
+	heldBack := withTeam(job("held back", 1, TierTooLate), "long backlog")
+	early := withTeam(job("early", 1, TierTooLate), "short backlog")
+	late := withTeam(job("late", 1, TierTooLate), "short backlog")
 	late.SubmittedAt = 1
-	order := []Job{job("higher rank", 0, TooLate), within, lender, startsSoon, startsLater, tight, loose,
+	order := []Job{job("higher rank", 0, TierTooLate), within, lender, startsSoon, startsLater, tight, loose,
 		heldBack, early, late}
 	teams := map[string]Team{"long backlog": {BacklogS: 2}, "short backlog": {BacklogS: 1}}
 
@@ -34,7 +34,7 @@
 		s := Snapshot{Jobs: slices.Clone(order), Machines: machinesWith(free, 1, 1), Teams: teams}
 		slices.Reverse(s.Jobs)
 		placed := map[string]bool{}
-		for _, p := range Make(s).Places {
+		for _, p := range MakePlan(s).Placements {
 			placed[p.Job] = true
 		}
 		for i, j := range order {
--- a/internal/planner/quota_test.go
+++ b/internal/planner/quota_test.go
@@ -18,14 +18,14 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			owed := arrayJob("job-o", 2, 1, 4)
-			owed.Spec.Team, owed.Within = "owed", true
+			owed.Spec.Team, owed.WithinGuarantee = "owed", true
 			overQuota := arrayJob("job-b", test.rank, 2, 4,
-				Running{Task: 0, Machine: "m0", Borrowed: true},
-				Running{Task: 1, Machine: "m0", Borrowed: true})
+				RunningTask{Task: 0, Machine: "m0", OverQuota: true},
+				RunningTask{Task: 1, Machine: "m0", OverQuota: true})
 			overQuota.Spec.Team = "other"
-			plan := Make(Snapshot{Jobs: []Job{owed, overQuota}, Machines: machinesWith(1, 8, 0)})
-			if len(plan.Stops) != test.preemptions {
-				t.Errorf("preempted %v, want %d tasks", plan.Stops, test.preemptions)
+			plan := MakePlan(Snapshot{Jobs: []Job{owed, overQuota}, Machines: machinesWith(1, 8, 0)})
+			if len(plan.Preemptions) != test.preemptions {
+				t.Errorf("preempted %v, want %d tasks", plan.Preemptions, test.preemptions)
 			}
 		})
 	}
--- a/internal/planner/reference_test.go
+++ b/internal/planner/reference_test.go
@@ -15,7 +15,7 @@
 
 // referencePlacements returns the placements that Make should choose for a snapshot in
 // which nothing may preempt.
-func referencePlacements(s Snapshot) []Place {
+func referencePlacements(s Snapshot) []Placement {
 	r := reference{&planning{machines: slices.Clone(s.Machines), teams: map[string]*Team{}}}
 	for name, t := range s.Teams {
 		r.teams[name] = &t
@@ -34,7 +34,7 @@
 			}
 		}
 	}
-	return r.plan.Places
+	return r.plan.Placements
 }
 
 // machineFilter selects machines.
@@ -51,8 +51,8 @@
 	var best *Machine
 	for i := range r.machines {
 		m := &r.machines[i]
-		if !Needs(j.Spec).Fits(m.Free) || zone != anyZone && m.Zone != zone ||
-			!Allowed(j.Spec, m.Type, m.Zone, m.Spot) || !ZoneAllowed(j.Spec, zones, m.Zone) || !selects(m) {
+		if !TaskResources(j.Spec).FitsIn(m.Free) || zone != anyZone && m.Zone != zone ||
+			!MachineAllowed(j.Spec, m.Type, m.Zone, m.Spot) || !ZoneAllowed(j.Spec, zones, m.Zone) || !selects(m) {
 			continue
 		}
 		if best == nil || placementCost(j, m) < placementCost(j, best) {
@@ -94,7 +94,7 @@
 			break
 		}
 		result.cost += placementCost(j, m)
-		m.Free = m.Free.Minus(Needs(j.Spec))
+		m.Free = m.Free.Minus(TaskResources(j.Spec))
 		zones[m.Zone]++
 		result.places = append(result.places, m)
 	}
@@ -123,8 +123,8 @@
 		n := 0
 		for _, m := range r.machines {
 			inZone := zone == anyZone || m.Zone == zone
-			if inZone && Allowed(j.Spec, m.Type, m.Zone, m.Spot) && !j.Avoid[m.Name] {
-				n += modelCount(j, m.Whole)
+			if inZone && MachineAllowed(j.Spec, m.Type, m.Zone, m.Spot) && !j.AvoidedMachines[m.Name] {
+				n += modelCount(j, m.Capacity)
 			}
 		}
 		if n >= len(j.Pending) {
@@ -136,7 +136,7 @@
 
 // reserve keeps room for the first gang that is to start and lacks some.
 func (r reference) reserve(j *Job) {
-	if r.gangReserved || j.Tier != StartsInTime || j.Unmet && !r.fitsEmptyMachines(j) {
+	if r.gangReserved || j.Tier != TierStartInTime || j.ScaleOutOverdue && !r.fitsEmptyMachines(j) {
 		return
 	}
 	r.gangReserved = true
@@ -150,7 +150,7 @@
 }
 
 func (r reference) placeGang(j *Job) {
-	if len(j.Pending) > j.Limit || !r.teams[j.Spec.Team].withinLimit(Needs(j.Spec), len(j.Pending)) {
+	if len(j.Pending) > j.MaxStarts || !r.teams[j.Spec.Team].withinLimit(TaskResources(j.Spec), len(j.Pending)) {
 		return
 	}
 	places := r.fitWhole(j, isUp)
@@ -175,13 +175,13 @@
 	if cachedOnly {
 		selects = func(m *Machine) bool { return isUp(m) && m.ImageWaitS(j.Spec) == 0 }
 	}
-	for len(j.Pending) > 0 && j.Limit > 0 && r.teams[j.Spec.Team].withinLimit(Needs(j.Spec), 1) {
+	for len(j.Pending) > 0 && j.MaxStarts > 0 && r.teams[j.Spec.Team].withinLimit(TaskResources(j.Spec), 1) {
 		m := r.best(j, j.tasksByZone(), anyZone, selects)
 		if m == nil {
 			return
 		}
 		r.assign(j, j.Pending[0], m)
-		j.Pending, j.Limit = j.Pending[1:], j.Limit-1
+		j.Pending, j.MaxStarts = j.Pending[1:], j.MaxStarts-1
 	}
 }
 
@@ -189,7 +189,7 @@
 func TestPlacementsMatchReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawQueue(t)
-		got, want := Make(s).Places, referencePlacements(s)
+		got, want := MakePlan(s).Placements, referencePlacements(s)
 		if !slices.Equal(got, want) {
 			t.Fatalf("placed %v, want %v as without short cuts", got, want)
 		}
--- a/internal/planner/resources.go
+++ b/internal/planner/resources.go
@@ -4,12 +4,12 @@
 	"postpoint/internal/protocol"
 )
 
-// Amounts is a vector of resources: what a task requests, or what a machine or a
+// Resources is a vector of resources: what a task requests, or what a machine or a
 // team has.
-type Amounts struct{ Cpus, Gpus, MemoryGB float64 }
+type Resources struct{ Cpus, Gpus, MemoryGB float64 }
 
-// PlentyGB stands for memory that isn't limited.
-const PlentyGB = 1e9
+// UnlimitedMemoryGB stands for memory that isn't limited.
+const UnlimitedMemoryGB = 1e9
 
 // roundingSlack is the excess up to which amounts still fit. Requests are decimal
 // fractions, whose sums in binary are off by far less than this, and no real request
@@ -19,34 +19,34 @@
 // mostCopies bounds Count for requests of nothing. It is more than any job has tasks.
 const mostCopies = 1 << 20
 
-// Needs returns what one task of a job requests.
-func Needs(s *protocol.JobSpec) Amounts { return Amounts{s.Cpus, s.Gpus, s.MemoryGB} }
+// TaskResources returns what one task of a job requests.
+func TaskResources(s *protocol.JobSpec) Resources { return Resources{s.Cpus, s.Gpus, s.MemoryGB} }
 
-// Fits reports whether a fits into the free amounts in.
-func (a Amounts) Fits(in Amounts) bool {
+// FitsIn reports whether a fits into the free amounts in.
+func (a Resources) FitsIn(in Resources) bool {
 	return a.Cpus <= in.Cpus+roundingSlack &&
 		a.Gpus <= in.Gpus+roundingSlack &&
 		a.MemoryGB <= in.MemoryGB+roundingSlack
 }
 
 // Plus returns the sum of a and b.
-func (a Amounts) Plus(b Amounts) Amounts {
-	return Amounts{a.Cpus + b.Cpus, a.Gpus + b.Gpus, a.MemoryGB + b.MemoryGB}
+func (a Resources) Plus(b Resources) Resources {
+	return Resources{a.Cpus + b.Cpus, a.Gpus + b.Gpus, a.MemoryGB + b.MemoryGB}
 }
 
 // Minus returns a less b, which may be negative.
-func (a Amounts) Minus(b Amounts) Amounts {
-	return Amounts{a.Cpus - b.Cpus, a.Gpus - b.Gpus, a.MemoryGB - b.MemoryGB}
+func (a Resources) Minus(b Resources) Resources {
+	return Resources{a.Cpus - b.Cpus, a.Gpus - b.Gpus, a.MemoryGB - b.MemoryGB}
 }
 
 // Times returns a multiplied by k.
-func (a Amounts) Times(k float64) Amounts {
-	return Amounts{k * a.Cpus, k * a.Gpus, k * a.MemoryGB}
+func (a Resources) Times(k float64) Resources {
+	return Resources{k * a.Cpus, k * a.Gpus, k * a.MemoryGB}
 }
 
-// Share returns the dominant share of a: its largest fraction of the whole in any
+// DominantShare returns the dominant share of a: its largest fraction of the whole in any
 // single resource.
-func (a Amounts) Share(whole Amounts) float64 {
+func (a Resources) DominantShare(whole Resources) float64 {
 	return max(0,
 		fraction(a.Cpus, whole.Cpus),
 		fraction(a.Gpus, whole.Gpus),
@@ -61,8 +61,8 @@
 	return 0
 }
 
-// Count returns how many copies of a fit into the given room.
-func (a Amounts) Count(room Amounts) int {
+// CopiesIn returns how many copies of a fit into the given room.
+func (a Resources) CopiesIn(room Resources) int {
 	n := mostCopies
 	n = min(n, copies(a.Cpus, room.Cpus))
 	n = min(n, copies(a.Gpus, room.Gpus))
--- a/internal/planner/shrink.go
+++ b/internal/planner/shrink.go
@@ -19,7 +19,7 @@
 type shrinkable struct {
 	job *Job
 	// tasks may be preempted, those with the least overhead first.
-	tasks []Running
+	tasks []RunningTask
 	// surplus is how many of them the array can give up.
 	surplus int
 }
@@ -68,7 +68,7 @@
 	}
 	a.surplus = min(len(a.tasks), len(lower.Running)+lower.startedUnlisted-minSize(lower))
 	if a.surplus > 0 {
-		slices.SortStableFunc(a.tasks, func(x, y Running) int { return cmp.Compare(x.Overhead, y.Overhead) })
+		slices.SortStableFunc(a.tasks, func(x, y RunningTask) int { return cmp.Compare(x.OverheadS, y.OverheadS) })
 	}
 	return a
 }
--- a/internal/planner/team.go
+++ b/internal/planner/team.go
@@ -4,22 +4,22 @@
 type Team struct {
 	// Limit is the most that the team may use. A resource of which it is 0 is not
 	// limited.
-	Limit Amounts
+	Limit Resources
 	// Guarantee is the team's fair share: what it gets before other teams that are
 	// beyond theirs.
-	Guarantee Amounts
-	Used      Amounts
+	Guarantee Resources
+	Used      Resources
 	// BacklogS is how many seconds the team's unfinished work takes at least, even if
 	// the team always uses all that its limit allows.
 	BacklogS float64
 }
 
-// Guaranteed reports whether the team has a guarantee.
-func (t *Team) Guaranteed() bool { return t.Guarantee.Cpus > 0 || t.Guarantee.Gpus > 0 }
+// HasGuarantee reports whether the team has a guarantee.
+func (t *Team) HasGuarantee() bool { return t.Guarantee.Cpus > 0 || t.Guarantee.Gpus > 0 }
 
 // withinLimit reports whether the team's limit allows n more tasks of the given size.
 // A team without an entry in the snapshot is nil and has no limit.
-func (t *Team) withinLimit(task Amounts, n int) bool {
+func (t *Team) withinLimit(task Resources, n int) bool {
 	if t == nil {
 		return true
 	}
--- a/internal/planner/victims.go
+++ b/internal/planner/victims.go
@@ -9,7 +9,7 @@
 // gives back those units that turn out not to matter. It returns nil if all of them
 // don't suffice, if the team's quota doesn't allow the tasks, or if no unit is needed.
 func (p *planning) chooseVictims(job *Job, n int, units [][]victim) []victim {
-	if len(units) == 0 || !p.teams[job.Spec.Team].withinLimit(Needs(job.Spec), n) {
+	if len(units) == 0 || !p.teams[job.Spec.Team].withinLimit(TaskResources(job.Spec), n) {
 		return nil
 	}
 	// Undoing releases by subtraction would leave other bits.
--- a/internal/protocol/check_test.go
+++ b/internal/protocol/check_test.go
@@ -8,16 +8,16 @@
 	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff})
 	f.Add([]byte{0xdd, 0xff, 0xff, 0xff, 0xff, 0x01})
 	f.Add([]byte{0xdb, 0xff, 0xff, 0xff, 0xff})
-	f.Add(Encode(Report{Machine: "m-1", Tasks: []TaskReport{{Task: "job-1/0", Attempt: 1}}}))
+	f.Add(Encode(Heartbeat{Machine: "m-1", Tasks: []TaskStatus{{Task: "job-1/0", Attempt: 1}}}))
 	f.Add(Encode(MachineList{Machines: []ListedMachine{{Name: "m", AgeS: 1.5}}}))
-	f.Add(Encode(Txn{Guards: []Guard{{"a", 1}}, Changes: []Change{{Put: "a", Value: []byte{0xc0}}}}))
+	f.Add(Encode(Txn{Conditions: []Condition{{"a", 1}}, Changes: []Change{{Put: "a", Value: []byte{0xc0}}}}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var v any
 		err := Decode(raw, &v)
 		if Check(raw) != nil && err == nil {
 			t.Fatalf("% x was decoded, want %v", raw, Check(raw))
 		}
-		for _, into := range []any{&Report{}, &JobSpec{}, &MachineList{}, &FollowAnswer{}, &TxnAnswer{}} {
+		for _, into := range []any{&Heartbeat{}, &JobSpec{}, &MachineList{}, &WatchResponse{}, &TxnResponse{}} {
 			_ = Decode(raw, into)
 		}
 	})
@@ -25,10 +25,10 @@
 
 // Whatever is encoded passes the check, long texts and lists included.
 func TestCheckTakesWhatIsEncoded(t *testing.T) {
-	due, tasks := 9.5, make([]TaskReport, 70000)
+	due, tasks := 9.5, make([]TaskStatus, 70000)
 	for _, v := range []any{
 		JobSpec{ID: "job-1", DeadlineS: &due, Types: []string{"a"}},
-		Report{Tasks: tasks},
+		Heartbeat{Tasks: tasks},
 		map[string]any{"long": string(make([]byte, 70000)), "n": -5, "u": uint64(1) << 63,
 			"f": float32(1), "list": []any{nil, true, 1 << 20}},
 	} {
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -16,21 +16,21 @@
 
 // Catalogue lists the machine types that the cloud offers.
 type Catalogue struct {
-	Types []MachineType `msgpack:"Fleets"`
+	MachineTypes []MachineType `msgpack:"Fleets"`
 }
 
-// Rental is a request to scale out by machines of one kind.
-type Rental struct {
-	// Booking is the idempotency key: a repeated request with the same key starts nothing more.
-	Booking string `msgpack:"Booking"`
-	Type    string `msgpack:"Fleet"`
-	Zone    string `msgpack:"Hall"`
-	Spot    bool   `msgpack:"Loaners"`
-	Count   int    `msgpack:"HowMany"`
+// ScaleOutRequest is a request to scale out by machines of one kind.
+type ScaleOutRequest struct {
+	// IdempotencyKey is the idempotency key: a repeated request with the same key starts nothing more.
+	IdempotencyKey string `msgpack:"Booking"`
+	Type           string `msgpack:"Fleet"`
+	Zone           string `msgpack:"Hall"`
+	Spot           bool   `msgpack:"Loaners"`
+	Count          int    `msgpack:"HowMany"`
 }
 
-// RentalAnswer names the machines of a Rental, or says why there are none.
-type RentalAnswer struct {
+// ScaleOutResponse names the machines of a Rental, or says why there are none.
+type ScaleOutResponse struct {
 	Machines []string `msgpack:"Hosts"`
 	Error    string   `msgpack:"error"`
 }
@@ -39,8 +39,8 @@
 // an outage.
 const NoCapacity = "no capacity"
 
-// MachineNames is a request to scale in by the named machines.
-type MachineNames struct {
+// ScaleInRequest is a request to scale in by the named machines.
+type ScaleInRequest struct {
 	Machines []string `msgpack:"Hosts"`
 }
 
