--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -7,8 +7,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// MaxBody is the limit of request bodies and of what workers and users are sent, in bytes.
-const MaxBody = 64 << 10
+// MaxBodyBytes is the limit of request bodies and of what workers and users are sent, in bytes.
+const MaxBodyBytes = 64 << 10
 
 // Encode returns the wire form. It can't fail for the types of this package.
 func Encode(v any) []byte {
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -25,7 +25,7 @@
 		Class:       "train",
 		Team:        "vision",
 		Shape:       ShapeGang,
-		Rank:        "urgent",
+		Priority:    "urgent",
 		Tasks:       4,
 		Cpus:        8,
 		Gpus:        1,
@@ -44,8 +44,8 @@
 	}
 }
 
-func goldenTaskReport() TaskReport {
-	return TaskReport{
+func goldenTaskReport() TaskStatus {
+	return TaskStatus{
 		Task:    "job-000412/3",
 		Attempt: 2,
 		Status:  TaskExited,
@@ -54,23 +54,23 @@
 	}
 }
 
-func goldenReport() Report {
-	return Report{
-		Machine: "m-000231",
-		Address: "10.1.0.232:9000",
-		Type:    "g8",
-		Zone:    "a",
-		Spot:    true,
-		Session: 3,
-		Counter: 70_000,
-		Epoch:   1 << 40,
-		RecallS: pointerTo(12.5),
-		Tasks:   []TaskReport{goldenTaskReport()},
+func goldenReport() Heartbeat {
+	return Heartbeat{
+		Machine:           "m-000231",
+		Address:           "10.1.0.232:9000",
+		Type:              "g8",
+		Zone:              "a",
+		Spot:              true,
+		Incarnation:       3,
+		Counter:           70_000,
+		Epoch:             1 << 40,
+		PreemptionNoticeS: pointerTo(12.5),
+		Tasks:             []TaskStatus{goldenTaskReport()},
 	}
 }
 
-func goldenOrder() Order {
-	return Order{Verb: VerbStop, Task: "job-000412/3", Attempt: 2, GraceS: 4.5}
+func goldenOrder() Command {
+	return Command{Verb: VerbStop, Task: "job-000412/3", Attempt: 2, GraceS: 4.5}
 }
 
 func goldenMachineType() MachineType {
@@ -128,11 +128,11 @@
 	{"order", goldenOrder(),
 		"\x84\xa4Verb\xa4kill\xa3Leg\xacjob-000412/3\xa3Try\x02\xa6LeaveS\xcb@\x12\x00\x00\x00\x00" +
 			"\x00\x00"},
-	{"answer to a report", HeartbeatAnswer{Epoch: 41, Orders: []Order{goldenOrder()}},
+	{"answer to a report", HeartbeatResponse{Epoch: 41, Commands: []Command{goldenOrder()}},
 		"\x82\xa5Epoch)\xa6Orders\x91\x84\xa4Verb\xa4kill\xa3Leg\xacjob-000412/3\xa3Try\x02\xa6LeaveS" +
 			"\xcb@\x12\x00\x00\x00\x00\x00\x00"},
 	{"redirect", Redirect{Node: "worker-1"}, "\x81\xaaDispatcher\xa8worker-1"},
-	{"commands", Commands{Epoch: 41, Session: 3, Orders: []Order{goldenOrder()}},
+	{"commands", CommandRequest{Epoch: 41, Incarnation: 3, Commands: []Command{goldenOrder()}},
 		"\x83\xa5Epoch)\xa5Shift\x03\xa6Orders\x91\x84\xa4Verb\xa4kill\xa3Leg\xacjob-000412/3\xa3Try" +
 			"\x02\xa6LeaveS\xcb@\x12\x00\x00\x00\x00\x00\x00"},
 	{"machine type", goldenMachineType(),
@@ -141,17 +141,17 @@
 			"etchGbPerS\xcb?\xe0\x00\x00\x00\x00\x00\x00\xa6Hourly\xcb@8\x80\x00\x00\x00\x00\x00\xa9SpotP" +
 			"rice\xcb@\x1d\x00\x00\x00\x00\x00\x00\xa8StartupS\xcb@V\x80\x00\x00\x00\x00\x00\xa5Halls\x92" +
 			"\xa1a\xa1b"},
-	{"catalogue", Catalogue{Types: []MachineType{goldenMachineType()}},
+	{"catalogue", Catalogue{MachineTypes: []MachineType{goldenMachineType()}},
 		"\x81\xa6Fleets\x91\x8a\xa3Sku\xa2g8\xa5Vcpus\xcb@X\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb@ \x00" +
 			"\x00\x00\x00\x00\x00\xa5MemGb\xcb@\x88\x00\x00\x00\x00\x00\x00\xa7LocalGb\xcb@\x8c \x00\x00" +
 			"\x00\x00\x00\xabFetchGbPerS\xcb?\xe0\x00\x00\x00\x00\x00\x00\xa6Hourly\xcb@8\x80\x00\x00\x00" +
 			"\x00\x00\xa9SpotPrice\xcb@\x1d\x00\x00\x00\x00\x00\x00\xa8StartupS\xcb@V\x80\x00\x00\x00\x00" +
 			"\x00\xa5Halls\x92\xa1a\xa1b"},
-	{"rental", Rental{Booking: "e41-2", Type: "g8", Zone: "a", Spot: true, Count: 5},
+	{"rental", ScaleOutRequest{IdempotencyKey: "e41-2", Type: "g8", Zone: "a", Spot: true, Count: 5},
 		"\x85\xa7Booking\xa5e41-2\xa5Fleet\xa2g8\xa4Hall\xa1a\xa7Loaners\xc3\xa7HowMany\x05"},
-	{"answer to a rental", RentalAnswer{Machines: []string{"m-000231", "m-000232"}, Error: NoCapacity},
+	{"answer to a rental", ScaleOutResponse{Machines: []string{"m-000231", "m-000232"}, Error: NoCapacity},
 		"\x82\xa5Hosts\x92\xa8m-000231\xa8m-000232\xa5error\xabno capacity"},
-	{"release", MachineNames{Machines: []string{"m-000231", "m-000232"}},
+	{"release", ScaleInRequest{Machines: []string{"m-000231", "m-000232"}},
 		"\x81\xa5Hosts\x92\xa8m-000231\xa8m-000232"},
 	{"listed machine", goldenListedMachine(),
 		"\x87\xa3Uid\xa8m-000231\xa7Address\xaf10.1.0.232:9000\xa5Fleet\xa2g8\xa4Hall\xa1a\xa7Loaners" +
@@ -164,23 +164,23 @@
 	{"list of items", ItemList{Items: []Item{goldenItem()}, More: true, Revision: 300},
 		"\x83\xa5Items\x91\x83\xa4Path\xafjobs/job-000412\xa4Data\x81\xa1a\x01\xa5Stamp\x09\xa7HasNex" +
 			"t\xc3\xa6Ledger\xcd\x01,"},
-	{"guard", Guard{Key: "lead/controller", Version: 9}, "\x82\xa4Path\xaflead/controller\xa5Stamp\x09"},
+	{"guard", Condition{Key: "lead/controller", Version: 9}, "\x82\xa4Path\xaflead/controller\xa5Stamp\x09"},
 	{"change", Change{Put: "a", Value: []byte{0xc3}, Lease: 70_000, Delete: "b"},
 		"\x84\xa5Write\xa1a\xa4Data\xc3\xa6Permit\xce\x00\x01\x11p\xa6Delete\xa1b"},
 	{"transaction", Txn{
-		Guards:  []Guard{{Key: "lead/controller", Version: 9}},
-		Changes: []Change{{Put: "a", Value: []byte{0xc3}, Lease: 5, Delete: "b"}},
+		Conditions: []Condition{{Key: "lead/controller", Version: 9}},
+		Changes:    []Change{{Put: "a", Value: []byte{0xc3}, Lease: 5, Delete: "b"}},
 	},
 		"\x82\xa6Guards\x91\x82\xa4Path\xaflead/controller\xa5Stamp\x09\xa6Writes\x91\x84\xa5Write" +
 			"\xa1a\xa4Data\xc3\xa6Permit\x05\xa6Delete\xa1b"},
 	{"answer to a transaction",
-		TxnAnswer{Revision: 300, Failed: []string{"jobs/job-000412"}, Error: "too large"},
+		TxnResponse{Revision: 300, Failed: []string{"jobs/job-000412"}, Error: "too large"},
 		"\x83\xa6Ledger\xcd\x01,\xa6failed\x91\xafjobs/job-000412\xa5error\xa9too large"},
 	{"request for a lease", LeaseRequest{TTLMs: 4000}, "\x81\xa5TtlMs\xcd\x0f\xa0"},
-	{"lease", LeaseAnswer{Lease: 70_000}, "\x81\xa6Permit\xce\x00\x01\x11p"},
+	{"lease", LeaseResponse{Lease: 70_000}, "\x81\xa6Permit\xce\x00\x01\x11p"},
 	{"event", Event{Put: "a", Delete: "b", Value: []byte{0xc3}, Version: 9},
 		"\x84\xa5Write\xa1a\xa6Delete\xa1b\xa4Data\xc3\xa5Stamp\x09"},
-	{"answer to a follower", FollowAnswer{
+	{"answer to a follower", WatchResponse{
 		Revision: 300,
 		Events:   []Event{{Put: "a", Delete: "b", Value: []byte{0xc3}, Version: 9}},
 	}, "\x82\xa6Ledger\xcd\x01,\xa3Log\x91\x84\xa5Write\xa1a\xa6Delete\xa1b\xa4Data\xc3\xa5Stamp\x09"},
@@ -204,22 +204,22 @@
 			"\x00\x00\x00\x00\x00\x00\x00\xa4DueS\xc0"},
 	{"status of a job", JobStatus{}, "\x84\xa3Uid\xa0\xa6Status\xa0\xa4done\x00\xa7running\x00"},
 	{"refusal", ErrorResponse{}, "\x81\xa5error\xa0"},
-	{"task in a report", TaskReport{},
+	{"task in a report", TaskStatus{},
 		"\x85\xa3Leg\xa0\xa3Try\x00\xa6Status\xa0\xa5Cause\xa0\xa5Saved\xc2"},
-	{"report", Report{},
+	{"report", Heartbeat{},
 		"\x8a\xa4Host\xa0\xa7Address\xa0\xa5Fleet\xa0\xa4Hall\xa0\xa7Loaners\xc2\xa5Shift\x00\xa7Coun" +
 			"ter\x00\xa5Epoch\x00\xa7RecallS\xc0\xa4Legs\xc0"},
-	{"report of no tasks", Report{Tasks: []TaskReport{}},
+	{"report of no tasks", Heartbeat{Tasks: []TaskStatus{}},
 		"\x8a\xa4Host\xa0\xa7Address\xa0\xa5Fleet\xa0\xa4Hall\xa0\xa7Loaners\xc2\xa5Shift\x00\xa7Coun" +
 			"ter\x00\xa5Epoch\x00\xa7RecallS\xc0\xa4Legs\x90"},
-	{"order", Order{},
+	{"order", Command{},
 		"\x84\xa4Verb\xa0\xa3Leg\xa0\xa3Try\x00\xa6LeaveS\xcb\x00\x00\x00\x00\x00\x00\x00\x00"},
-	{"answer to a report", HeartbeatAnswer{}, "\x82\xa5Epoch\x00\xa6Orders\xc0"},
-	{"answer to a report without orders", HeartbeatAnswer{Orders: []Order{}},
+	{"answer to a report", HeartbeatResponse{}, "\x82\xa5Epoch\x00\xa6Orders\xc0"},
+	{"answer to a report without orders", HeartbeatResponse{Commands: []Command{}},
 		"\x82\xa5Epoch\x00\xa6Orders\x90"},
 	{"redirect to nobody", Redirect{}, "\x80"},
-	{"commands", Commands{}, "\x83\xa5Epoch\x00\xa5Shift\x00\xa6Orders\xc0"},
-	{"commands of no orders", Commands{Orders: []Order{}}, "\x83\xa5Epoch\x00\xa5Shift\x00\xa6Orders\x90"},
+	{"commands", CommandRequest{}, "\x83\xa5Epoch\x00\xa5Shift\x00\xa6Orders\xc0"},
+	{"commands of no orders", CommandRequest{Commands: []Command{}}, "\x83\xa5Epoch\x00\xa5Shift\x00\xa6Orders\x90"},
 	{"machine type", MachineType{},
 		"\x8a\xa3Sku\xa0\xa5Vcpus\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00\x00\x00\x00\x00" +
 			"\x00\x00\x00\xa5MemGb\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa7LocalGb\xcb\x00\x00\x00\x00\x00" +
@@ -227,23 +227,23 @@
 			"\x00\x00\x00\x00\x00\xa9SpotPrice\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa8StartupS\xcb\x00" +
 			"\x00\x00\x00\x00\x00\x00\x00\xa5Halls\xc0"},
 	{"catalogue", Catalogue{}, "\x81\xa6Fleets\xc0"},
-	{"rental", Rental{}, "\x85\xa7Booking\xa0\xa5Fleet\xa0\xa4Hall\xa0\xa7Loaners\xc2\xa7HowMany\x00"},
-	{"answer to a rental", RentalAnswer{}, "\x82\xa5Hosts\xc0\xa5error\xa0"},
-	{"release", MachineNames{}, "\x81\xa5Hosts\xc0"},
+	{"rental", ScaleOutRequest{}, "\x85\xa7Booking\xa0\xa5Fleet\xa0\xa4Hall\xa0\xa7Loaners\xc2\xa7HowMany\x00"},
+	{"answer to a rental", ScaleOutResponse{}, "\x82\xa5Hosts\xc0\xa5error\xa0"},
+	{"release", ScaleInRequest{}, "\x81\xa5Hosts\xc0"},
 	{"listed machine", ListedMachine{},
 		"\x87\xa3Uid\xa0\xa7Address\xa0\xa5Fleet\xa0\xa4Hall\xa0\xa7Loaners\xc2\xa6Status\xa0\xa5Held" +
 			"S\xcb\x00\x00\x00\x00\x00\x00\x00\x00"},
 	{"list of machines", MachineList{}, "\x82\xa5Hosts\xc0\xa7HasNext\xc2"},
 	{"list of items", ItemList{}, "\x83\xa5Items\xc0\xa7HasNext\xc2\xa6Ledger\x00"},
-	{"guard", Guard{}, "\x82\xa4Path\xa0\xa5Stamp\x00"},
+	{"guard", Condition{}, "\x82\xa4Path\xa0\xa5Stamp\x00"},
 	{"change", Change{}, "\x80"},
 	{"change that puts", Change{Put: "a", Value: []byte{0xc3}}, "\x82\xa5Write\xa1a\xa4Data\xc3"},
 	{"change that deletes", Change{Delete: "b"}, "\x81\xa6Delete\xa1b"},
 	{"transaction", Txn{}, "\x82\xa6Guards\xc0\xa6Writes\xc0"},
-	{"answer to a transaction", TxnAnswer{}, "\x83\xa6Ledger\x00\xa6failed\xc0\xa5error\xa0"},
+	{"answer to a transaction", TxnResponse{}, "\x83\xa6Ledger\x00\xa6failed\xc0\xa5error\xa0"},
 	{"request for a lease", LeaseRequest{}, "\x81\xa5TtlMs\x00"},
-	{"lease", LeaseAnswer{}, "\x81\xa6Permit\x00"},
-	{"answer to a follower", FollowAnswer{}, "\x82\xa6Ledger\x00\xa3Log\xc0"},
+	{"lease", LeaseResponse{}, "\x81\xa6Permit\x00"},
+	{"answer to a follower", WatchResponse{}, "\x82\xa6Ledger\x00\xa3Log\xc0"},
 }
 
 // check compares both ways: the value encodes as the bytes, and the bytes decode as the value.
@@ -306,7 +306,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var want Report
+		var want Heartbeat
 		if err := Decode([]byte(raw), &want); err != nil {
 			t.Fatal(err)
 		}
@@ -336,12 +336,12 @@
 		{TaskExited, "exited"},
 		{CauseDone, "done"},
 		{CauseStopped, "halted"},
-		{CausePeers, "peers"},
-		{CauseAlone, "alone"},
+		{CauseGangBroken, "peers"},
+		{CauseGangIncomplete, "alone"},
 		{CauseError, "error"},
 		{CauseNoRoom, "no_room"},
-		{CauseBusy, "busy"},
-		{CauseNoSuch, "no_such"},
+		{CauseOtherAttempt, "busy"},
+		{CauseNoSuchTask, "no_such"},
 		{VerbStart, "start"},
 		{VerbStop, "kill"},
 		{VerbForget, "forget"},
@@ -355,20 +355,20 @@
 			t.Errorf("%q, not %q", c.constant, c.want)
 		}
 	}
-	if d := cmp.Diff([]string{"prod", "urgent", "normal", "idle"}, Ranks); d != "" {
+	if d := cmp.Diff([]string{"prod", "urgent", "normal", "idle"}, Priorities); d != "" {
 		t.Error(d)
 	}
 	for rank, name := range []string{"prod", "urgent", "normal", "idle"} {
-		if RankOf(name) != rank {
-			t.Errorf("%s has rank %d", name, RankOf(name))
+		if PriorityOf(name) != rank {
+			t.Errorf("%s has rank %d", name, PriorityOf(name))
 		}
 	}
-	if RankOf("") != -1 || RankOf("Prod") != -1 {
+	if PriorityOf("") != -1 || PriorityOf("Prod") != -1 {
 		t.Error("a rank that there isn't")
 	}
 	for _, c := range []struct{ constant, want int }{
-		{MaxBody, 65536},
-		{MaxText, 200},
+		{MaxBodyBytes, 65536},
+		{MaxTextBytes, 200},
 		{maxTasks, 100_000},
 		{maxTypes, 64},
 		{maxAmount, 1_000_000_000},
@@ -457,7 +457,7 @@
 		goldentest.Equal(t, c.field, []byte(err.Error()), c.want)
 	}
 	for _, c := range []struct{ raw, want string }{
-		{string(make([]byte, MaxBody+1)), "the body is over 65536 bytes"},
+		{string(make([]byte, MaxBodyBytes+1)), "the body is over 65536 bytes"},
 		{"\xc1", "not MessagePack"},
 		{"\x93\x01\x02\x03", "not a MessagePack map with text keys"},
 	} {
--- a/internal/protocol/heartbeatdecoder.go
+++ b/internal/protocol/heartbeatdecoder.go
@@ -15,21 +15,21 @@
 // bytes as in the last heartbeat isn't decoded again; a heartbeat with the same tasks shares its
 // list of them, which nobody may change. The zero value is ready for use.
 type HeartbeatDecoder struct {
-	last      layout // without bytes: nothing to compare with
-	heartbeat Report // the last one, decoded
+	last      layout    // without bytes: nothing to compare with
+	heartbeat Heartbeat // the last one, decoded
 }
 
 // Decode reads a heartbeat. It keeps raw, which must not be changed afterwards.
-func (d *HeartbeatDecoder) Decode(raw []byte) (Report, error) {
+func (d *HeartbeatDecoder) Decode(raw []byte) (Heartbeat, error) {
 	if heartbeat, unchanged := d.decodeUnchanged(raw); unchanged {
 		return heartbeat, nil
 	}
 	if err := Check(raw); err != nil {
 		d.last = layout{}
-		return Report{}, err
+		return Heartbeat{}, err
 	}
 	next, known := parseLayout(raw)
-	var heartbeat Report
+	var heartbeat Heartbeat
 	var err error
 	if known && d.last.sameBesidesCounterAndTasks(&next) {
 		heartbeat, err = d.update(&next)
@@ -46,15 +46,15 @@
 
 // decodeUnchanged decodes a heartbeat that differs from the last one in its counter at most, as
 // most do; the second result reports whether this is one.
-func (d *HeartbeatDecoder) decodeUnchanged(raw []byte) (Report, bool) {
+func (d *HeartbeatDecoder) decodeUnchanged(raw []byte) (Heartbeat, bool) {
 	last := &d.last
 	start, end := last.counter.start, last.counter.end
 	if last.raw == nil || len(raw) < start || !bytes.Equal(raw[:start], last.raw[:start]) {
-		return Report{}, false
+		return Heartbeat{}, false
 	}
 	rest, ok := skip(raw[start:], 1)
 	if !ok || !bytes.Equal(rest, last.raw[end:]) {
-		return Report{}, false
+		return Heartbeat{}, false
 	}
 	// Declared here because it moves to the heap, which a heartbeat with changes needn't pay for.
 	heartbeat := d.heartbeat
@@ -63,25 +63,25 @@
 }
 
 // update returns the last heartbeat with the counter and the tasks of the next one.
-func (d *HeartbeatDecoder) update(next *layout) (Report, error) {
+func (d *HeartbeatDecoder) update(next *layout) (Heartbeat, error) {
 	heartbeat := d.heartbeat
 	if err := msgpack.Unmarshal(next.value(next.counter), &heartbeat.Counter); err != nil {
-		return Report{}, err
+		return Heartbeat{}, err
 	}
 	var err error
 	heartbeat.Tasks, err = d.updateTasks(next.tasks)
 	if err != nil {
-		return Report{}, err
+		return Heartbeat{}, err
 	}
 	return heartbeat, nil
 }
 
 // updateTasks decodes the tasks that aren't in the last heartbeat with the same bytes.
-func (d *HeartbeatDecoder) updateTasks(encoded [][]byte) ([]TaskReport, error) {
+func (d *HeartbeatDecoder) updateTasks(encoded [][]byte) ([]TaskStatus, error) {
 	if encoded == nil {
 		return nil, nil
 	}
-	tasks := make([]TaskReport, len(encoded))
+	tasks := make([]TaskStatus, len(encoded))
 	same := 0 // where in the last heartbeat to look next
 	for i, entry := range encoded {
 		// Tasks keep their order; some go, others come behind them.
--- a/internal/protocol/heartbeatdecoder_test.go
+++ b/internal/protocol/heartbeatdecoder_test.go
@@ -10,11 +10,11 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-func sampleHeartbeat(tasks int) Report {
-	r := Report{Machine: "m-000001", Address: "10.1.0.1:9000", Type: "t", Zone: "a",
-		Session: 1, Counter: 1, Epoch: 3}
+func sampleHeartbeat(tasks int) Heartbeat {
+	r := Heartbeat{Machine: "m-000001", Address: "10.1.0.1:9000", Type: "t", Zone: "a",
+		Incarnation: 1, Counter: 1, Epoch: 3}
 	for i := range tasks {
-		r.Tasks = append(r.Tasks, TaskReport{Task: TaskName("job-000001", i), Attempt: 1, Status: TaskRunning})
+		r.Tasks = append(r.Tasks, TaskStatus{Task: TaskName("job-000001", i), Attempt: 1, Status: TaskRunning})
 	}
 	return r
 }
@@ -36,7 +36,7 @@
 				last.Epoch = r.Int64N(300)
 			case 2:
 				left := r.Float64()
-				last.RecallS = []*float64{nil, &left}[r.IntN(2)]
+				last.PreemptionNoticeS = []*float64{nil, &left}[r.IntN(2)]
 			}
 			last.Counter = r.Int64N([]int64{4, 200, 70_000, 1 << 40}[r.IntN(4)])
 			raw := Encode(last)
@@ -51,7 +51,7 @@
 				raw, _ = msgpack.Marshal(map[string]any{"Host": "m-000001", "Counter": "text"})
 			}
 			got, err := d.Decode(raw)
-			var plain Report
+			var plain Heartbeat
 			plainErr := Decode(raw, &plain)
 			if (err == nil) != (plainErr == nil) || err == nil && !cmp.Equal(got, plain) {
 				t.Fatalf("seed %d: % x is decoded as %v (%v), want %v (%v) as on its own",
@@ -62,13 +62,13 @@
 }
 
 // shuffled is a list of tasks some of which have gone, changed, come or moved.
-func shuffled(r *rand.Rand, tasks []TaskReport) []TaskReport {
+func shuffled(r *rand.Rand, tasks []TaskStatus) []TaskStatus {
 	tasks = slices.Clone(tasks)
 	for range 1 + r.IntN(2) {
 		at := r.IntN(len(tasks) + 1)
 		switch {
 		case r.IntN(3) == 0:
-			task := TaskReport{Task: TaskName("job-000002", r.IntN(9)), Attempt: 2, Status: TaskFetching}
+			task := TaskStatus{Task: TaskName("job-000002", r.IntN(9)), Attempt: 2, Status: TaskFetching}
 			tasks = slices.Insert(tasks, at, task)
 		case at == len(tasks):
 		case r.IntN(2) == 0:
@@ -101,15 +101,15 @@
 // BenchmarkDecodeHeartbeat is what every heartbeat costs before it is looked at, without what the
 // decoder keeps.
 func BenchmarkDecodeHeartbeat(b *testing.B) {
-	r := Report{Machine: "m-000231", Address: "10.1.0.232:9000", Type: "g8", Zone: "a",
-		Session: 1, Counter: 88, Epoch: 41}
+	r := Heartbeat{Machine: "m-000231", Address: "10.1.0.232:9000", Type: "g8", Zone: "a",
+		Incarnation: 1, Counter: 88, Epoch: 41}
 	for task := range 8 {
 		name := TaskName("job-000412", task)
-		r.Tasks = append(r.Tasks, TaskReport{Task: name, Attempt: 2, Status: TaskRunning})
+		r.Tasks = append(r.Tasks, TaskStatus{Task: name, Attempt: 2, Status: TaskRunning})
 	}
 	raw := Encode(r)
 	for b.Loop() {
-		var again Report
+		var again Heartbeat
 		if err := Decode(raw, &again); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/protocol/jobs.go
+++ b/internal/protocol/jobs.go
@@ -20,11 +20,11 @@
 	StatusCancelled = "aborted"
 )
 
-// Ranks lists the priorities from the highest to the lowest.
-var Ranks = []string{"prod", "urgent", "normal", "idle"}
+// Priorities lists the priorities from the highest to the lowest.
+var Priorities = []string{"prod", "urgent", "normal", "idle"}
 
-// RankOf returns the index of a priority in Ranks, or -1 if there is no such priority.
-func RankOf(name string) int { return slices.Index(Ranks, name) }
+// PriorityOf returns the index of a priority in Ranks, or -1 if there is no such priority.
+func PriorityOf(name string) int { return slices.Index(Priorities, name) }
 
 // JobSpec is a submission: the description of a job.
 type JobSpec struct {
@@ -32,7 +32,7 @@
 	Class    string  `msgpack:"Lane"` // service-level objectives are set for classes
 	Team     string  `msgpack:"Desk"`
 	Shape    string  `msgpack:"Shape"`
-	Rank     string  `msgpack:"Rank"`
+	Priority string  `msgpack:"Rank"`
 	Tasks    int     `msgpack:"Legs"`
 	Cpus     float64 `msgpack:"Vcpus"` // of each task, as are Gpus and MemoryGB
 	Gpus     float64 `msgpack:"Gpus"`
--- a/internal/protocol/store.go
+++ b/internal/protocol/store.go
@@ -17,8 +17,8 @@
 	Revision int64  `msgpack:"Ledger"`
 }
 
-// Guard is a condition of a transaction: the version that a key must have, 0 if it must not exist.
-type Guard struct {
+// Condition is a condition of a transaction: the version that a key must have, 0 if it must not exist.
+type Condition struct {
 	Key     string `msgpack:"Path"`
 	Version int64  `msgpack:"Stamp"`
 }
@@ -33,13 +33,13 @@
 
 // Txn is a transaction (compare-and-swap): all its changes apply if all its conditions hold.
 type Txn struct {
-	Guards  []Guard  `msgpack:"Guards"`
-	Changes []Change `msgpack:"Writes"`
+	Conditions []Condition `msgpack:"Guards"`
+	Changes    []Change    `msgpack:"Writes"`
 }
 
-// TxnAnswer is the response to a transaction: the revision at which it was applied, or the keys
+// TxnResponse is the response to a transaction: the revision at which it was applied, or the keys
 // whose conditions failed.
-type TxnAnswer struct {
+type TxnResponse struct {
 	Revision int64    `msgpack:"Ledger"`
 	Failed   []string `msgpack:"failed"`
 	Error    string   `msgpack:"error"`
@@ -50,8 +50,8 @@
 	TTLMs int64 `msgpack:"TtlMs"`
 }
 
-// LeaseAnswer is the response with the id of a lease.
-type LeaseAnswer struct {
+// LeaseResponse is the response with the id of a lease.
+type LeaseResponse struct {
 	Lease int64 `msgpack:"Permit"`
 }
 
@@ -63,9 +63,9 @@
 	Version int64              `msgpack:"Stamp"`
 }
 
-// FollowAnswer is the response to a watch: all changes since the revision that it names, and the
+// WatchResponse is the response to a watch: all changes since the revision that it names, and the
 // revision to go on from.
-type FollowAnswer struct {
+type WatchResponse struct {
 	Revision int64   `msgpack:"Ledger"`
 	Events   []Event `msgpack:"Log"`
 }
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -12,9 +12,9 @@
 const (
 	// maxTasks is the largest number of tasks of a job that the interface allows.
 	maxTasks = 100_000
-	// MaxText is the limit of names of all kinds, in bytes. Nothing in the interface sets one; this
+	// MaxTextBytes is the limit of names of all kinds, in bytes. Nothing in the interface sets one; this
 	// is far above what is in use.
-	MaxText = 200
+	MaxTextBytes = 200
 	// maxTypes is the largest number of allowed machine types in a submission.
 	maxTypes = 64
 	// maxAmount bounds amounts and durations, so that their sums stay exact enough and times in range.
@@ -81,8 +81,8 @@
 
 // decodeFields reads the map that a submission is.
 func decodeFields(raw []byte) (map[string]any, error) {
-	if len(raw) > MaxBody {
-		return nil, &BodyTooLargeError{Limit: MaxBody}
+	if len(raw) > MaxBodyBytes {
+		return nil, &BodyTooLargeError{Limit: MaxBodyBytes}
 	}
 	if err := Check(raw); err != nil {
 		return nil, err
@@ -114,7 +114,7 @@
 		Class:       p.text(fieldClass),
 		Team:        p.text(fieldTeam),
 		Shape:       p.text(fieldShape),
-		Rank:        p.text(fieldPriority),
+		Priority:    p.text(fieldPriority),
 		Tasks:       p.count(fieldTasks),
 		Cpus:        p.amount(fieldCpus),
 		Gpus:        p.amount(fieldGpus),
@@ -139,8 +139,8 @@
 	if !slices.Contains(shapes, spec.Shape) {
 		p.fail(fieldShape, FieldUnknownChoice, fmt.Sprint(shapes))
 	}
-	if RankOf(spec.Rank) < 0 {
-		p.fail(fieldPriority, FieldUnknownChoice, fmt.Sprint(Ranks))
+	if PriorityOf(spec.Priority) < 0 {
+		p.fail(fieldPriority, FieldUnknownChoice, fmt.Sprint(Priorities))
 	}
 	if spec.Tasks < 1 || spec.Tasks > maxTasks {
 		p.fail(fieldTasks, FieldUnacceptable, fmt.Sprintf("from 1 to %d", maxTasks))
@@ -156,12 +156,12 @@
 func (p *submissionParser) text(field string) string {
 	s, ok := p.fields[field].(string)
 	if !ok || !validText(s) {
-		p.fail(field, FieldInvalid, fmt.Sprintf("a text of 1 to %d bytes", MaxText))
+		p.fail(field, FieldInvalid, fmt.Sprintf("a text of 1 to %d bytes", MaxTextBytes))
 	}
 	return s
 }
 
-func validText(s string) bool { return s != "" && len(s) <= MaxText }
+func validText(s string) bool { return s != "" && len(s) <= MaxTextBytes }
 
 // optionalText returns an empty text for null.
 func (p *submissionParser) optionalText(field string) string {
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -11,18 +11,18 @@
 
 // Causes of the end of a task.
 const (
-	CauseDone    = "done"    // completed
-	CauseStopped = "halted"  // stopped by command
-	CausePeers   = "peers"   // another task of the gang is gone
-	CauseAlone   = "alone"   // the gang was not complete in time
-	CauseError   = "error"   // failed, mostly because of a faulty machine
-	CauseNoRoom  = "no_room" // not started: too few free resources
-	CauseBusy    = "busy"    // not started: the machine has another attempt of the task
-	CauseNoSuch  = "no_such" // not started: no such job or task
+	CauseDone           = "done"    // completed
+	CauseStopped        = "halted"  // stopped by command
+	CauseGangBroken     = "peers"   // another task of the gang is gone
+	CauseGangIncomplete = "alone"   // the gang was not complete in time
+	CauseError          = "error"   // failed, mostly because of a faulty machine
+	CauseNoRoom         = "no_room" // not started: too few free resources
+	CauseOtherAttempt   = "busy"    // not started: the machine has another attempt of the task
+	CauseNoSuchTask     = "no_such" // not started: no such job or task
 )
 
-// TaskReport is the status of one task in a worker's heartbeat.
-type TaskReport struct {
+// TaskStatus is the status of one task in a worker's heartbeat.
+type TaskStatus struct {
 	Task    string `msgpack:"Leg"`
 	Attempt int64  `msgpack:"Try"`
 	Status  string `msgpack:"Status"`
@@ -30,22 +30,22 @@
 	Saved   bool   `msgpack:"Saved"` // its progress was saved when it was stopped
 }
 
-// Report is a worker's heartbeat, with the status of its machine and tasks.
-type Report struct {
+// Heartbeat is a worker's heartbeat, with the status of its machine and tasks.
+type Heartbeat struct {
 	Machine string `msgpack:"Host"`
 	Address string `msgpack:"Address"`
 	Type    string `msgpack:"Fleet"`
 	Zone    string `msgpack:"Hall"`
 	Spot    bool   `msgpack:"Loaners"`
-	// Session is the worker's incarnation: it increases each time the worker's lease expires.
-	Session int64 `msgpack:"Shift"`
+	// Incarnation is the worker's incarnation: it increases each time the worker's lease expires.
+	Incarnation int64 `msgpack:"Shift"`
 	// Counter increases with each message, so that late ones are recognised.
 	Counter int64 `msgpack:"Counter"`
 	// Epoch is the highest fencing token that the worker has seen.
 	Epoch int64 `msgpack:"Epoch"`
-	// RecallS is how long it takes until the spot machine is preempted, nil without notice.
-	RecallS *float64     `msgpack:"RecallS"`
-	Tasks   []TaskReport `msgpack:"Legs"`
+	// PreemptionNoticeS is how long it takes until the spot machine is preempted, nil without notice.
+	PreemptionNoticeS *float64     `msgpack:"RecallS"`
+	Tasks             []TaskStatus `msgpack:"Legs"`
 }
 
 // Verbs of commands to workers.
@@ -55,18 +55,18 @@
 	VerbForget = "forget" // removes an exited task from the heartbeats
 )
 
-// Order is one command to a worker.
-type Order struct {
+// Command is one command to a worker.
+type Command struct {
 	Verb    string  `msgpack:"Verb"`
 	Task    string  `msgpack:"Leg"`
 	Attempt int64   `msgpack:"Try"`
 	GraceS  float64 `msgpack:"LeaveS"` // in which a stopped task may save a checkpoint
 }
 
-// HeartbeatAnswer is the response to a heartbeat.
-type HeartbeatAnswer struct {
-	Epoch  int64   `msgpack:"Epoch"` // fencing token of the leader
-	Orders []Order `msgpack:"Orders"`
+// HeartbeatResponse is the response to a heartbeat.
+type HeartbeatResponse struct {
+	Epoch    int64     `msgpack:"Epoch"` // fencing token of the leader
+	Commands []Command `msgpack:"Orders"`
 }
 
 // Redirect is the response that sends a worker to the leader, or to any other node if the leader
@@ -75,9 +75,9 @@
 	Node string `msgpack:"Dispatcher,omitempty"`
 }
 
-// Commands is a request that brings commands to a worker, other than as a response to a heartbeat.
-type Commands struct {
-	Epoch   int64   `msgpack:"Epoch"` // fencing token of the leader
-	Session int64   `msgpack:"Shift"` // the worker's incarnation
-	Orders  []Order `msgpack:"Orders"`
+// CommandRequest is a request that brings commands to a worker, other than as a response to a heartbeat.
+type CommandRequest struct {
+	Epoch       int64     `msgpack:"Epoch"` // fencing token of the leader
+	Incarnation int64     `msgpack:"Shift"` // the worker's incarnation
+	Commands    []Command `msgpack:"Orders"`
 }
--- a/internal/recovery/evidence.go
+++ b/internal/recovery/evidence.go
@@ -9,9 +9,9 @@
 	// Gone counts machines that the cloud lists as failed or no longer lists.
 	Gone int
 	// Controllers counts those of the zone, Reached those of them that answer this one.
-	Controllers, Reached int
-	// Elsewhere counts machines whose heartbeats other controllers get.
-	Elsewhere int
+	Controllers, ControllersReached int
+	// HeardElsewhere counts machines whose heartbeats other controllers get.
+	HeardElsewhere int
 }
 
 // silentShare returns the share of the zone's machines that are silent.
@@ -22,28 +22,28 @@
 	return float64(e.Machines-e.Heard) / float64(e.Machines)
 }
 
-// Reading says what the matter with a zone most likely is. It is shown to people and changes no
+// Diagnosis says what the matter with a zone most likely is. It is shown to people and changes no
 // decision: a task is free to run elsewhere only on proof that it has ended.
-type Reading string
+type Diagnosis string
 
 // The readings. Their texts are shown in the overview.
 const (
-	AllHeard Reading = "well"
+	AllHeard Diagnosis = "well"
 	// ControllerIsolated zones can't be judged: this controller hears nothing from anywhere.
-	ControllerIsolated Reading = "this controller hears nothing"
-	PartlySilent       Reading = "a part of it is silent"
-	// Dark zones have lost their machines, as the cloud says.
-	Dark Reading = "it is dark"
+	ControllerIsolated Diagnosis = "this controller hears nothing"
+	PartlySilent       Diagnosis = "a part of it is silent"
+	// PoweredOff zones have lost their machines, as the cloud says.
+	PoweredOff Diagnosis = "it is dark"
 	// PartitionedOrOff zones have silent controllers as well; their machines may go on inside.
-	PartitionedOrOff Reading = "dark, or cut off with its workers going on inside"
+	PartitionedOrOff Diagnosis = "dark, or cut off with its workers going on inside"
 	// HeartbeatsMissing zones can be reached, but their machines' heartbeats don't arrive.
-	HeartbeatsMissing Reading = "its machines are silent, not all of it is out of reach"
-	HeardElsewhere    Reading = "other controllers hear it"
+	HeartbeatsMissing Diagnosis = "its machines are silent, not all of it is out of reach"
+	HeardElsewhere    Diagnosis = "other controllers hear it"
 )
 
 // Diagnose names what the evidence looks like. isolated says that this controller hears from no
 // other zone either.
-func Diagnose(e Evidence, isolated bool) Reading {
+func Diagnose(e Evidence, isolated bool) Diagnosis {
 	silent := e.Machines - e.Heard
 	switch {
 	case silent == 0:
@@ -52,12 +52,12 @@
 		return ControllerIsolated
 	case e.Heard > 0:
 		return PartlySilent
-	case e.Elsewhere > 0:
+	case e.HeardElsewhere > 0:
 		return HeardElsewhere
-	case e.Reached > 0 || e.ProbesAnswered > 0:
+	case e.ControllersReached > 0 || e.ProbesAnswered > 0:
 		return HeartbeatsMissing
 	case 2*e.Gone >= silent: // at least half of them
-		return Dark
+		return PoweredOff
 	}
 	return PartitionedOrOff
 }
--- a/internal/recovery/evidence_test.go
+++ b/internal/recovery/evidence_test.go
@@ -3,13 +3,13 @@
 import "testing"
 
 func TestDiagnoseNamesMostLikelyCause(t *testing.T) {
-	for want, e := range map[Reading]Evidence{
+	for want, e := range map[Diagnosis]Evidence{
 		AllHeard:          well,
 		PartlySilent:      half,
 		PartitionedOrOff:  silent,
-		Dark:              {Machines: 10, Gone: 8},
-		HeardElsewhere:    {Machines: 10, Elsewhere: 9},
-		HeartbeatsMissing: {Machines: 10, Controllers: 1, Reached: 1},
+		PoweredOff:        {Machines: 10, Gone: 8},
+		HeardElsewhere:    {Machines: 10, HeardElsewhere: 9},
+		HeartbeatsMissing: {Machines: 10, Controllers: 1, ControllersReached: 1},
 	} {
 		if got := Diagnose(e, false); got != want {
 			t.Errorf("%+v is diagnosed as %q, want %q", e, got, want)
--- a/internal/recovery/golden_test.go
+++ b/internal/recovery/golden_test.go
@@ -22,12 +22,12 @@
 		zone  Zone
 		bytes string
 	}{
-		{Zone{Name: "somes", Phase: Lost, Number: 3, Since: 60 * clock.Second, Flaps: 2},
+		{Zone{Name: "somes", Phase: Lost, Losses: 3, Since: 60 * clock.Second, Flaps: 2},
 			"\x84\xa6number\x03\xa5phase\xa4lost\xa5since\xcf\x00\x06D\xf4\xe4\xb4c\x00\xa5flaps\x02"},
-		{Zone{Name: "somes", Phase: Returning, Number: 3, Since: 60 * clock.Second, Flaps: 200},
+		{Zone{Name: "somes", Phase: Returning, Losses: 3, Since: 60 * clock.Second, Flaps: 200},
 			"\x84\xa6number\x03\xa5phase\xa9returning\xa5since\xcf\x00\x06D\xf4\xe4\xb4c\x00\xa5flaps" +
 				"\xcc\xc8"},
-		{Zone{Name: "somes", Phase: Suspect, Number: 300, Since: 60 * clock.Second},
+		{Zone{Name: "somes", Phase: Suspect, Losses: 300, Since: 60 * clock.Second},
 			"\x83\xa6number\xcd\x01,\xa5phase\xa7suspect\xa5since\xcf\x00\x06D\xf4\xe4\xb4c\x00"},
 		{Zone{Name: "somes", Phase: Healthy, Since: 60 * clock.Second},
 			"\x83\xa6number\x00\xa5phase\xa7healthy\xa5since\xcf\x00\x06D\xf4\xe4\xb4c\x00"},
@@ -55,7 +55,7 @@
 		{string(AllHeard), "well"},
 		{string(ControllerIsolated), "this controller hears nothing"},
 		{string(PartlySilent), "a part of it is silent"},
-		{string(Dark), "it is dark"},
+		{string(PoweredOff), "it is dark"},
 		{string(PartitionedOrOff), "dark, or cut off with its workers going on inside"},
 		{string(HeartbeatsMissing), "its machines are silent, not all of it is out of reach"},
 		{string(HeardElsewhere), "other controllers hear it"},
@@ -66,7 +66,7 @@
 		{string(Deadlines), "deadlines"},
 		{string(Gangs), "gangs"},
 		{string(Arrays), "arrays"},
-		{string(Rest), "rest"},
+		{string(PastObjective), "rest"},
 	} {
 		goldentest.Equal(t, "word", []byte(c.word), c.want)
 	}
@@ -101,7 +101,7 @@
 		LossDelayS:   5.5,
 		ReturnDelayS: 11.5,
 		TasksPerS:    150.5,
-		Order:        []Kind{Rest, Arrays, Gangs, Deadlines, Services},
+		Order:        []Kind{PastObjective, Arrays, Gangs, Deadlines, Services},
 		Reserve:      ReserveSettings{Share: 0.125, Classes: []string{"portal", "extrase"}},
 		Zones:        []ZoneOverride{{Name: "somes", Action: Hold}},
 	}
@@ -133,7 +133,7 @@
 			LossDelayS:   6,
 			ReturnDelayS: 10,
 			TasksPerS:    200,
-			Order:        []Kind{Services, Deadlines, Gangs, Arrays, Rest},
+			Order:        []Kind{Services, Deadlines, Gangs, Arrays, PastObjective},
 		}
 		got, err := Parse([]byte(text), goldenPlatform())
 		if d := cmp.Diff(&want, got); err != nil || d != "" {
--- a/internal/recovery/order.go
+++ b/internal/recovery/order.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Displaced is a job some of whose tasks a lost zone had, which are to start elsewhere.
-type Displaced struct {
+// DisplacedJob is a job some of whose tasks a lost zone had, which are to start elsewhere.
+type DisplacedJob struct {
 	Job  string
 	Kind Kind
 	Rank int // 0 is the highest
@@ -15,19 +15,19 @@
 	// SlackS is how many seconds a job with a deadline can still wait.
 	SlackS      float64
 	SubmittedAt int64
-	// Tasks counts those that wait to start. A gang's start together.
-	Tasks int
+	// PendingTasks counts those that wait to start. A gang's start together.
+	PendingTasks int
 }
 
-// Sort brings displaced jobs into the order in which they start, which is total: by kind, then by
+// SortDisplaced brings displaced jobs into the order in which they start, which is total: by kind, then by
 // rank, then services by the share that is lost and jobs with deadlines by their slack, then by
 // submission.
-func Sort(jobs []Displaced, order []Kind) {
-	slices.SortFunc(jobs, func(a, b Displaced) int { return compare(&a, &b, order) })
+func SortDisplaced(jobs []DisplacedJob, order []Kind) {
+	slices.SortFunc(jobs, func(a, b DisplacedJob) int { return compare(&a, &b, order) })
 }
 
 // compare returns a negative number if a starts before b, a positive one if after it.
-func compare(a, b *Displaced, order []Kind) int {
+func compare(a, b *DisplacedJob, order []Kind) int {
 	return cmp.Or(
 		cmp.Compare(slices.Index(order, a.Kind), slices.Index(order, b.Kind)),
 		cmp.Compare(a.Rank, b.Rank),
@@ -38,7 +38,7 @@
 }
 
 // compareUrgency compares jobs of the same kind by what matters to that kind.
-func compareUrgency(a, b *Displaced) int {
+func compareUrgency(a, b *DisplacedJob) int {
 	switch a.Kind {
 	case Services:
 		return cmp.Compare(b.LostShare, a.LostShare)
--- a/internal/recovery/order_test.go
+++ b/internal/recovery/order_test.go
@@ -9,20 +9,20 @@
 	"postpoint/internal/clock"
 )
 
-var drawDisplaced = rapid.Custom(func(t *rapid.T) Displaced {
-	return Displaced{
-		Job:         rapid.StringMatching("job-[0-9]{3}").Draw(t, "job"),
-		Kind:        rapid.SampledFrom(DefaultOrder()).Draw(t, "kind"),
-		Rank:        rapid.IntRange(0, 3).Draw(t, "rank"),
-		LostShare:   float64(rapid.IntRange(1, 4).Draw(t, "share")) / 4,
-		SlackS:      float64(rapid.IntRange(0, 3).Draw(t, "slack")),
-		SubmittedAt: rapid.Int64Range(0, 3).Draw(t, "at"),
-		Tasks:       rapid.IntRange(1, 60).Draw(t, "tasks"),
+var drawDisplaced = rapid.Custom(func(t *rapid.T) DisplacedJob {
+	return DisplacedJob{
+		Job:          rapid.StringMatching("job-[0-9]{3}").Draw(t, "job"),
+		Kind:         rapid.SampledFrom(DefaultOrder()).Draw(t, "kind"),
+		Rank:         rapid.IntRange(0, 3).Draw(t, "rank"),
+		LostShare:    float64(rapid.IntRange(1, 4).Draw(t, "share")) / 4,
+		SlackS:       float64(rapid.IntRange(0, 3).Draw(t, "slack")),
+		SubmittedAt:  rapid.Int64Range(0, 3).Draw(t, "at"),
+		PendingTasks: rapid.IntRange(1, 60).Draw(t, "tasks"),
 	}
 })
 
 // startsBefore is the written order, spelled out.
-func startsBefore(a, b Displaced, order []Kind) bool {
+func startsBefore(a, b DisplacedJob, order []Kind) bool {
 	if a.Kind != b.Kind {
 		return slices.Index(order, a.Kind) < slices.Index(order, b.Kind)
 	}
@@ -42,9 +42,9 @@
 }
 
 // first returns the index of the job that no other one starts before.
-func first(jobs []Displaced, order []Kind) int {
-	return slices.IndexFunc(jobs, func(job Displaced) bool {
-		return !slices.ContainsFunc(jobs, func(other Displaced) bool {
+func first(jobs []DisplacedJob, order []Kind) int {
+	return slices.IndexFunc(jobs, func(job DisplacedJob) bool {
+		return !slices.ContainsFunc(jobs, func(other DisplacedJob) bool {
 			return other.Job != job.Job && startsBefore(other, job, order)
 		})
 	})
@@ -54,22 +54,22 @@
 // whole, and over any time no more than the pace, one second's worth and one job's excess.
 func TestOrderAndPaceAgreeWithPlainModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		id := func(d Displaced) string { return d.Job }
+		id := func(d DisplacedJob) string { return d.Job }
 		remaining := rapid.SliceOfNDistinct(drawDisplaced, 1, 20, id).Draw(t, "jobs")
 		order := rapid.Permutation(DefaultOrder()).Draw(t, "order")
 		tasksPerS := float64(rapid.IntRange(1, 50).Draw(t, "pace"))
-		var pace Pace
+		var pace Pacer
 		released, largest := 0, 0
 		began := 10 * clock.Second
 		for now := began; len(remaining) > 0; now += clock.Second / 2 {
-			Sort(remaining, order)
+			SortDisplaced(remaining, order)
 			for _, id := range pace.Release(remaining, now, tasksPerS) {
 				i := first(remaining, order)
 				if want := remaining[i].Job; id != want {
 					t.Fatalf("%s is released, want %s, which is first", id, want)
 				}
-				released += remaining[i].Tasks
-				largest = max(largest, remaining[i].Tasks)
+				released += remaining[i].PendingTasks
+				largest = max(largest, remaining[i].PendingTasks)
 				remaining = slices.Delete(remaining, i, i+1)
 			}
 			elapsed := (now - began).Seconds()
--- a/internal/recovery/pace.go
+++ b/internal/recovery/pace.go
@@ -2,9 +2,9 @@
 
 import "postpoint/internal/clock"
 
-// Pace is a token bucket that paces the start of displaced tasks. It holds a second's worth of
+// Pacer is a token bucket that paces the start of displaced tasks. It holds a second's worth of
 // tokens at most, so that a lull is followed by a burst of that size and no more.
-type Pace struct {
+type Pacer struct {
 	tokens   float64 // one for each task; negative after a job larger than what was left
 	filledAt clock.Micros
 }
@@ -12,20 +12,20 @@
 // Release returns which of the sorted jobs may start now: as many as the pace allows, in their
 // order. A job that is larger than what is left starts whole once it is the first, and is paid for
 // by the pause after it.
-func (p *Pace) Release(jobs []Displaced, now clock.Micros, tasksPerS float64) []string {
+func (p *Pacer) Release(jobs []DisplacedJob, now clock.Micros, tasksPerS float64) []string {
 	p.refill(now, tasksPerS)
 	var released []string
 	for _, job := range jobs {
 		if p.tokens <= 0 {
 			break
 		}
-		p.tokens -= float64(job.Tasks)
+		p.tokens -= float64(job.PendingTasks)
 		released = append(released, job.Job)
 	}
 	return released
 }
 
-func (p *Pace) refill(now clock.Micros, tasksPerS float64) {
+func (p *Pacer) refill(now clock.Micros, tasksPerS float64) {
 	capacity := tasksPerS // of one second
 	if p.filledAt == 0 {
 		p.tokens, p.filledAt = capacity, now
--- a/internal/recovery/record.go
+++ b/internal/recovery/record.go
@@ -34,7 +34,7 @@
 // Encode returns the record to store, given how far the time of day is ahead of the steady clock.
 func (z *Zone) Encode(ofDay clock.Micros) []byte {
 	return protocol.Encode(storedZone{
-		Number:     z.Number,
+		Number:     z.Losses,
 		Phase:      string(z.Phase),
 		SinceOfDay: int64(z.Since + ofDay),
 		Flaps:      z.Flaps,
@@ -57,7 +57,7 @@
 	return &Zone{
 		Name:   zone,
 		Phase:  phase,
-		Number: stored.Number,
+		Losses: stored.Number,
 		Since:  clock.Micros(stored.SinceOfDay) - ofDay,
 		Flaps:  stored.Flaps,
 	}, nil
--- a/internal/recovery/settings.go
+++ b/internal/recovery/settings.go
@@ -62,16 +62,16 @@
 
 // The kinds, in the order in which they start unless the file has another.
 const (
-	Services  Kind = "services"
-	Deadlines Kind = "deadlines" // jobs that can still end in time
-	Gangs     Kind = "gangs"
-	Arrays    Kind = "arrays"
-	Rest      Kind = "rest" // jobs whose service-level objectives are missed already
+	Services      Kind = "services"
+	Deadlines     Kind = "deadlines" // jobs that can still end in time
+	Gangs         Kind = "gangs"
+	Arrays        Kind = "arrays"
+	PastObjective Kind = "rest" // jobs whose service-level objectives are missed already
 )
 
 // DefaultOrder returns the order of kinds unless the file has another: what users notice first
 // comes first, what is too late anyway last.
-func DefaultOrder() []Kind { return []Kind{Services, Deadlines, Gangs, Arrays, Rest} }
+func DefaultOrder() []Kind { return []Kind{Services, Deadlines, Gangs, Arrays, PastObjective} }
 
 // The settings of an empty file.
 const (
--- a/internal/recovery/zone.go
+++ b/internal/recovery/zone.go
@@ -33,10 +33,10 @@
 type Zone struct {
 	Name  string
 	Phase Phase
-	// Number counts the zone's losses, over all leaders: records of displaced work carry it.
-	Number  int64
-	Since   clock.Micros // when the phase began
-	Reading Reading
+	// Losses counts the zone's losses, over all leaders: records of displaced work carry it.
+	Losses    int64
+	Since     clock.Micros // when the phase began
+	Diagnosis Diagnosis
 	// Flaps counts losses after the first. Each doubles the time that the next return has to last.
 	Flaps int
 	// wellSince is since when nearly all machines have been heard of, 0 if they aren't.
@@ -71,7 +71,7 @@
 // that this controller hears from no other zone either: then what it doesn't hear says nothing of
 // this one.
 func (z *Zone) Observe(now clock.Micros, e Evidence, isolated bool, s *Settings) (changed bool) {
-	z.Reading = Diagnose(e, isolated)
+	z.Diagnosis = Diagnose(e, isolated)
 	z.trackSilence(now, e)
 	before := z.Phase
 	switch action := s.Action(z.Name); {
@@ -133,7 +133,7 @@
 	switch {
 	case e.Heard > 0 && e.silentShare() < 1:
 		return Returning
-	case e.Machines == 0 && e.Reached > 0 && now >= z.Since+retryReachableDelay:
+	case e.Machines == 0 && e.ControllersReached > 0 && now >= z.Since+retryReachableDelay:
 		return Returning
 	case e.Machines == 0 && now >= z.Since+retryUnreachableDelay:
 		return Returning
@@ -183,14 +183,14 @@
 		z.Flaps++
 	case now > z.Since+flapMemory:
 		z.Flaps = 0
-	case z.Number > 0:
+	case z.Losses > 0:
 		z.Flaps++
 	}
-	z.Number++
+	z.Losses++
 }
 
-// Avoided reports whether nothing new is to go to the zone.
-func (z *Zone) Avoided() bool { return z.Phase != Healthy }
+// IsCordoned reports whether nothing new is to go to the zone.
+func (z *Zone) IsCordoned() bool { return z.Phase != Healthy }
 
-// Worth reports whether the phase has to outlive the leader.
-func (z *Zone) Worth() bool { return z.Phase == Lost || z.Phase == Returning }
+// ShouldPersist reports whether the phase has to outlive the leader.
+func (z *Zone) ShouldPersist() bool { return z.Phase == Lost || z.Phase == Returning }
--- a/internal/recovery/zone_test.go
+++ b/internal/recovery/zone_test.go
@@ -14,9 +14,9 @@
 func TestMain(m *testing.M) { rapidtest.Main(m, 500) }
 
 var (
-	well   = Evidence{Machines: 10, Heard: 10, Controllers: 1, Reached: 1}
+	well   = Evidence{Machines: 10, Heard: 10, Controllers: 1, ControllersReached: 1}
 	silent = Evidence{Machines: 10, Controllers: 1}
-	half   = Evidence{Machines: 10, Heard: 4, Controllers: 1, Reached: 1}
+	half   = Evidence{Machines: 10, Heard: 4, Controllers: 1, ControllersReached: 1}
 )
 
 // observedZone is a zone with the clock by which it is shown evidence.
@@ -53,7 +53,7 @@
 	}
 	noMachines := Evidence{Controllers: 1}
 	oneMachine := Evidence{Machines: 1}
-	controllerAnswers := Evidence{Controllers: 1, Reached: 1}
+	controllerAnswers := Evidence{Controllers: 1, ControllersReached: 1}
 	for name, c := range map[string]struct {
 		action Action
 		steps  []step
@@ -124,8 +124,8 @@
 			z.observeFor(clock.Micros(rapid.IntRange(1, 30).Draw(t, "silent"))*clock.Second, silent, false)
 			z.observeFor(clock.Micros(rapid.IntRange(1, 30).Draw(t, "well"))*clock.Second, well, false)
 		}
-		if most := int64(600 / s.LossDelayS); z.Number > most {
-			t.Fatalf("%d losses in ten minutes, want at most %d", z.Number, most)
+		if most := int64(600 / s.LossDelayS); z.Losses > most {
+			t.Fatalf("%d losses in ten minutes, want at most %d", z.Losses, most)
 		}
 		least := min(s.returnDelay()<<min(z.Flaps, maxDoublings), maxReturnDelay)
 		if got := z.currentReturnDelay(s); z.Flaps > 0 && got < least {
@@ -147,7 +147,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if next.Phase != Lost || next.Number != 1 || next.Since != z.Since-50*clock.Second {
+	if next.Phase != Lost || next.Losses != 1 || next.Since != z.Since-50*clock.Second {
 		t.Fatalf("%+v, want phase %s, number 1, since %v", next, Lost, z.Since-50*clock.Second)
 	}
 }
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -37,7 +37,7 @@
 		for key, value := range want {
 			goldentest.Equal(t, key, store.values[key], value)
 		}
-		if !status.Open || status.Cells != (format == FormatCells) {
+		if !status.Services || status.Cells != (format == FormatCells) {
 			t.Errorf("format %d: %+v", format, status)
 		}
 	}
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -48,8 +48,8 @@
 
 // Status is how far the rollout has come.
 type Status struct {
-	// Open reports whether all controllers read FormatServices.
-	Open bool
+	// Services reports whether all controllers read FormatServices.
+	Services bool
 	// Cells reports whether all controllers read FormatCells.
 	Cells bool
 	// Missing are the controllers that haven't published the format of this one.
@@ -57,7 +57,7 @@
 }
 
 func (s Status) equal(o Status) bool {
-	return s.Open == o.Open && s.Cells == o.Cells && slices.Equal(s.Missing, o.Missing)
+	return s.Services == o.Services && s.Cells == o.Cells && slices.Equal(s.Missing, o.Missing)
 }
 
 // publishedFormat is the value of both kinds of keys.
@@ -68,7 +68,7 @@
 // Rollout is the actor.
 type Rollout struct {
 	mailbox actor.Mailbox
-	store   statestore.ResultStore
+	store   statestore.Store
 	node    string
 	nodes   []string
 	format  Format
@@ -85,7 +85,7 @@
 // New returns the actor for one of the named nodes, which reads the given format. onPublished is
 // called once, when that format is published, and onStatus with every change of the status, both
 // from the mailbox.
-func New(m actor.Mailbox, s statestore.ResultStore, node string, nodes []string, format Format,
+func New(m actor.Mailbox, s statestore.Store, node string, nodes []string, format Format,
 	onPublished func(), onStatus func(Status)) *Rollout {
 	return &Rollout{mailbox: m, store: s, node: node, nodes: nodes, format: format,
 		onPublished: onPublished, onStatus: onStatus}
@@ -156,7 +156,7 @@
 
 // advance takes the next step: publish this node's format, open the gate, or wait.
 func (r *Rollout) advance(v view) {
-	r.noteStatus(Status{Open: v.gate() >= FormatServices, Cells: v.gate() >= FormatCells,
+	r.noteStatus(Status{Services: v.gate() >= FormatServices, Cells: v.gate() >= FormatCells,
 		Missing: r.missing(v)})
 	ownKey := nodePrefix + r.node
 	common := r.common(v)
@@ -185,7 +185,7 @@
 // noteStatus reports a changed status.
 func (r *Rollout) noteStatus(s Status) {
 	if !s.equal(r.status) {
-		if s.Open && !r.status.Open {
+		if s.Services && !r.status.Services {
 			slog.Info("all controllers read services and sharded records", "format", FormatServices)
 		}
 		if s.Cells && !r.status.Cells {
@@ -200,13 +200,13 @@
 // logMissing tells an operator now and then who is missing. The first time it is silent: an
 // upgrade takes a while.
 func (r *Rollout) logMissing(s Status) {
-	now := r.mailbox.Steady()
+	now := r.mailbox.Monotonic()
 	if len(s.Missing) == 0 || now <= r.missingLoggedAt+missingLogTime {
 		return
 	}
 	if r.missingLoggedAt != 0 {
 		features := "services and sharded records"
-		if s.Open {
+		if s.Services {
 			features = "cells"
 		}
 		slog.Info("controllers of an earlier version keep features disabled",
@@ -218,10 +218,10 @@
 // put writes one key and polls again, whatever became of it.
 func (r *Rollout) put(key string, format Format, v view) {
 	t := protocol.Txn{
-		Guards:  []protocol.Guard{{Key: key, Version: v.versions[key]}},
-		Changes: []protocol.Change{{Put: key, Value: protocol.Encode(publishedFormat{Format: format})}},
+		Conditions: []protocol.Condition{{Key: key, Version: v.versions[key]}},
+		Changes:    []protocol.Change{{Put: key, Value: protocol.Encode(publishedFormat{Format: format})}},
 	}
-	r.store.Commit(statestore.ForLeadership, t, func(result statestore.Result[statestore.Revision]) {
+	r.store.Commit(statestore.PriorityElection, t, func(result statestore.Result[statestore.Revision]) {
 		if result.Err == nil || errors.Is(result.Err, statestore.ErrConflict) {
 			r.poll()
 			return
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -12,7 +12,7 @@
 
 // memoryStore is a state service that responds at once, or is unavailable.
 type memoryStore struct {
-	statestore.ResultStore
+	statestore.Store
 	values map[string][]byte
 	down   bool
 	puts   []string
@@ -32,11 +32,11 @@
 	done(statestore.Result[protocol.ItemList]{Value: list})
 }
 
-func (s *memoryStore) Commit(_ statestore.Use, t protocol.Txn,
+func (s *memoryStore) Commit(_ statestore.Priority, t protocol.Txn,
 	done func(statestore.Result[statestore.Revision])) {
 	for _, c := range t.Changes {
 		_, exists := s.values[c.Put]
-		if len(t.Guards) != 1 || t.Guards[0].Key != c.Put || exists != (t.Guards[0].Version != 0) {
+		if len(t.Conditions) != 1 || t.Conditions[0].Key != c.Put || exists != (t.Conditions[0].Version != 0) {
 			conflict := &statestore.ConflictError{Keys: []string{c.Put}}
 			done(statestore.Result[statestore.Revision]{Err: conflict})
 			return
@@ -54,7 +54,7 @@
 	status    Status
 }
 
-func newController(store statestore.ResultStore, name string, all ...string) *controller {
+func newController(store statestore.Store, name string, all ...string) *controller {
 	c := &controller{}
 	c.rollout = New(&actortest.Still{}, store, name, all, FormatServices,
 		func() { c.published = true }, func(s Status) { c.status = s })
@@ -72,7 +72,7 @@
 	a.poll()
 	b.poll()
 	a.poll()
-	if !a.published || a.status.Open || !slices.Equal(a.status.Missing, []string{"c"}) {
+	if !a.published || a.status.Services || !slices.Equal(a.status.Missing, []string{"c"}) {
 		t.Fatalf("published %v, status %+v; expected a closed gate for want of c", a.published, a.status)
 	}
 	if store.puts[0] != "rollout/node/a" {
@@ -82,12 +82,12 @@
 	c := newController(store, "c", all...)
 	c.poll()
 	b.poll()
-	if !c.status.Open || !b.status.Open || len(b.status.Missing) > 0 {
+	if !c.status.Services || !b.status.Services || len(b.status.Missing) > 0 {
 		t.Fatalf("c: %+v, b: %+v; expected an open gate for both", c.status, b.status)
 	}
 	late := newController(store, "a", all...)
 	late.poll()
-	if !late.status.Open || !late.published {
+	if !late.status.Services || !late.published {
 		t.Fatalf("published %v, status %+v; expected an open gate for a node that starts late",
 			late.published, late.status)
 	}
@@ -102,12 +102,12 @@
 	store := &memoryStore{values: map[string][]byte{"rollout/node/b": {0xc1}}, down: true}
 	a := newController(store, "a", "a", "b")
 	a.poll()
-	if a.published || a.status.Open {
+	if a.published || a.status.Services {
 		t.Fatalf("published %v, status %+v; expected neither during the outage", a.published, a.status)
 	}
 	store.down = false
 	a.poll()
-	if !a.published || a.status.Open || !slices.Equal(a.status.Missing, []string{"b"}) {
+	if !a.published || a.status.Services || !slices.Equal(a.status.Missing, []string{"b"}) {
 		t.Fatalf("published %v, status %+v; expected a closed gate for want of b", a.published, a.status)
 	}
 }
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -30,20 +30,20 @@
 		Domain:       "a",
 		Bind:         "10.0.0.1:8080",
 		InternalAddr: "10.0.0.1:8081",
-		Known:        []Peer{{Node: "worker-1", Domain: "b", PeerAddr: "10.0.0.2:8081"}},
-		Outside:      Outside{Cloud: "10.2.0.2:8443", State: "10.2.0.1:2379"},
+		Peers:        []Peer{{Node: "worker-1", Domain: "b", PeerAddr: "10.0.0.2:8081"}},
+		Endpoints:    Endpoints{Cloud: "10.2.0.2:8443", KVStore: "10.2.0.1:2379"},
 		Deployment: Deployment{
 			InitialSize: 3,
 			Zones:       []string{"a", "b"},
 			Teams:       []Team{{Name: "t", Cpus: 2, CpusMax: 6, Gpus: 4, GpusMax: 12}},
 			Objectives:  []Objective{{Kind: "deadline", Class: "c", WithinS: 5, Share: 0.85, Times: 1.5}},
-			Workers:     Workers{ReportS: 2.5, LeaseS: 16, GangWaitS: 40, GangPeerS: 5, CancelS: 36},
-			State: State{
+			Workers:     Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 40, GangPeerS: 5, CancelS: 36},
+			KVStore: KVStore{
 				Rps:      100,
 				WriteRps: 30,
 				ValueKb:  32,
 				TxnOps:   12,
-				Next: &NextState{
+				Next: &NextKVStore{
 					Rps:      pointerTo(90.0),
 					WriteRps: pointerTo(20.5),
 					ValueKb:  pointerTo(16.0),
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -41,7 +41,7 @@
 
 // checkPeers refuses a node that knows itself as another one.
 func (s *Settings) checkPeers() error {
-	for _, peer := range s.Known {
+	for _, peer := range s.Peers {
 		if peer.Node == s.Node {
 			return configfile.Invalid("known", peer.Node, "is this node itself")
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -15,8 +15,8 @@
 	Domain       string     `json:"domain" validate:"required,max=100"`
 	Bind         string     `json:"bind" validate:"required,ipv4port"`
 	InternalAddr string     `json:"internal_addr" validate:"required,ipv4port"`
-	Known        []Peer     `json:"known" validate:"dive"`
-	Outside      Outside    `json:"outside"`
+	Peers        []Peer     `json:"known" validate:"dive"`
+	Endpoints    Endpoints  `json:"outside"`
 	Deployment   Deployment `json:"deployment"`
 }
 
@@ -27,10 +27,10 @@
 	PeerAddr string `json:"peer_addr" validate:"required,ipv4port"`
 }
 
-// Outside has the addresses of the systems that controllers use.
-type Outside struct {
-	Cloud string `json:"cloud" validate:"required,ipv4port"`
-	State string `json:"state" validate:"required,ipv4port"`
+// Endpoints has the addresses of the systems that controllers use.
+type Endpoints struct {
+	Cloud   string `json:"cloud" validate:"required,ipv4port"`
+	KVStore string `json:"state" validate:"required,ipv4port"`
 }
 
 // Deployment is what all controllers of a deployment have in common.
@@ -40,7 +40,7 @@
 	Teams         []Team        `json:"teams" validate:"required,min=1,dive"`
 	Objectives    []Objective   `json:"objectives" validate:"dive"`
 	Workers       Workers       `json:"workers"`
-	State         State         `json:"state"`
+	KVStore       KVStore       `json:"state"`
 	Cloud         Cloud         `json:"cloud"`
 	MachineLimits MachineLimits `json:"machine_limits"`
 	ClockErrorMs  float64       `json:"clock_error_ms" validate:"gte=0"`
@@ -67,25 +67,25 @@
 
 // Workers has the times by which machines and their tasks are run.
 type Workers struct {
-	ReportS   float64 `json:"report_s" validate:"gt=0"`
-	LeaseS    float64 `json:"lease_s" validate:"gt=0"`
-	GangWaitS float64 `json:"gang_wait_s" validate:"gt=0"`
-	GangPeerS float64 `json:"gang_peer_s" validate:"gt=0"`
-	CancelS   float64 `json:"cancel_s" validate:"gtfield=LeaseS"`
+	HeartbeatS float64 `json:"report_s" validate:"gt=0"`
+	LeaseS     float64 `json:"lease_s" validate:"gt=0"`
+	GangWaitS  float64 `json:"gang_wait_s" validate:"gt=0"`
+	GangPeerS  float64 `json:"gang_peer_s" validate:"gt=0"`
+	CancelS    float64 `json:"cancel_s" validate:"gtfield=LeaseS"`
 }
 
-// State has the limits of the state service, shared by all controllers.
-type State struct {
+// KVStore has the limits of the state service, shared by all controllers.
+type KVStore struct {
 	Rps      float64 `json:"rps" validate:"gt=0"`
 	WriteRps float64 `json:"write_rps" validate:"gt=0"`
 	ValueKb  float64 `json:"value_kb" validate:"gte=2"`
 	TxnOps   int     `json:"txn_ops" validate:"gte=1"`
 	// Next are limits that the service may change to at any time, without notice.
-	Next *NextState `json:"next"`
+	Next *NextKVStore `json:"next"`
 }
 
-// NextState has the announced limits; what it leaves out does not change.
-type NextState struct {
+// NextKVStore has the announced limits; what it leaves out does not change.
+type NextKVStore struct {
 	Rps      *float64 `json:"rps" validate:"omitnil,gt=0"`
 	WriteRps *float64 `json:"write_rps" validate:"omitnil,gt=0"`
 	ValueKb  *float64 `json:"value_kb" validate:"omitnil,gte=2"`
@@ -108,7 +108,7 @@
 // Nodes returns the names of all controllers of the deployment, this one's first.
 func (s *Settings) Nodes() []string {
 	names := []string{s.Node}
-	for _, peer := range s.Known {
+	for _, peer := range s.Peers {
 		names = append(names, peer.Node)
 	}
 	return names
@@ -127,8 +127,8 @@
 // Lease returns how long a worker keeps its tasks after the last heartbeat that was answered.
 func (w Workers) Lease() clock.Micros { return clock.FromSeconds(w.LeaseS) }
 
-// Report returns the mean time between two heartbeats of a worker.
-func (w Workers) Report() clock.Micros { return clock.FromSeconds(w.ReportS) }
+// HeartbeatInterval returns the mean time between two heartbeats of a worker.
+func (w Workers) HeartbeatInterval() clock.Micros { return clock.FromSeconds(w.HeartbeatS) }
 
 // GangPeer returns the time within which the tasks of a gang notice the loss of one of them.
 func (w Workers) GangPeer() clock.Micros { return clock.FromSeconds(w.GangPeerS) }
@@ -136,10 +136,10 @@
 // keepAliveMargin covers the drift of clocks and responses under way.
 const keepAliveMargin = clock.Second
 
-// KeepAlive returns how long a leader may go on answering workers after the moment up to which it
+// RenewalWindow returns how long a leader may go on answering workers after the moment up to which it
 // knows every cancellation: one confirmed elsewhere right then still sees every worker's lease
 // expire within cancel_s. See docs/rules.md.
-func (w Workers) KeepAlive() clock.Micros {
+func (w Workers) RenewalWindow() clock.Micros {
 	return clock.FromSeconds(w.CancelS-w.LeaseS) - keepAliveMargin
 }
 
@@ -147,10 +147,10 @@
 const bytesPerKb = 1024
 
 // ValueBytes returns the largest value that may be stored, in bytes of its JSON form.
-func (s State) ValueBytes() int { return int(s.ValueKb * bytesPerKb) }
+func (s KVStore) ValueBytes() int { return int(s.ValueKb * bytesPerKb) }
 
 // Tightest returns the limits that hold whether or not the announced ones have come into force.
-func (s State) Tightest() State {
+func (s KVStore) Tightest() KVStore {
 	next := s.Next
 	s.Next = nil
 	if next == nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -63,7 +63,7 @@
 
 // Announced limits count where they are tighter; what they leave out stays.
 func TestTightestTakesTheLowerLimits(t *testing.T) {
-	for next, want := range map[string]State{
+	for next, want := range map[string]KVStore{
 		`null`: {Rps: 100, WriteRps: 30, ValueKb: 32, TxnOps: 12},
 		`{}`:   {Rps: 100, WriteRps: 30, ValueKb: 32, TxnOps: 12},
 		`{"write_rps":21,"value_kb":2,"txn_ops":4}`: {Rps: 100, WriteRps: 21, ValueKb: 2, TxnOps: 4},
@@ -73,7 +73,7 @@
 		if err != nil {
 			t.Fatalf("next %s: %v", next, err)
 		}
-		if got := s.Deployment.State.Tightest(); got != want {
+		if got := s.Deployment.KVStore.Tightest(); got != want {
 			t.Errorf("next %s: tightest limits %+v, want %+v", next, got, want)
 		}
 	}
--- a/internal/spill/greedy.go
+++ b/internal/spill/greedy.go
@@ -9,8 +9,8 @@
 
 // remainder is what an allocation leaves.
 type remainder struct {
-	pools []planner.Amounts
-	hosts []planner.Amounts
+	pools []planner.Resources
+	hosts []planner.Resources
 	tasks []int // of each job
 }
 
@@ -21,8 +21,8 @@
 		r.pools = append(r.pools, pool.room)
 	}
 	for _, host := range p.hosts {
-		room := host.Load.Room
-		room.MemoryGB = planner.PlentyGB
+		room := host.Load.QuotaLeft
+		room.MemoryGB = planner.UnlimitedMemoryGB
 		r.hosts = append(r.hosts, room)
 	}
 	for _, w := range p.work {
@@ -38,7 +38,7 @@
 func (p *problem) take(r *remainder, i, n int) {
 	o := p.options[i]
 	host := p.pools[o.pool].host
-	needs := planner.Needs(p.work[o.work].Spec).Times(float64(n))
+	needs := planner.TaskResources(p.work[o.work].Spec).Times(float64(n))
 	r.pools[o.pool] = r.pools[o.pool].Minus(needs)
 	r.hosts[host] = r.hosts[host].Minus(needs)
 	r.tasks[o.work] -= n
@@ -48,11 +48,11 @@
 func (p *problem) fits(r *remainder, i int) int {
 	o := p.options[i]
 	w := &p.work[o.work]
-	needs := planner.Needs(w.Spec)
-	inPool := needs.Count(r.pools[o.pool])
-	inHost := needs.Count(r.hosts[p.pools[o.pool].host])
+	needs := planner.TaskResources(w.Spec)
+	inPool := needs.CopiesIn(r.pools[o.pool])
+	inHost := needs.CopiesIn(r.hosts[p.pools[o.pool].host])
 	n := max(0, min(r.tasks[o.work], inPool, inHost))
-	if w.Whole && n < w.Tasks {
+	if w.AllOrNothing && n < w.Tasks {
 		return 0
 	}
 	return n
--- a/internal/spill/plan.go
+++ b/internal/spill/plan.go
@@ -18,16 +18,16 @@
 	"postpoint/internal/protocol"
 )
 
-// Work is one job whose tasks wait and may be offloaded.
-type Work struct {
+// Candidate is one job whose tasks wait and may be offloaded.
+type Candidate struct {
 	Job   string
 	Spec  *protocol.JobSpec
 	Tasks int
-	// Whole jobs go to one cell with all of their tasks or not at all.
-	Whole bool
-	// HomeS is how long, in seconds, it is expected to wait in its origin cell.
-	HomeS float64
-	To    []string // cells that may host it
+	// AllOrNothing jobs go to one cell with all of their tasks or not at all.
+	AllOrNothing bool
+	// OriginWaitS is how long, in seconds, it is expected to wait in its origin cell.
+	OriginWaitS float64
+	Hosts       []string // cells that may host it
 }
 
 // Host is another cell that may host jobs.
@@ -36,10 +36,10 @@
 	Load delegation.Load
 }
 
-// Choice assigns some of a job's tasks to a host cell.
-type Choice struct {
+// Assignment assigns some of a job's tasks to a host cell.
+type Assignment struct {
 	Job   string
-	Cell  string
+	Host  string
 	Tasks int
 }
 
@@ -51,7 +51,7 @@
 
 // Plan decides what is offloaded. Work is given in the order of its importance, of which only the
 // first few jobs that gain by going anywhere are looked at; the rest waits for the next decision.
-func Plan(work []Work, hosts []Host) []Choice {
+func Plan(work []Candidate, hosts []Host) []Assignment {
 	p := newProblem(work, hosts[:min(len(hosts), maxHosts)])
 	if len(p.options) == 0 {
 		return nil
@@ -66,15 +66,15 @@
 }
 
 // choices adds up the pools of each cell.
-func (p *problem) choices(a allocation) []Choice {
-	var all []Choice
+func (p *problem) choices(a allocation) []Assignment {
+	var all []Assignment
 	for i, n := range a {
 		if n == 0 {
 			continue
 		}
 		o := p.options[i]
-		c := Choice{Job: p.work[o.work].Job, Cell: p.hosts[p.pools[o.pool].host].Name, Tasks: n}
-		at := slices.IndexFunc(all, func(x Choice) bool { return x.Job == c.Job && x.Cell == c.Cell })
+		c := Assignment{Job: p.work[o.work].Job, Host: p.hosts[p.pools[o.pool].host].Name, Tasks: n}
+		at := slices.IndexFunc(all, func(x Assignment) bool { return x.Job == c.Job && x.Host == c.Host })
 		if at < 0 {
 			all = append(all, c)
 			continue
--- a/internal/spill/plan_test.go
+++ b/internal/spill/plan_test.go
@@ -17,7 +17,7 @@
 func TestMain(m *testing.M) { rapidtest.Main(m, 600) }
 
 // host is a cell with one machine type.
-func host(name string, room, free planner.Amounts) Host {
+func host(name string, room, free planner.Resources) Host {
 	small := protocol.MachineType{
 		Name:        "small",
 		Cpus:        8,
@@ -28,12 +28,12 @@
 		Zones:       []string{"a"},
 	}
 	types := []delegation.TypeLoad{{Type: small, Free: free}}
-	return Host{Name: name, Load: delegation.Load{Room: room, Types: types}}
+	return Host{Name: name, Load: delegation.Load{QuotaLeft: room, Types: types}}
 }
 
-func work(job string, tasks int, cpus, gpus, originS float64, to ...string) Work {
+func work(job string, tasks int, cpus, gpus, originS float64, to ...string) Candidate {
 	spec := &protocol.JobSpec{ID: job, Cpus: cpus, Gpus: gpus, MemoryGB: 1, ImageGB: 2}
-	return Work{Job: job, Tasks: tasks, HomeS: originS, To: to, Spec: spec}
+	return Candidate{Job: job, Tasks: tasks, OriginWaitS: originS, Hosts: to, Spec: spec}
 }
 
 // bestGain tries every number of tasks for every option from i on.
@@ -44,7 +44,7 @@
 	most := 0.0
 	r := p.remainderAfter(a)
 	for n := p.fits(&r, i); n >= 0; n-- {
-		if w := &p.work[p.options[i].work]; w.Whole && n != 0 && n != w.Tasks {
+		if w := &p.work[p.options[i].work]; w.AllOrNothing && n != 0 && n != w.Tasks {
 			continue
 		}
 		a[i] = n
@@ -61,22 +61,22 @@
 var drawProblem = rapid.Custom(func(t *rapid.T) *problem {
 	var hosts []Host
 	for i := range rapid.IntRange(1, 2).Draw(t, "hosts") {
-		room := planner.Amounts{Cpus: drawAmount(t, "cpus", 12), Gpus: drawAmount(t, "gpus", 4)}
-		free := planner.Amounts{
+		room := planner.Resources{Cpus: drawAmount(t, "cpus", 12), Gpus: drawAmount(t, "gpus", 4)}
+		free := planner.Resources{
 			Cpus:     drawAmount(t, "free cpus", 6),
 			Gpus:     drawAmount(t, "free gpus", 2),
 			MemoryGB: 6,
 		}
 		hosts = append(hosts, host(fmt.Sprint(i), room, free))
 	}
-	var jobs []Work
+	var jobs []Candidate
 	for i := range rapid.IntRange(1, 3).Draw(t, "jobs") {
 		tasks := rapid.IntRange(1, 3).Draw(t, "tasks")
 		cpus := drawAmount(t, "cpus", 4) + 1
 		gpus := drawAmount(t, "gpus", 1)
 		originS := 20 + drawAmount(t, "wait in the origin cell", 60)
 		w := work(fmt.Sprint(i), tasks, cpus, gpus, originS, "0", "1")
-		w.Whole = rapid.Bool().Draw(t, "whole")
+		w.AllOrNothing = rapid.Bool().Draw(t, "whole")
 		jobs = append(jobs, w)
 	}
 	return newProblem(jobs, hosts)
@@ -120,8 +120,8 @@
 
 func (p *problem) requireWithinBounds(t *rapid.T, a allocation) {
 	for i, n := range a {
-		if w := &p.work[p.options[i].work]; n < 0 || w.Whole && n != 0 && n != w.Tasks {
-			t.Fatalf("%d of %d tasks of %s in one pool, whole job: %v", n, w.Tasks, w.Job, w.Whole)
+		if w := &p.work[p.options[i].work]; n < 0 || w.AllOrNothing && n != 0 && n != w.Tasks {
+			t.Fatalf("%d of %d tasks of %s in one pool, whole job: %v", n, w.Tasks, w.Job, w.AllOrNothing)
 		}
 	}
 	r := p.remainderAfter(a)
@@ -140,18 +140,18 @@
 // Work stays that gains nothing, or may only go to a cell that is short itself, that has no type for
 // it, or that the rule doesn't name.
 func TestPlanLeavesWorkThatGainsNothing(t *testing.T) {
-	plenty := planner.Amounts{Cpus: 100, Gpus: 10}
-	ready := host("beta", plenty, planner.Amounts{})
+	plenty := planner.Resources{Cpus: 100, Gpus: 10}
+	ready := host("beta", plenty, planner.Resources{})
 	short := ready
-	short.Load.Short = clock.Second
+	short.Load.OwnWait = clock.Second
 	soldOut := ready
 	soldOut.Load.Types = []delegation.TypeLoad{ready.Load.Types[0]}
-	soldOut.Load.Types[0].Refused = true
+	soldOut.Load.Types[0].SoldOut = true
 	ordinary := work("job-1", 2, 2, 0, 100, "beta")
 	inOtherZone := work("job-1", 2, 2, 0, 100, "beta")
 	inOtherZone.Spec.Zone = "somewhere"
 	for name, c := range map[string]struct {
-		work  Work
+		work  Candidate
 		host  Host
 		tasks int
 	}{
@@ -164,7 +164,7 @@
 		"no such zone":    {inOtherZone, ready, 0},
 	} {
 		tasks := 0
-		for _, choice := range Plan([]Work{c.work}, []Host{c.host}) {
+		for _, choice := range Plan([]Candidate{c.work}, []Host{c.host}) {
 			tasks += choice.Tasks
 		}
 		if tasks != c.tasks {
@@ -175,15 +175,15 @@
 
 // BenchmarkPlan is the largest decision that there is: it bounds the leader's time.
 func BenchmarkPlan(b *testing.B) {
-	var jobs []Work
+	var jobs []Candidate
 	var hosts []Host
 	for i := range 20 {
 		name := fmt.Sprintf("job-%d", i)
 		originS := 60 + float64(3*i)
 		jobs = append(jobs, work(name, 50+7*i, float64(1+i%5), float64(i%2), originS, "0", "1", "2", "3"))
 	}
-	room := planner.Amounts{Cpus: 200, Gpus: 20}
-	free := planner.Amounts{Cpus: 40, Gpus: 4, MemoryGB: 100}
+	room := planner.Resources{Cpus: 200, Gpus: 20}
+	free := planner.Resources{Cpus: 40, Gpus: 4, MemoryGB: 100}
 	for i := range 4 {
 		hosts = append(hosts, host(fmt.Sprint(i), room, free))
 	}
--- a/internal/spill/problem.go
+++ b/internal/spill/problem.go
@@ -26,7 +26,7 @@
 
 // problem is the assignment problem of one decision.
 type problem struct {
-	work    []Work // that may go somewhere
+	work    []Candidate // that may go somewhere
 	hosts   []Host
 	pools   []pool
 	options []option
@@ -36,7 +36,7 @@
 type pool struct {
 	host int // its index
 	up   bool
-	room planner.Amounts
+	room planner.Resources
 	// delayS is what it counts less, in seconds.
 	delayS float64
 }
@@ -52,7 +52,7 @@
 
 func (p *problem) empty() allocation { return make(allocation, len(p.options)) }
 
-func newProblem(work []Work, hosts []Host) *problem {
+func newProblem(work []Candidate, hosts []Host) *problem {
 	p := &problem{hosts: hosts}
 	for host := range hosts {
 		p.pools = append(p.pools, poolsOf(host, &hosts[host].Load)...)
@@ -71,12 +71,12 @@
 
 // poolsOf divides what a host cell has into what is up and two halves of what it would rent.
 func poolsOf(host int, load *delegation.Load) []pool {
-	free := planner.Amounts{}
+	free := planner.Resources{}
 	for _, t := range load.Types {
 		free = free.Plus(t.Free)
 	}
-	half := load.Room.Times(0.5)
-	half.MemoryGB = planner.PlentyGB // operators bound what others use by processors only
+	half := load.QuotaLeft.Times(0.5)
+	half.MemoryGB = planner.UnlimitedMemoryGB // operators bound what others use by processors only
 	return []pool{
 		{host: host, up: true, room: free},
 		{host: host, room: half},
@@ -85,7 +85,7 @@
 }
 
 // optionsOf returns the pools in which a job gains, as the next job of the problem.
-func (p *problem) optionsOf(w *Work) []option {
+func (p *problem) optionsOf(w *Candidate) []option {
 	var options []option
 	for i := range p.pools {
 		if gainS, ok := p.gainIn(w, &p.pools[i]); ok {
@@ -97,9 +97,9 @@
 
 // gainIn returns what each task of a job gains in a pool, in seconds. The result is false if it may
 // not go there or gains too little.
-func (p *problem) gainIn(w *Work, in *pool) (gainS float64, ok bool) {
+func (p *problem) gainIn(w *Candidate, in *pool) (gainS float64, ok bool) {
 	host := &p.hosts[in.host]
-	if !slices.Contains(w.To, host.Name) || host.Load.Short > 0 {
+	if !slices.Contains(w.Hosts, host.Name) || host.Load.OwnWait > 0 {
 		return 0, false
 	}
 	startS := math.Inf(1)
@@ -108,20 +108,20 @@
 			startS = min(startS, s)
 		}
 	}
-	gainS = w.HomeS - startS - in.delayS - transferS - returnS - marginS
+	gainS = w.OriginWaitS - startS - in.delayS - transferS - returnS - marginS
 	return gainS, gainS > 0
 }
 
 // startDelayS returns after how many seconds a machine of a type can start a task: one that is up, or
 // one that is rented for it. The result is false if the task may not use the type or doesn't fit.
 func startDelayS(spec *protocol.JobSpec, t *delegation.TypeLoad, up bool) (delayS float64, ok bool) {
-	needs := planner.Needs(spec)
-	whole := planner.Amounts{Cpus: t.Type.Cpus, Gpus: t.Type.Gpus, MemoryGB: t.Type.MemoryGB}
-	allowedIn := func(zone string) bool { return planner.Allowed(spec, t.Type.Name, zone, false) }
-	if !needs.Fits(whole) || !slices.ContainsFunc(t.Type.Zones, allowedIn) {
+	needs := planner.TaskResources(spec)
+	whole := planner.Resources{Cpus: t.Type.Cpus, Gpus: t.Type.Gpus, MemoryGB: t.Type.MemoryGB}
+	allowedIn := func(zone string) bool { return planner.MachineAllowed(spec, t.Type.Name, zone, false) }
+	if !needs.FitsIn(whole) || !slices.ContainsFunc(t.Type.Zones, allowedIn) {
 		return 0, false
 	}
-	if up && !needs.Fits(t.Free) || !up && t.Refused {
+	if up && !needs.FitsIn(t.Free) || !up && t.SoldOut {
 		return 0, false
 	}
 	if !up {
--- a/internal/spill/relax.go
+++ b/internal/spill/relax.go
@@ -68,11 +68,11 @@
 }
 
 // amount is one of the amounts that tasks need.
-type amount func(planner.Amounts) float64
+type amount func(planner.Resources) float64
 
-func cpus(a planner.Amounts) float64     { return a.Cpus }
-func gpus(a planner.Amounts) float64     { return a.Gpus }
-func memoryGB(a planner.Amounts) float64 { return a.MemoryGB }
+func cpus(a planner.Resources) float64     { return a.Cpus }
+func gpus(a planner.Resources) float64     { return a.Gpus }
+func memoryGB(a planner.Resources) float64 { return a.MemoryGB }
 
 // appendTaskConstraints bounds the tasks of each job by those that wait.
 func (p *problem) appendTaskConstraints(rows []constraint) []constraint {
@@ -95,7 +95,7 @@
 				if o.pool != i {
 					return 0
 				}
-				return of(planner.Needs(p.work[o.work].Spec))
+				return of(planner.TaskResources(p.work[o.work].Spec))
 			})
 		}
 	}
@@ -106,11 +106,11 @@
 func (p *problem) appendHostConstraints(rows []constraint) []constraint {
 	for _, of := range []amount{cpus, gpus} {
 		for host := range p.hosts {
-			rows = p.appendConstraint(rows, of(p.hosts[host].Load.Room), func(o option) float64 {
+			rows = p.appendConstraint(rows, of(p.hosts[host].Load.QuotaLeft), func(o option) float64 {
 				if p.pools[o.pool].host != host {
 					return 0
 				}
-				return of(planner.Needs(p.work[o.work].Spec))
+				return of(planner.TaskResources(p.work[o.work].Spec))
 			})
 		}
 	}
@@ -137,7 +137,7 @@
 	r := p.remainderAfter(a)
 	for i, x := range relaxed {
 		n := int(math.Floor(x + roundTolerance))
-		if w := &p.work[p.options[i].work]; w.Whole && n < w.Tasks {
+		if w := &p.work[p.options[i].work]; w.AllOrNothing && n < w.Tasks {
 			continue
 		}
 		n = min(n, p.fits(&r, i))
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -73,7 +73,7 @@
 }
 
 // New returns the process's client of the service at an address.
-func New(addr string, s settings.State) *Client {
+func New(addr string, s settings.KVStore) *Client {
 	return &Client{
 		base:          "http://" + addr,
 		calls:         transport.New(callConnections),
@@ -91,8 +91,8 @@
 	return rate.NewLimiter(rate.Limit(perSecond*share), max(1, int(perSecond*share)))
 }
 
-// Results returns the store whose results arrive in the given mailbox.
-func (c *Client) Results(m actor.Mailbox) ResultStore { return &bound{c, m} }
+// For returns the store whose results arrive in the given mailbox.
+func (c *Client) For(m actor.Mailbox) Store { return &bound{c, m} }
 
 // bound is the store of one actor.
 type bound struct {
@@ -129,7 +129,7 @@
 		r.Err = transport.NoResponse(malformed)
 		return r
 	}
-	details, _ := any(message).(protocol.TxnAnswer)
+	details, _ := any(message).(protocol.TxnResponse)
 	r.Err = Failure(op, response.Status, details)
 	return r
 }
@@ -178,9 +178,9 @@
 }
 
 // admitCommit waits for the limits of a transaction with n changes.
-func (c *Client) admitCommit(priority Use, n int) error {
+func (c *Client) admitCommit(priority Priority, n int) error {
 	patience := userPatience
-	if priority == ForLeader {
+	if priority == PriorityLeader {
 		patience = leaderPatience
 		if err := c.admit(c.leaderChanges, n, patience); err != nil {
 			return err
@@ -221,11 +221,11 @@
 	send(b, OpList, b.read("/kv?"+q.Encode(), callTimeout), unchanged, done)
 }
 
-func (b *bound) Commit(priority Use, t protocol.Txn, done func(Result[Revision])) {
+func (b *bound) Commit(priority Priority, t protocol.Txn, done func(Result[Revision])) {
 	body := protocol.Encode(t)
 	commit := func() (transport.Response, error) {
 		pool := b.election
-		if priority != ForLeadership {
+		if priority != PriorityElection {
 			if err := b.admitCommit(priority, len(t.Changes)); err != nil {
 				return transport.Response{}, err
 			}
@@ -233,12 +233,12 @@
 		}
 		return b.do(pool, http.MethodPost, "/multi", body, callTimeout)
 	}
-	revision := func(a protocol.TxnAnswer) Revision { return Revision(a.Revision) }
+	revision := func(a protocol.TxnResponse) Revision { return Revision(a.Revision) }
 	send(b, OpCommit, commit, revision, done)
 }
 
 func (b *bound) Follow(prefix string, from Revision, wait clock.Micros,
-	done func(Result[protocol.FollowAnswer])) {
+	done func(Result[protocol.WatchResponse])) {
 	q := url.Values{
 		"Prefix":  {prefix},
 		"From":    {fmt.Sprint(int64(from))},
@@ -257,12 +257,12 @@
 	grant := func() (transport.Response, error) {
 		return b.do(b.election, http.MethodPost, "/leases", body, renewTimeout)
 	}
-	send(b, OpGrant, grant, func(a protocol.LeaseAnswer) LeaseID { return LeaseID(a.Lease) }, done)
+	send(b, OpGrant, grant, func(a protocol.LeaseResponse) LeaseID { return LeaseID(a.Lease) }, done)
 }
 
 func (b *bound) Renew(lease LeaseID, done func(err error)) {
 	renew := func() (transport.Response, error) {
 		return b.do(b.election, http.MethodPost, fmt.Sprintf("/leases/%d/touch", lease), nil, renewTimeout)
 	}
-	send(b, OpRenew, renew, unchanged, func(r Result[protocol.LeaseAnswer]) { done(r.Err) })
+	send(b, OpRenew, renew, unchanged, func(r Result[protocol.LeaseResponse]) { done(r.Err) })
 }
--- a/internal/statestore/client_test.go
+++ b/internal/statestore/client_test.go
@@ -16,10 +16,10 @@
 )
 
 // ampleLimits never throttle a test.
-var ampleLimits = settings.State{Rps: 1e6, WriteRps: 1e6, ValueKb: 8, TxnOps: 12}
+var ampleLimits = settings.KVStore{Rps: 1e6, WriteRps: 1e6, ValueKb: 8, TxnOps: 12}
 
 // newServedStore returns a store of a service that responds to every request as the test says.
-func newServedStore(t *testing.T, limits settings.State, status int,
+func newServedStore(t *testing.T, limits settings.KVStore, status int,
 	body []byte) (*Client, actortest.Instant) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -32,17 +32,17 @@
 }
 
 // requests has one request of each operation; each returns the outcome.
-var requests = map[string]func(ResultStore, func(error)){
-	"get":  func(s ResultStore, done func(error)) { s.Get("a/b", errOnly[protocol.Item](done)) },
-	"list": func(s ResultStore, done func(error)) { s.List("a/", "", errOnly[protocol.ItemList](done)) },
-	"commit": func(s ResultStore, done func(error)) {
-		s.Commit(ForUser, protocol.Txn{}, errOnly[Revision](done))
+var requests = map[string]func(Store, func(error)){
+	"get":  func(s Store, done func(error)) { s.Get("a/b", errOnly[protocol.Item](done)) },
+	"list": func(s Store, done func(error)) { s.List("a/", "", errOnly[protocol.ItemList](done)) },
+	"commit": func(s Store, done func(error)) {
+		s.Commit(PriorityUser, protocol.Txn{}, errOnly[Revision](done))
 	},
-	"follow": func(s ResultStore, done func(error)) {
-		s.Follow("a/", 1, 0, errOnly[protocol.FollowAnswer](done))
+	"follow": func(s Store, done func(error)) {
+		s.Follow("a/", 1, 0, errOnly[protocol.WatchResponse](done))
 	},
-	"grant": func(s ResultStore, done func(error)) { s.Grant(clock.Second, errOnly[LeaseID](done)) },
-	"renew": func(s ResultStore, done func(error)) { s.Renew(7, done) },
+	"grant": func(s Store, done func(error)) { s.Grant(clock.Second, errOnly[LeaseID](done)) },
+	"renew": func(s Store, done func(error)) { s.Renew(7, done) },
 }
 
 func errOnly[T any](done func(error)) func(Result[T]) { return func(r Result[T]) { done(r.Err) } }
@@ -84,7 +84,7 @@
 				wanted = errs[""]
 			}
 			var got error
-			request(client.Results(box), func(err error) { got = err })
+			request(client.For(box), func(err error) { got = err })
 			(<-box.Messages)()
 			if !errors.Is(got, wanted) {
 				t.Errorf("%s with status %d: %v, expected %v", operation, status, got, wanted)
@@ -101,7 +101,7 @@
 	client, box := newServedStore(t, ampleLimits, http.StatusOK, []byte{0xc1})
 	for operation, request := range requests {
 		var got error
-		request(client.Results(box), func(err error) { got = err })
+		request(client.For(box), func(err error) { got = err })
 		(<-box.Messages)()
 		if !errors.Is(got, ErrNoResponse) || !OutcomeUnknown(got) || responseStatus(got) != 0 {
 			t.Errorf("%s: %v with status %d, expected an unknown outcome", operation, got,
@@ -113,7 +113,7 @@
 func TestGarbageAfterFailureKeepsStatus(t *testing.T) {
 	client, box := newServedStore(t, ampleLimits, http.StatusConflict, []byte("<html>"))
 	var got error
-	client.Results(box).Commit(ForUser, protocol.Txn{}, errOnly[Revision](func(err error) { got = err }))
+	client.For(box).Commit(PriorityUser, protocol.Txn{}, errOnly[Revision](func(err error) { got = err }))
 	(<-box.Messages)()
 	if !errors.Is(got, ErrConflict) || len(Failed(got)) > 0 {
 		t.Errorf("%v, expected a conflict without keys", got)
@@ -126,7 +126,7 @@
 	server.Close() // nobody listens there any more
 	client := New(strings.TrimPrefix(server.URL, "http://"), ampleLimits)
 	var got error
-	client.Results(box).Renew(7, func(err error) { got = err })
+	client.For(box).Renew(7, func(err error) { got = err })
 	(<-box.Messages)()
 	if !OutcomeUnknown(got) || NotExecuted(got) {
 		t.Errorf("%v, expected an unknown outcome", got)
@@ -134,10 +134,10 @@
 }
 
 func TestCommitReportsRevisionConflictAndReason(t *testing.T) {
-	commit := func(status int, body protocol.TxnAnswer) Result[Revision] {
+	commit := func(status int, body protocol.TxnResponse) Result[Revision] {
 		client, box := newServedStore(t, ampleLimits, status, protocol.Encode(body))
 		var got Result[Revision]
-		client.Results(box).Commit(ForLeader, protocol.Txn{}, func(r Result[Revision]) { got = r })
+		client.For(box).Commit(PriorityLeader, protocol.Txn{}, func(r Result[Revision]) { got = r })
 		(<-box.Messages)()
 		if responseStatus(got.Err) != status || got.Value != Revision(body.Revision) ||
 			Reason(got.Err) != body.Error ||
@@ -146,23 +146,23 @@
 		}
 		return got
 	}
-	if r := commit(200, protocol.TxnAnswer{Revision: 432}); r.Err != nil || r.Value != 432 {
+	if r := commit(200, protocol.TxnResponse{Revision: 432}); r.Err != nil || r.Value != 432 {
 		t.Errorf("%+v, expected revision 432", r)
 	}
-	err := commit(409, protocol.TxnAnswer{Revision: 431, Failed: []string{"a", "b"}}).Err
+	err := commit(409, protocol.TxnResponse{Revision: 431, Failed: []string{"a", "b"}}).Err
 	conflict, ok := errors.AsType[*ConflictError](err)
 	if !ok || conflict.Revision != 431 || !slices.Equal(Failed(err), []string{"a", "b"}) {
 		t.Errorf("%v, expected a conflict of a and b at revision 431", err)
 	}
-	err = commit(400, protocol.TxnAnswer{Error: "value too large"}).Err
+	err = commit(400, protocol.TxnResponse{Error: "value too large"}).Err
 	if Reason(err) != "value too large" || errors.Is(err, ErrLeaseNotFound) {
 		t.Errorf("%v, expected an invalid request with its reason", err)
 	}
-	err = commit(400, protocol.TxnAnswer{Error: "no such lease"}).Err
+	err = commit(400, protocol.TxnResponse{Error: "no such lease"}).Err
 	if !errors.Is(err, ErrLeaseNotFound) || !errors.Is(err, ErrInvalid) {
 		t.Errorf("%v, expected an invalid request because of its lease", err)
 	}
-	err = commit(500, protocol.TxnAnswer{Error: "disk"}).Err
+	err = commit(500, protocol.TxnResponse{Error: "disk"}).Err
 	if Reason(err) != "disk" || !OutcomeUnknown(err) {
 		t.Errorf("%v, expected an unknown outcome with its reason", err)
 	}
@@ -171,7 +171,7 @@
 // A leader that writes as much as it may leaves changes for users, and readers leave requests for
 // both.
 func TestHigherPrioritiesKeepTheirShareOfLimits(t *testing.T) {
-	c := New("127.0.0.1:1", settings.State{Rps: 100, WriteRps: 40, ValueKb: 8, TxnOps: 12})
+	c := New("127.0.0.1:1", settings.KVStore{Rps: 100, WriteRps: 40, ValueKb: 8, TxnOps: 12})
 	for c.admit(c.leaderChanges, 1, 0) == nil && c.admit(c.changes, 1, 0) == nil {
 	}
 	if err := c.admit(c.changes, 2, 0); err != nil {
@@ -185,8 +185,8 @@
 }
 
 func TestOwnLimitThrottlesWithTimeToRetry(t *testing.T) {
-	client, box := newServedStore(t, settings.State{Rps: 0.2, WriteRps: 0.2}, http.StatusOK, nil)
-	store := client.Results(box)
+	client, box := newServedStore(t, settings.KVStore{Rps: 0.2, WriteRps: 0.2}, http.StatusOK, nil)
+	store := client.For(box)
 	var got error
 	for range 2 { // the first takes the whole burst
 		store.Get("a", errOnly[protocol.Item](func(err error) { got = err }))
--- a/internal/statestore/errors.go
+++ b/internal/statestore/errors.go
@@ -130,7 +130,7 @@
 
 // Failure returns the error that a response's status stands for, nil for success. details is what
 // a transaction's response says; other operations have none.
-func Failure(op Operation, status int, details protocol.TxnAnswer) error {
+func Failure(op Operation, status int, details protocol.TxnResponse) error {
 	err := kinds[op].Failure(status)
 	switch {
 	case err == nil:
--- a/internal/statestore/errors_test.go
+++ b/internal/statestore/errors_test.go
@@ -15,7 +15,7 @@
 	if status == 0 {
 		return transport.NoResponse(io.ErrUnexpectedEOF)
 	}
-	return Failure(op, status, protocol.TxnAnswer{})
+	return Failure(op, status, protocol.TxnResponse{})
 }
 
 // Whatever callers need to tell apart among the responses they can tell apart by the errors.
--- a/internal/statestore/golden_test.go
+++ b/internal/statestore/golden_test.go
@@ -16,12 +16,12 @@
 
 // ask makes one request, and compares it and what is read from the answer.
 func ask[T any](t *testing.T, name, answer string, want T, recorded string,
-	call func(s ResultStore, done func(Result[T]))) {
+	call func(s Store, done func(Result[T]))) {
 	t.Helper()
 	address, requests := goldentest.Serve(t, http.StatusOK, answer)
 	box := actortest.Instant{Messages: make(chan func(), 1)}
 	got := Result[T]{Err: errors.New("no response")}
-	call(New(address, settings.State{Rps: 100, WriteRps: 100}).Results(box), func(r Result[T]) { got = r })
+	call(New(address, settings.KVStore{Rps: 100, WriteRps: 100}).For(box), func(r Result[T]) { got = r })
 	goldentest.Equal(t, name, <-requests, recorded)
 	(<-box.Messages)()
 	if d := cmp.Diff(Result[T]{Value: want}, got); d != "" {
@@ -36,37 +36,37 @@
 	list := protocol.ItemList{Items: []protocol.Item{item}, More: true, Revision: 300}
 	const listBytes = "\x83\xa5Items\x91" + itemBytes + "\xa7HasNext\xc3\xa6Ledger\xcd\x01\x2c"
 	ask(t, "get", itemBytes, item, "GET /kv/jobs/job-1\nUser-Agent: Go-http-client/1.1\n\n",
-		func(s ResultStore, done func(Result[protocol.Item])) { s.Get("jobs/job-1", done) })
+		func(s Store, done func(Result[protocol.Item])) { s.Get("jobs/job-1", done) })
 	ask(t, "list", listBytes, list,
 		"GET /kv?Limit=500&Prefix=jobs%2F\nUser-Agent: Go-http-client/1.1\n\n",
-		func(s ResultStore, done func(Result[protocol.ItemList])) { s.List("jobs/", "", done) })
+		func(s Store, done func(Result[protocol.ItemList])) { s.List("jobs/", "", done) })
 	ask(t, "next page", listBytes, list,
 		"GET /kv?From=jobs%2Fjob-1&Limit=500&Prefix=jobs%2F\nUser-Agent: Go-http-client/1.1\n\n",
-		func(s ResultStore, done func(Result[protocol.ItemList])) { s.List("jobs/", "jobs/job-1", done) })
+		func(s Store, done func(Result[protocol.ItemList])) { s.List("jobs/", "jobs/job-1", done) })
 	ask(t, "follow", "\x82\xa6Ledger\xcd\x01\x2c\xa3Log\x91\x81\xa6Delete\xa1a",
-		protocol.FollowAnswer{Revision: 300, Events: []protocol.Event{{Delete: "a"}}},
+		protocol.WatchResponse{Revision: 300, Events: []protocol.Event{{Delete: "a"}}},
 		"GET /follow?BlockMs=2500&From=299&Prefix=jobs%2F\nUser-Agent: Go-http-client/1.1\n\n",
-		func(s ResultStore, done func(Result[protocol.FollowAnswer])) {
+		func(s Store, done func(Result[protocol.WatchResponse])) {
 			s.Follow("jobs/", 299, 2500*clock.Millisecond, done)
 		})
 	ask(t, "grant", "\x81\xa6Permit\x05", LeaseID(5),
 		"POST /leases\nContent-Length: 10\nContent-Type: application/msgpack\n"+
 			"User-Agent: Go-http-client/1.1\n\n\x81\xa5TtlMs\xcd\x0f\xa0",
-		func(s ResultStore, done func(Result[LeaseID])) { s.Grant(4*clock.Second, done) })
+		func(s Store, done func(Result[LeaseID])) { s.Grant(4*clock.Second, done) })
 	ask(t, "renew", "\x81\xa6Permit\x05", struct{}{},
 		"POST /leases/5/touch\nContent-Length: 0\nUser-Agent: Go-http-client/1.1\n\n",
-		func(s ResultStore, done func(Result[struct{}])) {
+		func(s Store, done func(Result[struct{}])) {
 			s.Renew(5, func(err error) { done(Result[struct{}]{Err: err}) })
 		})
 	txn := protocol.Txn{
-		Guards:  []protocol.Guard{{Key: "a", Version: 9}},
-		Changes: []protocol.Change{{Put: "a", Value: []byte{0xc3}}},
+		Conditions: []protocol.Condition{{Key: "a", Version: 9}},
+		Changes:    []protocol.Change{{Put: "a", Value: []byte{0xc3}}},
 	}
-	for _, use := range []Use{ForLeadership, ForUser, ForLeader} {
+	for _, use := range []Priority{PriorityElection, PriorityUser, PriorityLeader} {
 		ask(t, "commit", "\x81\xa6Ledger\xcd\x01\x2c", Revision(300),
 			"POST /multi\nContent-Length: 47\nContent-Type: application/msgpack\n"+
 				"User-Agent: Go-http-client/1.1\n\n\x82\xa6Guards\x91\x82\xa4Path\xa1a\xa5Stamp\x09\xa6Wr"+
 				"ites\x91\x82\xa5Write\xa1a\xa4Data\xc3",
-			func(s ResultStore, done func(Result[Revision])) { s.Commit(use, txn, done) })
+			func(s Store, done func(Result[Revision])) { s.Commit(use, txn, done) })
 	}
 }
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -23,40 +23,40 @@
 	Err   error
 }
 
-// ResultStore is the store as one actor sees it: all callbacks run in the actor's mailbox.
+// Store is the store as one actor sees it: all callbacks run in the actor's mailbox.
 //
 // It takes the name Store as soon as nobody needs the interface of that name any more.
-type ResultStore interface {
+type Store interface {
 	// Get reads one key.
 	Get(key string, done func(Result[protocol.Item]))
 	// List reads a page of the keys with a prefix that come after from, in key order.
 	List(prefix, from string, done func(Result[protocol.ItemList]))
 	// Commit applies a transaction if all its guards hold, and returns its revision. Otherwise the
 	// error is a ConflictError.
-	Commit(priority Use, t protocol.Txn, done func(Result[Revision]))
+	Commit(priority Priority, t protocol.Txn, done func(Result[Revision]))
 	// Follow waits for changes of keys with a prefix after a revision, at most for the given time.
-	Follow(prefix string, from Revision, wait clock.Micros, done func(Result[protocol.FollowAnswer]))
+	Follow(prefix string, from Revision, wait clock.Micros, done func(Result[protocol.WatchResponse]))
 	// Grant creates a lease.
 	Grant(ttl clock.Micros, done func(Result[LeaseID]))
 	// Renew prolongs a lease by its whole time to live.
 	Renew(lease LeaseID, done func(err error))
 }
 
-// Use is the priority of a transaction in this process's rate limit: the election's requests
+// Priority is the priority of a transaction in this process's rate limit: the election's requests
 // never wait, users' changes come before the leader's, and those before reads.
-type Use int
+type Priority int
 
 // The priorities, the highest first.
 const (
-	ForLeadership Use = iota
-	ForUser
-	ForLeader
+	PriorityElection Priority = iota
+	PriorityUser
+	PriorityLeader
 )
 
 // WalkPages reads all keys with a prefix after from, page by page, until page returns false. done
 // gets the error that ended the walk, nil after the last page, and the key after which reading has
 // to go on; it isn't called if page ended the walk.
-func WalkPages(s ResultStore, prefix, from string, page func(protocol.ItemList) (more bool),
+func WalkPages(s Store, prefix, from string, page func(protocol.ItemList) (more bool),
 	done func(err error, from string)) {
 	s.List(prefix, from, func(r Result[protocol.ItemList]) {
 		if r.Err != nil {
--- a/internal/statestore/storetest/service.go
+++ b/internal/statestore/storetest/service.go
@@ -20,14 +20,14 @@
 type Service interface {
 	Get(key string, done func(Reply[protocol.Item]))
 	List(prefix, from string, done func(Reply[protocol.ItemList]))
-	Commit(use statestore.Use, t protocol.Txn, done func(Reply[protocol.TxnAnswer]))
-	Follow(prefix string, from int64, block clock.Micros, done func(Reply[protocol.FollowAnswer]))
-	Grant(ttl clock.Micros, done func(Reply[protocol.LeaseAnswer]))
-	Renew(lease int64, done func(Reply[protocol.LeaseAnswer]))
+	Commit(use statestore.Priority, t protocol.Txn, done func(Reply[protocol.TxnResponse]))
+	Follow(prefix string, from int64, block clock.Micros, done func(Reply[protocol.WatchResponse]))
+	Grant(ttl clock.Micros, done func(Reply[protocol.LeaseResponse]))
+	Renew(lease int64, done func(Reply[protocol.LeaseResponse]))
 }
 
 // Client returns the store whose results are what the service responds.
-func Client(s Service) statestore.ResultStore { return client{s} }
+func Client(s Service) statestore.Store { return client{s} }
 
 // client turns statuses into errors.
 type client struct{ service Service }
@@ -40,9 +40,9 @@
 	c.service.List(prefix, from, func(r Reply[protocol.ItemList]) { done(result(statestore.OpList, r)) })
 }
 
-func (c client) Commit(priority statestore.Use, txn protocol.Txn,
+func (c client) Commit(priority statestore.Priority, txn protocol.Txn,
 	done func(statestore.Result[statestore.Revision])) {
-	c.service.Commit(priority, txn, func(r Reply[protocol.TxnAnswer]) {
+	c.service.Commit(priority, txn, func(r Reply[protocol.TxnResponse]) {
 		done(statestore.Result[statestore.Revision]{
 			Value: statestore.Revision(r.Value.Revision),
 			Err:   errorOf(statestore.OpCommit, r),
@@ -51,13 +51,13 @@
 }
 
 func (c client) Follow(prefix string, from statestore.Revision, wait clock.Micros,
-	done func(statestore.Result[protocol.FollowAnswer])) {
+	done func(statestore.Result[protocol.WatchResponse])) {
 	c.service.Follow(prefix, int64(from), wait,
-		func(r Reply[protocol.FollowAnswer]) { done(result(statestore.OpFollow, r)) })
+		func(r Reply[protocol.WatchResponse]) { done(result(statestore.OpFollow, r)) })
 }
 
 func (c client) Grant(ttl clock.Micros, done func(statestore.Result[statestore.LeaseID])) {
-	c.service.Grant(ttl, func(r Reply[protocol.LeaseAnswer]) {
+	c.service.Grant(ttl, func(r Reply[protocol.LeaseResponse]) {
 		done(statestore.Result[statestore.LeaseID]{
 			Value: statestore.LeaseID(r.Value.Lease),
 			Err:   errorOf(statestore.OpGrant, r),
@@ -66,7 +66,7 @@
 }
 
 func (c client) Renew(lease statestore.LeaseID, done func(err error)) {
-	c.service.Renew(int64(lease), func(r Reply[protocol.LeaseAnswer]) { done(errorOf(statestore.OpRenew, r)) })
+	c.service.Renew(int64(lease), func(r Reply[protocol.LeaseResponse]) { done(errorOf(statestore.OpRenew, r)) })
 }
 
 func result[T any](op statestore.Operation, r Reply[T]) statestore.Result[T] {
@@ -74,7 +74,7 @@
 }
 
 func errorOf[T any](op statestore.Operation, r Reply[T]) error {
-	details, _ := any(r.Value).(protocol.TxnAnswer)
+	details, _ := any(r.Value).(protocol.TxnResponse)
 	if r.Status == 0 {
 		return &transport.Error{Kind: statestore.ErrNoResponse, Reason: details.Error}
 	}
--- a/internal/statestore/storetest/service_test.go
+++ b/internal/statestore/storetest/service_test.go
@@ -18,8 +18,8 @@
 var (
 	item     = protocol.Item{Key: "a", Version: 9}
 	list     = protocol.ItemList{Items: []protocol.Item{item}, Revision: 300}
-	followed = protocol.FollowAnswer{Revision: 300}
-	answer   = protocol.TxnAnswer{Revision: 300, Failed: []string{"a"}, Error: "trouble"}
+	followed = protocol.WatchResponse{Revision: 300}
+	answer   = protocol.TxnResponse{Revision: 300, Failed: []string{"a"}, Error: "trouble"}
 )
 
 // fixedStore responds to every request with one status and the values above.
@@ -33,20 +33,20 @@
 	done(Reply[protocol.ItemList]{s.status, list})
 }
 
-func (s fixedStore) Commit(_ statestore.Use, _ protocol.Txn, done func(Reply[protocol.TxnAnswer])) {
-	done(Reply[protocol.TxnAnswer]{s.status, answer})
+func (s fixedStore) Commit(_ statestore.Priority, _ protocol.Txn, done func(Reply[protocol.TxnResponse])) {
+	done(Reply[protocol.TxnResponse]{s.status, answer})
 }
 
-func (s fixedStore) Follow(_ string, _ int64, _ clock.Micros, done func(Reply[protocol.FollowAnswer])) {
-	done(Reply[protocol.FollowAnswer]{s.status, followed})
+func (s fixedStore) Follow(_ string, _ int64, _ clock.Micros, done func(Reply[protocol.WatchResponse])) {
+	done(Reply[protocol.WatchResponse]{s.status, followed})
 }
 
-func (s fixedStore) Grant(_ clock.Micros, done func(Reply[protocol.LeaseAnswer])) {
-	done(Reply[protocol.LeaseAnswer]{s.status, protocol.LeaseAnswer{Lease: 5}})
+func (s fixedStore) Grant(_ clock.Micros, done func(Reply[protocol.LeaseResponse])) {
+	done(Reply[protocol.LeaseResponse]{s.status, protocol.LeaseResponse{Lease: 5}})
 }
 
-func (s fixedStore) Renew(_ int64, done func(Reply[protocol.LeaseAnswer])) {
-	done(Reply[protocol.LeaseAnswer]{Status: s.status})
+func (s fixedStore) Renew(_ int64, done func(Reply[protocol.LeaseResponse])) {
+	done(Reply[protocol.LeaseResponse]{Status: s.status})
 }
 
 // outcome is the result of any operation.
@@ -62,27 +62,27 @@
 
 // request is one request of an operation and the value that it returns.
 type request struct {
-	send func(statestore.ResultStore, *outcome)
+	send func(statestore.Store, *outcome)
 	want any
 }
 
 var requests = map[statestore.Operation]request{
-	statestore.OpGet: {func(s statestore.ResultStore, o *outcome) {
+	statestore.OpGet: {func(s statestore.Store, o *outcome) {
 		s.Get("a", note[protocol.Item](o))
 	}, item},
-	statestore.OpList: {func(s statestore.ResultStore, o *outcome) {
+	statestore.OpList: {func(s statestore.Store, o *outcome) {
 		s.List("", "", note[protocol.ItemList](o))
 	}, list},
-	statestore.OpCommit: {func(s statestore.ResultStore, o *outcome) {
-		s.Commit(statestore.ForUser, protocol.Txn{}, note[statestore.Revision](o))
+	statestore.OpCommit: {func(s statestore.Store, o *outcome) {
+		s.Commit(statestore.PriorityUser, protocol.Txn{}, note[statestore.Revision](o))
 	}, statestore.Revision(300)},
-	statestore.OpFollow: {func(s statestore.ResultStore, o *outcome) {
-		s.Follow("", 1, 0, note[protocol.FollowAnswer](o))
+	statestore.OpFollow: {func(s statestore.Store, o *outcome) {
+		s.Follow("", 1, 0, note[protocol.WatchResponse](o))
 	}, followed},
-	statestore.OpGrant: {func(s statestore.ResultStore, o *outcome) {
+	statestore.OpGrant: {func(s statestore.Store, o *outcome) {
 		s.Grant(clock.Second, note[statestore.LeaseID](o))
 	}, statestore.LeaseID(5)},
-	statestore.OpRenew: {func(s statestore.ResultStore, o *outcome) {
+	statestore.OpRenew: {func(s statestore.Store, o *outcome) {
 		s.Renew(7, func(err error) { o.err = err })
 	}, nil},
 }
@@ -117,7 +117,7 @@
 			if noResponse := status == 0; errors.Is(got.err, statestore.ErrNoResponse) != noResponse {
 				t.Errorf("operation %d, status %d: %v, expected no response %v", op, status, got.err, noResponse)
 			}
-			details := protocol.TxnAnswer{}
+			details := protocol.TxnResponse{}
 			if op == statestore.OpCommit {
 				details = answer
 			}
--- a/internal/testkit/cancellation_test.go
+++ b/internal/testkit/cancellation_test.go
@@ -42,7 +42,7 @@
 	mute := sortedKeys(j.machines[0])[0]
 	mute.HeartbeatsLost, mute.Commands.Cut = true, true
 	confirmCancel(w, d, j)
-	d.State.Outage(true)
+	d.Store.Outage(true)
 	w.Run(w.Now() + 4*clock.Second)
 	mute.Commands.Heal()
 	w.Run(w.Now() + 5*clock.Second)
@@ -64,7 +64,7 @@
 	for range 5 {
 		w.Run(w.Now() + 5*clock.Second)
 		for _, n := range d.Nodes {
-			if n.Dispatch.Leads() {
+			if n.Leader.Leads() {
 				n.Crash()
 				w.After(200*clock.Millisecond, func() { d.StartNode(n) })
 				break
@@ -165,9 +165,9 @@
 	told := map[string]int{}
 	for _, j := range jobs {
 		told[j.finalStatus]++
-		if record := d.State.record(j.spec.ID); record.Status != j.finalStatus || len(record.Placed) > 0 {
+		if record := d.Store.record(j.spec.ID); record.Status != j.finalStatus || len(record.Placements) > 0 {
 			t.Fatalf("%s was told %q, its record says %q, want the same; placements %v, want none",
-				j.spec.ID, j.finalStatus, record.Status, record.Placed)
+				j.spec.ID, j.finalStatus, record.Status, record.Placements)
 		}
 	}
 	if told[""] > 0 || told[protocol.StatusCancelled] == 0 {
--- a/internal/testkit/celloperations_test.go
+++ b/internal/testkit/celloperations_test.go
@@ -50,9 +50,9 @@
 	behind.WithoutCells = true
 	behind.Crash()
 	// As if that one had never had it.
-	for key := range x.origin.State.entries {
+	for key := range x.origin.Store.entries {
 		if strings.HasPrefix(key, "rollout/") {
-			delete(x.origin.State.entries, key)
+			delete(x.origin.Store.entries, key)
 		}
 	}
 	x.origin.crashAll(100 * clock.Millisecond)
@@ -101,12 +101,12 @@
 		"flooding": func(w *World, g *Group) {
 			w.Every(50*clock.Millisecond, func() {
 				for _, n := range g.Cells[0].Nodes {
-					r := delegation.Report{Host: "beta", Home: "alpha", Epoch: 1 << 40,
-						Counter: int64(w.Now()), Clear: 20 * clock.Second}
-					for i := range delegation.MaxReported {
-						r.Tasks = append(r.Tasks, delegation.Status{Number: int64(i), Job: "job-000001", Closed: true})
+					r := delegation.Heartbeat{Host: "beta", Origin: "alpha", Epoch: 1 << 40,
+						Sequence: int64(w.Now()), ClearTime: 20 * clock.Second}
+					for i := range delegation.MaxStatuses {
+						r.Statuses = append(r.Statuses, delegation.Status{Number: int64(i), Job: "job-000001", Closed: true})
 					}
-					n.process.run(func() { n.Dispatch.Exchange(r, func(delegation.Answer, bool) {}) })
+					n.process.run(func() { n.Leader.Exchange(r, func(delegation.HeartbeatResponse, bool) {}) })
 				}
 			})
 		},
@@ -170,10 +170,10 @@
 func TestStoreIsUnchangedWithoutCellsFile(t *testing.T) {
 	t.Parallel()
 	puts := 0
-	prefixes := []string{ledger.Prefix, ledger.PartsPrefix, "rollout/", "lead/controller", "catalogue"}
+	prefixes := []string{ledger.Prefix, ledger.ShardsPrefix, "rollout/", "lead/controller", "catalogue"}
 	d := play(7, func(d *Deployment) {
-		check := d.State.CheckPut
-		d.State.CheckPut = func(key string, value []byte) {
+		check := d.Store.CheckPut
+		d.Store.CheckPut = func(key string, value []byte) {
 			puts++
 			check(key, value)
 			known := slices.ContainsFunc(prefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
--- a/internal/testkit/cells.go
+++ b/internal/testkit/cells.go
@@ -103,7 +103,7 @@
 // find is the job that a worker of the cell runs under an id, or nil. A hosted job is that of its origin
 // cell.
 func (d *Deployment) find(id string) *Job {
-	origin, job, _, hosted := ledger.ParseGuestID(id)
+	origin, job, _, hosted := ledger.ParseHostedJobID(id)
 	if !hosted || d.group == nil {
 		return d.jobs[id]
 	}
@@ -128,7 +128,7 @@
 // SwitchOff restarts all controllers without a cells file.
 func (g *Group) SwitchOff() {
 	for _, d := range g.Cells {
-		clear(d.State.entries)
+		clear(d.Store.entries)
 		for _, n := range d.Nodes {
 			n.WithoutCells = true
 			n.Crash()
@@ -151,10 +151,10 @@
 // Lent counts the tasks that other cells run by the records, by cell.
 func (d *Deployment) Lent() map[string]int {
 	lent := map[string]int{}
-	for key := range d.State.entries {
+	for key := range d.Store.entries {
 		if id, isJob := strings.CutPrefix(key, ledger.Prefix); isJob {
-			for _, p := range d.State.record(id).Placed {
-				if host := p.Host(); host != "" {
+			for _, p := range d.Store.record(id).Placements {
+				if host := p.HostCell(); host != "" {
 					lent[host]++
 				}
 			}
@@ -164,4 +164,4 @@
 }
 
 // Delegations counts the delegations that were stored.
-func (d *Deployment) Delegations() int { return d.State.delegationsStored }
+func (d *Deployment) Delegations() int { return d.Store.delegationsStored }
--- a/internal/testkit/cells_test.go
+++ b/internal/testkit/cells_test.go
@@ -72,7 +72,7 @@
 						jobs = append(jobs, j)
 					}
 				}
-				if left := d.State.delegations(); len(left) > 0 {
+				if left := d.Store.delegations(); len(left) > 0 {
 					t.Errorf("%s still has %v, want no delegations", d.name, left)
 				}
 			}
@@ -88,7 +88,7 @@
 func (s *FakeStore) delegations() []string {
 	var keys []string
 	for key := range s.entries {
-		_, _, _, guest := ledger.ParseGuestID(strings.TrimPrefix(key, ledger.Prefix))
+		_, _, _, guest := ledger.ParseHostedJobID(strings.TrimPrefix(key, ledger.Prefix))
 		if guest || strings.HasPrefix(key, delegation.Prefix) {
 			keys = append(keys, key)
 		}
--- a/internal/testkit/cloudclient.go
+++ b/internal/testkit/cloudclient.go
@@ -48,26 +48,26 @@
 
 // Catalogue reads the machine types.
 func (x *cloudClient) Catalogue(done func(int, protocol.Catalogue)) {
-	x.call(func(status int) { done(status, protocol.Catalogue{Types: x.cloud.Types}) },
+	x.call(func(status int) { done(status, protocol.Catalogue{MachineTypes: x.cloud.Types}) },
 		func() int { return http.StatusOK })
 }
 
 // Rent rents machines; a repeated request gets the response of the first.
-func (x *cloudClient) Rent(r protocol.Rental, until clock.Micros, done func(int, protocol.RentalAnswer)) {
-	var answer protocol.RentalAnswer
+func (x *cloudClient) Rent(r protocol.ScaleOutRequest, until clock.Micros, done func(int, protocol.ScaleOutResponse)) {
+	var answer protocol.ScaleOutResponse
 	x.callUntil(until, func(status int) { done(status, answer) }, func() int {
-		if names, ok := x.cloud.rented[r.Booking]; ok {
+		if names, ok := x.cloud.rented[r.IdempotencyKey]; ok {
 			answer.Machines = names
 			return http.StatusOK
 		}
-		k := fleet.Kind{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
+		k := fleet.CapacityPool{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 		count := min(r.Count, x.cloud.Capacity[k])
 		if count == 0 {
 			answer.Error = protocol.NoCapacity
 			return http.StatusServiceUnavailable
 		}
 		answer.Machines = append(answer.Machines, x.cloud.rent(k, count)...)
-		x.cloud.rented[r.Booking] = answer.Machines
+		x.cloud.rented[r.IdempotencyKey] = answer.Machines
 		return http.StatusOK
 	})
 }
--- a/internal/testkit/commands.go
+++ b/internal/testkit/commands.go
@@ -13,12 +13,12 @@
 const commandTimeout = 3 * clock.Second
 
 // command executes a direct command.
-func (m *FakeWorker) command(c protocol.Commands) (int, protocol.Report) {
-	if c.Epoch < m.epoch || c.Session != m.incarnation {
+func (m *FakeWorker) command(c protocol.CommandRequest) (int, protocol.Heartbeat) {
+	if c.Epoch < m.epoch || c.Incarnation != m.incarnation {
 		return http.StatusConflict, m.newHeartbeat()
 	}
 	m.adopt(c.Epoch)
-	m.execute(c.Orders)
+	m.execute(c.Commands)
 	return http.StatusOK, m.newHeartbeat()
 }
 
@@ -33,17 +33,17 @@
 
 // Commands sends commands to the worker at an address, unless they leave later than a deadline.
 func (a *agentClient) Commands(
-	addr string, c protocol.Commands, until clock.Micros, done func(int, protocol.Report),
+	addr string, c protocol.CommandRequest, until clock.Micros, done func(int, protocol.Heartbeat),
 ) {
 	a.d.Commands++
 	a.p.sendUntil(until, func() {
-		a.d.checkCommands(a.n, c.Epoch, c.Orders)
+		a.d.checkCommands(a.n, c.Epoch, c.Commands)
 		a.send(a.d.byAddr[addr], c, done)
-	}, func() { done(transport.NotSent, protocol.Report{}) })
+	}, func() { done(transport.NotSent, protocol.Heartbeat{}) })
 }
 
-func (a *agentClient) send(m *FakeWorker, c protocol.Commands, done func(int, protocol.Report)) {
-	silent := func() { done(0, protocol.Report{}) }
+func (a *agentClient) send(m *FakeWorker, c protocol.CommandRequest, done func(int, protocol.Heartbeat)) {
+	silent := func() { done(0, protocol.Heartbeat{}) }
 	if m == nil || m.ResponsesLost || a.n.Workers.Cut {
 		a.p.After(commandTimeout, silent)
 		return
--- a/internal/testkit/days.go
+++ b/internal/testkit/days.go
@@ -9,7 +9,7 @@
 // announceTighterLimits has the settings announce lower limits of the store.
 func announceTighterLimits(set *settings.Settings) {
 	valueKb, txnOps, writeRps := 2.0, 4, 28.0
-	set.Deployment.State.Next = &settings.NextState{ValueKb: &valueKb, TxnOps: &txnOps, WriteRps: &writeRps}
+	set.Deployment.KVStore.Next = &settings.NextKVStore{ValueKb: &valueKb, TxnOps: &txnOps, WriteRps: &writeRps}
 }
 
 // dayOfUpgrade is a deployment whose controllers are of the new version from the beginning, or upgraded at
@@ -21,8 +21,8 @@
 	announceTighterLimits(set)
 	old := w.chance(0.5)
 	d := newDeployment(w, set, testTypes(), 0.01, old)
-	d.State.Limit(set.Deployment.State, false)
-	d.State.CheckPut = d.checkFormat
+	d.Store.Limit(set.Deployment.KVStore, false)
+	d.Store.CheckPut = d.checkFormat
 	if old {
 		upgrade := w.Between(10*clock.Second, day*5/4)
 		w.After(upgrade, func() {
@@ -30,7 +30,7 @@
 		})
 	}
 	if w.chance(0.7) {
-		w.After(w.Between(0, day), func() { d.State.Limit(set.Deployment.State.Tightest(), true) })
+		w.After(w.Between(0, day), func() { d.Store.Limit(set.Deployment.KVStore.Tightest(), true) })
 	}
 	return d
 }
--- a/internal/testkit/delegationfaults_test.go
+++ b/internal/testkit/delegationfaults_test.go
@@ -21,12 +21,12 @@
 		x.host.crashAll(long)
 	},
 	"origin's state service is out": func(x *transfer, long clock.Micros) {
-		x.origin.State.Outage(true)
-		x.w.After(long, func() { x.origin.State.Outage(false) })
+		x.origin.Store.Outage(true)
+		x.w.After(long, func() { x.origin.Store.Outage(false) })
 	},
 	"host's state service is out": func(x *transfer, long clock.Micros) {
-		x.host.State.Outage(true)
-		x.w.After(long, func() { x.host.State.Outage(false) })
+		x.host.Store.Outage(true)
+		x.w.After(long, func() { x.host.Store.Outage(false) })
 	},
 	"cells are cut": func(x *transfer, long clock.Micros) { x.w.After(long, x.host.CutOff(true)) },
 	"host isn't answered": func(x *transfer, long clock.Micros) {
@@ -97,7 +97,7 @@
 	t.Parallel()
 	for name, fault := range map[string]func(x *transfer){
 		"nothing more":    func(*transfer) {},
-		"state outage":    func(x *transfer) { x.host.State.Outage(true) },
+		"state outage":    func(x *transfer) { x.host.Store.Outage(true) },
 		"leader ends":     func(x *transfer) { x.host.crashLeader(5 * clock.Second) },
 		"leader stands":   func(x *transfer) { x.host.Leader().process.Pause(35 * clock.Second) },
 		"all controllers": func(x *transfer) { x.host.crashAll(200 * clock.Second) },
@@ -109,8 +109,8 @@
 		"commands don't go":    func(x *transfer) { x.hold() },
 		"origin's leader ends": func(x *transfer) { x.origin.crashLeader(5 * clock.Second) },
 		"origin's state": func(x *transfer) {
-			x.w.After(clock.Second, func() { x.origin.State.Outage(true) })
-			x.w.After(80*clock.Second, func() { x.origin.State.Outage(false) })
+			x.w.After(clock.Second, func() { x.origin.Store.Outage(true) })
+			x.w.After(80*clock.Second, func() { x.origin.Store.Outage(false) })
 		},
 	} {
 		for delay := range clock.Micros(4) {
@@ -132,7 +132,7 @@
 					}
 				}
 			}
-			x.host.State.Outage(false)
+			x.host.Store.Outage(false)
 			heal()
 			mustKeepRules(t, x.w)
 		}
--- a/internal/testkit/deployment.go
+++ b/internal/testkit/deployment.go
@@ -21,7 +21,7 @@
 	name     string // of the cell
 	World    *World
 	Settings *settings.Settings
-	State    *FakeStore
+	Store    *FakeStore
 	Cloud    *FakeCloud
 	Nodes    []*Node
 	// Loss is the chance that a message is lost.
@@ -40,7 +40,7 @@
 	jobs    map[string]*Job
 	order   []*Job // in the order of their submission
 	byAddr  map[string]*FakeWorker
-	used    map[string]planner.Amounts // by team, on machines
+	used    map[string]planner.Resources // by team, on machines
 	// Commands counts direct commands.
 	Commands int
 	// address is the address of a new worker.
@@ -75,9 +75,9 @@
 	w *World, set *settings.Settings, types []protocol.MachineType, loss float64, old bool,
 ) *Deployment {
 	d := &Deployment{
-		World: w, Settings: set, State: NewFakeStore(w), Loss: loss,
+		World: w, Settings: set, Store: NewFakeStore(w), Loss: loss,
 		cut: map[string]*partitionedZone{}, jobs: map[string]*Job{}, byAddr: map[string]*FakeWorker{},
-		used:    map[string]planner.Amounts{},
+		used:    map[string]planner.Resources{},
 		address: func(name string) string { return name + ":9000" },
 	}
 	d.Cloud = newCloud(d, types)
--- a/internal/testkit/failover_test.go
+++ b/internal/testkit/failover_test.go
@@ -17,11 +17,11 @@
 	for i := range 10 {
 		w.Run(w.Now() + 12*clock.Second)
 		if i == 5 {
-			d.State.Outage(true)
-			w.After(9*clock.Second, func() { d.State.Outage(false) })
+			d.Store.Outage(true)
+			w.After(9*clock.Second, func() { d.Store.Outage(false) })
 		}
 		for _, n := range d.Nodes {
-			if n.Dispatch.Leads() {
+			if n.Leader.Leads() {
 				n.Crash()
 				w.After(w.Between(100*clock.Millisecond, 3*clock.Second), func() { d.StartNode(n) })
 			}
@@ -33,7 +33,7 @@
 	w.Run(w.Now() + 400*clock.Second)
 	mustBeDone(t, w, other)
 	mustBeDone(t, w, apart)
-	if record := d.State.record(apart.spec.ID); record.NextAttempt != 1 {
+	if record := d.Store.record(apart.spec.ID); record.NextAttempt != 1 {
 		t.Fatalf("a task was started again: next attempt %d, want 1", record.NextAttempt)
 	}
 }
@@ -78,18 +78,18 @@
 		lone.State.Cut, lone.Peers.Cut, lone.Clouds.Cut = true, true, true
 		up := true
 		for range 30 {
-			lone.Intake.Ready(func(ok bool) { up = ok }) // as the load balancer asks
+			lone.Admission.Ready(func(ok bool) { up = ok }) // as the load balancer asks
 			w.Run(w.Now() + clock.Second)
 		}
 		status, redirect := 0, ""
-		lone.Dispatch.Heartbeat(d.Workers()[0].newHeartbeat(), func(s int, body any) {
+		lone.Leader.Heartbeat(d.Workers()[0].newHeartbeat(), func(s int, body any) {
 			status = s
 			if r, ok := body.(protocol.Redirect); ok {
 				redirect = r.Node
 			}
 		})
-		var told intake.Answer
-		lone.Intake.Handle(intake.Request{Kind: intake.Show, ID: j.spec.ID}, func(a intake.Answer) { told = a })
+		var told intake.Response
+		lone.Admission.Handle(intake.Request{Kind: intake.GetStatus, ID: j.spec.ID}, func(a intake.Response) { told = a })
 		w.Run(w.Now() + 20*clock.Millisecond)
 		if up {
 			t.Fatalf("led %v: it passes its health check, want it failed", leads)
@@ -98,7 +98,7 @@
 			t.Fatalf("led %v: a heartbeat gets %d and is sent to %q, want %d and nobody",
 				leads, status, redirect, http.StatusMisdirectedRequest)
 		}
-		if told.Status != http.StatusServiceUnavailable || told.RetryS == 0 {
+		if told.Status != http.StatusServiceUnavailable || told.RetryAfterS == 0 {
 			t.Fatalf("led %v: a user gets %+v, want %d and a retry time", leads, told, http.StatusServiceUnavailable)
 		}
 		w.Run(w.Now() + 150*clock.Second)
@@ -132,9 +132,9 @@
 				}
 				w.After(20*clock.Second, func() { d.Cancel(j) })
 				w.Run(w.Now() + 200*clock.Second)
-				if left := d.Unfinished(); len(w.Broken) > 0 || len(left) > 0 {
+				if left := d.Unfinished(); len(w.Violations) > 0 || len(left) > 0 {
 					t.Fatalf("electing %v, step %d, %.1f s: broken rules %v, unfinished jobs %v, want none",
-						electing, step, length.Seconds(), w.Broken, left)
+						electing, step, length.Seconds(), w.Violations, left)
 				}
 			}
 		}
--- a/internal/testkit/formatcheck.go
+++ b/internal/testkit/formatcheck.go
@@ -15,10 +15,10 @@
 // checkFormat checks that only the first format is stored until all controllers have published that they
 // read the next.
 func (d *Deployment) checkFormat(key string, value []byte) {
-	if _, open := d.State.entries["rollout/gate"]; open {
+	if _, open := d.Store.entries["rollout/gate"]; open {
 		return
 	}
-	if strings.HasPrefix(key, ledger.PartsPrefix) {
+	if strings.HasPrefix(key, ledger.ShardsPrefix) {
 		d.World.Violate(oldFormat, "%s", key)
 	}
 	if strings.HasPrefix(key, ledger.Prefix) {
--- a/internal/testkit/gangs.go
+++ b/internal/testkit/gangs.go
@@ -83,7 +83,7 @@
 		}
 		m.do(func() {
 			if t.status == protocol.TaskRunning {
-				m.exit(t, protocol.CausePeers)
+				m.exit(t, protocol.CauseGangBroken)
 			}
 		})
 	}
--- a/internal/testkit/heartbeats.go
+++ b/internal/testkit/heartbeats.go
@@ -22,7 +22,7 @@
 // sendHeartbeats sends heartbeats in about the period of the settings.
 func (m *FakeWorker) sendHeartbeats() {
 	w := m.d.World
-	period := m.d.Settings.Deployment.Workers.Report()
+	period := m.d.Settings.Deployment.Workers.HeartbeatInterval()
 	w.After(w.Between(period*3/4, period*5/4), func() {
 		if !m.ended {
 			m.do(m.sendHeartbeat)
@@ -44,18 +44,18 @@
 }
 
 // newHeartbeat is a heartbeat with the present state.
-func (m *FakeWorker) newHeartbeat() protocol.Report {
+func (m *FakeWorker) newHeartbeat() protocol.Heartbeat {
 	m.counter++
-	r := protocol.Report{
+	r := protocol.Heartbeat{
 		Machine: m.name, Address: m.addr, Type: m.typ, Zone: m.zone, Spot: m.spot,
-		Session: m.incarnation, Counter: m.counter, Epoch: m.epoch,
+		Incarnation: m.incarnation, Counter: m.counter, Epoch: m.epoch,
 	}
 	if m.recallAt != 0 {
 		left := (m.recallAt - m.d.World.now).Seconds()
-		r.RecallS = &left
+		r.PreemptionNoticeS = &left
 	}
 	for _, t := range m.tasks {
-		r.Tasks = append(r.Tasks, protocol.TaskReport{
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{
 			Task: protocol.TaskName(t.job, t.task), Attempt: t.attempt,
 			Status: t.status, Cause: t.cause, Saved: t.saved,
 		})
@@ -134,7 +134,7 @@
 
 // sendLateCopy delivers the heartbeat once more, much later. The response to a copy is lost and counts
 // for nothing.
-func (e *heartbeatCall) sendLateCopy(r protocol.Report) {
+func (e *heartbeatCall) sendLateCopy(r protocol.Heartbeat) {
 	w := e.m.d.World
 	longest := maxCopyDelayLeases * e.m.d.Settings.Deployment.Workers.Lease()
 	w.After(w.Between(minCopyDelay, longest), func() {
@@ -150,14 +150,14 @@
 }
 
 // arrive hands the heartbeat to the controller and carries its response back.
-func (e *heartbeatCall) arrive(r protocol.Report) {
+func (e *heartbeatCall) arrive(r protocol.Heartbeat) {
 	if !e.reaches() {
 		return
 	}
 	m, proc := e.m, e.n.process
 	e.n.reports.Heartbeat(r, func(status int, body any) {
-		if a, ok := body.(protocol.HeartbeatAnswer); ok {
-			m.d.checkCommands(e.n, a.Epoch, a.Orders)
+		if a, ok := body.(protocol.HeartbeatResponse); ok {
+			m.d.checkCommands(e.n, a.Epoch, a.Commands)
 		}
 		if m.Link.Cut || m.ResponsesLost || e.n.Workers.Cut || m.d.World.chance(m.Link.Loss) {
 			return
@@ -179,14 +179,14 @@
 		return
 	}
 	e.finish(sameNode, 0)
-	a := body.(protocol.HeartbeatAnswer)
+	a := body.(protocol.HeartbeatResponse)
 	if e.session != m.incarnation || a.Epoch < m.epoch {
 		return
 	}
 	m.adopt(a.Epoch)
 	m.leaseStart = e.sent
 	m.watchLease()
-	m.execute(a.Orders)
+	m.execute(a.Commands)
 }
 
 // nextNode is the controller that a response names, or another one.
--- a/internal/testkit/helpers_test.go
+++ b/internal/testkit/helpers_test.go
@@ -50,17 +50,17 @@
 // mustKeepRules fails the test if a rule was broken.
 func mustKeepRules(t *testing.T, w *World) {
 	t.Helper()
-	if len(w.Broken) > 0 {
-		t.Fatalf("broken rules, want none:\n%s", strings.Join(w.Broken, "\n"))
+	if len(w.Violations) > 0 {
+		t.Fatalf("broken rules, want none:\n%s", strings.Join(w.Violations, "\n"))
 	}
 }
 
 // mustBeDone fails the test unless the user was told that the job is done and no rule was broken.
 func mustBeDone(t *testing.T, w *World, j *Job) {
 	t.Helper()
-	if j.finalStatus != protocol.StatusDone || len(w.Broken) > 0 {
+	if j.finalStatus != protocol.StatusDone || len(w.Violations) > 0 {
 		t.Fatalf("%s: told %q, want %q; broken rules %v, want none",
-			j.spec.ID, j.finalStatus, protocol.StatusDone, w.Broken)
+			j.spec.ID, j.finalStatus, protocol.StatusDone, w.Violations)
 	}
 }
 
@@ -105,7 +105,7 @@
 func mustLead(t *testing.T, d *Deployment) *Node {
 	t.Helper()
 	for _, n := range d.Nodes {
-		if n.Dispatch.Leads() {
+		if n.Leader.Leads() {
 			return n
 		}
 	}
--- a/internal/testkit/jobs.go
+++ b/internal/testkit/jobs.go
@@ -43,7 +43,7 @@
 func (j *Job) accepted() bool { return j.acceptedAt != 0 }
 
 // needs is what one task uses.
-func (j *Job) needs() planner.Amounts { return planner.Needs(&j.spec) }
+func (j *Job) needs() planner.Resources { return planner.TaskResources(&j.spec) }
 
 // Done reports whether every task has completed.
 func (j *Job) Done() bool { return len(j.completed) == j.spec.Tasks && !j.spec.Service() }
@@ -60,14 +60,14 @@
 	}
 }
 
-// Told is the final status that the user was told, empty before.
-func (j *Job) Told() string { return j.finalStatus }
+// FinalStatus is the final status that the user was told, empty before.
+func (j *Job) FinalStatus() string { return j.finalStatus }
 
-// Began is how long after its submission the job's first task had its image, or never.
-func (j *Job) Began() clock.Micros { return since(j.submittedAt, j.startedAt) }
+// StartDelay is how long after its submission the job's first task had its image, or never.
+func (j *Job) StartDelay() clock.Micros { return since(j.submittedAt, j.startedAt) }
 
-// Ended is how long after its submission its user was told its end, or never.
-func (j *Job) Ended() clock.Micros { return since(j.submittedAt, j.finalAt) }
+// CompletionDelay is how long after its submission its user was told its end, or never.
+func (j *Job) CompletionDelay() clock.Micros { return since(j.submittedAt, j.finalAt) }
 
 // never is longer than any simulation.
 const never = 100_000 * clock.Second
--- a/internal/testkit/kinds.go
+++ b/internal/testkit/kinds.go
@@ -47,7 +47,7 @@
 		{Kind: "deadline", Class: "c", Times: 2, Share: 0.9},
 	}
 	d := NewDeployment(w, set, testTypes(), 0.01)
-	d.State.Limit(set.Deployment.State, true)
+	d.Store.Limit(set.Deployment.KVStore, true)
 	d.inspect()
 	workload{spec: withDeadlines, longest: longestTask}.play(d)
 	return []*Deployment{d}
@@ -70,7 +70,7 @@
 // playServices plays mostly services, and has the cloud recall machines.
 func playServices(w *World, _ bool) []*Deployment {
 	d := NewDeployment(w, testSettings(), testTypes(), 0.01)
-	d.State.Limit(d.Settings.Deployment.State, false)
+	d.Store.Limit(d.Settings.Deployment.KVStore, false)
 	d.inspect()
 	for range 8 {
 		w.After(w.Between(30*clock.Second, dayLength), func() {
@@ -88,13 +88,13 @@
 // shard records.
 func playSharded(w *World, _ bool) []*Deployment {
 	set := testSettings()
-	set.Deployment.State.ValueKb = 4
+	set.Deployment.KVStore.ValueKb = 4
 	announceTighterLimits(set)
 	d := NewDeployment(w, set, testTypes(), 0.01)
-	d.State.Limit(set.Deployment.State, false)
+	d.Store.Limit(set.Deployment.KVStore, false)
 	w.After(w.Between(0, dayLength), func() {
-		d.State.Limit(set.Deployment.State.Tightest(), true)
-		w.After(w.Between(0, 60*clock.Second), func() { d.State.ValueBytes, d.State.TxnOps = 1500, 3 })
+		d.Store.Limit(set.Deployment.KVStore.Tightest(), true)
+		w.After(w.Between(0, 60*clock.Second), func() { d.Store.ValueBytes, d.Store.TxnOps = 1500, 3 })
 	})
 	d.crashLeaders(6)
 	d.inspect()
@@ -172,8 +172,8 @@
 	set := testSettings()
 	announceTighterLimits(set)
 	d := NewOldDeployment(w, set, testTypes(), 0.01)
-	d.State.Limit(set.Deployment.State, false)
-	d.State.CheckPut = d.checkFormat
+	d.Store.Limit(set.Deployment.KVStore, false)
+	d.Store.CheckPut = d.checkFormat
 	upgrade := w.Between(10*clock.Second, dayLength/2)
 	w.After(upgrade, func() {
 		d.Upgrade(w.Between(5*clock.Second, 40*clock.Second), w.Between(50*clock.Millisecond, 6*clock.Second))
@@ -182,7 +182,7 @@
 	if odd {
 		d.writeLate(upgrade)
 	}
-	w.After(w.Between(0, dayLength), func() { d.State.Limit(set.Deployment.State.Tightest(), true) })
+	w.After(w.Between(0, dayLength), func() { d.Store.Limit(set.Deployment.KVStore.Tightest(), true) })
 	d.inspect()
 	workload{services: 0.15, spec: mostlyLarge, longest: longestTask}.play(d)
 	return []*Deployment{d}
@@ -211,8 +211,8 @@
 
 // writeLate has the store execute many transactions late, from a time on for a while.
 func (d *Deployment) writeLate(from clock.Micros) {
-	d.World.After(from, func() { d.State.LateWrites = 0.2 })
-	d.World.After(from+90*clock.Second, func() { d.State.LateWrites = 0 })
+	d.World.After(from, func() { d.Store.LateWrites = 0.2 })
+	d.World.After(from+90*clock.Second, func() { d.Store.LateWrites = 0 })
 }
 
 // inspect asks every controller regularly what operators, load balancers and users ask.
@@ -235,12 +235,12 @@
 func (d *Deployment) inspectNode(n *Node, asked int) {
 	if d.World.Recorder != nil {
 		of := d.recordingOf(n)
-		n.Dispatch.Overview(of.recordOverview)
-		n.Intake.Ready(func(ready bool) { of.record("ready", ready) })
+		n.Leader.Overview(of.recordOverview)
+		n.Admission.Ready(func(ready bool) { of.record("ready", ready) })
 	}
 	id := "job-none"
 	if jobs := d.Jobs(); asked%5 != 0 && len(jobs) > 0 {
 		id = jobs[asked%len(jobs)].spec.ID
 	}
-	d.askNode(n, intake.Request{Kind: intake.Show, ID: id}, func(int, protocol.JobStatus) {})
+	d.askNode(n, intake.Request{Kind: intake.GetStatus, ID: id}, func(int, protocol.JobStatus) {})
 }
--- a/internal/testkit/loopback.go
+++ b/internal/testkit/loopback.go
@@ -20,9 +20,9 @@
 	node        *Node // the one as which the fakes treat every controller
 	controllers []*Node
 	users       http.Client
-	// Reports, Polls and Submissions count heartbeats, status requests and submissions that the
+	// Heartbeats, Polls and Submissions count heartbeats, status requests and submissions that the
 	// controller accepted, Starts the start commands that reached workers.
-	Reports, Polls, Submissions, Starts int
+	Heartbeats, Polls, Submissions, Starts int
 }
 
 const (
@@ -66,7 +66,7 @@
 }
 
 func newLoopback(d *Deployment, x *RealTime, controllers []Controller, workerPort int) *Loopback {
-	d.State.Kept, d.State.Page = loopbackKeptRevisions, loopbackPageSize
+	d.Store.Kept, d.Store.Page = loopbackKeptRevisions, loopbackPageSize
 	d.Cloud.Reliable = true
 	d.address = func(name string) string {
 		n, _ := strconv.Atoi(name[len("m-"):])
--- a/internal/testkit/loopbackclient.go
+++ b/internal/testkit/loopbackclient.go
@@ -35,17 +35,17 @@
 }
 
 // Heartbeat sends a worker's heartbeat to the controller.
-func (c *remoteController) Heartbeat(r protocol.Report, reply func(status int, body any)) {
+func (c *remoteController) Heartbeat(r protocol.Heartbeat, reply func(status int, body any)) {
 	session, l := c.session(r.Machine), c.l
 	go func() {
-		var answer protocol.HeartbeatAnswer
+		var answer protocol.HeartbeatResponse
 		var redirect protocol.Redirect
 		status, raw := post(session, c.base+heartbeatPath, protocol.Encode(r))
 		switch {
 		case status == http.StatusOK && protocol.Decode(raw, &answer) == nil:
 			l.Do(func() {
-				l.Reports++
-				l.countStarts(answer.Orders)
+				l.Heartbeats++
+				l.countStarts(answer.Commands)
 				reply(status, answer)
 			})
 		case status == http.StatusMisdirectedRequest && protocol.Decode(raw, &redirect) == nil:
@@ -57,7 +57,7 @@
 }
 
 // countStarts counts start commands that reach workers.
-func (l *Loopback) countStarts(commands []protocol.Order) {
+func (l *Loopback) countStarts(commands []protocol.Command) {
 	for _, c := range commands {
 		if c.Verb == protocol.VerbStart {
 			l.Starts++
@@ -66,16 +66,16 @@
 }
 
 // Handle sends a user's request to the controller.
-func (c *remoteController) Handle(r intake.Request, reply func(intake.Answer)) {
+func (c *remoteController) Handle(r intake.Request, reply func(intake.Response)) {
 	l := c.l
 	go func() {
-		var answer intake.Answer
+		var answer intake.Response
 		counter := new(int)
 		switch r.Kind {
 		case intake.Submit:
 			counter = &l.Submissions
 			answer.Status, answer.Body = post(&l.users, c.base+jobsPath, r.Body)
-		case intake.Show:
+		case intake.GetStatus:
 			counter = &l.Polls
 			answer.Status, answer.Body = get(&l.users, c.base+jobsPath+"/"+r.ID)
 		case intake.Cancel:
--- a/internal/testkit/loopbackserver.go
+++ b/internal/testkit/loopbackserver.go
@@ -58,7 +58,7 @@
 }
 
 func (l *Loopback) storeService() http.Handler {
-	store := l.Deployment.State.For(l.node.process, &l.node.State)
+	store := l.Deployment.Store.For(l.node.process, &l.node.State)
 	mux := http.NewServeMux()
 	mux.Handle("GET /kv/{key...}", serve(l, func(r *http.Request, _ nothing, answer func(int, any)) {
 		store.Get(r.PathValue("key"), reply[protocol.Item](answer))
@@ -68,22 +68,22 @@
 		store.List(q.Get("Prefix"), q.Get("From"), reply[protocol.ItemList](answer))
 	}))
 	mux.Handle("POST /multi", serve(l, func(_ *http.Request, t protocol.Txn, answer func(int, any)) {
-		store.Commit(statestore.ForUser, t, reply[protocol.TxnAnswer](answer))
+		store.Commit(statestore.PriorityUser, t, reply[protocol.TxnResponse](answer))
 	}))
 	mux.Handle("GET /follow", serve(l, func(r *http.Request, _ nothing, answer func(int, any)) {
 		q := r.URL.Query()
 		from, _ := strconv.ParseInt(q.Get("From"), 10, 64)
 		block, _ := strconv.ParseInt(q.Get("BlockMs"), 10, 64)
 		store.Follow(q.Get("Prefix"), from, clock.Micros(block)*clock.Millisecond,
-			reply[protocol.FollowAnswer](answer))
+			reply[protocol.WatchResponse](answer))
 	}))
 	mux.Handle("POST /leases", serve(l, func(_ *http.Request, q protocol.LeaseRequest, answer func(int, any)) {
 		ttl := clock.Micros(q.TTLMs) * clock.Millisecond
-		store.Grant(ttl, reply[protocol.LeaseAnswer](answer))
+		store.Grant(ttl, reply[protocol.LeaseResponse](answer))
 	}))
 	mux.Handle("POST /leases/{id}/touch", serve(l, func(r *http.Request, _ nothing, answer func(int, any)) {
 		id, _ := strconv.ParseInt(r.PathValue("id"), 10, 64)
-		store.Renew(id, reply[protocol.LeaseAnswer](answer))
+		store.Renew(id, reply[protocol.LeaseResponse](answer))
 	}))
 	return mux
 }
@@ -94,10 +94,10 @@
 	mux.Handle("GET /catalog", serve(l, func(_ *http.Request, _ nothing, answer func(int, any)) {
 		client.Catalogue(func(status int, c protocol.Catalogue) { answer(status, c) })
 	}))
-	mux.Handle("POST /hosts", serve(l, func(_ *http.Request, q protocol.Rental, answer func(int, any)) {
-		client.Rent(q, math.MaxInt64, func(status int, a protocol.RentalAnswer) { answer(status, a) })
+	mux.Handle("POST /hosts", serve(l, func(_ *http.Request, q protocol.ScaleOutRequest, answer func(int, any)) {
+		client.Rent(q, math.MaxInt64, func(status int, a protocol.ScaleOutResponse) { answer(status, a) })
 	}))
-	release := func(_ *http.Request, q protocol.MachineNames, answer func(int, any)) {
+	release := func(_ *http.Request, q protocol.ScaleInRequest, answer func(int, any)) {
 		client.Release(q.Machines, math.MaxInt64, func(status int) { answer(status, nothing{}) })
 	}
 	mux.Handle("POST /hosts/release", serve(l, release))
@@ -109,13 +109,13 @@
 
 func (l *Loopback) workerService() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("POST /commands", serve(l, func(r *http.Request, c protocol.Commands, answer func(int, any)) {
+	mux.Handle("POST /commands", serve(l, func(r *http.Request, c protocol.CommandRequest, answer func(int, any)) {
 		m := l.Deployment.byAddr[r.Host]
 		if m == nil || !m.up {
 			answer(http.StatusServiceUnavailable, nothing{})
 			return
 		}
-		l.countStarts(c.Orders)
+		l.countStarts(c.Commands)
 		status, report := m.command(c)
 		answer(status, report)
 	}))
--- a/internal/testkit/nodes.go
+++ b/internal/testkit/nodes.go
@@ -36,9 +36,9 @@
 	// for their sake.
 	Old bool
 
-	// Dispatch and Intake are the actors of the present process.
-	Dispatch *leader.Leader
-	Intake   *intake.Intake
+	// Leader and Intake are the actors of the present process.
+	Leader    *leader.Leader
+	Admission *intake.Admission
 	// The handlers are the controller as workers, users, other controllers and other cells reach it.
 	reports   reportHandler
 	requests  requestHandler
@@ -48,23 +48,23 @@
 
 // reportHandler responds to workers' heartbeats.
 type reportHandler interface {
-	Heartbeat(r protocol.Report, reply func(status int, body any))
+	Heartbeat(r protocol.Heartbeat, reply func(status int, body any))
 }
 
 // requestHandler responds to users' requests.
 type requestHandler interface {
-	Handle(r intake.Request, reply func(intake.Answer))
+	Handle(r intake.Request, reply func(intake.Response))
 }
 
 // exchangeHandler responds to other cells.
 type exchangeHandler interface {
-	Exchange(r delegation.Report, reply func(a delegation.Answer, ok bool))
+	Exchange(r delegation.Heartbeat, reply func(a delegation.HeartbeatResponse, ok bool))
 }
 
 // Leader is the controller that leads, or nil.
 func (d *Deployment) Leader() *Node {
 	for _, n := range d.Nodes {
-		if n.Up() && n.Dispatch.Leads() {
+		if n.Up() && n.Leader.Leads() {
 			return n
 		}
 	}
@@ -112,8 +112,8 @@
 		d.recordingOf(n).requestsOf(&environment)
 	}
 	actors := node.New(environment)
-	n.Dispatch, n.Intake = actors.Dispatch, actors.Intake
-	n.reports, n.requests, n.peers, n.exchanges = n.Dispatch, n.Intake, n.Intake, n.Dispatch
+	n.Leader, n.Admission = actors.Leader, actors.Admission
+	n.reports, n.requests, n.peers, n.exchanges = n.Leader, n.Admission, n.Admission, n.Leader
 	if d.World.Recorder != nil {
 		d.recordingOf(n).requestsTo(n)
 	}
@@ -127,22 +127,22 @@
 // environment connects a process of a controller to the fakes.
 func (d *Deployment) environment(n *Node, p *Process) node.Environment {
 	set := d.settingsOf(n)
-	everyone := func(_ *intake.Intake, r intake.Request, done func([]intake.Answer, bool)) {
+	everyone := func(_ *intake.Admission, r intake.Request, done func([]intake.Response, bool)) {
 		d.everyone(n, r, done)
 	}
 	services := d.servicesOf(n, p)
 	return node.Environment{
-		Settings:   set,
-		Cells:      d.group.directory(d, n, set),
-		Exchange:   &cellClient{d, n, p},
-		Leadership: leadership.Config{Node: n.Name, Incarnation: fmt.Sprint(n.runs), TTL: leaseTTL},
-		Mailboxes:  node.Mailboxes{Dispatch: p, Leadership: p, Intake: p, Rollout: p},
-		Store:      func(actor.Mailbox) statestore.ResultStore { return storetest.Client(services.store) },
-		Cloud:      cloudtest.Client(services.cloud),
-		Agent:      agenttest.Client(services.agent),
-		Forward:    func(r intake.Request, done func(intake.Answer, bool)) { d.forward(n, r, done) },
-		Recovery:   d.Recovery,
-		Everyone:   everyone,
+		Settings:  set,
+		Cells:     d.group.directory(d, n, set),
+		Exchange:  &cellClient{d, n, p},
+		Election:  leadership.Config{Node: n.Name, Incarnation: fmt.Sprint(n.runs), TTL: leaseTTL},
+		Mailboxes: node.Mailboxes{Leader: p, Election: p, Admission: p, Rollout: p},
+		Store:     func(actor.Mailbox) statestore.Store { return storetest.Client(services.store) },
+		Cloud:     cloudtest.Client(services.cloud),
+		Agent:     agenttest.Client(services.agent),
+		Forward:   func(r intake.Request, done func(intake.Response, bool)) { d.forward(n, r, done) },
+		Recovery:  d.Recovery,
+		Everyone:  everyone,
 	}
 }
 
@@ -156,7 +156,7 @@
 // servicesOf connects a process to the fakes, by way of the Recorder if there is one.
 func (d *Deployment) servicesOf(n *Node, p *Process) services {
 	s := services{
-		store: d.State.For(p, &n.State),
+		store: d.Store.For(p, &n.State),
 		cloud: d.Cloud.For(p, &n.Clouds),
 		agent: &agentClient{d, p, n},
 	}
@@ -169,10 +169,10 @@
 // settingsOf are the deployment's settings as one controller gets them.
 func (d *Deployment) settingsOf(n *Node) *settings.Settings {
 	set := *d.Settings
-	set.Node, set.Domain, set.Known = n.Name, n.Zone, nil
+	set.Node, set.Domain, set.Peers = n.Name, n.Zone, nil
 	for _, o := range d.Nodes {
 		if o != n {
-			set.Known = append(set.Known, settings.Peer{Node: o.Name, Domain: o.Zone})
+			set.Peers = append(set.Peers, settings.Peer{Node: o.Name, Domain: o.Zone})
 		}
 	}
 	return &set
--- a/internal/testkit/peers.go
+++ b/internal/testkit/peers.go
@@ -6,7 +6,7 @@
 )
 
 // forward passes a request to any other controller that is up.
-func (d *Deployment) forward(n *Node, r intake.Request, done func(intake.Answer, bool)) {
+func (d *Deployment) forward(n *Node, r intake.Request, done func(intake.Response, bool)) {
 	var others []*Node
 	for _, o := range d.Nodes {
 		if o != n && o.process != nil && o.process.alive {
@@ -14,7 +14,7 @@
 		}
 	}
 	if len(others) == 0 {
-		n.process.Post(func() { done(intake.Answer{}, false) })
+		n.process.Post(func() { done(intake.Response{}, false) })
 		return
 	}
 	r.Forwarded = true
@@ -22,10 +22,10 @@
 }
 
 // everyone asks all controllers, the asking one included.
-func (d *Deployment) everyone(n *Node, r intake.Request, done func([]intake.Answer, bool)) {
+func (d *Deployment) everyone(n *Node, r intake.Request, done func([]intake.Response, bool)) {
 	p, left := n.process, len(d.Nodes)
-	var answers []intake.Answer
-	collect := func(a intake.Answer, ok bool) {
+	var answers []intake.Response
+	collect := func(a intake.Response, ok bool) {
 		if ok {
 			answers = append(answers, a)
 		}
@@ -35,7 +35,7 @@
 	}
 	for _, o := range d.Nodes {
 		if o == n {
-			n.Intake.Handle(r, func(a intake.Answer) { p.Post(func() { collect(a, true) }) })
+			n.Admission.Handle(r, func(a intake.Response) { p.Post(func() { collect(a, true) }) })
 			continue
 		}
 		n.asks(o, r, collect)
@@ -46,10 +46,10 @@
 const peerTimeout = clock.Second
 
 // asks passes a request to another controller and reports whether it responded.
-func (n *Node) asks(o *Node, r intake.Request, done func(a intake.Answer, ok bool)) {
+func (n *Node) asks(o *Node, r intake.Request, done func(a intake.Response, ok bool)) {
 	n.Peers.call(n.process, peerTimeout, func(answer func(func())) {
 		if !o.Peers.Cut {
-			o.peers.Handle(r, func(a intake.Answer) { answer(func() { done(a, true) }) })
+			o.peers.Handle(r, func(a intake.Response) { answer(func() { done(a, true) }) })
 		}
-	}, func() { done(intake.Answer{}, false) })
+	}, func() { done(intake.Response{}, false) })
 }
--- a/internal/testkit/process.go
+++ b/internal/testkit/process.go
@@ -80,7 +80,7 @@
 // sendUntil sends a request out unless that is later than a deadline, as transport.CallUntil does.
 func (p *Process) sendUntil(until clock.Micros, send, late func()) {
 	p.send(func() {
-		if p.Steady() >= until {
+		if p.Monotonic() >= until {
 			p.Post(late)
 			return
 		}
@@ -88,13 +88,13 @@
 	})
 }
 
-// Steady is the process's steady clock. With OfDay, Post and After it makes the process an actor.Mailbox.
-func (p *Process) Steady() clock.Micros {
+// Monotonic is the process's steady clock. With OfDay, Post and After it makes the process an actor.Mailbox.
+func (p *Process) Monotonic() clock.Micros {
 	return clock.Second + clock.Micros(float64(p.w.now-p.start)*p.drift)
 }
 
-// OfDay is the time of day, which is exact.
-func (p *Process) OfDay() clock.Micros { return p.w.now }
+// TimeOfDay is the time of day, which is exact.
+func (p *Process) TimeOfDay() clock.Micros { return p.w.now }
 
 // Post handles a message as soon as the process can.
 func (p *Process) Post(message func()) { p.After(0, message) }
--- a/internal/testkit/record.go
+++ b/internal/testkit/record.go
@@ -55,18 +55,18 @@
 func (r *recording) requestsOf(e *node.Environment) {
 	forward, everyone := e.Forward, e.Everyone
 	e.Exchange = &recordedExchanger{r, e.Exchange}
-	e.Forward = func(request intake.Request, done func(intake.Answer, bool)) {
+	e.Forward = func(request intake.Request, done func(intake.Response, bool)) {
 		r.record("forward", peer.RequestFrame(request))
-		forward(request, func(a intake.Answer, ok bool) {
-			r.record("forward answered", ok, peer.AnswerFrame(a))
+		forward(request, func(a intake.Response, ok bool) {
+			r.record("forward answered", ok, peer.ResponseFrame(a))
 			done(a, ok)
 		})
 	}
-	e.Everyone = func(own *intake.Intake, request intake.Request, done func([]intake.Answer, bool)) {
+	e.Everyone = func(own *intake.Admission, request intake.Request, done func([]intake.Response, bool)) {
 		r.record("ask all nodes", peer.RequestFrame(request))
-		everyone(own, request, func(answers []intake.Answer, ok bool) {
+		everyone(own, request, func(answers []intake.Response, ok bool) {
 			for _, a := range answers {
-				r.record("a node answered", peer.AnswerFrame(a))
+				r.record("a node answered", peer.ResponseFrame(a))
 			}
 			r.record("all nodes answered", ok)
 			done(answers, ok)
@@ -107,25 +107,25 @@
 }
 
 func (s *recordedStore) Commit(
-	use statestore.Use, t protocol.Txn, done func(storetest.Reply[protocol.TxnAnswer]),
+	use statestore.Priority, t protocol.Txn, done func(storetest.Reply[protocol.TxnResponse]),
 ) {
 	s.record("commit", int(use), t)
 	s.store.Commit(use, t, answered(s.recording, "commit", done))
 }
 
 func (s *recordedStore) Follow(
-	prefix string, from int64, block clock.Micros, done func(storetest.Reply[protocol.FollowAnswer]),
+	prefix string, from int64, block clock.Micros, done func(storetest.Reply[protocol.WatchResponse]),
 ) {
 	s.record("follow", prefix, from, int64(block))
 	s.store.Follow(prefix, from, block, answered(s.recording, "follow", done))
 }
 
-func (s *recordedStore) Grant(ttl clock.Micros, done func(storetest.Reply[protocol.LeaseAnswer])) {
+func (s *recordedStore) Grant(ttl clock.Micros, done func(storetest.Reply[protocol.LeaseResponse])) {
 	s.record("grant", int64(ttl))
 	s.store.Grant(ttl, answered(s.recording, "grant", done))
 }
 
-func (s *recordedStore) Renew(lease int64, done func(storetest.Reply[protocol.LeaseAnswer])) {
+func (s *recordedStore) Renew(lease int64, done func(storetest.Reply[protocol.LeaseResponse])) {
 	s.record("renew", lease)
 	s.store.Renew(lease, answered(s.recording, "renew", done))
 }
@@ -144,16 +144,16 @@
 	})
 }
 
-func (c *recordedCloud) Rent(r protocol.Rental, until clock.Micros, done func(int, protocol.RentalAnswer)) {
+func (c *recordedCloud) Rent(r protocol.ScaleOutRequest, until clock.Micros, done func(int, protocol.ScaleOutResponse)) {
 	c.record("rent", r, int64(until))
-	c.cloud.Rent(r, until, func(status int, a protocol.RentalAnswer) {
+	c.cloud.Rent(r, until, func(status int, a protocol.ScaleOutResponse) {
 		c.record("rent answered", status, a)
 		done(status, a)
 	})
 }
 
 func (c *recordedCloud) Release(machines []string, until clock.Micros, done func(int)) {
-	c.record("release", protocol.MachineNames{Machines: machines}, int64(until))
+	c.record("release", protocol.ScaleInRequest{Machines: machines}, int64(until))
 	c.cloud.Release(machines, until, func(status int) {
 		c.record("release answered", status)
 		done(status)
@@ -175,10 +175,10 @@
 }
 
 func (a *recordedAgent) Commands(
-	addr string, c protocol.Commands, until clock.Micros, done func(int, protocol.Report),
+	addr string, c protocol.CommandRequest, until clock.Micros, done func(int, protocol.Heartbeat),
 ) {
 	a.record("commands", addr, c, int64(until))
-	a.agent.Commands(addr, c, until, func(status int, r protocol.Report) {
+	a.agent.Commands(addr, c, until, func(status int, r protocol.Heartbeat) {
 		a.record("commands answered", status, r)
 		done(status, r)
 	})
@@ -191,10 +191,10 @@
 }
 
 func (x *recordedExchanger) Exchange(
-	address string, report delegation.Report, done func(delegation.Answer, bool),
+	address string, report delegation.Heartbeat, done func(delegation.HeartbeatResponse, bool),
 ) {
 	x.record("exchange", address, report.Encode())
-	x.exchanger.Exchange(address, report, func(a delegation.Answer, ok bool) {
+	x.exchanger.Exchange(address, report, func(a delegation.HeartbeatResponse, ok bool) {
 		x.record("exchange answered", ok, a.Encode())
 		done(a, ok)
 	})
@@ -206,7 +206,7 @@
 	reports reportHandler
 }
 
-func (x *recordedReports) Heartbeat(report protocol.Report, reply func(status int, body any)) {
+func (x *recordedReports) Heartbeat(report protocol.Heartbeat, reply func(status int, body any)) {
 	x.record("heartbeat", report)
 	x.reports.Heartbeat(report, func(status int, body any) {
 		x.record("heartbeat answer", status, body)
@@ -221,10 +221,10 @@
 	from     string
 }
 
-func (x *recordedRequests) Handle(request intake.Request, reply func(intake.Answer)) {
+func (x *recordedRequests) Handle(request intake.Request, reply func(intake.Response)) {
 	x.record(x.from+" request", peer.RequestFrame(request), request.Forwarded)
-	x.requests.Handle(request, func(a intake.Answer) {
-		x.record(x.from+" answer", peer.AnswerFrame(a))
+	x.requests.Handle(request, func(a intake.Response) {
+		x.record(x.from+" answer", peer.ResponseFrame(a))
 		reply(a)
 	})
 }
@@ -235,9 +235,9 @@
 	exchanges exchangeHandler
 }
 
-func (x *recordedExchanges) Exchange(report delegation.Report, reply func(delegation.Answer, bool)) {
+func (x *recordedExchanges) Exchange(report delegation.Heartbeat, reply func(delegation.HeartbeatResponse, bool)) {
 	x.record("cell report", report.Encode())
-	x.exchanges.Exchange(report, func(a delegation.Answer, ok bool) {
+	x.exchanges.Exchange(report, func(a delegation.HeartbeatResponse, ok bool) {
 		x.record("cell answer", ok, a.Encode())
 		reply(a, ok)
 	})
@@ -255,8 +255,8 @@
 // recordStored records all values of a deployment's store.
 func (d *Deployment) recordStored() {
 	r := &recording{d.World, d.name}
-	for _, key := range slices.Sorted(maps.Keys(d.State.entries)) {
-		e := d.State.entries[key]
+	for _, key := range slices.Sorted(maps.Keys(d.Store.entries)) {
+		e := d.Store.entries[key]
 		r.record("stored", key, e.value, e.version, e.lease)
 	}
 }
--- a/internal/testkit/record_test.go
+++ b/internal/testkit/record_test.go
@@ -37,7 +37,7 @@
 	d.Submit(array("job-000001", "open", 8, 2, 20), 20*clock.Second, false)
 	w.Run(60 * clock.Second)
 	if change != nil {
-		change(d.State)
+		change(d.Store)
 	}
 	d.recordStored()
 	return h, fmt.Sprintf("%x", h.Sum(nil))
@@ -84,7 +84,7 @@
 	t.Parallel()
 	d := NewDeployment(NewWorld(1), testSettings(), testTypes(), 0)
 	n := d.Nodes[0]
-	if n.requests != requestHandler(n.Intake) || n.reports != reportHandler(n.Dispatch) {
+	if n.requests != requestHandler(n.Admission) || n.reports != reportHandler(n.Leader) {
 		t.Error("a controller's connections are wrapped")
 	}
 }
--- a/internal/testkit/requests_test.go
+++ b/internal/testkit/requests_test.go
@@ -18,7 +18,7 @@
 	done := d.Submit(array("job-000003", "open", 1, 1, 5), 5*clock.Second, false)
 	for range 30 {
 		sendInvalidRequests(d)
-		d.ask(intake.Request{Kind: intake.Show, ID: "job-999999"}, func(status int, _ protocol.JobStatus) {
+		d.ask(intake.Request{Kind: intake.GetStatus, ID: "job-999999"}, func(status int, _ protocol.JobStatus) {
 			if status != http.StatusNotFound {
 				w.Violate("invented", "answered %d", status)
 			}
@@ -29,7 +29,7 @@
 	mustBeDone(t, w, done)
 	want := []string{"catalogue", "jobs/job-000001", "jobs/job-000003", "lead/controller",
 		"rollout/gate", "rollout/node/worker-0", "rollout/node/worker-1", "rollout/node/worker-2"}
-	if keys := slices.Sorted(maps.Keys(d.State.entries)); !slices.Equal(keys, want) {
+	if keys := slices.Sorted(maps.Keys(d.Store.entries)); !slices.Equal(keys, want) {
 		t.Fatalf("keys %v, want %v", keys, want)
 	}
 }
--- a/internal/testkit/rules.go
+++ b/internal/testkit/rules.go
@@ -59,7 +59,7 @@
 // Violate notes that a rule was broken.
 func (w *World) Violate(broken rule, format string, args ...any) {
 	message := fmt.Sprintf(format, args...)
-	w.Broken = append(w.Broken, fmt.Sprintf("%.3f %s: %s", w.now.Seconds(), broken, message))
+	w.Violations = append(w.Violations, fmt.Sprintf("%.3f %s: %s", w.now.Seconds(), broken, message))
 }
 
 // limitTolerance is for sums of fractions that reach a limit.
@@ -106,7 +106,7 @@
 		d.World.Violate(ranCancelled, "%s/%d starts", k.job, k.task)
 	}
 	zone := m.d.name + m.zone
-	if !planner.Allowed(&j.spec, m.typ, m.zone, m.spot) || !planner.ZoneAllowed(&j.spec, j.zones(k.task), zone) {
+	if !planner.MachineAllowed(&j.spec, m.typ, m.zone, m.spot) || !planner.ZoneAllowed(&j.spec, j.zones(k.task), zone) {
 		d.World.Violate(wrongPlace, "%s/%d on %s %s", k.job, k.task, m.typ, m.zone)
 	}
 }
@@ -140,7 +140,7 @@
 
 // checkCommands checks that nobody sends commands without the leader's lease, but to stop tasks of final
 // jobs: that ends nothing which a later leader could want. Cancelled jobs aren't started.
-func (d *Deployment) checkCommands(n *Node, epoch int64, commands []protocol.Order) {
+func (d *Deployment) checkCommands(n *Node, epoch int64, commands []protocol.Command) {
 	for _, c := range commands {
 		id, _, _ := protocol.ParseTask(c.Task)
 		j := d.find(id)
@@ -150,7 +150,7 @@
 				n.Name, c.Task, j.cancelledAt.Seconds())
 		}
 	}
-	if d.State.leads(epoch) {
+	if d.Store.leads(epoch) {
 		return
 	}
 	for _, c := range commands {
@@ -162,10 +162,10 @@
 
 // mayStopWithoutLease reports whether a command stops a task of a final job, or a hosted one: those end
 // without their records saying so if the origin cell no longer permits them.
-func (d *Deployment) mayStopWithoutLease(c protocol.Order) bool {
+func (d *Deployment) mayStopWithoutLease(c protocol.Command) bool {
 	id, _, ok := protocol.ParseTask(c.Task)
-	_, _, _, hosted := ledger.ParseGuestID(id)
-	return c.Verb == protocol.VerbStop && ok && (hosted || d.State.final(id))
+	_, _, _, hosted := ledger.ParseHostedJobID(id)
+	return c.Verb == protocol.VerbStop && ok && (hosted || d.Store.final(id))
 }
 
 // checkStatus checks a response to a user by what the user had been told when asking, and notes the end
--- a/internal/testkit/rules_test.go
+++ b/internal/testkit/rules_test.go
@@ -40,8 +40,8 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			d := play(seed)
-			if len(d.World.Broken) > 0 {
-				t.Fatalf("broken rules, want none:\n%s", strings.Join(d.World.Broken, "\n"))
+			if len(d.World.Violations) > 0 {
+				t.Fatalf("broken rules, want none:\n%s", strings.Join(d.World.Violations, "\n"))
 			}
 			if left := d.Unfinished(); len(left) > 0 {
 				t.Fatalf("accepted but not done: %v, want none", left)
@@ -59,7 +59,7 @@
 func TestSameSeedGivesSameSimulation(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 5, 21} { // some of them with outages of the state service
 		first, second := play(seed), play(seed)
-		a, b := first.State, second.State
+		a, b := first.Store, second.Store
 		if first.World.seq != second.World.seq || a.revision != b.revision || a.Changes != b.Changes {
 			t.Errorf("seed %d: events %d and %d, revisions %d and %d, changes %d and %d, want the same",
 				seed, first.World.seq, second.World.seq, a.revision, b.revision, a.Changes, b.Changes)
--- a/internal/testkit/scale_test.go
+++ b/internal/testkit/scale_test.go
@@ -19,11 +19,11 @@
 	t.Parallel()
 	w := NewWorld(17)
 	set := testSettings()
-	set.Deployment.Workers.ReportS, set.Deployment.Workers.LeaseS, set.Deployment.Workers.CancelS = 5, 22, 42
-	set.Deployment.State.ValueKb, set.Deployment.State.TxnOps = 32, 12
+	set.Deployment.Workers.HeartbeatS, set.Deployment.Workers.LeaseS, set.Deployment.Workers.CancelS = 5, 22, 42
+	set.Deployment.KVStore.ValueKb, set.Deployment.KVStore.TxnOps = 32, 12
 	d := NewDeployment(w, set, testTypes(), 0)
-	d.State.Kept, d.State.Page = 10_000, 500
-	d.Cloud.Capacity = map[fleet.Kind]int{
+	d.Store.Kept, d.Store.Page = 10_000, 500
+	d.Cloud.Capacity = map[fleet.CapacityPool]int{
 		{Type: "small", Zone: "a"}: 150, {Type: "small", Zone: "b"}: 100,
 		{Type: "small", Zone: "a", Spot: true}: 50,
 		{Type: "big", Zone: "a"}:               40, {Type: "big", Zone: "b"}: 20,
@@ -62,8 +62,8 @@
 	const day = 300 * clock.Second
 	w.Run(day)
 
-	if len(w.Broken) > 0 {
-		t.Fatalf("broken rules, want none: %v", w.Broken[:min(len(w.Broken), 5)])
+	if len(w.Violations) > 0 {
+		t.Fatalf("broken rules, want none: %v", w.Violations[:min(len(w.Violations), 5)])
 	}
 	if left := d.Unfinished(); len(left) > 0 {
 		t.Fatalf("accepted but not done: %v, want none", left)
@@ -90,14 +90,14 @@
 func (d *Deployment) mustHaveUsed(t *testing.T, most used) {
 	t.Helper()
 	plans := 0
-	mustLead(t, d).Dispatch.Overview(func(o any) { plans = o.(overview.Overview).Plans })
+	mustLead(t, d).Leader.Overview(func(o any) { plans = o.(overview.Overview).Plans })
 	d.World.Run(d.World.Now() + clock.Millisecond)
 	for _, x := range []struct {
 		what    string
 		n, most int
 	}{
-		{"changes of records", d.State.Changes, most.changes},
-		{"requests to the state service", d.State.Requests, most.requests},
+		{"changes of records", d.Store.Changes, most.changes},
+		{"requests to the state service", d.Store.Requests, most.requests},
 		{"calls to the cloud", d.Cloud.Calls, most.calls},
 		{"plans of the last leader", plans, most.plans},
 		{"direct commands", d.Commands, most.commands},
@@ -115,7 +115,7 @@
 // mustFinish fails the test if a rule was broken or an accepted job isn't done.
 func mustFinish(t *testing.T, d *Deployment) {
 	t.Helper()
-	broken := d.World.Broken
+	broken := d.World.Violations
 	if left := d.Unfinished(); len(broken) > 0 || len(left) > 0 {
 		t.Fatalf("broken rules %v, accepted but not done %v, want none", broken[:min(len(broken), 5)], left)
 	}
@@ -129,12 +129,12 @@
 	t.Parallel()
 	w := NewWorld(18)
 	set := testSettings()
-	set.Deployment.Workers = settings.Workers{ReportS: 6, LeaseS: 31, GangWaitS: 40, GangPeerS: 5, CancelS: 51}
-	set.Deployment.State = settings.State{Rps: 250, WriteRps: 70, ValueKb: 32, TxnOps: 12}
+	set.Deployment.Workers = settings.Workers{HeartbeatS: 6, LeaseS: 31, GangWaitS: 40, GangPeerS: 5, CancelS: 51}
+	set.Deployment.KVStore = settings.KVStore{Rps: 250, WriteRps: 70, ValueKb: 32, TxnOps: 12}
 	set.Deployment.Cloud.Rps = 12
 	d := NewDeployment(w, set, testTypes(), 0)
-	d.State.Kept, d.State.Page = 10_000, 500
-	d.Cloud.Capacity = map[fleet.Kind]int{{Type: "small", Zone: "a"}: 1500, {Type: "small", Zone: "b"}: 500}
+	d.Store.Kept, d.Store.Page = 10_000, 500
+	d.Cloud.Capacity = map[fleet.CapacityPool]int{{Type: "small", Zone: "a"}: 1500, {Type: "small", Zone: "b"}: 500}
 	for i := range clock.Micros(8) {
 		const n = 1000
 		w.After(i*2*clock.Second, func() {
--- a/internal/testkit/scalefailover_test.go
+++ b/internal/testkit/scalefailover_test.go
@@ -17,13 +17,13 @@
 	t.Parallel()
 	w := NewWorld(19)
 	set := testSettings()
-	set.Deployment.Workers = settings.Workers{ReportS: 2.5, LeaseS: 16, GangWaitS: 40, GangPeerS: 5, CancelS: 36}
-	set.Deployment.State = settings.State{Rps: 100, WriteRps: 30, ValueKb: 32, TxnOps: 12}
+	set.Deployment.Workers = settings.Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 40, GangPeerS: 5, CancelS: 36}
+	set.Deployment.KVStore = settings.KVStore{Rps: 100, WriteRps: 30, ValueKb: 32, TxnOps: 12}
 	set.Deployment.MachineLimits.CPU = 0.05
 	d := NewDeployment(w, set, testTypes(), 0)
-	d.State.Kept, d.State.Page = 10_000, 500
+	d.Store.Kept, d.Store.Page = 10_000, 500
 	d.Cloud.Reliable = true
-	d.Cloud.Capacity = map[fleet.Kind]int{{Type: "small", Zone: "a"}: 400, {Type: "small", Zone: "b"}: 200}
+	d.Cloud.Capacity = map[fleet.CapacityPool]int{{Type: "small", Zone: "a"}: 400, {Type: "small", Zone: "b"}: 200}
 	w.MessageCost = 2 * clock.Millisecond
 	submit := func(tasks int, run clock.Micros) {
 		d.Submit(array(d.nextID(), "open", tasks, 2, run.Seconds()), run, false)
@@ -47,7 +47,7 @@
 		heir := mustLead(t, d)
 		heard := 0
 		for _, m := range d.Workers() {
-			if heir.Dispatch.Knows(m.name) && m.epoch > 1 {
+			if heir.Leader.Knows(m.name) && m.epoch > 1 {
 				heard++
 			}
 		}
@@ -81,17 +81,17 @@
 	t.Parallel()
 	w := NewWorld(20)
 	set := tighteningSettings()
-	set.Deployment.Workers = settings.Workers{ReportS: 6, LeaseS: 31, GangWaitS: 40, GangPeerS: 5, CancelS: 51}
-	set.Deployment.State.Rps, set.Deployment.State.WriteRps = 250, 70
+	set.Deployment.Workers = settings.Workers{HeartbeatS: 6, LeaseS: 31, GangWaitS: 40, GangPeerS: 5, CancelS: 51}
+	set.Deployment.KVStore.Rps, set.Deployment.KVStore.WriteRps = 250, 70
 	set.Deployment.Cloud.Rps = 12
 	d := NewDeployment(w, set, testTypes(), 0)
-	d.State.Kept, d.State.Page = 10_000, 500
+	d.Store.Kept, d.Store.Page = 10_000, 500
 	d.Cloud.Reliable = true
-	d.Cloud.Capacity = map[fleet.Kind]int{{Type: "small", Zone: "a"}: 3000, {Type: "small", Zone: "b"}: 1000}
-	d.State.Limit(set.Deployment.State.Tightest(), false)
+	d.Cloud.Capacity = map[fleet.CapacityPool]int{{Type: "small", Zone: "a"}: 3000, {Type: "small", Zone: "b"}: 1000}
+	d.Store.Limit(set.Deployment.KVStore.Tightest(), false)
 	submit := func(shape, rank string, tasks int, cpus float64, run clock.Micros) *Job {
 		spec := array(d.nextID(), "open", tasks, cpus, run.Seconds())
-		spec.Class, spec.Shape, spec.Rank, spec.Spread = shape, shape, rank, shape == protocol.ShapeService
+		spec.Class, spec.Shape, spec.Priority, spec.Spread = shape, shape, rank, shape == protocol.ShapeService
 		return d.Submit(spec, run, false)
 	}
 	for i := range clock.Micros(8) {
@@ -117,7 +117,7 @@
 				m.Die()
 			}
 		}
-		d.Cloud.Capacity[fleet.Kind{Type: "small", Zone: "b"}] = 0
+		d.Cloud.Capacity[fleet.CapacityPool{Type: "small", Zone: "b"}] = 0
 	})
 	w.Run(200 * clock.Second)
 	for _, j := range services {
--- a/internal/testkit/servicefaults.go
+++ b/internal/testkit/servicefaults.go
@@ -14,8 +14,8 @@
 )
 
 func (f *fault) outage(duration clock.Micros) {
-	f.d.State.Outage(true)
-	f.w.After(duration, func() { f.d.State.Outage(false) })
+	f.d.Store.Outage(true)
+	f.w.After(duration, func() { f.d.Store.Outage(false) })
 }
 
 func (f *fault) storeOutage() { f.outage(f.duration) }
@@ -44,9 +44,9 @@
 
 // writeLate has the store execute many transactions late, without a response.
 func (f *fault) writeLate() {
-	before := f.d.State.LateWrites
-	f.d.State.LateWrites = lateWriteShare
-	f.w.After(f.duration, func() { f.d.State.LateWrites = before })
+	before := f.d.Store.LateWrites
+	f.d.Store.LateWrites = lateWriteShare
+	f.w.After(f.duration, func() { f.d.Store.LateWrites = before })
 }
 
 // slowStore has the store respond slowly, to one controller hardly ever in time.
--- a/internal/testkit/services_test.go
+++ b/internal/testkit/services_test.go
@@ -14,7 +14,7 @@
 	w := NewWorld(260)
 	d := NewDeployment(w, tighteningSettings(), testTypes(), 0)
 	spec := array("job-000001", "open", 4, 1, 0)
-	spec.Shape, spec.Rank, spec.Spread = protocol.ShapeService, "prod", true
+	spec.Shape, spec.Priority, spec.Spread = protocol.ShapeService, "prod", true
 	j := d.Submit(spec, 40*clock.Second, false) // each replica ends after 20 to 60 s
 	served, samples := 0, 0
 	w.Run(60 * clock.Second)
@@ -54,7 +54,7 @@
 	d := NewDeployment(w, set, testTypes(), 0)
 	d.Cloud.Reliable = true
 	spec := array("job-000001", "open", 6, 4, 0)
-	spec.Shape, spec.Rank, spec.Spread = protocol.ShapeService, "prod", true
+	spec.Shape, spec.Priority, spec.Spread = protocol.ShapeService, "prod", true
 	j := d.Submit(spec, 0, false)
 	d.Submit(array("job-000002", "open", 8, 4, 600), 600*clock.Second, false)
 	w.Run(80 * clock.Second)
--- a/internal/testkit/storeclient.go
+++ b/internal/testkit/storeclient.go
@@ -78,15 +78,15 @@
 
 // Commit executes a transaction, or on some days much later, without a response.
 func (c *storeClient) Commit(
-	use statestore.Use, t protocol.Txn, done func(storetest.Reply[protocol.TxnAnswer]),
+	use statestore.Priority, t protocol.Txn, done func(storetest.Reply[protocol.TxnResponse]),
 ) {
 	c.checkGuards(use, t)
 	if c.store.w.chance(c.store.LateWrites) {
 		c.commitLate(t)
-		c.p.After(storeTimeout, func() { done(storetest.Reply[protocol.TxnAnswer]{}) })
+		c.p.After(storeTimeout, func() { done(storetest.Reply[protocol.TxnResponse]{}) })
 		return
 	}
-	request(c, done, func() storetest.Reply[protocol.TxnAnswer] { return c.store.commit(t) })
+	request(c, done, func() storetest.Reply[protocol.TxnResponse] { return c.store.commit(t) })
 }
 
 // commitLate executes a transaction after newer ones, if the store serves the client then.
@@ -102,9 +102,9 @@
 
 // checkGuards checks that a transaction guards each key that it changes, and the leader's key if a
 // leader sends it.
-func (c *storeClient) checkGuards(use statestore.Use, t protocol.Txn) {
+func (c *storeClient) checkGuards(use statestore.Priority, t protocol.Txn) {
 	guarded := map[string]bool{}
-	for _, g := range t.Guards {
+	for _, g := range t.Conditions {
 		guarded[g.Key] = true
 	}
 	for _, x := range t.Changes {
@@ -112,32 +112,32 @@
 			c.store.w.Violate(unguarded, "a change of %s", x.Put+x.Delete)
 		}
 	}
-	if use == statestore.ForLeader && !guarded[leadership.Key] {
+	if use == statestore.PriorityLeader && !guarded[leadership.LeaderKey] {
 		c.store.w.Violate(unguarded, "a leader's change without the leader's key")
 	}
 }
 
 // Follow waits for changes of keys with a prefix after a revision, for a time at most.
 func (c *storeClient) Follow(
-	prefix string, from int64, block clock.Micros, done func(storetest.Reply[protocol.FollowAnswer]),
+	prefix string, from int64, block clock.Micros, done func(storetest.Reply[protocol.WatchResponse]),
 ) {
 	c.link.call(c.p, block+storeTimeout, func(answer func(func())) {
 		s := c.store
 		s.Requests++
-		respond := func(status int, value protocol.FollowAnswer) {
-			answer(func() { done(storetest.Reply[protocol.FollowAnswer]{Status: status, Value: value}) })
+		respond := func(status int, value protocol.WatchResponse) {
+			answer(func() { done(storetest.Reply[protocol.WatchResponse]{Status: status, Value: value}) })
 		}
 		switch {
 		case !c.served():
-			respond(http.StatusServiceUnavailable, protocol.FollowAnswer{})
+			respond(http.StatusServiceUnavailable, protocol.WatchResponse{})
 		case len(s.log) > 0 && s.revision-from > s.Kept:
-			respond(http.StatusGone, protocol.FollowAnswer{})
+			respond(http.StatusGone, protocol.WatchResponse{})
 		default:
 			c.watch(prefix, from, block, func() {
-				respond(http.StatusOK, protocol.FollowAnswer{Revision: s.revision, Events: s.eventsSince(prefix, from)})
+				respond(http.StatusOK, protocol.WatchResponse{Revision: s.revision, Events: s.eventsSince(prefix, from)})
 			})
 		}
-	}, func() { done(storetest.Reply[protocol.FollowAnswer]{}) })
+	}, func() { done(storetest.Reply[protocol.WatchResponse]{}) })
 }
 
 // watch replies once there are changes, or when the time is over.
@@ -154,20 +154,20 @@
 }
 
 // Grant creates a lease.
-func (c *storeClient) Grant(ttl clock.Micros, done func(storetest.Reply[protocol.LeaseAnswer])) {
-	request(c, done, func() storetest.Reply[protocol.LeaseAnswer] {
-		answer := protocol.LeaseAnswer{Lease: c.store.grantLease(ttl)}
-		return storetest.Reply[protocol.LeaseAnswer]{Status: http.StatusOK, Value: answer}
+func (c *storeClient) Grant(ttl clock.Micros, done func(storetest.Reply[protocol.LeaseResponse])) {
+	request(c, done, func() storetest.Reply[protocol.LeaseResponse] {
+		answer := protocol.LeaseResponse{Lease: c.store.grantLease(ttl)}
+		return storetest.Reply[protocol.LeaseResponse]{Status: http.StatusOK, Value: answer}
 	})
 }
 
 // Renew gives a lease its full time again.
-func (c *storeClient) Renew(id int64, done func(storetest.Reply[protocol.LeaseAnswer])) {
-	request(c, done, func() storetest.Reply[protocol.LeaseAnswer] {
+func (c *storeClient) Renew(id int64, done func(storetest.Reply[protocol.LeaseResponse])) {
+	request(c, done, func() storetest.Reply[protocol.LeaseResponse] {
 		if c.store.leases[id] == nil {
-			return storetest.Reply[protocol.LeaseAnswer]{Status: http.StatusNotFound}
+			return storetest.Reply[protocol.LeaseResponse]{Status: http.StatusNotFound}
 		}
 		c.store.renewLease(id)
-		return storetest.Reply[protocol.LeaseAnswer]{Status: http.StatusOK}
+		return storetest.Reply[protocol.LeaseResponse]{Status: http.StatusOK}
 	})
 }
--- a/internal/testkit/storeoutage_test.go
+++ b/internal/testkit/storeoutage_test.go
@@ -22,7 +22,7 @@
 			leader.State.StoreRefuses = true
 			w.Run(w.Now() + w.Between(0, 500*clock.Millisecond))
 			confirmCancel(w, d, j)
-			d.State.Outage(true)
+			d.Store.Outage(true)
 			for _, n := range d.Nodes {
 				if n == leader {
 					continue
@@ -52,7 +52,7 @@
 			if expired(d) > 0 {
 				t.Fatalf("%d workers lost their tasks though all controllers attest, want none", expired(d))
 			}
-			d.State.Outage(false)
+			d.Store.Outage(false)
 			leader.State.StoreRefuses = false
 			w.Run(w.Now() + 600*clock.Second)
 			mustBeDone(t, w, other)
@@ -65,14 +65,14 @@
 func TestLeaderWithoutRecordsRenewsNoLeases(t *testing.T) {
 	w, d, j, _ := twoJobs(t, 41, 300*clock.Second)
 	first := mustLead(t, d)
-	epoch := d.State.entries[leadership.Key].version
+	epoch := d.Store.entries[leadership.LeaderKey].version
 	first.State.StoreRefuses = true
 	confirmCancel(w, d, j)
 	first.Crash()
-	for d.State.entries[leadership.Key].version <= epoch {
+	for d.Store.entries[leadership.LeaderKey].version <= epoch {
 		w.Run(w.Now() + 200)
 	}
-	d.State.Outage(true) // the response to its campaign is on its way
+	d.Store.Outage(true) // the response to its campaign is on its way
 	w.Run(w.Now() + 60*clock.Second)
 	mustKeepRules(t, w)
 }
@@ -88,12 +88,12 @@
 		n.Workers.Cut = n != old
 	}
 	refusedAt := w.Now()
-	for old.Dispatch.Leads() {
+	for old.Leader.Leads() {
 		w.Run(w.Now() + 100*clock.Millisecond)
 	}
 	for ; w.Now() < refusedAt+30*clock.Second; w.Run(w.Now() + 100*clock.Millisecond) {
 		status := 0
-		old.Dispatch.Heartbeat(d.Workers()[0].newHeartbeat(), func(s int, _ any) { status = s })
+		old.Leader.Heartbeat(d.Workers()[0].newHeartbeat(), func(s int, _ any) { status = s })
 		w.Run(w.Now() + clock.Millisecond)
 		if status == http.StatusMisdirectedRequest {
 			break
@@ -119,13 +119,13 @@
 		if len(keep.machines) == 0 {
 			t.Fatal("no task runs, want six")
 		}
-		d.State.LateWrites = 0.5
+		d.Store.LateWrites = 0.5
 		for i := range 6 {
 			d.Submit(array(fmt.Sprintf("job-1%05d", i), "limited", 4, 2, 15), 15*clock.Second, false)
 			w.Run(w.Now() + 2*clock.Second)
 		}
 		w.Run(w.Now() + 30*clock.Second)
-		d.State.LateWrites = 0
+		d.Store.LateWrites = 0
 		w.Run(w.Now() + 300*clock.Second)
 		mustKeepRules(t, w)
 		mustHaveUnfinished(t, d, 1)
--- a/internal/testkit/storerecords.go
+++ b/internal/testkit/storerecords.go
@@ -6,10 +6,10 @@
 )
 
 // leads reports whether the epoch is that of the leader by the store.
-func (s *FakeStore) leads(epoch int64) bool { return s.entries[leadership.Key].version == epoch }
+func (s *FakeStore) leads(epoch int64) bool { return s.entries[leadership.LeaderKey].version == epoch }
 
 // record decodes a job's record, without its shards; nil if there is none.
-func (s *FakeStore) record(job string) *ledger.Job {
+func (s *FakeStore) record(job string) *ledger.Record {
 	e, ok := s.entries[ledger.Key(job)]
 	if !ok {
 		return nil
@@ -22,14 +22,14 @@
 }
 
 // wholeRecord decodes a job's record with its shards; nil if there is none.
-func (s *FakeStore) wholeRecord(job string) *ledger.Job {
+func (s *FakeStore) wholeRecord(job string) *ledger.Record {
 	j := s.record(job)
 	if j == nil {
 		return nil
 	}
-	for part := range j.Parts() {
-		if e, ok := s.entries[ledger.PartKey(job, part)]; ok {
-			if err := j.ApplyPart(part, e.value); err != nil {
+	for part := range j.ShardCount() {
+		if e, ok := s.entries[ledger.ShardKey(job, part)]; ok {
+			if err := j.ApplyShard(part, e.value); err != nil {
 				s.w.Violate(badRecord, "part %d of %s: %v", part, job, err)
 			}
 		}
@@ -40,7 +40,7 @@
 // assigned reports whether a job's record has an attempt on a machine.
 func (s *FakeStore) assigned(k taskKey, attempt int64, machine string) bool {
 	j := s.wholeRecord(k.job)
-	return j != nil && j.Placed[k.task].Attempt == attempt && j.Placed[k.task].Machine == machine
+	return j != nil && j.Placements[k.task].Attempt == attempt && j.Placements[k.task].Machine == machine
 }
 
 // final reports whether a job's record is final.
--- a/internal/testkit/storetxn.go
+++ b/internal/testkit/storetxn.go
@@ -15,7 +15,7 @@
 const guardsPerChange = 4
 
 // Limit sets the limits of the settings, the rate of changes only if asked for.
-func (s *FakeStore) Limit(l settings.State, rate bool) {
+func (s *FakeStore) Limit(l settings.KVStore, rate bool) {
 	s.ValueBytes, s.TxnOps = l.ValueBytes(), l.TxnOps
 	if rate {
 		s.ChangesPerS = int(l.WriteRps)
@@ -24,7 +24,7 @@
 
 // limitExceeded returns the status with which the limits refuse a transaction, 0 if they allow it.
 func (s *FakeStore) limitExceeded(t protocol.Txn) int {
-	if s.TxnOps > 0 && (len(t.Changes) > s.TxnOps || len(t.Guards) > guardsPerChange*s.TxnOps) {
+	if s.TxnOps > 0 && (len(t.Changes) > s.TxnOps || len(t.Conditions) > guardsPerChange*s.TxnOps) {
 		return http.StatusBadRequest
 	}
 	for _, c := range t.Changes {
@@ -45,7 +45,7 @@
 // failedGuards lists the keys that don't have the versions which a transaction requires.
 func (s *FakeStore) failedGuards(t protocol.Txn) []string {
 	var failed []string
-	for _, g := range t.Guards {
+	for _, g := range t.Conditions {
 		if s.entries[g.Key].version != g.Version {
 			failed = append(failed, g.Key)
 		}
@@ -64,22 +64,22 @@
 }
 
 // commit executes a compare-and-swap transaction, or refuses it as a whole.
-func (s *FakeStore) commit(t protocol.Txn) storetest.Reply[protocol.TxnAnswer] {
-	respond := func(status int, answer protocol.TxnAnswer) storetest.Reply[protocol.TxnAnswer] {
-		return storetest.Reply[protocol.TxnAnswer]{Status: status, Value: answer}
+func (s *FakeStore) commit(t protocol.Txn) storetest.Reply[protocol.TxnResponse] {
+	respond := func(status int, answer protocol.TxnResponse) storetest.Reply[protocol.TxnResponse] {
+		return storetest.Reply[protocol.TxnResponse]{Status: status, Value: answer}
 	}
 	if status := s.limitExceeded(t); status != 0 {
-		return respond(status, protocol.TxnAnswer{})
+		return respond(status, protocol.TxnResponse{})
 	}
 	if !s.leasesExist(t) {
-		return respond(http.StatusBadRequest, protocol.TxnAnswer{Error: "no such lease"})
+		return respond(http.StatusBadRequest, protocol.TxnResponse{Error: "no such lease"})
 	}
 	if failed := s.failedGuards(t); len(failed) > 0 {
-		return respond(http.StatusConflict, protocol.TxnAnswer{Revision: s.revision, Failed: failed})
+		return respond(http.StatusConflict, protocol.TxnResponse{Revision: s.revision, Failed: failed})
 	}
 	s.apply(t.Changes)
 	s.notifyWatchers()
-	return respond(http.StatusOK, protocol.TxnAnswer{Revision: s.revision})
+	return respond(http.StatusOK, protocol.TxnResponse{Revision: s.revision})
 }
 
 // apply makes the changes of a transaction at a new revision.
--- a/internal/testkit/tasks.go
+++ b/internal/testkit/tasks.go
@@ -60,7 +60,7 @@
 }
 
 // execute executes a controller's commands.
-func (m *FakeWorker) execute(commands []protocol.Order) {
+func (m *FakeWorker) execute(commands []protocol.Command) {
 	for _, c := range commands {
 		id, n, _ := protocol.ParseTask(c.Task)
 		key := taskKey{id, n}
@@ -85,7 +85,7 @@
 		}
 		m.tasks = append(m.tasks[:i:i], m.tasks[i+1:]...)
 		m.forgotten[taskRef{k, attempt}] = true
-		if m.d.State.assigned(k, attempt, m.name) {
+		if m.d.Store.assigned(k, attempt, m.name) {
 			m.d.World.Violate(forgotEarly, "%s attempt %d: its end is not in the record",
 				protocol.TaskName(k.job, k.task), attempt)
 		}
@@ -120,7 +120,7 @@
 // same attempt, but only by the record; a completed task has kept its result and doesn't run again.
 func (m *FakeWorker) checkRestart(k taskKey, attempt int64) {
 	j := m.d.find(k.job)
-	if m.forgotten[taskRef{k, attempt}] && !j.completed[k.task] && !m.d.State.assigned(k, attempt, m.name) {
+	if m.forgotten[taskRef{k, attempt}] && !j.completed[k.task] && !m.d.Store.assigned(k, attempt, m.name) {
 		m.d.World.Violate(startedAgain, "%s/%d attempt %d after it was forgotten", k.job, k.task, attempt)
 	}
 }
@@ -130,24 +130,24 @@
 	j := m.d.find(k.job)
 	switch {
 	case j == nil:
-		return protocol.CauseNoSuch
-	case !j.needs().Fits(m.free()):
+		return protocol.CauseNoSuchTask
+	case !j.needs().FitsIn(m.free()):
 		return protocol.CauseNoRoom
 	}
 	for _, other := range m.tasks {
 		if other.taskKey == k && other.attempt != attempt && other.status != protocol.TaskExited {
-			return protocol.CauseBusy
+			return protocol.CauseOtherAttempt
 		}
 	}
 	return ""
 }
 
 // free is what the tasks on the machine leave of it.
-func (m *FakeWorker) free() planner.Amounts {
-	var free planner.Amounts
+func (m *FakeWorker) free() planner.Resources {
+	var free planner.Resources
 	for _, ty := range m.d.Cloud.Types {
 		if ty.Name == m.typ {
-			free = fleet.Whole(ty)
+			free = fleet.Capacity(ty)
 		}
 	}
 	for _, t := range m.tasks {
@@ -183,7 +183,7 @@
 	m.d.World.After(clock.FromSeconds(m.d.Settings.Deployment.Workers.GangWaitS), func() {
 		m.do(func() {
 			if t.status == protocol.TaskWaiting {
-				m.exit(t, protocol.CauseAlone)
+				m.exit(t, protocol.CauseGangIncomplete)
 			}
 		})
 	})
--- a/internal/testkit/transfer_test.go
+++ b/internal/testkit/transfer_test.go
@@ -35,7 +35,7 @@
 		d.Cloud.Reliable = true
 		clear(d.Cloud.Capacity)
 	}
-	x.host.Cloud.Capacity[fleet.Kind{Type: "small", Zone: "a"}] = 2
+	x.host.Cloud.Capacity[fleet.CapacityPool{Type: "small", Zone: "a"}] = 2
 	w.Run(10 * clock.Second)
 	spec := array("job-000001", "open", 20, 4, 25)
 	if gang {
@@ -44,7 +44,7 @@
 	x.job = x.origin.Submit(spec, 25*clock.Second, false)
 	x.host.Submit(array("job-000001", "open", 1, 4, 20), 20*clock.Second, false) // the same id
 	w.After(originGrowsAt, func() {
-		x.origin.Cloud.Capacity[fleet.Kind{Type: "small", Zone: "b"}] = 4
+		x.origin.Cloud.Capacity[fleet.CapacityPool{Type: "small", Zone: "b"}] = 4
 		x.origin.Submit(array("job-000002", "open", 8, 4, 3), 3*clock.Second, false)
 	})
 	return x
@@ -64,7 +64,7 @@
 	{"partly done", func(x *transfer) bool { return len(x.job.completed) > 0 }, false},
 	{"done tasks at the origin", func(x *transfer) bool { return x.done() > 0 }, true},
 	{"recalled", func(x *transfer) bool { return x.inState(delegation.Recalled) }, false},
-	{"closed", func(x *transfer) bool { return x.hosted() != nil && x.hosted().Guest.Closed }, false},
+	{"closed", func(x *transfer) bool { return x.hosted() != nil && x.hosted().Hosted.Closed }, false},
 	{"over for the host", func(x *transfer) bool { return x.hosted() != nil && x.hosted().Final() }, true},
 	{"forgotten by the origin", func(x *transfer) bool { return x.hosted() != nil && !x.delegated() }, true},
 	{"forgotten by the host", func(x *transfer) bool {
@@ -74,9 +74,9 @@
 
 func (x *transfer) elsewhere() int {
 	n := 0
-	if j := x.origin.State.record(x.job.spec.ID); j != nil {
-		for _, p := range j.Placed {
-			if p.Host() != "" {
+	if j := x.origin.Store.record(x.job.spec.ID); j != nil {
+		for _, p := range j.Placements {
+			if p.HostCell() != "" {
 				n++
 			}
 		}
@@ -85,7 +85,7 @@
 }
 
 func (x *transfer) done() int {
-	if j := x.origin.State.record(x.job.spec.ID); j != nil {
+	if j := x.origin.Store.record(x.job.spec.ID); j != nil {
 		return j.Done.Len()
 	}
 	return 0
@@ -93,7 +93,7 @@
 
 func (x *transfer) records() []delegation.Record {
 	var records []delegation.Record
-	for key, e := range x.origin.State.entries {
+	for key, e := range x.origin.Store.entries {
 		if strings.HasPrefix(key, delegation.Prefix) {
 			if r, err := delegation.DecodeRecord(key, e.value); err == nil {
 				records = append(records, r)
@@ -114,11 +114,11 @@
 	return false
 }
 
-func (x *transfer) hosted() *ledger.Job {
-	for key := range x.host.State.entries {
+func (x *transfer) hosted() *ledger.Record {
+	for key := range x.host.Store.entries {
 		id := strings.TrimPrefix(key, ledger.Prefix)
-		if _, _, _, guest := ledger.ParseGuestID(id); guest {
-			return x.host.State.record(id)
+		if _, _, _, guest := ledger.ParseHostedJobID(id); guest {
+			return x.host.Store.record(id)
 		}
 	}
 	return nil
@@ -133,7 +133,7 @@
 func (x *transfer) finish(t *testing.T, step string) {
 	t.Helper()
 	x.w.Run(x.w.Now() + 300*clock.Second)
-	wrong := x.w.Broken
+	wrong := x.w.Violations
 	if x.job.finalStatus == protocol.StatusDone {
 		wrong = append(wrong, x.history.Judge([]*Job{x.job})...)
 	}
@@ -141,7 +141,7 @@
 		wrong = append(wrong, fmt.Sprintf("%d of %d tasks are done", x.done(), x.job.spec.Tasks))
 	}
 	for _, d := range []*Deployment{x.origin, x.host} {
-		if left := d.State.delegations(); len(left) > 0 {
+		if left := d.Store.delegations(); len(left) > 0 {
 			wrong = append(wrong, fmt.Sprintf("%s still has %v", d.name, left))
 		}
 	}
--- a/internal/testkit/upgrade_test.go
+++ b/internal/testkit/upgrade_test.go
@@ -16,8 +16,8 @@
 func tighteningSettings() *settings.Settings {
 	set := testSettings()
 	valueKb, txnOps, writeRps := 2.0, 4, 28.0
-	set.Deployment.State.ValueKb, set.Deployment.State.TxnOps = 32, 12
-	set.Deployment.State.Next = &settings.NextState{ValueKb: &valueKb, TxnOps: &txnOps, WriteRps: &writeRps}
+	set.Deployment.KVStore.ValueKb, set.Deployment.KVStore.TxnOps = 32, 12
+	set.Deployment.KVStore.Next = &settings.NextKVStore{ValueKb: &valueKb, TxnOps: &txnOps, WriteRps: &writeRps}
 	return set
 }
 
@@ -25,8 +25,8 @@
 func oldDeployment(seed uint64, run clock.Micros) (w *World, d *Deployment, j *Job) {
 	w = NewWorld(seed)
 	d = NewOldDeployment(w, tighteningSettings(), testTypes(), 0)
-	d.State.Limit(d.Settings.Deployment.State, false)
-	d.State.CheckPut = d.checkFormat
+	d.Store.Limit(d.Settings.Deployment.KVStore, false)
+	d.Store.CheckPut = d.checkFormat
 	j = d.Submit(array("job-000001", "open", 200, 1, run.Seconds()), run, false)
 	w.Run(40 * clock.Second)
 	return w, d, j
@@ -36,7 +36,7 @@
 func (s *FakeStore) shards() []string {
 	var keys []string
 	for key := range s.entries {
-		if strings.HasPrefix(key, ledger.PartsPrefix) {
+		if strings.HasPrefix(key, ledger.ShardsPrefix) {
 			keys = append(keys, key)
 		}
 	}
@@ -53,20 +53,20 @@
 		w, d, j := oldDeployment(uint64(200+step), 60*clock.Second)
 		d.Upgrade(2*clock.Second, 500*clock.Millisecond)
 		w.Run(44*clock.Second + 800*clock.Millisecond + step*60*clock.Millisecond)
-		if len(d.State.shards()) > 0 {
+		if len(d.Store.shards()) > 0 {
 			divided++
 		}
 		for _, n := range d.Nodes {
-			if n.Up() && n.Dispatch.Leads() {
+			if n.Up() && n.Leader.Leads() {
 				n.Crash()
 				w.After(2*clock.Second, func() { d.StartNode(n) })
 			}
 		}
-		d.State.Limit(d.Settings.Deployment.State.Tightest(), false)
+		d.Store.Limit(d.Settings.Deployment.KVStore.Tightest(), false)
 		w.Run(400 * clock.Second)
 		mustKeepRules(t, w)
 		mustBeDone(t, w, j)
-		if left := d.State.shards(); len(left) > 0 {
+		if left := d.Store.shards(); len(left) > 0 {
 			t.Fatalf("step %d: shards are left: %v, want none", step, left)
 		}
 	}
@@ -91,14 +91,14 @@
 		d.StartNode(n)
 		w.Run(w.Now() + 3*clock.Second)
 	}
-	d.State.Limit(d.Settings.Deployment.State.Tightest(), false)
+	d.Store.Limit(d.Settings.Deployment.KVStore.Tightest(), false)
 	replicas := array("job-000003", "open", 4, 1, 0)
 	replicas.Shape = protocol.ShapeService
 	service := d.Submit(replicas, 0, false)
 	confirmCancel(w, d, other)
 	w.Run(w.Now() + 20*clock.Second)
 	for _, n := range d.Nodes[:2] {
-		if n.Dispatch.Leads() {
+		if n.Leader.Leads() {
 			n.Crash()
 			w.After(clock.Second, func() { d.StartNode(n) })
 		}
@@ -109,7 +109,7 @@
 		t.Fatal("a service is accepted while a controller would take it for an array, want it refused")
 	}
 	missing := []string{}
-	d.Nodes[0].Dispatch.Overview(func(o any) { missing = o.(overview.Overview).Missing })
+	d.Nodes[0].Leader.Overview(func(o any) { missing = o.(overview.Overview).Missing })
 	w.Run(w.Now() + clock.Second)
 	if !slices.Equal(missing, []string{behind.Name}) {
 		t.Errorf("controllers without the format: %v, want only %s", missing, behind.Name)
@@ -141,12 +141,12 @@
 	w.Every(100*clock.Millisecond, func() {
 		leads := false
 		for _, n := range d.Nodes {
-			leads = leads || n.Up() && n.Dispatch.Leads()
+			leads = leads || n.Up() && n.Leader.Leads()
 		}
 		if !leads {
 			leaderless++
 		}
-		if e := d.State.entries["lead/controller"].version; e != 0 && e != epoch {
+		if e := d.Store.entries["lead/controller"].version; e != 0 && e != epoch {
 			epoch = e
 			elections++
 		}
@@ -163,11 +163,11 @@
 	w.Run(w.Now() + 300*clock.Second)
 	mustKeepRules(t, w)
 	mustBeDone(t, w, j)
-	for key := range d.State.entries {
+	for key := range d.Store.entries {
 		if strings.HasPrefix(key, "rollout/") {
 			continue
 		}
-		if size := protocol.JSONSize(d.State.entries[key].value); size > 2<<10 {
+		if size := protocol.JSONSize(d.Store.entries[key].value); size > 2<<10 {
 			t.Errorf("%s has %d bytes, want 2048 at most", key, size)
 		}
 	}
--- a/internal/testkit/users.go
+++ b/internal/testkit/users.go
@@ -54,7 +54,7 @@
 		if !proc.alive {
 			return
 		}
-		n.requests.Handle(r, func(a intake.Answer) {
+		n.requests.Handle(r, func(a intake.Response) {
 			proc.send(func() { d.World.After(userLatency, func() { finish(a.Status, a.Body) }) })
 		})
 	})
@@ -111,7 +111,7 @@
 func (d *Deployment) poll(j *Job) {
 	d.World.After(d.World.Between(minPollInterval, maxPollInterval), func() {
 		before := j.finalStatus
-		d.ask(intake.Request{Kind: intake.Show, ID: j.spec.ID}, func(status int, s protocol.JobStatus) {
+		d.ask(intake.Request{Kind: intake.GetStatus, ID: j.spec.ID}, func(status int, s protocol.JobStatus) {
 			if status == http.StatusNotFound {
 				d.World.Violate(forgotten, "%s answered 404", j.spec.ID)
 			}
--- a/internal/testkit/watch.go
+++ b/internal/testkit/watch.go
@@ -49,7 +49,7 @@
 
 // disturbed reports whether a fault affects what is needed to release a machine.
 func (d *Deployment) disturbed() bool {
-	if d.Cloud.Outage || d.State.outage || d.State.LateWrites > 0 {
+	if d.Cloud.Outage || d.Store.outage || d.Store.LateWrites > 0 {
 		return true
 	}
 	return slices.ContainsFunc(d.Nodes, (*Node).disturbed)
@@ -103,10 +103,10 @@
 		return false
 	}
 	for _, m := range d.Workers() {
-		if m.recallAt != 0 || !planner.Allowed(s, m.typ, m.zone, m.spot) {
+		if m.recallAt != 0 || !planner.MachineAllowed(s, m.typ, m.zone, m.spot) {
 			continue
 		}
-		for free := m.free(); missing > 0 && j.needs().Fits(free); missing-- {
+		for free := m.free(); missing > 0 && j.needs().FitsIn(free); missing-- {
 			free = free.Minus(j.needs())
 		}
 	}
@@ -114,7 +114,7 @@
 }
 
 // withinLimits reports whether a team may use so much more.
-func (d *Deployment) withinLimits(name string, more planner.Amounts) bool {
+func (d *Deployment) withinLimits(name string, more planner.Resources) bool {
 	team, _ := d.Settings.Deployment.Team(name)
 	all := d.used[name].Plus(more)
 	return (team.CpusMax <= 0 || all.Cpus <= team.CpusMax) && (team.GpusMax <= 0 || all.Gpus <= team.GpusMax)
@@ -151,18 +151,18 @@
 func (d *Deployment) watchGangs() {
 	workers := d.Settings.Deployment.Workers
 	longest := clock.FromSeconds(workers.GangWaitS+workers.LeaseS+workers.GangPeerS) +
-		workers.KeepAlive() + 10*clock.Second
+		workers.RenewalWindow() + 10*clock.Second
 	since := map[string]clock.Micros{}
 	d.World.Every(clock.Second, func() {
 		for _, j := range d.order {
-			r := d.State.wholeRecord(j.spec.ID)
-			whole := r == nil || r.Final() || len(r.Placed) == 0 || len(r.Placed) == j.spec.Tasks
+			r := d.Store.wholeRecord(j.spec.ID)
+			whole := r == nil || r.Final() || len(r.Placements) == 0 || len(r.Placements) == j.spec.Tasks
 			if whole || !j.spec.Gang() {
 				delete(since, j.spec.ID)
 			} else if since[j.spec.ID] == 0 {
 				since[j.spec.ID] = d.World.now
 			} else if d.World.now > max(since[j.spec.ID], d.disturbedAt)+longest {
-				d.World.Violate(incompleteGang, "%s: %d of %d tasks", j.spec.ID, len(r.Placed), j.spec.Tasks)
+				d.World.Violate(incompleteGang, "%s: %d of %d tasks", j.spec.ID, len(r.Placements), j.spec.Tasks)
 				since[j.spec.ID] = d.World.now
 			}
 		}
--- a/internal/testkit/worker.go
+++ b/internal/testkit/worker.go
@@ -62,7 +62,7 @@
 }
 
 // boot starts a machine that comes up some time later.
-func (d *Deployment) boot(name string, k fleet.Kind) *FakeWorker {
+func (d *Deployment) boot(name string, k fleet.CapacityPool) *FakeWorker {
 	m := &FakeWorker{
 		d: d, name: name, addr: d.address(name), typ: k.Type, zone: k.Zone, spot: k.Spot,
 		status: protocol.MachineStarting, rentedAt: d.World.now,
--- a/internal/testkit/workload.go
+++ b/internal/testkit/workload.go
@@ -16,8 +16,8 @@
 			{Name: "limited", Cpus: 8, CpusMax: 24, Gpus: 2, GpusMax: 4},
 			{Name: "open"},
 		},
-		Workers: settings.Workers{ReportS: 2, LeaseS: 12, GangWaitS: 20, GangPeerS: 4, CancelS: 30},
-		State:   settings.State{Rps: 100, WriteRps: 40, ValueKb: 8, TxnOps: 5},
+		Workers: settings.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 20, GangPeerS: 4, CancelS: 30},
+		KVStore: settings.KVStore{Rps: 100, WriteRps: 40, ValueKb: 8, TxnOps: 5},
 		Cloud:   settings.Cloud{Rps: 8, ListLagS: 4},
 		// A tenth of a core: the leader pauses between its steps.
 		MachineLimits: settings.MachineLimits{CPU: 0.1},
@@ -40,7 +40,7 @@
 
 // array is the specification of a job array without placement constraints.
 func array(id, team string, tasks int, cpus, seconds float64) protocol.JobSpec {
-	return protocol.JobSpec{ID: id, Class: "c", Team: team, Shape: protocol.ShapeArray, Rank: "normal",
+	return protocol.JobSpec{ID: id, Class: "c", Team: team, Shape: protocol.ShapeArray, Priority: "normal",
 		Tasks: tasks, Cpus: cpus, MemoryGB: 1, Image: "i", EstimateS: seconds}
 }
 
@@ -49,7 +49,7 @@
 	r := w.Rand
 	s := protocol.JobSpec{
 		ID: fmt.Sprintf("job-%06d", n), Class: "c", Team: []string{"limited", "open"}[r.IntN(2)],
-		Shape: protocol.ShapeArray, Rank: protocol.Ranks[r.IntN(4)], Tasks: 1 + r.IntN(10),
+		Shape: protocol.ShapeArray, Priority: protocol.Priorities[r.IntN(4)], Tasks: 1 + r.IntN(10),
 		Cpus: float64(1 + r.IntN(4)), MemoryGB: float64(1 + r.IntN(8)),
 		Image: fmt.Sprintf("img-%d", r.IntN(3)), ImageGB: 1,
 		Spot: w.chance(0.6), EstimateS: 20, SaveS: 1,
@@ -92,7 +92,7 @@
 	s.Tasks, s.Cpus, s.MemoryGB, s.Gpus = 1+w.Rand.IntN(6), 1, 1, 0
 	s.OneZone, s.Zone, s.Spread = false, "", w.chance(0.5)
 	if w.chance(0.5) {
-		s.Rank = "prod"
+		s.Priority = "prod"
 	}
 	if w.chance(0.3) {
 		run = w.Between(clock.Second, 60*clock.Second)
--- a/internal/testkit/world.go
+++ b/internal/testkit/world.go
@@ -54,8 +54,8 @@
 	MessageCost clock.Micros
 	// Recorder is told of all messages of controllers that start afterwards, if it is set.
 	Recorder Recorder
-	// Broken are the broken rules, in the order in which they were seen.
-	Broken []string
+	// Violations are the broken rules, in the order in which they were seen.
+	Violations []string
 }
 
 // randomStream is the second half of every seed.
--- a/internal/testkit/zonefixture_test.go
+++ b/internal/testkit/zonefixture_test.go
@@ -35,7 +35,7 @@
 func (d *Deployment) capacity(machines int) {
 	clear(d.Cloud.Capacity)
 	for _, zone := range []string{"a", "b"} {
-		d.Cloud.Capacity[fleet.Kind{Type: "small", Zone: zone}] = machines
+		d.Cloud.Capacity[fleet.CapacityPool{Type: "small", Zone: zone}] = machines
 	}
 }
 
@@ -43,7 +43,7 @@
 func (d *Deployment) zones() map[string]overview.ZoneOverview {
 	all := map[string]overview.ZoneOverview{}
 	if n := d.Leader(); n != nil {
-		n.Dispatch.Overview(func(o any) {
+		n.Leader.Overview(func(o any) {
 			for _, z := range o.(overview.Overview).Zones {
 				all[z.Zone] = z
 			}
@@ -75,7 +75,7 @@
 // exactly once.
 func checkJobs(t *testing.T, what string, w *World, h *History, jobs ...*Job) {
 	t.Helper()
-	wrong := append([]string(nil), w.Broken...)
+	wrong := append([]string(nil), w.Violations...)
 	for _, j := range jobs {
 		if j.finalStatus == "" {
 			wrong = append(wrong,
@@ -119,8 +119,8 @@
 func (d *Deployment) displaced() []string {
 	var ids []string
 	for _, j := range d.order {
-		r := d.State.wholeRecord(j.spec.ID)
-		if r != nil && !r.Final() && r.Displaced != "" && r.PendingCount() == 0 {
+		r := d.Store.wholeRecord(j.spec.ID)
+		if r != nil && !r.Final() && r.DisplacedFrom != "" && r.PendingCount() == 0 {
 			ids = append(ids, j.spec.ID)
 		}
 	}
--- a/internal/testkit/zoneloss_test.go
+++ b/internal/testkit/zoneloss_test.go
@@ -19,14 +19,14 @@
 		reached func(d *Deployment, j *Job) bool
 	}{
 		{"accepted", func(_ *Deployment, j *Job) bool { return j.accepted() }},
-		{"placed", func(d *Deployment, j *Job) bool { return len(d.State.wholeRecord(j.spec.ID).Placed) > 0 }},
+		{"placed", func(d *Deployment, j *Job) bool { return len(d.Store.wholeRecord(j.spec.ID).Placements) > 0 }},
 		{"fetching", func(d *Deployment, j *Job) bool { return d.count(j, protocol.TaskFetching) > 0 }},
 		{"waiting", func(d *Deployment, j *Job) bool { return d.count(j, protocol.TaskWaiting) > 0 }},
 		{"running", func(d *Deployment, j *Job) bool { return d.count(j, protocol.TaskRunning) == j.spec.Tasks }},
 		{"running for long", func(d *Deployment, j *Job) bool {
 			return j.startedAt != 0 && d.World.now > j.startedAt+12*clock.Second
 		}},
-		{"rebuilt", func(d *Deployment, j *Job) bool { return d.State.wholeRecord(j.spec.ID).NextAttempt > 1 }},
+		{"rebuilt", func(d *Deployment, j *Job) bool { return d.Store.wholeRecord(j.spec.ID).NextAttempt > 1 }},
 	}
 	for i, step := range steps {
 		t.Run(step.name, func(t *testing.T) {
@@ -42,7 +42,7 @@
 					if step.name == "rebuilt" {
 						w.After(30*clock.Second, func() { w.After(40*clock.Second, d.CutZone("a", true)) })
 					}
-					for w.Now() < 150*clock.Second && !(d.State.wholeRecord(j.spec.ID) != nil && step.reached(d, j)) {
+					for w.Now() < 150*clock.Second && !(d.Store.wholeRecord(j.spec.ID) != nil && step.reached(d, j)) {
 						w.Run(w.Now() + 20*clock.Millisecond)
 					}
 					w.After(long, d.CutZone(zone, k%2 == 0))
@@ -64,8 +64,8 @@
 			d.World.After(45*clock.Second, func() { d.Cloud.Outage = false })
 		},
 		"state": func(d *Deployment, _ *Job) {
-			d.State.Outage(true)
-			d.World.After(45*clock.Second, func() { d.State.Outage(false) })
+			d.Store.Outage(true)
+			d.World.After(45*clock.Second, func() { d.Store.Outage(false) })
 		},
 		"leaders": func(d *Deployment, _ *Job) {
 			for i := range clock.Micros(6) {
@@ -75,8 +75,8 @@
 		"upgrade":      func(d *Deployment, _ *Job) { d.Upgrade(8*clock.Second, 2*clock.Second) },
 		"cancellation": func(d *Deployment, j *Job) { d.Cancel(j) },
 		"slow state": func(d *Deployment, _ *Job) {
-			d.State.LateWrites = 0.3
-			d.World.After(60*clock.Second, func() { d.State.LateWrites = 0 })
+			d.Store.LateWrites = 0.3
+			d.World.After(60*clock.Second, func() { d.Store.LateWrites = 0 })
 		},
 		"nothing else": func(*Deployment, *Job) {},
 	} {
@@ -108,7 +108,7 @@
 	s := recovery.Defaults()
 	x.host.Recovery = &s
 	x.host.crashAll(100 * clock.Millisecond)
-	x.host.Cloud.Capacity[fleet.Kind{Type: "small", Zone: "b"}] = 2
+	x.host.Cloud.Capacity[fleet.CapacityPool{Type: "small", Zone: "b"}] = 2
 	if !x.runTo(steps[5].reached) {
 		t.Fatal("no task was completed by the host cell")
 	}
--- a/internal/testkit/zonerecovery_test.go
+++ b/internal/testkit/zonerecovery_test.go
@@ -35,7 +35,7 @@
 				t.Errorf("zone %s, %s: the next leader has it %+v, want %s", zone, phase, z, phase)
 			}
 			w.Run(200 * clock.Second)
-			if z := d.zones()[zone]; z.Phase != recovery.Healthy || z.Number != 1 {
+			if z := d.zones()[zone]; z.Phase != recovery.Healthy || z.Losses != 1 {
 				t.Errorf("zone %s, failover while %s: %+v, want %s and loss 1", zone, phase, z, recovery.Healthy)
 			}
 			w.Run(500 * clock.Second)
@@ -68,25 +68,25 @@
 		if leader.Zone == "a" {
 			zone = "b" // elections are another matter
 		}
-		epoch := d.State.entries["lead/controller"].version
+		epoch := d.Store.entries["lead/controller"].version
 		for i := range c.cuts {
 			w.After(i*c.every, func() { w.After(c.long, d.CutZone(zone, i%2 == 0)) })
 		}
 		w.Run(w.Now() + c.cuts*c.every + 150*clock.Second)
 		z := d.zones()[zone]
-		if z.Number > c.losses || z.Phase != recovery.Healthy {
+		if z.Losses > c.losses || z.Phase != recovery.Healthy {
 			t.Errorf("%s: %d losses, want %d at most; %s, want %s",
-				name, z.Number, c.losses, z.Phase, recovery.Healthy)
+				name, z.Losses, c.losses, z.Phase, recovery.Healthy)
 		}
 		if n := len(d.Cloud.all) - machines; n > c.rentals {
 			t.Errorf("%s: %d machines rented, want %d at most", name, n, c.rentals)
 		}
-		if e := d.State.entries["lead/controller"].version; e != epoch {
+		if e := d.Store.entries["lead/controller"].version; e != epoch {
 			t.Errorf("%s: epoch %d, want %d: no other leader", name, e, epoch)
 		}
 		_, runs := h.Elsewhere()
 		t.Logf("%s: %d losses, %d machines rented, %d runs of %d tasks",
-			name, z.Number, len(d.Cloud.all)-machines, runs, j.spec.Tasks)
+			name, z.Losses, len(d.Cloud.all)-machines, runs, j.spec.Tasks)
 		mustKeepRules(t, w)
 	}
 }
@@ -98,8 +98,8 @@
 	w, d, _ := twoZones(5400, func(s *settings.Settings) { s.Deployment.Workers.GangWaitS = 60 })
 	d.Recovery.TasksPerS = 2
 	clear(d.Cloud.Capacity)
-	d.Cloud.Capacity[fleet.Kind{Type: "small", Zone: "a"}] = 12
-	d.Cloud.Capacity[fleet.Kind{Type: "small", Zone: "b"}] = 1
+	d.Cloud.Capacity[fleet.CapacityPool{Type: "small", Zone: "a"}] = 12
+	d.Cloud.Capacity[fleet.CapacityPool{Type: "small", Zone: "b"}] = 1
 	w.Run(20 * clock.Second)
 	stays := array("job-000006", "open", 1, 8, 600) // or nothing would be heard at all
 	stays.Zone = "b"
@@ -122,7 +122,7 @@
 		d.Leader().Crash()
 		w.Run(w.Now() + 15*clock.Second)
 	}
-	d.Cloud.Capacity[fleet.Kind{Type: "small", Zone: "b"}] = 12
+	d.Cloud.Capacity[fleet.CapacityPool{Type: "small", Zone: "b"}] = 12
 	w.After(300*clock.Second, d.CutZone("a", false))
 	turns, reason := d.watchWaiting("a", bound.ID)
 	order := []string{service.ID, due.ID, whole.ID, plain.ID}
@@ -152,10 +152,10 @@
 	for range 400 {
 		d.World.Run(d.World.Now() + 100*clock.Millisecond)
 		for _, x := range d.zones()[zone].Waiting {
-			if x.Why == "its turn" {
+			if x.Reason == "its turn" {
 				turns[x.Job] = d.World.Now()
 			} else if x.Job == stuck {
-				reason = x.Why
+				reason = x.Reason
 			}
 		}
 	}
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -57,7 +57,7 @@
 	Instant clock.Micros
 }
 
-func (d Deadline) passed() bool { return d.Clock != nil && d.Clock.Steady() >= d.Instant }
+func (d Deadline) passed() bool { return d.Clock != nil && d.Clock.Monotonic() >= d.Instant }
 
 // Client is a pool of persistent connections to one kind of outside system.
 type Client struct{ http *http.Client }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -15,11 +15,11 @@
 // advancingClock moves on by a second each time it is read.
 type advancingClock struct{ now clock.Micros }
 
-func (c *advancingClock) Steady() clock.Micros {
+func (c *advancingClock) Monotonic() clock.Micros {
 	c.now += clock.Second
 	return c.now
 }
-func (c *advancingClock) OfDay() clock.Micros { return c.now }
+func (c *advancingClock) TimeOfDay() clock.Micros { return c.now }
 
 // A request on a connection of its own leaves only if it is still in time once it is
 // connected, and its response is bounded.
