--- a/cmd/loadtool/cells.go
+++ b/cmd/loadtool/cells.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"postpoint/internal/report"
+	"postpoint/internal/htmlreport"
 )
 
 // firstCellsSeed is the seed of the first day of each variant.
@@ -17,12 +17,12 @@
 // Run simulates all variants, prints their figures and writes the report.
 func (c *cellsCommand) Run() error {
 	var rows [][]string
-	var starts, lent []report.Series
+	var starts, lent []htmlreport.Series
 	for _, v := range cellsVariants {
 		sum, returned, first := c.simulate(v)
-		starts = append(starts, report.Distribution(v.name, sum.starts))
+		starts = append(starts, htmlreport.Distribution(v.name, sum.starts))
 		if v.rules != "" {
-			lent = append(lent, report.Series{Name: v.name, Points: first.lentOverTime, Steps: true})
+			lent = append(lent, htmlreport.Series{Name: v.name, Points: first.lentOverTime, Steps: true})
 		}
 		rows = append(rows, c.row(v, sum, returned))
 	}
@@ -71,8 +71,8 @@
 	}
 }
 
-func (c *cellsCommand) write(rows [][]string, starts, lent []report.Series) error {
-	r := report.Report{Title: "Three cells, one of them filled (simulated)"}
+func (c *cellsCommand) write(rows [][]string, starts, lent []htmlreport.Series) error {
+	r := htmlreport.Report{Title: "Three cells, one of them filled (simulated)"}
 	text := fmt.Sprintf("%d days of each kind. Alpha gets an array of eight tasks, or a gang of four, "+
 		"every five seconds, about three times what its machines can do; beta has some work of its own.", c.Seeds)
 	r.Table("Figures", text, cellsHeader, rows)
--- a/cmd/loadtool/cellsday.go
+++ b/cmd/loadtool/cellsday.go
@@ -9,7 +9,7 @@
 	"postpoint/internal/clock"
 	"postpoint/internal/protocol"
 	"postpoint/internal/settings"
-	"postpoint/internal/testkit"
+	"postpoint/internal/simulation"
 )
 
 const (
@@ -98,11 +98,11 @@
 // machines can run.
 type cellsSimulation struct {
 	variant     cellsVariant
-	world       *testkit.World
-	alpha, beta *testkit.Deployment
-	history     *testkit.History
-	jobs        []*testkit.Job // of alpha
-	otherJobs   []*testkit.Job // of beta
+	world       *simulation.World
+	alpha, beta *simulation.Deployment
+	history     *simulation.History
+	jobs        []*simulation.Job // of alpha
+	otherJobs   []*simulation.Job // of beta
 	day         cellsDay
 }
 
@@ -118,18 +118,18 @@
 }
 
 func newCellsSimulation(v cellsVariant, seed uint64) *cellsSimulation {
-	world := testkit.NewWorld(seed)
+	world := simulation.NewWorld(seed)
 	var sets []*settings.Settings
 	for range numberOfCells {
 		sets = append(sets, cellSettings())
 	}
-	group := testkit.NewGroup(world, sets, cellTypes, hostedJobs, v.rules, 0)
+	group := simulation.NewGroup(world, sets, cellTypes, hostedJobs, v.rules, 0)
 	if !v.on {
 		group.SwitchOff()
 	}
 	return &cellsSimulation{
 		variant: v, world: world, alpha: group.Cells[0], beta: group.Cells[1],
-		history: testkit.NewHistory(world, group.Cells...),
+		history: simulation.NewHistory(world, group.Cells...),
 		day:     cellsDay{returnedS: notReturned},
 	}
 }
@@ -144,7 +144,7 @@
 }
 
 // submitNext submits an array, or a gang each fourth time.
-func submitNext(d *testkit.Deployment, jobs *[]*testkit.Job) {
+func submitNext(d *simulation.Deployment, jobs *[]*simulation.Job) {
 	number := len(*jobs)
 	spec := protocol.JobSpec{
 		ID: fmt.Sprintf("job-%06d", number), Class: "array", Team: "open",
--- a/cmd/loadtool/digest.go
+++ b/cmd/loadtool/digest.go
@@ -7,7 +7,7 @@
 	"hash"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/testkit"
+	"postpoint/internal/simulation"
 )
 
 // digestCommand prints a hash of all that controllers send, store and answer on days of random
@@ -48,7 +48,7 @@
 func (d *digest) String() string { return fmt.Sprintf("%x", d.hash.Sum(nil)[:digestBytes]) }
 
 // digestDay plays a day and describes it in one line.
-func digestDay(kind testkit.Kind, seed uint64) string {
+func digestDay(kind simulation.Kind, seed uint64) string {
 	d := newDigest()
 	kind.Play(seed, d)
 	return fmt.Sprintf("%s %d %s messages=%d", kind.Name, seed, d, d.messages)
@@ -58,7 +58,7 @@
 func (c *digestCommand) Run() error {
 	slots := make(chan struct{}, max(1, c.Parallel))
 	var lines []chan string
-	for _, kind := range testkit.Kinds {
+	for _, kind := range simulation.Kinds {
 		for seed := c.FirstSeed; seed < c.FirstSeed+c.Seeds; seed++ {
 			line := make(chan string, 1)
 			lines = append(lines, line)
--- a/cmd/loadtool/digest_test.go
+++ b/cmd/loadtool/digest_test.go
@@ -4,12 +4,12 @@
 	"testing"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/testkit"
+	"postpoint/internal/simulation"
 )
 
 // A day's digest is the same each time, and another seed's is another.
 func TestDigestRepeats(t *testing.T) {
-	plain := testkit.Kinds[0]
+	plain := simulation.Kinds[0]
 	first, again, other := digestDay(plain, 1), digestDay(plain, 1), digestDay(plain, 2)
 	if first != again {
 		t.Errorf("the same day gives %q and %q", first, again)
--- a/cmd/postpoint/main.go
+++ b/cmd/postpoint/main.go
@@ -12,8 +12,8 @@
 	"postpoint/internal/cells"
 	"postpoint/internal/clock"
 	"postpoint/internal/controller"
-	"postpoint/internal/recovery"
 	"postpoint/internal/settings"
+	"postpoint/internal/zonerecovery"
 )
 
 var version = "0.1.0"
@@ -86,7 +86,7 @@
 		}
 	}
 	if f.Recovery != "" {
-		if options.Recovery, err = recovery.Load(f.Recovery, s); err != nil {
+		if options.Recovery, err = zonerecovery.Load(f.Recovery, s); err != nil {
 			return nil, options, err
 		}
 	}
--- a/internal/intake/intake.go
+++ b/internal/admission/admission.go
@@ -1,14 +1,14 @@
-package intake
+package admission
 
 import (
 	"slices"
 
 	"postpoint/internal/actor"
 	"postpoint/internal/clock"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/protocol"
 	"postpoint/internal/rollout"
 	"postpoint/internal/settings"
-	"postpoint/internal/statestore"
 )
 
 // maxFinalStates bounds the memory that final states take.
@@ -17,7 +17,7 @@
 // Admission is the actor that answers requests.
 type Admission struct {
 	mailbox actor.Mailbox
-	store   statestore.Store
+	store   kvstore.Store
 	set     *settings.Settings
 	forward Forward
 	types   []protocol.MachineType // empty until the catalogue is known
@@ -38,7 +38,7 @@
 }
 
 // New makes the actor. It answers requests that the store doesn't serve through forward.
-func New(m actor.Mailbox, s statestore.Store, set *settings.Settings, forward Forward) *Admission {
+func New(m actor.Mailbox, s kvstore.Store, set *settings.Settings, forward Forward) *Admission {
 	return &Admission{
 		mailbox:       m,
 		store:         s,
--- a/internal/intake/attestation.go
+++ b/internal/admission/attestation.go
@@ -1,4 +1,4 @@
-package intake
+package admission
 
 import (
 	"encoding/binary"
--- a/internal/intake/attestation_test.go
+++ b/internal/admission/attestation_test.go
@@ -1,4 +1,4 @@
-package intake
+package admission
 
 import (
 	"net/http"
@@ -8,7 +8,7 @@
 
 	"postpoint/internal/actor/actortest"
 	"postpoint/internal/clock"
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/protocol"
 	"postpoint/internal/settings"
 )
@@ -17,9 +17,9 @@
 func cancelledJobs(ids ...string) *fakeStore {
 	store := &fakeStore{values: map[string][]byte{}}
 	for _, id := range ids {
-		record := ledger.New(protocol.JobSpec{ID: id, Tasks: 1}, 1)
+		record := jobrecord.New(protocol.JobSpec{ID: id, Tasks: 1}, 1)
 		record.Status = protocol.StatusCancelled
-		store.values[ledger.Key(id)] = record.Encode()
+		store.values[jobrecord.Key(id)] = record.Encode()
 	}
 	return store
 }
--- a/internal/intake/availability.go
+++ b/internal/admission/availability.go
@@ -1,9 +1,9 @@
-package intake
+package admission
 
 import (
 	"postpoint/internal/clock"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
 )
 
 const (
@@ -52,7 +52,7 @@
 		return
 	}
 	in.availability.probing = true
-	in.store.Get(probeKey, func(r statestore.Result[protocol.Item]) {
+	in.store.Get(probeKey, func(r kvstore.Result[protocol.Item]) {
 		if in.noteStore(storeResultOf(r.Err)) {
 			in.availability.probing = false
 			return
--- a/internal/intake/call.go
+++ b/internal/admission/call.go
@@ -1,13 +1,13 @@
-package intake
+package admission
 
 import (
 	"cmp"
 	"log/slog"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
 )
 
 const (
@@ -99,9 +99,9 @@
 }
 
 // readRecord reads the record of a job, nil if there is none.
-func (c *call) readRecord(id string, done func(record *ledger.Record, version int64)) {
-	key := ledger.Key(id)
-	c.in.store.Get(key, func(r statestore.Result[protocol.Item]) {
+func (c *call) readRecord(id string, done func(record *jobrecord.Record, version int64)) {
+	key := jobrecord.Key(id)
+	c.in.store.Get(key, func(r kvstore.Result[protocol.Item]) {
 		result := storeResultOf(r.Err)
 		c.in.noteStore(result)
 		switch result {
@@ -115,8 +115,8 @@
 	})
 }
 
-func (c *call) decodeRecord(key string, item protocol.Item, done func(record *ledger.Record, version int64)) {
-	record, err := ledger.DecodeAt(key, item.Value)
+func (c *call) decodeRecord(key string, item protocol.Item, done func(record *jobrecord.Record, version int64)) {
+	record, err := jobrecord.DecodeAt(key, item.Value)
 	if err != nil {
 		slog.Debug("malformed job record", "job", c.jobID(), "error", err)
 		c.fail(outcomeTryLater, reasonUnreadable)
@@ -130,7 +130,7 @@
 
 // findRecord reads the record of the job that the request names, unless the answer is clear without
 // it: the job is over, or there is none.
-func (c *call) findRecord(done func(record *ledger.Record, version int64)) {
+func (c *call) findRecord(done func(record *jobrecord.Record, version int64)) {
 	id := c.request.ID
 	if final, ok := c.in.finalStates[id]; ok {
 		c.finish(knownJob(final))
@@ -140,7 +140,7 @@
 		c.fail(outcomeNoSuchJob, reasonNoSuchJob)
 		return
 	}
-	c.readRecord(id, func(record *ledger.Record, version int64) {
+	c.readRecord(id, func(record *jobrecord.Record, version int64) {
 		if record == nil {
 			c.fail(outcomeNoSuchJob, reasonNoSuchJob)
 			return
--- a/internal/intake/cancellation_test.go
+++ b/internal/admission/cancellation_test.go
@@ -1,4 +1,4 @@
-package intake
+package admission
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"postpoint/internal/actor/actortest"
 	"postpoint/internal/clock"
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/protocol"
 	"postpoint/internal/settings"
 )
@@ -17,18 +17,18 @@
 func TestLargeRecordsCanBeCancelled(t *testing.T) {
 	spec := submission()
 	spec.Shape, spec.Tasks = protocol.ShapeArray, 400
-	record := ledger.New(spec, 1)
+	record := jobrecord.New(spec, 1)
 	for task := range spec.Tasks {
 		machine := fmt.Sprintf("m-%06d", task)
-		record.Placements[task] = ledger.Placement{Task: task, Attempt: 1, Machine: machine, Incarnation: 1}
+		record.Placements[task] = jobrecord.Placement{Task: task, Attempt: 1, Machine: machine, Incarnation: 1}
 	}
-	store := &fakeStore{values: map[string][]byte{ledger.Key(spec.ID): record.Encode()}, maxValue: 2 << 10}
+	store := &fakeStore{values: map[string][]byte{jobrecord.Key(spec.ID): record.Encode()}, maxValue: 2 << 10}
 	in := New(&actortest.Still{Now: clock.Second}, store, &settings.Settings{}, nil)
 	got := answerOf(t, in, Request{Kind: Cancel, ID: spec.ID})
 	if got.Status != http.StatusOK || len(store.puts) != 1 {
 		t.Fatalf("answered %d with %d puts, want %d with 1", got.Status, len(store.puts), http.StatusOK)
 	}
-	stored, err := ledger.Decode(store.puts[0])
+	stored, err := jobrecord.Decode(store.puts[0])
 	if err != nil || stored.Status != protocol.StatusCancelled || !stored.Truncated || stored.CancelledAt == 0 {
 		t.Fatalf("stored %+v (%v), want it cancelled and truncated, with its time", stored, err)
 	}
--- a/internal/intake/doc.go
+++ b/internal/admission/doc.go
@@ -1,4 +1,4 @@
-// Package intake answers the requests of users: any node, leader or not, accepts, shows and cancels
+// Package admission answers the requests of users: any node, leader or not, accepts, shows and cancels
 // jobs, straight from and to their records in the key-value store.
 //
 // It owns the HTTP server of a node with its connections, the admission of submissions, the record
@@ -8,4 +8,4 @@
 //
 // Package controller starts the server; package node wires the actor to the rest of a node; package
 // peer brings requests that another node has forwarded.
-package intake
+package admission
--- a/internal/intake/golden_test.go
+++ b/internal/admission/golden_test.go
@@ -1,4 +1,4 @@
-package intake
+package admission
 
 import (
 	"bufio"
@@ -16,68 +16,68 @@
 	"postpoint/internal/actor/actortest"
 	"postpoint/internal/clock"
 	"postpoint/internal/goldentest"
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/protocol"
 	"postpoint/internal/rollout"
 	"postpoint/internal/settings"
-	"postpoint/internal/statestore"
 )
 
 // goldenStore is a state service that has some keys and keeps transactions.
 type goldenStore struct {
-	statestore.Store
+	kvstore.Store
 	values map[string][]byte
 	txns   []protocol.Txn
 	err    error // of transactions that don't conflict
 	down   bool
 }
 
-func (s *goldenStore) Get(key string, done func(statestore.Result[protocol.Item])) {
+func (s *goldenStore) Get(key string, done func(kvstore.Result[protocol.Item])) {
 	value, found := s.values[key]
 	switch {
 	case s.down:
-		done(statestore.Result[protocol.Item]{Err: statestore.ErrUnavailable})
+		done(kvstore.Result[protocol.Item]{Err: kvstore.ErrUnavailable})
 	case !found:
-		done(statestore.Result[protocol.Item]{Err: statestore.ErrNotFound})
+		done(kvstore.Result[protocol.Item]{Err: kvstore.ErrNotFound})
 	default:
 		item := protocol.Item{Key: key, Value: value, Version: 9}
-		done(statestore.Result[protocol.Item]{Value: item})
+		done(kvstore.Result[protocol.Item]{Value: item})
 	}
 }
 
-func (s *goldenStore) List(prefix, _ string, done func(statestore.Result[protocol.ItemList])) {
+func (s *goldenStore) List(prefix, _ string, done func(kvstore.Result[protocol.ItemList])) {
 	var list protocol.ItemList
 	for key, value := range s.values {
 		if strings.HasPrefix(key, prefix) {
 			list.Items = append(list.Items, protocol.Item{Key: key, Value: value, Version: 9})
 		}
 	}
-	done(statestore.Result[protocol.ItemList]{Value: list})
+	done(kvstore.Result[protocol.ItemList]{Value: list})
 }
 
-func (s *goldenStore) Commit(_ statestore.Priority, t protocol.Txn,
-	done func(statestore.Result[statestore.Revision])) {
+func (s *goldenStore) Commit(_ kvstore.Priority, t protocol.Txn,
+	done func(kvstore.Result[kvstore.Revision])) {
 	s.txns = append(s.txns, t)
 	for _, guard := range t.Conditions {
 		if _, exists := s.values[guard.Key]; exists != (guard.Version != 0) {
-			done(statestore.Result[statestore.Revision]{Err: statestore.ErrConflict})
+			done(kvstore.Result[kvstore.Revision]{Err: kvstore.ErrConflict})
 			return
 		}
 	}
-	done(statestore.Result[statestore.Revision]{Err: s.err, Value: 300})
+	done(kvstore.Result[kvstore.Revision]{Err: s.err, Value: 300})
 }
 
 // goldenIntake serves with a running job job-1 and a divided one job-2.
 func goldenIntake() (*Admission, *goldenStore) {
 	store := &goldenStore{values: map[string][]byte{}}
-	running := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 3}, 1)
-	running.Placements[0] = ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1}
+	running := jobrecord.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 3}, 1)
+	running.Placements[0] = jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1}
 	running.Done.Add(1)
 	running.Cause = "error on m-2"
 	store.values["jobs/job-1"] = running.Encode()
-	divided := ledger.New(protocol.JobSpec{ID: "job-2", Shape: protocol.ShapeArray, Tasks: 3}, 1)
+	divided := jobrecord.New(protocol.JobSpec{ID: "job-2", Shape: protocol.ShapeArray, Tasks: 3}, 1)
 	divided.ShardSize, divided.Marked = 2, true
-	divided.Placements[2] = ledger.Placement{Task: 2, Attempt: 1, Machine: "m-1", Incarnation: 1}
+	divided.Placements[2] = jobrecord.Placement{Task: 2, Attempt: 1, Machine: "m-1", Incarnation: 1}
 	store.values["jobs/job-2"] = divided.Encode()
 	store.values["parts/job-2/1"] = divided.EncodeShard(1)
 	set := &settings.Settings{Deployment: settings.Deployment{
@@ -148,15 +148,15 @@
 			"503 Service Unavailable\nContent-Length: 39\nContent-Type: application/msgpack\n" +
 				"Retry-After: 1\n\n\x81\xa5error\xbfthe controller's memory is full"},
 		{"not recorded", "POST", "/api/jobs", protocol.Encode(accepted),
-			func(_ *Admission, store *goldenStore, _ *goldenHeartbeats) { store.err = statestore.ErrInvalid },
+			func(_ *Admission, store *goldenStore, _ *goldenHeartbeats) { store.err = kvstore.ErrInvalid },
 			"400 Bad Request\nContent-Length: 32\nContent-Type: application/msgpack\n" +
 				"\n\x81\xa5error\xb8too large to be recorded"},
 		{"no answer", "POST", "/api/jobs", protocol.Encode(accepted),
-			func(_ *Admission, store *goldenStore, _ *goldenHeartbeats) { store.err = statestore.ErrNoResponse },
+			func(_ *Admission, store *goldenStore, _ *goldenHeartbeats) { store.err = kvstore.ErrNoResponse },
 			"503 Service Unavailable\nContent-Length: 41\nContent-Type: application/msgpack\n" +
 				"Retry-After: 1\n\n\x81\xa5error\xd9 the state service did not answer"},
 		{"not served", "POST", "/api/jobs", protocol.Encode(accepted),
-			func(_ *Admission, store *goldenStore, _ *goldenHeartbeats) { store.err = statestore.ErrUnavailable },
+			func(_ *Admission, store *goldenStore, _ *goldenHeartbeats) { store.err = kvstore.ErrUnavailable },
 			"503 Service Unavailable\nContent-Length: 42\nContent-Type: application/msgpack\n" +
 				"Retry-After: 1\n\n\x81\xa5error\xd9!the state service does not answer"},
 		{"shown", "GET", "/api/jobs/job-1", nil, nil,
@@ -180,7 +180,7 @@
 			"404 Not Found\nContent-Length: 19\nContent-Type: application/msgpack\n" +
 				"\n\x81\xa5error\xabno such job"},
 		{"a job that is changing", "POST", "/api/jobs/job-1/withdraw", nil,
-			func(_ *Admission, store *goldenStore, _ *goldenHeartbeats) { store.err = statestore.ErrConflict },
+			func(_ *Admission, store *goldenStore, _ *goldenHeartbeats) { store.err = kvstore.ErrConflict },
 			"503 Service Unavailable\nContent-Length: 27\nContent-Type: application/msgpack\n" +
 				"Retry-After: 1\n\n\x81\xa5error\xb3the job is changing"},
 		{"up", "GET", "/up", nil, nil,
--- a/internal/intake/helpers_test.go
+++ b/internal/admission/helpers_test.go
@@ -1,4 +1,4 @@
-package intake
+package admission
 
 import (
 	"net/http"
@@ -7,9 +7,9 @@
 
 	"postpoint/internal/actor/actortest"
 	"postpoint/internal/clock"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/protocol"
 	"postpoint/internal/settings"
-	"postpoint/internal/statestore"
 )
 
 // submission returns a gang that a deployment of gpuTypes and visionDeployment can run.
@@ -36,38 +36,38 @@
 
 // fakeStore is a key-value store that answers at once. Transactions don't change its values.
 type fakeStore struct {
-	statestore.Store
+	kvstore.Store
 	values   map[string][]byte
 	down     bool
 	maxValue int      // bytes of JSON, 0 for no limit
 	puts     [][]byte // values of the transactions that were carried out
 }
 
-func (s *fakeStore) Get(key string, done func(statestore.Result[protocol.Item])) {
+func (s *fakeStore) Get(key string, done func(kvstore.Result[protocol.Item])) {
 	value, found := s.values[key]
 	switch {
 	case s.down:
-		done(statestore.Result[protocol.Item]{Err: statestore.ErrUnavailable})
+		done(kvstore.Result[protocol.Item]{Err: kvstore.ErrUnavailable})
 	case !found:
-		done(statestore.Result[protocol.Item]{Err: statestore.ErrNotFound})
+		done(kvstore.Result[protocol.Item]{Err: kvstore.ErrNotFound})
 	default:
 		item := protocol.Item{Key: key, Value: value, Version: 5}
-		done(statestore.Result[protocol.Item]{Value: item})
+		done(kvstore.Result[protocol.Item]{Value: item})
 	}
 }
 
 func (s *fakeStore) Commit(
-	_ statestore.Priority, txn protocol.Txn, done func(statestore.Result[statestore.Revision]),
+	_ kvstore.Priority, txn protocol.Txn, done func(kvstore.Result[kvstore.Revision]),
 ) {
 	value := txn.Changes[0].Value
 	switch {
 	case s.down:
-		done(statestore.Result[statestore.Revision]{Err: statestore.ErrUnavailable})
+		done(kvstore.Result[kvstore.Revision]{Err: kvstore.ErrUnavailable})
 	case s.maxValue > 0 && protocol.JSONSize(value) > s.maxValue:
-		done(statestore.Result[statestore.Revision]{Err: statestore.ErrInvalid})
+		done(kvstore.Result[kvstore.Revision]{Err: kvstore.ErrInvalid})
 	default:
 		s.puts = append(s.puts, value)
-		done(statestore.Result[statestore.Revision]{Value: 6})
+		done(kvstore.Result[kvstore.Revision]{Value: 6})
 	}
 }
 
--- a/internal/intake/request.go
+++ b/internal/admission/request.go
@@ -1,4 +1,4 @@
-package intake
+package admission
 
 // Kind is what a request asks for. The numbers are those that nodes send each other.
 type Kind byte
--- a/internal/intake/runnable.go
+++ b/internal/admission/runnable.go
@@ -1,11 +1,11 @@
-package intake
+package admission
 
 import (
 	"errors"
 
-	"postpoint/internal/fleet"
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/protocol"
+	"postpoint/internal/scaling"
 	"postpoint/internal/settings"
 )
 
@@ -24,7 +24,7 @@
 	if !ok {
 		return errUnknownTeam
 	}
-	if spec.Types != nil && len(spec.Types) == 0 || !fleet.FitsAnyType(types, spec) {
+	if spec.Types != nil && len(spec.Types) == 0 || !scaling.FitsAnyType(types, spec) {
 		return errFitsNoType
 	}
 	if overLimit(spec, team) {
@@ -35,7 +35,7 @@
 	}
 	// The store may tighten its limits at any time.
 	limits := dep.KVStore.Tightest()
-	if !ledger.Recordable(spec, limits.ValueBytes(), limits.TxnOps) {
+	if !jobrecord.Recordable(spec, limits.ValueBytes(), limits.TxnOps) {
 		return errRecordTooLarge
 	}
 	return nil
--- a/internal/intake/storeresult.go
+++ b/internal/admission/storeresult.go
@@ -1,9 +1,9 @@
-package intake
+package admission
 
 import (
 	"errors"
 
-	"postpoint/internal/statestore"
+	"postpoint/internal/kvstore"
 )
 
 // storeResult is what became of a request to the key-value store.
@@ -26,17 +26,17 @@
 	switch {
 	case err == nil:
 		return storeDone
-	case errors.Is(err, statestore.ErrNoResponse):
+	case errors.Is(err, kvstore.ErrNoResponse):
 		return storeUnconfirmed
-	case errors.Is(err, statestore.ErrNotFound):
+	case errors.Is(err, kvstore.ErrNotFound):
 		return storeNotFound
-	case errors.Is(err, statestore.ErrConflict):
+	case errors.Is(err, kvstore.ErrConflict):
 		return storeConflict
-	case errors.Is(err, statestore.ErrInvalid):
+	case errors.Is(err, kvstore.ErrInvalid):
 		return storeRejected
-	case errors.Is(err, statestore.ErrThrottled):
+	case errors.Is(err, kvstore.ErrThrottled):
 		return storeBusy
-	case errors.Is(err, statestore.ErrUnavailable), errors.Is(err, statestore.ErrServerFailure):
+	case errors.Is(err, kvstore.ErrUnavailable), errors.Is(err, kvstore.ErrServerFailure):
 		return storeUnavailable
 	}
 	return storeUnexpected
--- a/internal/intake/submission.go
+++ b/internal/admission/submission.go
@@ -1,11 +1,11 @@
-package intake
+package admission
 
 import (
 	"log/slog"
 
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
 )
 
 // submit accepts a job, unless it is known or has to be refused.
@@ -23,7 +23,7 @@
 		return
 	}
 	// The repeat of an accepted submission is never refused, whatever it looks like.
-	c.readRecord(spec.ID, func(record *ledger.Record, _ int64) {
+	c.readRecord(spec.ID, func(record *jobrecord.Record, _ int64) {
 		if record != nil {
 			c.finish(knownJob(record.UserStatus()))
 			return
@@ -53,24 +53,24 @@
 }
 
 // newRecord returns the record of the submitted job, in a format that all controllers know.
-func (c *call) newRecord() *ledger.Record {
-	record := ledger.New(c.spec, int64(c.in.mailbox.TimeOfDay()))
+func (c *call) newRecord() *jobrecord.Record {
+	record := jobrecord.New(c.spec, int64(c.in.mailbox.TimeOfDay()))
 	if c.in.formatOpen {
 		limits := c.in.set.Deployment.KVStore.Tightest()
 		record.Marked = c.spec.Service()
-		record.ShardSize = ledger.ShardSizeFor(&c.spec, limits.ValueBytes())
+		record.ShardSize = jobrecord.ShardSizeFor(&c.spec, limits.ValueBytes())
 	}
 	return record
 }
 
 // create writes the record, unless there is one: no job is accepted twice.
 func (c *call) create() {
-	key := ledger.Key(c.spec.ID)
+	key := jobrecord.Key(c.spec.ID)
 	txn := protocol.Txn{
 		Conditions: []protocol.Condition{{Key: key}},
 		Changes:    []protocol.Change{{Put: key, Value: c.newRecord().Encode()}},
 	}
-	c.in.store.Commit(statestore.PriorityUser, txn, func(r statestore.Result[statestore.Revision]) {
+	c.in.store.Commit(kvstore.PriorityUser, txn, func(r kvstore.Result[kvstore.Revision]) {
 		switch result := storeResultOf(r.Err); result {
 		case storeDone:
 			status := protocol.JobStatus{ID: c.spec.ID, Status: protocol.StatusPending}
@@ -87,7 +87,7 @@
 
 // confirmCreated reads the record: there is one already, or it isn't known whether there is.
 func (c *call) confirmCreated() {
-	c.readRecord(c.spec.ID, func(record *ledger.Record, _ int64) {
+	c.readRecord(c.spec.ID, func(record *jobrecord.Record, _ int64) {
 		if record == nil {
 			c.fail(outcomeUnconfirmed, reasonUnconfirmed)
 			return
--- a/internal/intake/submission_test.go
+++ b/internal/admission/submission_test.go
@@ -1,4 +1,4 @@
-package intake
+package admission
 
 import (
 	"net/http"
@@ -6,7 +6,7 @@
 
 	"postpoint/internal/actor/actortest"
 	"postpoint/internal/clock"
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/protocol"
 	"postpoint/internal/rollout"
 	"postpoint/internal/settings"
@@ -55,7 +55,7 @@
 	for _, known := range []bool{false, true} {
 		store := &fakeStore{}
 		if known {
-			store.values = map[string][]byte{ledger.Key(spec.ID): ledger.New(spec, 1).Encode()}
+			store.values = map[string][]byte{jobrecord.Key(spec.ID): jobrecord.New(spec, 1).Encode()}
 		}
 		in := New(&actortest.Still{Now: 20 * clock.Second}, store, set, nil)
 		in.SetMachineTypes(gpuTypes("a"))
--- a/internal/cells/file.go
+++ b/internal/cells/file.go
@@ -2,8 +2,8 @@
 // cloud and workers of their own, which may run jobs for each other. It owns the contents of the
 // operators' file that lists the cells, and the arithmetic of how long a host cell may go on with
 // the jobs of an origin cell that it can't reach. It doesn't own the transfer of work, which is
-// internal/delegation, nor the choice of work to offload, which is internal/spill. The command
-// reads the file; the leader (internal/dispatch) uses the directory.
+// internal/delegation, nor the choice of work to offload, which is internal/offload. The command
+// reads the file; the leader (internal/leader) uses the directory.
 package cells
 
 import (
--- a/internal/cloud/cloud.go
+++ b/internal/cloudclient/client.go
@@ -1,7 +1,7 @@
-// Package cloud is the client of the machine rental interface. It turns responses into typed
+// Package cloudclient is the client of the machine rental interface. It turns responses into typed
 // results, which reach the asking actor as messages. It retries nothing, and decides neither what
 // to rent nor when to return it.
-package cloud
+package cloudclient
 
 import (
 	"context"
--- a/internal/cloud/cloudtest/service.go
+++ b/internal/cloudclient/cloudtest/service.go
@@ -4,7 +4,7 @@
 
 import (
 	"postpoint/internal/clock"
-	"postpoint/internal/cloud"
+	"postpoint/internal/cloudclient"
 	"postpoint/internal/protocol"
 	"postpoint/internal/transport"
 )
@@ -19,7 +19,7 @@
 }
 
 // Client returns the cloud whose results are what the service responds.
-func Client(s Service) cloud.API { return client{s} }
+func Client(s Service) cloudclient.API { return client{s} }
 
 // client turns statuses into errors.
 type client struct{ service Service }
@@ -45,9 +45,9 @@
 func failure(status int, reason string) error {
 	switch status {
 	case transport.NotSent:
-		return &transport.Error{Kind: cloud.ErrNotSent, Status: status, Reason: reason}
+		return &transport.Error{Kind: cloudclient.ErrNotSent, Status: status, Reason: reason}
 	case 0:
-		return &transport.Error{Kind: cloud.ErrNoResponse, Reason: reason}
+		return &transport.Error{Kind: cloudclient.ErrNoResponse, Reason: reason}
 	}
-	return cloud.Failure(status, reason)
+	return cloudclient.Failure(status, reason)
 }
--- a/internal/cloud/cloudtest/service_test.go
+++ b/internal/cloudclient/cloudtest/service_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/cloud"
+	"postpoint/internal/cloudclient"
 	"postpoint/internal/protocol"
 	"postpoint/internal/transport"
 )
@@ -53,18 +53,18 @@
 			Client(fixedCloud{status, reason}).ScaleOut(protocol.ScaleOutRequest{}, 0,
 				func(m []string, e error) { machines, err = m, e })
 			if got := statusOf(t, err); got != status || !slices.Equal(machines, []string{"m-1"}) ||
-				status != http.StatusOK && cloud.Reason(err) != reason {
+				status != http.StatusOK && cloudclient.Reason(err) != reason {
 				t.Errorf("status %d with reason %q became %d with %q and machines %v", status, reason, got,
-					cloud.Reason(err), machines)
+					cloudclient.Reason(err), machines)
 			}
 			noCapacity := status == http.StatusServiceUnavailable && reason == protocol.NoCapacity
-			if errors.Is(err, cloud.ErrNoCapacity) != noCapacity {
+			if errors.Is(err, cloudclient.ErrNoCapacity) != noCapacity {
 				t.Errorf("status %d, reason %q: %v, expected no capacity %v", status, reason, err, noCapacity)
 			}
-			if noResponse := status == 0; errors.Is(err, cloud.ErrNoResponse) != noResponse {
+			if noResponse := status == 0; errors.Is(err, cloudclient.ErrNoResponse) != noResponse {
 				t.Errorf("status %d: %v, expected no response %v", status, err, noResponse)
 			}
-			if notSent := status == transport.NotSent; errors.Is(err, cloud.ErrNotSent) != notSent {
+			if notSent := status == transport.NotSent; errors.Is(err, cloudclient.ErrNotSent) != notSent {
 				t.Errorf("status %d: %v, expected not sent %v", status, err, notSent)
 			}
 		}
--- a/internal/cloud/errors_test.go
+++ b/internal/cloudclient/errors_test.go
@@ -1,4 +1,4 @@
-package cloud
+package cloudclient
 
 import (
 	"errors"
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -15,11 +15,11 @@
 	"time"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/fleet"
 	"postpoint/internal/leader/overview"
 	"postpoint/internal/protocol"
+	"postpoint/internal/scaling"
 	"postpoint/internal/settings"
-	"postpoint/internal/testkit"
+	"postpoint/internal/simulation"
 )
 
 // realCell is a cell whose controllers are real processes.
@@ -30,7 +30,7 @@
 	mu        sync.Mutex
 	processes []*exec.Cmd
 	closed    bool // the test is over: no process is started any more
-	standIns  *testkit.Loopback
+	standIns  *simulation.Loopback
 	file      string // the cells file
 }
 
@@ -49,9 +49,9 @@
 		Zones: []string{"a"}},
 }
 
-func newRealCell(x *testkit.RealTime, g *testkit.Group, name string, machines int) *realCell {
+func newRealCell(x *simulation.RealTime, g *simulation.Group, name string, machines int) *realCell {
 	c := &realCell{name: name}
-	var controllers []testkit.Controller
+	var controllers []simulation.Controller
 	for range controllersPerCell {
 		s := &settings.Settings{Node: fmt.Sprintf("worker-%d", len(c.settings)), Domain: "a",
 			Bind: freeAddress(), InternalAddr: freeAddress()}
@@ -64,13 +64,13 @@
 		}
 		c.settings = append(c.settings, s)
 		c.exchanges = append(c.exchanges, freeAddress())
-		controllers = append(controllers, testkit.Controller{Name: s.Node, Address: s.Bind})
+		controllers = append(controllers, simulation.Controller{Name: s.Node, Address: s.Bind})
 	}
 	state, cloud, workers := listen("127.0.0.1:0"), listen("127.0.0.1:0"), listen("0.0.0.0:0")
-	c.standIns = testkit.NewLoopbackCell(x, g, name, c.settings[0], cellTypes, controllers,
+	c.standIns = simulation.NewLoopbackCell(x, g, name, c.settings[0], cellTypes, controllers,
 		workers.Addr().(*net.TCPAddr).Port)
 	clear(c.standIns.Deployment.Cloud.Capacity)
-	c.standIns.Deployment.Cloud.Capacity[fleet.CapacityPool{Type: "small", Zone: "a"}] = machines
+	c.standIns.Deployment.Cloud.Capacity[scaling.CapacityPool{Type: "small", Zone: "a"}] = machines
 	c.standIns.Serve(state, cloud, workers)
 	for i, s := range c.settings {
 		s.Endpoints = settings.Endpoints{KVStore: state.Addr().String(), Cloud: cloud.Addr().String()}
@@ -168,14 +168,14 @@
 // stand-ins say of leases that ended between an answer's making and its arrival isn't judged:
 // in real time on a busy machine that says nothing of the order of events in the controller.
 func TestThreeCellsOfRealProcesses(t *testing.T) {
-	x := &testkit.RealTime{World: testkit.NewWorld(1)}
-	g := &testkit.Group{}
+	x := &simulation.RealTime{World: simulation.NewWorld(1)}
+	g := &simulation.Group{}
 	group := []*realCell{
 		newRealCell(x, g, "alpha", 1),
 		newRealCell(x, g, "beta", 3),
 		newRealCell(x, g, "gamma", 3),
 	}
-	history := testkit.NewHistory(x.World, g.Cells...)
+	history := simulation.NewHistory(x.World, g.Cells...)
 	text := ""
 	for _, c := range group {
 		text += c.entry()
@@ -196,7 +196,7 @@
 	go x.Run(ctx)
 
 	alpha := group[0].standIns.Deployment
-	var jobs []*testkit.Job
+	var jobs []*simulation.Job
 	x.Do(func() {
 		for i := range 8 {
 			spec := protocol.JobSpec{ID: fmt.Sprintf("job-%06d", i), Class: "c", Team: "open",
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -8,17 +8,17 @@
 	"fmt"
 
 	"postpoint/internal/actor"
-	"postpoint/internal/agent"
+	"postpoint/internal/admission"
 	"postpoint/internal/cells"
 	"postpoint/internal/clock"
-	"postpoint/internal/cloud"
-	"postpoint/internal/intake"
-	"postpoint/internal/leadership"
+	"postpoint/internal/cloudclient"
+	"postpoint/internal/election"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/node"
 	"postpoint/internal/peer"
-	"postpoint/internal/recovery"
 	"postpoint/internal/settings"
-	"postpoint/internal/statestore"
+	"postpoint/internal/workerclient"
+	"postpoint/internal/zonerecovery"
 )
 
 // Options are the operator's own settings of a controller.
@@ -28,7 +28,7 @@
 	// Cells lists the cells of a group, nil for a cell on its own.
 	Cells *cells.Directory
 	// Recovery has the settings of recoveries from the loss of a zone, nil for none.
-	Recovery *recovery.Settings
+	Recovery *zonerecovery.Settings
 }
 
 // Validate checks the options against the platform's settings.
@@ -52,7 +52,7 @@
 	}
 	serve("controllers", s.InternalAddr, func() error { return peer.Serve(s.InternalAddr, n.Admission) })
 	serve("users and workers", s.Bind, func() error {
-		return intake.Serve(s.Bind, o.clientConnections(s.Deployment.MachineLimits), n.Admission, n.Leader)
+		return admission.Serve(s.Bind, o.clientConnections(s.Deployment.MachineLimits), n.Admission, n.Leader)
 	})
 	if o.Cells != nil {
 		address := o.Cells.Own.Address(s.Node)
@@ -70,11 +70,11 @@
 	peers := peerAddresses(s)
 	return node.New(node.Environment{
 		Settings:  s,
-		Election:  leadership.Config{Node: s.Node, Incarnation: rand.Text(), TTL: o.LeaseTTL},
+		Election:  election.Config{Node: s.Node, Incarnation: rand.Text(), TTL: o.LeaseTTL},
 		Mailboxes: boxes,
-		Store:     statestore.New(s.Endpoints.KVStore, s.Deployment.KVStore.Tightest()).For,
-		Cloud:     cloud.New(s.Endpoints.Cloud).For(boxes.Leader),
-		Agent:     agent.New().For(boxes.Leader),
+		Store:     kvstore.New(s.Endpoints.KVStore, s.Deployment.KVStore.Tightest()).For,
+		Cloud:     cloudclient.New(s.Endpoints.Cloud).For(boxes.Leader),
+		Agent:     workerclient.New().For(boxes.Leader),
 		Forward:   peer.NewForwarder(peers, boxes.Admission).Forward,
 		Cells:     o.Cells,
 		Exchange:  peer.NewCellClient(boxes.Leader),
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -5,9 +5,9 @@
 	"runtime"
 	"runtime/debug"
 
-	"postpoint/internal/agent"
 	"postpoint/internal/peer"
 	"postpoint/internal/settings"
+	"postpoint/internal/workerclient"
 )
 
 const (
@@ -15,7 +15,7 @@
 	outgoingSockets = 64
 	// reservedSockets are left of the machine's limit for what this process connects to and for its
 	// peers: neither workers nor users can lock out the state service.
-	reservedSockets = agent.MaxConnections + 2*peer.MaxConnections + outgoingSockets
+	reservedSockets = workerclient.MaxConnections + 2*peer.MaxConnections + outgoingSockets
 	// minClientConnections is the least with which users, health checks and a few workers are served
 	// side by side.
 	minClientConnections = 64
--- a/internal/controller/loopback_test.go
+++ b/internal/controller/loopback_test.go
@@ -19,10 +19,10 @@
 	"time"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/fleet"
 	"postpoint/internal/protocol"
+	"postpoint/internal/scaling"
 	"postpoint/internal/settings"
-	"postpoint/internal/testkit"
+	"postpoint/internal/simulation"
 )
 
 // The benchmarks here run one whole controller against stand-ins in another process,
@@ -139,12 +139,12 @@
 	shape := loads[options.Load]
 	workers := listen("0.0.0.0:0")
 	set := loadSettings(shape)
-	controllers := []testkit.Controller{{Name: set.Node, Address: options.Controller}}
-	l := testkit.NewLoopback(set, loadTypes, controllers, workers.Addr().(*net.TCPAddr).Port)
+	controllers := []simulation.Controller{{Name: set.Node, Address: options.Controller}}
+	l := simulation.NewLoopback(set, loadTypes, controllers, workers.Addr().(*net.TCPAddr).Port)
 	for name, n := range shape.Capacity {
 		for _, zone := range []string{"a", "b"} {
-			l.Deployment.Cloud.Capacity[fleet.CapacityPool{Type: name, Zone: zone}] = n
-			l.Deployment.Cloud.Capacity[fleet.CapacityPool{Type: name, Zone: zone, Spot: true}] = n / 4
+			l.Deployment.Cloud.Capacity[scaling.CapacityPool{Type: name, Zone: zone}] = n
+			l.Deployment.Cloud.Capacity[scaling.CapacityPool{Type: name, Zone: zone, Spot: true}] = n / 4
 		}
 	}
 	submitted := 0
--- a/internal/delegation/codec_test.go
+++ b/internal/delegation/codec_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
 	"postpoint/internal/rapidtest"
@@ -17,15 +17,15 @@
 // TestMain fixes what rapid draws: the result is the same every time.
 func TestMain(m *testing.M) { rapidtest.Main(m, 1500) }
 
-func ranges(tasks ...int) ledger.TaskSet {
-	var r ledger.TaskSet
+func ranges(tasks ...int) jobrecord.TaskSet {
+	var r jobrecord.TaskSet
 	for _, task := range tasks {
 		r.Add(task)
 	}
 	return r
 }
 
-var drawRanges = rapid.Custom(func(t *rapid.T) ledger.TaskSet {
+var drawRanges = rapid.Custom(func(t *rapid.T) jobrecord.TaskSet {
 	return ranges(rapid.SliceOfN(rapid.IntRange(0, 40), 0, 12).Draw(t, "tasks")...)
 })
 
@@ -114,10 +114,10 @@
 	}
 })
 
-var unexported = cmp.AllowUnexported(ledger.TaskSet{})
+var unexported = cmp.AllowUnexported(jobrecord.TaskSet{})
 
 func equal(a, b any) bool {
-	return cmp.Equal(a, b, cmp.Comparer(func(x, y ledger.TaskSet) bool { return x.String() == y.String() }))
+	return cmp.Equal(a, b, cmp.Comparer(func(x, y jobrecord.TaskSet) bool { return x.String() == y.String() }))
 }
 
 func TestMessagesAreDecodedAsTheyWereEncoded(t *testing.T) {
--- a/internal/delegation/message.go
+++ b/internal/delegation/message.go
@@ -2,7 +2,7 @@
 
 import (
 	"postpoint/internal/clock"
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
 )
@@ -31,9 +31,9 @@
 	Job    string
 	// Closed delegations start nothing more: what is neither completed nor held is the origin's.
 	Closed bool
-	Done   ledger.TaskSet
+	Done   jobrecord.TaskSet
 	// Held are tasks that may be on the host's machines.
-	Held ledger.TaskSet
+	Held jobrecord.TaskSet
 	// Running and Waiting count the tasks that run and that wait for a machine.
 	Running, Waiting int
 	// Reason says why it was refused or given back.
@@ -108,7 +108,7 @@
 type Offer struct {
 	Number int64
 	Spec   protocol.JobSpec
-	Tasks  ledger.TaskSet
+	Tasks  jobrecord.TaskSet
 	// JobAge is the time since the job's submission.
 	JobAge clock.Micros
 }
--- a/internal/delegation/origin.go
+++ b/internal/delegation/origin.go
@@ -4,7 +4,7 @@
 	"iter"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
 )
 
 // Delegation is a delegation as the origin cell's leader knows it. Times are on the leader's clock.
@@ -13,7 +13,7 @@
 	// Offerable says that the record, and the tasks' assignment to the host, are stored.
 	Offerable bool
 	// Outstanding are the tasks that are still the host's, as far as the origin's leader knows.
-	Outstanding ledger.TaskSet
+	Outstanding jobrecord.TaskSet
 	// clearAt is when nothing of it runs or can start any more, if no other permission is given;
 	// 0 if none ever was.
 	clearAt clock.Micros
@@ -110,7 +110,7 @@
 	if len(gone) == 0 {
 		return
 	}
-	var left ledger.TaskSet
+	var left jobrecord.TaskSet
 	for task := range tasksIn(&d.Outstanding) {
 		if !gone[task] {
 			left.Add(task)
@@ -120,7 +120,7 @@
 }
 
 // tasksIn iterates over task numbers in ascending order.
-func tasksIn(tasks *ledger.TaskSet) iter.Seq[int] {
+func tasksIn(tasks *jobrecord.TaskSet) iter.Seq[int] {
 	return func(yield func(int) bool) {
 		for task := tasks.NextPresent(0); task <= tasks.Max(); task = tasks.NextPresent(task + 1) {
 			if !yield(task) {
--- a/internal/delegation/reader.go
+++ b/internal/delegation/reader.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 	"math"
 
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
 )
@@ -103,8 +103,8 @@
 
 func (r *reader) text(most int) string { return string(r.take(r.count(most))) }
 
-func (r *reader) ranges() ledger.TaskSet {
-	tasks, err := ledger.ParseTaskSet(r.text(protocol.MaxBodyBytes))
+func (r *reader) ranges() jobrecord.TaskSet {
+	tasks, err := jobrecord.ParseTaskSet(r.text(protocol.MaxBodyBytes))
 	if err != nil {
 		r.fail("task numbers can't be read")
 	}
--- a/internal/delegation/record.go
+++ b/internal/delegation/record.go
@@ -2,7 +2,7 @@
 // origin, to another cell that runs them, their host. It owns the records of both sides, their
 // states, the messages between them with their binary form, and what each message may change. It
 // doesn't own connections, timers and the state service, nor the choice of what is offloaded
-// (internal/spill). It is pure: the leaders of both cells (internal/dispatch) store the records, send the
+// (internal/offload). It is pure: the leaders of both cells (internal/leader) store the records, send the
 // messages and tell the time; internal/peer carries the messages.
 //
 // docs/cells.md has the table of states and the argument that nothing runs twice.
@@ -13,7 +13,7 @@
 	"strconv"
 	"strings"
 
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/protocol"
 )
 
@@ -49,7 +49,7 @@
 	Number int64
 	Host   string // cell
 	Job    string
-	Tasks  ledger.TaskSet
+	Tasks  jobrecord.TaskSet
 	State  State
 	// OfferedAt is the time of day in microseconds.
 	OfferedAt int64
@@ -102,7 +102,7 @@
 	if err := protocol.Decode(value, &stored); err != nil {
 		return Record{}, err
 	}
-	tasks, err := ledger.ParseTaskSet(stored.Tasks)
+	tasks, err := jobrecord.ParseTaskSet(stored.Tasks)
 	if err != nil {
 		return Record{}, err
 	}
--- a/internal/leadership/election.go
+++ b/internal/election/election.go
@@ -1,4 +1,4 @@
-// Package leadership elects the one controller that may act. A node leads while it holds a key of
+// Package election elects the one controller that may act. A node leads while it holds a key of
 // the state service under a lease that it renews; the key's version at the election is the epoch,
 // the fencing token that workers are shown and that guards every write of the leader.
 //
@@ -15,7 +15,7 @@
 //
 // Failures of the state service lead back to observing after a pause. Each transition begins a new
 // round, and what still arrives from an earlier round is dropped.
-package leadership
+package election
 
 import (
 	"errors"
@@ -23,8 +23,8 @@
 
 	"postpoint/internal/actor"
 	"postpoint/internal/clock"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
 )
 
 // LeaderKey is the leader's key, by which every write of the leader is guarded.
@@ -85,7 +85,7 @@
 // lease. All its state belongs to its mailbox.
 type Candidate struct {
 	mailbox        actor.Mailbox
-	store          statestore.Store
+	store          kvstore.Store
 	cfg            Config
 	publishTerm    func(Term)
 	announceLeader func(node string)
@@ -93,7 +93,7 @@
 	// term is the present term, zero unless this node leads.
 	term Term
 	// lease is that of the term or of the last campaign, 0 for none.
-	lease statestore.LeaseID
+	lease kvstore.LeaseID
 	// leaseSentAt is when that lease was requested.
 	leaseSentAt clock.Micros
 	// standAt is when this node may stand again after it has resigned.
@@ -106,7 +106,7 @@
 
 // New returns a candidate that does nothing yet. publishTerm and announceLeader are called from
 // its mailbox, on every change of the term and of who is known to lead ("" for nobody).
-func New(m actor.Mailbox, s statestore.Store, cfg Config, publishTerm func(Term),
+func New(m actor.Mailbox, s kvstore.Store, cfg Config, publishTerm func(Term),
 	announceLeader func(node string)) *Candidate {
 	return &Candidate{mailbox: m, store: s, cfg: cfg, publishTerm: publishTerm,
 		announceLeader: announceLeader}
@@ -144,8 +144,8 @@
 	}
 	c.stepDown()
 	// If this fails, the lease expires all the same: nobody renews it.
-	c.store.Commit(statestore.PriorityElection, release,
-		func(statestore.Result[statestore.Revision]) { c.observe() })
+	c.store.Commit(kvstore.PriorityElection, release,
+		func(kvstore.Result[kvstore.Revision]) { c.observe() })
 }
 
 func (c *Candidate) leading() bool { return c.term.Epoch != 0 }
@@ -178,10 +178,10 @@
 }
 
 // resultInRound returns a callback that handles a result only in the present round.
-func resultInRound[T any](c *Candidate, handle func(statestore.Result[T])) func(statestore.Result[T]) {
-	var result statestore.Result[T]
+func resultInRound[T any](c *Candidate, handle func(kvstore.Result[T])) func(kvstore.Result[T]) {
+	var result kvstore.Result[T]
 	step := c.inRound(func() { handle(result) })
-	return func(r statestore.Result[T]) {
+	return func(r kvstore.Result[T]) {
 		result = r
 		step()
 	}
@@ -193,12 +193,12 @@
 	c.store.Get(LeaderKey, resultInRound(c, c.observed))
 }
 
-func (c *Candidate) observed(r statestore.Result[protocol.Item]) {
+func (c *Candidate) observed(r kvstore.Result[protocol.Item]) {
 	switch {
 	case r.Err == nil:
 		c.observedAt = c.mailbox.Monotonic()
 		c.keyFound(r.Value.Value, r.Value.Version)
-	case errors.Is(r.Err, statestore.ErrNotFound):
+	case errors.Is(r.Err, kvstore.ErrNotFound):
 		c.observedAt = c.mailbox.Monotonic()
 		c.keyAbsent()
 	default:
@@ -247,7 +247,7 @@
 // claimedBy reports whether the key is held by the last campaign of this process.
 func (c *Candidate) claimedBy(h holder) bool {
 	return h.Node == c.cfg.Node && h.Incarnation == c.cfg.Incarnation &&
-		statestore.LeaseID(h.Lease) == c.lease && c.lease != 0 && !c.leading()
+		kvstore.LeaseID(h.Lease) == c.lease && c.lease != 0 && !c.leading()
 }
 
 // campaign stands for election against the given version of the key, 0 if it doesn't exist.
@@ -258,7 +258,7 @@
 		return
 	}
 	sent := c.mailbox.Monotonic()
-	c.store.Grant(c.cfg.TTL, resultInRound(c, func(r statestore.Result[statestore.LeaseID]) {
+	c.store.Grant(c.cfg.TTL, resultInRound(c, func(r kvstore.Result[kvstore.LeaseID]) {
 		if r.Err != nil {
 			c.observeAfter(retryDelay)
 			return
@@ -276,14 +276,14 @@
 		Changes: []protocol.Change{{Put: LeaderKey, Lease: lease,
 			Value: protocol.Encode(holder{c.cfg.Node, c.cfg.Incarnation, lease})}},
 	}
-	c.store.Commit(statestore.PriorityElection, claim, resultInRound(c, c.claimEnded))
+	c.store.Commit(kvstore.PriorityElection, claim, resultInRound(c, c.claimEnded))
 }
 
-func (c *Candidate) claimEnded(r statestore.Result[statestore.Revision]) {
+func (c *Candidate) claimEnded(r kvstore.Result[kvstore.Revision]) {
 	switch {
 	case r.Err == nil:
 		c.elected(int64(r.Value))
-	case errors.Is(r.Err, statestore.ErrConflict):
+	case errors.Is(r.Err, kvstore.ErrConflict):
 		c.lease = 0
 		c.observe()
 	default:
@@ -332,7 +332,7 @@
 		if sent > c.term.RenewedAt {
 			c.extendTerm(sent)
 		}
-	case errors.Is(err, statestore.ErrLeaseNotFound):
+	case errors.Is(err, kvstore.ErrLeaseNotFound):
 		slog.Info("leadership lost: the lease expired", "epoch", c.term.Epoch)
 		c.stepDown()
 		c.observe()
@@ -342,11 +342,11 @@
 // follow waits for the key to change after a revision.
 func (c *Candidate) follow(from int64) {
 	c.round++
-	c.store.Follow(LeaderKey, statestore.Revision(from), followTime, resultInRound(c, c.followed))
+	c.store.Follow(LeaderKey, kvstore.Revision(from), followTime, resultInRound(c, c.followed))
 }
 
 // followed acts on the last change of the key, if there is one.
-func (c *Candidate) followed(r statestore.Result[protocol.WatchResponse]) {
+func (c *Candidate) followed(r kvstore.Result[protocol.WatchResponse]) {
 	if r.Err != nil {
 		c.observationFailed()
 		return
--- a/internal/leadership/election_test.go
+++ b/internal/election/election_test.go
@@ -1,12 +1,12 @@
-package leadership
+package election
 
 import (
 	"slices"
 	"testing"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
 )
 
 // manualMailbox is a mailbox whose clock and delayed messages the test moves on.
@@ -33,49 +33,49 @@
 // pendingStore is a state service that grants leases at once and keeps everything else until the
 // test responds.
 type pendingStore struct {
-	statestore.Store
-	leases  statestore.LeaseID
-	get     func(statestore.Result[protocol.Item])
-	commit  func(statestore.Result[statestore.Revision])
-	follow  func(statestore.Result[protocol.WatchResponse])
+	kvstore.Store
+	leases  kvstore.LeaseID
+	get     func(kvstore.Result[protocol.Item])
+	commit  func(kvstore.Result[kvstore.Revision])
+	follow  func(kvstore.Result[protocol.WatchResponse])
 	renew   func(error)
 	txns    []protocol.Txn
-	renewed []statestore.LeaseID
+	renewed []kvstore.LeaseID
 }
 
-func (s *pendingStore) Get(_ string, done func(statestore.Result[protocol.Item])) { s.get = done }
-func (s *pendingStore) Grant(_ clock.Micros, done func(statestore.Result[statestore.LeaseID])) {
+func (s *pendingStore) Get(_ string, done func(kvstore.Result[protocol.Item])) { s.get = done }
+func (s *pendingStore) Grant(_ clock.Micros, done func(kvstore.Result[kvstore.LeaseID])) {
 	s.leases++
-	done(statestore.Result[statestore.LeaseID]{Value: s.leases})
+	done(kvstore.Result[kvstore.LeaseID]{Value: s.leases})
 }
-func (s *pendingStore) Commit(_ statestore.Priority, t protocol.Txn,
-	done func(statestore.Result[statestore.Revision])) {
+func (s *pendingStore) Commit(_ kvstore.Priority, t protocol.Txn,
+	done func(kvstore.Result[kvstore.Revision])) {
 	s.txns, s.commit = append(s.txns, t), done
 }
-func (s *pendingStore) Renew(lease statestore.LeaseID, done func(error)) {
+func (s *pendingStore) Renew(lease kvstore.LeaseID, done func(error)) {
 	s.renewed, s.renew = append(s.renewed, lease), done
 }
-func (s *pendingStore) Follow(_ string, _ statestore.Revision, _ clock.Micros,
-	done func(statestore.Result[protocol.WatchResponse])) {
+func (s *pendingStore) Follow(_ string, _ kvstore.Revision, _ clock.Micros,
+	done func(kvstore.Result[protocol.WatchResponse])) {
 	s.follow = done
 }
 
 // keyIs responds to the read of the leader's key.
 func (s *pendingStore) keyIs(value []byte, version int64) {
-	s.get(statestore.Result[protocol.Item]{Value: protocol.Item{Key: LeaderKey, Value: value, Version: version}})
+	s.get(kvstore.Result[protocol.Item]{Value: protocol.Item{Key: LeaderKey, Value: value, Version: version}})
 }
 
 // keyIsAbsent responds that there is no leader's key.
 func (s *pendingStore) keyIsAbsent() {
-	s.get(statestore.Result[protocol.Item]{Err: statestore.ErrNotFound})
+	s.get(kvstore.Result[protocol.Item]{Err: kvstore.ErrNotFound})
 }
 
 // commitsAt responds that the transaction was applied, commitFails that it wasn't.
-func (s *pendingStore) commitsAt(r statestore.Revision) {
-	s.commit(statestore.Result[statestore.Revision]{Value: r})
+func (s *pendingStore) commitsAt(r kvstore.Revision) {
+	s.commit(kvstore.Result[kvstore.Revision]{Value: r})
 }
 func (s *pendingStore) commitFails(err error) {
-	s.commit(statestore.Result[statestore.Revision]{Err: err})
+	s.commit(kvstore.Result[kvstore.Revision]{Err: err})
 }
 
 // candidacy is a started candidate with what it has published.
@@ -118,7 +118,7 @@
 	store := x.store
 	for range 2 { // the responses to two claims are lost
 		store.keyIsAbsent()
-		store.commitFails(statestore.ErrNoResponse)
+		store.commitFails(kvstore.ErrNoResponse)
 		x.box.advance(clock.Second)
 	}
 	if len(store.txns) != 2 || store.leases != 2 {
@@ -133,11 +133,11 @@
 		t.Fatalf("campaigns %+v, expected a third against version 9", store.txns)
 	}
 	// The last one is recognized although its response is lost.
-	store.commitFails(statestore.ErrNoResponse)
+	store.commitFails(kvstore.ErrNoResponse)
 	x.box.advance(clock.Second)
 	store.keyIs(store.txns[2].Changes[0].Value, 10)
 	x.expectEpoch(t, 10)
-	if !slices.Equal(store.renewed, []statestore.LeaseID{3}) {
+	if !slices.Equal(store.renewed, []kvstore.LeaseID{3}) {
 		t.Fatalf("renews %v, expected lease 3", store.renewed)
 	}
 }
@@ -166,12 +166,12 @@
 
 func TestFailedRenewalKeepsTermUntilLeaseExpires(t *testing.T) {
 	x := newElected()
-	for _, err := range []error{statestore.ErrNoResponse, statestore.ErrUnavailable, statestore.ErrThrottled,
-		statestore.ErrUnexpectedStatus} {
+	for _, err := range []error{kvstore.ErrNoResponse, kvstore.ErrUnavailable, kvstore.ErrThrottled,
+		kvstore.ErrUnexpectedStatus} {
 		x.store.renew(err)
 		x.expectEpoch(t, 5)
 	}
-	x.store.renew(statestore.ErrLeaseNotFound)
+	x.store.renew(kvstore.ErrLeaseNotFound)
 	x.expectEpoch(t, 0)
 	if last := x.leader[len(x.leader)-1]; last != "" {
 		t.Errorf("announced %q, expected nobody", last)
@@ -216,12 +216,12 @@
 	if !slices.Equal(x.leader, []string{"m"}) {
 		t.Fatalf("announced %q, expected m", x.leader)
 	}
-	x.store.follow(statestore.Result[protocol.WatchResponse]{Value: protocol.WatchResponse{Revision: 4}})
+	x.store.follow(kvstore.Result[protocol.WatchResponse]{Value: protocol.WatchResponse{Revision: 4}})
 	if len(x.store.txns) > 0 {
 		t.Fatal("campaigns against a leader whose key hasn't changed")
 	}
 	gone := protocol.WatchResponse{Revision: 5, Events: []protocol.Event{{Delete: LeaderKey, Version: 5}}}
-	x.store.follow(statestore.Result[protocol.WatchResponse]{Value: gone})
+	x.store.follow(kvstore.Result[protocol.WatchResponse]{Value: gone})
 	if len(x.store.txns) != 1 || x.store.txns[0].Conditions[0].Version != 0 {
 		t.Fatalf("%+v, expected one claim of an absent key", x.store.txns)
 	}
@@ -230,14 +230,14 @@
 func TestLeaderUnseenForAWhileIsNotNamed(t *testing.T) {
 	x := newCandidacy()
 	x.store.keyIs(protocol.Encode(holder{Node: "m", Incarnation: "other", Lease: 1}), 3)
-	x.store.follow(statestore.Result[protocol.WatchResponse]{Err: statestore.ErrUnavailable})
+	x.store.follow(kvstore.Result[protocol.WatchResponse]{Err: kvstore.ErrUnavailable})
 	x.box.advance(7 * clock.Second)
-	x.store.get(statestore.Result[protocol.Item]{Err: statestore.ErrNoResponse})
+	x.store.get(kvstore.Result[protocol.Item]{Err: kvstore.ErrNoResponse})
 	if !slices.Equal(x.leader, []string{"m"}) {
 		t.Fatalf("announced %q after 7 s, expected still m", x.leader)
 	}
 	x.box.advance(1)
-	x.store.get(statestore.Result[protocol.Item]{Err: statestore.ErrNoResponse})
+	x.store.get(kvstore.Result[protocol.Item]{Err: kvstore.ErrNoResponse})
 	if !slices.Equal(x.leader, []string{"m", ""}) {
 		t.Fatalf("announced %q after more than 7 s, expected nobody in the end", x.leader)
 	}
@@ -248,7 +248,7 @@
 	early := x.store.get
 	x.store.keyIsAbsent()
 	x.store.commitsAt(5)
-	early(statestore.Result[protocol.Item]{Err: statestore.ErrNotFound})
+	early(kvstore.Result[protocol.Item]{Err: kvstore.ErrNotFound})
 	if n := len(x.store.txns); n != 1 || x.term.Epoch != 5 {
 		t.Fatalf("%d campaigns and epoch %d, expected 1 and 5", n, x.term.Epoch)
 	}
--- a/internal/leadership/golden_test.go
+++ b/internal/election/golden_test.go
@@ -1,4 +1,4 @@
-package leadership
+package election
 
 import (
 	"testing"
--- a/internal/leadership/transaction.go
+++ b/internal/election/transaction.go
@@ -1,12 +1,12 @@
-package leadership
+package election
 
 import (
 	"errors"
 	"fmt"
 	"slices"
 
+	"postpoint/internal/kvstore"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
 )
 
 // ErrNotLeader is a transaction that failed because the leader's key has changed hands: the node
@@ -17,9 +17,9 @@
 type NotLeaderError struct {
 	// Epoch is that of the deposed leader.
 	Epoch Epoch
-	// Conflict has all keys that failed. statestore.ErrConflict matches the error as well, so that
+	// Conflict has all keys that failed. kvstore.ErrConflict matches the error as well, so that
 	// callers for whom it is a conflict like others needn't tell it apart.
-	Conflict *statestore.ConflictError
+	Conflict *kvstore.ConflictError
 }
 
 // Error describes the loss of leadership for logs.
@@ -73,9 +73,9 @@
 
 // Commit applies the transaction. If the leader's key is among those that failed, the error is a
 // *NotLeaderError.
-func (t *Transaction) Commit(store statestore.Store,
-	done func(statestore.Result[statestore.Revision])) {
-	store.Commit(statestore.PriorityLeader, t.txn, func(r statestore.Result[statestore.Revision]) {
+func (t *Transaction) Commit(store kvstore.Store,
+	done func(kvstore.Result[kvstore.Revision])) {
+	store.Commit(kvstore.PriorityLeader, t.txn, func(r kvstore.Result[kvstore.Revision]) {
 		r.Err = t.classify(r.Err)
 		done(r)
 	})
@@ -83,7 +83,7 @@
 
 // classify tells the loss of leadership apart from other conflicts.
 func (t *Transaction) classify(err error) error {
-	conflict, ok := errors.AsType[*statestore.ConflictError](err)
+	conflict, ok := errors.AsType[*kvstore.ConflictError](err)
 	if !ok || !slices.Contains(conflict.Keys, LeaderKey) {
 		return err
 	}
--- a/internal/leadership/transaction_test.go
+++ b/internal/election/transaction_test.go
@@ -1,4 +1,4 @@
-package leadership
+package election
 
 import (
 	"errors"
@@ -6,8 +6,8 @@
 	"slices"
 	"testing"
 
+	"postpoint/internal/kvstore"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
 )
 
 func TestTransactionIsGuardedByLeadersKeyFirst(t *testing.T) {
@@ -20,7 +20,7 @@
 	txn.RequireOnce(LeaderKey, 7)
 	txn.Put("a", []byte{0xc0})
 	txn.Delete("b")
-	txn.Commit(store, func(statestore.Result[statestore.Revision]) {})
+	txn.Commit(store, func(kvstore.Result[kvstore.Revision]) {})
 	want := protocol.Txn{
 		Conditions: []protocol.Condition{{Key: LeaderKey, Version: 7}, {Key: "a", Version: 3}, {Key: "a", Version: 3},
 			{Key: "a", Version: 4}},
@@ -35,7 +35,7 @@
 }
 
 func TestTransactionTellsLostLeadershipFromOtherConflicts(t *testing.T) {
-	conflict := func(keys ...string) error { return &statestore.ConflictError{Keys: keys, Revision: 9} }
+	conflict := func(keys ...string) error { return &kvstore.ConflictError{Keys: keys, Revision: 9} }
 	for _, c := range []struct {
 		err                 error
 		notLeader, conflict bool
@@ -44,20 +44,20 @@
 		{conflict("a"), false, true},
 		{conflict(), false, true},
 		{conflict("a", LeaderKey), true, true},
-		{statestore.ErrNoResponse, false, false},
+		{kvstore.ErrNoResponse, false, false},
 		{fmt.Errorf("wrapped: %w", conflict(LeaderKey)), true, true},
 	} {
 		store := &pendingStore{}
 		var got error
-		NewTransaction(7).Commit(store, func(r statestore.Result[statestore.Revision]) { got = r.Err })
+		NewTransaction(7).Commit(store, func(r kvstore.Result[kvstore.Revision]) { got = r.Err })
 		store.commitFails(c.err)
 		if errors.Is(got, ErrNotLeader) != c.notLeader ||
-			errors.Is(got, statestore.ErrConflict) != c.conflict {
+			errors.Is(got, kvstore.ErrConflict) != c.conflict {
 			t.Errorf("%v became %v, expected lost leadership %v and a conflict %v", c.err, got, c.notLeader,
 				c.conflict)
 		}
-		if !slices.Equal(statestore.Failed(got), statestore.Failed(c.err)) {
-			t.Errorf("failed keys %v, expected %v", statestore.Failed(got), statestore.Failed(c.err))
+		if !slices.Equal(kvstore.Failed(got), kvstore.Failed(c.err)) {
+			t.Errorf("failed keys %v, expected %v", kvstore.Failed(got), kvstore.Failed(c.err))
 		}
 		if !c.notLeader && !errors.Is(got, c.err) {
 			t.Errorf("%v became %v, expected it unchanged", c.err, got)
--- a/internal/report/page.go
+++ b/internal/htmlreport/page.go
@@ -1,9 +1,9 @@
-// Package report builds HTML pages of measurements that need no other files: tables, and plots drawn
+// Package htmlreport builds HTML pages of measurements that need no other files: tables, and plots drawn
 // by gonum's plot library as inline SVG pictures.
 //
 // It owns the layout of a page and the look of its plots. It doesn't measure, compute statistics beyond
 // a distribution, or know what the figures mean. Its caller is cmd/loadtool.
-package report
+package htmlreport
 
 import (
 	"bytes"
--- a/internal/report/plots.go
+++ b/internal/htmlreport/plots.go
@@ -1,4 +1,4 @@
-package report
+package htmlreport
 
 import (
 	"bytes"
--- a/internal/ledger/delegation.go
+++ b/internal/jobrecord/delegation.go
@@ -1,4 +1,4 @@
-package ledger
+package jobrecord
 
 import (
 	"strconv"
--- a/internal/ledger/doc.go
+++ b/internal/jobrecord/doc.go
@@ -1,10 +1,10 @@
-// Package ledger defines the durable record of a job: what the key-value store keeps of it, under
+// Package jobrecord defines the durable record of a job: what the key-value store keeps of it, under
 // which keys and in which format, and the same record in memory.
 //
 // It owns the keys, the stored formats (format.go says which exist and what marks them) and the
 // estimates of how large a record may become. It doesn't call the store, takes no decisions about
 // jobs and doesn't validate submissions.
 //
-// Package intake creates records, cancels jobs and shows their state. The leader, package
+// Package admission creates records, cancels jobs and shows their state. The leader, package
 // dispatch, writes everything else. Package delegation uses Ranges only.
-package ledger
+package jobrecord
--- a/internal/statestore/errors_test.go
+++ b/internal/kvstore/errors_test.go
@@ -1,4 +1,4 @@
-package statestore
+package kvstore
 
 import (
 	"errors"
--- /dev/null
+++ b/internal/kvstore/storetest/service.go
@@ -0,0 +1,82 @@
+// Package storetest lets stand-ins of the key-value store respond as the store itself does, with
+// statuses and bodies. Only tests and the simulation use it.
+package storetest
+
+import (
+	"postpoint/internal/clock"
+	"postpoint/internal/kvstore"
+	"postpoint/internal/protocol"
+	"postpoint/internal/transport"
+)
+
+// Reply is a response's status and body. Status 0 means that none came: the request may have been
+// carried out, or may still be, later.
+type Reply[T any] struct {
+	Status int
+	Value  T
+}
+
+// Service is a stand-in of the key-value store as one client sees it.
+type Service interface {
+	Get(key string, done func(Reply[protocol.Item]))
+	List(prefix, from string, done func(Reply[protocol.ItemList]))
+	Commit(use kvstore.Priority, t protocol.Txn, done func(Reply[protocol.TxnResponse]))
+	Follow(prefix string, from int64, block clock.Micros, done func(Reply[protocol.WatchResponse]))
+	Grant(ttl clock.Micros, done func(Reply[protocol.LeaseResponse]))
+	Renew(lease int64, done func(Reply[protocol.LeaseResponse]))
+}
+
+// Client returns the store whose results are what the service responds.
+func Client(s Service) kvstore.Store { return client{s} }
+
+// client turns statuses into errors.
+type client struct{ service Service }
+
+func (c client) Get(key string, done func(kvstore.Result[protocol.Item])) {
+	c.service.Get(key, func(r Reply[protocol.Item]) { done(result(kvstore.OpGet, r)) })
+}
+
+func (c client) List(prefix, from string, done func(kvstore.Result[protocol.ItemList])) {
+	c.service.List(prefix, from, func(r Reply[protocol.ItemList]) { done(result(kvstore.OpList, r)) })
+}
+
+func (c client) Commit(priority kvstore.Priority, txn protocol.Txn,
+	done func(kvstore.Result[kvstore.Revision])) {
+	c.service.Commit(priority, txn, func(r Reply[protocol.TxnResponse]) {
+		done(kvstore.Result[kvstore.Revision]{
+			Value: kvstore.Revision(r.Value.Revision),
+			Err:   errorOf(kvstore.OpCommit, r),
+		})
+	})
+}
+
+func (c client) Follow(prefix string, from kvstore.Revision, wait clock.Micros,
+	done func(kvstore.Result[protocol.WatchResponse])) {
+	c.service.Follow(prefix, int64(from), wait,
+		func(r Reply[protocol.WatchResponse]) { done(result(kvstore.OpFollow, r)) })
+}
+
+func (c client) Grant(ttl clock.Micros, done func(kvstore.Result[kvstore.LeaseID])) {
+	c.service.Grant(ttl, func(r Reply[protocol.LeaseResponse]) {
+		done(kvstore.Result[kvstore.LeaseID]{
+			Value: kvstore.LeaseID(r.Value.Lease),
+			Err:   errorOf(kvstore.OpGrant, r),
+		})
+	})
+}
+
+func (c client) Renew(lease kvstore.LeaseID, done func(err error)) {
+	c.service.Renew(int64(lease), func(r Reply[protocol.LeaseResponse]) { done(errorOf(kvstore.OpRenew, r)) })
+}
+
+func result[T any](op kvstore.Operation, r Reply[T]) kvstore.Result[T] {
+	return kvstore.Result[T]{Value: r.Value, Err: errorOf(op, r)}
+}
+
+func errorOf[T any](op kvstore.Operation, r Reply[T]) error {
+	details, _ := any(r.Value).(protocol.TxnResponse)
+	if r.Status == 0 {
+		return &transport.Error{Kind: kvstore.ErrNoResponse, Reason: details.Error}
+	}
+	return kvstore.Failure(op, r.Status, details)
+}
--- a/internal/statestore/storetest/service_test.go
+++ b/internal/kvstore/storetest/service_test.go
@@ -10,8 +10,8 @@
 	"github.com/google/go-cmp/cmp"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
 	"postpoint/internal/transport"
 )
 
@@ -33,7 +33,7 @@
 	done(Reply[protocol.ItemList]{s.status, list})
 }
 
-func (s fixedStore) Commit(_ statestore.Priority, _ protocol.Txn, done func(Reply[protocol.TxnResponse])) {
+func (s fixedStore) Commit(_ kvstore.Priority, _ protocol.Txn, done func(Reply[protocol.TxnResponse])) {
 	done(Reply[protocol.TxnResponse]{s.status, answer})
 }
 
@@ -56,33 +56,33 @@
 }
 
 // note returns a callback that keeps a result.
-func note[T any](o *outcome) func(statestore.Result[T]) {
-	return func(r statestore.Result[T]) { *o = outcome{r.Value, r.Err} }
+func note[T any](o *outcome) func(kvstore.Result[T]) {
+	return func(r kvstore.Result[T]) { *o = outcome{r.Value, r.Err} }
 }
 
 // request is one request of an operation and the value that it returns.
 type request struct {
-	send func(statestore.Store, *outcome)
+	send func(kvstore.Store, *outcome)
 	want any
 }
 
-var requests = map[statestore.Operation]request{
-	statestore.OpGet: {func(s statestore.Store, o *outcome) {
+var requests = map[kvstore.Operation]request{
+	kvstore.OpGet: {func(s kvstore.Store, o *outcome) {
 		s.Get("a", note[protocol.Item](o))
 	}, item},
-	statestore.OpList: {func(s statestore.Store, o *outcome) {
+	kvstore.OpList: {func(s kvstore.Store, o *outcome) {
 		s.List("", "", note[protocol.ItemList](o))
 	}, list},
-	statestore.OpCommit: {func(s statestore.Store, o *outcome) {
-		s.Commit(statestore.PriorityUser, protocol.Txn{}, note[statestore.Revision](o))
-	}, statestore.Revision(300)},
-	statestore.OpFollow: {func(s statestore.Store, o *outcome) {
+	kvstore.OpCommit: {func(s kvstore.Store, o *outcome) {
+		s.Commit(kvstore.PriorityUser, protocol.Txn{}, note[kvstore.Revision](o))
+	}, kvstore.Revision(300)},
+	kvstore.OpFollow: {func(s kvstore.Store, o *outcome) {
 		s.Follow("", 1, 0, note[protocol.WatchResponse](o))
 	}, followed},
-	statestore.OpGrant: {func(s statestore.Store, o *outcome) {
-		s.Grant(clock.Second, note[statestore.LeaseID](o))
-	}, statestore.LeaseID(5)},
-	statestore.OpRenew: {func(s statestore.Store, o *outcome) {
+	kvstore.OpGrant: {func(s kvstore.Store, o *outcome) {
+		s.Grant(clock.Second, note[kvstore.LeaseID](o))
+	}, kvstore.LeaseID(5)},
+	kvstore.OpRenew: {func(s kvstore.Store, o *outcome) {
 		s.Renew(7, func(err error) { o.err = err })
 	}, nil},
 }
@@ -93,12 +93,12 @@
 	if err == nil {
 		return http.StatusOK
 	}
-	if errors.Is(err, statestore.ErrConflict) {
+	if errors.Is(err, kvstore.ErrConflict) {
 		return http.StatusConflict
 	}
 	failure, ok := errors.AsType[*transport.Error](err)
 	if !ok {
-		t.Fatalf("%v is of type %T, expected one of package statestore", err, err)
+		t.Fatalf("%v is of type %T, expected one of package kvstore", err, err)
 	}
 	return failure.Status
 }
@@ -114,14 +114,14 @@
 			if d := cmp.Diff(request.want, got.value); d != "" {
 				t.Errorf("operation %d, status %d: %s", op, status, d)
 			}
-			if noResponse := status == 0; errors.Is(got.err, statestore.ErrNoResponse) != noResponse {
+			if noResponse := status == 0; errors.Is(got.err, kvstore.ErrNoResponse) != noResponse {
 				t.Errorf("operation %d, status %d: %v, expected no response %v", op, status, got.err, noResponse)
 			}
 			details := protocol.TxnResponse{}
-			if op == statestore.OpCommit {
+			if op == kvstore.OpCommit {
 				details = answer
 			}
-			if want := statestore.Failure(op, status, details); status != 0 && !reflect.DeepEqual(got.err, want) {
+			if want := kvstore.Failure(op, status, details); status != 0 && !reflect.DeepEqual(got.err, want) {
 				t.Errorf("operation %d, status %d: %#v, expected %#v", op, status, got.err, want)
 			}
 		}
@@ -131,15 +131,15 @@
 func TestClientReturnsReasonAndFailedKeysOfTransactions(t *testing.T) {
 	for status := range 1000 {
 		var got outcome
-		requests[statestore.OpCommit].send(Client(fixedStore{status}), &got)
-		if status != http.StatusOK && statestore.Reason(got.err) != answer.Error {
-			t.Errorf("status %d: reason %q, expected %q", status, statestore.Reason(got.err), answer.Error)
+		requests[kvstore.OpCommit].send(Client(fixedStore{status}), &got)
+		if status != http.StatusOK && kvstore.Reason(got.err) != answer.Error {
+			t.Errorf("status %d: reason %q, expected %q", status, kvstore.Reason(got.err), answer.Error)
 		}
 		var failed []string
 		if status == http.StatusConflict {
 			failed = answer.Failed
 		}
-		if keys := statestore.Failed(got.err); !slices.Equal(keys, failed) {
+		if keys := kvstore.Failed(got.err); !slices.Equal(keys, failed) {
 			t.Errorf("status %d: failed keys %q, expected %q", status, keys, failed)
 		}
 	}
--- a/internal/leader/adoption_test.go
+++ b/internal/leader/adoption_test.go
@@ -3,12 +3,12 @@
 import (
 	"testing"
 
+	"postpoint/internal/jobrecord"
+	"postpoint/internal/kvstore/storetest"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/reconciler"
 	"postpoint/internal/leader/recordstore"
-	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore/storetest"
 )
 
 // A record read before a change and received after it doesn't undo the change, not even while the
@@ -22,9 +22,9 @@
 		Status:  protocol.TaskExited,
 		Cause:   protocol.CauseStopped,
 	}))
-	l.reader.Adopt(ledger.Key("job-1"), j.Encode(), 6)
+	l.reader.Adopt(jobrecord.Key("job-1"), j.Encode(), 6)
 	j.NoteRecordEvent(jobtable.EventRecordConflict)
-	l.reader.Adopt(ledger.Key("job-1"), old, 5)
+	l.reader.Adopt(jobrecord.Key("job-1"), old, 5)
 	if len(j.Placements) != 0 || j.Version != 6 {
 		t.Fatalf("placed %v at version %d, want nothing placed at version 6", j.Placements, j.Version)
 	}
@@ -48,7 +48,7 @@
 	if len(l.jobs.ByID) != 0 {
 		t.Fatalf("%d jobs are known after the job's end is stored, want none", len(l.jobs.ByID))
 	}
-	l.reader.Adopt(ledger.Key("job-1"), old, 5)
+	l.reader.Adopt(jobrecord.Key("job-1"), old, 5)
 	if len(l.jobs.ByID) != 0 {
 		t.Fatalf("an old event brought %d jobs back, want none", len(l.jobs.ByID))
 	}
@@ -66,7 +66,7 @@
 	j.InFlight = true
 	cancelled := *j.Record
 	cancelled.Status, cancelled.CancelledAt = protocol.StatusCancelled, int64(box.Now)
-	l.reader.Adopt(ledger.Key("job-1"), cancelled.Encode(), 6)
+	l.reader.Adopt(jobrecord.Key("job-1"), cancelled.Encode(), 6)
 	commands := l.commands.CommandsFor(m, reconciler.ViaHeartbeat)
 	if len(commands) != 1 || commands[0].Verb != protocol.VerbStop {
 		t.Fatalf("commands %v, want one stop", commands)
@@ -80,7 +80,7 @@
 	cancelled := *j.Record
 	cancelled.Status, cancelled.CancelledAt = protocol.StatusCancelled, int64(box.Now)
 	cancelled.Truncated = true
-	l.reader.Adopt(ledger.Key("job-1"), cancelled.Encode(), 8)
+	l.reader.Adopt(jobrecord.Key("job-1"), cancelled.Encode(), 8)
 	j = l.jobs.ByID["job-1"]
 	if j == nil {
 		t.Fatal("the job is forgotten, want it to be known")
@@ -97,8 +97,8 @@
 	l, store, j := shardedArray(t)
 	cancelled := *j.Record
 	cancelled.Status, cancelled.CancelledAt = protocol.StatusCancelled, int64(l.state.Now())
-	l.reader.Adopt(ledger.Key("job-1"), cancelled.Encode(), 8)
-	store.answer(conflictOn(ledger.Key("job-1")))
+	l.reader.Adopt(jobrecord.Key("job-1"), cancelled.Encode(), 8)
+	store.answer(conflictOn(jobrecord.Key("job-1")))
 	if !j.Over() || j.Committed(j.Placements[0]) || j.MustReload() || len(j.Placements) != 1 {
 		t.Fatalf("over %v, committed %v, to be reloaded %v, placed %v, want true, false, false and one task",
 			j.Over(), j.Committed(j.Placements[0]), j.MustReload(), j.Placements)
@@ -111,7 +111,7 @@
 func TestShardsAreReadBehindAFence(t *testing.T) {
 	t.Run("fence stored", func(t *testing.T) { readBehindFence(t, committedAt(9)) })
 	t.Run("earlier copy of the fence stored", func(t *testing.T) {
-		readBehindFence(t, conflictOn(ledger.Key("job-1")))
+		readBehindFence(t, conflictOn(jobrecord.Key("job-1")))
 	})
 }
 
@@ -121,17 +121,17 @@
 	reads := &readableStore{fakeStore: *store}
 	useStore(l, reads)
 	reads.answer(noResponse()) // for shard 0: it may still be carried out
-	l.jobs.AddPlacement(j, ledger.Placement{Task: 150, Attempt: 1, Machine: "m-2", Incarnation: 1})
+	l.jobs.AddPlacement(j, jobrecord.Placement{Task: 150, Attempt: 1, Machine: "m-2", Incarnation: 1})
 	commitAfterPause(l)
-	reads.answer(conflictOn(ledger.ShardKey("job-1", 1)))
+	reads.answer(conflictOn(jobrecord.ShardKey("job-1", 1)))
 	commitAfterPause(l)
 	fence := reads.last()
-	if len(fence.Changes) != 1 || fence.Changes[0].Put != ledger.Key("job-1") || reads.reads != 0 {
+	if len(fence.Changes) != 1 || fence.Changes[0].Put != jobrecord.Key("job-1") || reads.reads != 0 {
 		t.Fatalf("%+v is written and %d reads were sent, want the head and no read", fence.Changes, reads.reads)
 	}
 	content := *j.Record
 	content.Placements = nil
-	reads.item = protocol.Item{Key: ledger.Key("job-1"), Value: content.Encode(), Version: 9}
+	reads.item = protocol.Item{Key: jobrecord.Key("job-1"), Value: content.Encode(), Version: 9}
 	reads.answer(fenceResponse)
 	commitAfterPause(l)
 	if reads.reads != 1 || j.MustReload() || j.Version != 9 || len(j.Placements) != 0 {
--- a/internal/leader/autoscaler/autoscaler.go
+++ b/internal/leader/autoscaler/autoscaler.go
@@ -1,11 +1,11 @@
 // Package autoscaler scales the deployment out and in: it gets machines for unmet demand, cordons and
 // releases surplus ones, and keeps up with the cloud's list of machines. Which machines to get and
-// which are surplus is decided by package fleet, which is pure.
+// which are surplus is decided by package scaling, which is pure.
 package autoscaler
 
 import (
 	"postpoint/internal/clock"
-	"postpoint/internal/cloud"
+	"postpoint/internal/cloudclient"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/objectives"
@@ -18,7 +18,7 @@
 // Autoscaler gets machines for unmet demand and releases those that aren't needed any more.
 type Autoscaler struct {
 	*term.State
-	Cloud      cloud.API
+	Cloud      cloudclient.API
 	jobs       *jobtable.Table
 	machines   *machinetable.Table
 	catalogue  *machinetable.Catalogue
@@ -42,7 +42,7 @@
 const refusalBackoff = 2 * clock.Second
 
 // New returns an autoscaler that scales by means of the given cloud.
-func New(term *term.State, cl cloud.API, jobs *jobtable.Table, machines *machinetable.Table,
+func New(term *term.State, cl cloudclient.API, jobs *jobtable.Table, machines *machinetable.Table,
 	catalogue *machinetable.Catalogue, objectives *objectives.Tracker, commands *reconciler.CommandSender,
 	snapshots *snapshots.Builder, zones *zonetracker.Tracker, steps *term.StepTimer) *Autoscaler {
 	return &Autoscaler{
--- a/internal/leader/autoscaler/cloudview.go
+++ b/internal/leader/autoscaler/cloudview.go
@@ -2,7 +2,7 @@
 
 import (
 	"postpoint/internal/clock"
-	"postpoint/internal/fleet"
+	"postpoint/internal/scaling"
 )
 
 const (
@@ -20,8 +20,8 @@
 }
 
 // CloudView returns what can be scaled out at present, as far as is known.
-func (a *Autoscaler) CloudView() *fleet.CloudView {
-	view := &fleet.CloudView{Types: a.catalogue.ByName, OutOfCapacity: map[fleet.CapacityPool]bool{}}
+func (a *Autoscaler) CloudView() *scaling.CloudView {
+	view := &scaling.CloudView{Types: a.catalogue.ByName, OutOfCapacity: map[scaling.CapacityPool]bool{}}
 	for pool, pause := range a.scaleOut.exhausted {
 		if a.Now() < pause.until {
 			view.OutOfCapacity[pool] = true
@@ -35,22 +35,22 @@
 
 // excludeAvoidedZones leaves out the zones that aren't healthy, since machines that boot there may
 // never be heard of. Zones that have just returned are only marked: what depends on them may go there.
-func (a *Autoscaler) excludeAvoidedZones(view *fleet.CloudView) {
+func (a *Autoscaler) excludeAvoidedZones(view *scaling.CloudView) {
 	view.ZonesAtRisk = map[string]bool{}
 	for _, machineType := range a.catalogue.Types {
 		for _, zone := range machineType.Zones {
 			if a.zones.IsReturning(zone) {
 				view.ZonesAtRisk[zone] = true
 			} else if a.zones.IsCordoned(zone) {
-				view.OutOfCapacity[fleet.CapacityPool{Type: machineType.Name, Zone: zone}] = true
-				view.OutOfCapacity[fleet.CapacityPool{Type: machineType.Name, Zone: zone, Spot: true}] = true
+				view.OutOfCapacity[scaling.CapacityPool{Type: machineType.Name, Zone: zone}] = true
+				view.OutOfCapacity[scaling.CapacityPool{Type: machineType.Name, Zone: zone, Spot: true}] = true
 			}
 		}
 	}
 }
 
 // noteExhausted pauses requests for a pool that has run out of machines.
-func (a *Autoscaler) noteExhausted(pool fleet.CapacityPool) {
+func (a *Autoscaler) noteExhausted(pool scaling.CapacityPool) {
 	pause := a.scaleOut.exhausted[pool]
 	pause.length = min(max(initialCapacityPause, 2*pause.length), maxCapacityPause)
 	pause.until = a.Now() + pause.length
@@ -58,4 +58,4 @@
 }
 
 // noteAvailable ends the pause of a pool in which there is capacity again.
-func (a *Autoscaler) noteAvailable(pool fleet.CapacityPool) { delete(a.scaleOut.exhausted, pool) }
+func (a *Autoscaler) noteAvailable(pool scaling.CapacityPool) { delete(a.scaleOut.exhausted, pool) }
--- a/internal/leader/autoscaler/cordon.go
+++ b/internal/leader/autoscaler/cordon.go
@@ -6,12 +6,12 @@
 	"slices"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/fleet"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
-	"postpoint/internal/ledger"
 	"postpoint/internal/ordered"
 	"postpoint/internal/planner"
+	"postpoint/internal/scaling"
 )
 
 const (
@@ -37,7 +37,7 @@
 // cordonState is what the searches for surplus machines remember, across terms.
 type cordonState struct {
 	searchedAt clock.Micros
-	// batch is how many machines the next trial is for: see fleet.Cordon.
+	// batch is how many machines the next trial is for: see scaling.Cordon.
 	batch int
 }
 
@@ -63,8 +63,8 @@
 }
 
 // neededCordoned returns the cordoned machines that unmet demand needs.
-func (a *Autoscaler) neededCordoned(view *fleet.CloudView, demand []planner.UnmetDemand) []*machinetable.Machine {
-	poolNeeded := map[fleet.CapacityPool]bool{}
+func (a *Autoscaler) neededCordoned(view *scaling.CloudView, demand []planner.UnmetDemand) []*machinetable.Machine {
+	poolNeeded := map[scaling.CapacityPool]bool{}
 	var needed []*machinetable.Machine
 	for _, m := range a.machines.Ordered {
 		if !m.Cordoned || m.Releasing {
@@ -114,7 +114,7 @@
 			continue
 		}
 		search.trialsLeft--
-		if rest, ok := fleet.FitsWithout(search.snapshot, m.Name); ok {
+		if rest, ok := scaling.FitsWithout(search.snapshot, m.Name); ok {
 			search.snapshot = rest
 			a.moveTasksOff(m)
 		}
@@ -140,7 +140,7 @@
 
 // cordonSurplus cordons the machines that everything else has room without.
 func (a *Autoscaler) cordonSurplus(search *cordonSearch) {
-	names, nextBatch := fleet.Cordon(search.snapshot, search.trialsLeft, a.cordons.batch)
+	names, nextBatch := scaling.Cordon(search.snapshot, search.trialsLeft, a.cordons.batch)
 	a.cordons.batch = nextBatch
 	for _, name := range names {
 		m := a.machines.ByName[name]
@@ -180,7 +180,7 @@
 }
 
 // taskMovable reports whether a task has run for long enough and isn't being stopped already.
-func (a *Autoscaler) taskMovable(m *machinetable.Machine, j *jobtable.Job, placement ledger.Placement) bool {
+func (a *Autoscaler) taskMovable(m *machinetable.Machine, j *jobtable.Job, placement jobrecord.Placement) bool {
 	return a.ranFor(m, j, placement) >= minRunBeforeMove && j.Stops[placement.Task].Reason == ""
 }
 
@@ -196,6 +196,6 @@
 }
 
 // ranFor returns for how long the attempt of a placement has been seen running on its machine.
-func (a *Autoscaler) ranFor(m *machinetable.Machine, j *jobtable.Job, p ledger.Placement) clock.Micros {
+func (a *Autoscaler) ranFor(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement) clock.Micros {
 	return a.machines.RanFor(m, machinetable.AttemptRef{Job: j.Spec.ID, Task: p.Task, Attempt: p.Attempt})
 }
--- a/internal/leader/autoscaler/machinelist.go
+++ b/internal/leader/autoscaler/machinelist.go
@@ -4,7 +4,7 @@
 	"errors"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/cloud"
+	"postpoint/internal/cloudclient"
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/term"
 	"postpoint/internal/protocol"
@@ -54,7 +54,7 @@
 func (a *Autoscaler) pageRead(l *listing, page protocol.MachineList, err error) {
 	if err != nil {
 		a.list.inFlight = false
-		if !errors.Is(err, cloud.ErrNoResponse) {
+		if !errors.Is(err, cloudclient.ErrNoResponse) {
 			a.backOff()
 		}
 		return
--- a/internal/leader/autoscaler/scalein.go
+++ b/internal/leader/autoscaler/scalein.go
@@ -4,12 +4,12 @@
 	"log/slog"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/cloud"
-	"postpoint/internal/fleet"
+	"postpoint/internal/cloudclient"
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/term"
 	"postpoint/internal/ordered"
 	"postpoint/internal/planner"
+	"postpoint/internal/scaling"
 )
 
 // Why the autoscaler releases machines, as logged.
@@ -31,7 +31,7 @@
 		if !m.Seen || m.Releasing || len(m.Placements) > 0 || a.machines.RunsTasks(m) {
 			continue
 		}
-		idle := fleet.IdleMachine{
+		idle := scaling.IdleMachine{
 			Pool:     m.Kind(),
 			IdleFor:  now - max(m.IdleSince, m.ReservedAt),
 			Needed:   a.neededByRecentClass(m),
@@ -47,7 +47,7 @@
 func (a *Autoscaler) neededByRecentClass(m *machinetable.Machine) bool {
 	for _, class := range a.objectives.Classes {
 		if a.Now()-class.LastAt < recentClassWindow && planner.MachineAllowed(&class.Spec, m.Type, m.Zone, m.Spot) &&
-			planner.TaskResources(&class.Spec).FitsIn(fleet.Capacity(a.catalogue.ByName[m.Type])) {
+			planner.TaskResources(&class.Spec).FitsIn(scaling.Capacity(a.catalogue.ByName[m.Type])) {
 			return true
 		}
 	}
@@ -87,7 +87,7 @@
 // appendReleasing appends marked machines of one urgency, up to what one request takes.
 func (a *Autoscaler) appendReleasing(names []string, urgency releaseUrgency) []string {
 	for _, m := range a.machines.Ordered {
-		if m.Releasing && m.Overdue == bool(urgency) && len(names) < cloud.MaxScaleIn {
+		if m.Releasing && m.Overdue == bool(urgency) && len(names) < cloudclient.MaxScaleIn {
 			names = append(names, m.Name)
 		}
 	}
--- a/internal/leader/autoscaler/scaleout.go
+++ b/internal/leader/autoscaler/scaleout.go
@@ -9,11 +9,11 @@
 	"golang.org/x/time/rate"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/cloud"
-	"postpoint/internal/fleet"
+	"postpoint/internal/cloudclient"
 	"postpoint/internal/leader/term"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
+	"postpoint/internal/scaling"
 )
 
 const (
@@ -32,7 +32,7 @@
 	// inFlight counts those whose outcome is unknown yet.
 	inFlight int
 	// exhausted are the pools that have run out of machines.
-	exhausted map[fleet.CapacityPool]capacityPause
+	exhausted map[scaling.CapacityPool]capacityPause
 	limiter   *rate.Limiter
 }
 
@@ -40,7 +40,7 @@
 // requests a second.
 func newScaleOutState(requestsPerSecond float64) scaleOutState {
 	return scaleOutState{
-		exhausted: map[fleet.CapacityPool]capacityPause{},
+		exhausted: map[scaling.CapacityPool]capacityPause{},
 		limiter:   rate.NewLimiter(rate.Limit(requestsPerSecond*scaleOutShare), max(1, int(requestsPerSecond))),
 	}
 }
@@ -48,7 +48,7 @@
 // scaleOutRequest is a request for machines of one pool.
 type scaleOutRequest struct {
 	protocol.ScaleOutRequest
-	pool    fleet.CapacityPool
+	pool    scaling.CapacityPool
 	attempt int
 }
 
@@ -62,8 +62,8 @@
 	for _, decision := range a.CloudView().ScaleOut(demand) {
 		missing := decision.Count
 		for missing > 0 && a.scaleOut.limiter.AllowN(now, 1) {
-			a.requestMachines(decision.Pool, min(missing, cloud.MaxScaleOut))
-			missing -= cloud.MaxScaleOut
+			a.requestMachines(decision.Pool, min(missing, cloudclient.MaxScaleOut))
+			missing -= cloudclient.MaxScaleOut
 		}
 	}
 }
@@ -76,7 +76,7 @@
 
 // requestMachines sends a new request. Its idempotency key contains the epoch, so that no other node
 // and no later leader ever uses the same one.
-func (a *Autoscaler) requestMachines(pool fleet.CapacityPool, count int) {
+func (a *Autoscaler) requestMachines(pool scaling.CapacityPool, count int) {
 	a.scaleOut.requests++
 	a.scaleOut.inFlight++
 	a.sendScaleOut(scaleOutRequest{
@@ -104,10 +104,10 @@
 	switch {
 	case err == nil:
 		a.addStarting(request, machines)
-	case errors.Is(err, cloud.ErrNoCapacity):
+	case errors.Is(err, cloudclient.ErrNoCapacity):
 		slog.Debug("no capacity", "type", pool.Type, "zone", pool.Zone, "spot", pool.Spot)
 		a.noteExhausted(pool)
-	case errors.Is(err, cloud.ErrNoResponse) && request.attempt < maxScaleOutAttempts:
+	case errors.Is(err, cloudclient.ErrNoResponse) && request.attempt < maxScaleOutAttempts:
 		request.attempt++
 		a.AfterInTerm(scaleOutRetryDelay, func() { a.sendScaleOut(request) })
 		return
--- a/internal/leader/cancellations_test.go
+++ b/internal/leader/cancellations_test.go
@@ -5,9 +5,9 @@
 	"testing"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
-	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
 )
 
@@ -56,7 +56,7 @@
 	d, j, _, box := leaderWithOneTask(t)
 	d.state.Settings.Deployment.ClockErrorMs = 250
 	j.Status, j.CancelledAt = protocol.StatusCancelled, int64(box.Now-110*clock.Second)
-	d.reader.Adopt(ledger.Key("job-1"), j.Encode(), 6)
+	d.reader.Adopt(jobrecord.Key("job-1"), j.Encode(), 6)
 	if !j.Cancelled || j.CancelConfirmedAt != -10*clock.Second-500*clock.Millisecond {
 		t.Fatalf("cancelled %v at %.3f s, want true at -10.5 s", j.Cancelled, j.CancelConfirmedAt.Seconds())
 	}
--- a/internal/leader/cells_delegating_test.go
+++ b/internal/leader/cells_delegating_test.go
@@ -7,13 +7,13 @@
 	"postpoint/internal/actor/actortest"
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
+	"postpoint/internal/election"
+	"postpoint/internal/jobrecord"
+	"postpoint/internal/kvstore/storetest"
 	"postpoint/internal/leader/federation"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/term"
-	"postpoint/internal/leadership"
-	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore/storetest"
 )
 
 // While a task is with another cell, its zone isn't known: no other task of a job whose zones depend on each
@@ -44,7 +44,7 @@
 		t.Fatalf("got offers %+v before the delegation is stored, want none", offers)
 	}
 	l.origin.SaveDelegations()
-	if len(store.txns) != 1 || !requires(store.txns[0], ledger.Key("job-1"), 6) ||
+	if len(store.txns) != 1 || !requires(store.txns[0], jobrecord.Key("job-1"), 6) ||
 		!requires(store.txns[0], delegation.Key(7), 0) {
 		t.Fatalf("got %+v, want one transaction on version 6 of the job and a new delegation", store.txns)
 	}
@@ -120,7 +120,7 @@
 	l, store, _ := createDelegation(t)
 	deposedBy := int64(0)
 	l.state.Deposed = func(epoch int64) { deposedBy = epoch }
-	store.answer(conflictOn(leadership.LeaderKey, delegation.Key(7)))
+	store.answer(conflictOn(election.LeaderKey, delegation.Key(7)))
 	if deposedBy != 8 {
 		t.Errorf("got deposed by epoch %d, want 8", deposedBy)
 	}
@@ -171,13 +171,13 @@
 		}, 0},
 		"one zone, running": {func(l *Leader, j *jobtable.Job) {
 			j.Spec.OneZone = true
-			l.jobs.AddPlacement(j, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1})
+			l.jobs.AddPlacement(j, jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1})
 		}, 0},
 		"over": {func(l *Leader, j *jobtable.Job) { l.jobs.NoteCancelled(j, l.state.Now()) }, 0},
 	} {
 		l, _, box := cellLeader(t)
 		spec := protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 4, Cpus: 1}
-		l.reader.Adopt(ledger.Key("job-1"), ledger.New(spec, 1).Encode(), 5)
+		l.reader.Adopt(jobrecord.Key("job-1"), jobrecord.New(spec, 1).Encode(), 5)
 		j := l.jobs.ByID["job-1"]
 		j.UnmetSince, j.UnmetAt, j.UnmetTasks = box.Now-10*clock.Second, box.Now, 2
 		c.change(l, j)
--- a/internal/leader/cells_helpers_test.go
+++ b/internal/leader/cells_helpers_test.go
@@ -7,12 +7,12 @@
 	"postpoint/internal/cells"
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
+	"postpoint/internal/jobrecord"
+	"postpoint/internal/kvstore/storetest"
 	"postpoint/internal/leader/federation"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
-	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore/storetest"
 )
 
 const twoCells = `
@@ -58,12 +58,12 @@
 func hostingLeader(t *testing.T) (*Leader, *jobtable.Job, *machinetable.Machine, *actortest.Still) {
 	t.Helper()
 	l, _, box := cellLeader(t)
-	id := ledger.HostedJobID("beta", "job-1", 7)
-	content := ledger.New(protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Tasks: 1, Cpus: 1}, 1)
-	content.Hosted = &ledger.HostedJob{OriginCell: "beta", Delegation: 7}
+	id := jobrecord.HostedJobID("beta", "job-1", 7)
+	content := jobrecord.New(protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Tasks: 1, Cpus: 1}, 1)
+	content.Hosted = &jobrecord.HostedJob{OriginCell: "beta", Delegation: 7}
 	content.NextAttempt = 2
-	content.Placements[0] = ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1}
-	l.reader.Adopt(ledger.Key(id), content.Encode(), 5)
+	content.Placements[0] = jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1}
+	l.reader.Adopt(jobrecord.Key(id), content.Encode(), 5)
 	j := l.jobs.ByID[id]
 	permission := delegation.Directive{Number: 7, Action: delegation.Continue, PermissionFor: 10 * clock.Second}
 	j.Permission.Apply(permission, box.Now, box.Now)
@@ -99,8 +99,8 @@
 func delegatingLeader(t *testing.T) (*Leader, *jobtable.Job, *fakeStore, *actortest.Still) {
 	t.Helper()
 	l, store, box := cellLeader(t)
-	content := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 2, Cpus: 1}, 1)
-	l.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
+	content := jobrecord.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 2, Cpus: 1}, 1)
+	l.reader.Adopt(jobrecord.Key("job-1"), content.Encode(), 5)
 	j := l.jobs.ByID["job-1"]
 	l.origin.Numbers = federation.NumberBlock{Next: 7, End: 1000}
 	l.origin.Delegate(j, "beta", []int{0, 1})
@@ -127,8 +127,8 @@
 }
 
 // taskSet returns the set of the given tasks.
-func taskSet(tasks ...int) ledger.TaskSet {
-	var set ledger.TaskSet
+func taskSet(tasks ...int) jobrecord.TaskSet {
+	var set jobrecord.TaskSet
 	for _, task := range tasks {
 		set.Add(task)
 	}
--- a/internal/leader/cells_hosting_test.go
+++ b/internal/leader/cells_hosting_test.go
@@ -4,16 +4,16 @@
 	"net/http"
 	"testing"
 
-	"postpoint/internal/agent/agenttest"
 	"postpoint/internal/cells"
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/reconciler"
 	"postpoint/internal/leader/recordstore"
-	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
+	"postpoint/internal/workerclient/workertest"
 )
 
 // A response renews the lease of a hosted task only while its origin cell permits it; after that it is given
@@ -80,7 +80,7 @@
 func TestStartCommandsExpireWithPermission(t *testing.T) {
 	l, j, m, box := hostingLeader(t)
 	worker := &deadlineRecorder{}
-	l.commands.Workers = agenttest.Client(worker)
+	l.commands.Workers = workertest.Client(worker)
 	l.state.Term.ValidUntil = box.Now + 60*clock.Second
 	command := protocol.Command{Verb: protocol.VerbStart, Task: protocol.TaskName(j.Spec.ID, 0), Attempt: 1}
 	l.commands.Send(m, 1, []protocol.Command{command}, nil)
@@ -129,7 +129,7 @@
 // record is read, and removed at the version that it has; once it isn't there it is forgotten.
 func TestTombstonesAreRemovedWhateverTheirVersion(t *testing.T) {
 	l, j, _, _ := hostingLeader(t)
-	key := ledger.Key(j.Spec.ID)
+	key := jobrecord.Key(j.Spec.ID)
 	store := &fakeStore{}
 	useStore(l, store)
 	l.jobs.ReleasePlacement(j, j.Placements[0])
@@ -159,7 +159,7 @@
 // there is permission: else its placement would be kept for ever.
 func TestUnconfirmedStartsOfClosedJobsAreStopped(t *testing.T) {
 	l, j, m, box := hostingLeader(t)
-	l.commands.Workers = agenttest.Client(&commandCounter{})
+	l.commands.Workers = workertest.Client(&commandCounter{})
 	sendHeartbeat(l, box, 1)
 	m.Deliveries[hostedAttempt(j)] = &machinetable.StartDelivery{OutcomeUnknown: true}
 	recalled := delegation.Directive{Number: 7, Action: delegation.Close, PermissionFor: 10 * clock.Second}
--- a/internal/leader/cells_offers_test.go
+++ b/internal/leader/cells_offers_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"postpoint/internal/delegation"
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/protocol"
 )
 
@@ -48,7 +48,7 @@
 		change(l, &offer)
 		l.host.TakeOffer(l.cells.ByCell["beta"], offer)
 		store.answer(committedAt(8))
-		j := l.jobs.ByID[ledger.HostedJobID("beta", "job-1", 7)]
+		j := l.jobs.ByID[jobrecord.HostedJobID("beta", "job-1", 7)]
 		if j == nil || j.Final() != (reason != "") || !strings.Contains(j.Cause, reason) {
 			t.Errorf("reason %q: got %+v, want a record that is final and says why if there is a reason",
 				reason, j)
--- a/internal/leader/cells_permissions_test.go
+++ b/internal/leader/cells_permissions_test.go
@@ -7,8 +7,8 @@
 	"postpoint/internal/cells"
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/leader/federation"
-	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
 )
 
@@ -96,7 +96,7 @@
 		number := l.origin.Numbers.Next
 		id := fmt.Sprintf("job-%d", number)
 		spec := protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Tasks: tasksPerJob, Cpus: 1}
-		l.reader.Adopt(ledger.Key(id), ledger.New(spec, 1).Encode(), 5)
+		l.reader.Adopt(jobrecord.Key(id), jobrecord.New(spec, 1).Encode(), 5)
 		r.Statuses = append(r.Statuses, delegation.Status{Number: number, Job: id, Held: taskSet(tasks...)})
 		l.origin.Delegate(l.jobs.ByID[id], "beta", tasks)
 	}
--- a/internal/leader/commands_test.go
+++ b/internal/leader/commands_test.go
@@ -5,13 +5,13 @@
 	"testing"
 
 	"postpoint/internal/actor/actortest"
-	"postpoint/internal/agent/agenttest"
 	"postpoint/internal/clock"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/reconciler"
 	"postpoint/internal/leader/recordstore"
 	"postpoint/internal/leader/term"
 	"postpoint/internal/protocol"
+	"postpoint/internal/workerclient/workertest"
 )
 
 // A leader that no longer hears what users change stops sending commands, though
@@ -169,7 +169,7 @@
 	for _, late := range []clock.Micros{0, clock.Second} {
 		d, j, m, box := leaderWithOneTask(t)
 		out := &commandCounter{}
-		d.commands.Workers, m.Address = agenttest.Client(out), "m-1:1"
+		d.commands.Workers, m.Address = workertest.Client(out), "m-1:1"
 		d.reconciler.Observe(m, workerHeartbeat(1, 1))
 		d.steps.TickedAt = box.Now
 		box.Now += term.TickInterval + late
--- a/internal/leader/commitoutcome_test.go
+++ b/internal/leader/commitoutcome_test.go
@@ -5,11 +5,11 @@
 	"net/http"
 	"testing"
 
+	"postpoint/internal/jobrecord"
+	"postpoint/internal/kvstore/storetest"
 	"postpoint/internal/leader/recordstore"
 	"postpoint/internal/leader/term"
-	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore/storetest"
 )
 
 // A change without a response may be carried out seconds later. Its placements stay, and it goes again
@@ -18,10 +18,10 @@
 	l, box := newLeader()
 	store := &fakeStore{}
 	useStore(l, store)
-	content := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 2}, 1)
-	l.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
+	content := jobrecord.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 2}, 1)
+	l.reader.Adopt(jobrecord.Key("job-1"), content.Encode(), 5)
 	j := l.jobs.ByID["job-1"]
-	l.jobs.AddPlacement(j, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1})
+	l.jobs.AddPlacement(j, jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1})
 	l.writer.Commit()
 	store.answer(noResponse())
 	if len(j.Placements) != 1 || j.MustReload() || j.Committed(j.Placements[0]) {
@@ -34,7 +34,7 @@
 		t.Fatalf("transactions %v, want the same one twice", store.txns)
 	}
 	// The first has applied meanwhile: the record shows it.
-	store.answer(conflictOn(ledger.Key("job-1")))
+	store.answer(conflictOn(jobrecord.Key("job-1")))
 	if !j.MustReload() {
 		t.Fatal("the record isn't to be reloaded after a conflict on it")
 	}
@@ -83,8 +83,8 @@
 func TestUnknownLimitsAreLearned(t *testing.T) {
 	l, store := tightLeader(true)
 	for _, id := range []string{"job-1", "job-2", "job-3"} {
-		l.reader.Adopt(ledger.Key(id), ledger.New(arraySpec(id, 1), 1).Encode(), 5)
-		l.jobs.AddPlacement(l.jobs.ByID[id], ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1})
+		l.reader.Adopt(jobrecord.Key(id), jobrecord.New(arraySpec(id, 1), 1).Encode(), 5)
+		l.jobs.AddPlacement(l.jobs.ByID[id], jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1})
 	}
 	for i, want := range []int{3, 3, 1} {
 		commitAfterPause(l)
--- a/internal/leader/cordon_test.go
+++ b/internal/leader/cordon_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/protocol"
 )
 
@@ -24,11 +24,11 @@
 		m.Type, m.Zone, m.Seen, m.AcknowledgedEpoch = "t", "a", true, 7
 		m.HeardAt, m.RespondedAt, m.Cordoned = box.Now, box.Now, true
 	}
-	content := ledger.New(protocol.JobSpec{
+	content := jobrecord.New(protocol.JobSpec{
 		ID: "job-1", Team: "x", Shape: protocol.ShapeArray, Tasks: cordoned, Cpus: 8, MemoryGB: 1, EstimateS: 60,
 	}, 1)
 	d.state.Settings.Deployment.KVStore.ValueKb = 64
-	d.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
+	d.reader.Adopt(jobrecord.Key("job-1"), content.Encode(), 5)
 	d.autoscaler.BackoffUntil = box.Now + clock.Second
 	d.scheduler.Schedule()
 	if placed := len(d.jobs.ByID["job-1"].Placements); placed != cordoned || d.scheduler.Plans > maxPlans {
--- a/internal/leader/federation/delegationstore.go
+++ b/internal/leader/federation/delegationstore.go
@@ -7,13 +7,13 @@
 
 	"postpoint/internal/cells"
 	"postpoint/internal/delegation"
+	"postpoint/internal/election"
+	"postpoint/internal/jobrecord"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/term"
-	"postpoint/internal/leadership"
-	"postpoint/internal/ledger"
 	"postpoint/internal/ordered"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
 )
 
 // LoadDelegations reads the records of what other cells run.
@@ -112,7 +112,7 @@
 		o.addWrite(t, write)
 	}
 	o.saving = true
-	handle := func(r statestore.Result[statestore.Revision]) { o.handleSaved(writes, r) }
+	handle := func(r kvstore.Result[kvstore.Revision]) { o.handleSaved(writes, r) }
 	t.Commit(o.Store, term.Guarded(o.State, handle))
 }
 
@@ -138,7 +138,7 @@
 }
 
 // addWrite adds a write to a transaction.
-func (o *Origin) addWrite(t *leadership.Transaction, write recordWrite) {
+func (o *Origin) addWrite(t *election.Transaction, write recordWrite) {
 	del := write.del
 	key := delegation.Key(del.Number)
 	t.Require(key, del.record.version)
@@ -154,18 +154,18 @@
 }
 
 // handleSaved handles the outcome of a transaction.
-func (o *Origin) handleSaved(writes []recordWrite, r statestore.Result[statestore.Revision]) {
+func (o *Origin) handleSaved(writes []recordWrite, r kvstore.Result[kvstore.Revision]) {
 	o.saving = false
 	switch {
 	case r.Err == nil:
 		o.noteWritten(writes, int64(r.Value))
-	case errors.Is(r.Err, leadership.ErrNotLeader):
+	case errors.Is(r.Err, election.ErrNotLeader):
 		o.Deposed(o.Term.Epoch + 1)
-	case statestore.NotExecuted(r.Err):
+	case kvstore.NotExecuted(r.Err):
 		o.writer.Pause()
-	case errors.Is(r.Err, statestore.ErrConflict):
+	case errors.Is(r.Err, kvstore.ErrConflict):
 		for _, write := range writes {
-			if slices.Contains(statestore.Failed(r.Err), delegation.Key(write.del.Number)) {
+			if slices.Contains(kvstore.Failed(r.Err), delegation.Key(write.del.Number)) {
 				write.del.record.phase = recordOutcomeUnknown
 			}
 		}
@@ -193,10 +193,10 @@
 func (o *Origin) placementVersion(del *trackedDelegation) (key string, version int64) {
 	j := o.jobs.ByID[del.Job]
 	if j.ShardSize == 0 || j.Sharding() {
-		return ledger.Key(j.Spec.ID), j.Version
+		return jobrecord.Key(j.Spec.ID), j.Version
 	}
 	task := del.Outstanding.NextPresent(0)
-	return ledger.ShardKey(j.Spec.ID, j.ShardOf(task)), j.ShardValue(task).Version
+	return jobrecord.ShardKey(j.Spec.ID, j.ShardOf(task)), j.ShardValue(task).Version
 }
 
 // placementsStored reports whether its job's stored record has all placements of a delegation.
@@ -221,15 +221,15 @@
 // conflicts with whatever is written at the version that was read.
 func (o *Origin) readRecord(del *trackedDelegation) {
 	o.saving = true
-	handle := func(r statestore.Result[protocol.Item]) { o.handleRead(del, r) }
+	handle := func(r kvstore.Result[protocol.Item]) { o.handleRead(del, r) }
 	o.Store.Get(delegation.Key(del.Number), term.Guarded(o.State, handle))
 }
 
 // handleRead handles a record that was read. If the read fails it is tried again.
-func (o *Origin) handleRead(del *trackedDelegation, r statestore.Result[protocol.Item]) {
+func (o *Origin) handleRead(del *trackedDelegation, r kvstore.Result[protocol.Item]) {
 	o.saving = false
 	switch {
-	case errors.Is(r.Err, statestore.ErrNotFound):
+	case errors.Is(r.Err, kvstore.ErrNotFound):
 		if del.record.version != 0 {
 			delete(o.Delegations, del.Number) // the removal was carried out
 		}
--- a/internal/leader/federation/heartbeats.go
+++ b/internal/leader/federation/heartbeats.go
@@ -6,14 +6,14 @@
 	"postpoint/internal/cells"
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
-	"postpoint/internal/fleet"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/term"
-	"postpoint/internal/ledger"
 	"postpoint/internal/ordered"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
+	"postpoint/internal/scaling"
 )
 
 // Exchanger carries a heartbeat to a controller of another cell. ok reports whether a response came.
@@ -183,7 +183,7 @@
 // StatusOf returns what its origin cell is told of a hosted job. known is false while its record has to be
 // read, since only what is stored may be told.
 func (h *Host) StatusOf(j *jobtable.Job) (s delegation.Status, known bool) {
-	_, originID, number, ok := ledger.ParseHostedJobID(j.Spec.ID)
+	_, originID, number, ok := jobrecord.ParseHostedJobID(j.Spec.ID)
 	if !ok || !readable(j) {
 		return s, false
 	}
@@ -210,13 +210,13 @@
 }
 
 // isRunning reports whether a placement's machine has told that the task runs.
-func (h *Host) isRunning(j *jobtable.Job, p ledger.Placement) bool {
+func (h *Host) isRunning(j *jobtable.Job, p jobrecord.Placement) bool {
 	m := h.machines.ByName[p.Machine]
 	return m != nil && m.RunningSince[attemptRef(j, p)] != 0
 }
 
 // attemptRef names a placement's attempt as machines know it.
-func attemptRef(j *jobtable.Job, p ledger.Placement) machinetable.AttemptRef {
+func attemptRef(j *jobtable.Job, p jobrecord.Placement) machinetable.AttemptRef {
 	return machinetable.AttemptRef{Job: j.Spec.ID, Task: p.Task, Attempt: p.Attempt}
 }
 
@@ -273,10 +273,10 @@
 
 // outOfCapacity reports whether the cloud has refused a machine type in all of its zones lately, at either
 // price.
-func outOfCapacity(t protocol.MachineType, refused map[fleet.CapacityPool]bool) bool {
+func outOfCapacity(t protocol.MachineType, refused map[scaling.CapacityPool]bool) bool {
 	for _, zone := range t.Zones {
-		regular := fleet.CapacityPool{Type: t.Name, Zone: zone}
-		spot := fleet.CapacityPool{Type: t.Name, Zone: zone, Spot: true}
+		regular := scaling.CapacityPool{Type: t.Name, Zone: zone}
+		spot := scaling.CapacityPool{Type: t.Name, Zone: zone, Spot: true}
 		if !refused[regular] && !refused[spot] {
 			return false
 		}
--- a/internal/leader/federation/host.go
+++ b/internal/leader/federation/host.go
@@ -6,6 +6,8 @@
 
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
+	"postpoint/internal/jobrecord"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/leader/autoscaler"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
@@ -13,10 +15,8 @@
 	"postpoint/internal/leader/recordstore"
 	"postpoint/internal/leader/snapshots"
 	"postpoint/internal/leader/term"
-	"postpoint/internal/ledger"
 	"postpoint/internal/ordered"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
 )
 
 // Host runs jobs that other cells have delegated to this one. A hosted job has a record like any other, under
@@ -24,7 +24,7 @@
 // it follows from its origin cell's permission, which has to be renewed like a lease.
 type Host struct {
 	*term.State
-	Store      statestore.Store
+	Store      kvstore.Store
 	jobs       *jobtable.Table
 	machines   *machinetable.Table
 	catalogue  *machinetable.Catalogue
@@ -39,7 +39,7 @@
 }
 
 // NewHost returns the component that runs other cells' jobs.
-func NewHost(term *term.State, store statestore.Store, jobs *jobtable.Table, machines *machinetable.Table,
+func NewHost(term *term.State, store kvstore.Store, jobs *jobtable.Table, machines *machinetable.Table,
 	catalogue *machinetable.Catalogue, reader *recordstore.Reader, writer *recordstore.Writer,
 	reconciler *reconciler.Reconciler, commands *reconciler.CommandSender, autoscaler *autoscaler.Autoscaler,
 	snapshots *snapshots.Builder, links *Links, steps *term.StepTimer) *Host {
@@ -213,22 +213,22 @@
 	if j.InFlight || j.Loading() || len(j.Placements) > 0 || !h.Leads() {
 		return
 	}
-	key := ledger.Key(j.Spec.ID)
+	key := jobrecord.Key(j.Spec.ID)
 	t := h.NewTransaction()
 	t.Require(key, j.Version)
 	t.Delete(key)
 	j.InFlight = true
-	handle := func(r statestore.Result[statestore.Revision]) { h.handleRemoval(j, r) }
+	handle := func(r kvstore.Result[kvstore.Revision]) { h.handleRemoval(j, r) }
 	t.Commit(h.Store, term.Guarded(h.State, handle))
 }
 
 // handleRemoval handles the outcome of a record's removal. Unless it was decided it is tried again.
-func (h *Host) handleRemoval(j *jobtable.Job, r statestore.Result[statestore.Revision]) {
+func (h *Host) handleRemoval(j *jobtable.Job, r kvstore.Result[kvstore.Revision]) {
 	j.InFlight = false
 	switch {
 	case r.Err == nil:
 		h.jobs.Forget(j)
-	case errors.Is(r.Err, statestore.ErrConflict): // that of a deposed leader, too
+	case errors.Is(r.Err, kvstore.ErrConflict): // that of a deposed leader, too
 		// An earlier copy of the removal was carried out, or a change whose outcome was unknown.
 		j.NoteRecordEvent(jobtable.EventRecordConflict)
 	}
--- a/internal/leader/federation/numbers.go
+++ b/internal/leader/federation/numbers.go
@@ -4,9 +4,9 @@
 	"errors"
 
 	"postpoint/internal/delegation"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/leader/term"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
 )
 
 // NumberBlock is the numbers of delegations that this term may use. They are reserved in the store before
@@ -43,7 +43,7 @@
 }
 
 // reserveFrom reserves the block after what the store has as reserved.
-func (o *Origin) reserveFrom(r statestore.Result[protocol.Item]) {
+func (o *Origin) reserveFrom(r kvstore.Result[protocol.Item]) {
 	first, known := firstFreeNumber(r)
 	if !known {
 		o.Numbers.reserving = false
@@ -52,25 +52,25 @@
 	t := o.NewTransaction()
 	t.Require(delegation.NumbersKey, r.Value.Version)
 	t.Put(delegation.NumbersKey, protocol.Encode(first+numberBlockSize))
-	handle := func(r statestore.Result[statestore.Revision]) { o.handleReservation(first, r) }
+	handle := func(r kvstore.Result[kvstore.Revision]) { o.handleReservation(first, r) }
 	t.Commit(o.Store, term.Guarded(o.State, handle))
 }
 
 // firstFreeNumber returns the first number that no leader has reserved. known is false if the store didn't
 // say.
-func firstFreeNumber(r statestore.Result[protocol.Item]) (first int64, known bool) {
+func firstFreeNumber(r kvstore.Result[protocol.Item]) (first int64, known bool) {
 	switch {
 	case r.Err == nil:
 		err := protocol.Decode(r.Value.Value, &first)
 		return first, err == nil
-	case errors.Is(r.Err, statestore.ErrNotFound):
+	case errors.Is(r.Err, kvstore.ErrNotFound):
 		return firstNumber, true
 	}
 	return 0, false
 }
 
 // handleReservation takes the block if it was reserved.
-func (o *Origin) handleReservation(first int64, r statestore.Result[statestore.Revision]) {
+func (o *Origin) handleReservation(first int64, r kvstore.Result[kvstore.Revision]) {
 	o.Numbers.reserving = false
 	if r.Err == nil {
 		o.Numbers.Next, o.Numbers.End = first, first+numberBlockSize
--- a/internal/leader/federation/offers.go
+++ b/internal/leader/federation/offers.go
@@ -6,19 +6,19 @@
 
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
-	"postpoint/internal/fleet"
+	"postpoint/internal/jobrecord"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/leader/term"
-	"postpoint/internal/ledger"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
+	"postpoint/internal/scaling"
 )
 
 // TakeOffer records whether this cell accepts what another offers. It permits nothing yet: the next
 // heartbeat tells the origin cell of the record, and its response may permit the start. A refusal is
 // recorded as well, so that the same number is never accepted later.
 func (h *Host) TakeOffer(link *Link, offer delegation.Offer) {
-	id := ledger.HostedJobID(link.cell, offer.Spec.ID, offer.Number)
+	id := jobrecord.HostedJobID(link.cell, offer.Spec.ID, offer.Number)
 	if h.jobs.ByID[id] != nil || !h.Leads() {
 		return
 	}
@@ -33,9 +33,9 @@
 }
 
 // hostedRecord returns the record of an offered job. Tasks that aren't offered count as done.
-func hostedRecord(origin, id string, offer *delegation.Offer, now clock.Micros) *ledger.Record {
-	record := ledger.New(hostedSpec(origin, id, offer.Spec), int64(now-offer.JobAge))
-	record.Hosted = &ledger.HostedJob{OriginCell: origin, Delegation: offer.Number}
+func hostedRecord(origin, id string, offer *delegation.Offer, now clock.Micros) *jobrecord.Record {
+	record := jobrecord.New(hostedSpec(origin, id, offer.Spec), int64(now-offer.JobAge))
+	record.Hosted = &jobrecord.HostedJob{OriginCell: origin, Delegation: offer.Number}
 	for task := range offer.Spec.Tasks {
 		if !offer.Tasks.Contains(task) {
 			record.Done.Add(task)
@@ -55,13 +55,13 @@
 
 // storeHosted creates the record of an offered job. If that fails, watching the records shows it all the
 // same, or the job is offered again.
-func (h *Host) storeHosted(origin string, record *ledger.Record) {
-	key := ledger.Key(record.Spec.ID)
+func (h *Host) storeHosted(origin string, record *jobrecord.Record) {
+	key := jobrecord.Key(record.Spec.ID)
 	value := record.Encode()
 	t := h.NewTransaction()
 	t.Require(key, 0)
 	t.Put(key, value)
-	t.Commit(h.Store, term.Guarded(h.State, func(r statestore.Result[statestore.Revision]) {
+	t.Commit(h.Store, term.Guarded(h.State, func(r kvstore.Result[kvstore.Revision]) {
 		if r.Err == nil {
 			h.reader.Adopt(key, value, int64(r.Value))
 			h.reportSoon(origin)
@@ -84,7 +84,7 @@
 )
 
 // refusalReason returns why this cell doesn't accept an offer, "" if it does.
-func (h *Host) refusalReason(origin string, record *ledger.Record, offer *delegation.Offer) string {
+func (h *Host) refusalReason(origin string, record *jobrecord.Record, offer *delegation.Offer) string {
 	spec := &record.Spec
 	switch {
 	case h.cells.Directory.Own.Draining:
@@ -95,7 +95,7 @@
 		return refusedService
 	case !validTasks(spec, &offer.Tasks):
 		return refusedTasks
-	case !fleet.FitsAnyType(h.catalogue.Types, spec):
+	case !scaling.FitsAnyType(h.catalogue.Types, spec):
 		return refusedNoType
 	case spec.Spread && spec.Tasks > 1 && (spec.OneZone || spec.Zone != ""):
 		return refusedSpread
@@ -112,7 +112,7 @@
 }
 
 // validTasks reports whether a delegation may consist of the tasks: gangs go as a whole.
-func validTasks(spec *protocol.JobSpec, tasks *ledger.TaskSet) bool {
+func validTasks(spec *protocol.JobSpec, tasks *jobrecord.TaskSet) bool {
 	n := tasks.Len()
 	if n == 0 || n > delegation.MaxTasks || tasks.Max() >= spec.Tasks {
 		return false
@@ -129,7 +129,7 @@
 
 // recordHasRoom reports whether a job's record has room for the placement of some task, and for those of all
 // n tasks if they have to start together.
-func (h *Host) recordHasRoom(record *ledger.Record, n int) bool {
+func (h *Host) recordHasRoom(record *jobrecord.Record, n int) bool {
 	limit, _ := h.writer.Limits()
 	room := record.StartCapacity(limit)
 	return room != 0 && (!record.Spec.Gang() || room >= n)
@@ -139,8 +139,8 @@
 // bytes.
 func hostedTasksWithin(limit int) int {
 	ordinary := protocol.JobSpec{
-		ID:    ledger.HostedJobID("cell", "job-000000", math.MaxInt32),
+		ID:    jobrecord.HostedJobID("cell", "job-000000", math.MaxInt32),
 		Tasks: delegation.MaxTasks,
 	}
-	return min(delegation.MaxTasks, ledger.New(ordinary, 0).StartCapacity(limit))
+	return min(delegation.MaxTasks, jobrecord.New(ordinary, 0).StartCapacity(limit))
 }
--- a/internal/leader/federation/offload.go
+++ b/internal/leader/federation/offload.go
@@ -8,9 +8,9 @@
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
 	"postpoint/internal/leader/jobtable"
+	"postpoint/internal/offload"
 	"postpoint/internal/ordered"
 	"postpoint/internal/planner"
-	"postpoint/internal/spill"
 )
 
 const (
@@ -51,15 +51,15 @@
 		o.ReserveNumbers()
 		return
 	}
-	for _, choice := range spill.Plan(work, hosts) {
+	for _, choice := range offload.Plan(work, hosts) {
 		o.delegateTo(choice)
 	}
 }
 
 // candidateHosts returns the cells that can be asked, with their loads less what they were offered since.
-func (o *Origin) candidateHosts() []spill.Host {
+func (o *Origin) candidateHosts() []offload.Host {
 	now := o.Now()
-	var hosts []spill.Host
+	var hosts []offload.Host
 	for name, link := range ordered.ByKey(o.cells.ByCell) {
 		if !link.host.known() || link.host.outdated(now) || o.cells.drained(name) {
 			continue
@@ -67,7 +67,7 @@
 		if o.delegationsTo(name) < delegation.MaxPerHost {
 			load := link.host.load
 			load.QuotaLeft = o.roomLeft(name, load.QuotaLeft)
-			hosts = append(hosts, spill.Host{Name: name, Load: load})
+			hosts = append(hosts, offload.Host{Name: name, Load: load})
 		}
 	}
 	return hosts
@@ -98,7 +98,7 @@
 }
 
 // offloadableWork returns the work that has waited for long enough, the most urgent first.
-func (o *Origin) offloadableWork() []spill.Candidate {
+func (o *Origin) offloadableWork() []offload.Candidate {
 	var waiting []*jobtable.Job
 	for _, j := range o.jobs.ByID {
 		if o.OffloadableTasks(j).Count > 0 {
@@ -107,11 +107,11 @@
 	}
 	slices.SortFunc(waiting, compareQueued)
 	waits := o.expectedWaits()
-	var work []spill.Candidate
+	var work []offload.Candidate
 	for _, j := range waiting {
 		rule, _ := o.cells.Directory.OffloadRule(j.Spec.Class, j.Spec.Team)
 		tasks := o.OffloadableTasks(j)
-		work = append(work, spill.Candidate{
+		work = append(work, offload.Candidate{
 			Job:          j.Spec.ID,
 			Spec:         &j.Spec,
 			Tasks:        tasks.Count,
@@ -216,7 +216,7 @@
 
 // delegateTo carries out a choice: the job's last pending tasks go, as many to a delegation as the host's
 // records have room for.
-func (o *Origin) delegateTo(choice spill.Assignment) {
+func (o *Origin) delegateTo(choice offload.Assignment) {
 	j := o.jobs.ByID[choice.Job]
 	tasks := min(choice.Tasks, o.jobs.TasksWithinQuota(j))
 	perDelegation := min(delegation.MaxTasks, max(1, o.cells.ByCell[choice.Host].host.load.MaxTasks))
--- a/internal/leader/federation/origin.go
+++ b/internal/leader/federation/origin.go
@@ -6,21 +6,21 @@
 
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
+	"postpoint/internal/jobrecord"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/leader/autoscaler"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/recordstore"
 	"postpoint/internal/leader/snapshots"
 	"postpoint/internal/leader/term"
-	"postpoint/internal/ledger"
 	"postpoint/internal/ordered"
-	"postpoint/internal/statestore"
 )
 
 // Origin delegates this cell's own jobs to other cells.
 type Origin struct {
 	*term.State
-	Store      statestore.Store
+	Store      kvstore.Store
 	jobs       *jobtable.Table
 	catalogue  *machinetable.Catalogue
 	reader     *recordstore.Reader
@@ -40,7 +40,7 @@
 }
 
 // NewOrigin returns the component that delegates own jobs.
-func NewOrigin(term *term.State, store statestore.Store, jobs *jobtable.Table,
+func NewOrigin(term *term.State, store kvstore.Store, jobs *jobtable.Table,
 	catalogue *machinetable.Catalogue, reader *recordstore.Reader, writer *recordstore.Writer,
 	autoscaler *autoscaler.Autoscaler, snapshots *snapshots.Builder, links *Links,
 	steps *term.StepTimer) *Origin {
@@ -108,10 +108,10 @@
 	attempt := j.CurrentAttempt()
 	for _, task := range tasks {
 		r.Tasks.Add(task)
-		o.jobs.AddPlacement(j, ledger.Placement{
+		o.jobs.AddPlacement(j, jobrecord.Placement{
 			Task:        task,
 			Attempt:     attempt,
-			Machine:     ledger.DelegatedTo(host),
+			Machine:     jobrecord.DelegatedTo(host),
 			Incarnation: number,
 		})
 	}
--- a/internal/leader/federation/trackeddelegation.go
+++ b/internal/leader/federation/trackeddelegation.go
@@ -4,8 +4,8 @@
 	"iter"
 
 	"postpoint/internal/delegation"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/leader/jobtable"
-	"postpoint/internal/ledger"
 )
 
 // trackedDelegation is a delegation of this cell's own work, with what is known of its stored record.
@@ -51,23 +51,23 @@
 }
 
 // holds reports whether a placement is one of the delegation's outstanding tasks.
-func (d *trackedDelegation) holds(j *jobtable.Job, p ledger.Placement) bool {
+func (d *trackedDelegation) holds(j *jobtable.Job, p jobrecord.Placement) bool {
 	return d.ownsPlacement(p) && d.Job == j.Spec.ID && d.Outstanding.Contains(p.Task)
 }
 
 // ownsPlacement reports whether a placement of its job is with the delegation's host on its account.
-func (d *trackedDelegation) ownsPlacement(p ledger.Placement) bool {
+func (d *trackedDelegation) ownsPlacement(p jobrecord.Placement) bool {
 	return p.HostCell() == d.Host && p.Incarnation == d.Number
 }
 
 // placement returns a task's placement with the delegation's host, if it has one.
-func (d *trackedDelegation) placement(j *jobtable.Job, task int) (ledger.Placement, bool) {
+func (d *trackedDelegation) placement(j *jobtable.Job, task int) (jobrecord.Placement, bool) {
 	p, placed := j.Placements[task]
 	return p, placed && d.ownsPlacement(p)
 }
 
 // tasksOf iterates over a set of tasks in ascending order.
-func tasksOf(set *ledger.TaskSet) iter.Seq[int] {
+func tasksOf(set *jobrecord.TaskSet) iter.Seq[int] {
 	return func(yield func(int) bool) {
 		for task := set.NextPresent(0); task <= set.Max(); task = set.NextPresent(task + 1) {
 			if !yield(task) {
--- a/internal/leader/golden_test.go
+++ b/internal/leader/golden_test.go
@@ -6,21 +6,21 @@
 	"testing"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/cloud/cloudtest"
+	"postpoint/internal/cloudclient/cloudtest"
 	"postpoint/internal/delegation"
 	"postpoint/internal/goldentest"
+	"postpoint/internal/jobrecord"
+	"postpoint/internal/kvstore/storetest"
 	"postpoint/internal/leader/federation"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/overview"
 	"postpoint/internal/leader/zonetracker"
-	"postpoint/internal/ledger"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
-	"postpoint/internal/recovery"
 	"postpoint/internal/rollout"
 	"postpoint/internal/settings"
-	"postpoint/internal/statestore/storetest"
+	"postpoint/internal/zonerecovery"
 )
 
 func goldenTypes() []protocol.MachineType {
@@ -159,7 +159,7 @@
 		d, store, _ := cellLeader(t)
 		d.catalogue.Types = goldenTypes()
 		d.cells.Directory.Own.Draining = c.draining
-		var tasks ledger.TaskSet
+		var tasks jobrecord.TaskSet
 		tasks.Add(1)
 		spec := protocol.JobSpec{
 			ID:       "job-1",
@@ -183,7 +183,7 @@
 	d, _ := newLeader()
 	store := &fakeStore{}
 	useStore(d, store)
-	lost := &recovery.Zone{Name: "somes", Phase: recovery.Lost, Losses: 3, Since: 90 * clock.Second, Flaps: 2}
+	lost := &zonerecovery.Zone{Name: "somes", Phase: zonerecovery.Lost, Losses: 3, Since: 90 * clock.Second, Flaps: 2}
 	d.zones.Zones = map[string]*zonetracker.Zone{"somes": {Zone: lost, RecordVersion: 9}}
 	d.zones.SaveZones()
 	goldentest.Equal(t, "zone", onlyTxn(t, store),
@@ -253,10 +253,10 @@
 		}},
 		Zones: []overview.ZoneOverview{{
 			Zone:               "somes",
-			Phase:              recovery.Lost,
+			Phase:              zonerecovery.Lost,
 			Losses:             3,
 			SinceS:             10.5,
-			Diagnosis:          recovery.PoweredOff,
+			Diagnosis:          zonerecovery.PoweredOff,
 			Flaps:              2,
 			Machines:           9,
 			Heard:              1,
@@ -265,7 +265,7 @@
 			HeardElsewhere:     4,
 			HeldTasks:          6,
 			DisplacedTasks:     8,
-			Waiting:            []overview.WaitingJob{{Job: "job-1", Kind: recovery.Gangs, Tasks: 2, Reason: "its turn"}},
+			Waiting:            []overview.WaitingJob{{Job: "job-1", Kind: zonerecovery.Gangs, Tasks: 2, Reason: "its turn"}},
 		}},
 	}
 }
@@ -319,17 +319,17 @@
 	d, _, _, _ := hostingLeader(t)
 	d.state.KnownLeader, d.scheduler.Plans, d.writer.LimitsTightened = "worker-0", 7, true
 	d.state.Format = rollout.Status{Services: true, Cells: true, Missing: []string{"worker-1"}}
-	s := recovery.Defaults()
+	s := zonerecovery.Defaults()
 	d.zones.Options = &s
 	d.zones.Zones = map[string]*zonetracker.Zone{"somes": {
-		Zone: &recovery.Zone{
+		Zone: &zonerecovery.Zone{
 			Name:      "somes",
-			Phase:     recovery.Lost,
+			Phase:     zonerecovery.Lost,
 			Losses:    3,
 			Since:     90 * clock.Second,
-			Diagnosis: recovery.PoweredOff,
+			Diagnosis: zonerecovery.PoweredOff,
 		},
-		Evidence: recovery.Evidence{Machines: 4, Heard: 1, Controllers: 1, ControllersReached: 1, HeardElsewhere: 2},
+		Evidence: zonerecovery.Evidence{Machines: 4, Heard: 1, Controllers: 1, ControllersReached: 1, HeardElsewhere: 2},
 	}}
 	var got []byte
 	d.Overview(func(o any) {
@@ -455,7 +455,7 @@
 	}
 	due := 100.0
 	j := jobtable.NewJob()
-	j.Record = ledger.New(protocol.JobSpec{ID: "job-1", Class: "c", DeadlineS: &due}, 1)
+	j.Record = jobrecord.New(protocol.JobSpec{ID: "job-1", Class: "c", DeadlineS: &due}, 1)
 	if times := d.objectives.DueTimes(j); !slices.Equal(times, []float64{100, 150, 300}) {
 		t.Errorf("due after %v s", times)
 	}
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -7,8 +7,8 @@
 
 	"postpoint/internal/actor/actortest"
 	"postpoint/internal/clock"
+	"postpoint/internal/kvstore/storetest"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore/storetest"
 )
 
 // BenchmarkHeartbeat handles a heartbeat of eight running tasks that changes nothing.
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -5,13 +5,13 @@
 
 	"postpoint/internal/actor/actortest"
 	"postpoint/internal/clock"
+	"postpoint/internal/jobrecord"
+	"postpoint/internal/kvstore/storetest"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/term"
-	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
 	"postpoint/internal/settings"
-	"postpoint/internal/statestore/storetest"
 )
 
 // newLeader returns a leader that has read its records, in epoch 7.
@@ -46,10 +46,10 @@
 func leaderWithOneTask(t *testing.T) (*Leader, *jobtable.Job, *machinetable.Machine, *actortest.Still) {
 	t.Helper()
 	d, box := newLeader()
-	content := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 1}, 1)
+	content := jobrecord.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 1}, 1)
 	content.NextAttempt = 2
-	content.Placements[0] = ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1}
-	d.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
+	content.Placements[0] = jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1}
+	d.reader.Adopt(jobrecord.Key("job-1"), content.Encode(), 5)
 	return d, d.jobs.ByID["job-1"], d.machines.ByName["m-1"], box
 }
 
@@ -69,17 +69,17 @@
 // and the heartbeat that said so.
 func leaderWithEightTasks() (*Leader, *jobtable.Job, protocol.Heartbeat) {
 	d, _ := newLeader()
-	content := ledger.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 8}, 1)
+	content := jobrecord.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 8}, 1)
 	r := workerHeartbeat(1, 0)
 	for task := range 8 {
-		content.Placements[task] = ledger.Placement{Task: task, Attempt: 1, Machine: "m-1", Incarnation: 1}
+		content.Placements[task] = jobrecord.Placement{Task: task, Attempt: 1, Machine: "m-1", Incarnation: 1}
 		r.Tasks = append(r.Tasks, protocol.TaskStatus{
 			Task:    protocol.TaskName("job-1", task),
 			Attempt: 1,
 			Status:  protocol.TaskRunning,
 		})
 	}
-	d.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
+	d.reader.Adopt(jobrecord.Key("job-1"), content.Encode(), 5)
 	for range 2 {
 		r.Counter++
 		d.Heartbeat(r, func(int, any) {})
--- a/internal/leader/jobtable/job.go
+++ b/internal/leader/jobtable/job.go
@@ -3,14 +3,14 @@
 import (
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
 )
 
 // Job is a record with what this leader knows beyond it.
 type Job struct {
-	*ledger.Record
+	*jobrecord.Record
 	// StoredValue is the value at the job's key: the whole record, or the head of a sharded one.
 	StoredValue
 	// Shards are the other values of a sharded record.
@@ -56,7 +56,7 @@
 	// ClosedAtChange counts the record's changes at the one that closed the hosted job, StoredDone
 	// are the tasks that are done by the stored record.
 	ClosedAtChange int
-	StoredDone     ledger.TaskSet
+	StoredDone     jobrecord.TaskSet
 	// DisplacedAt is when the job lost tasks with a zone, ClearedToStart that they may start again.
 	DisplacedAt    clock.Micros
 	ClearedToStart bool
@@ -82,7 +82,7 @@
 }
 
 // Committed reports whether a placement is in the record: only then is it acted on.
-func (j *Job) Committed(p ledger.Placement) bool {
+func (j *Job) Committed(p jobrecord.Placement) bool {
 	return !j.ShardsUnread() && j.ProposedAt[p.Task] <= j.valueOf(p.Task).StoredCount
 }
 
--- a/internal/leader/jobtable/jobtable.go
+++ b/internal/leader/jobtable/jobtable.go
@@ -10,9 +10,9 @@
 
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/term"
-	"postpoint/internal/ledger"
 	"postpoint/internal/ordered"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
@@ -82,7 +82,7 @@
 }
 
 // AddPlacement adds a placement. It takes capacity from now on, and is acted on once it is durable.
-func (t *Table) AddPlacement(j *Job, p ledger.Placement) {
+func (t *Table) AddPlacement(j *Job, p jobrecord.Placement) {
 	j.Placements[p.Task] = p
 	t.machines.AddPlacement(j.Spec.ID, p)
 	t.NoteTaskChange(j, p.Task)
@@ -93,7 +93,7 @@
 
 // ReleasePlacement releases a placement. Only proof that its task can't run there any more allows
 // that: see docs/rules.md.
-func (t *Table) ReleasePlacement(j *Job, p ledger.Placement) {
+func (t *Table) ReleasePlacement(j *Job, p jobrecord.Placement) {
 	delete(j.Placements, p.Task)
 	delete(j.Stops, p.Task)
 	delete(j.ProposedAt, p.Task)
--- a/internal/leader/jobtable/storedvalue.go
+++ b/internal/leader/jobtable/storedvalue.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
 )
 
 // StoredValue relates what is in memory to one value of the key-value store: a record, or the head
@@ -27,7 +27,7 @@
 	// UnconfirmedReleases are placements that were released while a write which may contain them was
 	// in flight, or had no response. Carried out late it would bring them back, so they count as taken
 	// until that can't happen any more.
-	UnconfirmedReleases []ledger.Placement
+	UnconfirmedReleases []jobrecord.Placement
 	// RefusedBytes is the size at which the store refused the value, 0 if it didn't.
 	RefusedBytes int
 }
@@ -60,12 +60,12 @@
 
 // unconfirmedReleases returns the placements that count as taken though they were released. Those of
 // tasks that have a new placement are left out: the new one counts.
-func (j *Job) unconfirmedReleases() []ledger.Placement {
+func (j *Job) unconfirmedReleases() []jobrecord.Placement {
 	unconfirmed := slices.Clone(j.UnconfirmedReleases)
 	for _, v := range j.Shards {
 		unconfirmed = append(unconfirmed, v.UnconfirmedReleases...)
 	}
-	return slices.DeleteFunc(unconfirmed, func(p ledger.Placement) bool {
+	return slices.DeleteFunc(unconfirmed, func(p jobrecord.Placement) bool {
 		_, placed := j.Placements[p.Task]
 		return placed
 	})
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -17,7 +17,7 @@
 //	zonetracker    loss and return of zones
 //	overview       the operators' overview
 //
-// Users' requests are another actor's (package intake), the election a third one's (package
+// Users' requests are another actor's (package admission), the election a third one's (package
 // leadership); this package learns of both through the key-value store and the term.
 package leader
 
@@ -25,12 +25,13 @@
 	"log/slog"
 
 	"postpoint/internal/actor"
-	"postpoint/internal/agent"
+	"postpoint/internal/admission"
 	"postpoint/internal/cells"
 	"postpoint/internal/clock"
-	"postpoint/internal/cloud"
+	"postpoint/internal/cloudclient"
 	"postpoint/internal/delegation"
-	"postpoint/internal/intake"
+	"postpoint/internal/election"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/leader/autoscaler"
 	"postpoint/internal/leader/federation"
 	"postpoint/internal/leader/jobtable"
@@ -43,12 +44,11 @@
 	"postpoint/internal/leader/snapshots"
 	"postpoint/internal/leader/term"
 	"postpoint/internal/leader/zonetracker"
-	"postpoint/internal/leadership"
 	"postpoint/internal/protocol"
-	"postpoint/internal/recovery"
 	"postpoint/internal/rollout"
 	"postpoint/internal/settings"
-	"postpoint/internal/statestore"
+	"postpoint/internal/workerclient"
+	"postpoint/internal/zonerecovery"
 )
 
 // Leader is the actor. All its state belongs to its mailbox; what it knows as a leader is built
@@ -85,7 +85,7 @@
 // New makes the actor. deposed is told of higher epochs, resign asks to give
 // leadership up, attest asks all nodes what they told users, onTypes is told of each
 // new catalogue.
-func New(m actor.Mailbox, st statestore.Store, cl cloud.API, ag agent.API, set *settings.Settings,
+func New(m actor.Mailbox, st kvstore.Store, cl cloudclient.API, ag workerclient.API, set *settings.Settings,
 	deposed func(int64), resign func(), attest reconciler.Attester, onTypes func([]protocol.MachineType)) *Leader {
 	state := term.New(m, set, deposed)
 	l := &Leader{state: state, resign: resign}
@@ -138,14 +138,14 @@
 
 // Recover switches recoveries on. It is called before Start; ask asks all controllers which zones'
 // machines they hear of.
-func (l *Leader) Recover(s *recovery.Settings, ask func(done func([]intake.ZoneReports))) {
+func (l *Leader) Recover(s *zonerecovery.Settings, ask func(done func([]admission.ZoneReports))) {
 	l.zones.Enable(s, ask)
 }
 
 // ZoneReports answers another controller's question.
-func (l *Leader) ZoneReports(reply func(intake.ZoneReports)) {
+func (l *Leader) ZoneReports(reply func(admission.ZoneReports)) {
 	l.state.Mailbox.Post(func() {
-		reply(intake.ZoneReports{Node: l.state.Settings.Node, Machines: l.zones.HeardByZone()})
+		reply(admission.ZoneReports{Node: l.state.Settings.Node, Machines: l.zones.HeardByZone()})
 	})
 }
 
@@ -178,7 +178,7 @@
 func (l *Leader) SetLeader(node string) { l.state.Mailbox.Post(func() { l.state.KnownLeader = node }) }
 
 // SetTerm is told of every election, renewal and loss.
-func (l *Leader) SetTerm(t leadership.Term) {
+func (l *Leader) SetTerm(t election.Term) {
 	l.state.Mailbox.Post(func() {
 		before := l.state.Term.Epoch
 		l.state.Term = t
--- a/internal/leader/machines_test.go
+++ b/internal/leader/machines_test.go
@@ -5,9 +5,9 @@
 	"testing"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
-	"postpoint/internal/ledger"
 )
 
 // A machine on which tasks take twice as long as elsewhere is told from others
@@ -50,7 +50,7 @@
 	delete(d.machines.ByName, "m-1")
 	d.machines.Ordered = nil
 	j.NoteRecordEvent(jobtable.EventRecordConflict)
-	d.reader.Adopt(ledger.Key("job-1"), old, 6)
+	d.reader.Adopt(jobrecord.Key("job-1"), old, 6)
 	if len(j.Placements) != 0 || j.NextAttempt < 2 {
 		t.Fatalf("placements %v, next attempt %d; want none and at least 2", j.Placements, j.NextAttempt)
 	}
--- a/internal/leader/machinetable/catalogue.go
+++ b/internal/leader/machinetable/catalogue.go
@@ -7,20 +7,20 @@
 	"slices"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/cloud"
-	"postpoint/internal/fleet"
+	"postpoint/internal/cloudclient"
+	"postpoint/internal/jobrecord"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/leader/term"
-	"postpoint/internal/ledger"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
+	"postpoint/internal/scaling"
 )
 
 // Catalogue keeps the cloud's machine types and prices, on every node and across terms.
 type Catalogue struct {
 	*term.State
-	cloud cloud.API
-	Store statestore.Store
+	cloud cloudclient.API
+	Store kvstore.Store
 	// Published is called with each new list of types.
 	Published func([]protocol.MachineType)
 	// changed is called when types or prices have changed.
@@ -35,7 +35,7 @@
 }
 
 // NewCatalogue returns an empty catalogue; published is called with each new list of types.
-func NewCatalogue(term *term.State, cl cloud.API, store statestore.Store,
+func NewCatalogue(term *term.State, cl cloudclient.API, store kvstore.Store,
 	published func([]protocol.MachineType)) *Catalogue {
 	return &Catalogue{
 		State:     term,
@@ -114,7 +114,7 @@
 
 // ReadShared takes the catalogue that a leader has stored, unless the cloud has responded meanwhile.
 func (mc *Catalogue) ReadShared() {
-	mc.Store.Get(catalogueKey, func(r statestore.Result[protocol.Item]) {
+	mc.Store.Get(catalogueKey, func(r kvstore.Result[protocol.Item]) {
 		if r.Err != nil || len(mc.Types) > 0 {
 			return
 		}
@@ -138,18 +138,18 @@
 }
 
 // shareUnlessStored stores the catalogue unless the stored one has the same types.
-func (mc *Catalogue) shareUnlessStored(r statestore.Result[protocol.Item]) {
+func (mc *Catalogue) shareUnlessStored(r kvstore.Result[protocol.Item]) {
 	var c protocol.Catalogue
 	if r.Err == nil && protocol.Decode(r.Value.Value, &c) == nil &&
 		slices.EqualFunc(c.MachineTypes, mc.Types, SameType) {
 		return
 	}
-	if r.Err != nil && !errors.Is(r.Err, statestore.ErrNotFound) {
+	if r.Err != nil && !errors.Is(r.Err, kvstore.ErrNotFound) {
 		mc.sharedThisTerm = false
 		return
 	}
 	value := protocol.Encode(protocol.Catalogue{MachineTypes: mc.Types})
-	limit := ledger.UsableBytes(mc.Settings.Deployment.KVStore.Tightest().ValueBytes())
+	limit := jobrecord.UsableBytes(mc.Settings.Deployment.KVStore.Tightest().ValueBytes())
 	if size := protocol.JSONSize(value); size > limit {
 		slog.Info("the catalogue is too large to be stored for other nodes", "bytes", size, "limit", limit)
 		return
@@ -157,7 +157,7 @@
 	t := mc.NewTransaction()
 	t.Require(catalogueKey, r.Value.Version)
 	t.Put(catalogueKey, value)
-	t.Commit(mc.Store, term.Guarded(mc.State, func(r statestore.Result[statestore.Revision]) {
+	t.Commit(mc.Store, term.Guarded(mc.State, func(r kvstore.Result[kvstore.Revision]) {
 		if r.Err != nil {
 			mc.sharedThisTerm = false
 		}
@@ -205,5 +205,5 @@
 
 // TypeFits reports whether a job may use a machine type and a task of it fits on an empty machine.
 func TypeFits(t protocol.MachineType, s *protocol.JobSpec) bool {
-	return planner.TaskResources(s).FitsIn(fleet.Capacity(t)) && (len(s.Types) == 0 || slices.Contains(s.Types, t.Name))
+	return planner.TaskResources(s).FitsIn(scaling.Capacity(t)) && (len(s.Types) == 0 || slices.Contains(s.Types, t.Name))
 }
--- a/internal/leader/machinetable/machine.go
+++ b/internal/leader/machinetable/machine.go
@@ -4,10 +4,10 @@
 	"slices"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/fleet"
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
+	"postpoint/internal/scaling"
 )
 
 // Machine is one worker as the leader knows it. Its fields are grouped by subject; the comment of
@@ -37,7 +37,7 @@
 		},
 		CommandState:   CommandState{Deliveries: map[AttemptRef]*StartDelivery{}},
 		CloudState:     CloudState{FirstSeen: now},
-		PlacementState: PlacementState{Placements: map[string]map[int]ledger.Placement{}, IdleSince: now},
+		PlacementState: PlacementState{Placements: map[string]map[int]jobrecord.Placement{}, IdleSince: now},
 		PlannerView:    PlannerView{ViewStale: true},
 		FaultState:     FaultState{FailedJobs: map[string]bool{}},
 	}
@@ -51,8 +51,8 @@
 }
 
 // Kind returns what is scaled out to get such a machine.
-func (i *Identity) Kind() fleet.CapacityPool {
-	return fleet.CapacityPool{Type: i.Type, Zone: i.Zone, Spot: i.Spot}
+func (i *Identity) Kind() scaling.CapacityPool {
+	return scaling.CapacityPool{Type: i.Type, Zone: i.Zone, Spot: i.Spot}
 }
 
 // WorkerStatus is what the last heartbeat of the worker said. The reconciler changes it.
@@ -219,7 +219,7 @@
 // Table.AddPlacement and Table.RemovePlacement.
 type PlacementState struct {
 	// Placements are the placed tasks by job.
-	Placements map[string]map[int]ledger.Placement
+	Placements map[string]map[int]jobrecord.Placement
 	// IdleSince is when the last placement was released.
 	IdleSince clock.Micros
 }
@@ -328,7 +328,7 @@
 // to go schedules its release.
 type ScaleInState struct {
 	// Cordoned reports that no new tasks are placed there, so that the machine empties: see
-	// fleet.Cordon.
+	// scaling.Cordon.
 	Cordoned   bool
 	CordonedAt clock.Micros
 	// ReservedAt is when room on it was last reserved.
--- a/internal/leader/machinetable/machine_test.go
+++ b/internal/leader/machinetable/machine_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/protocol"
 )
 
@@ -36,7 +36,7 @@
 		m.Tasks[ref] = protocol.TaskStatus{Task: "job-1/0", Attempt: 1, Status: protocol.TaskRunning}
 		m.RunningSince[ref] = 5
 		m.Delivery(ref).InCommand = true
-		m.Placements["job-1"] = map[int]ledger.Placement{0: {Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 3}}
+		m.Placements["job-1"] = map[int]jobrecord.Placement{0: {Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 3}}
 		return m
 	}
 	m := used()
--- a/internal/leader/machinetable/machinetable.go
+++ b/internal/leader/machinetable/machinetable.go
@@ -10,8 +10,8 @@
 	"slices"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/leader/term"
-	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
 )
 
@@ -138,21 +138,21 @@
 }
 
 // AddPlacement notes a placement at its machine, nil if another cell runs the task.
-func (mt *Table) AddPlacement(jobID string, p ledger.Placement) *Machine {
+func (mt *Table) AddPlacement(jobID string, p jobrecord.Placement) *Machine {
 	if p.HostCell() != "" {
 		return nil
 	}
 	m := mt.GetOrAdd(p.Machine)
 	m.ViewStale, m.Steady = true, false
 	if m.Placements[jobID] == nil {
-		m.Placements[jobID] = map[int]ledger.Placement{}
+		m.Placements[jobID] = map[int]jobrecord.Placement{}
 	}
 	m.Placements[jobID][p.Task] = p
 	return m
 }
 
 // RemovePlacement takes a placement off its machine.
-func (mt *Table) RemovePlacement(jobID string, p ledger.Placement) {
+func (mt *Table) RemovePlacement(jobID string, p jobrecord.Placement) {
 	m := mt.ByName[p.Machine]
 	if m == nil {
 		return
--- a/internal/leader/overview/overview.go
+++ b/internal/leader/overview/overview.go
@@ -8,7 +8,6 @@
 
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
-	"postpoint/internal/fleet"
 	"postpoint/internal/leader/autoscaler"
 	"postpoint/internal/leader/federation"
 	"postpoint/internal/leader/jobtable"
@@ -19,6 +18,7 @@
 	"postpoint/internal/leader/zonetracker"
 	"postpoint/internal/ordered"
 	"postpoint/internal/protocol"
+	"postpoint/internal/scaling"
 )
 
 // Reader reads the other components for operators.
@@ -187,7 +187,7 @@
 }
 
 // kindName orders kinds of machines by type, zone and price.
-func kindName(k fleet.CapacityPool) string {
+func kindName(k scaling.CapacityPool) string {
 	name := k.Type + " " + k.Zone
 	if k.Spot {
 		name += " spot"
--- a/internal/leader/overview/zoneoverview.go
+++ b/internal/leader/overview/zoneoverview.go
@@ -3,29 +3,29 @@
 import (
 	"log/slog"
 
-	"postpoint/internal/fleet"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/zonetracker"
 	"postpoint/internal/ordered"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
-	"postpoint/internal/recovery"
+	"postpoint/internal/scaling"
+	"postpoint/internal/zonerecovery"
 )
 
 // ZoneOverview is a zone as the leader sees it.
 type ZoneOverview struct {
-	Zone               string             `json:"zone"`
-	Phase              recovery.Phase     `json:"phase"`
-	Losses             int64              `json:"losses,omitempty"`
-	SinceS             float64            `json:"since_s"`
-	Diagnosis          recovery.Diagnosis `json:"reading,omitempty"`
-	Flaps              int                `json:"flaps,omitempty"`
-	Machines           int                `json:"machines"`
-	Heard              int                `json:"heard"`
-	Controllers        int                `json:"controllers,omitempty"`
-	ControllersReached int                `json:"controllers_reached,omitempty"`
-	HeardElsewhere     int                `json:"heard_elsewhere,omitempty"`
+	Zone               string                 `json:"zone"`
+	Phase              zonerecovery.Phase     `json:"phase"`
+	Losses             int64                  `json:"losses,omitempty"`
+	SinceS             float64                `json:"since_s"`
+	Diagnosis          zonerecovery.Diagnosis `json:"reading,omitempty"`
+	Flaps              int                    `json:"flaps,omitempty"`
+	Machines           int                    `json:"machines"`
+	Heard              int                    `json:"heard"`
+	Controllers        int                    `json:"controllers,omitempty"`
+	ControllersReached int                    `json:"controllers_reached,omitempty"`
+	HeardElsewhere     int                    `json:"heard_elsewhere,omitempty"`
 	// HeldTasks are tasks there that aren't proven gone, Displaced those that have to start elsewhere.
 	HeldTasks      int `json:"held_tasks,omitempty"`
 	DisplacedTasks int `json:"displaced_tasks,omitempty"`
@@ -35,10 +35,10 @@
 
 // WaitingJob is a displaced job and why it doesn't run.
 type WaitingJob struct {
-	Job    string        `json:"job"`
-	Kind   recovery.Kind `json:"kind"`
-	Tasks  int           `json:"tasks"`
-	Reason string        `json:"why"`
+	Job    string            `json:"job"`
+	Kind   zonerecovery.Kind `json:"kind"`
+	Tasks  int               `json:"tasks"`
+	Reason string            `json:"why"`
 }
 
 // maxWaiting is how many displaced jobs of a zone are listed.
@@ -98,14 +98,14 @@
 }
 
 // displacedWork returns the jobs with displaced tasks of a zone, in the order in which they are to start.
-func (r *Reader) displacedWork(zone string) []recovery.DisplacedJob {
-	var displaced []recovery.DisplacedJob
+func (r *Reader) displacedWork(zone string) []zonerecovery.DisplacedJob {
+	var displaced []zonerecovery.DisplacedJob
 	for _, j := range ordered.ByKey(r.jobs.ByID) {
 		if j.DisplacedFrom == zone && !j.Over() && j.PendingCount() > 0 {
 			displaced = append(displaced, r.zones.DescribeDisplaced(j))
 		}
 	}
-	recovery.SortDisplaced(displaced, r.zones.Options.Order)
+	zonerecovery.SortDisplaced(displaced, r.zones.Options.Order)
 	return displaced
 }
 
@@ -166,8 +166,8 @@
 			continue
 		}
 		for _, zone := range t.Zones {
-			regular := fleet.CapacityPool{Type: t.Name, Zone: zone}
-			spot := fleet.CapacityPool{Type: t.Name, Zone: zone, Spot: true}
+			regular := scaling.CapacityPool{Type: t.Name, Zone: zone}
+			spot := scaling.CapacityPool{Type: t.Name, Zone: zone, Spot: true}
 			if !refused[regular] && planner.MachineAllowed(spec, t.Name, zone, false) {
 				return true
 			}
@@ -186,7 +186,7 @@
 	}
 	r.recoveryLoggedAt = r.Now()
 	for _, zone := range r.zonesOverview() {
-		if zone.Phase != recovery.Healthy {
+		if zone.Phase != zonerecovery.Healthy {
 			logRecovery(&zone)
 		}
 	}
--- a/internal/leader/reconciler/cancellations.go
+++ b/internal/leader/reconciler/cancellations.go
@@ -3,9 +3,9 @@
 import (
 	"log/slog"
 
+	"postpoint/internal/admission"
 	"postpoint/internal/cells"
 	"postpoint/internal/clock"
-	"postpoint/internal/intake"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/term"
@@ -64,7 +64,7 @@
 
 // Attester asks every node, this one included, for what it has told users of
 // cancellations in the time back from now. ok means that all have responded.
-type Attester func(back clock.Micros, done func(all []intake.Attestation, ok bool))
+type Attester func(back clock.Micros, done func(all []admission.Attestation, ok bool))
 
 // NewCancellations returns the part of the leader that ends cancelled tasks.
 func NewCancellations(term *term.State, jobs *jobtable.Table, machines *machinetable.Table,
@@ -162,14 +162,14 @@
 	cn.attesting = true
 	back := askedAt - cn.KnownUntil()
 	back += back/1000 + attestMargin // clocks drift
-	cn.attest(back, term.Guarded2(cn.State, func(all []intake.Attestation, ok bool) {
+	cn.attest(back, term.Guarded2(cn.State, func(all []admission.Attestation, ok bool) {
 		cn.noteAttestations(all, ok, askedAt, back)
 	}))
 }
 
 // noteAttestations takes what the nodes have told users in the time back from askedAt. complete
 // reports that all nodes have responded.
-func (cn *Cancellations) noteAttestations(all []intake.Attestation, complete bool,
+func (cn *Cancellations) noteAttestations(all []admission.Attestation, complete bool,
 	askedAt, back clock.Micros) {
 	cn.attesting = false
 	for _, a := range all {
--- a/internal/leader/reconciler/commands.go
+++ b/internal/leader/reconciler/commands.go
@@ -5,28 +5,28 @@
 	"log/slog"
 	"math"
 
-	"postpoint/internal/agent"
 	"postpoint/internal/clock"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/term"
-	"postpoint/internal/ledger"
 	"postpoint/internal/ordered"
 	"postpoint/internal/protocol"
+	"postpoint/internal/workerclient"
 )
 
 // CommandSender decides which commands a worker needs, and sends them directly or hands them to the
 // HeartbeatHandler.
 type CommandSender struct {
 	*term.State
-	Workers    agent.API
+	Workers    workerclient.API
 	jobs       *jobtable.Table
 	machines   *machinetable.Table
 	reconciler *Reconciler
 }
 
 // NewCommandSender returns a sender of commands to the workers of the given machines.
-func NewCommandSender(term *term.State, api agent.API, jobs *jobtable.Table,
+func NewCommandSender(term *term.State, api workerclient.API, jobs *jobtable.Table,
 	machines *machinetable.Table) *CommandSender {
 	return &CommandSender{State: term, Workers: api, jobs: jobs, machines: machines}
 }
@@ -59,15 +59,15 @@
 
 // resultOf returns what a response says of the machine that the commands were meant for. Another
 // worker that has come to the address of the machine says nothing about it.
-func resultOf(machine string, r *agent.Response) CommandResult {
+func resultOf(machine string, r *workerclient.Response) CommandResult {
 	var result CommandResult
 	switch {
 	case r.Err == nil:
 		result.Outcome = Executed
-	case agent.NotExecuted(r.Err):
+	case workerclient.NotExecuted(r.Err):
 		result.Outcome = NotExecuted
 	}
-	answered := r.Err == nil || errors.Is(r.Err, agent.ErrRejected)
+	answered := r.Err == nil || errors.Is(r.Err, workerclient.ErrRejected)
 	if answered && r.Status.Machine == machine {
 		result.Heartbeat = &r.Status
 	}
@@ -81,7 +81,7 @@
 	m.BeginCommand()
 	request := protocol.CommandRequest{Epoch: cs.Term.Epoch, Incarnation: incarnation, Commands: commands}
 	until := min(cs.ActsUntil(), cs.permittedUntil(commands))
-	cs.Workers.Commands(m.Address, request, until, term.Guarded(cs.State, func(r agent.Response) {
+	cs.Workers.Commands(m.Address, request, until, term.Guarded(cs.State, func(r workerclient.Response) {
 		if cs.machines.ByName[m.Name] != m {
 			return
 		}
@@ -165,7 +165,7 @@
 }
 
 // stopRequest returns whether and how a placed task is to be stopped, nil if it isn't.
-func (cs *CommandSender) stopRequest(j *jobtable.Job, p ledger.Placement) *jobtable.StopRequest {
+func (cs *CommandSender) stopRequest(j *jobtable.Job, p jobrecord.Placement) *jobtable.StopRequest {
 	if j.Over() {
 		return &jobtable.StopRequest{Reason: "over"}
 	}
@@ -202,7 +202,7 @@
 
 // mayWaitForPeers reports whether a task of a gang stands on a machine that goes on, and hasn't
 // started.
-func (cs *CommandSender) mayWaitForPeers(j *jobtable.Job, p ledger.Placement) bool {
+func (cs *CommandSender) mayWaitForPeers(j *jobtable.Job, p jobrecord.Placement) bool {
 	m := cs.machines.ByName[p.Machine]
 	if m == nil || !cs.machines.EpochAcknowledged(m) || !cs.machines.LeaseRenewed(m) || m.RecallAt != 0 {
 		return false
--- a/internal/leader/reconciler/commands_test.go
+++ b/internal/leader/reconciler/commands_test.go
@@ -4,11 +4,11 @@
 	"net/http"
 	"testing"
 
-	"postpoint/internal/agent"
-	"postpoint/internal/agent/agenttest"
 	"postpoint/internal/clock"
 	"postpoint/internal/protocol"
 	"postpoint/internal/transport"
+	"postpoint/internal/workerclient"
+	"postpoint/internal/workerclient/workertest"
 )
 
 // fixedWorker responds to all commands in the same way.
@@ -40,10 +40,10 @@
 		{"no response", "", 0, OutcomeUnknown, false},
 		{"failure of the worker", "m-1", http.StatusInternalServerError, OutcomeUnknown, false},
 	} {
-		worker := agenttest.Client(fixedWorker{c.status, protocol.Heartbeat{Machine: c.machine}})
+		worker := workertest.Client(fixedWorker{c.status, protocol.Heartbeat{Machine: c.machine}})
 		responses := 0
 		var got CommandResult
-		worker.Commands("", protocol.CommandRequest{}, 0, func(r agent.Response) {
+		worker.Commands("", protocol.CommandRequest{}, 0, func(r workerclient.Response) {
 			responses++
 			got = resultOf("m-1", &r)
 		})
--- a/internal/leader/reconciler/commandset.go
+++ b/internal/leader/reconciler/commandset.go
@@ -4,9 +4,9 @@
 	"slices"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
-	"postpoint/internal/ledger"
 	"postpoint/internal/ordered"
 	"postpoint/internal/protocol"
 )
@@ -77,7 +77,7 @@
 
 // addForPlacement adds the commands that a placed task needs. Only placements that are in the stored
 // record are acted on.
-func (set *commandSet) addForPlacement(j *jobtable.Job, p ledger.Placement) {
+func (set *commandSet) addForPlacement(j *jobtable.Job, p jobrecord.Placement) {
 	m := set.m
 	if !j.Committed(p) || p.Incarnation != m.Incarnation {
 		return
--- a/internal/leader/reconciler/exits.go
+++ b/internal/leader/reconciler/exits.go
@@ -4,10 +4,10 @@
 	"log/slog"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/term"
-	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
 )
 
@@ -54,7 +54,7 @@
 }
 
 // noteExit handles the end of a placed attempt.
-func (rc *Reconciler) noteExit(m *machinetable.Machine, j *jobtable.Job, p ledger.Placement, cause string) {
+func (rc *Reconciler) noteExit(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement, cause string) {
 	ran := rc.machines.RanFor(m, attemptOf(j, p))
 	if term.DebugEnabled() {
 		slog.Debug("task exited", "job", j.Spec.ID, "task", p.Task, "attempt", p.Attempt, "machine", m.Name,
@@ -74,7 +74,7 @@
 }
 
 // applyExit applies the effects of an attempt's end to its job and its machine.
-func (rc *Reconciler) applyExit(m *machinetable.Machine, j *jobtable.Job, p ledger.Placement, cause string,
+func (rc *Reconciler) applyExit(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement, cause string,
 	ran clock.Micros) {
 	effect := effectOf(cause)
 	if effect.breaksAttempt {
@@ -111,7 +111,7 @@
 
 // noteFailedStart keeps the cause for the user and the operator, and holds a job back that fails again
 // and again, for longer each time. Without a pause the failure isn't counted.
-func (rc *Reconciler) noteFailedStart(m *machinetable.Machine, j *jobtable.Job, p ledger.Placement,
+func (rc *Reconciler) noteFailedStart(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement,
 	cause string, pause clock.Micros) {
 	if j.StartFailures == 0 || j.Cause == "" {
 		slog.Info("start failed", "job", j.Spec.ID, "task", p.Task, "machine", m.Name, "cause", cause)
@@ -137,7 +137,7 @@
 
 // ReplicaEnded handles the end of a service's replica, which runs again whatever the cause, and
 // reports whether it did: a refused start says nothing of the replica, but of the machine.
-func (rc *Reconciler) ReplicaEnded(m *machinetable.Machine, j *jobtable.Job, p ledger.Placement, cause string,
+func (rc *Reconciler) ReplicaEnded(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement, cause string,
 	ran clock.Micros) bool {
 	if effectOf(cause).refused {
 		return false
--- a/internal/leader/reconciler/health.go
+++ b/internal/leader/reconciler/health.go
@@ -4,10 +4,10 @@
 	"log/slog"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/term"
-	"postpoint/internal/ledger"
 	"postpoint/internal/ordered"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
@@ -208,7 +208,7 @@
 
 // moveReplica stops a replica on a machine that the cloud takes back, one of each job at a time, so
 // that the others serve while it starts elsewhere.
-func (hm *HealthMonitor) moveReplica(j *jobtable.Job, tasks map[int]ledger.Placement) {
+func (hm *HealthMonitor) moveReplica(j *jobtable.Job, tasks map[int]jobrecord.Placement) {
 	if j.Over() || len(j.Stops) > 0 || j.PendingCount() > 0 {
 		return
 	}
--- a/internal/leader/reconciler/reconciler.go
+++ b/internal/leader/reconciler/reconciler.go
@@ -8,11 +8,11 @@
 	"log/slog"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/objectives"
 	"postpoint/internal/leader/term"
-	"postpoint/internal/ledger"
 	"postpoint/internal/ordered"
 	"postpoint/internal/protocol"
 )
@@ -151,7 +151,7 @@
 // evidenceFor returns what the last heartbeat of a machine proves about a placement, and the task if it
 // is listed. Absence is proof only if the worker rejects whatever an earlier leader sent: see
 // docs/rules.md.
-func (rc *Reconciler) evidenceFor(m *machinetable.Machine, j *jobtable.Job, p ledger.Placement,
+func (rc *Reconciler) evidenceFor(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement,
 	ref machinetable.AttemptRef) (evidence, protocol.TaskStatus) {
 	if p.Incarnation < m.Incarnation {
 		return lostWithLease, protocol.TaskStatus{}
@@ -177,7 +177,7 @@
 }
 
 // reconcilePlacement acts on what the last heartbeat of a machine proves about a placement.
-func (rc *Reconciler) reconcilePlacement(m *machinetable.Machine, j *jobtable.Job, p ledger.Placement) {
+func (rc *Reconciler) reconcilePlacement(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement) {
 	ref := attemptOf(j, p)
 	proof, t := rc.evidenceFor(m, j, p, ref)
 	switch proof {
@@ -199,7 +199,7 @@
 }
 
 // attemptOf identifies the attempt of a job's task that a placement is for.
-func attemptOf(j *jobtable.Job, p ledger.Placement) machinetable.AttemptRef {
+func attemptOf(j *jobtable.Job, p jobrecord.Placement) machinetable.AttemptRef {
 	return machinetable.AttemptRef{Job: j.Spec.ID, Task: p.Task, Attempt: p.Attempt}
 }
 
--- a/internal/leader/recordfixtures_test.go
+++ b/internal/leader/recordfixtures_test.go
@@ -5,13 +5,13 @@
 	"net/http"
 	"testing"
 
+	"postpoint/internal/jobrecord"
+	"postpoint/internal/kvstore"
+	"postpoint/internal/kvstore/storetest"
 	"postpoint/internal/leader/jobtable"
-	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
 	"postpoint/internal/rollout"
 	"postpoint/internal/settings"
-	"postpoint/internal/statestore"
-	"postpoint/internal/statestore/storetest"
 )
 
 // fakeStore is a key-value store that keeps transactions until the test responds to the last.
@@ -21,7 +21,7 @@
 	answer func(storetest.Reply[protocol.TxnResponse])
 }
 
-func (c *fakeStore) Commit(_ statestore.Priority, t protocol.Txn, done func(storetest.Reply[protocol.TxnResponse])) {
+func (c *fakeStore) Commit(_ kvstore.Priority, t protocol.Txn, done func(storetest.Reply[protocol.TxnResponse])) {
 	c.txns, c.answer = append(c.txns, t), done
 }
 
@@ -71,12 +71,12 @@
 }
 
 // resultOf returns the typed result of a transaction to which the store replies as given.
-func resultOf(reply storetest.Reply[protocol.TxnResponse]) statestore.Result[statestore.Revision] {
-	var result statestore.Result[statestore.Revision]
+func resultOf(reply storetest.Reply[protocol.TxnResponse]) kvstore.Result[kvstore.Revision] {
+	var result kvstore.Result[kvstore.Revision]
 	store := &fakeStore{}
 	client := storetest.Client(store)
-	client.Commit(statestore.PriorityElection, protocol.Txn{},
-		func(r statestore.Result[statestore.Revision]) { result = r })
+	client.Commit(kvstore.PriorityElection, protocol.Txn{},
+		func(r kvstore.Result[kvstore.Revision]) { result = r })
 	store.answer(reply)
 	return result
 }
@@ -106,12 +106,12 @@
 }
 
 // wideArray is the record of an array of 300 tasks, all of which run on machines of their own.
-func wideArray() *ledger.Record {
-	content := ledger.New(arraySpec("job-1", 300), 1)
+func wideArray() *jobrecord.Record {
+	content := jobrecord.New(arraySpec("job-1", 300), 1)
 	content.NextAttempt = 2
 	for task := range content.Spec.Tasks {
 		machine := fmt.Sprintf("m-%06d", task)
-		content.Placements[task] = ledger.Placement{Task: task, Attempt: 1, Machine: machine, Incarnation: 1}
+		content.Placements[task] = jobrecord.Placement{Task: task, Attempt: 1, Machine: machine, Incarnation: 1}
 	}
 	return content
 }
@@ -120,11 +120,11 @@
 func shardedArray(t *testing.T) (*Leader, *fakeStore, *jobtable.Job) {
 	t.Helper()
 	l, store := tightLeader(true)
-	content := ledger.New(arraySpec("job-1", 250), 1)
+	content := jobrecord.New(arraySpec("job-1", 250), 1)
 	content.ShardSize, content.Marked = 100, true
-	l.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
+	l.reader.Adopt(jobrecord.Key("job-1"), content.Encode(), 5)
 	j := l.jobs.ByID["job-1"]
-	l.jobs.AddPlacement(j, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1})
+	l.jobs.AddPlacement(j, jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1})
 	l.writer.Commit()
 	return l, store, j
 }
--- a/internal/leader/recordstore/adoption.go
+++ b/internal/leader/recordstore/adoption.go
@@ -4,21 +4,21 @@
 	"log/slog"
 	"maps"
 
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
-	"postpoint/internal/ledger"
 	"postpoint/internal/ordered"
 	"postpoint/internal/protocol"
 )
 
 // Adopt takes over a record as read or followed, unless it is known already.
 func (r *Reader) Adopt(key string, raw []byte, version int64) {
-	id := key[len(ledger.Prefix):]
+	id := key[len(jobrecord.Prefix):]
 	j := r.jobs.ByID[id]
 	if r.outdated(id, j, version) {
 		return
 	}
-	content, err := ledger.Decode(raw)
+	content, err := jobrecord.Decode(raw)
 	if j != nil && (j.InFlight || j.Loading()) {
 		// Which change this is becomes clear once the response to this leader's own change, or the
 		// record's shards, are there. A cancellation is final whichever it is.
@@ -64,14 +64,14 @@
 
 // noteCancelled notes the cancellation of one of this cell's own jobs, if its record has it. Hosted
 // jobs have that status once this cell itself has closed them, which no user was told.
-func (r *Reader) noteCancelled(j *jobtable.Job, content *ledger.Record) {
+func (r *Reader) noteCancelled(j *jobtable.Job, content *jobrecord.Record) {
 	if content.Status == protocol.StatusCancelled && content.Hosted == nil {
 		r.jobs.NoteCancelled(j, r.ConfirmedAt(content))
 	}
 }
 
 // adoptNew takes over the record of a job that isn't known.
-func (r *Reader) adoptNew(id string, content *ledger.Record, version int64) {
+func (r *Reader) adoptNew(id string, content *jobrecord.Record, version int64) {
 	// Of a sharded record only the shards say whether anything may still run.
 	shardsUnread := content.ShardSize > 0 && r.Loading
 	if content.Final() && len(content.Placements) == 0 && !shardsUnread && content.Hosted == nil {
@@ -97,7 +97,7 @@
 }
 
 // adoptWhole takes over a newer undivided record of a known job.
-func (r *Reader) adoptWhole(j *jobtable.Job, content *ledger.Record, version int64) {
+func (r *Reader) adoptWhole(j *jobtable.Job, content *jobrecord.Record, version int64) {
 	if content.Truncated {
 		// What is known of the tasks is all there is.
 		content.Placements, content.NextAttempt = maps.Clone(j.Placements), j.NextAttempt
@@ -110,7 +110,7 @@
 
 // adoptSharded takes over a newer head of a known job. Users' nodes only cancel: anything else is a
 // change of this leader's own whose response was lost, and the shards have to be read as well.
-func (r *Reader) adoptSharded(j *jobtable.Job, content *ledger.Record, version int64) {
+func (r *Reader) adoptSharded(j *jobtable.Job, content *jobrecord.Record, version int64) {
 	cancelled := content.Status == protocol.StatusCancelled
 	if cancelled && !j.MustReload() && !j.Sharding() && content.ShardSize == j.ShardSize {
 		r.cancelSharded(j, content, version)
@@ -124,7 +124,7 @@
 
 // cancelSharded takes over the cancellation of a sharded record: the head is all that a user's node
 // changes, and what is known of the tasks stays.
-func (r *Reader) cancelSharded(j *jobtable.Job, content *ledger.Record, version int64) {
+func (r *Reader) cancelSharded(j *jobtable.Job, content *jobrecord.Record, version int64) {
 	j.Status, j.CancelledAt = content.Status, content.CancelledAt
 	j.StoredValue.Replace(version)
 	r.jobs.NoteCancelled(j, r.ConfirmedAt(j.Record))
@@ -137,18 +137,18 @@
 }
 
 // replaceContent makes a record what is known of its job and its tasks.
-func (r *Reader) replaceContent(j *jobtable.Job, content *ledger.Record, version int64) {
+func (r *Reader) replaceContent(j *jobtable.Job, content *jobrecord.Record, version int64) {
 	r.setContent(j, content, version, jobtable.EventRecordLoaded)
 	r.matchPlacements(j)
 }
 
 // replaceHead makes the head of a sharded record what is known of its job. Its tasks are known once
 // its shards are loaded.
-func (r *Reader) replaceHead(j *jobtable.Job, content *ledger.Record, version int64) {
+func (r *Reader) replaceHead(j *jobtable.Job, content *jobrecord.Record, version int64) {
 	r.setContent(j, content, version, jobtable.EventHeadLoaded)
 }
 
-func (r *Reader) setContent(j *jobtable.Job, content *ledger.Record, version int64, event jobtable.RecordEvent) {
+func (r *Reader) setContent(j *jobtable.Job, content *jobrecord.Record, version int64, event jobtable.RecordEvent) {
 	j.Record = content
 	j.NoteRecordEvent(event)
 	j.StoredValue.Replace(version)
--- a/internal/leader/recordstore/outcome.go
+++ b/internal/leader/recordstore/outcome.go
@@ -5,13 +5,13 @@
 	"log/slog"
 	"slices"
 
+	"postpoint/internal/election"
+	"postpoint/internal/jobrecord"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
-	"postpoint/internal/leadership"
-	"postpoint/internal/ledger"
 	"postpoint/internal/ordered"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
 )
 
 // outcome is what became of a transaction.
@@ -38,15 +38,15 @@
 	switch {
 	case err == nil:
 		return outcomeCommitted
-	case errors.Is(err, leadership.ErrNotLeader): // which is a conflict, too
+	case errors.Is(err, election.ErrNotLeader): // which is a conflict, too
 		return outcomeDeposed
-	case errors.Is(err, statestore.ErrConflict):
+	case errors.Is(err, kvstore.ErrConflict):
 		return outcomeConflict
-	case errors.Is(err, statestore.ErrInvalid):
+	case errors.Is(err, kvstore.ErrInvalid):
 		return outcomeRejected
-	case statestore.NotExecuted(err):
+	case kvstore.NotExecuted(err):
 		return outcomeNotExecuted
-	case statestore.OutcomeUnknown(err):
+	case kvstore.OutcomeUnknown(err):
 		return outcomeUnknown
 	}
 	return outcomeUnexpected
@@ -55,11 +55,11 @@
 // decided reports whether a transaction was carried out or never will be. Of a failure of the store
 // that isn't taken for granted, not even when it says that it is unavailable.
 func decided(err error) bool {
-	return !statestore.OutcomeUnknown(err) && !errors.Is(err, statestore.ErrUnavailable)
+	return !kvstore.OutcomeUnknown(err) && !errors.Is(err, kvstore.ErrUnavailable)
 }
 
 // HandleResult handles the response to a transaction.
-func (w *Writer) HandleResult(writes []Write, r statestore.Result[statestore.Revision]) {
+func (w *Writer) HandleResult(writes []Write, r kvstore.Result[kvstore.Revision]) {
 	for i := range writes {
 		writes[i].end(decided(r.Err))
 	}
@@ -70,9 +70,9 @@
 		w.noteDeposed()
 		return
 	case outcomeConflict:
-		noteConflicts(w.jobs, writes, statestore.Failed(r.Err))
+		noteConflicts(w.jobs, writes, kvstore.Failed(r.Err))
 	case outcomeRejected:
-		w.learnLimits(writes, statestore.Reason(r.Err))
+		w.learnLimits(writes, kvstore.Reason(r.Err))
 	case outcomeNotExecuted:
 		w.Pause() // the same changes go again
 	case outcomeUnknown:
@@ -123,7 +123,7 @@
 func noteConflicts(jobs *jobtable.Table, writes []Write, failed []string) {
 	for i := range writes {
 		write := &writes[i]
-		if slices.Contains(failed, ledger.Key(write.Job.Spec.ID)) {
+		if slices.Contains(failed, jobrecord.Key(write.Job.Spec.ID)) {
 			noteHeadConflict(write)
 		} else if slices.Contains(failed, write.key()) {
 			noteShardConflict(jobs, write)
--- a/internal/leader/recordstore/outcome_test.go
+++ b/internal/leader/recordstore/outcome_test.go
@@ -4,10 +4,10 @@
 	"errors"
 	"testing"
 
-	"postpoint/internal/leadership"
+	"postpoint/internal/election"
+	"postpoint/internal/kvstore"
+	"postpoint/internal/kvstore/storetest"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
-	"postpoint/internal/statestore/storetest"
 )
 
 // fixedStore responds to every transaction in the same way.
@@ -16,7 +16,7 @@
 	reply storetest.Reply[protocol.TxnResponse]
 }
 
-func (s fixedStore) Commit(_ statestore.Priority, _ protocol.Txn, done func(storetest.Reply[protocol.TxnResponse])) {
+func (s fixedStore) Commit(_ kvstore.Priority, _ protocol.Txn, done func(storetest.Reply[protocol.TxnResponse])) {
 	done(s.reply)
 }
 
@@ -25,8 +25,8 @@
 	store := fixedStore{reply: storetest.Reply[protocol.TxnResponse]{
 		Status: status, Value: protocol.TxnResponse{Failed: failed}}}
 	err := errors.New("no outcome")
-	leadership.NewTransaction(1).Commit(storetest.Client(store),
-		func(r statestore.Result[statestore.Revision]) { err = r.Err })
+	election.NewTransaction(1).Commit(storetest.Client(store),
+		func(r kvstore.Result[kvstore.Revision]) { err = r.Err })
 	return err
 }
 
@@ -38,7 +38,7 @@
 		decided bool
 	}{
 		"committed":             {200, nil, outcomeCommitted, true},
-		"another leader":        {409, []string{"jobs/job-1", leadership.LeaderKey}, outcomeDeposed, true},
+		"another leader":        {409, []string{"jobs/job-1", election.LeaderKey}, outcomeDeposed, true},
 		"conflict":              {409, []string{"jobs/job-1"}, outcomeConflict, true},
 		"malformed":             {400, nil, outcomeRejected, true},
 		"throttled":             {429, nil, outcomeNotExecuted, true},
--- a/internal/leader/recordstore/reader.go
+++ b/internal/leader/recordstore/reader.go
@@ -6,21 +6,21 @@
 	"maps"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/jobrecord"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/objectives"
 	"postpoint/internal/leader/reconciler"
 	"postpoint/internal/leader/term"
-	"postpoint/internal/ledger"
 	"postpoint/internal/ordered"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
 )
 
 // Reader loads the job records at the beginning of a term and follows their changes.
 type Reader struct {
 	*term.State
-	Store      statestore.Store
+	Store      kvstore.Store
 	jobs       *jobtable.Table
 	machines   *machinetable.Table
 	writer     *Writer
@@ -38,7 +38,7 @@
 }
 
 // NewReader returns a reader, and makes it the one that the writer asks to reload records.
-func NewReader(term *term.State, store statestore.Store, jobs *jobtable.Table, machines *machinetable.Table,
+func NewReader(term *term.State, store kvstore.Store, jobs *jobtable.Table, machines *machinetable.Table,
 	writer *Writer, reconciler *reconciler.Reconciler, commands *reconciler.CommandSender,
 	heartbeats *reconciler.HeartbeatHandler, objectives *objectives.Tracker, steps *term.StepTimer) *Reader {
 	r := &Reader{
@@ -81,7 +81,7 @@
 func (r *Reader) Load() {
 	r.Loading = true
 	pass := &loadPass{startedAt: r.Now()}
-	r.loadPages(ledger.Prefix, "", func(page protocol.ItemList) { r.adoptPage(pass, page) },
+	r.loadPages(jobrecord.Prefix, "", func(page protocol.ItemList) { r.adoptPage(pass, page) },
 		func() { r.loadShards(pass) })
 }
 
@@ -97,7 +97,7 @@
 
 // loadShards comes after the heads: only the leader writes shards, so none is missed.
 func (r *Reader) loadShards(pass *loadPass) {
-	r.LoadAll(ledger.ShardsPrefix, r.AdoptShard, func() { r.loadDelegations(pass) })
+	r.LoadAll(jobrecord.ShardsPrefix, r.AdoptShard, func() { r.loadDelegations(pass) })
 }
 
 func (r *Reader) loadDelegations(pass *loadPass) {
@@ -128,7 +128,7 @@
 		adopt(page)
 		return true
 	}
-	statestore.WalkPages(r.Store, prefix, from, adoptInTerm, term.Guarded2(r.State, func(err error, from string) {
+	kvstore.WalkPages(r.Store, prefix, from, adoptInTerm, term.Guarded2(r.State, func(err error, from string) {
 		if err != nil {
 			r.AfterInTerm(term.RetryDelay, func() { r.loadPages(prefix, from, adopt, done) })
 			return
@@ -140,7 +140,7 @@
 // AdoptShard takes over a shard as read, if its job waits for it. A shard that belongs to no sharded
 // record is left over from a leader that ended while it sharded one.
 func (r *Reader) AdoptShard(item protocol.Item) {
-	id, shard, ok := ledger.ParseShardKey(item.Key)
+	id, shard, ok := jobrecord.ParseShardKey(item.Key)
 	j := r.jobs.ByID[id]
 	switch {
 	case !ok || r.jobs.Malformed[id]:
@@ -179,19 +179,19 @@
 // every FollowInterval, which shows how fresh the records are.
 func (r *Reader) follow(from int64) {
 	sentAt := r.Now()
-	handle := func(reply statestore.Result[protocol.WatchResponse]) { r.handleFollowed(from, sentAt, reply) }
-	r.Store.Follow(ledger.Prefix, statestore.Revision(from), term.FollowInterval, term.Guarded(r.State, handle))
+	handle := func(reply kvstore.Result[protocol.WatchResponse]) { r.handleFollowed(from, sentAt, reply) }
+	r.Store.Follow(jobrecord.Prefix, kvstore.Revision(from), term.FollowInterval, term.Guarded(r.State, handle))
 }
 
 // handleFollowed takes over the changes of the records since a revision, and goes on from there.
 func (r *Reader) handleFollowed(from int64, sentAt clock.Micros,
-	reply statestore.Result[protocol.WatchResponse]) {
+	reply kvstore.Result[protocol.WatchResponse]) {
 	switch {
 	case reply.Err == nil:
 		r.FreshAt = sentAt
 		r.adoptChanges(reply.Value)
 		r.follow(max(from, reply.Value.Revision))
-	case errors.Is(reply.Err, statestore.ErrCompacted):
+	case errors.Is(reply.Err, kvstore.ErrCompacted):
 		r.Load() // the store has forgotten changes since
 	default:
 		r.AfterInTerm(term.RetryDelay, func() { r.follow(from) })
--- a/internal/leader/recordstore/reload.go
+++ b/internal/leader/recordstore/reload.go
@@ -4,16 +4,16 @@
 	"errors"
 	"slices"
 
+	"postpoint/internal/jobrecord"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/term"
-	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
 )
 
 // shardedRecord is a sharded record as read.
 type shardedRecord struct {
-	head    *ledger.Record
+	head    *jobrecord.Record
 	version int64 // of the head
 	shards  []protocol.Item
 }
@@ -25,13 +25,13 @@
 		return
 	}
 	j.NoteRecordEvent(jobtable.EventReadStarted)
-	handle := func(reply statestore.Result[protocol.Item]) { r.handleReload(j, reply) }
-	r.Store.Get(ledger.Key(j.Spec.ID), term.Guarded(r.State, handle))
+	handle := func(reply kvstore.Result[protocol.Item]) { r.handleReload(j, reply) }
+	r.Store.Get(jobrecord.Key(j.Spec.ID), term.Guarded(r.State, handle))
 }
 
 // handleReload takes over the record of a reload. For a sharded one it goes on to the shards.
-func (r *Reader) handleReload(j *jobtable.Job, reply statestore.Result[protocol.Item]) {
-	head, err := ledger.Decode(reply.Value.Value)
+func (r *Reader) handleReload(j *jobtable.Job, reply kvstore.Result[protocol.Item]) {
+	head, err := jobrecord.Decode(reply.Value.Value)
 	if reply.Err == nil && err == nil && head.ShardSize > 0 {
 		r.listShards(j, func(shards []protocol.Item) {
 			r.replaceSharded(j, shardedRecord{head, reply.Value.Version, shards})
@@ -44,8 +44,8 @@
 	}
 	switch {
 	case reply.Err == nil:
-		r.Adopt(ledger.Key(j.Spec.ID), reply.Value.Value, reply.Value.Version)
-	case errors.Is(reply.Err, statestore.ErrNotFound) && j.Hosted != nil:
+		r.Adopt(jobrecord.Key(j.Spec.ID), reply.Value.Value, reply.Value.Version)
+	case errors.Is(reply.Err, kvstore.ErrNotFound) && j.Hosted != nil:
 		r.jobs.Forget(j) // only this leader removes it
 	default:
 		r.writer.Pause()
@@ -62,7 +62,7 @@
 		shards = append(shards, page.Items...)
 		return same()
 	}
-	statestore.WalkPages(r.Store, ledger.JobShardsPrefix(j.Spec.ID), "", collect,
+	kvstore.WalkPages(r.Store, jobrecord.JobShardsPrefix(j.Spec.ID), "", collect,
 		term.Guarded2(r.State, func(err error, _ string) {
 			if err == nil {
 				r.endListing(j, shards, found)
@@ -114,7 +114,7 @@
 func applyShards(record shardedRecord) (versions map[int]int64, err error) {
 	versions = map[int]int64{}
 	for _, item := range record.shards {
-		_, shard, ok := ledger.ParseShardKey(item.Key)
+		_, shard, ok := jobrecord.ParseShardKey(item.Key)
 		if !ok {
 			continue
 		}
@@ -143,7 +143,7 @@
 		v.Version, v.OutcomeUnknown = 0, false
 	}
 	for _, item := range shards {
-		if _, shard, ok := ledger.ParseShardKey(item.Key); ok && shard < len(j.Shards) {
+		if _, shard, ok := jobrecord.ParseShardKey(item.Key); ok && shard < len(j.Shards) {
 			j.Shards[shard].Version = item.Version
 		}
 	}
--- a/internal/leader/recordstore/sharding.go
+++ b/internal/leader/recordstore/sharding.go
@@ -3,8 +3,8 @@
 import (
 	"log/slog"
 
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/leader/jobtable"
-	"postpoint/internal/ledger"
 	"postpoint/internal/ordered"
 )
 
@@ -47,7 +47,7 @@
 		return
 	}
 	limit, _ := w.Limits()
-	size := ledger.ShardSizeWithin(limit)
+	size := jobrecord.ShardSizeWithin(limit)
 	slog.Info("sharding a record that is too large for one value", "job", j.Spec.ID, "tasks", j.Spec.Tasks,
 		"shard_tasks", size)
 	j.ShardSize, j.Marked = size, true
--- a/internal/leader/recordstore/units.go
+++ b/internal/leader/recordstore/units.go
@@ -2,8 +2,8 @@
 
 import (
 	"postpoint/internal/clock"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/leader/jobtable"
-	"postpoint/internal/ledger"
 	"postpoint/internal/ordered"
 	"postpoint/internal/protocol"
 )
@@ -36,9 +36,9 @@
 
 func (w *Write) key() string {
 	if w.Shard == HeadIndex {
-		return ledger.Key(w.Job.Spec.ID)
+		return jobrecord.Key(w.Job.Spec.ID)
 	}
-	return ledger.ShardKey(w.Job.Spec.ID, w.Shard)
+	return jobrecord.ShardKey(w.Job.Spec.ID, w.Shard)
 }
 
 // change returns what is written, encoded only when it is about to be sent.
--- a/internal/leader/recordstore/writer.go
+++ b/internal/leader/recordstore/writer.go
@@ -1,6 +1,6 @@
 // Package recordstore reads, follows and writes the job records in the key-value store: the write
 // path of the leader. Every write depends on the leader's key and on the version that it changes.
-// What the records say belongs to package jobtable; how they are encoded, to package ledger.
+// What the records say belongs to package jobtable; how they are encoded, to package jobrecord.
 package recordstore
 
 import (
@@ -8,21 +8,21 @@
 	"slices"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/election"
+	"postpoint/internal/jobrecord"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/reconciler"
 	"postpoint/internal/leader/term"
-	"postpoint/internal/leadership"
-	"postpoint/internal/ledger"
 	"postpoint/internal/ordered"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
 )
 
 // Writer commits changed job records, within the limits of the key-value store.
 type Writer struct {
 	*term.State
-	Store    statestore.Store
+	Store    kvstore.Store
 	jobs     *jobtable.Table
 	machines *machinetable.Table
 	reader   *Reader
@@ -43,7 +43,7 @@
 }
 
 // NewWriter returns a writer to the given store.
-func NewWriter(term *term.State, store statestore.Store, jobs *jobtable.Table, machines *machinetable.Table,
+func NewWriter(term *term.State, store kvstore.Store, jobs *jobtable.Table, machines *machinetable.Table,
 	commands *reconciler.CommandSender, steps *term.StepTimer) *Writer {
 	return &Writer{
 		State:    term,
@@ -75,7 +75,7 @@
 
 // writeTransaction is a transaction in the making, with the writes that it consists of.
 type writeTransaction struct {
-	*leadership.Transaction
+	*election.Transaction
 	writes []Write
 	size   int
 }
@@ -97,7 +97,7 @@
 		w.add(&t, u)
 	}
 	if len(t.writes) > 0 {
-		w.send(t.Transaction, func(r statestore.Result[statestore.Revision]) { w.HandleResult(t.writes, r) })
+		w.send(t.Transaction, func(r kvstore.Result[kvstore.Revision]) { w.HandleResult(t.writes, r) })
 	}
 }
 
@@ -122,7 +122,7 @@
 	t.size = size
 	for i, write := range u.writes {
 		if write.Shard != HeadIndex {
-			t.RequireOnce(ledger.Key(write.Job.Spec.ID), write.headVersion)
+			t.RequireOnce(jobrecord.Key(write.Job.Spec.ID), write.headVersion)
 		}
 		t.RequireOnce(write.key(), write.Value.Version)
 		t.Add(changes[i])
@@ -139,7 +139,7 @@
 		return false
 	}
 	size := protocol.JSONSize(value)
-	if size <= ledger.UsableBytes(limit) && (refusedBytes == 0 || size < refusedBytes) {
+	if size <= jobrecord.UsableBytes(limit) && (refusedBytes == 0 || size < refusedBytes) {
 		return false
 	}
 	if write.Shard == HeadIndex && write.Job.ShardSize == 0 && w.Format.Services {
@@ -150,9 +150,9 @@
 }
 
 // send commits a transaction, one at a time.
-func (w *Writer) send(t *leadership.Transaction, handle func(statestore.Result[statestore.Revision])) {
+func (w *Writer) send(t *election.Transaction, handle func(kvstore.Result[kvstore.Revision])) {
 	w.Committing = true
-	t.Commit(w.Store, term.Guarded(w.State, func(r statestore.Result[statestore.Revision]) {
+	t.Commit(w.Store, term.Guarded(w.State, func(r kvstore.Result[kvstore.Revision]) {
 		w.Committing = false
 		handle(r)
 		w.steps.Wake()
@@ -174,11 +174,11 @@
 		t.Require(key, version)
 		t.Delete(key)
 	}
-	w.send(t, func(r statestore.Result[statestore.Revision]) { w.handleRemoval(t.Changes(), r) })
+	w.send(t, func(r kvstore.Result[kvstore.Revision]) { w.handleRemoval(t.Changes(), r) })
 }
 
 // handleRemoval takes note of the removal of stray shards.
-func (w *Writer) handleRemoval(changes []protocol.Change, r statestore.Result[statestore.Revision]) {
+func (w *Writer) handleRemoval(changes []protocol.Change, r kvstore.Result[kvstore.Revision]) {
 	switch outcomeOf(r.Err) {
 	case outcomeCommitted:
 		for _, c := range changes {
@@ -186,7 +186,7 @@
 		}
 	case outcomeConflict, outcomeDeposed:
 		// Another request has changed them, an earlier copy of this one most likely.
-		for _, key := range statestore.Failed(r.Err) {
+		for _, key := range kvstore.Failed(r.Err) {
 			delete(w.jobs.StrayShards, key)
 		}
 	default:
--- a/internal/leader/scaleout_test.go
+++ b/internal/leader/scaleout_test.go
@@ -7,10 +7,10 @@
 
 	"postpoint/internal/actor/actortest"
 	"postpoint/internal/clock"
-	"postpoint/internal/cloud/cloudtest"
-	"postpoint/internal/fleet"
+	"postpoint/internal/cloudclient/cloudtest"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
+	"postpoint/internal/scaling"
 )
 
 // fakeCloud keeps requests until the test responds to them.
@@ -71,7 +71,7 @@
 }
 
 // onDemandPool is where unmetDemand is served first.
-var onDemandPool = fleet.CapacityPool{Type: "t", Zone: "a"}
+var onDemandPool = scaling.CapacityPool{Type: "t", Zone: "a"}
 
 func TestScaleOutWithoutResponseIsRepeatedUnderItsBooking(t *testing.T) {
 	d, stub, mailbox := scalingLeader()
@@ -113,7 +113,7 @@
 	for _, name := range []string{"m-1", "m-2"} {
 		m := d.machines.ByName[name]
 		if m == nil || m.CloudStatus != protocol.MachineStarting ||
-			m.Kind() != (fleet.CapacityPool{Type: request.Type, Zone: request.Zone, Spot: request.Spot}) {
+			m.Kind() != (scaling.CapacityPool{Type: request.Type, Zone: request.Zone, Spot: request.Spot}) {
 			t.Errorf("%s is %+v, want a starting machine of %+v", name, m, request)
 		}
 	}
@@ -138,7 +138,7 @@
 			demand[0].Job.Spec.Spot = false
 			d.autoscaler.ScaleOut(demand)
 			request := stub.scaleOuts[len(stub.scaleOuts)-1]
-			pool := fleet.CapacityPool{Type: request.Type, Zone: request.Zone, Spot: request.Spot}
+			pool := scaling.CapacityPool{Type: request.Type, Zone: request.Zone, Spot: request.Spot}
 			if pool != onDemandPool {
 				t.Fatalf("%s: scaled out %v, want %v", name, pool, onDemandPool)
 			}
--- a/internal/leader/scheduler/actions.go
+++ b/internal/leader/scheduler/actions.go
@@ -4,11 +4,11 @@
 	"log/slog"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/snapshots"
 	"postpoint/internal/leader/term"
-	"postpoint/internal/ledger"
 	"postpoint/internal/planner"
 )
 
@@ -50,7 +50,7 @@
 			"machine", m.Name, "type", m.Type, "image_cached", m.HasImage(j.Spec.Image),
 			"since_submission_s", sinceSubmission.Seconds())
 	}
-	s.jobs.AddPlacement(j, ledger.Placement{
+	s.jobs.AddPlacement(j, jobrecord.Placement{
 		Task:        task,
 		Attempt:     j.CurrentAttempt(),
 		Machine:     m.Name,
--- a/internal/leader/scheduler/demand.go
+++ b/internal/leader/scheduler/demand.go
@@ -3,9 +3,9 @@
 import (
 	"math"
 
-	"postpoint/internal/fleet"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/planner"
+	"postpoint/internal/scaling"
 )
 
 // noteUnmetDemand notes since when machines have been needed for each job.
@@ -44,8 +44,8 @@
 }
 
 // awaitedPools returns, by job, the pools of the booting machines that its tasks wait for.
-func (s *Scheduler) awaitedPools(placements []planner.Placement) map[string][]fleet.CapacityPool {
-	awaited := map[string][]fleet.CapacityPool{}
+func (s *Scheduler) awaitedPools(placements []planner.Placement) map[string][]scaling.CapacityPool {
+	awaited := map[string][]scaling.CapacityPool{}
 	for _, p := range placements {
 		if p.MachineBooting {
 			awaited[p.Job] = append(awaited[p.Job], s.machines.ByName[p.Machine].Kind())
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -4,10 +4,10 @@
 	"testing"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/reconciler"
-	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
 )
 
@@ -15,11 +15,11 @@
 func leaderWithService(t *testing.T) (*Leader, *jobtable.Job, *machinetable.Machine) {
 	t.Helper()
 	d, _ := newLeader()
-	content := ledger.New(protocol.JobSpec{
+	content := jobrecord.New(protocol.JobSpec{
 		ID: "job-1", Class: "portal", Shape: protocol.ShapeService, Priority: "prod", Tasks: 3,
 	}, 1)
-	content.Placements[0] = ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1}
-	d.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
+	content.Placements[0] = jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1}
+	d.reader.Adopt(jobrecord.Key("job-1"), content.Encode(), 5)
 	running := protocol.TaskStatus{Task: "job-1/0", Attempt: 1, Status: protocol.TaskRunning}
 	d.reconciler.Observe(d.machines.ByName["m-1"], workerHeartbeat(1, 1, running))
 	return d, d.jobs.ByID["job-1"], d.machines.ByName["m-1"]
@@ -53,7 +53,7 @@
 // others start at once. After a good run it starts at once again.
 func TestReplicaThatEndsAtOnceBacksOff(t *testing.T) {
 	d, j, m := leaderWithService(t)
-	p := ledger.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1}
+	p := jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1}
 	end := func(ran clock.Micros) clock.Micros {
 		d.reconciler.ReplicaEnded(m, j, p, protocol.CauseError, ran)
 		return j.Restarts[0].NotBefore - d.state.Now()
@@ -93,7 +93,7 @@
 // service is over: a late copy of the start command would run it again.
 func TestEndsOfReplicasAreRemembered(t *testing.T) {
 	d, j, m := leaderWithService(t)
-	d.jobs.AddPlacement(j, ledger.Placement{Task: 1, Attempt: 1, Machine: "m-1", Incarnation: 1})
+	d.jobs.AddPlacement(j, jobrecord.Placement{Task: 1, Attempt: 1, Machine: "m-1", Incarnation: 1})
 	j.StoredCount = j.ChangeCount
 	m.Steady = false
 	d.commands.CommandsFor(m, reconciler.ViaHeartbeat)
@@ -113,7 +113,7 @@
 		"done": "0",
 		"try":  4,
 	})
-	d.reader.Adopt(ledger.Key("job-1"), raw, 5)
+	d.reader.Adopt(jobrecord.Key("job-1"), raw, 5)
 	j := d.jobs.ByID["job-1"]
 	if j.Done.Len() != 0 || j.PendingCount() != 2 || j.NextAttempt != 4 {
 		t.Fatalf("done %q, pending %d, next attempt %d, want nothing done, 2 and 4", j.Done.String(),
@@ -126,7 +126,7 @@
 func TestReplicasMoveOneAtATime(t *testing.T) {
 	d, j, m := leaderWithService(t)
 	for task := 1; task < 3; task++ {
-		d.jobs.AddPlacement(j, ledger.Placement{Task: task, Attempt: 1, Machine: "m-1", Incarnation: 1})
+		d.jobs.AddPlacement(j, jobrecord.Placement{Task: task, Attempt: 1, Machine: "m-1", Incarnation: 1})
 	}
 	m.Address = "" // nothing is sent
 	m.RecallAt = d.state.Now() + 20*clock.Second
@@ -140,7 +140,7 @@
 	if len(j.Stops) != 0 {
 		t.Fatalf("%d replicas are stopped before the first is placed again, want 0", len(j.Stops))
 	}
-	d.jobs.AddPlacement(j, ledger.Placement{Task: 0, Attempt: 2, Machine: "m-2", Incarnation: 1})
+	d.jobs.AddPlacement(j, jobrecord.Placement{Task: 0, Attempt: 2, Machine: "m-2", Incarnation: 1})
 	d.health.DrainRecalled()
 	if len(j.Stops) != 1 {
 		t.Fatalf("%d replicas are stopped once the first is placed again, want 1", len(j.Stops))
@@ -153,11 +153,11 @@
 	for _, others := range []int{0, 4} {
 		d, box := newLeader()
 		spec := protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeService, Priority: "prod", Tasks: 4}
-		content := ledger.New(spec, 1)
+		content := jobrecord.New(spec, 1)
 		for task, machine := range []string{"m-1", "m-2", "m-3", "m-4"} {
-			content.Placements[task] = ledger.Placement{Task: task, Attempt: 1, Machine: machine, Incarnation: 1}
+			content.Placements[task] = jobrecord.Placement{Task: task, Attempt: 1, Machine: machine, Incarnation: 1}
 		}
-		d.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
+		d.reader.Adopt(jobrecord.Key("job-1"), content.Encode(), 5)
 		for i := range others {
 			m := d.machines.GetOrAdd("m-9" + string(rune('0'+i)))
 			m.Seen, m.Zone, m.HeardAt = true, "a", box.Now+machinetable.TakeoverTime
@@ -181,13 +181,13 @@
 func TestMachinesStayIfReplicasCanRunNowhereElse(t *testing.T) {
 	for _, spread := range []bool{false, true} {
 		d, box := newLeader()
-		content := ledger.New(protocol.JobSpec{
+		content := jobrecord.New(protocol.JobSpec{
 			ID: "job-1", Shape: protocol.ShapeService, Priority: "prod", Tasks: 4, Spread: spread,
 		}, 1)
 		for task, machine := range []string{"m-1", "m-2", "m-3", "m-4"} {
-			content.Placements[task] = ledger.Placement{Task: task, Attempt: 1, Machine: machine, Incarnation: 1}
+			content.Placements[task] = jobrecord.Placement{Task: task, Attempt: 1, Machine: machine, Incarnation: 1}
 		}
-		d.reader.Adopt(ledger.Key("job-1"), content.Encode(), 5)
+		d.reader.Adopt(jobrecord.Key("job-1"), content.Encode(), 5)
 		for name, zone := range map[string]string{"m-1": "a", "m-2": "a", "m-3": "b", "m-4": "b", "m-5": "a"} {
 			m := d.machines.GetOrAdd(name)
 			m.Seen, m.Zone, m.HeardAt = true, zone, box.Now
--- a/internal/leader/sharding_test.go
+++ b/internal/leader/sharding_test.go
@@ -5,10 +5,10 @@
 	"slices"
 	"testing"
 
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
+	"postpoint/internal/kvstore/storetest"
 	"postpoint/internal/protocol"
 	"postpoint/internal/rollout"
-	"postpoint/internal/statestore/storetest"
 )
 
 // A record that is too large for the limits that may come is sharded when it changes next: its shards
@@ -16,7 +16,7 @@
 // beyond the limits.
 func TestLargeRecordsAreSharded(t *testing.T) {
 	l, store := tightLeader(true)
-	l.reader.Adopt(ledger.Key("job-1"), wideArray().Encode(), 5)
+	l.reader.Adopt(jobrecord.Key("job-1"), wideArray().Encode(), 5)
 	j := l.jobs.ByID["job-1"]
 	l.jobs.ReleasePlacement(j, j.Placements[0])
 	j.ChangedAt = 0 // long enough ago
@@ -35,7 +35,7 @@
 			if headWritten {
 				t.Fatalf("%s is written after the head, want the head last", c.Put)
 			}
-			headWritten = c.Put == ledger.Key("job-1")
+			headWritten = c.Put == jobrecord.Key("job-1")
 		}
 		store.answer(committedAt(revision))
 	}
@@ -56,11 +56,11 @@
 		t.Fatalf("%d changes and %d guards, want at most 4 and 16", len(txn.Changes), len(txn.Conditions))
 	}
 	for _, c := range txn.Changes {
-		if size := protocol.JSONSize(c.Value); size > ledger.UsableBytes(2<<10) {
-			t.Fatalf("%s has %d bytes, want at most %d", c.Put, size, ledger.UsableBytes(2<<10))
+		if size := protocol.JSONSize(c.Value); size > jobrecord.UsableBytes(2<<10) {
+			t.Fatalf("%s has %d bytes, want at most %d", c.Put, size, jobrecord.UsableBytes(2<<10))
 		}
 	}
-	if want := (protocol.Condition{Key: ledger.Key("job-1"), Version: 5}); !slices.Contains(txn.Conditions, want) {
+	if want := (protocol.Condition{Key: jobrecord.Key("job-1"), Version: 5}); !slices.Contains(txn.Conditions, want) {
 		t.Fatalf("guards %v, want %v among them", txn.Conditions, want)
 	}
 }
@@ -69,13 +69,13 @@
 // waits, and other jobs' changes go out without it.
 func TestNoRecordIsShardedBeforeEveryControllerReadsThem(t *testing.T) {
 	l, store := tightLeader(false)
-	l.reader.Adopt(ledger.Key("job-1"), wideArray().Encode(), 5)
-	l.reader.Adopt(ledger.Key("job-2"), ledger.New(arraySpec("job-2", 1), 1).Encode(), 6)
+	l.reader.Adopt(jobrecord.Key("job-1"), wideArray().Encode(), 5)
+	l.reader.Adopt(jobrecord.Key("job-2"), jobrecord.New(arraySpec("job-2", 1), 1).Encode(), 6)
 	j := l.jobs.ByID["job-1"]
 	l.jobs.ReleasePlacement(j, j.Placements[0])
 	j.ChangedAt = 0
 	small := l.jobs.ByID["job-2"]
-	l.jobs.AddPlacement(small, ledger.Placement{Task: 0, Attempt: 1, Machine: "m-z", Incarnation: 1})
+	l.jobs.AddPlacement(small, jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-z", Incarnation: 1})
 	l.writer.Commit()
 	if len(store.txns) != 1 || len(store.txns[0].Changes) != 2 {
 		t.Fatalf("transactions %v, want one of two changes", store.txns)
@@ -84,7 +84,7 @@
 	store.answer(storetest.Reply[protocol.TxnResponse]{Status: http.StatusBadRequest})
 	commitAfterPause(l)
 	last := store.last()
-	if len(store.txns) != 2 || len(last.Changes) != 1 || last.Changes[0].Put != ledger.Key("job-2") {
+	if len(store.txns) != 2 || len(last.Changes) != 1 || last.Changes[0].Put != jobrecord.Key("job-2") {
 		t.Fatalf("%d transactions, the last with %v, want 2, the last with job-2 alone", len(store.txns),
 			last.Changes)
 	}
@@ -112,7 +112,7 @@
 		t.Fatal("the placement counts as committed before it is stored")
 	}
 	txn := store.txns[0]
-	if len(txn.Changes) != 1 || txn.Changes[0].Put != ledger.ShardKey("job-1", 0) || len(txn.Conditions) != 3 {
+	if len(txn.Changes) != 1 || txn.Changes[0].Put != jobrecord.ShardKey("job-1", 0) || len(txn.Conditions) != 3 {
 		t.Fatalf("%+v, want the change of shard 0 alone, with 3 guards", txn)
 	}
 	store.answer(committedAt(9))
@@ -127,9 +127,9 @@
 func TestStrayShardsAreRemoved(t *testing.T) {
 	l, store := tightLeader(true)
 	spec := protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 300}
-	l.reader.Adopt(ledger.Key("job-1"), ledger.New(spec, 1).Encode(), 5)
-	l.reader.AdoptShard(protocol.Item{Key: ledger.ShardKey("job-1", 0), Version: 4})
-	l.reader.AdoptShard(protocol.Item{Key: ledger.ShardKey("job-9", 2), Version: 3})
+	l.reader.Adopt(jobrecord.Key("job-1"), jobrecord.New(spec, 1).Encode(), 5)
+	l.reader.AdoptShard(protocol.Item{Key: jobrecord.ShardKey("job-1", 0), Version: 4})
+	l.reader.AdoptShard(protocol.Item{Key: jobrecord.ShardKey("job-9", 2), Version: 3})
 	l.writer.ShardLargeRecords()
 	if l.jobs.ByID["job-1"].Sharding() {
 		t.Fatal("the record is sharded while stray shards are stored")
@@ -151,7 +151,7 @@
 	l, _ := tightLeader(true)
 	store := &readableStore{}
 	useStore(l, store)
-	l.reader.Adopt(ledger.Key("job-1"), wideArray().Encode(), 5)
+	l.reader.Adopt(jobrecord.Key("job-1"), wideArray().Encode(), 5)
 	j := l.jobs.ByID["job-1"]
 	l.writer.Shard(j)
 	l.writer.Commit()
--- a/internal/leader/snapshots/jobs.go
+++ b/internal/leader/snapshots/jobs.go
@@ -6,9 +6,9 @@
 	"slices"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
-	"postpoint/internal/ledger"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
 )
@@ -188,7 +188,7 @@
 }
 
 // runningTask returns a placed task and when it was first seen running, 0 if it wasn't yet.
-func (b *Builder) runningTask(j *jobtable.Job, placement ledger.Placement) (planner.RunningTask, clock.Micros) {
+func (b *Builder) runningTask(j *jobtable.Job, placement jobrecord.Placement) (planner.RunningTask, clock.Micros) {
 	running := planner.RunningTask{Task: placement.Task, Machine: placement.Machine}
 	_, running.Stopping = j.Stops[placement.Task]
 	m := b.machines.ByName[placement.Machine]
--- a/internal/leader/snapshots/machines.go
+++ b/internal/leader/snapshots/machines.go
@@ -4,11 +4,11 @@
 	"slices"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/fleet"
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/ordered"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
+	"postpoint/internal/scaling"
 )
 
 const (
@@ -85,9 +85,9 @@
 		Type:        m.Type,
 		Zone:        m.Zone,
 		Spot:        m.Spot,
-		Capacity:    fleet.Capacity(machineType),
-		Free:        fleet.Capacity(machineType),
-		HourlyPrice: fleet.HourlyPrice(machineType, m.Spot),
+		Capacity:    scaling.Capacity(machineType),
+		Free:        scaling.Capacity(machineType),
+		HourlyPrice: scaling.HourlyPrice(machineType, m.Spot),
 		Slowdown:    m.Slowness(),
 	}
 	if machineType.FetchGBPerS > 0 {
