--- a/internal/leader/snapshots/reserve.go
+++ b/internal/leader/snapshots/reserve.go
@@ -10,7 +10,7 @@
 	"postpoint/internal/ordered"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
-	"postpoint/internal/recovery"
+	"postpoint/internal/zonerecovery"
 )
 
 // A reserve is capacity that is kept free. The planner is shown it as a job that never runs, whose id
@@ -187,7 +187,7 @@
 	lost := map[string]int{}
 	for _, m := range b.machines.Ordered {
 		zone := b.zones.Zones[m.Zone]
-		if zone == nil || zone.Phase != recovery.Lost || !b.machines.HeartbeatMissed(m) {
+		if zone == nil || zone.Phase != zonerecovery.Lost || !b.machines.HeartbeatMissed(m) {
 			continue
 		}
 		for id, tasks := range m.Placements {
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -1,6 +1,6 @@
 // Package term owns what a node knows of the term in which it leads: the fencing token, until when
 // commands may leave and heartbeats may be answered, how fresh the records are, and when the next
-// step of planning is due. It neither elects (package leadership) nor reads records (package
+// step of planning is due. It neither elects (package election) nor reads records (package
 // recordstore). Every component of the leader embeds State to read it.
 package term
 
@@ -11,8 +11,8 @@
 
 	"postpoint/internal/actor"
 	"postpoint/internal/clock"
-	"postpoint/internal/leadership"
-	"postpoint/internal/ledger"
+	"postpoint/internal/election"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/rollout"
 	"postpoint/internal/settings"
 )
@@ -26,7 +26,7 @@
 	// Deposed is called with fencing tokens above this node's own.
 	Deposed func(epoch int64)
 
-	Term leadership.Term
+	Term election.Term
 	// KnownLeader is the node that workers are sent to, "" if none is known.
 	KnownLeader string
 	// Format is how far the controllers' upgrade is, which decides what may be written.
@@ -110,7 +110,7 @@
 
 // ConfirmedAt returns a record's time of cancellation on this node's monotonic clock, no later than it
 // was: clocks of the time of day, the record's and this node's, are off by a bounded error either way.
-func (s *State) ConfirmedAt(r *ledger.Record) clock.Micros {
+func (s *State) ConfirmedAt(r *jobrecord.Record) clock.Micros {
 	if r.CancelledAt == 0 {
 		return s.Now() // a record of an earlier version
 	}
--- a/internal/leader/term/transaction.go
+++ b/internal/leader/term/transaction.go
@@ -1,9 +1,9 @@
 package term
 
-import "postpoint/internal/leadership"
+import "postpoint/internal/election"
 
 // NewTransaction returns a transaction without changes that applies only while this node holds the
 // leader's key in this term.
-func (s *State) NewTransaction() *leadership.Transaction {
-	return leadership.NewTransaction(s.Term.Epoch)
+func (s *State) NewTransaction() *election.Transaction {
+	return election.NewTransaction(s.Term.Epoch)
 }
--- a/internal/leader/term/transaction_test.go
+++ b/internal/leader/term/transaction_test.go
@@ -4,20 +4,20 @@
 	"bytes"
 	"testing"
 
-	"postpoint/internal/leadership"
+	"postpoint/internal/election"
+	"postpoint/internal/kvstore"
+	"postpoint/internal/kvstore/storetest"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
-	"postpoint/internal/statestore/storetest"
 )
 
 // recordingStore keeps the last transaction and its priority.
 type recordingStore struct {
 	storetest.Service
-	use statestore.Priority
+	use kvstore.Priority
 	txn protocol.Txn
 }
 
-func (s *recordingStore) Commit(use statestore.Priority, t protocol.Txn,
+func (s *recordingStore) Commit(use kvstore.Priority, t protocol.Txn,
 	done func(storetest.Reply[protocol.TxnResponse])) {
 	s.use, s.txn = use, t
 	done(storetest.Reply[protocol.TxnResponse]{Status: 200})
@@ -34,7 +34,7 @@
 	txn.Delete("parts/job-1/1")
 	store := &recordingStore{}
 	committed := 0
-	txn.Commit(storetest.Client(store), func(r statestore.Result[statestore.Revision]) {
+	txn.Commit(storetest.Client(store), func(r kvstore.Result[kvstore.Revision]) {
 		committed++
 		if r.Err != nil {
 			t.Errorf("outcome %v, want success", r.Err)
@@ -42,7 +42,7 @@
 	})
 	want := protocol.Txn{
 		Conditions: []protocol.Condition{
-			{Key: leadership.LeaderKey, Version: 7},
+			{Key: election.LeaderKey, Version: 7},
 			{Key: "jobs/job-1", Version: 5},
 			{Key: "parts/job-1/0", Version: 0},
 		},
@@ -54,9 +54,9 @@
 	if !bytes.Equal(protocol.Encode(store.txn), protocol.Encode(want)) {
 		t.Errorf("committed %+v, want %+v", store.txn, want)
 	}
-	if store.use != statestore.PriorityLeader || committed != 1 || txn.Len() != 2 || len(txn.Changes()) != 2 {
+	if store.use != kvstore.PriorityLeader || committed != 1 || txn.Len() != 2 || len(txn.Changes()) != 2 {
 		t.Errorf("use %v, %d responses, %d changes, want use %v, 1 response and 2 changes", store.use, committed,
-			txn.Len(), statestore.PriorityLeader)
+			txn.Len(), kvstore.PriorityLeader)
 	}
 }
 
@@ -66,7 +66,7 @@
 	txn.RequireOnce("jobs/job-1", 5)
 	txn.RequireOnce("jobs/job-1", 6) // a contradiction for the store to refuse, not to be dropped here
 	store := &recordingStore{}
-	txn.Commit(storetest.Client(store), func(statestore.Result[statestore.Revision]) {})
+	txn.Commit(storetest.Client(store), func(kvstore.Result[kvstore.Revision]) {})
 	if guards := store.txn.Conditions; len(guards) != 3 || guards[1].Version != 5 || guards[2].Version != 6 {
 		t.Errorf("guards %+v, want the leader's key and both versions", guards)
 	}
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -6,12 +6,12 @@
 
 	"postpoint/internal/actor/actortest"
 	"postpoint/internal/clock"
+	"postpoint/internal/election"
+	"postpoint/internal/kvstore/storetest"
 	"postpoint/internal/leader/term"
 	"postpoint/internal/leader/zonetracker"
-	"postpoint/internal/leadership"
 	"postpoint/internal/protocol"
-	"postpoint/internal/recovery"
-	"postpoint/internal/statestore/storetest"
+	"postpoint/internal/zonerecovery"
 )
 
 // saveLostZone returns a leader that has sent the record of a lost zone.
@@ -21,12 +21,12 @@
 	store := &fakeStore{}
 	useStore(l, store)
 	z := &zonetracker.Zone{
-		Zone:          &recovery.Zone{Name: "a", Phase: recovery.Lost, Losses: 1, Since: 90 * clock.Second},
+		Zone:          &zonerecovery.Zone{Name: "a", Phase: zonerecovery.Lost, Losses: 1, Since: 90 * clock.Second},
 		RecordVersion: 5,
 	}
 	l.zones.Zones = map[string]*zonetracker.Zone{"a": z}
 	l.zones.SaveZones()
-	if len(store.txns) != 1 || !requires(store.txns[0], recovery.Key("a"), 5) {
+	if len(store.txns) != 1 || !requires(store.txns[0], zonerecovery.Key("a"), 5) {
 		t.Fatalf("got %+v, want one transaction on version 5 of the zone", store.txns)
 	}
 	return l, z, store, box
@@ -38,14 +38,14 @@
 	l, z, store, _ := saveLostZone(t)
 	store.answer(committedAt(6))
 	l.zones.SaveZones()
-	z.Phase = recovery.Suspect
+	z.Phase = zonerecovery.Suspect
 	l.zones.SaveZones()
 	if len(store.txns) != 1 {
 		t.Fatalf("got %+v, want no other transaction for a stored phase or a suspicion", store.txns)
 	}
-	z.Phase = recovery.Healthy
+	z.Phase = zonerecovery.Healthy
 	l.zones.SaveZones()
-	if len(store.txns) != 2 || !requires(store.txns[1], recovery.Key("a"), 6) {
+	if len(store.txns) != 2 || !requires(store.txns[1], zonerecovery.Key("a"), 6) {
 		t.Fatalf("got %+v, want a second transaction on version 6 of the zone", store.txns)
 	}
 }
@@ -55,7 +55,7 @@
 	for name, response := range map[string]storetest.Reply[protocol.TxnResponse]{
 		"no response":     {},
 		"server failure":  {Status: http.StatusInternalServerError},
-		"another version": conflictOn(recovery.Key("a")),
+		"another version": conflictOn(zonerecovery.Key("a")),
 	} {
 		l, _, store, box := saveLostZone(t)
 		store.answer(response)
@@ -66,7 +66,7 @@
 			t.Errorf("%s: got %+v, want a read before another transaction", name, store.txns)
 		}
 		l.zones.SaveZones()
-		if len(store.txns) != 2 || !requires(store.txns[1], recovery.Key("a"), 9) {
+		if len(store.txns) != 2 || !requires(store.txns[1], zonerecovery.Key("a"), 9) {
 			t.Errorf("%s: got %+v, want a second transaction on version 9 of the zone", name, store.txns)
 		}
 	}
@@ -83,7 +83,7 @@
 		}
 		box.Now += term.RetryDelay
 		l.zones.SaveZones()
-		if len(store.txns) != 2 || !requires(store.txns[1], recovery.Key("a"), 5) {
+		if len(store.txns) != 2 || !requires(store.txns[1], zonerecovery.Key("a"), 5) {
 			t.Errorf("status %d: got %+v after the pause, want a second transaction", status, store.txns)
 		}
 	}
@@ -94,7 +94,7 @@
 	l, _, store, _ := saveLostZone(t)
 	deposedBy := int64(0)
 	l.state.Deposed = func(epoch int64) { deposedBy = epoch }
-	store.answer(conflictOn(leadership.LeaderKey, recovery.Key("a")))
+	store.answer(conflictOn(election.LeaderKey, zonerecovery.Key("a")))
 	if deposedBy != 8 {
 		t.Errorf("got deposed by epoch %d, want 8", deposedBy)
 	}
--- a/internal/leader/zonetracker/displaced.go
+++ b/internal/leader/zonetracker/displaced.go
@@ -7,7 +7,7 @@
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/ordered"
 	"postpoint/internal/planner"
-	"postpoint/internal/recovery"
+	"postpoint/internal/zonerecovery"
 )
 
 // maxClearanceWait is how long displaced work waits for its clearance at most.
@@ -41,7 +41,7 @@
 // clearDisplaced clears displaced work to start, in the order and at the pace of the settings.
 func (t *Tracker) clearDisplaced() {
 	now := t.Now()
-	var waiting []recovery.DisplacedJob
+	var waiting []zonerecovery.DisplacedJob
 	for _, j := range ordered.ByKey(t.jobs.ByID) {
 		if j.DisplacedAt == 0 {
 			j.DisplacedAt = now // under an earlier leader, if at all
@@ -50,7 +50,7 @@
 			waiting = append(waiting, t.DescribeDisplaced(j))
 		}
 	}
-	recovery.SortDisplaced(waiting, t.Options.Order)
+	zonerecovery.SortDisplaced(waiting, t.Options.Order)
 	for _, id := range t.pace.Release(waiting, now, t.Options.TasksPerS) {
 		j := t.jobs.ByID[id]
 		j.ClearedToStart = true
@@ -71,9 +71,9 @@
 	}
 	action := t.Options.Action(z.Name)
 	switch {
-	case j.ClearedToStart || action == recovery.Hold:
+	case j.ClearedToStart || action == zonerecovery.Hold:
 		return false
-	case action == recovery.Hasten || z.Phase == recovery.Healthy || now > j.DisplacedAt+maxClearanceWait:
+	case action == zonerecovery.Hasten || z.Phase == zonerecovery.Healthy || now > j.DisplacedAt+maxClearanceWait:
 		j.ClearedToStart = true
 		return false
 	}
@@ -81,10 +81,10 @@
 }
 
 // DescribeDisplaced describes a displaced job for the order in which work is cleared to start.
-func (t *Tracker) DescribeDisplaced(j *jobtable.Job) recovery.DisplacedJob {
+func (t *Tracker) DescribeDisplaced(j *jobtable.Job) zonerecovery.DisplacedJob {
 	urgency := t.objectives.Urgency(j)
 	pending := j.PendingCount()
-	return recovery.DisplacedJob{
+	return zonerecovery.DisplacedJob{
 		Job:          j.Spec.ID,
 		Kind:         displacedKind(j, urgency.Tier, urgency.SlackS),
 		Rank:         j.Rank(),
@@ -96,16 +96,16 @@
 }
 
 // displacedKind returns the kind of work that a displaced job counts as.
-func displacedKind(j *jobtable.Job, tier planner.Tier, slackS float64) recovery.Kind {
+func displacedKind(j *jobtable.Job, tier planner.Tier, slackS float64) zonerecovery.Kind {
 	switch {
 	case j.Spec.Service():
-		return recovery.Services
+		return zonerecovery.Services
 	case j.Spec.DeadlineS != nil && slackS >= 0:
-		return recovery.Deadlines
+		return zonerecovery.Deadlines
 	case tier == planner.TierTooLate:
-		return recovery.PastObjective
+		return zonerecovery.PastObjective
 	case j.Spec.Gang():
-		return recovery.Gangs
+		return zonerecovery.Gangs
 	}
-	return recovery.Arrays
+	return zonerecovery.Arrays
 }
--- a/internal/leader/zonetracker/evidence.go
+++ b/internal/leader/zonetracker/evidence.go
@@ -1,12 +1,12 @@
 package zonetracker
 
 import (
+	"postpoint/internal/admission"
 	"postpoint/internal/clock"
-	"postpoint/internal/intake"
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/term"
 	"postpoint/internal/protocol"
-	"postpoint/internal/recovery"
+	"postpoint/internal/zonerecovery"
 )
 
 // unansweredHeartbeat is a machine's heartbeat to a node that doesn't lead.
@@ -58,7 +58,7 @@
 // heard.
 func (t *Tracker) gatherEvidence() machinetable.HeardCount {
 	for _, z := range t.Zones {
-		z.Evidence = recovery.Evidence{}
+		z.Evidence = zonerecovery.Evidence{}
 	}
 	total := t.countMachines()
 	for _, p := range t.Settings.Peers {
@@ -107,7 +107,7 @@
 
 // countReport adds what a controller has reported to the evidence: that it is reached, and which machines it
 // hears.
-func (t *Tracker) countReport(report *intake.ZoneReports) {
+func (t *Tracker) countReport(report *admission.ZoneReports) {
 	for _, p := range t.Settings.Peers {
 		if p.Node == report.Node {
 			t.getOrAdd(p.Domain).Evidence.ControllersReached++
@@ -152,7 +152,9 @@
 	t.ask(term.Guarded(t.State, t.handleReports))
 }
 
-func (t *Tracker) handleReports(reports []intake.ZoneReports) { t.asking, t.reports = false, reports }
+func (t *Tracker) handleReports(reports []admission.ZoneReports) {
+	t.asking, t.reports = false, reports
+}
 
 // anySilent reports whether most machines of some zone are silent.
 func (t *Tracker) anySilent() bool {
--- a/internal/leader/zonetracker/tracker.go
+++ b/internal/leader/zonetracker/tracker.go
@@ -1,15 +1,16 @@
 // Package zonetracker follows the zones and carries out recoveries from the loss of one. The loss of a zone
 // is one event: the tracker gathers the evidence for it, stores each zone's phase for the next leader, and
 // lets displaced work start elsewhere in order and at a pace. When a zone counts as lost and as returned, and
-// in which order its work starts, is decided by package recovery, which has no side effects. No placement is
+// in which order its work starts, is decided by package zonerecovery, which has no side effects. No placement is
 // released on account of a lost zone: each needs proof of its own.
 package zonetracker
 
 import (
 	"log/slog"
 
+	"postpoint/internal/admission"
 	"postpoint/internal/clock"
-	"postpoint/internal/intake"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/objectives"
@@ -17,15 +18,14 @@
 	"postpoint/internal/leader/recordstore"
 	"postpoint/internal/leader/term"
 	"postpoint/internal/ordered"
-	"postpoint/internal/recovery"
-	"postpoint/internal/statestore"
+	"postpoint/internal/zonerecovery"
 )
 
 // Tracker follows the zones and carries out recoveries from the loss of one. Its options are nil if that is
 // switched off.
 type Tracker struct {
 	*term.State
-	Store      statestore.Store
+	Store      kvstore.Store
 	jobs       *jobtable.Table
 	machines   *machinetable.Table
 	catalogue  *machinetable.Catalogue
@@ -35,16 +35,16 @@
 	commands   *reconciler.CommandSender
 	steps      *term.StepTimer
 
-	Options *recovery.Settings
+	Options *zonerecovery.Settings
 	Zones   map[string]*Zone
-	pace    recovery.Pacer
+	pace    zonerecovery.Pacer
 	// saving reports that a zone's record is being written or read.
 	saving bool
 	// ask asks all controllers which zones' machines send them heartbeats.
-	ask      func(done func([]intake.ZoneReports))
+	ask      func(done func([]admission.ZoneReports))
 	asking   bool
 	askedAt  clock.Micros
-	reports  []intake.ZoneReports // of the last response
+	reports  []admission.ZoneReports // of the last response
 	probedAt clock.Micros
 	// unanswered are the last heartbeats of machines that reached this node while it didn't lead.
 	unanswered map[string]unansweredHeartbeat
@@ -53,7 +53,7 @@
 }
 
 // New returns a tracker that is switched off until it is enabled.
-func New(term *term.State, store statestore.Store, jobs *jobtable.Table, machines *machinetable.Table,
+func New(term *term.State, store kvstore.Store, jobs *jobtable.Table, machines *machinetable.Table,
 	catalogue *machinetable.Catalogue, objectives *objectives.Tracker, reader *recordstore.Reader,
 	writer *recordstore.Writer, commands *reconciler.CommandSender, steps *term.StepTimer) *Tracker {
 	return &Tracker{
@@ -71,21 +71,21 @@
 }
 
 // Enable switches zone recovery on. ask asks all controllers which zones' machines send them heartbeats.
-func (t *Tracker) Enable(options *recovery.Settings, ask func(done func([]intake.ZoneReports))) {
+func (t *Tracker) Enable(options *zonerecovery.Settings, ask func(done func([]admission.ZoneReports))) {
 	t.Options, t.ask = options, ask
 	t.unanswered = map[string]unansweredHeartbeat{}
 }
 
 // Begin drops what was known in earlier terms.
 func (t *Tracker) Begin() {
-	t.Zones, t.pace = map[string]*Zone{}, recovery.Pacer{}
+	t.Zones, t.pace = map[string]*Zone{}, zonerecovery.Pacer{}
 	t.saving, t.asking, t.reports = false, false, nil
 }
 
 // Zone is a zone with its evidence and what is known of its stored record.
 type Zone struct {
-	*recovery.Zone
-	Evidence recovery.Evidence
+	*zonerecovery.Zone
+	Evidence zonerecovery.Evidence
 	// RecordVersion is that of the record's key, 0 if there is none.
 	RecordVersion int64
 	record        storedRecord
@@ -141,7 +141,7 @@
 func (t *Tracker) getOrAdd(name string) *Zone {
 	z := t.Zones[name]
 	if z == nil {
-		z = &Zone{Zone: &recovery.Zone{Name: name, Phase: recovery.Healthy, Since: t.Now()}}
+		z = &Zone{Zone: &zonerecovery.Zone{Name: name, Phase: zonerecovery.Healthy, Since: t.Now()}}
 		t.Zones[name] = z
 	}
 	return z
@@ -159,21 +159,21 @@
 // IsLost reports whether nothing is placed on a zone's machines.
 func (t *Tracker) IsLost(name string) bool {
 	z := t.Zones[name]
-	return z != nil && z.Phase == recovery.Lost
+	return z != nil && z.Phase == zonerecovery.Lost
 }
 
 // IsReturning reports whether a zone hasn't been back for long enough while another is healthy: only what
 // depends on it is placed there.
 func (t *Tracker) IsReturning(name string) bool {
 	z := t.Zones[name]
-	return z != nil && z.Phase == recovery.Returning && t.someHealthy
+	return z != nil && z.Phase == zonerecovery.Returning && t.someHealthy
 }
 
 // anyHealthy reports whether some zone with machine types is healthy.
 func (t *Tracker) anyHealthy() bool {
 	for _, machineType := range t.catalogue.Types {
 		for _, name := range machineType.Zones {
-			if z := t.Zones[name]; z == nil || z.Phase == recovery.Healthy {
+			if z := t.Zones[name]; z == nil || z.Phase == zonerecovery.Healthy {
 				return true
 			}
 		}
@@ -194,7 +194,7 @@
 // AnyLost reports whether some zone is lost.
 func (t *Tracker) AnyLost() bool {
 	for _, z := range t.Zones {
-		if z.Phase == recovery.Lost {
+		if z.Phase == zonerecovery.Lost {
 			return true
 		}
 	}
--- a/internal/leader/zonetracker/zonestore.go
+++ b/internal/leader/zonetracker/zonestore.go
@@ -5,12 +5,12 @@
 	"log/slog"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/election"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/leader/term"
-	"postpoint/internal/leadership"
 	"postpoint/internal/ordered"
 	"postpoint/internal/protocol"
-	"postpoint/internal/recovery"
-	"postpoint/internal/statestore"
+	"postpoint/internal/zonerecovery"
 )
 
 // recordPhase is how a zone's record relates to the store.
@@ -30,14 +30,14 @@
 // storedRecord is what is known of a zone's record in the store, apart from its version.
 type storedRecord struct {
 	phase recordPhase
-	zone  recovery.Phase // what a saved record says
+	zone  zonerecovery.Phase // what a saved record says
 }
 
 // due reports whether the zone's phase has to be written. Suspicion isn't stored, and health only in place of
 // another phase.
 func (z *Zone) due() bool {
 	switch {
-	case z.Phase == recovery.Suspect:
+	case z.Phase == zonerecovery.Suspect:
 		return false
 	case z.record.phase == recordSaved:
 		return z.record.zone != z.Phase
@@ -51,20 +51,20 @@
 		done()
 		return
 	}
-	t.reader.LoadAll(recovery.Prefix, t.adoptRecord, done)
+	t.reader.LoadAll(zonerecovery.Prefix, t.adoptRecord, done)
 }
 
 // adoptRecord takes over a zone's recovery from its record.
 func (t *Tracker) adoptRecord(item protocol.Item) {
-	name := item.Key[len(recovery.Prefix):]
+	name := item.Key[len(zonerecovery.Prefix):]
 	if known := t.Zones[name]; known != nil {
 		known.RecordVersion = item.Version // read again within a term
 		return
 	}
-	z, err := recovery.Decode(name, item.Value, t.timeOfDayOffset())
+	z, err := zonerecovery.Decode(name, item.Value, t.timeOfDayOffset())
 	if err != nil {
 		slog.Error("zone record malformed", "zone", name, "error", err)
-		z = &recovery.Zone{Name: name, Phase: recovery.Healthy}
+		z = &zonerecovery.Zone{Name: name, Phase: zonerecovery.Healthy}
 	}
 	record := storedRecord{phase: recordSaved, zone: z.Phase}
 	t.Zones[name] = &Zone{Zone: z, RecordVersion: item.Version, record: record}
@@ -96,24 +96,24 @@
 // saveZone writes a zone's record.
 func (t *Tracker) saveZone(name string, z *Zone) {
 	phase := z.Phase
-	key := recovery.Key(name)
+	key := zonerecovery.Key(name)
 	txn := t.NewTransaction()
 	txn.Require(key, z.RecordVersion)
 	txn.Put(key, z.Encode(t.timeOfDayOffset()))
 	t.saving = true
-	handle := func(r statestore.Result[statestore.Revision]) { t.handleSaved(z, phase, r) }
+	handle := func(r kvstore.Result[kvstore.Revision]) { t.handleSaved(z, phase, r) }
 	txn.Commit(t.Store, term.Guarded(t.State, handle))
 }
 
 // handleSaved handles the outcome of writing a zone's phase.
-func (t *Tracker) handleSaved(z *Zone, phase recovery.Phase, r statestore.Result[statestore.Revision]) {
+func (t *Tracker) handleSaved(z *Zone, phase zonerecovery.Phase, r kvstore.Result[kvstore.Revision]) {
 	t.saving = false
 	switch {
 	case r.Err == nil:
 		z.RecordVersion, z.record = int64(r.Value), storedRecord{phase: recordSaved, zone: phase}
-	case errors.Is(r.Err, leadership.ErrNotLeader):
+	case errors.Is(r.Err, election.ErrNotLeader):
 		t.Deposed(t.Term.Epoch + 1)
-	case statestore.NotExecuted(r.Err):
+	case kvstore.NotExecuted(r.Err):
 		t.writer.Pause()
 	default:
 		t.writer.Pause()
@@ -124,15 +124,15 @@
 // readZone finds out what became of a change whose outcome is unknown.
 func (t *Tracker) readZone(name string, z *Zone) {
 	t.saving = true
-	handle := func(r statestore.Result[protocol.Item]) { t.handleRead(z, r) }
-	t.Store.Get(recovery.Key(name), term.Guarded(t.State, handle))
+	handle := func(r kvstore.Result[protocol.Item]) { t.handleRead(z, r) }
+	t.Store.Get(zonerecovery.Key(name), term.Guarded(t.State, handle))
 }
 
 // handleRead notes the version of a record that was read. Whatever it says, the zone's phase is written at
 // that version. If the read fails it is tried again.
-func (t *Tracker) handleRead(z *Zone, r statestore.Result[protocol.Item]) {
+func (t *Tracker) handleRead(z *Zone, r kvstore.Result[protocol.Item]) {
 	t.saving = false
-	if r.Err == nil || errors.Is(r.Err, statestore.ErrNotFound) {
+	if r.Err == nil || errors.Is(r.Err, kvstore.ErrNotFound) {
 		z.RecordVersion, z.record = r.Value.Version, storedRecord{phase: recordUnsaved}
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -5,19 +5,19 @@
 
 import (
 	"postpoint/internal/actor"
-	"postpoint/internal/agent"
+	"postpoint/internal/admission"
 	"postpoint/internal/cells"
 	"postpoint/internal/clock"
-	"postpoint/internal/cloud"
-	"postpoint/internal/intake"
+	"postpoint/internal/cloudclient"
+	"postpoint/internal/election"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/leader"
 	"postpoint/internal/leader/federation"
-	"postpoint/internal/leadership"
 	"postpoint/internal/protocol"
-	"postpoint/internal/recovery"
 	"postpoint/internal/rollout"
 	"postpoint/internal/settings"
-	"postpoint/internal/statestore"
+	"postpoint/internal/workerclient"
+	"postpoint/internal/zonerecovery"
 )
 
 // Mailboxes are those of a node's actors.
@@ -28,36 +28,36 @@
 // Environment is what a node's actors talk to.
 type Environment struct {
 	Settings  *settings.Settings
-	Election  leadership.Config
+	Election  election.Config
 	Mailboxes Mailboxes
 	// Store returns the state service whose results arrive in a mailbox.
-	Store func(actor.Mailbox) statestore.Store
+	Store func(actor.Mailbox) kvstore.Store
 	// Cloud and Agent respond to the mailbox of Dispatch, Forward to that of Intake.
-	Cloud   cloud.API
-	Agent   agent.API
-	Forward intake.Forward
+	Cloud   cloudclient.API
+	Agent   workerclient.API
+	Forward admission.Forward
 	// Cells lists the cells, nil if they are switched off; Exchange reaches them and responds to the
 	// mailbox of Dispatch.
 	Cells    *cells.Directory
 	Exchange federation.Exchanger
 	// Recovery has the settings of zone recovery, nil if it is switched off.
-	Recovery *recovery.Settings
+	Recovery *zonerecovery.Settings
 	// Everyone asks all nodes, given this one's own actor; ok reports whether all have responded.
-	Everyone func(own *intake.Admission, r intake.Request, done func(answers []intake.Response, ok bool))
+	Everyone func(own *admission.Admission, r admission.Request, done func(answers []admission.Response, ok bool))
 }
 
 // Node has the actors of one controller.
 type Node struct {
 	Leader    *leader.Leader
-	Candidate *leadership.Candidate
-	Admission *intake.Admission
+	Candidate *election.Candidate
+	Admission *admission.Admission
 	Rollout   *rollout.Rollout
 }
 
 // New returns a node that does nothing yet.
 func New(e Environment) *Node {
 	n := &Node{}
-	n.Admission = intake.New(e.Mailboxes.Admission, e.Store(e.Mailboxes.Admission), e.Settings,
+	n.Admission = admission.New(e.Mailboxes.Admission, e.Store(e.Mailboxes.Admission), e.Settings,
 		e.Forward)
 	n.Leader = n.newLeader(e)
 	n.Candidate = n.newCandidate(e)
@@ -83,30 +83,30 @@
 }
 
 // attestations returns how the leader asks all nodes to vouch for what they have told users.
-func (n *Node) attestations(e Environment) func(back clock.Micros, done func([]intake.Attestation, bool)) {
-	return func(back clock.Micros, done func([]intake.Attestation, bool)) {
-		e.Everyone(n.Admission, intake.NewAttestationRequest(back), func(answers []intake.Response, ok bool) {
-			done(intake.DecodeAttestations(answers, ok))
+func (n *Node) attestations(e Environment) func(back clock.Micros, done func([]admission.Attestation, bool)) {
+	return func(back clock.Micros, done func([]admission.Attestation, bool)) {
+		e.Everyone(n.Admission, admission.NewAttestationRequest(back), func(answers []admission.Response, ok bool) {
+			done(admission.DecodeAttestations(answers, ok))
 		})
 	}
 }
 
 // zoneReports returns how the leader asks all nodes which zones' machines they hear from.
-func (n *Node) zoneReports(e Environment) func(done func([]intake.ZoneReports)) {
-	return func(done func([]intake.ZoneReports)) {
-		e.Everyone(n.Admission, intake.Request{Kind: intake.GetZoneReports}, func(answers []intake.Response, _ bool) {
-			done(intake.DecodeAllZoneReports(answers))
+func (n *Node) zoneReports(e Environment) func(done func([]admission.ZoneReports)) {
+	return func(done func([]admission.ZoneReports)) {
+		e.Everyone(n.Admission, admission.Request{Kind: admission.GetZoneReports}, func(answers []admission.Response, _ bool) {
+			done(admission.DecodeAllZoneReports(answers))
 		})
 	}
 }
 
-func (n *Node) newCandidate(e Environment) *leadership.Candidate {
+func (n *Node) newCandidate(e Environment) *election.Candidate {
 	box := e.Mailboxes.Election
-	publishTerm := func(t leadership.Term) {
+	publishTerm := func(t election.Term) {
 		n.Admission.NoteElection(t.Epoch) // first: nothing is vouched for after the term has begun
 		n.Leader.SetTerm(t)
 	}
-	return leadership.New(box, e.Store(box), e.Election, publishTerm, n.Leader.SetLeader)
+	return election.New(box, e.Store(box), e.Election, publishTerm, n.Leader.SetLeader)
 }
 
 func (n *Node) newRollout(e Environment) *rollout.Rollout {
--- a/internal/spill/plan.go
+++ b/internal/offload/plan.go
@@ -1,7 +1,7 @@
-// Package spill decides which waiting jobs are offloaded to which other cell. It owns that decision,
+// Package offload decides which waiting jobs are offloaded to which other cell. It owns that decision,
 // which is a function from what waits and what the cells say of themselves to a plan. It doesn't
 // own who may offload what (internal/cells), nor the transfer itself (internal/delegation): the origin
-// cell's leader (internal/dispatch) gathers the input and carries the plan out. The package is pure.
+// cell's leader (internal/leader) gathers the input and carries the plan out. The package is pure.
 //
 // The decision is an assignment problem. Each job's tasks may go to one of several pools of capacity:
 // a cell's free room on machines that are up, or machines that the cell would rent, of which the
@@ -9,7 +9,7 @@
 // would wait longer in its origin cell, and takes its amounts of the pool's and of the host cell's
 // room. The gain is maximised by a linear program, rounded down to whole tasks and whole gangs and
 // filled up greedily; the greedy plan alone is the fallback.
-package spill
+package offload
 
 import (
 	"slices"
--- a/internal/spill/relax.go
+++ b/internal/offload/relax.go
@@ -1,4 +1,4 @@
-package spill
+package offload
 
 import (
 	"math"
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -3,6 +3,6 @@
 // zone reports; between the leaders of different cells, the exchanges of package delegation.
 //
 // It owns frames, their limits and the connections that carry them. It doesn't look into bodies and
-// takes no decisions: package intake answers the requests of nodes, a CellHandler those of cells.
+// takes no decisions: package admission answers the requests of nodes, a CellHandler those of cells.
 // Package controller starts the servers and hands the clients to package node.
 package peer
--- a/internal/peer/forwarder.go
+++ b/internal/peer/forwarder.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"postpoint/internal/actor"
-	"postpoint/internal/intake"
+	"postpoint/internal/admission"
 )
 
 // MaxConnections bounds the connections to other nodes of the cell, and those from them.
@@ -32,17 +32,17 @@
 
 // result is the answer of a node, if it gave one.
 type result struct {
-	answer   intake.Response
+	answer   admission.Response
 	answered bool
 }
 
 // Forward asks the nodes one after another for an answer other than to come back later, within the
 // time that users wait. done is told whether any has answered.
-func (f *Forwarder) Forward(r intake.Request, done func(a intake.Response, answered bool)) {
+func (f *Forwarder) Forward(r admission.Request, done func(a admission.Response, answered bool)) {
 	select {
 	case f.slots <- struct{}{}:
 	default:
-		done(intake.Response{}, false)
+		done(admission.Response{}, false)
 		return
 	}
 	go func() {
@@ -53,7 +53,7 @@
 }
 
 // askInTurn returns the first answer that isn't to come back later, or else the last one.
-func (f *Forwarder) askInTurn(r intake.Request) result {
+func (f *Forwarder) askInTurn(r admission.Request) result {
 	var last result
 	for _, address := range f.addresses {
 		next := ask(address, r)
@@ -70,16 +70,16 @@
 
 // AskAll asks all nodes at once, this one included. done is told whether all have answered.
 func (f *Forwarder) AskAll(
-	own *intake.Admission, r intake.Request, done func(answers []intake.Response, all bool),
+	own *admission.Admission, r admission.Request, done func(answers []admission.Response, all bool),
 ) {
 	nodes := len(f.addresses) + 1
 	results := make(chan result, nodes)
-	own.Handle(r, func(a intake.Response) { results <- result{a, true} })
+	own.Handle(r, func(a admission.Response) { results <- result{a, true} })
 	for _, address := range f.addresses {
 		go func() { results <- ask(address, r) }()
 	}
 	go func() {
-		var answers []intake.Response
+		var answers []admission.Response
 		for range nodes {
 			if next := <-results; next.answered {
 				answers = append(answers, next.answer)
@@ -90,7 +90,7 @@
 }
 
 // ask sends a request to one node.
-func ask(address string, r intake.Request) result {
+func ask(address string, r admission.Request) result {
 	answer, err := askOnce(address, r)
 	if err != nil {
 		slog.Debug("no response from peer node", "address", address, "error", err)
@@ -98,10 +98,10 @@
 	return result{answer, err == nil}
 }
 
-func askOnce(address string, r intake.Request) (intake.Response, error) {
+func askOnce(address string, r admission.Request) (admission.Response, error) {
 	payload, err := call(address, RequestFrame(r))
 	if err != nil {
-		return intake.Response{}, err
+		return admission.Response{}, err
 	}
 	return decodeAnswer(payload)
 }
--- a/internal/peer/forwarder_test.go
+++ b/internal/peer/forwarder_test.go
@@ -5,8 +5,8 @@
 	"testing"
 
 	"postpoint/internal/actor/actortest"
+	"postpoint/internal/admission"
 	"postpoint/internal/clock"
-	"postpoint/internal/intake"
 	"postpoint/internal/settings"
 )
 
@@ -22,7 +22,7 @@
 }
 
 // serveAll answers the requests of all connections until the listener is closed.
-func serveAll(t *testing.T, l net.Listener, in *intake.Admission) {
+func serveAll(t *testing.T, l net.Listener, in *admission.Admission) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -45,7 +45,7 @@
 		}
 	}()
 	l := listen(t)
-	go serveAll(t, l, intake.New(quiet, nil, &settings.Settings{}, nil))
+	go serveAll(t, l, admission.New(quiet, nil, &settings.Settings{}, nil))
 	gone := listen(t)
 	gone.Close()
 	for _, allThere := range []bool{true, false} {
@@ -54,12 +54,12 @@
 			addresses = append(addresses, gone.Addr().String())
 		}
 		box := actortest.Instant{Now: clock.Second, Messages: make(chan func())}
-		own := intake.New(quiet, nil, &settings.Settings{}, nil)
-		var all []intake.Attestation
+		own := admission.New(quiet, nil, &settings.Settings{}, nil)
+		var all []admission.Attestation
 		vouched := false
-		request := intake.NewAttestationRequest(clock.Second)
-		NewForwarder(addresses, box).AskAll(own, request, func(answers []intake.Response, ok bool) {
-			all, vouched = intake.DecodeAttestations(answers, ok)
+		request := admission.NewAttestationRequest(clock.Second)
+		NewForwarder(addresses, box).AskAll(own, request, func(answers []admission.Response, ok bool) {
+			all, vouched = admission.DecodeAttestations(answers, ok)
 		})
 		(<-box.Messages)()
 		if len(all) != 2 || vouched != allThere {
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -7,13 +7,13 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"postpoint/internal/intake"
+	"postpoint/internal/admission"
 )
 
 func FuzzFrames(f *testing.F) {
-	f.Add(frame(encodeRequest(intake.Request{Kind: intake.GetStatus, ID: "job-1"})))
-	f.Add(frame(encodeRequest(intake.Request{Kind: intake.Submit, Body: []byte{0x80}})))
-	f.Add(frame(encodeAnswer(intake.Response{Status: 503, RetryAfterS: 1, Body: []byte("x")})))
+	f.Add(frame(encodeRequest(admission.Request{Kind: admission.GetStatus, ID: "job-1"})))
+	f.Add(frame(encodeRequest(admission.Request{Kind: admission.Submit, Body: []byte{0x80}})))
+	f.Add(frame(encodeAnswer(admission.Response{Status: 503, RetryAfterS: 1, Body: []byte("x")})))
 	f.Add([]byte("GET / HTTP/1.1\r\n\r\n"))
 	f.Add([]byte{0x70, 0x70, 0x30, 0x31, 0xff, 0xff, 0xff, 0xff, 0})
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -37,7 +37,7 @@
 // What a node asks and is answered comes through whole; anything longer than its frame may be, or
 // shorter than it says, does not.
 func TestFramesComeThroughWholeOrNotAtAll(t *testing.T) {
-	want := intake.Request{Kind: intake.Cancel, ID: "job-000412", Body: []byte{}, Forwarded: true}
+	want := admission.Request{Kind: admission.Cancel, ID: "job-000412", Body: []byte{}, Forwarded: true}
 	whole := frame(encodeRequest(want))
 	got := mustReadRequest(t, whole)
 	if d := cmp.Diff(want, got); d != "" {
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -8,27 +8,27 @@
 	"github.com/google/go-cmp/cmp"
 
 	"postpoint/internal/actor/actortest"
+	"postpoint/internal/admission"
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
 	"postpoint/internal/goldentest"
-	"postpoint/internal/intake"
 )
 
 // Requests of every kind are the recorded frames, and are read from them.
 func TestGoldenRequests(t *testing.T) {
 	for _, c := range []struct {
-		request intake.Request
+		request admission.Request
 		frame   string
 	}{
-		{intake.Request{Kind: intake.Submit, ID: "x", Body: []byte("\x81\xc0"), Forwarded: true},
+		{admission.Request{Kind: admission.Submit, ID: "x", Body: []byte("\x81\xc0"), Forwarded: true},
 			"pp01\x00\x00\x00\x06\x01\x00\x01x\x81\xc0"},
-		{intake.Request{Kind: intake.GetStatus, ID: "job-000412", Body: []byte{}, Forwarded: true},
+		{admission.Request{Kind: admission.GetStatus, ID: "job-000412", Body: []byte{}, Forwarded: true},
 			"pp01\x00\x00\x00\x0d\x02\x00\x0ajob-000412"},
-		{intake.Request{Kind: intake.Cancel, ID: "job-000412", Body: []byte("b"), Forwarded: true},
+		{admission.Request{Kind: admission.Cancel, ID: "job-000412", Body: []byte("b"), Forwarded: true},
 			"pp01\x00\x00\x00\x0e\x03\x00\x0ajob-000412b"},
-		{intake.Request{Kind: intake.GetAttestation, Body: intake.NewAttestationRequest(clock.Second).Body, Forwarded: true},
+		{admission.Request{Kind: admission.GetAttestation, Body: admission.NewAttestationRequest(clock.Second).Body, Forwarded: true},
 			"pp01\x00\x00\x00\x0b\x04\x00\x00\x00\x00\x00\x00\x00\x0fB@"},
-		{intake.Request{Kind: intake.GetZoneReports, Body: []byte{}, Forwarded: true},
+		{admission.Request{Kind: admission.GetZoneReports, Body: []byte{}, Forwarded: true},
 			"pp01\x00\x00\x00\x03\x05\x00\x00"},
 	} {
 		goldentest.Equal(t, "request", frame(encodeRequest(c.request)), c.frame)
@@ -50,12 +50,12 @@
 // Answers are the recorded frames, and are read from them.
 func TestGoldenAnswers(t *testing.T) {
 	for _, c := range []struct {
-		answer intake.Response
+		answer admission.Response
 		frame  string
 	}{
-		{intake.Response{Status: 503, RetryAfterS: 300, Body: []byte("\x81\xa5error\xa1x")},
+		{admission.Response{Status: 503, RetryAfterS: 300, Body: []byte("\x81\xa5error\xa1x")},
 			"pp01\x00\x00\x00\x0d\x01\xf7\x01,\x81\xa5error\xa1x"},
-		{intake.Response{Status: 201, Body: []byte{}}, "pp01\x00\x00\x00\x04\x00\xc9\x00\x00"},
+		{admission.Response{Status: 201, Body: []byte{}}, "pp01\x00\x00\x00\x04\x00\xc9\x00\x00"},
 	} {
 		goldentest.Equal(t, "answer", frame(encodeAnswer(c.answer)), c.frame)
 		payload, err := readFrame(strings.NewReader(c.frame))
@@ -79,11 +79,11 @@
 		{frameHeaderBytes, 8},
 		{maxFrameBytes, 66560},
 		{kindExchange, 16},
-		{int(intake.Submit), 1},
-		{int(intake.GetStatus), 2},
-		{int(intake.Cancel), 3},
-		{int(intake.GetAttestation), 4},
-		{int(intake.GetZoneReports), 5},
+		{int(admission.Submit), 1},
+		{int(admission.GetStatus), 2},
+		{int(admission.Cancel), 3},
+		{int(admission.GetAttestation), 4},
+		{int(admission.GetZoneReports), 5},
 	} {
 		if c.constant != c.want {
 			t.Errorf("%#x, not %#x", c.constant, c.want)
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 	"fmt"
 
-	"postpoint/internal/intake"
+	"postpoint/internal/admission"
 	"postpoint/internal/protocol"
 )
 
@@ -19,7 +19,7 @@
 	idLengthOffset     = 1
 	answerHeaderBytes  = 4
 	retryOffset        = 2
-	// kindExchange is far from the kinds of package intake, so that neither can be taken for the
+	// kindExchange is far from the kinds of package admission, so that neither can be taken for the
 	// other.
 	kindExchange = 16
 )
@@ -31,12 +31,12 @@
 )
 
 // RequestFrame returns the frame that carries a request to another node.
-func RequestFrame(r intake.Request) []byte { return frame(encodeRequest(r)) }
+func RequestFrame(r admission.Request) []byte { return frame(encodeRequest(r)) }
 
 // ResponseFrame returns the frame that carries the answer back.
-func ResponseFrame(a intake.Response) []byte { return frame(encodeAnswer(a)) }
+func ResponseFrame(a admission.Response) []byte { return frame(encodeAnswer(a)) }
 
-func encodeRequest(r intake.Request) []byte {
+func encodeRequest(r admission.Request) []byte {
 	b := []byte{byte(r.Kind)}
 	b = binary.BigEndian.AppendUint16(b, uint16(len(r.ID)))
 	b = append(b, r.ID...)
@@ -44,23 +44,23 @@
 }
 
 // decodeRequest reads the request of another node.
-func decodeRequest(b []byte) (intake.Request, error) {
+func decodeRequest(b []byte) (admission.Request, error) {
 	if len(b) < requestHeaderBytes {
-		return intake.Request{}, fmt.Errorf("%w: request of %d bytes", ErrMalformed, len(b))
+		return admission.Request{}, fmt.Errorf("%w: request of %d bytes", ErrMalformed, len(b))
 	}
-	kind := intake.Kind(b[0])
-	if kind < intake.Submit || kind > intake.GetZoneReports {
-		return intake.Request{}, fmt.Errorf("%w: request of unknown kind %d", ErrMalformed, kind)
+	kind := admission.Kind(b[0])
+	if kind < admission.Submit || kind > admission.GetZoneReports {
+		return admission.Request{}, fmt.Errorf("%w: request of unknown kind %d", ErrMalformed, kind)
 	}
 	idLength := int(binary.BigEndian.Uint16(b[idLengthOffset:]))
 	rest := b[requestHeaderBytes:]
 	if len(rest) < idLength || len(rest)-idLength > protocol.MaxBodyBytes {
-		return intake.Request{}, fmt.Errorf("%w: request of %d bytes, id of %d", ErrMalformed, len(b), idLength)
+		return admission.Request{}, fmt.Errorf("%w: request of %d bytes, id of %d", ErrMalformed, len(b), idLength)
 	}
-	return intake.Request{Kind: kind, ID: string(rest[:idLength]), Body: rest[idLength:], Forwarded: true}, nil
+	return admission.Request{Kind: kind, ID: string(rest[:idLength]), Body: rest[idLength:], Forwarded: true}, nil
 }
 
-func encodeAnswer(a intake.Response) []byte {
+func encodeAnswer(a admission.Response) []byte {
 	var b []byte
 	b = binary.BigEndian.AppendUint16(b, uint16(a.Status))
 	b = binary.BigEndian.AppendUint16(b, uint16(a.RetryAfterS))
@@ -68,17 +68,17 @@
 }
 
 // decodeAnswer reads the answer of another node.
-func decodeAnswer(b []byte) (intake.Response, error) {
+func decodeAnswer(b []byte) (admission.Response, error) {
 	if len(b) < answerHeaderBytes {
-		return intake.Response{}, fmt.Errorf("%w: answer of %d bytes", ErrMalformed, len(b))
+		return admission.Response{}, fmt.Errorf("%w: answer of %d bytes", ErrMalformed, len(b))
 	}
-	a := intake.Response{
+	a := admission.Response{
 		Status:      int(binary.BigEndian.Uint16(b)),
 		RetryAfterS: int(binary.BigEndian.Uint16(b[retryOffset:])),
 		Body:        b[answerHeaderBytes:],
 	}
 	if a.Status < minStatus || a.Status > maxStatus {
-		return intake.Response{}, fmt.Errorf("%w: answer of status %d", ErrMalformed, a.Status)
+		return admission.Response{}, fmt.Errorf("%w: answer of status %d", ErrMalformed, a.Status)
 	}
 	return a, nil
 }
--- a/internal/peer/messages_test.go
+++ b/internal/peer/messages_test.go
@@ -7,12 +7,12 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"postpoint/internal/admission"
 	"postpoint/internal/clock"
-	"postpoint/internal/intake"
 )
 
 // mustReadRequest reads a request from its whole frame.
-func mustReadRequest(t *testing.T, raw []byte) intake.Request {
+func mustReadRequest(t *testing.T, raw []byte) admission.Request {
 	t.Helper()
 	payload, err := readFrame(bytes.NewReader(raw))
 	if err != nil {
@@ -29,13 +29,13 @@
 // asked and answered in the same form.
 func TestFramesOfTheVersionBefore(t *testing.T) {
 	second := []byte("\x00\x00\x00\x00\x00\x0fB@")
-	for raw, want := range map[string]intake.Request{
+	for raw, want := range map[string]admission.Request{
 		"pp01\x00\x00\x00\x0d\x02\x00\x0ajob-000412": {
-			Kind: intake.GetStatus, ID: "job-000412", Body: []byte{}, Forwarded: true},
+			Kind: admission.GetStatus, ID: "job-000412", Body: []byte{}, Forwarded: true},
 		"pp01\x00\x00\x00\x05\x01\x00\x00\x81\xc0": {
-			Kind: intake.Submit, Body: []byte("\x81\xc0"), Forwarded: true},
+			Kind: admission.Submit, Body: []byte("\x81\xc0"), Forwarded: true},
 		"pp01\x00\x00\x00\x0b\x04\x00\x00\x00\x00\x00\x00\x00\x0fB@": {
-			Kind: intake.GetAttestation, Body: second, Forwarded: true},
+			Kind: admission.GetAttestation, Body: second, Forwarded: true},
 	} {
 		got := mustReadRequest(t, []byte(raw))
 		if d := cmp.Diff(want, got); d != "" {
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := cmp.Diff(intake.Response{Status: 503, RetryAfterS: 1, Body: []byte("err")}, got); d != "" {
+	if d := cmp.Diff(admission.Response{Status: 503, RetryAfterS: 1, Body: []byte("err")}, got); d != "" {
 		t.Fatalf("answer read with a difference (-want +got):\n%s", d)
 	}
 	if again := string(frame(encodeAnswer(got))); again != raw {
@@ -62,12 +62,12 @@
 	}
 	attestation := string(second) +
 		"\x00\x00\x00\x00\x00\x00\x00\x29\x05job-7\x00\x00\x00\x00\x00\x00\x00\x02"
-	a, err := intake.DecodeAttestation([]byte(attestation))
+	a, err := admission.DecodeAttestation([]byte(attestation))
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := intake.Attestation{Age: clock.Second, Epoch: 41,
-		Cancelled: []intake.CancelledJob{{Job: "job-7", Age: 2}}}
+	want := admission.Attestation{Age: clock.Second, Epoch: 41,
+		Cancelled: []admission.CancelledJob{{Job: "job-7", Age: 2}}}
 	if d := cmp.Diff(want, a); d != "" {
 		t.Fatalf("attestation read with a difference (-want +got):\n%s", d)
 	}
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -9,7 +9,7 @@
 
 	"golang.org/x/net/netutil"
 
-	"postpoint/internal/intake"
+	"postpoint/internal/admission"
 )
 
 const (
@@ -21,7 +21,7 @@
 )
 
 // Serve answers other nodes of the cell. A malformed frame ends its connection only.
-func Serve(address string, in *intake.Admission) error {
+func Serve(address string, in *admission.Admission) error {
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
 		return err
@@ -41,7 +41,7 @@
 	}
 }
 
-func serveAndClose(c net.Conn, in *intake.Admission) {
+func serveAndClose(c net.Conn, in *admission.Admission) {
 	defer c.Close()
 	if err := serve(c, in); err != nil && !errors.Is(err, io.EOF) {
 		slog.Info("closing connection of peer node", "address", c.RemoteAddr(), "error", err)
@@ -49,7 +49,7 @@
 }
 
 // serve answers the one request of a connection.
-func serve(c net.Conn, in *intake.Admission) error {
+func serve(c net.Conn, in *admission.Admission) error {
 	if err := c.SetDeadline(time.Now().Add(serveTimeout)); err != nil {
 		return err
 	}
@@ -61,8 +61,8 @@
 	if err != nil {
 		return err
 	}
-	answered := make(chan intake.Response, 1)
-	in.Handle(r, func(a intake.Response) { answered <- a })
+	answered := make(chan admission.Response, 1)
+	in.Handle(r, func(a admission.Response) { answered <- a })
 	_, err = c.Write(ResponseFrame(<-answered))
 	return err
 }
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -18,8 +18,8 @@
 
 	"postpoint/internal/actor"
 	"postpoint/internal/clock"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
 )
 
 // Format is a version of the formats of what is stored; each contains the earlier ones. The first
@@ -68,7 +68,7 @@
 // Rollout is the actor.
 type Rollout struct {
 	mailbox actor.Mailbox
-	store   statestore.Store
+	store   kvstore.Store
 	node    string
 	nodes   []string
 	format  Format
@@ -85,7 +85,7 @@
 // New returns the actor for one of the named nodes, which reads the given format. onPublished is
 // called once, when that format is published, and onStatus with every change of the status, both
 // from the mailbox.
-func New(m actor.Mailbox, s statestore.Store, node string, nodes []string, format Format,
+func New(m actor.Mailbox, s kvstore.Store, node string, nodes []string, format Format,
 	onPublished func(), onStatus func(Status)) *Rollout {
 	return &Rollout{mailbox: m, store: s, node: node, nodes: nodes, format: format,
 		onPublished: onPublished, onStatus: onStatus}
@@ -97,7 +97,7 @@
 // poll reads all keys and takes the next step. Polling ends when the gate is open for all that
 // this node reads.
 func (r *Rollout) poll() {
-	r.store.List(prefix, "", func(result statestore.Result[protocol.ItemList]) {
+	r.store.List(prefix, "", func(result kvstore.Result[protocol.ItemList]) {
 		if result.Err != nil {
 			r.pollAfter(retryDelay)
 			return
@@ -221,8 +221,8 @@
 		Conditions: []protocol.Condition{{Key: key, Version: v.versions[key]}},
 		Changes:    []protocol.Change{{Put: key, Value: protocol.Encode(publishedFormat{Format: format})}},
 	}
-	r.store.Commit(statestore.PriorityElection, t, func(result statestore.Result[statestore.Revision]) {
-		if result.Err == nil || errors.Is(result.Err, statestore.ErrConflict) {
+	r.store.Commit(kvstore.PriorityElection, t, func(result kvstore.Result[kvstore.Revision]) {
+		if result.Err == nil || errors.Is(result.Err, kvstore.ErrConflict) {
 			r.poll()
 			return
 		}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -6,21 +6,21 @@
 	"testing"
 
 	"postpoint/internal/actor/actortest"
+	"postpoint/internal/kvstore"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
 )
 
 // memoryStore is a state service that responds at once, or is unavailable.
 type memoryStore struct {
-	statestore.Store
+	kvstore.Store
 	values map[string][]byte
 	down   bool
 	puts   []string
 }
 
-func (s *memoryStore) List(prefix, _ string, done func(statestore.Result[protocol.ItemList])) {
+func (s *memoryStore) List(prefix, _ string, done func(kvstore.Result[protocol.ItemList])) {
 	if s.down {
-		done(statestore.Result[protocol.ItemList]{Err: statestore.ErrUnavailable})
+		done(kvstore.Result[protocol.ItemList]{Err: kvstore.ErrUnavailable})
 		return
 	}
 	var list protocol.ItemList
@@ -29,22 +29,22 @@
 			list.Items = append(list.Items, protocol.Item{Key: key, Value: value, Version: 1})
 		}
 	}
-	done(statestore.Result[protocol.ItemList]{Value: list})
+	done(kvstore.Result[protocol.ItemList]{Value: list})
 }
 
-func (s *memoryStore) Commit(_ statestore.Priority, t protocol.Txn,
-	done func(statestore.Result[statestore.Revision])) {
+func (s *memoryStore) Commit(_ kvstore.Priority, t protocol.Txn,
+	done func(kvstore.Result[kvstore.Revision])) {
 	for _, c := range t.Changes {
 		_, exists := s.values[c.Put]
 		if len(t.Conditions) != 1 || t.Conditions[0].Key != c.Put || exists != (t.Conditions[0].Version != 0) {
-			conflict := &statestore.ConflictError{Keys: []string{c.Put}}
-			done(statestore.Result[statestore.Revision]{Err: conflict})
+			conflict := &kvstore.ConflictError{Keys: []string{c.Put}}
+			done(kvstore.Result[kvstore.Revision]{Err: conflict})
 			return
 		}
 		s.values[c.Put] = c.Value
 		s.puts = append(s.puts, c.Put)
 	}
-	done(statestore.Result[statestore.Revision]{})
+	done(kvstore.Result[kvstore.Revision]{})
 }
 
 // controller is one controller's rollout, which polls when the test says so.
@@ -54,7 +54,7 @@
 	status    Status
 }
 
-func newController(store statestore.Store, name string, all ...string) *controller {
+func newController(store kvstore.Store, name string, all ...string) *controller {
 	c := &controller{}
 	c.rollout = New(&actortest.Still{}, store, name, all, FormatServices,
 		func() { c.published = true }, func(s Status) { c.status = s })
--- a/internal/fleet/doc.go
+++ b/internal/scaling/doc.go
@@ -1,4 +1,4 @@
-// Package fleet decides which machines to rent (scale out), which to cordon so that they
+// Package scaling decides which machines to rent (scale out), which to cordon so that they
 // empty and can be returned (scale in), and how long idle ones are kept.
 //
 // The package is pure: its decisions depend on their arguments only, and it does no I/O
@@ -13,4 +13,4 @@
 // every few seconds to look for machines to cordon. Admission asks it whether a job fits
 // any machine type at all. The paper that the planner follows has a fixed set of nodes, so
 // that nothing here is taken from it; see the section on machines in docs/design.md.
-package fleet
+package scaling
--- a/internal/fleet/idle.go
+++ b/internal/scaling/idle.go
@@ -1,8 +1,6 @@
-package fleet
+package scaling
 
-import (
-	"postpoint/internal/clock"
-)
+import "postpoint/internal/clock"
 
 // unusableIdleTime is for how long an idle machine is kept that is cordoned, or that nothing
 // seen lately could use. It bridges a short gap in the work; after that the machine is paid
--- a/internal/fleet/price_test.go
+++ b/internal/scaling/price_test.go
@@ -1,4 +1,4 @@
-package fleet
+package scaling
 
 import (
 	"testing"
--- a/internal/fleet/urgentdemand.go
+++ b/internal/scaling/urgentdemand.go
@@ -1,8 +1,6 @@
-package fleet
+package scaling
 
-import (
-	"postpoint/internal/planner"
-)
+import "postpoint/internal/planner"
 
 // urgentDemand is how much of the machines of each pool the urgent tasks among all unmet
 // demand would fill. The sum over all of them is formed once for each pool and then
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
 // Package settings has the platform's settings file: what it contains, and the checks of fields
 // against each other. It owns neither decoding nor the checks of single fields, which internal/configfile
-// does by the tags below, nor the operators' own files (internal/cells, internal/recovery), which
+// does by the tags below, nor the operators' own files (internal/cells, internal/zonerecovery), which
 // are checked against these settings. The command reads the file; everything else is handed the
 // result and changes nothing in it.
 package settings
--- a/internal/testkit/celloperations_test.go
+++ b/internal/simulation/celloperations_test.go
@@ -1,4 +1,4 @@
-package testkit
+package simulation
 
 import (
 	"slices"
@@ -7,7 +7,7 @@
 
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/protocol"
 	"postpoint/internal/settings"
 )
@@ -170,7 +170,7 @@
 func TestStoreIsUnchangedWithoutCellsFile(t *testing.T) {
 	t.Parallel()
 	puts := 0
-	prefixes := []string{ledger.Prefix, ledger.ShardsPrefix, "rollout/", "lead/controller", "catalogue"}
+	prefixes := []string{jobrecord.Prefix, jobrecord.ShardsPrefix, "rollout/", "lead/controller", "catalogue"}
 	d := play(7, func(d *Deployment) {
 		check := d.Store.CheckPut
 		d.Store.CheckPut = func(key string, value []byte) {
--- a/internal/testkit/cells.go
+++ b/internal/simulation/cells.go
@@ -1,11 +1,11 @@
-package testkit
+package simulation
 
 import (
 	"fmt"
 	"strings"
 
 	"postpoint/internal/cells"
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/protocol"
 	"postpoint/internal/settings"
 )
@@ -103,7 +103,7 @@
 // find is the job that a worker of the cell runs under an id, or nil. A hosted job is that of its origin
 // cell.
 func (d *Deployment) find(id string) *Job {
-	origin, job, _, hosted := ledger.ParseHostedJobID(id)
+	origin, job, _, hosted := jobrecord.ParseHostedJobID(id)
 	if !hosted || d.group == nil {
 		return d.jobs[id]
 	}
@@ -152,7 +152,7 @@
 func (d *Deployment) Lent() map[string]int {
 	lent := map[string]int{}
 	for key := range d.Store.entries {
-		if id, isJob := strings.CutPrefix(key, ledger.Prefix); isJob {
+		if id, isJob := strings.CutPrefix(key, jobrecord.Prefix); isJob {
 			for _, p := range d.Store.record(id).Placements {
 				if host := p.HostCell(); host != "" {
 					lent[host]++
--- a/internal/testkit/cells_test.go
+++ b/internal/simulation/cells_test.go
@@ -1,4 +1,4 @@
-package testkit
+package simulation
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/protocol"
 )
 
@@ -88,7 +88,7 @@
 func (s *FakeStore) delegations() []string {
 	var keys []string
 	for key := range s.entries {
-		_, _, _, guest := ledger.ParseHostedJobID(strings.TrimPrefix(key, ledger.Prefix))
+		_, _, _, guest := jobrecord.ParseHostedJobID(strings.TrimPrefix(key, jobrecord.Prefix))
 		if guest || strings.HasPrefix(key, delegation.Prefix) {
 			keys = append(keys, key)
 		}
--- a/internal/testkit/cloud.go
+++ b/internal/simulation/cloud.go
@@ -1,12 +1,12 @@
-package testkit
+package simulation
 
 import (
 	"fmt"
 	"sort"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/fleet"
 	"postpoint/internal/protocol"
+	"postpoint/internal/scaling"
 )
 
 const (
@@ -25,7 +25,7 @@
 	// Types is the catalogue.
 	Types []protocol.MachineType
 	// Capacity is how many more machines can be rented.
-	Capacity map[fleet.CapacityPool]int
+	Capacity map[scaling.CapacityPool]int
 	// Outage makes it refuse every request.
 	Outage bool
 	// Reliable clouds rent no machine that never comes up.
@@ -42,12 +42,12 @@
 func newCloud(d *Deployment, types []protocol.MachineType) *FakeCloud {
 	c := &FakeCloud{
 		w: d.World, d: d, Types: types,
-		Capacity: map[fleet.CapacityPool]int{}, rented: map[string][]string{}, machines: map[string]*FakeWorker{},
+		Capacity: map[scaling.CapacityPool]int{}, rented: map[string][]string{}, machines: map[string]*FakeWorker{},
 	}
 	for _, t := range types {
 		for _, z := range t.Zones {
-			c.Capacity[fleet.CapacityPool{Type: t.Name, Zone: z, Spot: true}] = defaultSpotCapacity
-			c.Capacity[fleet.CapacityPool{Type: t.Name, Zone: z}] = defaultOnDemandCapacity
+			c.Capacity[scaling.CapacityPool{Type: t.Name, Zone: z, Spot: true}] = defaultSpotCapacity
+			c.Capacity[scaling.CapacityPool{Type: t.Name, Zone: z}] = defaultOnDemandCapacity
 		}
 	}
 	c.copyList()
@@ -85,7 +85,7 @@
 }
 
 // rent boots as many machines as there are, up to a number, and returns their names.
-func (c *FakeCloud) rent(k fleet.CapacityPool, count int) []string {
+func (c *FakeCloud) rent(k scaling.CapacityPool, count int) []string {
 	var names []string
 	c.Capacity[k] -= count
 	for range count {
@@ -103,6 +103,6 @@
 	if m := c.machines[name]; m != nil {
 		m.end()
 		delete(c.machines, name)
-		c.Capacity[fleet.CapacityPool{Type: m.typ, Zone: m.zone, Spot: m.spot}]++
+		c.Capacity[scaling.CapacityPool{Type: m.typ, Zone: m.zone, Spot: m.spot}]++
 	}
 }
--- a/internal/testkit/cloudclient.go
+++ b/internal/simulation/cloudclient.go
@@ -1,13 +1,13 @@
-package testkit
+package simulation
 
 import (
 	"math"
 	"net/http"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/cloud/cloudtest"
-	"postpoint/internal/fleet"
+	"postpoint/internal/cloudclient/cloudtest"
 	"postpoint/internal/protocol"
+	"postpoint/internal/scaling"
 	"postpoint/internal/transport"
 )
 
@@ -60,7 +60,7 @@
 			answer.Machines = names
 			return http.StatusOK
 		}
-		k := fleet.CapacityPool{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
+		k := scaling.CapacityPool{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 		count := min(r.Count, x.cloud.Capacity[k])
 		if count == 0 {
 			answer.Error = protocol.NoCapacity
--- a/internal/testkit/commands.go
+++ b/internal/simulation/commands.go
@@ -1,12 +1,12 @@
-package testkit
+package simulation
 
 import (
 	"net/http"
 
-	"postpoint/internal/agent/agenttest"
 	"postpoint/internal/clock"
 	"postpoint/internal/protocol"
 	"postpoint/internal/transport"
+	"postpoint/internal/workerclient/workertest"
 )
 
 // commandTimeout is how long a controller waits for the response to a direct command.
@@ -29,7 +29,7 @@
 	n *Node
 }
 
-var _ agenttest.Service = (*agentClient)(nil)
+var _ workertest.Service = (*agentClient)(nil)
 
 // Commands sends commands to the worker at an address, unless they leave later than a deadline.
 func (a *agentClient) Commands(
--- a/internal/testkit/deployment.go
+++ b/internal/simulation/deployment.go
@@ -1,4 +1,4 @@
-package testkit
+package simulation
 
 import (
 	"cmp"
@@ -9,8 +9,8 @@
 	"postpoint/internal/clock"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
-	"postpoint/internal/recovery"
 	"postpoint/internal/settings"
+	"postpoint/internal/zonerecovery"
 )
 
 // Deployment is a deployment, or a cell of several: its controllers, the fakes around them and its users'
@@ -32,7 +32,7 @@
 	// WatchService looks.
 	disturbedAt clock.Micros
 	// Recovery has the settings of zone recovery, nil if it is switched off.
-	Recovery *recovery.Settings
+	Recovery *zonerecovery.Settings
 	// cut are the zones that are partitioned, with the messages held meanwhile.
 	cut map[string]*partitionedZone
 	// History records what runs when, if set.
--- a/internal/testkit/failover_test.go
+++ b/internal/simulation/failover_test.go
@@ -1,11 +1,11 @@
-package testkit
+package simulation
 
 import (
 	"net/http"
 	"testing"
 
+	"postpoint/internal/admission"
 	"postpoint/internal/clock"
-	"postpoint/internal/intake"
 	"postpoint/internal/protocol"
 )
 
@@ -88,8 +88,8 @@
 				redirect = r.Node
 			}
 		})
-		var told intake.Response
-		lone.Admission.Handle(intake.Request{Kind: intake.GetStatus, ID: j.spec.ID}, func(a intake.Response) { told = a })
+		var told admission.Response
+		lone.Admission.Handle(admission.Request{Kind: admission.GetStatus, ID: j.spec.ID}, func(a admission.Response) { told = a })
 		w.Run(w.Now() + 20*clock.Millisecond)
 		if up {
 			t.Fatalf("led %v: it passes its health check, want it failed", leads)
--- a/internal/testkit/formatcheck.go
+++ b/internal/simulation/formatcheck.go
@@ -1,4 +1,4 @@
-package testkit
+package simulation
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/protocol"
 )
 
@@ -18,10 +18,10 @@
 	if _, open := d.Store.entries["rollout/gate"]; open {
 		return
 	}
-	if strings.HasPrefix(key, ledger.ShardsPrefix) {
+	if strings.HasPrefix(key, jobrecord.ShardsPrefix) {
 		d.World.Violate(oldFormat, "%s", key)
 	}
-	if strings.HasPrefix(key, ledger.Prefix) {
+	if strings.HasPrefix(key, jobrecord.Prefix) {
 		if err := readFirstFormat(value); err != nil {
 			d.World.Violate(oldFormat, "%s: %v", key, err)
 		}
--- a/internal/testkit/gangs_test.go
+++ b/internal/simulation/gangs_test.go
@@ -1,13 +1,13 @@
-package testkit
+package simulation
 
 import (
 	"fmt"
 	"testing"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/fleet"
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/protocol"
+	"postpoint/internal/scaling"
 )
 
 // A gang that loses a task before it has started gets a replacement with the same attempt, and the
@@ -43,7 +43,7 @@
 	}
 	dying.Die()
 	w.Run(w.Now() + 150*clock.Second)
-	record, err := ledger.Decode(d.Store.entries[ledger.Key(spec.ID)].value)
+	record, err := jobrecord.Decode(d.Store.entries[jobrecord.Key(spec.ID)].value)
 	if err != nil || record.Status != protocol.StatusDone || record.NextAttempt != 2 {
 		t.Fatalf("record %+v, want %q and next attempt 2; error %v", record, protocol.StatusDone, err)
 	}
@@ -55,7 +55,7 @@
 func TestGangIsPlacedOnlyOnceAllItsWorkersAreUp(t *testing.T) {
 	w := NewWorld(15)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
-	d.Cloud.Capacity = map[fleet.CapacityPool]int{{Type: "small", Zone: "a"}: 2}
+	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 2}
 	spec := array("job-000001", "open", 2, 6, 20)
 	first := d.Submit(spec, 20*clock.Second, false)
 	for !first.Done() && w.Now() < 100*clock.Second {
@@ -64,7 +64,7 @@
 	if up := len(d.Workers()); up != 2 {
 		t.Fatalf("%d workers are up, want 2", up)
 	}
-	d.Cloud.Capacity = map[fleet.CapacityPool]int{{Type: "small", Zone: "a"}: 4} // one may not come up
+	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 4} // one may not come up
 	spec.ID, spec.Shape, spec.Tasks = "job-000002", protocol.ShapeGang, 3
 	gang := d.Submit(spec, 20*clock.Second, false)
 	for gang.finalStatus == "" && w.Now() < 200*clock.Second {
@@ -89,7 +89,7 @@
 func TestGangIsMovedOffSurplusWorkerAsAWhole(t *testing.T) {
 	w := NewWorld(19)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
-	d.Cloud.Capacity = map[fleet.CapacityPool]int{{Type: "small", Zone: "a"}: 3, {Type: "big", Zone: "a"}: 2}
+	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 3, {Type: "big", Zone: "a"}: 2}
 	spec := array("job-000001", "open", 3, 2, 600)
 	spec.MemoryGB = 20
 	d.Submit(spec, 600*clock.Second, false) // one on each small machine, which it keeps up
@@ -115,7 +115,7 @@
 			gang.startedAt.Seconds(), costly())
 	}
 	w.Run(180 * clock.Second)
-	record, err := ledger.Decode(d.Store.entries[ledger.Key(spec.ID)].value)
+	record, err := jobrecord.Decode(d.Store.entries[jobrecord.Key(spec.ID)].value)
 	if err != nil || costly() > 0 || len(gang.machines) != 2 || record.NextAttempt != 2 {
 		t.Fatalf("%d costly workers are up, want 0; %d tasks began, want 2; record %+v, want next attempt 2; %v",
 			costly(), len(gang.machines), record, err)
@@ -130,7 +130,7 @@
 	w := NewWorld(91)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
 	d.Cloud.Reliable = true
-	d.Cloud.Capacity = map[fleet.CapacityPool]int{{Type: "small", Zone: "a"}: 3, {Type: "small", Zone: "b"}: 3}
+	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 3, {Type: "small", Zone: "b"}: 3}
 	gang := array("job-000001", "open", 5, 6, 20)
 	gang.Shape, gang.Zone = protocol.ShapeGang, "a"
 	d.Submit(gang, 20*clock.Second, false)
--- a/internal/testkit/kinds.go
+++ b/internal/simulation/kinds.go
@@ -1,11 +1,11 @@
-package testkit
+package simulation
 
 import (
+	"postpoint/internal/admission"
 	"postpoint/internal/clock"
-	"postpoint/internal/intake"
 	"postpoint/internal/protocol"
-	"postpoint/internal/recovery"
 	"postpoint/internal/settings"
+	"postpoint/internal/zonerecovery"
 )
 
 // Kind is a kind of simulation with random load and random faults.
@@ -135,12 +135,12 @@
 const recoveryFile = "tasks_per_s = 4\n[reserve]\nshare = 0.3\n"
 
 // recoveryOn are the default settings of zone recovery, or those of the file.
-func recoveryOn(set *settings.Settings, fromFile bool) *recovery.Settings {
+func recoveryOn(set *settings.Settings, fromFile bool) *zonerecovery.Settings {
 	if !fromFile {
-		s := recovery.Defaults()
+		s := zonerecovery.Defaults()
 		return &s
 	}
-	parsed, err := recovery.Parse([]byte(recoveryFile), set)
+	parsed, err := zonerecovery.Parse([]byte(recoveryFile), set)
 	if err != nil {
 		panic(err)
 	}
@@ -242,5 +242,5 @@
 	if jobs := d.Jobs(); asked%5 != 0 && len(jobs) > 0 {
 		id = jobs[asked%len(jobs)].spec.ID
 	}
-	d.askNode(n, intake.Request{Kind: intake.GetStatus, ID: id}, func(int, protocol.JobStatus) {})
+	d.askNode(n, admission.Request{Kind: admission.GetStatus, ID: id}, func(int, protocol.JobStatus) {})
 }
--- a/internal/testkit/loopbackclient.go
+++ b/internal/simulation/loopbackclient.go
@@ -1,11 +1,11 @@
-package testkit
+package simulation
 
 import (
 	"bytes"
 	"io"
 	"net/http"
 
-	"postpoint/internal/intake"
+	"postpoint/internal/admission"
 	"postpoint/internal/protocol"
 )
 
@@ -66,19 +66,19 @@
 }
 
 // Handle sends a user's request to the controller.
-func (c *remoteController) Handle(r intake.Request, reply func(intake.Response)) {
+func (c *remoteController) Handle(r admission.Request, reply func(admission.Response)) {
 	l := c.l
 	go func() {
-		var answer intake.Response
+		var answer admission.Response
 		counter := new(int)
 		switch r.Kind {
-		case intake.Submit:
+		case admission.Submit:
 			counter = &l.Submissions
 			answer.Status, answer.Body = post(&l.users, c.base+jobsPath, r.Body)
-		case intake.GetStatus:
+		case admission.GetStatus:
 			counter = &l.Polls
 			answer.Status, answer.Body = get(&l.users, c.base+jobsPath+"/"+r.ID)
-		case intake.Cancel:
+		case admission.Cancel:
 			answer.Status, answer.Body = post(&l.users, c.base+jobsPath+"/"+r.ID+cancelSuffix, nil)
 		}
 		l.Do(func() {
--- a/internal/testkit/loopbackserver.go
+++ b/internal/simulation/loopbackserver.go
@@ -1,4 +1,4 @@
-package testkit
+package simulation
 
 import (
 	"io"
@@ -8,9 +8,9 @@
 	"strconv"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/kvstore"
+	"postpoint/internal/kvstore/storetest"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
-	"postpoint/internal/statestore/storetest"
 )
 
 // Serve serves the store, the cloud and the workers on the given listeners.
@@ -68,7 +68,7 @@
 		store.List(q.Get("Prefix"), q.Get("From"), reply[protocol.ItemList](answer))
 	}))
 	mux.Handle("POST /multi", serve(l, func(_ *http.Request, t protocol.Txn, answer func(int, any)) {
-		store.Commit(statestore.PriorityUser, t, reply[protocol.TxnResponse](answer))
+		store.Commit(kvstore.PriorityUser, t, reply[protocol.TxnResponse](answer))
 	}))
 	mux.Handle("GET /follow", serve(l, func(r *http.Request, _ nothing, answer func(int, any)) {
 		q := r.URL.Query()
--- a/internal/testkit/nodes.go
+++ b/internal/simulation/nodes.go
@@ -1,21 +1,21 @@
-package testkit
+package simulation
 
 import (
 	"fmt"
 
 	"postpoint/internal/actor"
-	"postpoint/internal/agent/agenttest"
+	"postpoint/internal/admission"
 	"postpoint/internal/clock"
-	"postpoint/internal/cloud/cloudtest"
+	"postpoint/internal/cloudclient/cloudtest"
 	"postpoint/internal/delegation"
-	"postpoint/internal/intake"
+	"postpoint/internal/election"
+	"postpoint/internal/kvstore"
+	"postpoint/internal/kvstore/storetest"
 	"postpoint/internal/leader"
-	"postpoint/internal/leadership"
 	"postpoint/internal/node"
 	"postpoint/internal/protocol"
 	"postpoint/internal/settings"
-	"postpoint/internal/statestore"
-	"postpoint/internal/statestore/storetest"
+	"postpoint/internal/workerclient/workertest"
 )
 
 // Node is a controller with its links to the fakes and to other controllers.
@@ -38,7 +38,7 @@
 
 	// Leader and Intake are the actors of the present process.
 	Leader    *leader.Leader
-	Admission *intake.Admission
+	Admission *admission.Admission
 	// The handlers are the controller as workers, users, other controllers and other cells reach it.
 	reports   reportHandler
 	requests  requestHandler
@@ -53,7 +53,7 @@
 
 // requestHandler responds to users' requests.
 type requestHandler interface {
-	Handle(r intake.Request, reply func(intake.Response))
+	Handle(r admission.Request, reply func(admission.Response))
 }
 
 // exchangeHandler responds to other cells.
@@ -127,7 +127,7 @@
 // environment connects a process of a controller to the fakes.
 func (d *Deployment) environment(n *Node, p *Process) node.Environment {
 	set := d.settingsOf(n)
-	everyone := func(_ *intake.Admission, r intake.Request, done func([]intake.Response, bool)) {
+	everyone := func(_ *admission.Admission, r admission.Request, done func([]admission.Response, bool)) {
 		d.everyone(n, r, done)
 	}
 	services := d.servicesOf(n, p)
@@ -135,12 +135,12 @@
 		Settings:  set,
 		Cells:     d.group.directory(d, n, set),
 		Exchange:  &cellClient{d, n, p},
-		Election:  leadership.Config{Node: n.Name, Incarnation: fmt.Sprint(n.runs), TTL: leaseTTL},
+		Election:  election.Config{Node: n.Name, Incarnation: fmt.Sprint(n.runs), TTL: leaseTTL},
 		Mailboxes: node.Mailboxes{Leader: p, Election: p, Admission: p, Rollout: p},
-		Store:     func(actor.Mailbox) statestore.Store { return storetest.Client(services.store) },
+		Store:     func(actor.Mailbox) kvstore.Store { return storetest.Client(services.store) },
 		Cloud:     cloudtest.Client(services.cloud),
-		Agent:     agenttest.Client(services.agent),
-		Forward:   func(r intake.Request, done func(intake.Response, bool)) { d.forward(n, r, done) },
+		Agent:     workertest.Client(services.agent),
+		Forward:   func(r admission.Request, done func(admission.Response, bool)) { d.forward(n, r, done) },
 		Recovery:  d.Recovery,
 		Everyone:  everyone,
 	}
@@ -150,7 +150,7 @@
 type services struct {
 	store storetest.Service
 	cloud cloudtest.Service
-	agent agenttest.Service
+	agent workertest.Service
 }
 
 // servicesOf connects a process to the fakes, by way of the Recorder if there is one.
--- a/internal/testkit/peers.go
+++ b/internal/simulation/peers.go
@@ -1,12 +1,12 @@
-package testkit
+package simulation
 
 import (
+	"postpoint/internal/admission"
 	"postpoint/internal/clock"
-	"postpoint/internal/intake"
 )
 
 // forward passes a request to any other controller that is up.
-func (d *Deployment) forward(n *Node, r intake.Request, done func(intake.Response, bool)) {
+func (d *Deployment) forward(n *Node, r admission.Request, done func(admission.Response, bool)) {
 	var others []*Node
 	for _, o := range d.Nodes {
 		if o != n && o.process != nil && o.process.alive {
@@ -14,7 +14,7 @@
 		}
 	}
 	if len(others) == 0 {
-		n.process.Post(func() { done(intake.Response{}, false) })
+		n.process.Post(func() { done(admission.Response{}, false) })
 		return
 	}
 	r.Forwarded = true
@@ -22,10 +22,10 @@
 }
 
 // everyone asks all controllers, the asking one included.
-func (d *Deployment) everyone(n *Node, r intake.Request, done func([]intake.Response, bool)) {
+func (d *Deployment) everyone(n *Node, r admission.Request, done func([]admission.Response, bool)) {
 	p, left := n.process, len(d.Nodes)
-	var answers []intake.Response
-	collect := func(a intake.Response, ok bool) {
+	var answers []admission.Response
+	collect := func(a admission.Response, ok bool) {
 		if ok {
 			answers = append(answers, a)
 		}
@@ -35,7 +35,7 @@
 	}
 	for _, o := range d.Nodes {
 		if o == n {
-			n.Admission.Handle(r, func(a intake.Response) { p.Post(func() { collect(a, true) }) })
+			n.Admission.Handle(r, func(a admission.Response) { p.Post(func() { collect(a, true) }) })
 			continue
 		}
 		n.asks(o, r, collect)
@@ -46,10 +46,10 @@
 const peerTimeout = clock.Second
 
 // asks passes a request to another controller and reports whether it responded.
-func (n *Node) asks(o *Node, r intake.Request, done func(a intake.Response, ok bool)) {
+func (n *Node) asks(o *Node, r admission.Request, done func(a admission.Response, ok bool)) {
 	n.Peers.call(n.process, peerTimeout, func(answer func(func())) {
 		if !o.Peers.Cut {
-			o.peers.Handle(r, func(a intake.Response) { answer(func() { done(a, true) }) })
+			o.peers.Handle(r, func(a admission.Response) { answer(func() { done(a, true) }) })
 		}
-	}, func() { done(intake.Response{}, false) })
+	}, func() { done(admission.Response{}, false) })
 }
--- a/internal/testkit/placement_test.go
+++ b/internal/simulation/placement_test.go
@@ -1,12 +1,12 @@
-package testkit
+package simulation
 
 import (
 	"fmt"
 	"testing"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/fleet"
 	"postpoint/internal/protocol"
+	"postpoint/internal/scaling"
 	"postpoint/internal/settings"
 )
 
@@ -16,9 +16,9 @@
 	for seed := uint64(81); seed < 85; seed++ {
 		w := NewWorld(seed)
 		d := NewDeployment(w, testSettings(), testTypes(), 0)
-		d.Cloud.Capacity = map[fleet.CapacityPool]int{}
+		d.Cloud.Capacity = map[scaling.CapacityPool]int{}
 		for _, zone := range []string{"a", "b"} {
-			d.Cloud.Capacity[fleet.CapacityPool{Type: "small", Zone: zone}] = 6
+			d.Cloud.Capacity[scaling.CapacityPool{Type: "small", Zone: zone}] = 6
 		}
 		var jobs []*Job
 		for i := range 6 {
--- a/internal/testkit/record.go
+++ b/internal/simulation/record.go
@@ -1,21 +1,21 @@
-package testkit
+package simulation
 
 import (
 	"encoding/json"
 	"maps"
 	"slices"
 
-	"postpoint/internal/agent/agenttest"
+	"postpoint/internal/admission"
 	"postpoint/internal/clock"
-	"postpoint/internal/cloud/cloudtest"
+	"postpoint/internal/cloudclient/cloudtest"
 	"postpoint/internal/delegation"
-	"postpoint/internal/intake"
+	"postpoint/internal/kvstore"
+	"postpoint/internal/kvstore/storetest"
 	"postpoint/internal/leader/federation"
 	"postpoint/internal/node"
 	"postpoint/internal/peer"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
-	"postpoint/internal/statestore/storetest"
+	"postpoint/internal/workerclient/workertest"
 )
 
 // Recorder is told of every message and every response that a controller sends or receives, at that moment
@@ -55,16 +55,16 @@
 func (r *recording) requestsOf(e *node.Environment) {
 	forward, everyone := e.Forward, e.Everyone
 	e.Exchange = &recordedExchanger{r, e.Exchange}
-	e.Forward = func(request intake.Request, done func(intake.Response, bool)) {
+	e.Forward = func(request admission.Request, done func(admission.Response, bool)) {
 		r.record("forward", peer.RequestFrame(request))
-		forward(request, func(a intake.Response, ok bool) {
+		forward(request, func(a admission.Response, ok bool) {
 			r.record("forward answered", ok, peer.ResponseFrame(a))
 			done(a, ok)
 		})
 	}
-	e.Everyone = func(own *intake.Admission, request intake.Request, done func([]intake.Response, bool)) {
+	e.Everyone = func(own *admission.Admission, request admission.Request, done func([]admission.Response, bool)) {
 		r.record("ask all nodes", peer.RequestFrame(request))
-		everyone(own, request, func(answers []intake.Response, ok bool) {
+		everyone(own, request, func(answers []admission.Response, ok bool) {
 			for _, a := range answers {
 				r.record("a node answered", peer.ResponseFrame(a))
 			}
@@ -107,7 +107,7 @@
 }
 
 func (s *recordedStore) Commit(
-	use statestore.Priority, t protocol.Txn, done func(storetest.Reply[protocol.TxnResponse]),
+	use kvstore.Priority, t protocol.Txn, done func(storetest.Reply[protocol.TxnResponse]),
 ) {
 	s.record("commit", int(use), t)
 	s.store.Commit(use, t, answered(s.recording, "commit", done))
@@ -171,7 +171,7 @@
 // recordedAgent records the commands to workers and their responses.
 type recordedAgent struct {
 	*recording
-	agent agenttest.Service
+	agent workertest.Service
 }
 
 func (a *recordedAgent) Commands(
@@ -221,9 +221,9 @@
 	from     string
 }
 
-func (x *recordedRequests) Handle(request intake.Request, reply func(intake.Response)) {
+func (x *recordedRequests) Handle(request admission.Request, reply func(admission.Response)) {
 	x.record(x.from+" request", peer.RequestFrame(request), request.Forwarded)
-	x.requests.Handle(request, func(a intake.Response) {
+	x.requests.Handle(request, func(a admission.Response) {
 		x.record(x.from+" answer", peer.ResponseFrame(a))
 		reply(a)
 	})
--- a/internal/testkit/record_test.go
+++ b/internal/simulation/record_test.go
@@ -1,4 +1,4 @@
-package testkit
+package simulation
 
 import (
 	"crypto/sha256"
@@ -7,7 +7,7 @@
 	"testing"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
 )
 
 // hashRecorder hashes all that it is told of, and counts it by kinds.
@@ -69,10 +69,10 @@
 		}
 	}
 	_, changed := recordShortDay(1, "", func(s *FakeStore) {
-		e := s.entries[ledger.Key("job-000001")]
+		e := s.entries[jobrecord.Key("job-000001")]
 		e.value = append([]byte(nil), e.value...)
 		e.value[len(e.value)-1] ^= 1
-		s.entries[ledger.Key("job-000001")] = e
+		s.entries[jobrecord.Key("job-000001")] = e
 	})
 	if changed == first {
 		t.Error("a changed byte of a stored value isn't recorded")
--- a/internal/testkit/requests_test.go
+++ b/internal/simulation/requests_test.go
@@ -1,4 +1,4 @@
-package testkit
+package simulation
 
 import (
 	"maps"
@@ -6,8 +6,8 @@
 	"slices"
 	"testing"
 
+	"postpoint/internal/admission"
 	"postpoint/internal/clock"
-	"postpoint/internal/intake"
 	"postpoint/internal/protocol"
 )
 
@@ -18,7 +18,7 @@
 	done := d.Submit(array("job-000003", "open", 1, 1, 5), 5*clock.Second, false)
 	for range 30 {
 		sendInvalidRequests(d)
-		d.ask(intake.Request{Kind: intake.GetStatus, ID: "job-999999"}, func(status int, _ protocol.JobStatus) {
+		d.ask(admission.Request{Kind: admission.GetStatus, ID: "job-999999"}, func(status int, _ protocol.JobStatus) {
 			if status != http.StatusNotFound {
 				w.Violate("invented", "answered %d", status)
 			}
--- a/internal/testkit/rules.go
+++ b/internal/simulation/rules.go
@@ -1,10 +1,10 @@
-package testkit
+package simulation
 
 import (
 	"fmt"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
 )
@@ -164,7 +164,7 @@
 // without their records saying so if the origin cell no longer permits them.
 func (d *Deployment) mayStopWithoutLease(c protocol.Command) bool {
 	id, _, ok := protocol.ParseTask(c.Task)
-	_, _, _, hosted := ledger.ParseHostedJobID(id)
+	_, _, _, hosted := jobrecord.ParseHostedJobID(id)
 	return c.Verb == protocol.VerbStop && ok && (hosted || d.Store.final(id))
 }
 
--- a/internal/testkit/scale_test.go
+++ b/internal/simulation/scale_test.go
@@ -1,13 +1,13 @@
-package testkit
+package simulation
 
 import (
 	"fmt"
 	"testing"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/fleet"
 	"postpoint/internal/leader/overview"
 	"postpoint/internal/protocol"
+	"postpoint/internal/scaling"
 	"postpoint/internal/settings"
 )
 
@@ -23,7 +23,7 @@
 	set.Deployment.KVStore.ValueKb, set.Deployment.KVStore.TxnOps = 32, 12
 	d := NewDeployment(w, set, testTypes(), 0)
 	d.Store.Kept, d.Store.Page = 10_000, 500
-	d.Cloud.Capacity = map[fleet.CapacityPool]int{
+	d.Cloud.Capacity = map[scaling.CapacityPool]int{
 		{Type: "small", Zone: "a"}: 150, {Type: "small", Zone: "b"}: 100,
 		{Type: "small", Zone: "a", Spot: true}: 50,
 		{Type: "big", Zone: "a"}:               40, {Type: "big", Zone: "b"}: 20,
@@ -134,7 +134,7 @@
 	set.Deployment.Cloud.Rps = 12
 	d := NewDeployment(w, set, testTypes(), 0)
 	d.Store.Kept, d.Store.Page = 10_000, 500
-	d.Cloud.Capacity = map[fleet.CapacityPool]int{{Type: "small", Zone: "a"}: 1500, {Type: "small", Zone: "b"}: 500}
+	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 1500, {Type: "small", Zone: "b"}: 500}
 	for i := range clock.Micros(8) {
 		const n = 1000
 		w.After(i*2*clock.Second, func() {
--- a/internal/testkit/scalefailover_test.go
+++ b/internal/simulation/scalefailover_test.go
@@ -1,11 +1,11 @@
-package testkit
+package simulation
 
 import (
 	"testing"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/fleet"
 	"postpoint/internal/protocol"
+	"postpoint/internal/scaling"
 	"postpoint/internal/settings"
 )
 
@@ -23,7 +23,7 @@
 	d := NewDeployment(w, set, testTypes(), 0)
 	d.Store.Kept, d.Store.Page = 10_000, 500
 	d.Cloud.Reliable = true
-	d.Cloud.Capacity = map[fleet.CapacityPool]int{{Type: "small", Zone: "a"}: 400, {Type: "small", Zone: "b"}: 200}
+	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 400, {Type: "small", Zone: "b"}: 200}
 	w.MessageCost = 2 * clock.Millisecond
 	submit := func(tasks int, run clock.Micros) {
 		d.Submit(array(d.nextID(), "open", tasks, 2, run.Seconds()), run, false)
@@ -87,7 +87,7 @@
 	d := NewDeployment(w, set, testTypes(), 0)
 	d.Store.Kept, d.Store.Page = 10_000, 500
 	d.Cloud.Reliable = true
-	d.Cloud.Capacity = map[fleet.CapacityPool]int{{Type: "small", Zone: "a"}: 3000, {Type: "small", Zone: "b"}: 1000}
+	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 3000, {Type: "small", Zone: "b"}: 1000}
 	d.Store.Limit(set.Deployment.KVStore.Tightest(), false)
 	submit := func(shape, rank string, tasks int, cpus float64, run clock.Micros) *Job {
 		spec := array(d.nextID(), "open", tasks, cpus, run.Seconds())
@@ -117,7 +117,7 @@
 				m.Die()
 			}
 		}
-		d.Cloud.Capacity[fleet.CapacityPool{Type: "small", Zone: "b"}] = 0
+		d.Cloud.Capacity[scaling.CapacityPool{Type: "small", Zone: "b"}] = 0
 	})
 	w.Run(200 * clock.Second)
 	for _, j := range services {
--- a/internal/testkit/storeclient.go
+++ b/internal/simulation/storeclient.go
@@ -1,13 +1,13 @@
-package testkit
+package simulation
 
 import (
 	"net/http"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/leadership"
+	"postpoint/internal/election"
+	"postpoint/internal/kvstore"
+	"postpoint/internal/kvstore/storetest"
 	"postpoint/internal/protocol"
-	"postpoint/internal/statestore"
-	"postpoint/internal/statestore/storetest"
 )
 
 const (
@@ -78,7 +78,7 @@
 
 // Commit executes a transaction, or on some days much later, without a response.
 func (c *storeClient) Commit(
-	use statestore.Priority, t protocol.Txn, done func(storetest.Reply[protocol.TxnResponse]),
+	use kvstore.Priority, t protocol.Txn, done func(storetest.Reply[protocol.TxnResponse]),
 ) {
 	c.checkGuards(use, t)
 	if c.store.w.chance(c.store.LateWrites) {
@@ -102,7 +102,7 @@
 
 // checkGuards checks that a transaction guards each key that it changes, and the leader's key if a
 // leader sends it.
-func (c *storeClient) checkGuards(use statestore.Priority, t protocol.Txn) {
+func (c *storeClient) checkGuards(use kvstore.Priority, t protocol.Txn) {
 	guarded := map[string]bool{}
 	for _, g := range t.Conditions {
 		guarded[g.Key] = true
@@ -112,7 +112,7 @@
 			c.store.w.Violate(unguarded, "a change of %s", x.Put+x.Delete)
 		}
 	}
-	if use == statestore.PriorityLeader && !guarded[leadership.LeaderKey] {
+	if use == kvstore.PriorityLeader && !guarded[election.LeaderKey] {
 		c.store.w.Violate(unguarded, "a leader's change without the leader's key")
 	}
 }
--- a/internal/testkit/storeoutage_test.go
+++ b/internal/simulation/storeoutage_test.go
@@ -1,4 +1,4 @@
-package testkit
+package simulation
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/leadership"
+	"postpoint/internal/election"
 )
 
 // The store refuses the leader alone, another controller confirms a cancellation, and then the store is
@@ -65,11 +65,11 @@
 func TestLeaderWithoutRecordsRenewsNoLeases(t *testing.T) {
 	w, d, j, _ := twoJobs(t, 41, 300*clock.Second)
 	first := mustLead(t, d)
-	epoch := d.Store.entries[leadership.LeaderKey].version
+	epoch := d.Store.entries[election.LeaderKey].version
 	first.State.StoreRefuses = true
 	confirmCancel(w, d, j)
 	first.Crash()
-	for d.Store.entries[leadership.LeaderKey].version <= epoch {
+	for d.Store.entries[election.LeaderKey].version <= epoch {
 		w.Run(w.Now() + 200)
 	}
 	d.Store.Outage(true) // the response to its campaign is on its way
--- a/internal/testkit/storerecords.go
+++ b/internal/simulation/storerecords.go
@@ -1,20 +1,20 @@
-package testkit
+package simulation
 
 import (
-	"postpoint/internal/leadership"
-	"postpoint/internal/ledger"
+	"postpoint/internal/election"
+	"postpoint/internal/jobrecord"
 )
 
 // leads reports whether the epoch is that of the leader by the store.
-func (s *FakeStore) leads(epoch int64) bool { return s.entries[leadership.LeaderKey].version == epoch }
+func (s *FakeStore) leads(epoch int64) bool { return s.entries[election.LeaderKey].version == epoch }
 
 // record decodes a job's record, without its shards; nil if there is none.
-func (s *FakeStore) record(job string) *ledger.Record {
-	e, ok := s.entries[ledger.Key(job)]
+func (s *FakeStore) record(job string) *jobrecord.Record {
+	e, ok := s.entries[jobrecord.Key(job)]
 	if !ok {
 		return nil
 	}
-	j, err := ledger.Decode(e.value)
+	j, err := jobrecord.Decode(e.value)
 	if err != nil {
 		return nil
 	}
@@ -22,13 +22,13 @@
 }
 
 // wholeRecord decodes a job's record with its shards; nil if there is none.
-func (s *FakeStore) wholeRecord(job string) *ledger.Record {
+func (s *FakeStore) wholeRecord(job string) *jobrecord.Record {
 	j := s.record(job)
 	if j == nil {
 		return nil
 	}
 	for part := range j.ShardCount() {
-		if e, ok := s.entries[ledger.ShardKey(job, part)]; ok {
+		if e, ok := s.entries[jobrecord.ShardKey(job, part)]; ok {
 			if err := j.ApplyShard(part, e.value); err != nil {
 				s.w.Violate(badRecord, "part %d of %s: %v", part, job, err)
 			}
--- a/internal/testkit/storetxn.go
+++ b/internal/simulation/storetxn.go
@@ -1,4 +1,4 @@
-package testkit
+package simulation
 
 import (
 	"net/http"
@@ -6,9 +6,9 @@
 
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
+	"postpoint/internal/kvstore/storetest"
 	"postpoint/internal/protocol"
 	"postpoint/internal/settings"
-	"postpoint/internal/statestore/storetest"
 )
 
 // guardsPerChange is how many conditions a transaction may have for each change that it may have.
--- a/internal/testkit/tasks.go
+++ b/internal/simulation/tasks.go
@@ -1,10 +1,10 @@
-package testkit
+package simulation
 
 import (
 	"postpoint/internal/clock"
-	"postpoint/internal/fleet"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
+	"postpoint/internal/scaling"
 )
 
 // maxFetchTime is how long an image takes at most.
@@ -147,7 +147,7 @@
 	var free planner.Resources
 	for _, ty := range m.d.Cloud.Types {
 		if ty.Name == m.typ {
-			free = fleet.Capacity(ty)
+			free = scaling.Capacity(ty)
 		}
 	}
 	for _, t := range m.tasks {
--- a/internal/testkit/transfer_test.go
+++ b/internal/simulation/transfer_test.go
@@ -1,4 +1,4 @@
-package testkit
+package simulation
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
-	"postpoint/internal/fleet"
-	"postpoint/internal/ledger"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/protocol"
+	"postpoint/internal/scaling"
 	"postpoint/internal/settings"
 )
 
@@ -35,7 +35,7 @@
 		d.Cloud.Reliable = true
 		clear(d.Cloud.Capacity)
 	}
-	x.host.Cloud.Capacity[fleet.CapacityPool{Type: "small", Zone: "a"}] = 2
+	x.host.Cloud.Capacity[scaling.CapacityPool{Type: "small", Zone: "a"}] = 2
 	w.Run(10 * clock.Second)
 	spec := array("job-000001", "open", 20, 4, 25)
 	if gang {
@@ -44,7 +44,7 @@
 	x.job = x.origin.Submit(spec, 25*clock.Second, false)
 	x.host.Submit(array("job-000001", "open", 1, 4, 20), 20*clock.Second, false) // the same id
 	w.After(originGrowsAt, func() {
-		x.origin.Cloud.Capacity[fleet.CapacityPool{Type: "small", Zone: "b"}] = 4
+		x.origin.Cloud.Capacity[scaling.CapacityPool{Type: "small", Zone: "b"}] = 4
 		x.origin.Submit(array("job-000002", "open", 8, 4, 3), 3*clock.Second, false)
 	})
 	return x
@@ -114,10 +114,10 @@
 	return false
 }
 
-func (x *transfer) hosted() *ledger.Record {
+func (x *transfer) hosted() *jobrecord.Record {
 	for key := range x.host.Store.entries {
-		id := strings.TrimPrefix(key, ledger.Prefix)
-		if _, _, _, guest := ledger.ParseHostedJobID(id); guest {
+		id := strings.TrimPrefix(key, jobrecord.Prefix)
+		if _, _, _, guest := jobrecord.ParseHostedJobID(id); guest {
 			return x.host.Store.record(id)
 		}
 	}
--- a/internal/testkit/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -1,4 +1,4 @@
-package testkit
+package simulation
 
 import (
 	"slices"
@@ -6,8 +6,8 @@
 	"testing"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/jobrecord"
 	"postpoint/internal/leader/overview"
-	"postpoint/internal/ledger"
 	"postpoint/internal/protocol"
 	"postpoint/internal/settings"
 )
@@ -36,7 +36,7 @@
 func (s *FakeStore) shards() []string {
 	var keys []string
 	for key := range s.entries {
-		if strings.HasPrefix(key, ledger.ShardsPrefix) {
+		if strings.HasPrefix(key, jobrecord.ShardsPrefix) {
 			keys = append(keys, key)
 		}
 	}
--- a/internal/testkit/users.go
+++ b/internal/simulation/users.go
@@ -1,12 +1,12 @@
-package testkit
+package simulation
 
 import (
 	"fmt"
 	"net/http"
 	"sort"
 
+	"postpoint/internal/admission"
 	"postpoint/internal/clock"
-	"postpoint/internal/intake"
 	"postpoint/internal/protocol"
 )
 
@@ -27,12 +27,12 @@
 )
 
 // ask sends a user's request to any controller. Status 0 is no response within the user's time.
-func (d *Deployment) ask(r intake.Request, done func(status int, s protocol.JobStatus)) {
+func (d *Deployment) ask(r admission.Request, done func(status int, s protocol.JobStatus)) {
 	d.askNode(d.Nodes[d.World.Rand.IntN(len(d.Nodes))], r, done)
 }
 
 // askNode sends a user's request to one controller.
-func (d *Deployment) askNode(n *Node, r intake.Request, done func(status int, s protocol.JobStatus)) {
+func (d *Deployment) askNode(n *Node, r admission.Request, done func(status int, s protocol.JobStatus)) {
 	over := false
 	finish := func(status int, body []byte) {
 		if over {
@@ -54,7 +54,7 @@
 		if !proc.alive {
 			return
 		}
-		n.requests.Handle(r, func(a intake.Response) {
+		n.requests.Handle(r, func(a admission.Response) {
 			proc.send(func() { d.World.After(userLatency, func() { finish(a.Status, a.Body) }) })
 		})
 	})
@@ -73,7 +73,7 @@
 // submit sends the job's submission until a controller accepts it.
 func (d *Deployment) submit(j *Job) {
 	before := j.finalStatus
-	request := intake.Request{Kind: intake.Submit, Body: protocol.Encode(j.spec)}
+	request := admission.Request{Kind: admission.Submit, Body: protocol.Encode(j.spec)}
 	d.ask(request, func(status int, s protocol.JobStatus) {
 		switch status {
 		case http.StatusCreated, http.StatusOK:
@@ -100,7 +100,7 @@
 
 // SubmitInvalid has a user submit something that must not be accepted.
 func (d *Deployment) SubmitInvalid(body []byte) {
-	d.ask(intake.Request{Kind: intake.Submit, Body: body}, func(status int, _ protocol.JobStatus) {
+	d.ask(admission.Request{Kind: admission.Submit, Body: body}, func(status int, _ protocol.JobStatus) {
 		if status == http.StatusOK || status == http.StatusCreated {
 			d.World.Violate(acceptedInvalid, "answered %d: %x", status, body)
 		}
@@ -111,7 +111,7 @@
 func (d *Deployment) poll(j *Job) {
 	d.World.After(d.World.Between(minPollInterval, maxPollInterval), func() {
 		before := j.finalStatus
-		d.ask(intake.Request{Kind: intake.GetStatus, ID: j.spec.ID}, func(status int, s protocol.JobStatus) {
+		d.ask(admission.Request{Kind: admission.GetStatus, ID: j.spec.ID}, func(status int, s protocol.JobStatus) {
 			if status == http.StatusNotFound {
 				d.World.Violate(forgotten, "%s answered 404", j.spec.ID)
 			}
@@ -136,7 +136,7 @@
 	}
 	j.cancelRequested = true
 	before := j.finalStatus
-	d.ask(intake.Request{Kind: intake.Cancel, ID: j.spec.ID}, func(status int, s protocol.JobStatus) {
+	d.ask(admission.Request{Kind: admission.Cancel, ID: j.spec.ID}, func(status int, s protocol.JobStatus) {
 		if status == http.StatusOK {
 			d.checkStatus(j, before, s)
 			return
--- a/internal/testkit/worker.go
+++ b/internal/simulation/worker.go
@@ -1,11 +1,11 @@
-package testkit
+package simulation
 
 import (
 	"sort"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/fleet"
 	"postpoint/internal/protocol"
+	"postpoint/internal/scaling"
 )
 
 const (
@@ -62,7 +62,7 @@
 }
 
 // boot starts a machine that comes up some time later.
-func (d *Deployment) boot(name string, k fleet.CapacityPool) *FakeWorker {
+func (d *Deployment) boot(name string, k scaling.CapacityPool) *FakeWorker {
 	m := &FakeWorker{
 		d: d, name: name, addr: d.address(name), typ: k.Type, zone: k.Zone, spot: k.Spot,
 		status: protocol.MachineStarting, rentedAt: d.World.now,
--- a/internal/testkit/workerfaults.go
+++ b/internal/simulation/workerfaults.go
@@ -1,4 +1,4 @@
-package testkit
+package simulation
 
 import "postpoint/internal/clock"
 
--- a/internal/testkit/workerloss_test.go
+++ b/internal/simulation/workerloss_test.go
@@ -1,11 +1,11 @@
-package testkit
+package simulation
 
 import (
 	"fmt"
 	"testing"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/fleet"
+	"postpoint/internal/scaling"
 )
 
 // A worker reaches no controller, while direct commands reach it, so that it is heard of by their
@@ -15,7 +15,7 @@
 	w := NewWorld(44)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
 	d.Cloud.Reliable = true
-	d.Cloud.Capacity = map[fleet.CapacityPool]int{{Type: "small", Zone: "a"}: 1} // there is no other
+	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 1} // there is no other
 	long := d.Submit(array("job-000001", "open", 1, 2, 90), 90*clock.Second, false)
 	w.Run(40 * clock.Second)
 	if len(long.machines) != 1 {
@@ -43,7 +43,7 @@
 func TestSilentWorkersAreReplacedWhenAllAreSilent(t *testing.T) {
 	w := NewWorld(7)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
-	d.Cloud.Capacity = map[fleet.CapacityPool]int{{Type: "small", Zone: "a"}: 4}
+	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 4}
 	spec := array("job-000001", "open", 8, 4, 30)
 	j := d.Submit(spec, 30*clock.Second, false)
 	w.Run(25 * clock.Second)
@@ -71,7 +71,7 @@
 // A worker that responses reach again in time is used again.
 func TestWorkerThatReceivesResponsesAgainIsReused(t *testing.T) {
 	w, d, j := eightTasks(t, 11, 200*clock.Second)
-	d.Cloud.Capacity = map[fleet.CapacityPool]int{} // there is no other
+	d.Cloud.Capacity = map[scaling.CapacityPool]int{} // there is no other
 	m := d.Workers()[0]
 	m.ResponsesLost = true
 	w.Run(w.Now() + 14*clock.Second) // one lease
--- a/internal/testkit/world.go
+++ b/internal/simulation/world.go
@@ -1,4 +1,4 @@
-// Package testkit simulates whole deployments in one goroutine on a virtual clock: real controllers
+// Package simulation simulates whole deployments in one goroutine on a virtual clock: real controllers
 // against fakes of the key-value store, the cloud, the workers, the users and other cells, with messages
 // delayed, lost, held back and repeated. The same seed gives the same course of events.
 //
@@ -7,7 +7,7 @@
 // nothing in it runs in production. Its callers are its own tests of whole controllers, the tests of
 // internal/controller, which connect the fakes to controllers in other processes over HTTP (Loopback),
 // and cmd/loadtool.
-package testkit
+package simulation
 
 import (
 	"container/heap"
--- a/internal/testkit/zonefixture_test.go
+++ b/internal/simulation/zonefixture_test.go
@@ -1,4 +1,4 @@
-package testkit
+package simulation
 
 import (
 	"fmt"
@@ -6,11 +6,11 @@
 	"testing"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/fleet"
 	"postpoint/internal/leader/overview"
 	"postpoint/internal/protocol"
-	"postpoint/internal/recovery"
+	"postpoint/internal/scaling"
 	"postpoint/internal/settings"
+	"postpoint/internal/zonerecovery"
 )
 
 // twoZones is a deployment of two zones with zone recovery switched on.
@@ -22,7 +22,7 @@
 		change(set)
 	}
 	d := prepare(w, set, testTypes(), 0, false)
-	s := recovery.Defaults()
+	s := zonerecovery.Defaults()
 	d.Recovery = &s
 	d.Cloud.Reliable = true
 	for _, n := range d.Nodes {
@@ -35,7 +35,7 @@
 func (d *Deployment) capacity(machines int) {
 	clear(d.Cloud.Capacity)
 	for _, zone := range []string{"a", "b"} {
-		d.Cloud.Capacity[fleet.CapacityPool{Type: "small", Zone: zone}] = machines
+		d.Cloud.Capacity[scaling.CapacityPool{Type: "small", Zone: zone}] = machines
 	}
 }
 
@@ -54,7 +54,7 @@
 }
 
 // awaitPhase runs until a zone is in a phase by the leader's overview.
-func (d *Deployment) awaitPhase(t *testing.T, zone string, p recovery.Phase, most clock.Micros) {
+func (d *Deployment) awaitPhase(t *testing.T, zone string, p zonerecovery.Phase, most clock.Micros) {
 	t.Helper()
 	for until := d.World.now + most; d.World.now < until; d.World.Run(d.World.now + 100*clock.Millisecond) {
 		if d.zones()[zone].Phase == p {
--- a/internal/testkit/zoneloss_test.go
+++ b/internal/simulation/zoneloss_test.go
@@ -1,13 +1,13 @@
-package testkit
+package simulation
 
 import (
 	"fmt"
 	"testing"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/fleet"
 	"postpoint/internal/protocol"
-	"postpoint/internal/recovery"
+	"postpoint/internal/scaling"
+	"postpoint/internal/zonerecovery"
 )
 
 // A zone is partitioned at every step of a gang's restart, for less than a lease, for longer and for
@@ -105,10 +105,10 @@
 func TestOffloadedTasksSurviveZoneLoss(t *testing.T) {
 	t.Parallel()
 	x := newTransfer(5700, false)
-	s := recovery.Defaults()
+	s := zonerecovery.Defaults()
 	x.host.Recovery = &s
 	x.host.crashAll(100 * clock.Millisecond)
-	x.host.Cloud.Capacity[fleet.CapacityPool{Type: "small", Zone: "b"}] = 2
+	x.host.Cloud.Capacity[scaling.CapacityPool{Type: "small", Zone: "b"}] = 2
 	if !x.runTo(steps[5].reached) {
 		t.Fatal("no task was completed by the host cell")
 	}
@@ -123,7 +123,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			d := play(7000+seed, func(d *Deployment) {
-				s := recovery.Defaults()
+				s := zonerecovery.Defaults()
 				d.Recovery = &s
 				for _, n := range d.Nodes { // they started before
 					n.Crash()
--- a/internal/testkit/zonerecovery_test.go
+++ b/internal/simulation/zonerecovery_test.go
@@ -1,4 +1,4 @@
-package testkit
+package simulation
 
 import (
 	"fmt"
@@ -6,17 +6,17 @@
 	"testing"
 
 	"postpoint/internal/clock"
-	"postpoint/internal/fleet"
 	"postpoint/internal/protocol"
-	"postpoint/internal/recovery"
+	"postpoint/internal/scaling"
 	"postpoint/internal/settings"
+	"postpoint/internal/zonerecovery"
 )
 
 // The loss of a zone is told from the isolation of the leader, keeps its number through failovers in each
 // phase, and the zone is healthy again once it has been back for long enough.
 func TestZoneRecoverySurvivesFailover(t *testing.T) {
 	t.Parallel()
-	for _, phase := range []recovery.Phase{recovery.Suspect, recovery.Lost, recovery.Returning} {
+	for _, phase := range []zonerecovery.Phase{zonerecovery.Suspect, zonerecovery.Lost, zonerecovery.Returning} {
 		for zone, k := range map[string]int{"a": 0, "b": 1} { // with the leader inside, or most controllers
 			w, d, h := twoZones(uint64(5200+k), nil)
 			d.capacity(4)
@@ -31,12 +31,12 @@
 			for until := w.Now() + 30*clock.Second; d.Leader() == nil && w.Now() < until; {
 				w.Run(w.Now() + 100*clock.Millisecond)
 			}
-			if z := d.zones()[zone]; phase == recovery.Lost && z.Phase != recovery.Lost {
+			if z := d.zones()[zone]; phase == zonerecovery.Lost && z.Phase != zonerecovery.Lost {
 				t.Errorf("zone %s, %s: the next leader has it %+v, want %s", zone, phase, z, phase)
 			}
 			w.Run(200 * clock.Second)
-			if z := d.zones()[zone]; z.Phase != recovery.Healthy || z.Losses != 1 {
-				t.Errorf("zone %s, failover while %s: %+v, want %s and loss 1", zone, phase, z, recovery.Healthy)
+			if z := d.zones()[zone]; z.Phase != zonerecovery.Healthy || z.Losses != 1 {
+				t.Errorf("zone %s, failover while %s: %+v, want %s and loss 1", zone, phase, z, zonerecovery.Healthy)
 			}
 			w.Run(500 * clock.Second)
 			checkJobs(t, string(phase), w, h, j)
@@ -74,9 +74,9 @@
 		}
 		w.Run(w.Now() + c.cuts*c.every + 150*clock.Second)
 		z := d.zones()[zone]
-		if z.Losses > c.losses || z.Phase != recovery.Healthy {
+		if z.Losses > c.losses || z.Phase != zonerecovery.Healthy {
 			t.Errorf("%s: %d losses, want %d at most; %s, want %s",
-				name, z.Losses, c.losses, z.Phase, recovery.Healthy)
+				name, z.Losses, c.losses, z.Phase, zonerecovery.Healthy)
 		}
 		if n := len(d.Cloud.all) - machines; n > c.rentals {
 			t.Errorf("%s: %d machines rented, want %d at most", name, n, c.rentals)
@@ -98,8 +98,8 @@
 	w, d, _ := twoZones(5400, func(s *settings.Settings) { s.Deployment.Workers.GangWaitS = 60 })
 	d.Recovery.TasksPerS = 2
 	clear(d.Cloud.Capacity)
-	d.Cloud.Capacity[fleet.CapacityPool{Type: "small", Zone: "a"}] = 12
-	d.Cloud.Capacity[fleet.CapacityPool{Type: "small", Zone: "b"}] = 1
+	d.Cloud.Capacity[scaling.CapacityPool{Type: "small", Zone: "a"}] = 12
+	d.Cloud.Capacity[scaling.CapacityPool{Type: "small", Zone: "b"}] = 1
 	w.Run(20 * clock.Second)
 	stays := array("job-000006", "open", 1, 8, 600) // or nothing would be heard at all
 	stays.Zone = "b"
@@ -122,7 +122,7 @@
 		d.Leader().Crash()
 		w.Run(w.Now() + 15*clock.Second)
 	}
-	d.Cloud.Capacity[fleet.CapacityPool{Type: "small", Zone: "b"}] = 12
+	d.Cloud.Capacity[scaling.CapacityPool{Type: "small", Zone: "b"}] = 12
 	w.After(300*clock.Second, d.CutZone("a", false))
 	turns, reason := d.watchWaiting("a", bound.ID)
 	order := []string{service.ID, due.ID, whole.ID, plain.ID}
--- a/internal/agent/agent.go
+++ b/internal/workerclient/client.go
@@ -1,7 +1,7 @@
-// Package agent is the client of the workers' own addresses. It turns their responses into typed
+// Package workerclient is the client of the workers' own addresses. It turns their responses into typed
 // results, which reach the asking actor as messages. It retries nothing: workers repeat their
 // status in heartbeats, and the leader what is still due.
-package agent
+package workerclient
 
 import (
 	"context"
--- a/internal/agent/errors.go
+++ b/internal/workerclient/errors.go
@@ -1,4 +1,4 @@
-package agent
+package workerclient
 
 import (
 	"errors"
--- a/internal/agent/agenttest/service.go
+++ b/internal/workerclient/workertest/service.go
@@ -1,12 +1,12 @@
 // Package agenttest lets stand-ins of workers respond as workers do, with a status and their
 // heartbeat. Only tests and the simulation use it.
-package agenttest
+package workertest
 
 import (
-	"postpoint/internal/agent"
 	"postpoint/internal/clock"
 	"postpoint/internal/protocol"
 	"postpoint/internal/transport"
+	"postpoint/internal/workerclient"
 )
 
 // Service is a stand-in of all workers as one client sees them. Status 0 means that no response came,
@@ -16,23 +16,23 @@
 }
 
 // Client returns the workers whose results are what the service responds.
-func Client(s Service) agent.API { return client{s} }
+func Client(s Service) workerclient.API { return client{s} }
 
 // client turns statuses into errors.
 type client struct{ service Service }
 
-func (c client) Commands(addr string, commands protocol.CommandRequest, until clock.Micros, done func(agent.Response)) {
+func (c client) Commands(addr string, commands protocol.CommandRequest, until clock.Micros, done func(workerclient.Response)) {
 	c.service.Commands(addr, commands, until, func(status int, r protocol.Heartbeat) {
-		done(agent.Response{Status: r, Err: failure(status, r)})
+		done(workerclient.Response{Status: r, Err: failure(status, r)})
 	})
 }
 
 func failure(status int, worker protocol.Heartbeat) error {
 	switch status {
 	case transport.NotSent:
-		return &transport.Error{Kind: agent.ErrNotSent, Status: status}
+		return &transport.Error{Kind: workerclient.ErrNotSent, Status: status}
 	case 0:
-		return &transport.Error{Kind: agent.ErrNoResponse}
+		return &transport.Error{Kind: workerclient.ErrNoResponse}
 	}
-	return agent.Failure(status, worker)
+	return workerclient.Failure(status, worker)
 }
--- a/internal/agent/agenttest/service_test.go
+++ b/internal/workerclient/workertest/service_test.go
@@ -1,14 +1,14 @@
-package agenttest
+package workertest
 
 import (
 	"errors"
 	"net/http"
 	"testing"
 
-	"postpoint/internal/agent"
 	"postpoint/internal/clock"
 	"postpoint/internal/protocol"
 	"postpoint/internal/transport"
+	"postpoint/internal/workerclient"
 )
 
 // fixedWorker responds to all commands in the same way.
@@ -28,12 +28,12 @@
 	if err == nil {
 		return http.StatusOK
 	}
-	if errors.Is(err, agent.ErrRejected) {
+	if errors.Is(err, workerclient.ErrRejected) {
 		return http.StatusConflict
 	}
 	failure, ok := errors.AsType[*transport.Error](err)
 	if !ok {
-		t.Fatalf("%v is of type %T, expected one of package agent", err, err)
+		t.Fatalf("%v is of type %T, expected one of package workerclient", err, err)
 	}
 	return failure.Status
 }
@@ -41,20 +41,20 @@
 func TestClientReturnsErrorOfEveryStatus(t *testing.T) {
 	for status := transport.NotSent; status < 1000; status++ {
 		workers := Client(fixedWorker{status, protocol.Heartbeat{Machine: "m-1", Epoch: 8, Incarnation: 2}})
-		got := agent.Response{Err: errors.New("no outcome")}
-		workers.Commands("", protocol.CommandRequest{}, 0, func(r agent.Response) { got = r })
+		got := workerclient.Response{Err: errors.New("no outcome")}
+		workers.Commands("", protocol.CommandRequest{}, 0, func(r workerclient.Response) { got = r })
 		if statusOf(t, got.Err) != status || got.Status.Machine != "m-1" {
 			t.Errorf("status %d became %d from %q", status, statusOf(t, got.Err), got.Status.Machine)
 		}
 		unknown := status != http.StatusOK && status != http.StatusConflict &&
 			status != http.StatusBadRequest && status != transport.NotSent
-		if agent.OutcomeUnknown(got.Err) != unknown {
+		if workerclient.OutcomeUnknown(got.Err) != unknown {
 			t.Errorf("status %d: %v, expected an unknown outcome %v", status, got.Err, unknown)
 		}
-		if notSent := status == transport.NotSent; errors.Is(got.Err, agent.ErrNotSent) != notSent {
+		if notSent := status == transport.NotSent; errors.Is(got.Err, workerclient.ErrNotSent) != notSent {
 			t.Errorf("status %d: %v, expected not sent %v", status, got.Err, notSent)
 		}
-		if noResponse := status == 0; errors.Is(got.Err, agent.ErrNoResponse) != noResponse {
+		if noResponse := status == 0; errors.Is(got.Err, workerclient.ErrNoResponse) != noResponse {
 			t.Errorf("status %d: %v, expected no response %v", status, got.Err, noResponse)
 		}
 	}
--- a/internal/recovery/evidence.go
+++ b/internal/zonerecovery/evidence.go
@@ -1,4 +1,4 @@
-package recovery
+package zonerecovery
 
 // Evidence is what the leader knows of a zone at one moment.
 type Evidence struct {
--- a/internal/recovery/order_test.go
+++ b/internal/zonerecovery/order_test.go
@@ -1,4 +1,4 @@
-package recovery
+package zonerecovery
 
 import (
 	"slices"
