--- a/internal/workerclient/workertest/service.go
+++ b/internal/workerclient/workertest/service.go
@@ -1,4 +1,4 @@
-// Package agenttest lets stand-ins of workers respond as workers do, with a status and their
+// Package workertest lets stand-ins of workers respond as workers do, with a status and their
 // heartbeat. Only tests and the simulation use it.
 package workertest
 
