--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -75,11 +75,17 @@
 // newLeader returns the leader's actor.
 func (n *Node) newLeader(e Environment) *leader.Leader {
 	box := e.Mailboxes.Leader
-	return leader.New(box, e.Store(box), e.Cloud, e.Agent, e.Settings,
-		func(epoch int64) { n.Candidate.ObserveEpoch(epoch) },
-		func() { n.Candidate.Resign() },
-		n.attestations(e),
-		func(types []protocol.MachineType) { n.Admission.SetMachineTypes(types) })
+	return leader.New(leader.Dependencies{
+		Mailbox:          box,
+		Settings:         e.Settings,
+		Store:            e.Store(box),
+		Cloud:            e.Cloud,
+		Workers:          e.Agent,
+		Deposed:          func(epoch int64) { n.Candidate.ObserveEpoch(epoch) },
+		Resign:           func() { n.Candidate.Resign() },
+		Attest:           n.attestations(e),
+		CatalogueChanged: func(types []protocol.MachineType) { n.Admission.SetMachineTypes(types) },
+	})
 }
 
 // attestations returns how the leader asks all nodes to vouch for what they have told users.
