--- a/internal/jobrecord/capacity.go
+++ b/internal/jobrecord/capacity.go
@@ -67,31 +67,31 @@
 // StartCapacity returns how many more tasks may start before a record that isn't sharded could outgrow limit
 // bytes. It assumes the worst: every running task ends up as a range of its own, among the
 // done ones or among those that run on, and every new one is alone on its machine.
-func (j *Record) StartCapacity(limit int) int {
-	numberBytes := len(strconv.Itoa(j.Spec.Tasks)) + 1 // with its comma
-	used := j.headBytes() + len(j.Done.spans)*2*numberBytes + len(j.Placements)*numberBytes +
-		j.groupCount()*(groupBytes+machineBytes)
+func (r *Record) StartCapacity(limit int) int {
+	numberBytes := len(strconv.Itoa(r.Spec.Tasks)) + 1 // with its comma
+	used := r.headBytes() + len(r.Done.spans)*2*numberBytes + len(r.Placements)*numberBytes +
+		r.groupCount()*(groupBytes+machineBytes)
 	return max(0, (UsableBytes(limit)-used)/(numberBytes+groupBytes+machineBytes))
 }
 
 // headBytes returns what a record takes at most without what belongs to single tasks.
-func (j *Record) headBytes() int {
-	spec := &j.Spec
+func (r *Record) headBytes() int {
+	spec := &r.Spec
 	used := headFieldBytes + len(spec.ID) + len(spec.Class) + len(spec.Team) + len(spec.Image) +
-		len(spec.Zone) + len(j.Cause)
+		len(spec.Zone) + len(r.Cause)
 	for _, machineType := range spec.Types {
 		used += len(machineType) + listItemBytes
 	}
-	for _, lender := range j.Lenders {
+	for _, lender := range r.Lenders {
 		used += len(lender) + listItemBytes
 	}
 	return used
 }
 
 // groupCount returns the number of texts that the placements take.
-func (j *Record) groupCount() int {
-	groups := make(map[placementGroup]bool, len(j.Placements)/tasksPerGroup)
-	for _, placement := range j.Placements {
+func (r *Record) groupCount() int {
+	groups := make(map[placementGroup]bool, len(r.Placements)/tasksPerGroup)
+	for _, placement := range r.Placements {
 		groups[placement.group()] = true
 	}
 	return len(groups)
@@ -99,18 +99,18 @@
 
 // Startable returns up to most pending tasks, in increasing order, that may start now: however they
 // end, no value of the record outgrows limit bytes.
-func (j *Record) Startable(limit, most int) []int {
-	if j.ShardSize == 0 {
-		return j.Pending(min(most, j.StartCapacity(limit)))
+func (r *Record) Startable(limit, most int) []int {
+	if r.ShardSize == 0 {
+		return r.Pending(min(most, r.StartCapacity(limit)))
 	}
-	used := j.shardBytes()
+	used := r.shardBytes()
 	var tasks []int
-	next := j.Done.NextMissing
-	for task := next(0); task < j.Spec.Tasks && len(tasks) < most; task = next(task + 1) {
-		if _, placed := j.Placements[task]; placed {
+	next := r.Done.NextMissing
+	for task := next(0); task < r.Spec.Tasks && len(tasks) < most; task = next(task + 1) {
+		if _, placed := r.Placements[task]; placed {
 			continue
 		}
-		shard := j.ShardOf(task)
+		shard := r.ShardOf(task)
 		if used[shard]+newPlacementBytes <= UsableBytes(limit) {
 			used[shard] += newPlacementBytes
 			tasks = append(tasks, task)
@@ -121,17 +121,17 @@
 
 // shardBytes returns what each shard takes at most while what is placed goes on: every task ends
 // up alone on its machine.
-func (j *Record) shardBytes() []int {
-	used := make([]int, j.ShardCount())
+func (r *Record) shardBytes() []int {
+	used := make([]int, r.ShardCount())
 	counts := make([]map[start]int, len(used))
 	placed := make([]int, len(used))
-	digits := len(strconv.Itoa(j.ShardSize))
+	digits := len(strconv.Itoa(r.ShardSize))
 	for shard := range used {
-		used[shard] = shardOverheadBytes + j.ShardSize/tasksPerBitmapByte
+		used[shard] = shardOverheadBytes + r.ShardSize/tasksPerBitmapByte
 		counts[shard] = map[start]int{}
 	}
-	for task, placement := range j.Placements {
-		shard := j.ShardOf(task)
+	for task, placement := range r.Placements {
+		shard := r.ShardOf(task)
 		used[shard] += len(placement.Machine) + digits + 2 // a space and a semicolon
 		counts[shard][placement.start()]++
 		placed[shard]++
--- a/internal/jobrecord/codec.go
+++ b/internal/jobrecord/codec.go
@@ -8,23 +8,23 @@
 
 // Encode returns the value to store at the job's key: the whole record, or the head of a
 // sharded one.
-func (j *Record) Encode() []byte {
+func (r *Record) Encode() []byte {
 	stored := storedRecord{
-		Spec:        j.Spec,
-		Status:      j.Status,
-		SubmittedAt: j.SubmittedAt,
-		CancelledAt: j.CancelledAt,
-		NextAttempt: j.NextAttempt,
-		Placed:      j.markers(),
-		Lenders:     j.Lenders,
-		Cause:       j.Cause,
-		Truncated:   j.Truncated,
-		Returned:    j.ReturnCount,
-		Displaced:   j.DisplacedFrom,
+		Spec:        r.Spec,
+		Status:      r.Status,
+		SubmittedAt: r.SubmittedAt,
+		CancelledAt: r.CancelledAt,
+		NextAttempt: r.NextAttempt,
+		Placed:      r.markers(),
+		Lenders:     r.Lenders,
+		Cause:       r.Cause,
+		Truncated:   r.Truncated,
+		Returned:    r.ReturnCount,
+		Displaced:   r.DisplacedFrom,
 	}
-	if !j.Truncated && j.ShardSize == 0 {
-		stored.Done = j.Done.String()
-		stored.Placed = append(stored.Placed, j.encodePlacements()...)
+	if !r.Truncated && r.ShardSize == 0 {
+		stored.Done = r.Done.String()
+		stored.Placed = append(stored.Placed, r.encodePlacements()...)
 	}
 	return protocol.Encode(stored)
 }
--- a/internal/jobrecord/delegation.go
+++ b/internal/jobrecord/delegation.go
@@ -69,7 +69,7 @@
 	return cell + "." + job + "." + strconv.FormatInt(delegation, 10)
 }
 
-// ParseHostedJobID splits an id that GuestID made.
+// ParseHostedJobID splits an id that HostedJobID made.
 func ParseHostedJobID(id string) (cell, job string, delegation int64, ok bool) {
 	cell, rest, hasCell := strings.Cut(id, ".")
 	job, number, hasNumber := strings.Cut(rest, ".")
--- a/internal/jobrecord/format.go
+++ b/internal/jobrecord/format.go
@@ -64,35 +64,35 @@
 }
 
 // markers returns the markers that stand before the record's placements.
-func (j *Record) markers() []string {
+func (r *Record) markers() []string {
 	var markers []string
-	if j.Hosted != nil {
-		markers = append(markers, hostedMarker+" "+j.Hosted.encode())
+	if r.Hosted != nil {
+		markers = append(markers, hostedMarker+" "+r.Hosted.encode())
 	}
-	if j.Marked && j.Spec.Service() {
+	if r.Marked && r.Spec.Service() {
 		markers = append(markers, serviceMarker)
 	}
-	if j.ShardSize > 0 && !j.Truncated {
-		markers = append(markers, shardsMarker+" "+strconv.Itoa(j.ShardSize))
+	if r.ShardSize > 0 && !r.Truncated {
+		markers = append(markers, shardsMarker+" "+strconv.Itoa(r.ShardSize))
 	}
 	return markers
 }
 
 // applyMarker notes what a marker says; ok reports whether the text is a valid one.
-func (j *Record) applyMarker(text string) (ok bool) {
+func (r *Record) applyMarker(text string) (ok bool) {
 	if text == serviceMarker {
-		j.Marked = true
+		r.Marked = true
 		return true
 	}
 	if hosted, isHosted := strings.CutPrefix(text, hostedMarker+" "); isHosted {
-		j.Hosted = parseHostedJob(hosted)
-		return j.Hosted != nil
+		r.Hosted = parseHostedJob(hosted)
+		return r.Hosted != nil
 	}
 	size, isSharded := strings.CutPrefix(text, shardsMarker+" ")
 	n, err := strconv.Atoi(size)
 	if !isSharded || err != nil || n < 1 || n > maxShardTasks {
 		return false
 	}
-	j.ShardSize, j.Marked = n, true
+	r.ShardSize, r.Marked = n, true
 	return true
 }
--- a/internal/jobrecord/placement.go
+++ b/internal/jobrecord/placement.go
@@ -53,10 +53,10 @@
 }
 
 // encodePlacements returns the texts of all placements, "machine incarnation attempt tasks".
-func (j *Record) encodePlacements() []string {
-	groups := make(map[placementGroup]*TaskSet, len(j.Placements)/tasksPerGroup)
-	for _, task := range slices.Sorted(maps.Keys(j.Placements)) { // in order, sets grow at their ends
-		group := j.Placements[task].group()
+func (r *Record) encodePlacements() []string {
+	groups := make(map[placementGroup]*TaskSet, len(r.Placements)/tasksPerGroup)
+	for _, task := range slices.Sorted(maps.Keys(r.Placements)) { // in order, sets grow at their ends
+		group := r.Placements[task].group()
 		if groups[group] == nil {
 			groups[group] = &TaskSet{}
 		}
@@ -76,15 +76,15 @@
 }
 
 // applyPlacements adds the placements of one text. Tasks that the job doesn't have are ignored.
-func (j *Record) applyPlacements(text string) error {
+func (r *Record) applyPlacements(text string) error {
 	placement, tasks, err := parsePlacements(text)
 	if err != nil {
 		return err
 	}
 	for _, s := range tasks.spans {
-		for task := s.lo; task <= s.hi && task < j.Spec.Tasks; task++ {
+		for task := s.lo; task <= s.hi && task < r.Spec.Tasks; task++ {
 			placement.Task = task
-			j.Placements[task] = placement
+			r.Placements[task] = placement
 		}
 	}
 	return nil
--- a/internal/jobrecord/record.go
+++ b/internal/jobrecord/record.go
@@ -45,31 +45,31 @@
 }
 
 // Final reports whether the job is done or cancelled, so that none of its tasks may start.
-func (j *Record) Final() bool { return j.Status != "" }
+func (r *Record) Final() bool { return r.Status != "" }
 
 // complete notes that a task is done. Tasks of a service never are.
-func (j *Record) complete(task int) {
-	if !j.Spec.Service() {
-		j.Done.Add(task)
+func (r *Record) complete(task int) {
+	if !r.Spec.Service() {
+		r.Done.Add(task)
 	}
 }
 
 // AddLender adds a job that was preempted for this one and reports whether the record has changed.
 // The first maxLenders are kept.
-func (j *Record) AddLender(lender string) bool {
-	if slices.Contains(j.Lenders, lender) || len(j.Lenders) >= maxLenders {
+func (r *Record) AddLender(lender string) bool {
+	if slices.Contains(r.Lenders, lender) || len(r.Lenders) >= maxLenders {
 		return false
 	}
-	j.Lenders = append(j.Lenders, lender)
+	r.Lenders = append(r.Lenders, lender)
 	return true
 }
 
 // Pending returns up to limit tasks, in increasing order, that are neither done nor placed.
-func (j *Record) Pending(limit int) []int {
+func (r *Record) Pending(limit int) []int {
 	var tasks []int
-	next := j.Done.NextMissing
-	for task := next(0); task < j.Spec.Tasks && len(tasks) < limit; task = next(task + 1) {
-		if _, placed := j.Placements[task]; !placed {
+	next := r.Done.NextMissing
+	for task := next(0); task < r.Spec.Tasks && len(tasks) < limit; task = next(task + 1) {
+		if _, placed := r.Placements[task]; !placed {
 			tasks = append(tasks, task)
 		}
 	}
@@ -77,18 +77,18 @@
 }
 
 // PendingCount returns the number of tasks that are neither done nor placed.
-func (j *Record) PendingCount() int { return j.Spec.Tasks - j.Done.Len() - len(j.Placements) }
+func (r *Record) PendingCount() int { return r.Spec.Tasks - r.Done.Len() - len(r.Placements) }
 
 // UserStatus returns the state of the job as its user sees it.
-func (j *Record) UserStatus() protocol.JobStatus {
-	status := protocol.JobStatus{ID: j.Spec.ID, Status: j.Status, Done: j.Done.Len(), Cause: j.Cause}
-	if j.Status == protocol.StatusDone && j.ShardSize > 0 {
-		status.Done = j.Spec.Tasks // its shards are being deleted
+func (r *Record) UserStatus() protocol.JobStatus {
+	status := protocol.JobStatus{ID: r.Spec.ID, Status: r.Status, Done: r.Done.Len(), Cause: r.Cause}
+	if r.Status == protocol.StatusDone && r.ShardSize > 0 {
+		status.Done = r.Spec.Tasks // its shards are being deleted
 	}
-	if j.Final() {
+	if r.Final() {
 		return status
 	}
-	status.Running = len(j.Placements)
+	status.Running = len(r.Placements)
 	status.Status = protocol.StatusPending
 	if status.Running > 0 {
 		status.Status = protocol.StatusRunning
--- a/internal/jobrecord/shards.go
+++ b/internal/jobrecord/shards.go
@@ -11,7 +11,7 @@
 )
 
 // A sharded record keeps what belongs to single tasks in shards, values of their own, each for
-// PartSize consecutive tasks. The head, at the job's key, keeps the rest. The tasks of a shard that
+// ShardSize consecutive tasks. The head, at the job's key, keeps the rest. The tasks of a shard that
 // doesn't exist are pending.
 
 // maxShardTasks bounds what a malformed shard or marker can make a reader allocate. No job has
@@ -19,28 +19,28 @@
 const maxShardTasks = 100_000
 
 // ShardCount returns the number of shards, 0 for a record that isn't sharded.
-func (j *Record) ShardCount() int {
-	if j.ShardSize == 0 {
+func (r *Record) ShardCount() int {
+	if r.ShardSize == 0 {
 		return 0
 	}
-	return (j.Spec.Tasks + j.ShardSize - 1) / j.ShardSize
+	return (r.Spec.Tasks + r.ShardSize - 1) / r.ShardSize
 }
 
 // ShardOf returns the shard of a task.
-func (j *Record) ShardOf(task int) int { return task / j.ShardSize }
+func (r *Record) ShardOf(task int) int { return task / r.ShardSize }
 
 // shardTasks returns the first task of a shard and the first after it.
-func (j *Record) shardTasks(shard int) (first, end int) {
-	return shard * j.ShardSize, min((shard+1)*j.ShardSize, j.Spec.Tasks)
+func (r *Record) shardTasks(shard int) (first, end int) {
+	return shard * r.ShardSize, min((shard+1)*r.ShardSize, r.Spec.Tasks)
 }
 
 // EncodeShard returns the value to store at a shard's key.
-func (j *Record) EncodeShard(shard int) []byte {
-	first, end := j.shardTasks(shard)
+func (r *Record) EncodeShard(shard int) []byte {
+	first, end := r.shardTasks(shard)
 	groups := map[placementGroup]*TaskSet{}
 	counts := map[start]int{}
 	for task := first; task < end; task++ {
-		placement, placed := j.Placements[task]
+		placement, placed := r.Placements[task]
 		if !placed {
 			continue
 		}
@@ -53,8 +53,8 @@
 	}
 	common := mostCommon(counts)
 	return protocol.Encode(storedShard{
-		Done:        j.doneBitmap(first, end),
-		NextAttempt: j.NextAttempt,
+		Done:        r.doneBitmap(first, end),
+		NextAttempt: r.NextAttempt,
 		Incarnation: common.incarnation,
 		Attempt:     common.attempt,
 		Placed:      encodeShardPlacements(groups, common),
@@ -96,10 +96,10 @@
 }
 
 // doneBitmap returns the completed tasks from first to end, empty if there are none.
-func (j *Record) doneBitmap(first, end int) string {
+func (r *Record) doneBitmap(first, end int) string {
 	bits := make([]byte, bitmapBytes(end-first))
 	found := false
-	for task := j.Done.NextPresent(first); task < end; task = j.Done.NextPresent(task + 1) {
+	for task := r.Done.NextPresent(first); task < end; task = r.Done.NextPresent(task + 1) {
 		bits[(task-first)/8] |= 1 << ((task - first) % 8)
 		found = true
 	}
@@ -114,22 +114,22 @@
 
 // ApplyShard adds what the value at a shard's key says. A malformed value changes nothing; its error
 // is a *MalformedError with the shard's key.
-func (j *Record) ApplyShard(shard int, value []byte) error {
-	if err := j.applyShard(shard, value); err != nil {
-		return &MalformedError{Key: ShardKey(j.Spec.ID, shard), Cause: err}
+func (r *Record) ApplyShard(shard int, value []byte) error {
+	if err := r.applyShard(shard, value); err != nil {
+		return &MalformedError{Key: ShardKey(r.Spec.ID, shard), Cause: err}
 	}
 	return nil
 }
 
-func (j *Record) applyShard(shard int, value []byte) error {
-	if shard >= j.ShardCount() {
+func (r *Record) applyShard(shard int, value []byte) error {
+	if shard >= r.ShardCount() {
 		return errNoSuchShard
 	}
 	var stored storedShard
 	if err := protocol.Decode(value, &stored); err != nil {
 		return err
 	}
-	first, end := j.shardTasks(shard)
+	first, end := r.shardTasks(shard)
 	bits, err := hex.DecodeString(stored.Done)
 	if err != nil || len(bits) > bitmapBytes(end-first) {
 		return errInvalidBitmap
@@ -140,15 +140,15 @@
 	}
 	for task := first; task < end && (task-first)/8 < len(bits); task++ {
 		if bits[(task-first)/8]&(1<<((task-first)%8)) != 0 {
-			j.complete(task)
+			r.complete(task)
 		}
 	}
 	for _, placement := range placements {
 		if placement.Task += first; placement.Task < end {
-			j.Placements[placement.Task] = placement
+			r.Placements[placement.Task] = placement
 		}
 	}
-	j.NextAttempt = max(j.NextAttempt, stored.NextAttempt)
+	r.NextAttempt = max(r.NextAttempt, stored.NextAttempt)
 	return nil
 }
 
--- a/internal/leader/objectives/urgency.go
+++ b/internal/leader/objectives/urgency.go
@@ -41,7 +41,7 @@
 	return endUrgency(tier, due, j.Spec.EstimateS+age)
 }
 
-// startTier returns StartsInTime if an objective for the job's start can still be met, else TooLate.
+// startTier returns TierStartInTime if an objective for the job's start can still be met, else TierTooLate.
 func (t *Tracker) startTier(j *jobtable.Job, age float64, started bool) planner.Tier {
 	for _, objective := range t.Settings.Deployment.Objectives {
 		if isFor(objective, kindStart, j.Spec.Class) && !started && age < objective.WithinS {
--- a/internal/leader/reconciler/cancellations.go
+++ b/internal/leader/reconciler/cancellations.go
@@ -19,14 +19,14 @@
 // under the same title; these are its quantities in the code:
 //
 //	T  State.KnownUntil        every cancellation that any user was told of before T is known
-//	S  State.SoleUntil         no other leader was elected before S
-//	K  Workers.KeepAlive       cancel_s - lease_s - 1 s
+//	S  State.SoleLeaderUntil   no other leader was elected before S
+//	K  Workers.RenewalWindow     cancel_s - lease_s - 1 s
 //	C  Job.CancelConfirmedAt   when the cancellation of a job was confirmed, or somewhat earlier
 //
 // A worker stops everything lease_s after it sent the last heartbeat that was responded to. From that
 // follows what a leader may do:
 //
-//   - Respond to heartbeats until min(T, S) + K (State.AnswersUntil). The tasks of a cancellation that
+//   - Respond to heartbeats until min(T, S) + K (State.RespondsUntil). The tasks of a cancellation that
 //     it doesn't know, which came after T, are gone by T + K + lease_s = T + cancel_s - 1 s.
 //   - After C + K, respond only with the end of every task of the job that may be on the machine
 //     (CommandSender.mayRenewLease). Either that response arrives, or the lease isn't renewed.
@@ -34,7 +34,7 @@
 //     releases of machines that hold them (Autoscaler.SendReleases): no later leader could want
 //     anything else for them.
 //   - Release a machine whose worker hangs, and so doesn't stop its tasks, at C + lease_s + 3 s, but no
-//     later than C + cancel_s - ReturnTime (Cancellations.ReleaseAt). At the end of its lease a silent
+//     later than C + cancel_s - ReleaseDuration (Cancellations.ReleaseAt). At the end of its lease a silent
 //     machine that holds cancelled tasks is released at once (HealthMonitor.expireLease).
 //   - Take silence for proof only at Table.ProvenEmptyAt: an earlier leader has responded until its own
 //     min(T, S) + K, which lies before the beginning of this term + K.
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -95,7 +95,7 @@
 func (s *State) SoleLeaderUntil() clock.Micros { return max(s.Term.RenewedAt, s.AttestedAt) }
 
 // RespondsUntil returns the time until which heartbeats may be responded to. A cancellation that isn't
-// known was told after KnownUntil, and a leader that isn't known was elected after SoleUntil. Before
+// known was told after KnownUntil, and a leader that isn't known was elected after SoleLeaderUntil. Before
 // the records are read nothing is known at all, whoever led before: no heartbeat is responded to.
 func (s *State) RespondsUntil() clock.Micros {
 	if s.Term.Epoch == 0 || !s.Loaded {
--- a/internal/planner/job.go
+++ b/internal/planner/job.go
@@ -16,7 +16,7 @@
 	// OverheadS is the paper's preemption overhead: how many seconds of work are lost
 	// if the task is stopped now.
 	OverheadS float64
-	// OverQuota tells that the task's team runs it beyond its guarantee.
+	// OverQuota reports whether the task's team runs it beyond its guarantee.
 	OverQuota bool
 }
 
@@ -28,7 +28,7 @@
 	Rank int
 	// SubmittedAt orders jobs that are otherwise alike. Preempted jobs keep it.
 	SubmittedAt int64
-	// Lender tells that the job is one of the paper's lenders: it was preempted for
+	// Lender reports whether the job is one of the paper's lenders: it was preempted for
 	// a job that has ended, and resumes before others of its rank.
 	Lender bool
 	// Pending are the tasks to start, in this order. A gang starts whole or not at
@@ -41,15 +41,15 @@
 	// OtherTasksByZone counts tasks, by zone, that aren't among those running and still
 	// restrict where others may go, such as those of earlier attempts.
 	OtherTasksByZone map[string]int
-	// BackingOff tells that the job waits after failures: it starts nothing and preempts
+	// BackingOff reports whether the job waits after failures: it starts nothing and preempts
 	// nothing.
 	BackingOff bool
 	// MayPreempt allows the job to have others preempted.
 	MayPreempt bool
-	// WithinGuarantee tells that the job, counted together with the team's earlier jobs, fits
+	// WithinGuarantee reports whether the job, counted together with the team's earlier jobs, fits
 	// into its team's guarantee, so that it needn't wait for other teams.
 	WithinGuarantee bool
-	// HasStartObjective tells that the job's class has an objective for its start.
+	// HasStartObjective reports whether the job's class has an objective for its start.
 	HasStartObjective bool
 	// StartSlackS is how many seconds are left to start the job within its objective.
 	StartSlackS float64
@@ -60,7 +60,7 @@
 	SlackS float64
 	// AvoidedMachines are the machines on which the job failed.
 	AvoidedMachines map[string]bool
-	// ScaleOutOverdue tells that machines have been wanted for the job for long
+	// ScaleOutOverdue reports whether machines have been wanted for the job for long
 	// and haven't come.
 	ScaleOutOverdue bool
 	// startedUnlisted counts the tasks that the plan has started and not added to
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -15,7 +15,7 @@
 	Job     string
 	Task    int
 	Machine string
-	// MachineBooting tells that the machine still boots, so that the task starts later.
+	// MachineBooting reports whether the machine still boots, so that the task starts later.
 	MachineBooting bool
 }
 
--- a/internal/planner/planning.go
+++ b/internal/planner/planning.go
@@ -15,17 +15,17 @@
 	plan     Plan
 
 	// lowestRank is the lowest rank (the highest number) of which anything runs, and
-	// anyOverQuota tells that some team runs more than its guarantee. A job for which
+	// anyOverQuota reports whether some team runs more than its guarantee. A job for which
 	// neither leaves a victim is spared the search for one.
 	lowestRank   int
 	anyOverQuota bool
 
 	// stopping are the tasks that have been told to stop in earlier plans.
 	stopping []victim
-	// preempting tells that room is being made for some job. No more is made until
+	// preempting reports whether room is being made for some job. No more is made until
 	// then, or one shortage would preempt again and again.
 	preempting bool
-	// gangReserved tells that room is reserved for a gang, which is done for the
+	// gangReserved reports whether room is reserved for a gang, which is done for the
 	// first in the queue only.
 	gangReserved bool
 }
--- a/internal/scaling/idle.go
+++ b/internal/scaling/idle.go
@@ -12,7 +12,7 @@
 	Pool CapacityPool
 	// IdleFor is how long the machine has been without tasks.
 	IdleFor clock.Micros
-	// Needed tells that tasks of a class seen lately could use the machine.
+	// Needed reports whether tasks of a class seen lately could use the machine.
 	Needed bool
 	// Cordoned machines take no new tasks.
 	Cordoned bool
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -37,7 +37,7 @@
 	// leaseStart is when the last heartbeat with a response was sent: the lease counts from then.
 	leaseStart clock.Micros
 	inFlight   bool
-	// changed tells that a heartbeat about a change is scheduled.
+	// changed reports whether a heartbeat about a change is scheduled.
 	changed  bool
 	recallAt clock.Micros
 	// Hung machines do nothing until they continue, but their leases expire.
