--- a/internal/cells/file.go
+++ b/internal/cells/file.go
@@ -1,4 +1,4 @@
-// Package cells has the federation of cells: deployments with controllers, leader, state service,
+// Package cells has the federation of cells: deployments with controllers, leader, key-value store,
 // cloud and workers of their own, which may run jobs for each other. It owns the contents of the
 // operators' file that lists the cells, and the arithmetic of how long a host cell may go on with
 // the jobs of an origin cell that it can't reach. It doesn't own the transfer of work, which is
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// outgoingSockets are for requests to the state service and the cloud, with some to spare.
+	// outgoingSockets are for requests to the key-value store and the cloud, with some to spare.
 	outgoingSockets = 64
 	// reservedSockets are left of the machine's limit for what this process connects to and for its
-	// peers: neither workers nor users can lock out the state service.
+	// peers: neither workers nor users can lock out the key-value store.
 	reservedSockets = workerclient.MaxConnections + 2*peer.MaxConnections + outgoingSockets
 	// minClientConnections is the least with which users, health checks and a few workers are served
 	// side by side.
--- a/internal/delegation/record.go
+++ b/internal/delegation/record.go
@@ -1,7 +1,7 @@
 // Package delegation has the transfer of a job's tasks from the cell that accepted the job, its
 // origin, to another cell that runs them, their host. It owns the records of both sides, their
 // states, the messages between them with their binary form, and what each message may change. It
-// doesn't own connections, timers and the state service, nor the choice of what is offloaded
+// doesn't own connections, timers and the key-value store, nor the choice of what is offloaded
 // (internal/offload). It is pure: the leaders of both cells (internal/leader) store the records, send the
 // messages and tell the time; internal/peer carries the messages.
 //
@@ -44,7 +44,7 @@
 	return false
 }
 
-// Record is a delegation in the origin cell's state service.
+// Record is a delegation in the origin cell's key-value store.
 type Record struct {
 	Number int64
 	Host   string // cell
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,5 +1,5 @@
 // Package election elects the one controller that may act. A node leads while it holds a key of
-// the state service under a lease that it renews; the key's version at the election is the epoch,
+// the key-value store under a lease that it renews; the key's version at the election is the epoch,
 // the fencing token that workers are shown and that guards every write of the leader.
 //
 // The package owns the leader's key and its lease. It neither places work nor writes any other
@@ -13,7 +13,7 @@
 //	campaigning takes a lease, then claims the key under it. Claimed: leading. Otherwise: observing.
 //	leading     renews the lease. Expired, or a higher epoch seen: observing.
 //
-// Failures of the state service lead back to observing after a pause. Each transition begins a new
+// Failures of the key-value store lead back to observing after a pause. Each transition begins a new
 // round, and what still arrives from an earlier round is dropped.
 package election
 
@@ -54,7 +54,7 @@
 }
 
 const (
-	// retryDelay is the pause after a failure of the state service.
+	// retryDelay is the pause after a failure of the key-value store.
 	retryDelay = 400 * clock.Millisecond
 	// followTime is how long one request waits for the key to change.
 	followTime = 5 * clock.Second
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// pendingStore is a state service that grants leases at once and keeps everything else until the
+// pendingStore is a key-value store that grants leases at once and keeps everything else until the
 // test responds.
 type pendingStore struct {
 	kvstore.Store
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -142,7 +142,7 @@
 		return
 	}
 	if n := c.failures.Add(1); n%failuresPerLogLine == 1 {
-		slog.Info("state service request failed", "error", err, "failures", n)
+		slog.Info("key-value store request failed", "error", err, "failures", n)
 	}
 }
 
--- a/internal/kvstore/golden_test.go
+++ b/internal/kvstore/golden_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// Every request to the state service is the recorded one, and its answer is read.
+// Every request to the key-value store is the recorded one, and its answer is read.
 func TestGoldenRequests(t *testing.T) {
 	item := protocol.Item{Key: "jobs/job-1", Value: []byte{0xc3}, Version: 9}
 	const itemBytes = "\x83\xa4Path\xaajobs/job-1\xa4Data\xc3\xa5Stamp\x09"
--- a/internal/kvstore/store.go
+++ b/internal/kvstore/store.go
@@ -1,4 +1,4 @@
-// Package kvstore is the client of the state service, a consensus-backed key-value store with
+// Package kvstore is the client of the key-value store, a consensus-backed key-value store with
 // leases. It keeps to this process's part of the service's rate limits and turns responses into
 // typed results, which reach the asking actor as messages. It retries nothing, and knows nothing
 // of what the keys mean.
--- a/internal/leader/autoscaler/cordon.go
+++ b/internal/leader/autoscaler/cordon.go
@@ -57,7 +57,7 @@
 		return cmp.Compare(view.HourlyPrice(x.Kind()), view.HourlyPrice(y.Kind()))
 	})
 	for _, m := range needed[:min(limit, len(needed))] {
-		m.Cordoned = false
+		m.Uncordon()
 	}
 	return len(needed) > 0
 }
@@ -144,7 +144,7 @@
 	a.cordons.batch = nextBatch
 	for _, name := range names {
 		m := a.machines.ByName[name]
-		m.Cordoned, m.CordonedAt = true, a.Now()
+		m.Cordon(a.Now())
 		slog.Debug("cordoned surplus machine", "machine", name, "type", m.Type, "zone", m.Zone, "spot", m.Spot)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -30,7 +30,7 @@
 	Settings  *settings.Settings
 	Election  election.Config
 	Mailboxes Mailboxes
-	// Store returns the state service whose results arrive in a mailbox.
+	// Store returns the key-value store whose results arrive in a mailbox.
 	Store func(actor.Mailbox) kvstore.Store
 	// Cloud and Agent respond to the mailbox of Dispatch, Forward to that of Intake.
 	Cloud   cloudclient.API
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -10,7 +10,7 @@
 	"postpoint/internal/protocol"
 )
 
-// memoryStore is a state service that responds at once, or is unavailable.
+// memoryStore is a key-value store that responds at once, or is unavailable.
 type memoryStore struct {
 	kvstore.Store
 	values map[string][]byte
@@ -96,7 +96,7 @@
 	}
 }
 
-// While the state service is unavailable, a node hasn't published and nothing is open; a malformed
+// While the key-value store is unavailable, a node hasn't published and nothing is open; a malformed
 // value counts as unpublished.
 func TestGateStaysClosedWithoutEvidence(t *testing.T) {
 	store := &memoryStore{values: map[string][]byte{"rollout/node/b": {0xc1}}, down: true}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -74,7 +74,7 @@
 	CancelS    float64 `json:"cancel_s" validate:"gtfield=LeaseS"`
 }
 
-// KVStore has the limits of the state service, shared by all controllers.
+// KVStore has the limits of the key-value store, shared by all controllers.
 type KVStore struct {
 	Rps      float64 `json:"rps" validate:"gt=0"`
 	WriteRps float64 `json:"write_rps" validate:"gt=0"`
--- a/internal/simulation/delegationfaults_test.go
+++ b/internal/simulation/delegationfaults_test.go
@@ -20,11 +20,11 @@
 		x.origin.crashAll(long)
 		x.host.crashAll(long)
 	},
-	"origin's state service is out": func(x *transfer, long clock.Micros) {
+	"origin's key-value store is out": func(x *transfer, long clock.Micros) {
 		x.origin.Store.Outage(true)
 		x.w.After(long, func() { x.origin.Store.Outage(false) })
 	},
-	"host's state service is out": func(x *transfer, long clock.Micros) {
+	"host's key-value store is out": func(x *transfer, long clock.Micros) {
 		x.host.Store.Outage(true)
 		x.w.After(long, func() { x.host.Store.Outage(false) })
 	},
--- a/internal/simulation/record_test.go
+++ b/internal/simulation/record_test.go
@@ -27,7 +27,7 @@
 }
 
 // recordShortDay plays a job for a minute. In the first message of the kind to be changed, if any,
-// another last byte is recorded; change may do something to the state service in the end.
+// another last byte is recorded; change may do something to the key-value store in the end.
 func recordShortDay(seed uint64, changedKind string, change func(*FakeStore)) (*hashRecorder, string) {
 	h := &hashRecorder{sha256.New(), map[string]int{}, changedKind}
 	w := NewWorld(seed)
--- a/internal/simulation/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -57,7 +57,7 @@
 
 // The same seed gives the same course of events, so that a failing simulation can be repeated.
 func TestSameSeedGivesSameSimulation(t *testing.T) {
-	for _, seed := range []uint64{1, 2, 5, 21} { // some of them with outages of the state service
+	for _, seed := range []uint64{1, 2, 5, 21} { // some of them with outages of the key-value store
 		first, second := play(seed), play(seed)
 		a, b := first.Store, second.Store
 		if first.World.seq != second.World.seq || a.revision != b.revision || a.Changes != b.Changes {
--- a/internal/simulation/scale_test.go
+++ b/internal/simulation/scale_test.go
@@ -97,7 +97,7 @@
 		n, most int
 	}{
 		{"changes of records", d.Store.Changes, most.changes},
-		{"requests to the state service", d.Store.Requests, most.requests},
+		{"requests to the key-value store", d.Store.Requests, most.requests},
 		{"calls to the cloud", d.Cloud.Calls, most.calls},
 		{"plans of the last leader", plans, most.plans},
 		{"direct commands", d.Commands, most.commands},
--- a/internal/simulation/scalefailover_test.go
+++ b/internal/simulation/scalefailover_test.go
@@ -31,7 +31,7 @@
 	for i := range clock.Micros(5) {
 		w.After(i*clock.Second, func() { submit(400, 120*clock.Second) })
 	}
-	for i := range clock.Micros(40) { // ten a second, of which the state service takes 30
+	for i := range clock.Micros(40) { // ten a second, of which the key-value store takes 30
 		w.After(60*clock.Second+i*100*clock.Millisecond, func() { submit(8, 40*clock.Second) })
 	}
 	const end = 90 * clock.Second
--- a/internal/zonerecovery/record.go
+++ b/internal/zonerecovery/record.go
@@ -7,7 +7,7 @@
 	"postpoint/internal/protocol"
 )
 
-// Prefix is where the zones' records stand in the state service.
+// Prefix is where the zones' records stand in the key-value store.
 const Prefix = "recovery/"
 
 // Key returns where one zone's record stands.
--- a/internal/zonerecovery/settings.go
+++ b/internal/zonerecovery/settings.go
@@ -1,7 +1,7 @@
 // Package zonerecovery decides what is done about the loss of a zone: when a zone counts as lost and as
 // returned, in which order its work starts elsewhere, and at which pace. It owns the phases of a zone,
 // their record, the order of displaced jobs, the token bucket that paces them, and the operators'
-// file. It doesn't own the evidence, the state service or the placement of tasks: the leader
+// file. It doesn't own the evidence, the key-value store or the placement of tasks: the leader
 // (internal/leader) gathers the first, writes the second and carries the decisions out. The package
 // is pure: it reads no clock and sends nothing.
 //
