--- a/internal/admission/call.go
+++ b/internal/admission/call.go
@@ -21,8 +21,8 @@
 // Reasons that users are told.
 const (
 	reasonNoSuchJob    = "no such job"
-	reasonStoreDown    = "the key-value store does not answer"
-	reasonUnconfirmed  = "the key-value store did not answer"
+	reasonStoreDown    = "the state service does not answer"
+	reasonUnconfirmed  = "the state service did not answer"
 	reasonTooMany      = "too many requests"
 	reasonJobChanges   = "the job is changing"
 	reasonUnreadable   = "the record can't be read"
