--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -30,7 +30,7 @@
 	availability availability
 	// startedAt is when this process started, epoch the highest that it was elected with.
 	startedAt clock.Micros
-	epoch     int64
+	epoch     protocol.Epoch
 	// cancellations are those that users were told of.
 	cancellations cancellationLog
 	// zoneReports asks the part of this node that receives heartbeats.
@@ -72,7 +72,7 @@
 }
 
 // NoteElection is called at each election of this node, before anything is done about it.
-func (in *Admission) NoteElection(epoch int64) {
+func (in *Admission) NoteElection(epoch protocol.Epoch) {
 	in.mailbox.Post(func() { in.epoch = max(in.epoch, epoch) })
 }
 
--- a/internal/admission/attestation.go
+++ b/internal/admission/attestation.go
@@ -12,8 +12,8 @@
 // cancellations that it has told users of lately, and that it wasn't elected itself. It says
 // nothing of the time before its process started.
 type Attestation struct {
-	Age       clock.Micros // of the process
-	Epoch     int64        // the highest that it was elected with, 0 if it never led
+	Age       clock.Micros   // of the process
+	Epoch     protocol.Epoch // the highest that it was elected with, 0 if it never led
 	Cancelled []CancelledJob
 }
 
@@ -58,7 +58,7 @@
 	}
 	a := Attestation{
 		Age:   clock.Micros(binary.BigEndian.Uint64(b)),
-		Epoch: int64(binary.BigEndian.Uint64(b[microsBytes:])),
+		Epoch: protocol.Epoch(binary.BigEndian.Uint64(b[microsBytes:])),
 	}
 	if a.Age < 0 || a.Epoch < 0 {
 		return Attestation{}, ErrAttestation
--- a/internal/delegation/codec.go
+++ b/internal/delegation/codec.go
@@ -17,7 +17,7 @@
 	w := writer{Version}
 	w.text(r.Host)
 	w.text(r.Origin)
-	w.number(r.Epoch)
+	w.number(int64(r.Epoch))
 	w.number(r.Sequence)
 	w.number(int64(r.ClearTime))
 	w.load(&r.Load)
@@ -71,7 +71,7 @@
 	var report Heartbeat
 	report.Host = r.text(maxNameText)
 	report.Origin = r.text(maxNameText)
-	report.Epoch = r.number()
+	report.Epoch = protocol.Epoch(r.number())
 	report.Sequence = r.number()
 	report.ClearTime = clock.Micros(r.number())
 	report.Load = r.load()
--- a/internal/delegation/codec_test.go
+++ b/internal/delegation/codec_test.go
@@ -75,7 +75,7 @@
 	r := Heartbeat{
 		Host:      drawText.Draw(t, "host"),
 		Origin:    drawText.Draw(t, "home"),
-		Epoch:     drawNumber.Draw(t, "epoch"),
+		Epoch:     protocol.Epoch(drawNumber.Draw(t, "epoch")),
 		Sequence:  drawNumber.Draw(t, "counter"),
 		ClearTime: drawMicros.Draw(t, "clear"),
 		Load: Load{
--- a/internal/delegation/message.go
+++ b/internal/delegation/message.go
@@ -15,8 +15,9 @@
 type Heartbeat struct {
 	Host   string
 	Origin string // the origin cell
-	// Epoch and Counter order the heartbeats of a host: Epoch is its leader's.
-	Epoch, Sequence int64
+	// Epoch and Sequence order the heartbeats of a host: Epoch is its leader's.
+	Epoch    protocol.Epoch
+	Sequence int64
 	// ClearTime is how long after the end of a permission the host takes at most until nothing
 	// that needed it is on its machines.
 	ClearTime clock.Micros
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -30,13 +30,9 @@
 // LeaderKey is the leader's key, by which every write of the leader is guarded.
 const LeaderKey = "lead/controller"
 
-// Epoch is the fencing token of a term: the revision at which the leader's key was claimed. It is
-// 0 for a node that doesn't lead.
-type Epoch = int64
-
 // Term is a period in which this node leads, as of the last successful renewal.
 type Term struct {
-	Epoch Epoch
+	Epoch protocol.Epoch
 	// RenewedAt is when the last successful renewal was sent: the service counts the lease from
 	// later than that.
 	RenewedAt clock.Micros
@@ -117,7 +113,7 @@
 
 // ObserveEpoch tells the candidate of an epoch that a worker has seen. A higher one than its own
 // ends its term.
-func (c *Candidate) ObserveEpoch(epoch Epoch) {
+func (c *Candidate) ObserveEpoch(epoch protocol.Epoch) {
 	c.mailbox.Post(func() {
 		if !c.leading() || epoch <= c.term.Epoch {
 			return
@@ -139,7 +135,7 @@
 	slog.Info("resigning: no worker reaches this node", "epoch", c.term.Epoch)
 	c.standAt = c.mailbox.Monotonic() + resignTime
 	release := protocol.Txn{
-		Conditions: []protocol.Condition{{Key: LeaderKey, Version: c.term.Epoch}},
+		Conditions: []protocol.Condition{{Key: LeaderKey, Version: int64(c.term.Epoch)}},
 		Changes:    []protocol.Change{{Delete: LeaderKey}},
 	}
 	c.stepDown()
@@ -232,7 +228,7 @@
 	switch {
 	case c.claimedBy(h):
 		// The response to our own claim was lost.
-		c.elected(version)
+		c.elected(protocol.Epoch(version))
 	case h.Node == c.cfg.Node:
 		// An earlier process of this node, or an earlier campaign of this one that was applied
 		// late: nobody renews its lease, so its key can be replaced at once. Whatever is still under
@@ -282,7 +278,7 @@
 func (c *Candidate) claimEnded(r kvstore.Result[kvstore.Revision]) {
 	switch {
 	case r.Err == nil:
-		c.elected(int64(r.Value))
+		c.elected(protocol.Epoch(r.Value))
 	case errors.Is(r.Err, kvstore.ErrConflict):
 		c.lease = 0
 		c.observe()
@@ -293,7 +289,7 @@
 }
 
 // elected begins a term.
-func (c *Candidate) elected(epoch Epoch) {
+func (c *Candidate) elected(epoch protocol.Epoch) {
 	c.round++
 	c.term = Term{Epoch: epoch}
 	c.extendTerm(c.leaseSentAt)
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -104,7 +104,7 @@
 }
 
 // expectEpoch checks the term that is published.
-func (x *candidacy) expectEpoch(t *testing.T, epoch Epoch) {
+func (x *candidacy) expectEpoch(t *testing.T, epoch protocol.Epoch) {
 	t.Helper()
 	if x.term.Epoch != epoch {
 		t.Fatalf("epoch %d, expected %d", x.term.Epoch, epoch)
--- a/internal/election/transaction.go
+++ b/internal/election/transaction.go
@@ -16,7 +16,7 @@
 // NotLeaderError is the conflict of a deposed leader's transaction.
 type NotLeaderError struct {
 	// Epoch is that of the deposed leader.
-	Epoch Epoch
+	Epoch protocol.Epoch
 	// Conflict has all keys that failed. kvstore.ErrConflict matches the error as well, so that
 	// callers for whom it is a conflict like others needn't tell it apart.
 	Conflict *kvstore.ConflictError
@@ -33,14 +33,14 @@
 // Transaction is a transaction in the making that applies only while the leader of its epoch holds
 // the leader's key: a deposed leader changes nothing.
 type Transaction struct {
-	epoch Epoch
+	epoch protocol.Epoch
 	txn   protocol.Txn
 }
 
 // NewTransaction returns a transaction of an epoch's leader without changes.
-func NewTransaction(epoch Epoch) *Transaction {
+func NewTransaction(epoch protocol.Epoch) *Transaction {
 	t := &Transaction{epoch: epoch}
-	t.Require(LeaderKey, epoch)
+	t.Require(LeaderKey, int64(epoch))
 	return t
 }
 
--- a/internal/leader/cells_delegating_test.go
+++ b/internal/leader/cells_delegating_test.go
@@ -118,8 +118,8 @@
 // A leader whose key has changed hands learns it from its transaction.
 func TestDelegationsTellOfANewLeader(t *testing.T) {
 	l, store, _ := createDelegation(t)
-	deposedBy := int64(0)
-	l.state.Deposed = func(epoch int64) { deposedBy = epoch }
+	deposedBy := protocol.Epoch(0)
+	l.state.Deposed = func(epoch protocol.Epoch) { deposedBy = epoch }
 	store.answer(conflictOn(election.LeaderKey, delegation.Key(7)))
 	if deposedBy != 8 {
 		t.Errorf("got deposed by epoch %d, want 8", deposedBy)
--- a/internal/leader/commitoutcome_test.go
+++ b/internal/leader/commitoutcome_test.go
@@ -56,7 +56,7 @@
 		"no response, then carried out": {[]storetest.Reply[protocol.TxnResponse]{noResponse(), committedAt(6)}, 0},
 	} {
 		l, j, m, _ := leaderWithOneTask(t)
-		l.state.Deposed = func(int64) {}
+		l.state.Deposed = func(protocol.Epoch) {}
 		j.InFlight = true
 		l.reconciler.Observe(m, workerHeartbeat(1, 1, protocol.TaskStatus{
 			Task:    "job-1/0",
--- a/internal/leader/federation/celllinks.go
+++ b/internal/leader/federation/celllinks.go
@@ -12,6 +12,7 @@
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
 	"postpoint/internal/leader/term"
+	"postpoint/internal/protocol"
 )
 
 // Links owns what is known of the other cells. Its directory is nil if cells are switched off.
@@ -82,7 +83,8 @@
 	load   delegation.Load
 	loadAt clock.Micros // 0 if it hasn't sent a heartbeat in this term
 	// epoch and sequence are those of the newest heartbeat.
-	epoch, sequence int64
+	epoch    protocol.Epoch
+	sequence int64
 }
 
 // loadLifetime is how long a host cell's load counts.
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -20,7 +20,7 @@
 	set := &settings.Settings{}
 	set.Deployment.Workers = settings.Workers{HeartbeatS: 2, LeaseS: 12, GangPeerS: 4, CancelS: 30}
 	set.Deployment.KVStore = settings.KVStore{Rps: 100, WriteRps: 40, ValueKb: 8, TxnOps: 5}
-	d := New(box, nil, nil, nil, set, func(int64) {}, func() {}, nil, nil)
+	d := New(box, nil, nil, nil, set, func(protocol.Epoch) {}, func() {}, nil, nil)
 	d.state.Term.Epoch, d.state.BegunAt = 7, box.Now
 	d.state.Term.RenewedAt, d.state.Term.ValidUntil = box.Now, box.Now+4*clock.Second
 	d.jobs.ByID, d.jobs.Malformed = map[string]*jobtable.Job{}, map[string]bool{}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -86,7 +86,8 @@
 // leadership up, attest asks all nodes what they told users, onTypes is told of each
 // new catalogue.
 func New(m actor.Mailbox, st kvstore.Store, cl cloudclient.API, ag workerclient.API, set *settings.Settings,
-	deposed func(int64), resign func(), attest reconciler.Attester, onTypes func([]protocol.MachineType)) *Leader {
+	deposed func(protocol.Epoch), resign func(), attest reconciler.Attester,
+	onTypes func([]protocol.MachineType)) *Leader {
 	state := term.New(m, set, deposed)
 	l := &Leader{state: state, resign: resign}
 	l.steps = term.NewStepTimer(state)
--- a/internal/leader/machinetable/machine.go
+++ b/internal/leader/machinetable/machine.go
@@ -139,7 +139,7 @@
 type IncarnationState struct {
 	HeartbeatNumber
 	// AcknowledgedEpoch is the highest fencing token that the worker has seen.
-	AcknowledgedEpoch int64
+	AcknowledgedEpoch protocol.Epoch
 	// IncarnationSeenAt is when the present incarnation was first heard of.
 	IncarnationSeenAt clock.Micros
 }
--- a/internal/leader/overview/overview.go
+++ b/internal/leader/overview/overview.go
@@ -62,7 +62,7 @@
 	Node     string          `json:"node"`
 	Leader   string          `json:"leader"`
 	Leads    bool            `json:"leads"`
-	Epoch    int64           `json:"epoch,omitempty"`
+	Epoch    protocol.Epoch  `json:"epoch,omitempty"`
 	Plans    int             `json:"plans,omitempty"` // made in this term
 	Classes  []ClassOverview `json:"classes,omitempty"`
 	Machines []PoolOverview  `json:"machines,omitempty"`
--- a/internal/leader/term/guarded_test.go
+++ b/internal/leader/term/guarded_test.go
@@ -1,6 +1,10 @@
 package term
 
-import "testing"
+import (
+	"testing"
+
+	"postpoint/internal/protocol"
+)
 
 func TestGuardedCallsBackWithinItsTerm(t *testing.T) {
 	state := &State{}
@@ -16,7 +20,7 @@
 }
 
 func TestGuardedDropsResultsOfAnEarlierTerm(t *testing.T) {
-	for name, epoch := range map[string]int64{"lost": 0, "elected again": 9} {
+	for name, epoch := range map[string]protocol.Epoch{"lost": 0, "elected again": 9} {
 		state := &State{}
 		state.Term.Epoch = 7
 		handled, handledPairs := 0, 0
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -13,6 +13,7 @@
 	"postpoint/internal/clock"
 	"postpoint/internal/election"
 	"postpoint/internal/jobrecord"
+	"postpoint/internal/protocol"
 	"postpoint/internal/rollout"
 	"postpoint/internal/settings"
 )
@@ -24,7 +25,7 @@
 	Mailbox  actor.Mailbox
 	Settings *settings.Settings
 	// Deposed is called with fencing tokens above this node's own.
-	Deposed func(epoch int64)
+	Deposed func(epoch protocol.Epoch)
 
 	Term election.Term
 	// KnownLeader is the node that workers are sent to, "" if none is known.
@@ -54,7 +55,7 @@
 )
 
 // New returns the state of a node that doesn't lead. deposed is called with higher fencing tokens.
-func New(mailbox actor.Mailbox, settings *settings.Settings, deposed func(epoch int64)) *State {
+func New(mailbox actor.Mailbox, settings *settings.Settings, deposed func(epoch protocol.Epoch)) *State {
 	return &State{Mailbox: mailbox, Settings: settings, Deposed: deposed}
 }
 
@@ -129,7 +130,7 @@
 }
 
 // NewRandom returns a source of jitter from which the same events draw the same numbers.
-func NewRandom(epoch int64) *rand.Rand { return rand.New(rand.NewPCG(uint64(epoch), 0)) }
+func NewRandom(epoch protocol.Epoch) *rand.Rand { return rand.New(rand.NewPCG(uint64(epoch), 0)) }
 
 // DebugEnabled reports whether debug lines are logged, so that callers needn't prepare lines that
 // would be thrown away.
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -92,8 +92,8 @@
 // A leader whose key has changed hands learns it from its transaction.
 func TestZonesTellOfANewLeader(t *testing.T) {
 	l, _, store, _ := saveLostZone(t)
-	deposedBy := int64(0)
-	l.state.Deposed = func(epoch int64) { deposedBy = epoch }
+	deposedBy := protocol.Epoch(0)
+	l.state.Deposed = func(epoch protocol.Epoch) { deposedBy = epoch }
 	store.answer(conflictOn(election.LeaderKey, zonerecovery.Key("a")))
 	if deposedBy != 8 {
 		t.Errorf("got deposed by epoch %d, want 8", deposedBy)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -76,7 +76,7 @@
 func (n *Node) newLeader(e Environment) *leader.Leader {
 	box := e.Mailboxes.Leader
 	return leader.New(box, e.Store(box), e.Cloud, e.Agent, e.Settings,
-		func(epoch int64) { n.Candidate.ObserveEpoch(epoch) },
+		func(epoch protocol.Epoch) { n.Candidate.ObserveEpoch(epoch) },
 		func() { n.Candidate.Resign() },
 		n.attestations(e),
 		func(types []protocol.MachineType) { n.Admission.SetMachineTypes(types) })
--- a/internal/protocol/heartbeatdecoder_test.go
+++ b/internal/protocol/heartbeatdecoder_test.go
@@ -33,7 +33,7 @@
 			case 3, 4:
 				last.Tasks = shuffled(r, last.Tasks)
 			case 1:
-				last.Epoch = r.Int64N(300)
+				last.Epoch = Epoch(r.Int64N(300))
 			case 2:
 				left := r.Float64()
 				last.PreemptionNoticeS = []*float64{nil, &left}[r.IntN(2)]
--- a/internal/protocol/identifiers.go
+++ b/internal/protocol/identifiers.go
@@ -12,6 +12,11 @@
 	maxJobIDSuffix = 60
 )
 
+// Epoch is the fencing token of a term: the revision of the key-value store at which the leader's key
+// was claimed. Workers reject what comes from leaders of lower epochs. It is 0 for a node that doesn't
+// lead. It is a type of its own so that it can't be taken for an incarnation or a counter.
+type Epoch int64
+
 // TaskName returns the name of a task on the wire, as in "job-000412/3".
 func TaskName(job string, task int) string { return job + "/" + strconv.Itoa(task) }
 
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -42,7 +42,7 @@
 	// Counter increases with each message, so that late ones are recognised.
 	Counter int64 `msgpack:"Counter"`
 	// Epoch is the highest fencing token that the worker has seen.
-	Epoch int64 `msgpack:"Epoch"`
+	Epoch Epoch `msgpack:"Epoch"`
 	// PreemptionNoticeS is how long it takes until the spot machine is preempted, nil without notice.
 	PreemptionNoticeS *float64     `msgpack:"RecallS"`
 	Tasks             []TaskStatus `msgpack:"Legs"`
@@ -65,7 +65,7 @@
 
 // HeartbeatResponse is the response to a heartbeat.
 type HeartbeatResponse struct {
-	Epoch    int64     `msgpack:"Epoch"` // fencing token of the leader
+	Epoch    Epoch     `msgpack:"Epoch"` // fencing token of the leader
 	Commands []Command `msgpack:"Orders"`
 }
 
@@ -77,7 +77,7 @@
 
 // CommandRequest is a request that brings commands to a worker, other than as a response to a heartbeat.
 type CommandRequest struct {
-	Epoch       int64     `msgpack:"Epoch"` // fencing token of the leader
+	Epoch       Epoch     `msgpack:"Epoch"` // fencing token of the leader
 	Incarnation int64     `msgpack:"Shift"` // the worker's incarnation
 	Commands    []Command `msgpack:"Orders"`
 }
--- a/internal/simulation/heartbeats.go
+++ b/internal/simulation/heartbeats.go
@@ -99,7 +99,7 @@
 }
 
 // adopt takes a leader's epoch that is higher than all before.
-func (m *FakeWorker) adopt(epoch int64) {
+func (m *FakeWorker) adopt(epoch protocol.Epoch) {
 	if epoch > m.epoch {
 		m.epoch = epoch
 		m.scheduleHeartbeat()
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -140,7 +140,7 @@
 
 // checkCommands checks that nobody sends commands without the leader's lease, but to stop tasks of final
 // jobs: that ends nothing which a later leader could want. Cancelled jobs aren't started.
-func (d *Deployment) checkCommands(n *Node, epoch int64, commands []protocol.Command) {
+func (d *Deployment) checkCommands(n *Node, epoch protocol.Epoch, commands []protocol.Command) {
 	for _, c := range commands {
 		id, _, _ := protocol.ParseTask(c.Task)
 		j := d.find(id)
--- a/internal/simulation/storerecords.go
+++ b/internal/simulation/storerecords.go
@@ -3,10 +3,13 @@
 import (
 	"postpoint/internal/election"
 	"postpoint/internal/jobrecord"
+	"postpoint/internal/protocol"
 )
 
 // leads reports whether the epoch is that of the leader by the store.
-func (s *FakeStore) leads(epoch int64) bool { return s.entries[election.LeaderKey].version == epoch }
+func (s *FakeStore) leads(epoch protocol.Epoch) bool {
+	return s.entries[election.LeaderKey].version == int64(epoch)
+}
 
 // record decodes a job's record, without its shards; nil if there is none.
 func (s *FakeStore) record(job string) *jobrecord.Record {
--- a/internal/workerclient/errors.go
+++ b/internal/workerclient/errors.go
@@ -39,7 +39,7 @@
 // RejectedError is commands that the worker rejected, with what it compared them to.
 type RejectedError struct {
 	// Epoch is the highest fencing token that the worker has seen.
-	Epoch int64
+	Epoch protocol.Epoch
 	// Incarnation is the worker's present one.
 	Incarnation int64
 }
