--- a/internal/jobrecord/delegation.go
+++ b/internal/jobrecord/delegation.go
@@ -6,7 +6,7 @@
 )
 
 // DelegatedTo returns what a placement has in place of a machine for a task that the given cell
-// runs. The placement's Session is then the number of the delegation. Names of machines have no
+// runs. The placement's Incarnation is then the number of the delegation. Names of machines have no
 // spaces, so that it can't be taken for one.
 func DelegatedTo(cell string) string { return cellMarker + " " + cell }
 
--- a/internal/jobrecord/placement.go
+++ b/internal/jobrecord/placement.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"postpoint/internal/protocol"
 	"slices"
 	"strconv"
 	"strings"
@@ -11,10 +12,17 @@
 // that this attempt no longer is, and never again can be, on that machine. A task that another cell
 // runs has that cell in place of a machine: see DelegatedTo.
 type Placement struct {
-	Task        int
-	Attempt     int64
-	Machine     string
-	Incarnation int64 // the incarnation of the machine's worker, or the number of the delegation
+	Task    int
+	Attempt int64
+	Machine string
+	// Incarnation is the incarnation of the machine's worker or, for a task that another cell runs, the
+	// number of the delegation. It is a plain number because the two share their place in the record.
+	Incarnation int64
+}
+
+// WorkerIncarnation returns the incarnation of the worker that a task of this cell was placed on.
+func (p Placement) WorkerIncarnation() protocol.Incarnation {
+	return protocol.Incarnation(p.Incarnation)
 }
 
 // placementGroup is what the placements have in common that share one text of the record.
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -42,7 +42,7 @@
 	l.zones.Store = store
 }
 
-// leaderWithOneTask returns a leader that has committed one task to machine m-1 in its session 1.
+// leaderWithOneTask returns a leader that has committed one task to machine m-1 in its incarnation 1.
 func leaderWithOneTask(t *testing.T) (*Leader, *jobtable.Job, *machinetable.Machine, *actortest.Still) {
 	t.Helper()
 	d, box := newLeader()
@@ -54,11 +54,13 @@
 }
 
 // workerHeartbeat returns a heartbeat of machine m-1, whose agent knows of epoch 7.
-func workerHeartbeat(session, counter int64, tasks ...protocol.TaskStatus) protocol.Heartbeat {
+func workerHeartbeat(
+	incarnation protocol.Incarnation, counter int64, tasks ...protocol.TaskStatus,
+) protocol.Heartbeat {
 	return protocol.Heartbeat{
 		Machine:     "m-1",
 		Address:     "m-1:1",
-		Incarnation: session,
+		Incarnation: incarnation,
 		Counter:     counter,
 		Epoch:       7,
 		Tasks:       tasks,
--- a/internal/leader/machinetable/machine.go
+++ b/internal/leader/machinetable/machine.go
@@ -119,7 +119,7 @@
 // HeartbeatNumber orders the heartbeats of a machine, however late each of them arrives.
 type HeartbeatNumber struct {
 	// Incarnation rises each time the worker begins a new lease after losing one.
-	Incarnation int64
+	Incarnation protocol.Incarnation
 	// Counter rises with each heartbeat.
 	Counter int64
 }
@@ -165,7 +165,7 @@
 
 // BeginIncarnation notes that the worker has begun a later incarnation. It holds nothing of the
 // earlier ones, and no command that was sent to them has any effect on it.
-func (m *Machine) BeginIncarnation(incarnation int64, now clock.Micros) {
+func (m *Machine) BeginIncarnation(incarnation protocol.Incarnation, now clock.Micros) {
 	clear(m.Deliveries)
 	clear(m.RunningSince)
 	m.LeaseExpired = false
@@ -179,7 +179,7 @@
 	m.LeaseExpired = true
 	for _, tasks := range m.Placements {
 		for _, p := range tasks {
-			m.Incarnation = max(m.Incarnation, p.Incarnation)
+			m.Incarnation = max(m.Incarnation, p.WorkerIncarnation())
 		}
 	}
 	clear(m.Tasks)
--- a/internal/leader/reconciler/commands.go
+++ b/internal/leader/reconciler/commands.go
@@ -76,8 +76,8 @@
 
 // Send sends direct commands, one request at a time to a machine. The worker's response, if there is
 // one, is passed to done and observed before the next request leaves.
-func (cs *CommandSender) Send(m *machinetable.Machine, incarnation int64, commands []protocol.Command,
-	done func(CommandResult)) {
+func (cs *CommandSender) Send(m *machinetable.Machine, incarnation protocol.Incarnation,
+	commands []protocol.Command, done func(CommandResult)) {
 	m.BeginCommand()
 	request := protocol.CommandRequest{Epoch: cs.Term.Epoch, Incarnation: incarnation, Commands: commands}
 	until := min(cs.ActsUntil(), cs.permittedUntil(commands))
@@ -116,7 +116,7 @@
 
 // unknownIncarnation is the guess for a worker that wasn't heard of yet. A wrong one is responded to
 // with the worker's heartbeat all the same.
-const unknownIncarnation = 1
+const unknownIncarnation protocol.Incarnation = 1
 
 // Push sends what is due directly, without waiting for the next heartbeat.
 func (cs *CommandSender) Push(m *machinetable.Machine) {
--- a/internal/leader/reconciler/commandset.go
+++ b/internal/leader/reconciler/commandset.go
@@ -79,7 +79,7 @@
 // record are acted on.
 func (set *commandSet) addForPlacement(j *jobtable.Job, p jobrecord.Placement) {
 	m := set.m
-	if !j.Committed(p) || p.Incarnation != m.Incarnation {
+	if !j.Committed(p) || p.WorkerIncarnation() != m.Incarnation {
 		return
 	}
 	ref := attemptOf(j, p)
--- a/internal/leader/reconciler/reconciler.go
+++ b/internal/leader/reconciler/reconciler.go
@@ -73,7 +73,7 @@
 
 // noteIncarnation notes which incarnation of the worker a heartbeat is from, before the rest of it is
 // taken: what is known of an earlier incarnation doesn't count any more.
-func (rc *Reconciler) noteIncarnation(m *machinetable.Machine, incarnation int64) {
+func (rc *Reconciler) noteIncarnation(m *machinetable.Machine, incarnation protocol.Incarnation) {
 	switch {
 	case incarnation > m.Incarnation:
 		if m.Seen {
@@ -89,7 +89,7 @@
 // latest response reached it, the lease would not have expired yet: a machine whose heartbeats come
 // through while responses and commands don't looks alive, and loses its tasks lease after lease. It
 // gets no work until an incarnation outlasts its first lease, and is released the second time.
-func (rc *Reconciler) noteLostIncarnation(m *machinetable.Machine, next int64) {
+func (rc *Reconciler) noteLostIncarnation(m *machinetable.Machine, next protocol.Incarnation) {
 	lease := rc.Settings.Deployment.Workers.Lease()
 	if m.RespondedAt == 0 || rc.Now() >= m.RespondedAt+lease {
 		return
@@ -153,10 +153,10 @@
 // docs/rules.md.
 func (rc *Reconciler) evidenceFor(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement,
 	ref machinetable.AttemptRef) (evidence, protocol.TaskStatus) {
-	if p.Incarnation < m.Incarnation {
+	if p.WorkerIncarnation() < m.Incarnation {
 		return lostWithLease, protocol.TaskStatus{}
 	}
-	if p.Incarnation > m.Incarnation {
+	if p.WorkerIncarnation() > m.Incarnation {
 		if rc.machines.EpochAcknowledged(m) {
 			return startedOver, protocol.TaskStatus{}
 		}
--- a/internal/leader/reconciler_test.go
+++ b/internal/leader/reconciler_test.go
@@ -96,7 +96,7 @@
 	d, _, m, box := leaderWithOneTask(t)
 	d.catalogue.ByName["t"] = protocol.MachineType{Name: "t", Cpus: 8}
 	usable := func() bool { _, ok := d.snapshots.PlannedMachine(m, box.Now); return ok }
-	heartbeat := func(incarnation, counter int64) {
+	heartbeat := func(incarnation protocol.Incarnation, counter int64) {
 		r := workerHeartbeat(incarnation, counter)
 		r.Type = "t"
 		d.Heartbeat(r, func(int, any) {})
--- a/internal/leader/scheduler/actions.go
+++ b/internal/leader/scheduler/actions.go
@@ -54,7 +54,7 @@
 		Task:        task,
 		Attempt:     j.CurrentAttempt(),
 		Machine:     m.Name,
-		Incarnation: m.Incarnation,
+		Incarnation: int64(m.Incarnation),
 	})
 	if j.DisplacedFrom != "" && j.PendingCount() == 0 {
 		s.zones.EndDisplacement(j) // all that the lost zone ran is placed again
--- a/internal/protocol/identifiers.go
+++ b/internal/protocol/identifiers.go
@@ -17,6 +17,10 @@
 // lead. It is a type of its own so that it can't be taken for an incarnation or a counter.
 type Epoch int64
 
+// Incarnation counts the incarnations of a worker, from 1: a worker begins the next one when its lease
+// has expired and everything on the machine has ended. Commands to an earlier incarnation have no effect.
+type Incarnation int64
+
 // TaskName returns the name of a task on the wire, as in "job-000412/3".
 func TaskName(job string, task int) string { return job + "/" + strconv.Itoa(task) }
 
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -38,7 +38,7 @@
 	Zone    string `msgpack:"Hall"`
 	Spot    bool   `msgpack:"Loaners"`
 	// Incarnation is the worker's incarnation: it increases each time the worker's lease expires.
-	Incarnation int64 `msgpack:"Shift"`
+	Incarnation Incarnation `msgpack:"Shift"`
 	// Counter increases with each message, so that late ones are recognised.
 	Counter int64 `msgpack:"Counter"`
 	// Epoch is the highest fencing token that the worker has seen.
@@ -77,7 +77,7 @@
 
 // CommandRequest is a request that brings commands to a worker, other than as a response to a heartbeat.
 type CommandRequest struct {
-	Epoch       Epoch     `msgpack:"Epoch"` // fencing token of the leader
-	Incarnation int64     `msgpack:"Shift"` // the worker's incarnation
-	Commands    []Command `msgpack:"Orders"`
+	Epoch       Epoch       `msgpack:"Epoch"` // fencing token of the leader
+	Incarnation Incarnation `msgpack:"Shift"` // the worker's incarnation
+	Commands    []Command   `msgpack:"Orders"`
 }
--- a/internal/simulation/heartbeats.go
+++ b/internal/simulation/heartbeats.go
@@ -111,7 +111,7 @@
 	m       *FakeWorker
 	n       *Node
 	sent    clock.Micros
-	session int64
+	session protocol.Incarnation
 	another int // the controller that is tried next if this one doesn't respond
 	over    bool
 }
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -30,9 +30,10 @@
 
 	// incarnation counts the agent's incarnations, counter its heartbeats; epoch is the highest that it
 	// has seen.
-	incarnation, counter int64
-	epoch                protocol.Epoch
-	tasks                []*task
+	incarnation protocol.Incarnation
+	counter     int64
+	epoch       protocol.Epoch
+	tasks       []*task
 	// node is the index of the controller to which heartbeats go.
 	node int
 	// leaseStart is when the last heartbeat with a response was sent: the lease counts from then.
--- a/internal/workerclient/errors.go
+++ b/internal/workerclient/errors.go
@@ -41,7 +41,7 @@
 	// Epoch is the highest fencing token that the worker has seen.
 	Epoch protocol.Epoch
 	// Incarnation is the worker's present one.
-	Incarnation int64
+	Incarnation protocol.Incarnation
 }
 
 // Error describes the rejection for logs.
