--- a/internal/jobrecord/capacity_test.go
+++ b/internal/jobrecord/capacity_test.go
@@ -23,7 +23,9 @@
 		tasks := record.Pending(record.StartCapacity(limit))
 		for i, task := range tasks {
 			machine := "m-1" + string(rune('a'+i%26)) + "23456"
-			record.Placements[task] = Placement{Task: task, Attempt: int64(100_000 + i), Machine: machine, Incarnation: 123}
+			record.Placements[task] = Placement{
+				Task: task, Attempt: protocol.Attempt(100_000 + i), Machine: machine, Incarnation: 123,
+			}
 		}
 		checkSize()
 		for i, task := range tasks {
--- a/internal/jobrecord/codec_test.go
+++ b/internal/jobrecord/codec_test.go
@@ -22,7 +22,7 @@
 		case 1:
 			record.Placements[task] = Placement{
 				Task:        task,
-				Attempt:     int64(rapid.IntRange(1, 3).Draw(t, "attempt")),
+				Attempt:     protocol.Attempt(rapid.IntRange(1, 3).Draw(t, "attempt")),
 				Machine:     rapid.SampledFrom([]string{"m-000001", "m-000002"}).Draw(t, "machine"),
 				Incarnation: 1,
 			}
--- a/internal/jobrecord/format.go
+++ b/internal/jobrecord/format.go
@@ -42,7 +42,7 @@
 	SubmittedAt int64            `msgpack:"at"`
 	CancelledAt int64            `msgpack:"cancelled,omitempty"`
 	Done        string           `msgpack:"done,omitempty"`
-	NextAttempt int64            `msgpack:"try"`
+	NextAttempt protocol.Attempt `msgpack:"try"`
 	Placed      []string         `msgpack:"placed,omitempty"`
 	Lenders     []string         `msgpack:"lenders,omitempty"`
 	Cause       string           `msgpack:"cause,omitempty"`
@@ -54,11 +54,11 @@
 // storedShard is the value at a shard's key. Tasks are numbered from the shard's first one.
 type storedShard struct {
 	// Done is a bitmap in hexadecimal digits, the lowest task in the lowest bit of the first byte.
-	Done        string `msgpack:"done,omitempty"`
-	NextAttempt int64  `msgpack:"next"`
+	Done        string           `msgpack:"done,omitempty"`
+	NextAttempt protocol.Attempt `msgpack:"next"`
 	// Incarnation and Attempt are those of every placement that names none of its own.
-	Incarnation int64 `msgpack:"shift,omitempty"`
-	Attempt     int64 `msgpack:"try,omitempty"`
+	Incarnation int64            `msgpack:"shift,omitempty"`
+	Attempt     protocol.Attempt `msgpack:"try,omitempty"`
 	// Placed has "machine tasks" or "machine tasks incarnation attempt", separated by semicolons.
 	Placed string `msgpack:"placed,omitempty"`
 }
--- a/internal/jobrecord/placement.go
+++ b/internal/jobrecord/placement.go
@@ -13,7 +13,7 @@
 // runs has that cell in place of a machine: see DelegatedTo.
 type Placement struct {
 	Task    int
-	Attempt int64
+	Attempt protocol.Attempt
 	Machine string
 	// Incarnation is the incarnation of the machine's worker or, for a task that another cell runs, the
 	// number of the delegation. It is a plain number because the two share their place in the record.
@@ -35,7 +35,10 @@
 const tasksPerGroup = 4
 
 // start identifies one start of a task among all others.
-type start struct{ incarnation, attempt int64 }
+type start struct {
+	incarnation int64
+	attempt     protocol.Attempt
+}
 
 func (p Placement) start() start { return start{p.Incarnation, p.Attempt} }
 
@@ -46,7 +49,7 @@
 	text = append(text, ' ')
 	text = strconv.AppendInt(text, s.incarnation, 10)
 	text = append(text, ' ')
-	return strconv.AppendInt(text, s.attempt, 10)
+	return strconv.AppendInt(text, int64(s.attempt), 10)
 }
 
 // parseStart reads the two words that appendTo writes.
@@ -54,9 +57,11 @@
 	if s.incarnation, err = strconv.ParseInt(incarnation, 10, 64); err != nil {
 		return start{}, err
 	}
-	if s.attempt, err = strconv.ParseInt(attempt, 10, 64); err != nil {
+	number, err := strconv.ParseInt(attempt, 10, 64)
+	if err != nil {
 		return start{}, err
 	}
+	s.attempt = protocol.Attempt(number)
 	return s, nil
 }
 
--- a/internal/jobrecord/record.go
+++ b/internal/jobrecord/record.go
@@ -13,7 +13,7 @@
 	SubmittedAt int64   // time of day in microseconds, by the accepting node
 	CancelledAt int64   // likewise, by the cancelling node before its user is told
 	Done        TaskSet // completed tasks
-	NextAttempt int64
+	NextAttempt protocol.Attempt
 	Placements  map[int]Placement // by task
 	Lenders     []string          // jobs that were preempted for this one and are owed their resources
 	Cause       string            // why the last failed start failed
--- a/internal/leader/jobtable/job.go
+++ b/internal/leader/jobtable/job.go
@@ -29,7 +29,7 @@
 	// TasksElsewhere counts the tasks that other cells run, kept with RunningView.
 	TasksElsewhere int
 	// BrokenAttempt is a gang's attempt that can't be completed any more.
-	BrokenAttempt int64
+	BrokenAttempt protocol.Attempt
 	StartFailures int
 	// NotBefore keeps a job that failed to start from starting again at once.
 	NotBefore     clock.Micros
@@ -125,7 +125,7 @@
 // CurrentAttempt returns the attempt for tasks placed now. None of them ever had it, since the next
 // attempt rises above that of each task that has to run again. A gang that is to be completed goes on
 // with the attempt of its other tasks.
-func (j *Job) CurrentAttempt() int64 {
+func (j *Job) CurrentAttempt() protocol.Attempt {
 	if j.Spec.Gang() {
 		for _, p := range j.Placements {
 			return p.Attempt
--- a/internal/leader/machinetable/delivery.go
+++ b/internal/leader/machinetable/delivery.go
@@ -4,13 +4,14 @@
 	"cmp"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/protocol"
 )
 
 // AttemptRef identifies an attempt of a task.
 type AttemptRef struct {
 	Job     string
 	Task    int
-	Attempt int64
+	Attempt protocol.Attempt
 }
 
 // CompareAttempts orders attempts by job, task and attempt.
--- a/internal/leader/reconciler/commands.go
+++ b/internal/leader/reconciler/commands.go
@@ -187,7 +187,7 @@
 	if !j.Spec.Gang() || len(j.Placements) == 0 || len(j.Stops) > 0 {
 		return false
 	}
-	attempt := int64(0)
+	attempt := protocol.Attempt(0)
 	for _, p := range j.Placements {
 		if p.Attempt <= j.BrokenAttempt || attempt != 0 && p.Attempt != attempt {
 			return false
--- a/internal/protocol/identifiers.go
+++ b/internal/protocol/identifiers.go
@@ -21,6 +21,11 @@
 // has expired and everything on the machine has ended. Commands to an earlier incarnation have no effect.
 type Incarnation int64
 
+// Attempt numbers the attempts of a job's tasks, from 1. A task that has to run again is started under a
+// higher number, so that what is said of its earlier attempts can't be taken for news of the present one.
+// All tasks of a gang run under the same number.
+type Attempt int64
+
 // TaskName returns the name of a task on the wire, as in "job-000412/3".
 func TaskName(job string, task int) string { return job + "/" + strconv.Itoa(task) }
 
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -23,11 +23,11 @@
 
 // TaskStatus is the status of one task in a worker's heartbeat.
 type TaskStatus struct {
-	Task    string `msgpack:"Leg"`
-	Attempt int64  `msgpack:"Try"`
-	Status  string `msgpack:"Status"`
-	Cause   string `msgpack:"Cause"`
-	Saved   bool   `msgpack:"Saved"` // its progress was saved when it was stopped
+	Task    string  `msgpack:"Leg"`
+	Attempt Attempt `msgpack:"Try"`
+	Status  string  `msgpack:"Status"`
+	Cause   string  `msgpack:"Cause"`
+	Saved   bool    `msgpack:"Saved"` // its progress was saved when it was stopped
 }
 
 // Heartbeat is a worker's heartbeat, with the status of its machine and tasks.
@@ -59,7 +59,7 @@
 type Command struct {
 	Verb    string  `msgpack:"Verb"`
 	Task    string  `msgpack:"Leg"`
-	Attempt int64   `msgpack:"Try"`
+	Attempt Attempt `msgpack:"Try"`
 	GraceS  float64 `msgpack:"LeaveS"` // in which a stopped task may save a checkpoint
 }
 
--- a/internal/simulation/tasks.go
+++ b/internal/simulation/tasks.go
@@ -19,13 +19,13 @@
 // taskRef is one attempt of a task.
 type taskRef struct {
 	taskKey
-	attempt int64
+	attempt protocol.Attempt
 }
 
 // task is an attempt on a machine, until the machine forgets it.
 type task struct {
 	taskKey
-	attempt  int64
+	attempt  protocol.Attempt
 	status   string
 	cause    string // of its exit
 	saved    bool
@@ -50,7 +50,7 @@
 }
 
 // find is an attempt on the machine, or nil.
-func (m *FakeWorker) find(k taskKey, attempt int64) *task {
+func (m *FakeWorker) find(k taskKey, attempt protocol.Attempt) *task {
 	for _, t := range m.tasks {
 		if t.taskKey == k && t.attempt == attempt {
 			return t
@@ -78,7 +78,7 @@
 }
 
 // forget drops an attempt that has exited; its end must be in the record by then.
-func (m *FakeWorker) forget(k taskKey, attempt int64) {
+func (m *FakeWorker) forget(k taskKey, attempt protocol.Attempt) {
 	for i, t := range m.tasks {
 		if t.taskKey != k || t.attempt != attempt || t.status != protocol.TaskExited {
 			continue
@@ -94,7 +94,7 @@
 }
 
 // start begins an attempt: it fetches its image unless the machine refuses it.
-func (m *FakeWorker) start(k taskKey, attempt int64) {
+func (m *FakeWorker) start(k taskKey, attempt protocol.Attempt) {
 	if m.find(k, attempt) != nil {
 		return
 	}
@@ -118,7 +118,7 @@
 
 // checkRestart checks that a forgotten attempt doesn't start again. A gang's replacement may have the
 // same attempt, but only by the record; a completed task has kept its result and doesn't run again.
-func (m *FakeWorker) checkRestart(k taskKey, attempt int64) {
+func (m *FakeWorker) checkRestart(k taskKey, attempt protocol.Attempt) {
 	j := m.d.find(k.job)
 	if m.forgotten[taskRef{k, attempt}] && !j.completed[k.task] && !m.d.Store.assigned(k, attempt, m.name) {
 		m.d.World.Violate(startedAgain, "%s/%d attempt %d after it was forgotten", k.job, k.task, attempt)
@@ -126,7 +126,7 @@
 }
 
 // refusal is the cause for which a start is refused, empty if it isn't.
-func (m *FakeWorker) refusal(k taskKey, attempt int64) string {
+func (m *FakeWorker) refusal(k taskKey, attempt protocol.Attempt) string {
 	j := m.d.find(k.job)
 	switch {
 	case j == nil:
