--- a/internal/admission/call.go
+++ b/internal/admission/call.go
@@ -99,7 +99,7 @@
 }
 
 // readRecord reads the record of a job, nil if there is none.
-func (c *call) readRecord(id string, done func(record *jobrecord.Record, version int64)) {
+func (c *call) readRecord(id string, done func(record *jobrecord.Record, version protocol.Revision)) {
 	key := jobrecord.Key(id)
 	c.in.store.Get(key, func(r kvstore.Result[protocol.Item]) {
 		result := storeResultOf(r.Err)
@@ -115,7 +115,9 @@
 	})
 }
 
-func (c *call) decodeRecord(key string, item protocol.Item, done func(record *jobrecord.Record, version int64)) {
+func (c *call) decodeRecord(
+	key string, item protocol.Item, done func(record *jobrecord.Record, version protocol.Revision),
+) {
 	record, err := jobrecord.DecodeAt(key, item.Value)
 	if err != nil {
 		slog.Debug("malformed job record", "job", c.jobID(), "error", err)
@@ -130,7 +132,7 @@
 
 // findRecord reads the record of the job that the request names, unless the answer is clear without
 // it: the job is over, or there is none.
-func (c *call) findRecord(done func(record *jobrecord.Record, version int64)) {
+func (c *call) findRecord(done func(record *jobrecord.Record, version protocol.Revision)) {
 	id := c.request.ID
 	if final, ok := c.in.finalStates[id]; ok {
 		c.finish(knownJob(final))
@@ -140,7 +142,7 @@
 		c.fail(outcomeNoSuchJob, reasonNoSuchJob)
 		return
 	}
-	c.readRecord(id, func(record *jobrecord.Record, version int64) {
+	c.readRecord(id, func(record *jobrecord.Record, version protocol.Revision) {
 		if record == nil {
 			c.fail(outcomeNoSuchJob, reasonNoSuchJob)
 			return
--- a/internal/admission/cancellation.go
+++ b/internal/admission/cancellation.go
@@ -8,7 +8,7 @@
 
 // cancel makes the cancellation durable; from then on no placement of the job can be committed.
 func (c *call) cancel() {
-	c.findRecord(func(record *jobrecord.Record, version int64) {
+	c.findRecord(func(record *jobrecord.Record, version protocol.Revision) {
 		if record.Final() {
 			c.finish(knownJob(record.UserStatus()))
 			return
@@ -19,13 +19,13 @@
 }
 
 // storeCancelled writes a cancelled record over the version that was read.
-func (c *call) storeCancelled(record *jobrecord.Record, version int64) {
+func (c *call) storeCancelled(record *jobrecord.Record, version protocol.Revision) {
 	key := jobrecord.Key(c.request.ID)
 	txn := protocol.Txn{
 		Conditions: []protocol.Condition{{Key: key, Version: version}},
 		Changes:    []protocol.Change{{Put: key, Value: record.Encode()}},
 	}
-	c.in.store.Commit(kvstore.PriorityUser, txn, func(r kvstore.Result[kvstore.Revision]) {
+	c.in.store.Commit(kvstore.PriorityUser, txn, func(r kvstore.Result[protocol.Revision]) {
 		result := storeResultOf(r.Err)
 		switch {
 		case result == storeDone:
--- a/internal/admission/golden_test.go
+++ b/internal/admission/golden_test.go
@@ -56,15 +56,15 @@
 }
 
 func (s *goldenStore) Commit(_ kvstore.Priority, t protocol.Txn,
-	done func(kvstore.Result[kvstore.Revision])) {
+	done func(kvstore.Result[protocol.Revision])) {
 	s.txns = append(s.txns, t)
 	for _, guard := range t.Conditions {
 		if _, exists := s.values[guard.Key]; exists != (guard.Version != 0) {
-			done(kvstore.Result[kvstore.Revision]{Err: kvstore.ErrConflict})
+			done(kvstore.Result[protocol.Revision]{Err: kvstore.ErrConflict})
 			return
 		}
 	}
-	done(kvstore.Result[kvstore.Revision]{Err: s.err, Value: 300})
+	done(kvstore.Result[protocol.Revision]{Err: s.err, Value: 300})
 }
 
 // goldenIntake serves with a running job job-1 and a divided one job-2.
--- a/internal/admission/helpers_test.go
+++ b/internal/admission/helpers_test.go
@@ -57,17 +57,17 @@
 }
 
 func (s *fakeStore) Commit(
-	_ kvstore.Priority, txn protocol.Txn, done func(kvstore.Result[kvstore.Revision]),
+	_ kvstore.Priority, txn protocol.Txn, done func(kvstore.Result[protocol.Revision]),
 ) {
 	value := txn.Changes[0].Value
 	switch {
 	case s.down:
-		done(kvstore.Result[kvstore.Revision]{Err: kvstore.ErrUnavailable})
+		done(kvstore.Result[protocol.Revision]{Err: kvstore.ErrUnavailable})
 	case s.maxValue > 0 && protocol.JSONSize(value) > s.maxValue:
-		done(kvstore.Result[kvstore.Revision]{Err: kvstore.ErrInvalid})
+		done(kvstore.Result[protocol.Revision]{Err: kvstore.ErrInvalid})
 	default:
 		s.puts = append(s.puts, value)
-		done(kvstore.Result[kvstore.Revision]{Value: 6})
+		done(kvstore.Result[protocol.Revision]{Value: 6})
 	}
 }
 
--- a/internal/admission/status.go
+++ b/internal/admission/status.go
@@ -10,7 +10,7 @@
 
 // show answers with the state of a job.
 func (c *call) show() {
-	c.findRecord(func(record *jobrecord.Record, _ int64) {
+	c.findRecord(func(record *jobrecord.Record, _ protocol.Revision) {
 		if record.ShardSize > 0 && !record.Final() {
 			c.showSharded(record)
 			return
--- a/internal/admission/submission.go
+++ b/internal/admission/submission.go
@@ -23,7 +23,7 @@
 		return
 	}
 	// The repeat of an accepted submission is never refused, whatever it looks like.
-	c.readRecord(spec.ID, func(record *jobrecord.Record, _ int64) {
+	c.readRecord(spec.ID, func(record *jobrecord.Record, _ protocol.Revision) {
 		if record != nil {
 			c.finish(knownJob(record.UserStatus()))
 			return
@@ -70,7 +70,7 @@
 		Conditions: []protocol.Condition{{Key: key}},
 		Changes:    []protocol.Change{{Put: key, Value: c.newRecord().Encode()}},
 	}
-	c.in.store.Commit(kvstore.PriorityUser, txn, func(r kvstore.Result[kvstore.Revision]) {
+	c.in.store.Commit(kvstore.PriorityUser, txn, func(r kvstore.Result[protocol.Revision]) {
 		switch result := storeResultOf(r.Err); result {
 		case storeDone:
 			status := protocol.JobStatus{ID: c.spec.ID, Status: protocol.StatusPending}
@@ -87,7 +87,7 @@
 
 // confirmCreated reads the record: there is one already, or it isn't known whether there is.
 func (c *call) confirmCreated() {
-	c.readRecord(c.spec.ID, func(record *jobrecord.Record, _ int64) {
+	c.readRecord(c.spec.ID, func(record *jobrecord.Record, _ protocol.Revision) {
 		if record == nil {
 			c.fail(outcomeUnconfirmed, reasonUnconfirmed)
 			return
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -74,7 +74,7 @@
 	Incarnation string `msgpack:"incarnation"`
 	// Lease is what the key is attached to: a claim that was applied late stands under a lease
 	// that nobody renews any more.
-	Lease int64 `msgpack:"lease"`
+	Lease protocol.LeaseID `msgpack:"lease"`
 }
 
 // Candidate is the actor by which a node takes part in elections and, once elected, keeps its
@@ -89,7 +89,7 @@
 	// term is the present term, zero unless this node leads.
 	term Term
 	// lease is that of the term or of the last campaign, 0 for none.
-	lease kvstore.LeaseID
+	lease protocol.LeaseID
 	// leaseSentAt is when that lease was requested.
 	leaseSentAt clock.Micros
 	// standAt is when this node may stand again after it has resigned.
@@ -135,13 +135,13 @@
 	slog.Info("resigning: no worker reaches this node", "epoch", c.term.Epoch)
 	c.standAt = c.mailbox.Monotonic() + resignTime
 	release := protocol.Txn{
-		Conditions: []protocol.Condition{{Key: LeaderKey, Version: int64(c.term.Epoch)}},
+		Conditions: []protocol.Condition{{Key: LeaderKey, Version: protocol.Revision(c.term.Epoch)}},
 		Changes:    []protocol.Change{{Delete: LeaderKey}},
 	}
 	c.stepDown()
 	// If this fails, the lease expires all the same: nobody renews it.
 	c.store.Commit(kvstore.PriorityElection, release,
-		func(kvstore.Result[kvstore.Revision]) { c.observe() })
+		func(kvstore.Result[protocol.Revision]) { c.observe() })
 }
 
 func (c *Candidate) leading() bool { return c.term.Epoch != 0 }
@@ -220,7 +220,7 @@
 }
 
 // keyFound handles the key's value and version as just read or followed.
-func (c *Candidate) keyFound(raw []byte, version int64) {
+func (c *Candidate) keyFound(raw []byte, version protocol.Revision) {
 	var h holder
 	if err := protocol.Decode(raw, &h); err != nil {
 		slog.Error("leader's key is malformed", "error", err)
@@ -243,18 +243,18 @@
 // claimedBy reports whether the key is held by the last campaign of this process.
 func (c *Candidate) claimedBy(h holder) bool {
 	return h.Node == c.cfg.Node && h.Incarnation == c.cfg.Incarnation &&
-		kvstore.LeaseID(h.Lease) == c.lease && c.lease != 0 && !c.leading()
+		h.Lease == c.lease && c.lease != 0 && !c.leading()
 }
 
 // campaign stands for election against the given version of the key, 0 if it doesn't exist.
-func (c *Candidate) campaign(version int64) {
+func (c *Candidate) campaign(version protocol.Revision) {
 	c.round++
 	if wait := c.standAt - c.mailbox.Monotonic(); wait > 0 {
 		c.observeAfter(min(wait, standCheckTime))
 		return
 	}
 	sent := c.mailbox.Monotonic()
-	c.store.Grant(c.cfg.TTL, resultInRound(c, func(r kvstore.Result[kvstore.LeaseID]) {
+	c.store.Grant(c.cfg.TTL, resultInRound(c, func(r kvstore.Result[protocol.LeaseID]) {
 		if r.Err != nil {
 			c.observeAfter(retryDelay)
 			return
@@ -265,8 +265,8 @@
 }
 
 // claimKey replaces the given version of the key under the campaign's lease.
-func (c *Candidate) claimKey(version int64) {
-	lease := int64(c.lease)
+func (c *Candidate) claimKey(version protocol.Revision) {
+	lease := c.lease
 	claim := protocol.Txn{
 		Conditions: []protocol.Condition{{Key: LeaderKey, Version: version}},
 		Changes: []protocol.Change{{Put: LeaderKey, Lease: lease,
@@ -275,7 +275,7 @@
 	c.store.Commit(kvstore.PriorityElection, claim, resultInRound(c, c.claimEnded))
 }
 
-func (c *Candidate) claimEnded(r kvstore.Result[kvstore.Revision]) {
+func (c *Candidate) claimEnded(r kvstore.Result[protocol.Revision]) {
 	switch {
 	case r.Err == nil:
 		c.elected(protocol.Epoch(r.Value))
@@ -336,9 +336,9 @@
 }
 
 // follow waits for the key to change after a revision.
-func (c *Candidate) follow(from int64) {
+func (c *Candidate) follow(from protocol.Revision) {
 	c.round++
-	c.store.Follow(LeaderKey, kvstore.Revision(from), followTime, resultInRound(c, c.followed))
+	c.store.Follow(LeaderKey, from, followTime, resultInRound(c, c.followed))
 }
 
 // followed acts on the last change of the key, if there is one.
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -34,34 +34,34 @@
 // test responds.
 type pendingStore struct {
 	kvstore.Store
-	leases  kvstore.LeaseID
+	leases  protocol.LeaseID
 	get     func(kvstore.Result[protocol.Item])
-	commit  func(kvstore.Result[kvstore.Revision])
+	commit  func(kvstore.Result[protocol.Revision])
 	follow  func(kvstore.Result[protocol.WatchResponse])
 	renew   func(error)
 	txns    []protocol.Txn
-	renewed []kvstore.LeaseID
+	renewed []protocol.LeaseID
 }
 
 func (s *pendingStore) Get(_ string, done func(kvstore.Result[protocol.Item])) { s.get = done }
-func (s *pendingStore) Grant(_ clock.Micros, done func(kvstore.Result[kvstore.LeaseID])) {
+func (s *pendingStore) Grant(_ clock.Micros, done func(kvstore.Result[protocol.LeaseID])) {
 	s.leases++
-	done(kvstore.Result[kvstore.LeaseID]{Value: s.leases})
+	done(kvstore.Result[protocol.LeaseID]{Value: s.leases})
 }
 func (s *pendingStore) Commit(_ kvstore.Priority, t protocol.Txn,
-	done func(kvstore.Result[kvstore.Revision])) {
+	done func(kvstore.Result[protocol.Revision])) {
 	s.txns, s.commit = append(s.txns, t), done
 }
-func (s *pendingStore) Renew(lease kvstore.LeaseID, done func(error)) {
+func (s *pendingStore) Renew(lease protocol.LeaseID, done func(error)) {
 	s.renewed, s.renew = append(s.renewed, lease), done
 }
-func (s *pendingStore) Follow(_ string, _ kvstore.Revision, _ clock.Micros,
+func (s *pendingStore) Follow(_ string, _ protocol.Revision, _ clock.Micros,
 	done func(kvstore.Result[protocol.WatchResponse])) {
 	s.follow = done
 }
 
 // keyIs responds to the read of the leader's key.
-func (s *pendingStore) keyIs(value []byte, version int64) {
+func (s *pendingStore) keyIs(value []byte, version protocol.Revision) {
 	s.get(kvstore.Result[protocol.Item]{Value: protocol.Item{Key: LeaderKey, Value: value, Version: version}})
 }
 
@@ -71,11 +71,11 @@
 }
 
 // commitsAt responds that the transaction was applied, commitFails that it wasn't.
-func (s *pendingStore) commitsAt(r kvstore.Revision) {
-	s.commit(kvstore.Result[kvstore.Revision]{Value: r})
+func (s *pendingStore) commitsAt(r protocol.Revision) {
+	s.commit(kvstore.Result[protocol.Revision]{Value: r})
 }
 func (s *pendingStore) commitFails(err error) {
-	s.commit(kvstore.Result[kvstore.Revision]{Err: err})
+	s.commit(kvstore.Result[protocol.Revision]{Err: err})
 }
 
 // candidacy is a started candidate with what it has published.
@@ -137,7 +137,7 @@
 	x.box.advance(clock.Second)
 	store.keyIs(store.txns[2].Changes[0].Value, 10)
 	x.expectEpoch(t, 10)
-	if !slices.Equal(store.renewed, []kvstore.LeaseID{3}) {
+	if !slices.Equal(store.renewed, []protocol.LeaseID{3}) {
 		t.Fatalf("renews %v, expected lease 3", store.renewed)
 	}
 }
--- a/internal/election/transaction.go
+++ b/internal/election/transaction.go
@@ -40,17 +40,17 @@
 // NewTransaction returns a transaction of an epoch's leader without changes.
 func NewTransaction(epoch protocol.Epoch) *Transaction {
 	t := &Transaction{epoch: epoch}
-	t.Require(LeaderKey, int64(epoch))
+	t.Require(LeaderKey, protocol.Revision(epoch))
 	return t
 }
 
 // Require adds the condition that a key has the given version, 0 if it must not exist.
-func (t *Transaction) Require(key string, version int64) {
+func (t *Transaction) Require(key string, version protocol.Revision) {
 	t.txn.Conditions = append(t.txn.Conditions, protocol.Condition{Key: key, Version: version})
 }
 
 // RequireOnce adds a condition unless the transaction has it already.
-func (t *Transaction) RequireOnce(key string, version int64) {
+func (t *Transaction) RequireOnce(key string, version protocol.Revision) {
 	if !slices.Contains(t.txn.Conditions, protocol.Condition{Key: key, Version: version}) {
 		t.Require(key, version)
 	}
@@ -74,8 +74,8 @@
 // Commit applies the transaction. If the leader's key is among those that failed, the error is a
 // *NotLeaderError.
 func (t *Transaction) Commit(store kvstore.Store,
-	done func(kvstore.Result[kvstore.Revision])) {
-	store.Commit(kvstore.PriorityLeader, t.txn, func(r kvstore.Result[kvstore.Revision]) {
+	done func(kvstore.Result[protocol.Revision])) {
+	store.Commit(kvstore.PriorityLeader, t.txn, func(r kvstore.Result[protocol.Revision]) {
 		r.Err = t.classify(r.Err)
 		done(r)
 	})
--- a/internal/election/transaction_test.go
+++ b/internal/election/transaction_test.go
@@ -20,7 +20,7 @@
 	txn.RequireOnce(LeaderKey, 7)
 	txn.Put("a", []byte{0xc0})
 	txn.Delete("b")
-	txn.Commit(store, func(kvstore.Result[kvstore.Revision]) {})
+	txn.Commit(store, func(kvstore.Result[protocol.Revision]) {})
 	want := protocol.Txn{
 		Conditions: []protocol.Condition{{Key: LeaderKey, Version: 7}, {Key: "a", Version: 3}, {Key: "a", Version: 3},
 			{Key: "a", Version: 4}},
@@ -49,7 +49,7 @@
 	} {
 		store := &pendingStore{}
 		var got error
-		NewTransaction(7).Commit(store, func(r kvstore.Result[kvstore.Revision]) { got = r.Err })
+		NewTransaction(7).Commit(store, func(r kvstore.Result[protocol.Revision]) { got = r.Err })
 		store.commitFails(c.err)
 		if errors.Is(got, ErrNotLeader) != c.notLeader ||
 			errors.Is(got, kvstore.ErrConflict) != c.conflict {
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -221,7 +221,7 @@
 	send(b, OpList, b.read("/kv?"+q.Encode(), callTimeout), unchanged, done)
 }
 
-func (b *bound) Commit(priority Priority, t protocol.Txn, done func(Result[Revision])) {
+func (b *bound) Commit(priority Priority, t protocol.Txn, done func(Result[protocol.Revision])) {
 	body := protocol.Encode(t)
 	commit := func() (transport.Response, error) {
 		pool := b.election
@@ -233,11 +233,11 @@
 		}
 		return b.do(pool, http.MethodPost, "/multi", body, callTimeout)
 	}
-	revision := func(a protocol.TxnResponse) Revision { return Revision(a.Revision) }
+	revision := func(a protocol.TxnResponse) protocol.Revision { return a.Revision }
 	send(b, OpCommit, commit, revision, done)
 }
 
-func (b *bound) Follow(prefix string, from Revision, wait clock.Micros,
+func (b *bound) Follow(prefix string, from protocol.Revision, wait clock.Micros,
 	done func(Result[protocol.WatchResponse])) {
 	q := url.Values{
 		"Prefix":  {prefix},
@@ -252,15 +252,15 @@
 	send(b, OpFollow, follow, unchanged, done)
 }
 
-func (b *bound) Grant(ttl clock.Micros, done func(Result[LeaseID])) {
+func (b *bound) Grant(ttl clock.Micros, done func(Result[protocol.LeaseID])) {
 	body := protocol.Encode(protocol.LeaseRequest{TTLMs: int64(ttl / clock.Millisecond)})
 	grant := func() (transport.Response, error) {
 		return b.do(b.election, http.MethodPost, "/leases", body, renewTimeout)
 	}
-	send(b, OpGrant, grant, func(a protocol.LeaseResponse) LeaseID { return LeaseID(a.Lease) }, done)
+	send(b, OpGrant, grant, func(a protocol.LeaseResponse) protocol.LeaseID { return a.Lease }, done)
 }
 
-func (b *bound) Renew(lease LeaseID, done func(err error)) {
+func (b *bound) Renew(lease protocol.LeaseID, done func(err error)) {
 	renew := func() (transport.Response, error) {
 		return b.do(b.election, http.MethodPost, fmt.Sprintf("/leases/%d/touch", lease), nil, renewTimeout)
 	}
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -36,12 +36,12 @@
 	"get":  func(s Store, done func(error)) { s.Get("a/b", errOnly[protocol.Item](done)) },
 	"list": func(s Store, done func(error)) { s.List("a/", "", errOnly[protocol.ItemList](done)) },
 	"commit": func(s Store, done func(error)) {
-		s.Commit(PriorityUser, protocol.Txn{}, errOnly[Revision](done))
+		s.Commit(PriorityUser, protocol.Txn{}, errOnly[protocol.Revision](done))
 	},
 	"follow": func(s Store, done func(error)) {
 		s.Follow("a/", 1, 0, errOnly[protocol.WatchResponse](done))
 	},
-	"grant": func(s Store, done func(error)) { s.Grant(clock.Second, errOnly[LeaseID](done)) },
+	"grant": func(s Store, done func(error)) { s.Grant(clock.Second, errOnly[protocol.LeaseID](done)) },
 	"renew": func(s Store, done func(error)) { s.Renew(7, done) },
 }
 
@@ -113,7 +113,8 @@
 func TestGarbageAfterFailureKeepsStatus(t *testing.T) {
 	client, box := newServedStore(t, ampleLimits, http.StatusConflict, []byte("<html>"))
 	var got error
-	client.For(box).Commit(PriorityUser, protocol.Txn{}, errOnly[Revision](func(err error) { got = err }))
+	done := errOnly[protocol.Revision](func(err error) { got = err })
+	client.For(box).Commit(PriorityUser, protocol.Txn{}, done)
 	(<-box.Messages)()
 	if !errors.Is(got, ErrConflict) || len(Failed(got)) > 0 {
 		t.Errorf("%v, expected a conflict without keys", got)
@@ -134,12 +135,12 @@
 }
 
 func TestCommitReportsRevisionConflictAndReason(t *testing.T) {
-	commit := func(status int, body protocol.TxnResponse) Result[Revision] {
+	commit := func(status int, body protocol.TxnResponse) Result[protocol.Revision] {
 		client, box := newServedStore(t, ampleLimits, status, protocol.Encode(body))
-		var got Result[Revision]
-		client.For(box).Commit(PriorityLeader, protocol.Txn{}, func(r Result[Revision]) { got = r })
+		var got Result[protocol.Revision]
+		client.For(box).Commit(PriorityLeader, protocol.Txn{}, func(r Result[protocol.Revision]) { got = r })
 		(<-box.Messages)()
-		if responseStatus(got.Err) != status || got.Value != Revision(body.Revision) ||
+		if responseStatus(got.Err) != status || got.Value != body.Revision ||
 			Reason(got.Err) != body.Error ||
 			!slices.Equal(Failed(got.Err), body.Failed) {
 			t.Errorf("result %+v, expected status %d with %+v", got, status, body)
--- a/internal/kvstore/errors.go
+++ b/internal/kvstore/errors.go
@@ -79,7 +79,7 @@
 	// Keys are those whose version isn't the expected one.
 	Keys []string
 	// Revision is that of the store when it compared.
-	Revision Revision
+	Revision protocol.Revision
 	// Reason is the service's own explanation, if it gave one.
 	Reason string
 }
@@ -136,7 +136,7 @@
 	case err == nil:
 		return nil
 	case err.Kind == ErrConflict:
-		return &ConflictError{Keys: details.Failed, Revision: Revision(details.Revision),
+		return &ConflictError{Keys: details.Failed, Revision: details.Revision,
 			Reason: details.Error}
 	case err.Kind == ErrInvalid && details.Error == noSuchLease:
 		err.Cause = ErrLeaseNotFound
--- a/internal/kvstore/golden_test.go
+++ b/internal/kvstore/golden_test.go
@@ -49,10 +49,10 @@
 		func(s Store, done func(Result[protocol.WatchResponse])) {
 			s.Follow("jobs/", 299, 2500*clock.Millisecond, done)
 		})
-	ask(t, "grant", "\x81\xa6Permit\x05", LeaseID(5),
+	ask(t, "grant", "\x81\xa6Permit\x05", protocol.LeaseID(5),
 		"POST /leases\nContent-Length: 10\nContent-Type: application/msgpack\n"+
 			"User-Agent: Go-http-client/1.1\n\n\x81\xa5TtlMs\xcd\x0f\xa0",
-		func(s Store, done func(Result[LeaseID])) { s.Grant(4*clock.Second, done) })
+		func(s Store, done func(Result[protocol.LeaseID])) { s.Grant(4*clock.Second, done) })
 	ask(t, "renew", "\x81\xa6Permit\x05", struct{}{},
 		"POST /leases/5/touch\nContent-Length: 0\nUser-Agent: Go-http-client/1.1\n\n",
 		func(s Store, done func(Result[struct{}])) {
@@ -63,10 +63,10 @@
 		Changes:    []protocol.Change{{Put: "a", Value: []byte{0xc3}}},
 	}
 	for _, use := range []Priority{PriorityElection, PriorityUser, PriorityLeader} {
-		ask(t, "commit", "\x81\xa6Ledger\xcd\x01\x2c", Revision(300),
+		ask(t, "commit", "\x81\xa6Ledger\xcd\x01\x2c", protocol.Revision(300),
 			"POST /multi\nContent-Length: 47\nContent-Type: application/msgpack\n"+
 				"User-Agent: Go-http-client/1.1\n\n\x82\xa6Guards\x91\x82\xa4Path\xa1a\xa5Stamp\x09\xa6Wr"+
 				"ites\x91\x82\xa5Write\xa1a\xa4Data\xc3",
-			func(s Store, done func(Result[Revision])) { s.Commit(use, txn, done) })
+			func(s Store, done func(Result[protocol.Revision])) { s.Commit(use, txn, done) })
 	}
 }
--- a/internal/kvstore/store.go
+++ b/internal/kvstore/store.go
@@ -9,13 +9,6 @@
 	"postpoint/internal/protocol"
 )
 
-// Revision counts the changes of the whole store. A key's version is the revision of its last
-// change, 0 if the key doesn't exist.
-type Revision int64
-
-// LeaseID names a lease of the store. Keys attached to a lease are removed when it expires.
-type LeaseID int64
-
 // Result is the outcome of one request. Value counts only if Err is nil; errors.go lists the
 // errors.
 type Result[T any] struct {
@@ -33,13 +26,13 @@
 	List(prefix, from string, done func(Result[protocol.ItemList]))
 	// Commit applies a transaction if all its guards hold, and returns its revision. Otherwise the
 	// error is a ConflictError.
-	Commit(priority Priority, t protocol.Txn, done func(Result[Revision]))
+	Commit(priority Priority, t protocol.Txn, done func(Result[protocol.Revision]))
 	// Follow waits for changes of keys with a prefix after a revision, at most for the given time.
-	Follow(prefix string, from Revision, wait clock.Micros, done func(Result[protocol.WatchResponse]))
+	Follow(prefix string, from protocol.Revision, wait clock.Micros, done func(Result[protocol.WatchResponse]))
 	// Grant creates a lease.
-	Grant(ttl clock.Micros, done func(Result[LeaseID]))
+	Grant(ttl clock.Micros, done func(Result[protocol.LeaseID]))
 	// Renew prolongs a lease by its whole time to live.
-	Renew(lease LeaseID, done func(err error))
+	Renew(lease protocol.LeaseID, done func(err error))
 }
 
 // Priority is the priority of a transaction in this process's rate limit: the election's requests
--- a/internal/kvstore/storetest/service.go
+++ b/internal/kvstore/storetest/service.go
@@ -21,9 +21,9 @@
 	Get(key string, done func(Reply[protocol.Item]))
 	List(prefix, from string, done func(Reply[protocol.ItemList]))
 	Commit(use kvstore.Priority, t protocol.Txn, done func(Reply[protocol.TxnResponse]))
-	Follow(prefix string, from int64, block clock.Micros, done func(Reply[protocol.WatchResponse]))
+	Follow(prefix string, from protocol.Revision, block clock.Micros, done func(Reply[protocol.WatchResponse]))
 	Grant(ttl clock.Micros, done func(Reply[protocol.LeaseResponse]))
-	Renew(lease int64, done func(Reply[protocol.LeaseResponse]))
+	Renew(lease protocol.LeaseID, done func(Reply[protocol.LeaseResponse]))
 }
 
 // Client returns the store whose results are what the service responds.
@@ -41,32 +41,32 @@
 }
 
 func (c client) Commit(priority kvstore.Priority, txn protocol.Txn,
-	done func(kvstore.Result[kvstore.Revision])) {
+	done func(kvstore.Result[protocol.Revision])) {
 	c.service.Commit(priority, txn, func(r Reply[protocol.TxnResponse]) {
-		done(kvstore.Result[kvstore.Revision]{
-			Value: kvstore.Revision(r.Value.Revision),
+		done(kvstore.Result[protocol.Revision]{
+			Value: r.Value.Revision,
 			Err:   errorOf(kvstore.OpCommit, r),
 		})
 	})
 }
 
-func (c client) Follow(prefix string, from kvstore.Revision, wait clock.Micros,
+func (c client) Follow(prefix string, from protocol.Revision, wait clock.Micros,
 	done func(kvstore.Result[protocol.WatchResponse])) {
-	c.service.Follow(prefix, int64(from), wait,
+	c.service.Follow(prefix, from, wait,
 		func(r Reply[protocol.WatchResponse]) { done(result(kvstore.OpFollow, r)) })
 }
 
-func (c client) Grant(ttl clock.Micros, done func(kvstore.Result[kvstore.LeaseID])) {
+func (c client) Grant(ttl clock.Micros, done func(kvstore.Result[protocol.LeaseID])) {
 	c.service.Grant(ttl, func(r Reply[protocol.LeaseResponse]) {
-		done(kvstore.Result[kvstore.LeaseID]{
-			Value: kvstore.LeaseID(r.Value.Lease),
+		done(kvstore.Result[protocol.LeaseID]{
+			Value: r.Value.Lease,
 			Err:   errorOf(kvstore.OpGrant, r),
 		})
 	})
 }
 
-func (c client) Renew(lease kvstore.LeaseID, done func(err error)) {
-	c.service.Renew(int64(lease), func(r Reply[protocol.LeaseResponse]) { done(errorOf(kvstore.OpRenew, r)) })
+func (c client) Renew(lease protocol.LeaseID, done func(err error)) {
+	c.service.Renew(lease, func(r Reply[protocol.LeaseResponse]) { done(errorOf(kvstore.OpRenew, r)) })
 }
 
 func result[T any](op kvstore.Operation, r Reply[T]) kvstore.Result[T] {
--- a/internal/kvstore/storetest/service_test.go
+++ b/internal/kvstore/storetest/service_test.go
@@ -37,7 +37,9 @@
 	done(Reply[protocol.TxnResponse]{s.status, answer})
 }
 
-func (s fixedStore) Follow(_ string, _ int64, _ clock.Micros, done func(Reply[protocol.WatchResponse])) {
+func (s fixedStore) Follow(
+	_ string, _ protocol.Revision, _ clock.Micros, done func(Reply[protocol.WatchResponse]),
+) {
 	done(Reply[protocol.WatchResponse]{s.status, followed})
 }
 
@@ -45,7 +47,7 @@
 	done(Reply[protocol.LeaseResponse]{s.status, protocol.LeaseResponse{Lease: 5}})
 }
 
-func (s fixedStore) Renew(_ int64, done func(Reply[protocol.LeaseResponse])) {
+func (s fixedStore) Renew(_ protocol.LeaseID, done func(Reply[protocol.LeaseResponse])) {
 	done(Reply[protocol.LeaseResponse]{Status: s.status})
 }
 
@@ -74,14 +76,14 @@
 		s.List("", "", note[protocol.ItemList](o))
 	}, list},
 	kvstore.OpCommit: {func(s kvstore.Store, o *outcome) {
-		s.Commit(kvstore.PriorityUser, protocol.Txn{}, note[kvstore.Revision](o))
-	}, kvstore.Revision(300)},
+		s.Commit(kvstore.PriorityUser, protocol.Txn{}, note[protocol.Revision](o))
+	}, protocol.Revision(300)},
 	kvstore.OpFollow: {func(s kvstore.Store, o *outcome) {
 		s.Follow("", 1, 0, note[protocol.WatchResponse](o))
 	}, followed},
 	kvstore.OpGrant: {func(s kvstore.Store, o *outcome) {
-		s.Grant(clock.Second, note[kvstore.LeaseID](o))
-	}, kvstore.LeaseID(5)},
+		s.Grant(clock.Second, note[protocol.LeaseID](o))
+	}, protocol.LeaseID(5)},
 	kvstore.OpRenew: {func(s kvstore.Store, o *outcome) {
 		s.Renew(7, func(err error) { o.err = err })
 	}, nil},
--- a/internal/leader/cells_helpers_test.go
+++ b/internal/leader/cells_helpers_test.go
@@ -136,7 +136,7 @@
 }
 
 // requires reports whether a transaction has the condition that a key is at a version.
-func requires(t protocol.Txn, key string, version int64) bool {
+func requires(t protocol.Txn, key string, version protocol.Revision) bool {
 	for _, g := range t.Conditions {
 		if g.Key == key && g.Version == version {
 			return true
--- a/internal/leader/federation/delegationstore.go
+++ b/internal/leader/federation/delegationstore.go
@@ -112,7 +112,7 @@
 		o.addWrite(t, write)
 	}
 	o.saving = true
-	handle := func(r kvstore.Result[kvstore.Revision]) { o.handleSaved(writes, r) }
+	handle := func(r kvstore.Result[protocol.Revision]) { o.handleSaved(writes, r) }
 	t.Commit(o.Store, term.Guarded(o.State, handle))
 }
 
@@ -154,11 +154,11 @@
 }
 
 // handleSaved handles the outcome of a transaction.
-func (o *Origin) handleSaved(writes []recordWrite, r kvstore.Result[kvstore.Revision]) {
+func (o *Origin) handleSaved(writes []recordWrite, r kvstore.Result[protocol.Revision]) {
 	o.saving = false
 	switch {
 	case r.Err == nil:
-		o.noteWritten(writes, int64(r.Value))
+		o.noteWritten(writes, r.Value)
 	case errors.Is(r.Err, election.ErrNotLeader):
 		o.Deposed(o.Term.Epoch + 1)
 	case kvstore.NotExecuted(r.Err):
@@ -178,7 +178,7 @@
 }
 
 // noteWritten notes what a transaction has written.
-func (o *Origin) noteWritten(writes []recordWrite, revision int64) {
+func (o *Origin) noteWritten(writes []recordWrite, revision protocol.Revision) {
 	for _, write := range writes {
 		if write.step == stepDelete {
 			delete(o.Delegations, write.del.Number)
@@ -190,7 +190,7 @@
 }
 
 // placementVersion returns the key and version of the stored value that holds the delegation's placements.
-func (o *Origin) placementVersion(del *trackedDelegation) (key string, version int64) {
+func (o *Origin) placementVersion(del *trackedDelegation) (key string, version protocol.Revision) {
 	j := o.jobs.ByID[del.Job]
 	if j.ShardSize == 0 || j.Sharding() {
 		return jobrecord.Key(j.Spec.ID), j.Version
--- a/internal/leader/federation/host.go
+++ b/internal/leader/federation/host.go
@@ -218,12 +218,12 @@
 	t.Require(key, j.Version)
 	t.Delete(key)
 	j.InFlight = true
-	handle := func(r kvstore.Result[kvstore.Revision]) { h.handleRemoval(j, r) }
+	handle := func(r kvstore.Result[protocol.Revision]) { h.handleRemoval(j, r) }
 	t.Commit(h.Store, term.Guarded(h.State, handle))
 }
 
 // handleRemoval handles the outcome of a record's removal. Unless it was decided it is tried again.
-func (h *Host) handleRemoval(j *jobtable.Job, r kvstore.Result[kvstore.Revision]) {
+func (h *Host) handleRemoval(j *jobtable.Job, r kvstore.Result[protocol.Revision]) {
 	j.InFlight = false
 	switch {
 	case r.Err == nil:
--- a/internal/leader/federation/numbers.go
+++ b/internal/leader/federation/numbers.go
@@ -52,7 +52,7 @@
 	t := o.NewTransaction()
 	t.Require(delegation.NumbersKey, r.Value.Version)
 	t.Put(delegation.NumbersKey, protocol.Encode(first+numberBlockSize))
-	handle := func(r kvstore.Result[kvstore.Revision]) { o.handleReservation(first, r) }
+	handle := func(r kvstore.Result[protocol.Revision]) { o.handleReservation(first, r) }
 	t.Commit(o.Store, term.Guarded(o.State, handle))
 }
 
@@ -70,7 +70,7 @@
 }
 
 // handleReservation takes the block if it was reserved.
-func (o *Origin) handleReservation(first int64, r kvstore.Result[kvstore.Revision]) {
+func (o *Origin) handleReservation(first int64, r kvstore.Result[protocol.Revision]) {
 	o.Numbers.reserving = false
 	if r.Err == nil {
 		o.Numbers.Next, o.Numbers.End = first, first+numberBlockSize
--- a/internal/leader/federation/offers.go
+++ b/internal/leader/federation/offers.go
@@ -61,9 +61,9 @@
 	t := h.NewTransaction()
 	t.Require(key, 0)
 	t.Put(key, value)
-	t.Commit(h.Store, term.Guarded(h.State, func(r kvstore.Result[kvstore.Revision]) {
+	t.Commit(h.Store, term.Guarded(h.State, func(r kvstore.Result[protocol.Revision]) {
 		if r.Err == nil {
-			h.reader.Adopt(key, value, int64(r.Value))
+			h.reader.Adopt(key, value, r.Value)
 			h.reportSoon(origin)
 		}
 	}))
--- a/internal/leader/federation/trackeddelegation.go
+++ b/internal/leader/federation/trackeddelegation.go
@@ -6,6 +6,7 @@
 	"postpoint/internal/delegation"
 	"postpoint/internal/jobrecord"
 	"postpoint/internal/leader/jobtable"
+	"postpoint/internal/protocol"
 )
 
 // trackedDelegation is a delegation of this cell's own work, with what is known of its stored record.
@@ -32,18 +33,18 @@
 // storedRecord is what is known of a delegation's record in the store.
 type storedRecord struct {
 	phase   recordPhase
-	version int64            // of its key, 0 if it isn't stored
-	state   delegation.State // what the record says
+	version protocol.Revision // of its key, 0 if it isn't stored
+	state   delegation.State  // what the record says
 }
 
 // noteStored notes the record as it was written or read.
-func (r *storedRecord) noteStored(version int64, state delegation.State) {
+func (r *storedRecord) noteStored(version protocol.Revision, state delegation.State) {
 	*r = storedRecord{phase: recordStored, version: version, state: state}
 }
 
 // noteReloaded notes the version at which the records were read once more within a term. What the record
 // says then may be older than what this leader knows, and is written again.
-func (r *storedRecord) noteReloaded(version int64) {
+func (r *storedRecord) noteReloaded(version protocol.Revision) {
 	r.version = version
 	if r.phase == recordAbsent {
 		r.phase = recordStored
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -98,7 +98,9 @@
 	l.respond = func() { done(storetest.Reply[protocol.ItemList]{Status: 200}) }
 }
 
-func (l *emptyStore) Follow(string, int64, clock.Micros, func(storetest.Reply[protocol.WatchResponse])) {
+func (l *emptyStore) Follow(
+	string, protocol.Revision, clock.Micros, func(storetest.Reply[protocol.WatchResponse]),
+) {
 }
 
 // Heartbeats that come while a new leader reads its records are responded to once it has, or
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -24,7 +24,7 @@
 	d.state.Term.Epoch, d.state.BegunAt = 7, box.Now
 	d.state.Term.RenewedAt, d.state.Term.ValidUntil = box.Now, box.Now+4*clock.Second
 	d.jobs.ByID, d.jobs.Malformed = map[string]*jobtable.Job{}, map[string]bool{}
-	d.jobs.FinalVersions, d.jobs.StrayShards = map[string]int64{}, map[string]int64{}
+	d.jobs.FinalVersions, d.jobs.StrayShards = map[string]protocol.Revision{}, map[string]protocol.Revision{}
 	d.machines.ByName, d.machines.Released = map[string]*machinetable.Machine{}, map[string]clock.Micros{}
 	d.state.Random = term.NewRandom(7)
 	d.state.Loaded, d.state.FreshAt, d.steps.Pending = true, box.Now, true
--- a/internal/leader/jobtable/jobtable.go
+++ b/internal/leader/jobtable/jobtable.go
@@ -30,11 +30,11 @@
 	ByID map[string]*Job
 	// FinalVersions are the last versions of jobs that are over, until following the records has
 	// caught up with them: an older version that still arrives is outdated.
-	FinalVersions map[string]int64
+	FinalVersions map[string]protocol.Revision
 	// Malformed are the ids of jobs whose records can't be decoded.
 	Malformed map[string]bool
 	// StrayShards are the versions of stored shards, by key, that belong to no sharded record.
-	StrayShards map[string]int64
+	StrayShards map[string]protocol.Revision
 }
 
 // New returns an empty table.
@@ -53,9 +53,9 @@
 // Begin forgets what was known in earlier terms.
 func (t *Table) Begin() {
 	t.ByID = map[string]*Job{}
-	t.FinalVersions = map[string]int64{}
+	t.FinalVersions = map[string]protocol.Revision{}
 	t.Malformed = map[string]bool{}
-	t.StrayShards = map[string]int64{}
+	t.StrayShards = map[string]protocol.Revision{}
 }
 
 // QuarantineRecord forgets a job whose record can't be decoded, and notes its id: what may be running
--- a/internal/leader/jobtable/storedvalue.go
+++ b/internal/leader/jobtable/storedvalue.go
@@ -5,13 +5,14 @@
 
 	"postpoint/internal/clock"
 	"postpoint/internal/jobrecord"
+	"postpoint/internal/protocol"
 )
 
 // StoredValue relates what is in memory to one value of the key-value store: a record, or the head
 // or a shard of a sharded one.
 type StoredValue struct {
 	// Version is that of the key when it was last known, 0 if it doesn't exist.
-	Version int64
+	Version protocol.Revision
 	// ChangeCount counts the changes of the content, StoredCount is its value that is stored.
 	ChangeCount int
 	StoredCount int
@@ -44,7 +45,7 @@
 func (v *StoredValue) IsStored() bool { return !v.InFlight && v.ChangeCount == v.StoredCount }
 
 // Replace notes that the content was replaced by what was read at a version.
-func (v *StoredValue) Replace(version int64) {
+func (v *StoredValue) Replace(version protocol.Revision) {
 	v.Version = version
 	v.ResolveOutcome()
 	v.ChangeCount++
--- a/internal/leader/machinetable/catalogue.go
+++ b/internal/leader/machinetable/catalogue.go
@@ -157,7 +157,7 @@
 	t := mc.NewTransaction()
 	t.Require(catalogueKey, r.Value.Version)
 	t.Put(catalogueKey, value)
-	t.Commit(mc.Store, term.Guarded(mc.State, func(r kvstore.Result[kvstore.Revision]) {
+	t.Commit(mc.Store, term.Guarded(mc.State, func(r kvstore.Result[protocol.Revision]) {
 		if r.Err != nil {
 			mc.sharedThisTerm = false
 		}
--- a/internal/leader/recordfixtures_test.go
+++ b/internal/leader/recordfixtures_test.go
@@ -50,7 +50,7 @@
 }
 
 // committedAt is the response to a transaction that was carried out.
-func committedAt(revision int64) storetest.Reply[protocol.TxnResponse] {
+func committedAt(revision protocol.Revision) storetest.Reply[protocol.TxnResponse] {
 	return storetest.Reply[protocol.TxnResponse]{
 		Status: http.StatusOK,
 		Value:  protocol.TxnResponse{Revision: revision},
@@ -71,12 +71,12 @@
 }
 
 // resultOf returns the typed result of a transaction to which the store replies as given.
-func resultOf(reply storetest.Reply[protocol.TxnResponse]) kvstore.Result[kvstore.Revision] {
-	var result kvstore.Result[kvstore.Revision]
+func resultOf(reply storetest.Reply[protocol.TxnResponse]) kvstore.Result[protocol.Revision] {
+	var result kvstore.Result[protocol.Revision]
 	store := &fakeStore{}
 	client := storetest.Client(store)
 	client.Commit(kvstore.PriorityElection, protocol.Txn{},
-		func(r kvstore.Result[kvstore.Revision]) { result = r })
+		func(r kvstore.Result[protocol.Revision]) { result = r })
 	store.answer(reply)
 	return result
 }
--- a/internal/leader/recordstore/adoption.go
+++ b/internal/leader/recordstore/adoption.go
@@ -12,7 +12,7 @@
 )
 
 // Adopt takes over a record as read or followed, unless it is known already.
-func (r *Reader) Adopt(key string, raw []byte, version int64) {
+func (r *Reader) Adopt(key string, raw []byte, version protocol.Revision) {
 	id := key[len(jobrecord.Prefix):]
 	j := r.jobs.ByID[id]
 	if r.outdated(id, j, version) {
@@ -45,7 +45,7 @@
 // outdated reports whether a version of a record is no news. A read whose response was late can be
 // older than what is known: taking it over would bring back placements that were released. The
 // version that is known is news only if memory has to be replaced by it.
-func (r *Reader) outdated(id string, j *jobtable.Job, version int64) bool {
+func (r *Reader) outdated(id string, j *jobtable.Job, version protocol.Revision) bool {
 	if version <= r.jobs.FinalVersions[id] {
 		return true
 	}
@@ -71,7 +71,7 @@
 }
 
 // adoptNew takes over the record of a job that isn't known.
-func (r *Reader) adoptNew(id string, content *jobrecord.Record, version int64) {
+func (r *Reader) adoptNew(id string, content *jobrecord.Record, version protocol.Revision) {
 	// Of a sharded record only the shards say whether anything may still run.
 	shardsUnread := content.ShardSize > 0 && r.Loading
 	if content.Final() && len(content.Placements) == 0 && !shardsUnread && content.Hosted == nil {
@@ -97,7 +97,7 @@
 }
 
 // adoptWhole takes over a newer undivided record of a known job.
-func (r *Reader) adoptWhole(j *jobtable.Job, content *jobrecord.Record, version int64) {
+func (r *Reader) adoptWhole(j *jobtable.Job, content *jobrecord.Record, version protocol.Revision) {
 	if content.Truncated {
 		// What is known of the tasks is all there is.
 		content.Placements, content.NextAttempt = maps.Clone(j.Placements), j.NextAttempt
@@ -110,7 +110,7 @@
 
 // adoptSharded takes over a newer head of a known job. Users' nodes only cancel: anything else is a
 // change of this leader's own whose response was lost, and the shards have to be read as well.
-func (r *Reader) adoptSharded(j *jobtable.Job, content *jobrecord.Record, version int64) {
+func (r *Reader) adoptSharded(j *jobtable.Job, content *jobrecord.Record, version protocol.Revision) {
 	cancelled := content.Status == protocol.StatusCancelled
 	if cancelled && !j.MustReload() && !j.Sharding() && content.ShardSize == j.ShardSize {
 		r.cancelSharded(j, content, version)
@@ -124,7 +124,7 @@
 
 // cancelSharded takes over the cancellation of a sharded record: the head is all that a user's node
 // changes, and what is known of the tasks stays.
-func (r *Reader) cancelSharded(j *jobtable.Job, content *jobrecord.Record, version int64) {
+func (r *Reader) cancelSharded(j *jobtable.Job, content *jobrecord.Record, version protocol.Revision) {
 	j.Status, j.CancelledAt = content.Status, content.CancelledAt
 	j.StoredValue.Replace(version)
 	r.jobs.NoteCancelled(j, r.ConfirmedAt(j.Record))
@@ -137,18 +137,20 @@
 }
 
 // replaceContent makes a record what is known of its job and its tasks.
-func (r *Reader) replaceContent(j *jobtable.Job, content *jobrecord.Record, version int64) {
+func (r *Reader) replaceContent(j *jobtable.Job, content *jobrecord.Record, version protocol.Revision) {
 	r.setContent(j, content, version, jobtable.EventRecordLoaded)
 	r.matchPlacements(j)
 }
 
 // replaceHead makes the head of a sharded record what is known of its job. Its tasks are known once
 // its shards are loaded.
-func (r *Reader) replaceHead(j *jobtable.Job, content *jobrecord.Record, version int64) {
+func (r *Reader) replaceHead(j *jobtable.Job, content *jobrecord.Record, version protocol.Revision) {
 	r.setContent(j, content, version, jobtable.EventHeadLoaded)
 }
 
-func (r *Reader) setContent(j *jobtable.Job, content *jobrecord.Record, version int64, event jobtable.RecordEvent) {
+func (r *Reader) setContent(
+	j *jobtable.Job, content *jobrecord.Record, version protocol.Revision, event jobtable.RecordEvent,
+) {
 	j.Record = content
 	j.NoteRecordEvent(event)
 	j.StoredValue.Replace(version)
--- a/internal/leader/recordstore/outcome.go
+++ b/internal/leader/recordstore/outcome.go
@@ -59,13 +59,13 @@
 }
 
 // HandleResult handles the response to a transaction.
-func (w *Writer) HandleResult(writes []Write, r kvstore.Result[kvstore.Revision]) {
+func (w *Writer) HandleResult(writes []Write, r kvstore.Result[protocol.Revision]) {
 	for i := range writes {
 		writes[i].end(decided(r.Err))
 	}
 	switch outcomeOf(r.Err) {
 	case outcomeCommitted:
-		w.markStored(writes, int64(r.Value))
+		w.markStored(writes, r.Value)
 	case outcomeDeposed:
 		w.noteDeposed()
 		return
@@ -171,7 +171,7 @@
 
 // markStored marks what a transaction has written, and sends commands to the machines whose
 // placements have become durable by it.
-func (w *Writer) markStored(writes []Write, revision int64) {
+func (w *Writer) markStored(writes []Write, revision protocol.Revision) {
 	affected := map[string]*machinetable.Machine{}
 	for i := range writes {
 		write := &writes[i]
--- a/internal/leader/recordstore/outcome_test.go
+++ b/internal/leader/recordstore/outcome_test.go
@@ -26,7 +26,7 @@
 		Status: status, Value: protocol.TxnResponse{Failed: failed}}}
 	err := errors.New("no outcome")
 	election.NewTransaction(1).Commit(storetest.Client(store),
-		func(r kvstore.Result[kvstore.Revision]) { err = r.Err })
+		func(r kvstore.Result[protocol.Revision]) { err = r.Err })
 	return err
 }
 
--- a/internal/leader/recordstore/reader.go
+++ b/internal/leader/recordstore/reader.go
@@ -74,7 +74,7 @@
 	startedAt clock.Micros
 	// revision is that of the first page. Following starts there, so that no change is missed
 	// between reading and following.
-	revision int64
+	revision protocol.Revision
 }
 
 // Load reads all records, and then follows their changes.
@@ -177,14 +177,14 @@
 
 // follow waits for what other nodes accept and cancel after a revision. The store responds at least
 // every FollowInterval, which shows how fresh the records are.
-func (r *Reader) follow(from int64) {
+func (r *Reader) follow(from protocol.Revision) {
 	sentAt := r.Now()
 	handle := func(reply kvstore.Result[protocol.WatchResponse]) { r.handleFollowed(from, sentAt, reply) }
-	r.Store.Follow(jobrecord.Prefix, kvstore.Revision(from), term.FollowInterval, term.Guarded(r.State, handle))
+	r.Store.Follow(jobrecord.Prefix, from, term.FollowInterval, term.Guarded(r.State, handle))
 }
 
 // handleFollowed takes over the changes of the records since a revision, and goes on from there.
-func (r *Reader) handleFollowed(from int64, sentAt clock.Micros,
+func (r *Reader) handleFollowed(from protocol.Revision, sentAt clock.Micros,
 	reply kvstore.Result[protocol.WatchResponse]) {
 	switch {
 	case reply.Err == nil:
@@ -208,7 +208,7 @@
 	if len(changes.Events) > 0 {
 		r.steps.Wake()
 	}
-	maps.DeleteFunc(r.jobs.FinalVersions, func(_ string, version int64) bool {
+	maps.DeleteFunc(r.jobs.FinalVersions, func(_ string, version protocol.Revision) bool {
 		return version <= changes.Revision
 	})
 }
--- a/internal/leader/recordstore/reload.go
+++ b/internal/leader/recordstore/reload.go
@@ -14,7 +14,7 @@
 // shardedRecord is a sharded record as read.
 type shardedRecord struct {
 	head    *jobrecord.Record
-	version int64 // of the head
+	version protocol.Revision // of the head
 	shards  []protocol.Item
 }
 
@@ -111,8 +111,8 @@
 }
 
 // applyShards adds what the shards say to the head, and returns the shards' versions by number.
-func applyShards(record shardedRecord) (versions map[int]int64, err error) {
-	versions = map[int]int64{}
+func applyShards(record shardedRecord) (versions map[int]protocol.Revision, err error) {
+	versions = map[int]protocol.Revision{}
 	for _, item := range record.shards {
 		_, shard, ok := jobrecord.ParseShardKey(item.Key)
 		if !ok {
--- a/internal/leader/recordstore/units.go
+++ b/internal/leader/recordstore/units.go
@@ -19,7 +19,7 @@
 	// ChangeCount is the value's count of changes that this write stores.
 	ChangeCount int
 	// headVersion is the version of the head that a shard's change depends on.
-	headVersion int64
+	headVersion protocol.Revision
 	remove      bool
 }
 
@@ -62,7 +62,7 @@
 }
 
 // markStored notes that the write was carried out.
-func (w *Write) markStored(revision int64) {
+func (w *Write) markStored(revision protocol.Revision) {
 	w.Value.Version, w.Value.StoredCount, w.Value.RefusedBytes = revision, w.ChangeCount, 0
 	w.Value.ResolveOutcome()
 	if w.remove {
--- a/internal/leader/recordstore/writer.go
+++ b/internal/leader/recordstore/writer.go
@@ -97,7 +97,7 @@
 		w.add(&t, u)
 	}
 	if len(t.writes) > 0 {
-		w.send(t.Transaction, func(r kvstore.Result[kvstore.Revision]) { w.HandleResult(t.writes, r) })
+		w.send(t.Transaction, func(r kvstore.Result[protocol.Revision]) { w.HandleResult(t.writes, r) })
 	}
 }
 
@@ -150,9 +150,9 @@
 }
 
 // send commits a transaction, one at a time.
-func (w *Writer) send(t *election.Transaction, handle func(kvstore.Result[kvstore.Revision])) {
+func (w *Writer) send(t *election.Transaction, handle func(kvstore.Result[protocol.Revision])) {
 	w.Committing = true
-	t.Commit(w.Store, term.Guarded(w.State, func(r kvstore.Result[kvstore.Revision]) {
+	t.Commit(w.Store, term.Guarded(w.State, func(r kvstore.Result[protocol.Revision]) {
 		w.Committing = false
 		handle(r)
 		w.steps.Wake()
@@ -174,11 +174,11 @@
 		t.Require(key, version)
 		t.Delete(key)
 	}
-	w.send(t, func(r kvstore.Result[kvstore.Revision]) { w.handleRemoval(t.Changes(), r) })
+	w.send(t, func(r kvstore.Result[protocol.Revision]) { w.handleRemoval(t.Changes(), r) })
 }
 
 // handleRemoval takes note of the removal of stray shards.
-func (w *Writer) handleRemoval(changes []protocol.Change, r kvstore.Result[kvstore.Revision]) {
+func (w *Writer) handleRemoval(changes []protocol.Change, r kvstore.Result[protocol.Revision]) {
 	switch outcomeOf(r.Err) {
 	case outcomeCommitted:
 		for _, c := range changes {
--- a/internal/leader/sharding_test.go
+++ b/internal/leader/sharding_test.go
@@ -25,7 +25,7 @@
 		t.Fatalf("%d transactions, sharding %v, want none yet and true", len(store.txns), j.Sharding())
 	}
 	headWritten := false
-	for revision := int64(11); j.Sharding(); revision++ {
+	for revision := protocol.Revision(11); j.Sharding(); revision++ {
 		l.writer.Commit()
 		if !l.writer.Committing {
 			t.Fatal("nothing is written though the record isn't sharded yet")
--- a/internal/leader/term/transaction_test.go
+++ b/internal/leader/term/transaction_test.go
@@ -34,7 +34,7 @@
 	txn.Delete("parts/job-1/1")
 	store := &recordingStore{}
 	committed := 0
-	txn.Commit(storetest.Client(store), func(r kvstore.Result[kvstore.Revision]) {
+	txn.Commit(storetest.Client(store), func(r kvstore.Result[protocol.Revision]) {
 		committed++
 		if r.Err != nil {
 			t.Errorf("outcome %v, want success", r.Err)
@@ -66,7 +66,7 @@
 	txn.RequireOnce("jobs/job-1", 5)
 	txn.RequireOnce("jobs/job-1", 6) // a contradiction for the store to refuse, not to be dropped here
 	store := &recordingStore{}
-	txn.Commit(storetest.Client(store), func(kvstore.Result[kvstore.Revision]) {})
+	txn.Commit(storetest.Client(store), func(kvstore.Result[protocol.Revision]) {})
 	if guards := store.txn.Conditions; len(guards) != 3 || guards[1].Version != 5 || guards[2].Version != 6 {
 		t.Errorf("guards %+v, want the leader's key and both versions", guards)
 	}
--- a/internal/leader/zonetracker/tracker.go
+++ b/internal/leader/zonetracker/tracker.go
@@ -18,6 +18,7 @@
 	"postpoint/internal/leader/recordstore"
 	"postpoint/internal/leader/term"
 	"postpoint/internal/ordered"
+	"postpoint/internal/protocol"
 	"postpoint/internal/zonerecovery"
 )
 
@@ -87,7 +88,7 @@
 	*zonerecovery.Zone
 	Evidence zonerecovery.Evidence
 	// RecordVersion is that of the record's key, 0 if there is none.
-	RecordVersion int64
+	RecordVersion protocol.Revision
 	record        storedRecord
 }
 
--- a/internal/leader/zonetracker/zonestore.go
+++ b/internal/leader/zonetracker/zonestore.go
@@ -101,16 +101,16 @@
 	txn.Require(key, z.RecordVersion)
 	txn.Put(key, z.Encode(t.timeOfDayOffset()))
 	t.saving = true
-	handle := func(r kvstore.Result[kvstore.Revision]) { t.handleSaved(z, phase, r) }
+	handle := func(r kvstore.Result[protocol.Revision]) { t.handleSaved(z, phase, r) }
 	txn.Commit(t.Store, term.Guarded(t.State, handle))
 }
 
 // handleSaved handles the outcome of writing a zone's phase.
-func (t *Tracker) handleSaved(z *Zone, phase zonerecovery.Phase, r kvstore.Result[kvstore.Revision]) {
+func (t *Tracker) handleSaved(z *Zone, phase zonerecovery.Phase, r kvstore.Result[protocol.Revision]) {
 	t.saving = false
 	switch {
 	case r.Err == nil:
-		z.RecordVersion, z.record = int64(r.Value), storedRecord{phase: recordSaved, zone: phase}
+		z.RecordVersion, z.record = r.Value, storedRecord{phase: recordSaved, zone: phase}
 	case errors.Is(r.Err, election.ErrNotLeader):
 		t.Deposed(t.Term.Epoch + 1)
 	case kvstore.NotExecuted(r.Err):
--- a/internal/protocol/identifiers.go
+++ b/internal/protocol/identifiers.go
@@ -26,6 +26,13 @@
 // All tasks of a gang run under the same number.
 type Attempt int64
 
+// Revision counts the changes of the whole key-value store. A key's version is the revision of its last
+// change, 0 if it doesn't exist.
+type Revision int64
+
+// LeaseID names a lease of the key-value store, 0 none. Keys attached to a lease are removed when it expires.
+type LeaseID int64
+
 // TaskName returns the name of a task on the wire, as in "job-000412/3".
 func TaskName(job string, task int) string { return job + "/" + strconv.Itoa(task) }
 
--- a/internal/protocol/store.go
+++ b/internal/protocol/store.go
@@ -7,27 +7,27 @@
 type Item struct {
 	Key     string             `msgpack:"Path"`
 	Value   msgpack.RawMessage `msgpack:"Data"`
-	Version int64              `msgpack:"Stamp"`
+	Version Revision           `msgpack:"Stamp"`
 }
 
 // ItemList is one page of items, as of one revision of the store.
 type ItemList struct {
-	Items    []Item `msgpack:"Items"`
-	More     bool   `msgpack:"HasNext"`
-	Revision int64  `msgpack:"Ledger"`
+	Items    []Item   `msgpack:"Items"`
+	More     bool     `msgpack:"HasNext"`
+	Revision Revision `msgpack:"Ledger"`
 }
 
 // Condition is a condition of a transaction: the version that a key must have, 0 if it must not exist.
 type Condition struct {
-	Key     string `msgpack:"Path"`
-	Version int64  `msgpack:"Stamp"`
+	Key     string   `msgpack:"Path"`
+	Version Revision `msgpack:"Stamp"`
 }
 
 // Change is one change of a transaction. It puts a value or deletes a key, whichever key is set.
 type Change struct {
 	Put    string             `msgpack:"Write,omitempty"`
 	Value  msgpack.RawMessage `msgpack:"Data,omitempty"`
-	Lease  int64              `msgpack:"Permit,omitempty"` // whose expiry deletes the key
+	Lease  LeaseID            `msgpack:"Permit,omitempty"` // whose expiry deletes the key
 	Delete string             `msgpack:"Delete,omitempty"`
 }
 
@@ -40,7 +40,7 @@
 // TxnResponse is the response to a transaction: the revision at which it was applied, or the keys
 // whose conditions failed.
 type TxnResponse struct {
-	Revision int64    `msgpack:"Ledger"`
+	Revision Revision `msgpack:"Ledger"`
 	Failed   []string `msgpack:"failed"`
 	Error    string   `msgpack:"error"`
 }
@@ -52,7 +52,7 @@
 
 // LeaseResponse is the response with the id of a lease.
 type LeaseResponse struct {
-	Lease int64 `msgpack:"Permit"`
+	Lease LeaseID `msgpack:"Permit"`
 }
 
 // Event is one change that a watch reports. Put or Delete is the changed key.
@@ -60,12 +60,12 @@
 	Put     string             `msgpack:"Write"`
 	Delete  string             `msgpack:"Delete"`
 	Value   msgpack.RawMessage `msgpack:"Data"`
-	Version int64              `msgpack:"Stamp"`
+	Version Revision           `msgpack:"Stamp"`
 }
 
 // WatchResponse is the response to a watch: all changes since the revision that it names, and the
 // revision to go on from.
 type WatchResponse struct {
-	Revision int64   `msgpack:"Ledger"`
-	Events   []Event `msgpack:"Log"`
+	Revision Revision `msgpack:"Ledger"`
+	Events   []Event  `msgpack:"Log"`
 }
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -111,12 +111,12 @@
 // view is what the keys say.
 type view struct {
 	formats  map[string]Format // by key
-	versions map[string]int64
+	versions map[string]protocol.Revision
 }
 
 // decodeView takes a malformed value for one that isn't published.
 func decodeView(items []protocol.Item) view {
-	v := view{formats: map[string]Format{}, versions: map[string]int64{}}
+	v := view{formats: map[string]Format{}, versions: map[string]protocol.Revision{}}
 	for _, item := range items {
 		var p publishedFormat
 		if err := protocol.Decode(item.Value, &p); err != nil {
@@ -221,7 +221,7 @@
 		Conditions: []protocol.Condition{{Key: key, Version: v.versions[key]}},
 		Changes:    []protocol.Change{{Put: key, Value: protocol.Encode(publishedFormat{Format: format})}},
 	}
-	r.store.Commit(kvstore.PriorityElection, t, func(result kvstore.Result[kvstore.Revision]) {
+	r.store.Commit(kvstore.PriorityElection, t, func(result kvstore.Result[protocol.Revision]) {
 		if result.Err == nil || errors.Is(result.Err, kvstore.ErrConflict) {
 			r.poll()
 			return
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -33,18 +33,18 @@
 }
 
 func (s *memoryStore) Commit(_ kvstore.Priority, t protocol.Txn,
-	done func(kvstore.Result[kvstore.Revision])) {
+	done func(kvstore.Result[protocol.Revision])) {
 	for _, c := range t.Changes {
 		_, exists := s.values[c.Put]
 		if len(t.Conditions) != 1 || t.Conditions[0].Key != c.Put || exists != (t.Conditions[0].Version != 0) {
 			conflict := &kvstore.ConflictError{Keys: []string{c.Put}}
-			done(kvstore.Result[kvstore.Revision]{Err: conflict})
+			done(kvstore.Result[protocol.Revision]{Err: conflict})
 			return
 		}
 		s.values[c.Put] = c.Value
 		s.puts = append(s.puts, c.Put)
 	}
-	done(kvstore.Result[kvstore.Revision]{})
+	done(kvstore.Result[protocol.Revision]{})
 }
 
 // controller is one controller's rollout, which polls when the test says so.
--- a/internal/simulation/loopbackserver.go
+++ b/internal/simulation/loopbackserver.go
@@ -74,7 +74,7 @@
 		q := r.URL.Query()
 		from, _ := strconv.ParseInt(q.Get("From"), 10, 64)
 		block, _ := strconv.ParseInt(q.Get("BlockMs"), 10, 64)
-		store.Follow(q.Get("Prefix"), from, clock.Micros(block)*clock.Millisecond,
+		store.Follow(q.Get("Prefix"), protocol.Revision(from), clock.Micros(block)*clock.Millisecond,
 			reply[protocol.WatchResponse](answer))
 	}))
 	mux.Handle("POST /leases", serve(l, func(_ *http.Request, q protocol.LeaseRequest, answer func(int, any)) {
@@ -83,7 +83,7 @@
 	}))
 	mux.Handle("POST /leases/{id}/touch", serve(l, func(r *http.Request, _ nothing, answer func(int, any)) {
 		id, _ := strconv.ParseInt(r.PathValue("id"), 10, 64)
-		store.Renew(id, reply[protocol.LeaseResponse](answer))
+		store.Renew(protocol.LeaseID(id), reply[protocol.LeaseResponse](answer))
 	}))
 	return mux
 }
--- a/internal/simulation/record.go
+++ b/internal/simulation/record.go
@@ -114,7 +114,8 @@
 }
 
 func (s *recordedStore) Follow(
-	prefix string, from int64, block clock.Micros, done func(storetest.Reply[protocol.WatchResponse]),
+	prefix string, from protocol.Revision, block clock.Micros,
+	done func(storetest.Reply[protocol.WatchResponse]),
 ) {
 	s.record("follow", prefix, from, int64(block))
 	s.store.Follow(prefix, from, block, answered(s.recording, "follow", done))
@@ -125,7 +126,7 @@
 	s.store.Grant(ttl, answered(s.recording, "grant", done))
 }
 
-func (s *recordedStore) Renew(lease int64, done func(storetest.Reply[protocol.LeaseResponse])) {
+func (s *recordedStore) Renew(lease protocol.LeaseID, done func(storetest.Reply[protocol.LeaseResponse])) {
 	s.record("renew", lease)
 	s.store.Renew(lease, answered(s.recording, "renew", done))
 }
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -13,8 +13,8 @@
 // entry is a stored value.
 type entry struct {
 	value   []byte
-	version int64
-	lease   int64 // 0: none
+	version protocol.Revision
+	lease   protocol.LeaseID // 0: none
 }
 
 // lease is a lease of the store, to which entries may be bound.
@@ -26,7 +26,7 @@
 // watcher is a request that waits for changes.
 type watcher struct {
 	prefix string
-	from   int64
+	from   protocol.Revision
 	link   *Link
 	reply  func()
 	done   bool
@@ -46,10 +46,10 @@
 type FakeStore struct {
 	w        *World
 	entries  map[string]entry
-	leases   map[int64]*lease
+	leases   map[protocol.LeaseID]*lease
 	log      []protocol.Event
-	revision int64
-	leaseSeq int64
+	revision protocol.Revision
+	leaseSeq protocol.LeaseID
 	watchers []*watcher
 	outage   bool
 	// LateWrites is the share of transactions that get no response and are executed seconds later,
@@ -69,14 +69,14 @@
 	delegationsStored int
 	// Kept is how many revisions followers may lag behind, Page how many items a list returns at a
 	// time.
-	Kept int64
+	Kept protocol.Revision
 	Page int
 }
 
 // NewFakeStore returns an empty store.
 func NewFakeStore(w *World) *FakeStore {
 	return &FakeStore{
-		w: w, entries: map[string]entry{}, leases: map[int64]*lease{},
+		w: w, entries: map[string]entry{}, leases: map[protocol.LeaseID]*lease{},
 		Kept: defaultKeptRevisions, Page: defaultPageSize,
 	}
 }
@@ -94,7 +94,7 @@
 }
 
 // grantLease creates a lease and returns its id.
-func (s *FakeStore) grantLease(ttl clock.Micros) int64 {
+func (s *FakeStore) grantLease(ttl clock.Micros) protocol.LeaseID {
 	s.leaseSeq++
 	s.leases[s.leaseSeq] = &lease{ttl: ttl}
 	s.renewLease(s.leaseSeq)
@@ -102,7 +102,7 @@
 }
 
 // renewLease gives a lease its full time from now on and schedules its expiry.
-func (s *FakeStore) renewLease(id int64) {
+func (s *FakeStore) renewLease(id protocol.LeaseID) {
 	l := s.leases[id]
 	l.expiresAt = s.w.now + l.ttl
 	due := l.expiresAt
@@ -114,7 +114,7 @@
 }
 
 // expireLease removes a lease with all entries bound to it.
-func (s *FakeStore) expireLease(id int64) {
+func (s *FakeStore) expireLease(id protocol.LeaseID) {
 	delete(s.leases, id)
 	var bound []string
 	for key, e := range s.entries {
@@ -133,7 +133,7 @@
 }
 
 // put stores a value at the present revision.
-func (s *FakeStore) put(key string, value []byte, lease int64) {
+func (s *FakeStore) put(key string, value []byte, lease protocol.LeaseID) {
 	s.entries[key] = entry{value, s.revision, lease}
 	s.log = append(s.log, protocol.Event{Put: key, Value: value, Version: s.revision})
 }
@@ -162,7 +162,7 @@
 }
 
 // eventsSince lists the changes of keys with a prefix after a revision.
-func (s *FakeStore) eventsSince(prefix string, revision int64) []protocol.Event {
+func (s *FakeStore) eventsSince(prefix string, revision protocol.Revision) []protocol.Event {
 	var events []protocol.Event
 	for i := len(s.log) - 1; i >= 0 && s.log[i].Version > revision; i-- {
 		if e := s.log[i]; strings.HasPrefix(e.Put+e.Delete, prefix) {
--- a/internal/simulation/storeclient.go
+++ b/internal/simulation/storeclient.go
@@ -119,7 +119,8 @@
 
 // Follow waits for changes of keys with a prefix after a revision, for a time at most.
 func (c *storeClient) Follow(
-	prefix string, from int64, block clock.Micros, done func(storetest.Reply[protocol.WatchResponse]),
+	prefix string, from protocol.Revision, block clock.Micros,
+	done func(storetest.Reply[protocol.WatchResponse]),
 ) {
 	c.link.call(c.p, block+storeTimeout, func(answer func(func())) {
 		s := c.store
@@ -141,7 +142,7 @@
 }
 
 // watch replies once there are changes, or when the time is over.
-func (c *storeClient) watch(prefix string, from int64, block clock.Micros, reply func()) {
+func (c *storeClient) watch(prefix string, from protocol.Revision, block clock.Micros, reply func()) {
 	x := &watcher{prefix: prefix, from: from, link: c.link, reply: reply}
 	c.store.watchers = append(c.store.watchers, x)
 	c.store.w.After(block, func() {
@@ -162,7 +163,7 @@
 }
 
 // Renew gives a lease its full time again.
-func (c *storeClient) Renew(id int64, done func(storetest.Reply[protocol.LeaseResponse])) {
+func (c *storeClient) Renew(id protocol.LeaseID, done func(storetest.Reply[protocol.LeaseResponse])) {
 	request(c, done, func() storetest.Reply[protocol.LeaseResponse] {
 		if c.store.leases[id] == nil {
 			return storetest.Reply[protocol.LeaseResponse]{Status: http.StatusNotFound}
--- a/internal/simulation/storerecords.go
+++ b/internal/simulation/storerecords.go
@@ -8,7 +8,7 @@
 
 // leads reports whether the epoch is that of the leader by the store.
 func (s *FakeStore) leads(epoch protocol.Epoch) bool {
-	return s.entries[election.LeaderKey].version == int64(epoch)
+	return s.entries[election.LeaderKey].version == protocol.Revision(epoch)
 }
 
 // record decodes a job's record, without its shards; nil if there is none.
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -137,7 +137,7 @@
 	w, d, j := oldDeployment(262, 100*clock.Second)
 	d.Upgrade(10*clock.Second, 3*clock.Second)
 	elections, leaderless := 0, 0
-	epoch := int64(0)
+	epoch := protocol.Epoch(0)
 	w.Every(100*clock.Millisecond, func() {
 		leads := false
 		for _, n := range d.Nodes {
@@ -146,7 +146,7 @@
 		if !leads {
 			leaderless++
 		}
-		if e := d.Store.entries["lead/controller"].version; e != 0 && e != epoch {
+		if e := protocol.Epoch(d.Store.entries["lead/controller"].version); e != 0 && e != epoch {
 			epoch = e
 			elections++
 		}
