--- a/internal/election/transaction.go
+++ b/internal/election/transaction.go
@@ -16,7 +16,7 @@
 // NotLeaderError is the conflict of a deposed leader's transaction.
 type NotLeaderError struct {
 	// Epoch is that of the deposed leader.
-	Epoch Epoch
+	Epoch protocol.Epoch
 	// Conflict has all keys that failed. kvstore.ErrConflict matches the error as well, so that
 	// callers for whom it is a conflict like others needn't tell it apart.
 	Conflict *kvstore.ConflictError
@@ -33,24 +33,24 @@
 // Transaction is a transaction in the making that applies only while the leader of its epoch holds
 // the leader's key: a deposed leader changes nothing.
 type Transaction struct {
-	epoch Epoch
+	epoch protocol.Epoch
 	txn   protocol.Txn
 }
 
 // NewTransaction returns a transaction of an epoch's leader without changes.
-func NewTransaction(epoch Epoch) *Transaction {
+func NewTransaction(epoch protocol.Epoch) *Transaction {
 	t := &Transaction{epoch: epoch}
-	t.Require(LeaderKey, epoch)
+	t.Require(LeaderKey, protocol.Revision(epoch))
 	return t
 }
 
 // Require adds the condition that a key has the given version, 0 if it must not exist.
-func (t *Transaction) Require(key string, version int64) {
+func (t *Transaction) Require(key string, version protocol.Revision) {
 	t.txn.Conditions = append(t.txn.Conditions, protocol.Condition{Key: key, Version: version})
 }
 
 // RequireOnce adds a condition unless the transaction has it already.
-func (t *Transaction) RequireOnce(key string, version int64) {
+func (t *Transaction) RequireOnce(key string, version protocol.Revision) {
 	if !slices.Contains(t.txn.Conditions, protocol.Condition{Key: key, Version: version}) {
 		t.Require(key, version)
 	}
@@ -74,8 +74,8 @@
 // Commit applies the transaction. If the leader's key is among those that failed, the error is a
 // *NotLeaderError.
 func (t *Transaction) Commit(store kvstore.Store,
-	done func(kvstore.Result[kvstore.Revision])) {
-	store.Commit(kvstore.PriorityLeader, t.txn, func(r kvstore.Result[kvstore.Revision]) {
+	done func(kvstore.Result[protocol.Revision])) {
+	store.Commit(kvstore.PriorityLeader, t.txn, func(r kvstore.Result[protocol.Revision]) {
 		r.Err = t.classify(r.Err)
 		done(r)
 	})
--- a/internal/jobrecord/placement.go
+++ b/internal/jobrecord/placement.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"postpoint/internal/protocol"
 	"slices"
 	"strconv"
 	"strings"
@@ -11,10 +12,17 @@
 // that this attempt no longer is, and never again can be, on that machine. A task that another cell
 // runs has that cell in place of a machine: see DelegatedTo.
 type Placement struct {
-	Task        int
-	Attempt     int64
-	Machine     string
-	Incarnation int64 // the incarnation of the machine's worker, or the number of the delegation
+	Task    int
+	Attempt protocol.Attempt
+	Machine string
+	// Incarnation is the incarnation of the machine's worker or, for a task that another cell runs, the
+	// number of the delegation. It is a plain number because the two share their place in the record.
+	Incarnation int64
+}
+
+// WorkerIncarnation returns the incarnation of the worker that a task of this cell was placed on.
+func (p Placement) WorkerIncarnation() protocol.Incarnation {
+	return protocol.Incarnation(p.Incarnation)
 }
 
 // placementGroup is what the placements have in common that share one text of the record.
@@ -27,7 +35,10 @@
 const tasksPerGroup = 4
 
 // start identifies one start of a task among all others.
-type start struct{ incarnation, attempt int64 }
+type start struct {
+	incarnation int64
+	attempt     protocol.Attempt
+}
 
 func (p Placement) start() start { return start{p.Incarnation, p.Attempt} }
 
@@ -38,7 +49,7 @@
 	text = append(text, ' ')
 	text = strconv.AppendInt(text, s.incarnation, 10)
 	text = append(text, ' ')
-	return strconv.AppendInt(text, s.attempt, 10)
+	return strconv.AppendInt(text, int64(s.attempt), 10)
 }
 
 // parseStart reads the two words that appendTo writes.
@@ -46,9 +57,11 @@
 	if s.incarnation, err = strconv.ParseInt(incarnation, 10, 64); err != nil {
 		return start{}, err
 	}
-	if s.attempt, err = strconv.ParseInt(attempt, 10, 64); err != nil {
+	number, err := strconv.ParseInt(attempt, 10, 64)
+	if err != nil {
 		return start{}, err
 	}
+	s.attempt = protocol.Attempt(number)
 	return s, nil
 }
 
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -20,11 +20,11 @@
 	set := &settings.Settings{}
 	set.Deployment.Workers = settings.Workers{HeartbeatS: 2, LeaseS: 12, GangPeerS: 4, CancelS: 30}
 	set.Deployment.KVStore = settings.KVStore{Rps: 100, WriteRps: 40, ValueKb: 8, TxnOps: 5}
-	d := New(Dependencies{Mailbox: box, Settings: set, Deposed: func(int64) {}, Resign: func() {}})
+	d := New(Dependencies{Mailbox: box, Settings: set, Deposed: func(protocol.Epoch) {}, Resign: func() {}})
 	d.state.Term.Epoch, d.state.BegunAt = 7, box.Now
 	d.state.Term.RenewedAt, d.state.Term.ValidUntil = box.Now, box.Now+4*clock.Second
 	d.jobs.ByID, d.jobs.Malformed = map[string]*jobtable.Job{}, map[string]bool{}
-	d.jobs.FinalVersions, d.jobs.StrayShards = map[string]int64{}, map[string]int64{}
+	d.jobs.FinalVersions, d.jobs.StrayShards = map[string]protocol.Revision{}, map[string]protocol.Revision{}
 	d.machines.ByName, d.machines.Released = map[string]*machinetable.Machine{}, map[string]clock.Micros{}
 	d.state.Random = term.NewRandom(7)
 	d.state.Loaded, d.state.FreshAt, d.steps.Pending = true, box.Now, true
@@ -42,7 +42,7 @@
 	l.zones.Store = store
 }
 
-// leaderWithOneTask returns a leader that has committed one task to machine m-1 in its session 1.
+// leaderWithOneTask returns a leader that has committed one task to machine m-1 in its incarnation 1.
 func leaderWithOneTask(t *testing.T) (*Leader, *jobtable.Job, *machinetable.Machine, *actortest.Still) {
 	t.Helper()
 	d, box := newLeader()
@@ -54,11 +54,13 @@
 }
 
 // workerHeartbeat returns a heartbeat of machine m-1, whose agent knows of epoch 7.
-func workerHeartbeat(session, counter int64, tasks ...protocol.TaskStatus) protocol.Heartbeat {
+func workerHeartbeat(
+	incarnation protocol.Incarnation, counter int64, tasks ...protocol.TaskStatus,
+) protocol.Heartbeat {
 	return protocol.Heartbeat{
 		Machine:     "m-1",
 		Address:     "m-1:1",
-		Incarnation: session,
+		Incarnation: incarnation,
 		Counter:     counter,
 		Epoch:       7,
 		Tasks:       tasks,
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -86,7 +86,7 @@
 	Cloud   cloudclient.API
 	Workers workerclient.API
 	// Deposed is told of fencing tokens above this node's own.
-	Deposed func(epoch int64)
+	Deposed func(epoch protocol.Epoch)
 	// Resign asks to give leadership up.
 	Resign func()
 	// Attest asks all nodes what they have told users of cancellations.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -81,7 +81,7 @@
 		Store:            e.Store(box),
 		Cloud:            e.Cloud,
 		Workers:          e.Agent,
-		Deposed:          func(epoch int64) { n.Candidate.ObserveEpoch(epoch) },
+		Deposed:          func(epoch protocol.Epoch) { n.Candidate.ObserveEpoch(epoch) },
 		Resign:           func() { n.Candidate.Resign() },
 		Attest:           n.attestations(e),
 		CatalogueChanged: func(types []protocol.MachineType) { n.Admission.SetMachineTypes(types) },
--- a/internal/protocol/identifiers.go
+++ b/internal/protocol/identifiers.go
@@ -12,6 +12,27 @@
 	maxJobIDSuffix = 60
 )
 
+// Epoch is the fencing token of a term: the revision of the key-value store at which the leader's key
+// was claimed. Workers reject what comes from leaders of lower epochs. It is 0 for a node that doesn't
+// lead. It is a type of its own so that it can't be taken for an incarnation or a counter.
+type Epoch int64
+
+// Incarnation counts the incarnations of a worker, from 1: a worker begins the next one when its lease
+// has expired and everything on the machine has ended. Commands to an earlier incarnation have no effect.
+type Incarnation int64
+
+// Attempt numbers the attempts of a job's tasks, from 1. A task that has to run again is started under a
+// higher number, so that what is said of its earlier attempts can't be taken for news of the present one.
+// All tasks of a gang run under the same number.
+type Attempt int64
+
+// Revision counts the changes of the whole key-value store. A key's version is the revision of its last
+// change, 0 if it doesn't exist.
+type Revision int64
+
+// LeaseID names a lease of the key-value store, 0 none. Keys attached to a lease are removed when it expires.
+type LeaseID int64
+
 // TaskName returns the name of a task on the wire, as in "job-000412/3".
 func TaskName(job string, task int) string { return job + "/" + strconv.Itoa(task) }
 
