--- a/cmd/loadtool/cells.go
+++ b/cmd/loadtool/cells.go
@@ -74,7 +74,8 @@
 func (c *cellsCommand) write(rows [][]string, starts, lent []htmlreport.Series) error {
 	r := htmlreport.Report{Title: "Three cells, one of them filled (simulated)"}
 	text := fmt.Sprintf("%d days of each kind. Alpha gets an array of eight tasks, or a gang of four, "+
-		"every five seconds, about three times what its machines can do; beta has some work of its own.", c.Seeds)
+		"every five seconds, about three times what its machines can do; beta has some work of its own.",
+		c.Seeds)
 	r.Table("Figures", text, cellsHeader, rows)
 	err := r.Lines("Starts", "The share of alpha's jobs that have begun.",
 		"seconds from the submission", "share", starts...)
--- a/cmd/loadtool/cellsday.go
+++ b/cmd/loadtool/cellsday.go
@@ -80,8 +80,9 @@
 func cellSettings() *settings.Settings {
 	s := &settings.Settings{}
 	s.Deployment = settings.Deployment{
-		Teams:         []settings.Team{{Name: "open"}},
-		Workers:       settings.Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 40, GangPeerS: 5, CancelS: 36},
+		Teams: []settings.Team{{Name: "open"}},
+		Workers: settings.Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 40, GangPeerS: 5,
+			CancelS: 36},
 		KVStore:       settings.KVStore{Rps: 100, WriteRps: 30, ValueKb: 32, TxnOps: 12},
 		Cloud:         settings.Cloud{Rps: 8, ListLagS: 4},
 		MachineLimits: settings.MachineLimits{CPU: 0.1},
@@ -148,7 +149,8 @@
 	number := len(*jobs)
 	spec := protocol.JobSpec{
 		ID: fmt.Sprintf("job-%06d", number), Class: "array", Team: "open",
-		Shape: protocol.ShapeArray, Priority: "normal", Tasks: 8, Cpus: 2, MemoryGB: 2, Image: "i", ImageGB: 1, Spot: true, EstimateS: jobDuration.Seconds(),
+		Shape: protocol.ShapeArray, Priority: "normal", Tasks: 8, Cpus: 2, MemoryGB: 2, Image: "i",
+		ImageGB: 1, Spot: true, EstimateS: jobDuration.Seconds(),
 	}
 	if number%gangEvery == gangEvery-1 {
 		spec.Class, spec.Shape, spec.Tasks = "gang", protocol.ShapeGang, 4
--- a/cmd/loadtool/main.go
+++ b/cmd/loadtool/main.go
@@ -16,7 +16,8 @@
 
 func main() {
 	var cli commandLine
-	ctx := kong.Parse(&cli, kong.Name("loadtool"), kong.Description("Plays loads and faults on the simulated clock and reports on them."))
+	ctx := kong.Parse(&cli, kong.Name("loadtool"),
+		kong.Description("Plays loads and faults on the simulated clock and reports on them."))
 	slog.SetDefault(slog.New(slog.DiscardHandler)) // the controllers' own logs
 	ctx.FatalIfErrorf(ctx.Run())
 }
--- a/cmd/postpoint/golden_test.go
+++ b/cmd/postpoint/golden_test.go
@@ -106,7 +106,8 @@
 			Serve:    serveCommand{filesFlags: filesFlags{Config: file}, LeaseTTLMs: 4000},
 		}},
 		{"all flags",
-			[]string{"serve", "--config=c", "--recovery=r", "--cells=x", "--lease-ttl-ms=3000", "--log-level=debug"},
+			[]string{"serve", "--config=c", "--recovery=r", "--cells=x", "--lease-ttl-ms=3000",
+				"--log-level=debug"},
 			nil, "serve", commandLine{
 				LogLevel: "debug",
 				Serve:    serveCommand{filesFlags: allFiles, LeaseTTLMs: 3000},
--- a/internal/admission/answer.go
+++ b/internal/admission/answer.go
@@ -34,7 +34,8 @@
 	case outcomeFromPeer:
 		return o.answer
 	}
-	a := Response{Status: o.kind.failureStatus(), Body: protocol.Encode(protocol.ErrorResponse{Error: o.reason})}
+	a := Response{Status: o.kind.failureStatus(),
+		Body: protocol.Encode(protocol.ErrorResponse{Error: o.reason})}
 	if a.ShouldRetryLater() {
 		a.RetryAfterS = retryAfterS
 	}
--- a/internal/admission/cancellation_test.go
+++ b/internal/admission/cancellation_test.go
@@ -20,7 +20,8 @@
 	record := jobrecord.New(spec, 1)
 	for task := range spec.Tasks {
 		machine := fmt.Sprintf("m-%06d", task)
-		record.Placements[task] = jobrecord.Placement{Task: task, Attempt: 1, Machine: machine, Incarnation: 1}
+		record.Placements[task] = jobrecord.Placement{Task: task, Attempt: 1, Machine: machine,
+			Incarnation: 1}
 	}
 	store := &fakeStore{values: map[string][]byte{jobrecord.Key(spec.ID): record.Encode()}, maxValue: 2 << 10}
 	in := New(&actortest.Still{Now: clock.Second}, store, &settings.Settings{}, nil)
@@ -29,7 +30,8 @@
 		t.Fatalf("answered %d with %d puts, want %d with 1", got.Status, len(store.puts), http.StatusOK)
 	}
 	stored, err := jobrecord.Decode(store.puts[0])
-	if err != nil || stored.Status != protocol.StatusCancelled || !stored.Truncated || stored.CancelledAt == 0 {
+	if err != nil || stored.Status != protocol.StatusCancelled || !stored.Truncated ||
+		stored.CancelledAt == 0 {
 		t.Fatalf("stored %+v (%v), want it cancelled and truncated, with its time", stored, err)
 	}
 }
--- a/internal/admission/golden_test.go
+++ b/internal/admission/golden_test.go
@@ -86,7 +86,8 @@
 	}}
 	alone := func(_ Request, done func(Response, bool)) { done(Response{}, false) }
 	in := New(&actortest.Still{Now: 20 * clock.Second}, store, set, alone)
-	in.SetMachineTypes([]protocol.MachineType{{Name: "g8", Cpus: 96, Gpus: 8, MemoryGB: 768, Zones: []string{"a"}}})
+	in.SetMachineTypes([]protocol.MachineType{{Name: "g8", Cpus: 96, Gpus: 8, MemoryGB: 768,
+		Zones: []string{"a"}}})
 	in.SetFormatStatus(rollout.Status{Services: true})
 	return in, store
 }
--- a/internal/admission/handler.go
+++ b/internal/admission/handler.go
@@ -102,7 +102,10 @@
 		return
 	}
 	answered := make(chan heartbeatResult, 1)
-	h.heartbeats.Heartbeat(heartbeat, func(status int, body any) { answered <- heartbeatResult{status, body} })
+	h.heartbeats.Heartbeat(heartbeat, func(status int, body any) {
+		answered <- heartbeatResult{status,
+			body}
+	})
 	result := <-answered
 	keep := keepForWorker(r)
 	if !keep {
--- a/internal/admission/helpers_test.go
+++ b/internal/admission/helpers_test.go
@@ -119,7 +119,8 @@
 
 // heartbeatBody returns a valid heartbeat.
 func heartbeatBody(machine string, counter int64) []byte {
-	return protocol.Encode(protocol.Heartbeat{Machine: machine, Address: "a:1", Incarnation: 1, Counter: counter})
+	return protocol.Encode(protocol.Heartbeat{Machine: machine, Address: "a:1", Incarnation: 1,
+		Counter: counter})
 }
 
 // answerOf returns the answer to a request of an actor that answers in place.
--- a/internal/admission/listener_test.go
+++ b/internal/admission/listener_test.go
@@ -46,7 +46,8 @@
 			if err != nil || status != http.StatusOK {
 				t.Fatalf("round %d, worker %d: %d (%v), want %d", round, i, status, err, http.StatusOK)
 			}
-			user := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+			user := &http.Client{Timeout: 4 * time.Second,
+				Transport: &http.Transport{DisableKeepAlives: true}}
 			status, err = ask(user, "GET", "/up", nil)
 			if err != nil || status != http.StatusOK {
 				t.Fatalf("round %d, health check: %d (%v), want %d", round, status, err, http.StatusOK)
--- a/internal/admission/status.go
+++ b/internal/admission/status.go
@@ -39,7 +39,8 @@
 			continue
 		}
 		if err := record.ApplyShard(shard, item.Value); err != nil {
-			slog.Error("malformed shard of a job record", "job", record.Spec.ID, "key", item.Key, "error", err)
+			slog.Error("malformed shard of a job record", "job", record.Spec.ID, "key", item.Key, "error",
+				err)
 		}
 	}
 }
--- a/internal/cells/check.go
+++ b/internal/cells/check.go
@@ -111,8 +111,9 @@
 		return notAmongCells(field+".from", rule.From)
 	}
 	if rule.SplitGangs {
-		return configfile.Invalid(field+".split_gangs", true, "isn't possible: the tasks of a gang find each "+
-			"other among one cell's workers, and are stopped by one leader")
+		return configfile.Invalid(field+".split_gangs", true,
+			"isn't possible: the tasks of a gang find each "+
+				"other among one cell's workers, and are stopped by one leader")
 	}
 	for k := range rule.To {
 		if err := f.checkDestination(field+".to", rule, k, set); err != nil {
--- a/internal/cloudclient/cloudtest/service_test.go
+++ b/internal/cloudclient/cloudtest/service_test.go
@@ -22,7 +22,8 @@
 	done(f.status, protocol.Catalogue{MachineTypes: []protocol.MachineType{{Name: "g8"}}})
 }
 
-func (f fixedCloud) Rent(_ protocol.ScaleOutRequest, _ clock.Micros, done func(int, protocol.ScaleOutResponse)) {
+func (f fixedCloud) Rent(_ protocol.ScaleOutRequest, _ clock.Micros,
+	done func(int, protocol.ScaleOutResponse)) {
 	done(f.status, protocol.ScaleOutResponse{Machines: []string{"m-1"}, Error: f.reason})
 }
 
@@ -89,7 +90,8 @@
 			}
 		}
 		if len(catalogue.MachineTypes) != 1 || !list.More {
-			t.Errorf("status %d: catalogue %v and list %v, expected those of the service", status, catalogue, list)
+			t.Errorf("status %d: catalogue %v and list %v, expected those of the service", status, catalogue,
+				list)
 		}
 	}
 }
--- a/internal/cloudclient/golden_test.go
+++ b/internal/cloudclient/golden_test.go
@@ -29,7 +29,8 @@
 			api.Catalogue(func(c protocol.Catalogue, err error) { catalogue, got = c, err })
 		}, "GET /catalog\nUser-Agent: Go-http-client/1.1\n\n"},
 		{"rental", "\x81\xa5Hosts\x91\xa3m-1", func() {
-			r := protocol.ScaleOutRequest{IdempotencyKey: "e41-2", Type: "g8", Zone: "a", Spot: true, Count: 5}
+			r := protocol.ScaleOutRequest{IdempotencyKey: "e41-2", Type: "g8", Zone: "a", Spot: true,
+				Count: 5}
 			api.ScaleOut(r, clock.Second, func(machines []string, err error) { rented, got = machines, err })
 		},
 			"POST /hosts\nContent-Length: 49\nContent-Type: application/msgpack\n" +
@@ -57,7 +58,8 @@
 			t.Errorf("%s: %v, expected success", c.name, got)
 		}
 	}
-	if d := cmp.Diff(protocol.Catalogue{MachineTypes: []protocol.MachineType{{Name: "g8"}}}, catalogue); d != "" {
+	if d := cmp.Diff(protocol.Catalogue{MachineTypes: []protocol.MachineType{{Name: "g8"}}},
+		catalogue); d != "" {
 		t.Error(d)
 	}
 	if d := cmp.Diff([]string{"m-1"}, rented); d != "" {
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -57,7 +57,8 @@
 			Bind: freeAddress(), InternalAddr: freeAddress()}
 		s.Deployment = settings.Deployment{
 			InitialSize: controllersPerCell, Zones: []string{"a"}, Teams: []settings.Team{{Name: "open"}},
-			Workers:       settings.Workers{HeartbeatS: 1, LeaseS: 6, GangWaitS: 15, GangPeerS: 3, CancelS: 24},
+			Workers: settings.Workers{HeartbeatS: 1, LeaseS: 6, GangWaitS: 15, GangPeerS: 3,
+				CancelS: 24},
 			MachineLimits: settings.MachineLimits{CPU: 0.2, MemoryMb: 120, MaxSockets: 800},
 			KVStore:       settings.KVStore{Rps: 200, WriteRps: 80, ValueKb: 8, TxnOps: 12},
 			Cloud:         settings.Cloud{Rps: 8, ListLagS: 1},
--- a/internal/delegation/codec_test.go
+++ b/internal/delegation/codec_test.go
@@ -110,25 +110,29 @@
 		Result:     Processed,
 		Leader:     "10.0.0.1:1",
 		Directives: []Directive{{Number: 7, Action: Close, PermissionFor: clock.Second}},
-		Offers:     []Offer{{Number: 8, Spec: spec, Tasks: drawRanges.Draw(t, "offered"), JobAge: clock.Second}},
+		Offers: []Offer{{Number: 8, Spec: spec, Tasks: drawRanges.Draw(t, "offered"),
+			JobAge: clock.Second}},
 	}
 })
 
 var unexported = cmp.AllowUnexported(jobrecord.TaskSet{})
 
 func equal(a, b any) bool {
-	return cmp.Equal(a, b, cmp.Comparer(func(x, y jobrecord.TaskSet) bool { return x.String() == y.String() }))
+	return cmp.Equal(a, b,
+		cmp.Comparer(func(x, y jobrecord.TaskSet) bool { return x.String() == y.String() }))
 }
 
 func TestMessagesAreDecodedAsTheyWereEncoded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		heartbeat := drawHeartbeat.Draw(t, "heartbeat")
 		if got, err := DecodeHeartbeat(heartbeat.Encode()); err != nil || !equal(heartbeat, got) {
-			t.Fatalf("heartbeat: error %v, decoded minus encoded: %s", err, cmp.Diff(heartbeat, got, unexported))
+			t.Fatalf("heartbeat: error %v, decoded minus encoded: %s", err,
+				cmp.Diff(heartbeat, got, unexported))
 		}
 		response := drawResponse.Draw(t, "response")
 		if got, err := DecodeHeartbeatResponse(response.Encode()); err != nil || !equal(response, got) {
-			t.Fatalf("response: error %v, decoded minus encoded: %s", err, cmp.Diff(response, got, unexported))
+			t.Fatalf("response: error %v, decoded minus encoded: %s", err,
+				cmp.Diff(response, got, unexported))
 		}
 	})
 }
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -191,7 +191,8 @@
 	x.Resign()
 	x.expectEpoch(t, 0)
 	release := x.store.txns[1]
-	if len(release.Conditions) != 1 || release.Conditions[0] != (protocol.Condition{Key: LeaderKey, Version: 5}) ||
+	if len(release.Conditions) != 1 || release.Conditions[0] != (protocol.Condition{Key: LeaderKey,
+		Version: 5}) ||
 		release.Changes[0].Delete != LeaderKey {
 		t.Fatalf("released by %+v, expected the removal of the key at version 5", release)
 	}
--- a/internal/election/transaction_test.go
+++ b/internal/election/transaction_test.go
@@ -22,7 +22,8 @@
 	txn.Delete("b")
 	txn.Commit(store, func(kvstore.Result[protocol.Revision]) {})
 	want := protocol.Txn{
-		Conditions: []protocol.Condition{{Key: LeaderKey, Version: 7}, {Key: "a", Version: 3}, {Key: "a", Version: 3},
+		Conditions: []protocol.Condition{{Key: LeaderKey, Version: 7}, {Key: "a", Version: 3},
+			{Key: "a", Version: 3},
 			{Key: "a", Version: 4}},
 		Changes: []protocol.Change{{Put: "a", Value: []byte{0xc0}}, {Delete: "b"}},
 	}
--- a/internal/htmlreport/page_test.go
+++ b/internal/htmlreport/page_test.go
@@ -31,7 +31,8 @@
 		t.Fatal(err)
 	}
 	for _, want := range []string{
-		"<h1>Title</h1>", "text &lt;&amp;&gt;", "<th>b</th>", "<td>&lt;2&gt;</td>", "line", "share", "upper", "lower",
+		"<h1>Title</h1>", "text &lt;&amp;&gt;", "<th>b</th>", "<td>&lt;2&gt;</td>", "line", "share", "upper",
+		"lower",
 	} {
 		if !strings.Contains(string(page), want) {
 			t.Errorf("the page lacks %q", want)
--- a/internal/jobrecord/format_test.go
+++ b/internal/jobrecord/format_test.go
@@ -27,10 +27,13 @@
 		4056800000000000a26174cf000644f4e120dc00a4646f6e65a5302d312c34a374727903a6706c6163656492b06d2d303030
 		3030312031203220322d33ae6d2d303030303037203420312038a76c656e6465727391aa6a6f622d303030303032a5636175
 		7365b16572726f72206f6e206d2d303030303031`, Record{
-		Spec: protocol.JobSpec{ID: "job-000001", Class: "extrase", Team: "evaluare", Shape: "batch", Priority: "normal",
-			Tasks: 9, Cpus: 1.5, MemoryGB: 2, Image: "img-1", ImageGB: 1, Spot: true, EstimateS: 40, DeadlineS: &due},
-		SubmittedAt: 1764668400000000, NextAttempt: 3, Lenders: []string{"job-000002"}, Cause: "error on m-000001",
-		Done: TaskSet{spans: []span{{0, 1}, {4, 4}}, count: 3},
+		Spec: protocol.JobSpec{ID: "job-000001", Class: "extrase", Team: "evaluare", Shape: "batch",
+			Priority: "normal",
+			Tasks:    9, Cpus: 1.5, MemoryGB: 2, Image: "img-1", ImageGB: 1, Spot: true, EstimateS: 40,
+			DeadlineS: &due},
+		SubmittedAt: 1764668400000000, NextAttempt: 3, Lenders: []string{"job-000002"},
+		Cause: "error on m-000001",
+		Done:  TaskSet{spans: []span{{0, 1}, {4, 4}}, count: 3},
 		Placements: map[int]Placement{
 			2: {2, 2, "m-000001", 1}, 3: {3, 2, "m-000001", 1}, 8: {8, 1, "m-000007", 4},
 		},
@@ -45,8 +48,9 @@
 		63616e63656c6c6564cf000644f4e4b46300a374727902a6706c6163656492ae6d2d303030303033203120312030ae6d2d30
 		3030303034203120312031`, Record{
 		Spec: protocol.JobSpec{ID: "job-000002", Class: "tariffa", Team: "percorsi", Shape: "ensemble",
-			Priority: "urgent", Tasks: 2, Cpus: 60, MemoryGB: 200, Image: "img-2", ImageGB: 2.5, Types: []string{"aquila"},
-			Zone: "torino", OneZone: true, EstimateS: 80, CheckpointS: 45, SaveS: 6},
+			Priority: "urgent", Tasks: 2, Cpus: 60, MemoryGB: 200, Image: "img-2", ImageGB: 2.5,
+			Types: []string{"aquila"},
+			Zone:  "torino", OneZone: true, EstimateS: 80, CheckpointS: 45, SaveS: 6},
 		Status: "aborted", SubmittedAt: 1764668400000000, CancelledAt: 1764668460000000, NextAttempt: 2,
 		Placements: map[int]Placement{0: {0, 1, "m-000003", 1}, 1: {1, 1, "m-000004", 1}},
 	}},
@@ -58,8 +62,9 @@
 		0000a6466c65657473c0a953616d65506c616365c2a6537072656164c3a74c6f616e657273c2a9457870656374656453cb00
 		00000000000000a9536e617073686f7453cb0000000000000000a6466c75736853cb0000000000000000a444756553c0a261
 		74cf000644f4e120dc00a4646f6e65a130a374727902a6706c6163656491ae6d2d303030303035203120312031`, Record{
-		Spec: protocol.JobSpec{ID: "job-000003", Class: "portal", Team: "evaluare", Shape: "daemon", Priority: "prod",
-			Tasks: 2, Cpus: 1, MemoryGB: 1.6, Image: "img-3", ImageGB: 2, Spread: true},
+		Spec: protocol.JobSpec{ID: "job-000003", Class: "portal", Team: "evaluare", Shape: "daemon",
+			Priority: "prod",
+			Tasks:    2, Cpus: 1, MemoryGB: 1.6, Image: "img-3", ImageGB: 2, Spread: true},
 		SubmittedAt: 1764668400000000, NextAttempt: 2,
 		Placements: map[int]Placement{1: {1, 1, "m-000005", 1}},
 	}},
--- a/internal/jobrecord/golden_test.go
+++ b/internal/jobrecord/golden_test.go
@@ -375,7 +375,8 @@
 		{"marker of a divided record", shardsMarker, "parts"},
 		{"marker of a guest", hostedMarker, "guest"},
 		{"a guest", (&HostedJob{OriginCell: "beta", Delegation: 7}).encode(), "beta 7"},
-		{"a closed guest", (&HostedJob{OriginCell: "beta", Delegation: 7, Closed: true}).encode(), "beta 7 closed"},
+		{"a closed guest", (&HostedJob{OriginCell: "beta", Delegation: 7, Closed: true}).encode(),
+			"beta 7 closed"},
 		{"the host of a place", Placement{Machine: "cell beta"}.HostCell(), "beta"},
 		{"the host of a place here", Placement{Machine: "m-000001"}.HostCell(), ""},
 	} {
--- a/internal/jobrecord/shards_test.go
+++ b/internal/jobrecord/shards_test.go
@@ -89,7 +89,8 @@
 	record.ShardSize = ShardSizeFor(&array, tightValueBytes)
 	for range 6 {
 		for i, task := range record.Startable(tightValueBytes, 2000) {
-			record.Placements[task] = Placement{Task: task, Attempt: 1, Machine: fmt.Sprintf("m-%06d", i%250), Incarnation: 1}
+			record.Placements[task] = Placement{Task: task, Attempt: 1, Machine: fmt.Sprintf("m-%06d", i%250),
+				Incarnation: 1}
 		}
 	}
 	if len(record.Placements) != 2000 {
--- a/internal/kvstore/store.go
+++ b/internal/kvstore/store.go
@@ -28,7 +28,8 @@
 	// error is a ConflictError.
 	Commit(priority Priority, t protocol.Txn, done func(Result[protocol.Revision]))
 	// Follow waits for changes of keys with a prefix after a revision, at most for the given time.
-	Follow(prefix string, from protocol.Revision, wait clock.Micros, done func(Result[protocol.WatchResponse]))
+	Follow(prefix string, from protocol.Revision, wait clock.Micros,
+		done func(Result[protocol.WatchResponse]))
 	// Grant creates a lease.
 	Grant(ttl clock.Micros, done func(Result[protocol.LeaseID]))
 	// Renew prolongs a lease by its whole time to live.
--- a/internal/kvstore/storetest/service.go
+++ b/internal/kvstore/storetest/service.go
@@ -21,7 +21,8 @@
 	Get(key string, done func(Reply[protocol.Item]))
 	List(prefix, from string, done func(Reply[protocol.ItemList]))
 	Commit(use kvstore.Priority, t protocol.Txn, done func(Reply[protocol.TxnResponse]))
-	Follow(prefix string, from protocol.Revision, block clock.Micros, done func(Reply[protocol.WatchResponse]))
+	Follow(prefix string, from protocol.Revision, block clock.Micros,
+		done func(Reply[protocol.WatchResponse]))
 	Grant(ttl clock.Micros, done func(Reply[protocol.LeaseResponse]))
 	Renew(lease protocol.LeaseID, done func(Reply[protocol.LeaseResponse]))
 }
--- a/internal/kvstore/storetest/service_test.go
+++ b/internal/kvstore/storetest/service_test.go
@@ -117,13 +117,15 @@
 				t.Errorf("operation %d, status %d: %s", op, status, d)
 			}
 			if noResponse := status == 0; errors.Is(got.err, kvstore.ErrNoResponse) != noResponse {
-				t.Errorf("operation %d, status %d: %v, expected no response %v", op, status, got.err, noResponse)
+				t.Errorf("operation %d, status %d: %v, expected no response %v", op, status, got.err,
+					noResponse)
 			}
 			details := protocol.TxnResponse{}
 			if op == kvstore.OpCommit {
 				details = answer
 			}
-			if want := kvstore.Failure(op, status, details); status != 0 && !reflect.DeepEqual(got.err, want) {
+			if want := kvstore.Failure(op, status, details); status != 0 &&
+				!reflect.DeepEqual(got.err, want) {
 				t.Errorf("operation %d, status %d: %#v, expected %#v", op, status, got.err, want)
 			}
 		}
--- a/internal/leader/adoption_test.go
+++ b/internal/leader/adoption_test.go
@@ -127,7 +127,8 @@
 	commitAfterPause(l)
 	fence := reads.last()
 	if len(fence.Changes) != 1 || fence.Changes[0].Put != jobrecord.Key("job-1") || reads.reads != 0 {
-		t.Fatalf("%+v is written and %d reads were sent, want the head and no read", fence.Changes, reads.reads)
+		t.Fatalf("%+v is written and %d reads were sent, want the head and no read", fence.Changes,
+			reads.reads)
 	}
 	content := *j.Record
 	content.Placements = nil
@@ -135,7 +136,8 @@
 	reads.answer(fenceResponse)
 	commitAfterPause(l)
 	if reads.reads != 1 || j.MustReload() || j.Version != 9 || len(j.Placements) != 0 {
-		t.Fatalf("%d reads, to be reloaded %v, version %d, placed %v, want 1, false, 9 and nothing", reads.reads,
+		t.Fatalf("%d reads, to be reloaded %v, version %d, placed %v, want 1, false, 9 and nothing",
+			reads.reads,
 			j.MustReload(), j.Version, j.Placements)
 	}
 }
--- a/internal/leader/autoscaler/cloudview.go
+++ b/internal/leader/autoscaler/cloudview.go
@@ -43,7 +43,8 @@
 				view.ZonesAtRisk[zone] = true
 			} else if a.zones.IsCordoned(zone) {
 				view.OutOfCapacity[scaling.CapacityPool{Type: machineType.Name, Zone: zone}] = true
-				view.OutOfCapacity[scaling.CapacityPool{Type: machineType.Name, Zone: zone, Spot: true}] = true
+				view.OutOfCapacity[scaling.CapacityPool{Type: machineType.Name, Zone: zone,
+					Spot: true}] = true
 			}
 		}
 	}
--- a/internal/leader/autoscaler/cordon.go
+++ b/internal/leader/autoscaler/cordon.go
@@ -63,7 +63,8 @@
 }
 
 // neededCordoned returns the cordoned machines that unmet demand needs.
-func (a *Autoscaler) neededCordoned(view *scaling.CloudView, demand []planner.UnmetDemand) []*machinetable.Machine {
+func (a *Autoscaler) neededCordoned(view *scaling.CloudView,
+	demand []planner.UnmetDemand) []*machinetable.Machine {
 	poolNeeded := map[scaling.CapacityPool]bool{}
 	var needed []*machinetable.Machine
 	for _, m := range a.machines.Ordered {
@@ -145,7 +146,8 @@
 	for _, name := range names {
 		m := a.machines.ByName[name]
 		m.Cordon(a.Now())
-		slog.Debug("cordoned surplus machine", "machine", name, "type", m.Type, "zone", m.Zone, "spot", m.Spot)
+		slog.Debug("cordoned surplus machine", "machine", name, "type", m.Type, "zone", m.Zone, "spot",
+			m.Spot)
 	}
 }
 
@@ -180,7 +182,8 @@
 }
 
 // taskMovable reports whether a task has run for long enough and isn't being stopped already.
-func (a *Autoscaler) taskMovable(m *machinetable.Machine, j *jobtable.Job, placement jobrecord.Placement) bool {
+func (a *Autoscaler) taskMovable(m *machinetable.Machine, j *jobtable.Job,
+	placement jobrecord.Placement) bool {
 	return a.ranFor(m, j, placement) >= minRunBeforeMove && j.Stops[placement.Task].Reason == ""
 }
 
--- a/internal/leader/autoscaler/scalein.go
+++ b/internal/leader/autoscaler/scalein.go
@@ -46,7 +46,8 @@
 // neededByRecentClass reports whether a class of jobs that was submitted lately could use a machine.
 func (a *Autoscaler) neededByRecentClass(m *machinetable.Machine) bool {
 	for _, class := range a.objectives.Classes {
-		if a.Now()-class.LastAt < recentClassWindow && planner.MachineAllowed(&class.Spec, m.Type, m.Zone, m.Spot) &&
+		if a.Now()-class.LastAt < recentClassWindow &&
+			planner.MachineAllowed(&class.Spec, m.Type, m.Zone, m.Spot) &&
 			planner.TaskResources(&class.Spec).FitsIn(scaling.Capacity(a.catalogue.ByName[m.Type])) {
 			return true
 		}
--- a/internal/leader/autoscaler/scaleout.go
+++ b/internal/leader/autoscaler/scaleout.go
@@ -41,7 +41,8 @@
 func newScaleOutState(requestsPerSecond float64) scaleOutState {
 	return scaleOutState{
 		exhausted: map[scaling.CapacityPool]capacityPause{},
-		limiter:   rate.NewLimiter(rate.Limit(requestsPerSecond*scaleOutShare), max(1, int(requestsPerSecond))),
+		limiter: rate.NewLimiter(rate.Limit(requestsPerSecond*scaleOutShare),
+			max(1, int(requestsPerSecond))),
 	}
 }
 
--- a/internal/leader/cancellations_test.go
+++ b/internal/leader/cancellations_test.go
@@ -19,7 +19,8 @@
 		d, j, m, box := leaderWithOneTask(t)
 		keep := d.state.Settings.Deployment.Workers.RenewalWindow()
 		d.jobs.NoteCancelled(j, box.Now)
-		heartbeat := func(counter int64, tasks ...protocol.TaskStatus) (status int, commands []protocol.Command) {
+		heartbeat := func(counter int64, tasks ...protocol.TaskStatus) (status int,
+			commands []protocol.Command) {
 			d.state.Term.RenewedAt, d.state.FreshAt = box.Now, box.Now
 			if d.state.Term.ValidUntil = box.Now; leads {
 				d.state.Term.ValidUntil += clock.Second
@@ -35,7 +36,8 @@
 		m.Incarnation = 1 // it is known
 		m.Deliveries[firstAttempt] = &machinetable.StartDelivery{OutcomeUnknown: true}
 		if status, commands := heartbeat(1); status != http.StatusOK || len(commands) != 0 {
-			t.Fatalf("leads %v: %d with %v while there is time, want 200 without commands", leads, status, commands)
+			t.Fatalf("leads %v: %d with %v while there is time, want 200 without commands", leads, status,
+				commands)
 		}
 		box.Now += keep + 1
 		if status, _ := heartbeat(2); status != http.StatusServiceUnavailable {
--- a/internal/leader/cells_delegating_test.go
+++ b/internal/leader/cells_delegating_test.go
@@ -137,7 +137,8 @@
 	}
 	reportDelegation(l, delegation.Status{Done: first})
 	if _, placed := j.Placements[1]; !placed || !j.Done.Contains(0) || len(j.Placements) != 1 {
-		t.Fatalf("got placements %v, done %v, want task 1 placed and task 0 done", j.Placements, j.Done.String())
+		t.Fatalf("got placements %v, done %v, want task 1 placed and task 0 done", j.Placements,
+			j.Done.String())
 	}
 	reportDelegation(l, delegation.Status{Held: both}) // an old one
 	reportDelegation(l, delegation.Status{Closed: true, Done: first})
@@ -162,9 +163,10 @@
 		"came back": {func(l *Leader, j *jobtable.Job) {
 			j.GivenBackAt = l.state.Now() - federation.MinStayTime + 1
 		}, 0},
-		"came back too often": {func(_ *Leader, j *jobtable.Job) { j.ReturnCount = federation.MaxReturns }, 0},
-		"service":             {func(_ *Leader, j *jobtable.Job) { j.Spec.Shape = protocol.ShapeService }, 0},
-		"whole gang":          {func(_ *Leader, j *jobtable.Job) { j.Spec.Shape = protocol.ShapeGang }, 4},
+		"came back too often": {func(_ *Leader, j *jobtable.Job) { j.ReturnCount = federation.MaxReturns },
+			0},
+		"service":    {func(_ *Leader, j *jobtable.Job) { j.Spec.Shape = protocol.ShapeService }, 0},
+		"whole gang": {func(_ *Leader, j *jobtable.Job) { j.Spec.Shape = protocol.ShapeGang }, 4},
 		"broken gang": {func(_ *Leader, j *jobtable.Job) {
 			j.Spec.Shape = protocol.ShapeGang
 			j.Done.Add(0)
--- a/internal/leader/cells_helpers_test.go
+++ b/internal/leader/cells_helpers_test.go
@@ -65,7 +65,8 @@
 	content.Placements[0] = jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1}
 	l.reader.Adopt(jobrecord.Key(id), content.Encode(), 5)
 	j := l.jobs.ByID[id]
-	permission := delegation.Directive{Number: 7, Action: delegation.Continue, PermissionFor: 10 * clock.Second}
+	permission := delegation.Directive{Number: 7, Action: delegation.Continue,
+		PermissionFor: 10 * clock.Second}
 	j.Permission.Apply(permission, box.Now, box.Now)
 	return l, j, l.machines.ByName["m-1"], box
 }
@@ -77,7 +78,8 @@
 
 // hostedTask is what m-1 tells of the hosted job's task.
 func hostedTask(j *jobtable.Job, status, cause string) protocol.TaskStatus {
-	return protocol.TaskStatus{Task: protocol.TaskName(j.Spec.ID, 0), Attempt: 1, Status: status, Cause: cause}
+	return protocol.TaskStatus{Task: protocol.TaskName(j.Spec.ID, 0), Attempt: 1, Status: status,
+		Cause: cause}
 }
 
 // sendHeartbeat has m-1 send a heartbeat to a leader whose lease holds, and returns the status and the
--- a/internal/leader/cells_hosting_test.go
+++ b/internal/leader/cells_hosting_test.go
@@ -67,7 +67,8 @@
 	l.jobs.AwaitPermission(j)
 	latest = l.state.BegunAt - 5*clock.Second + clearTime
 	if at := l.cancellations.ReleaseAt(j); at > latest {
-		t.Errorf("released by a new leader at %.1f s, want %.1f s at the latest", at.Seconds(), latest.Seconds())
+		t.Errorf("released by a new leader at %.1f s, want %.1f s at the latest", at.Seconds(),
+			latest.Seconds())
 	}
 	j.Hosted.Closed = true // by its predecessor, long ago perhaps
 	want := l.state.BegunAt + jobtable.AnnounceTime
--- a/internal/leader/cells_permissions_test.go
+++ b/internal/leader/cells_permissions_test.go
@@ -50,12 +50,14 @@
 		t.Fatalf("got %+v from the leader, want delegation 7 to be forgotten", directive)
 	}
 	l.state.Term.ValidUntil = box.Now
-	if a := reportDelegation(l, delegation.Status{}); a.Result != delegation.Processed || len(a.Directives) != 0 {
+	if a := reportDelegation(l, delegation.Status{}); a.Result != delegation.Processed ||
+		len(a.Directives) != 0 {
 		t.Fatalf("got %+v from a node without the lease, want a response without directives", a)
 	}
 	l.state.Term.ValidUntil = box.Now + clock.Second
 	l.origin.HasMalformed = true
-	if a := reportDelegation(l, delegation.Status{}); a.Result != delegation.Processed || len(a.Directives) != 0 {
+	if a := reportDelegation(l, delegation.Status{}); a.Result != delegation.Processed ||
+		len(a.Directives) != 0 {
 		t.Fatalf("got %+v though a delegation's record is malformed, want a response without directives", a)
 	}
 }
@@ -67,7 +69,8 @@
 	l.origin.Numbers = federation.NumberBlock{Next: 1, End: 1000}
 	r := benchmarkReport(l)
 	for b.Loop() {
-		l.state.FreshAt, l.state.Term.RenewedAt, l.state.Term.ValidUntil = box.Now, box.Now, box.Now+clock.Second
+		l.state.FreshAt, l.state.Term.RenewedAt, l.state.Term.ValidUntil = box.Now, box.Now,
+			box.Now+clock.Second
 		decoded, err := delegation.DecodeHeartbeat(r.Encode())
 		if err != nil {
 			b.Fatal(err)
--- a/internal/leader/commands_test.go
+++ b/internal/leader/commands_test.go
@@ -159,7 +159,8 @@
 // commandCounter counts direct commands.
 type commandCounter struct{ n int }
 
-func (c *commandCounter) Commands(string, protocol.CommandRequest, clock.Micros, func(int, protocol.Heartbeat)) {
+func (c *commandCounter) Commands(string, protocol.CommandRequest, clock.Micros,
+	func(int, protocol.Heartbeat)) {
 	c.n++
 }
 
@@ -179,7 +180,8 @@
 		d.state.Term.Epoch = 7
 		j.Uncommitted = []int{0}
 		d.writer.HandleResult(
-			[]recordstore.Write{{Job: j, Value: &j.StoredValue, Shard: recordstore.HeadIndex, ChangeCount: j.ChangeCount}},
+			[]recordstore.Write{{Job: j, Value: &j.StoredValue, Shard: recordstore.HeadIndex,
+				ChangeCount: j.ChangeCount}},
 			resultOf(committedAt(9)))
 		if direct := out.n > 0; direct != (late == 0) {
 			t.Errorf("late by %v: %d direct commands, want some only without delay", late, out.n)
--- a/internal/leader/commitoutcome_test.go
+++ b/internal/leader/commitoutcome_test.go
@@ -49,11 +49,12 @@
 		responses []storetest.Reply[protocol.TxnResponse]
 		taken     int
 	}{
-		"carried out":                   {[]storetest.Reply[protocol.TxnResponse]{committedAt(6)}, 0},
-		"never carried out":             {[]storetest.Reply[protocol.TxnResponse]{declined}, 0},
-		"no response":                   {[]storetest.Reply[protocol.TxnResponse]{noResponse()}, 1},
-		"no response, then declined":    {[]storetest.Reply[protocol.TxnResponse]{noResponse(), declined}, 1},
-		"no response, then carried out": {[]storetest.Reply[protocol.TxnResponse]{noResponse(), committedAt(6)}, 0},
+		"carried out":                {[]storetest.Reply[protocol.TxnResponse]{committedAt(6)}, 0},
+		"never carried out":          {[]storetest.Reply[protocol.TxnResponse]{declined}, 0},
+		"no response":                {[]storetest.Reply[protocol.TxnResponse]{noResponse()}, 1},
+		"no response, then declined": {[]storetest.Reply[protocol.TxnResponse]{noResponse(), declined}, 1},
+		"no response, then carried out": {[]storetest.Reply[protocol.TxnResponse]{noResponse(),
+			committedAt(6)}, 0},
 	} {
 		l, j, m, _ := leaderWithOneTask(t)
 		l.state.Deposed = func(protocol.Epoch) {}
@@ -72,7 +73,8 @@
 		}
 		used, wantUsed := l.snapshots.Snapshot().Teams[""].Used, float64(c.taken)*j.Spec.Cpus
 		if j.PlacementsTaken() != c.taken || used.Cpus != wantUsed {
-			t.Errorf("%s: %d placements count and %v are used, want %d and %v processors", name, j.PlacementsTaken(),
+			t.Errorf("%s: %d placements count and %v are used, want %d and %v processors", name,
+				j.PlacementsTaken(),
 				used, c.taken, wantUsed)
 		}
 	}
@@ -84,7 +86,8 @@
 	l, store := tightLeader(true)
 	for _, id := range []string{"job-1", "job-2", "job-3"} {
 		l.reader.Adopt(jobrecord.Key(id), jobrecord.New(arraySpec(id, 1), 1).Encode(), 5)
-		l.jobs.AddPlacement(l.jobs.ByID[id], jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1})
+		l.jobs.AddPlacement(l.jobs.ByID[id], jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1",
+			Incarnation: 1})
 	}
 	for i, want := range []int{3, 3, 1} {
 		commitAfterPause(l)
--- a/internal/leader/cordon_test.go
+++ b/internal/leader/cordon_test.go
@@ -25,7 +25,8 @@
 		m.HeardAt, m.RespondedAt, m.Cordoned = box.Now, box.Now, true
 	}
 	content := jobrecord.New(protocol.JobSpec{
-		ID: "job-1", Team: "x", Shape: protocol.ShapeArray, Tasks: cordoned, Cpus: 8, MemoryGB: 1, EstimateS: 60,
+		ID: "job-1", Team: "x", Shape: protocol.ShapeArray, Tasks: cordoned, Cpus: 8, MemoryGB: 1,
+		EstimateS: 60,
 	}, 1)
 	d.state.Settings.Deployment.KVStore.ValueKb = 64
 	d.reader.Adopt(jobrecord.Key("job-1"), content.Encode(), 5)
--- a/internal/leader/federation/celllinks.go
+++ b/internal/leader/federation/celllinks.go
@@ -120,7 +120,8 @@
 	// Reachable reports whether the cell responds to this one's heartbeats and sends its own, if it does
 	// either.
 	Reachable bool `json:"reachable"`
-	// LentTasks counts this cell's tasks that the other one has, Borrowed the other one's tasks that this cell has.
+	// LentTasks counts this cell's tasks that the other one has, Borrowed the other one's tasks that this
+	// cell has.
 	LentTasks     int `json:"lent_tasks"`
 	BorrowedTasks int `json:"borrowed_tasks"`
 	// Recalled counts delegations that this cell has asked back.
--- a/internal/leader/federation/host.go
+++ b/internal/leader/federation/host.go
@@ -114,8 +114,9 @@
 	}
 }
 
-// CheckHostedJob applies a hosted job's permission to what is left of it: what its origin wants back is stopped, a
-// job that may start nothing more is closed, and the record of one that is over for both cells is removed.
+// CheckHostedJob applies a hosted job's permission to what is left of it: what its origin wants back is
+// stopped, a job that may start nothing more is closed, and the record of one that is over for both cells
+// is removed.
 func (h *Host) CheckHostedJob(j *jobtable.Job) {
 	j.Permission.CheckExpiry(h.Now())
 	if j.Final() && h.originNeedsNothing(j) {
@@ -144,7 +145,8 @@
 // originNeedsNothing reports whether a hosted job's origin cell needs nothing of it any more. A cell that
 // isn't in the directory will never say so.
 func (h *Host) originNeedsNothing(j *jobtable.Job) bool {
-	return j.Permission.Forgotten || h.cells.Directory == nil || h.cells.Directory.Cell(j.Hosted.OriginCell) == nil
+	return j.Permission.Forgotten || h.cells.Directory == nil ||
+		h.cells.Directory.Cell(j.Hosted.OriginCell) == nil
 }
 
 // stopAll stops a job's tasks, with their progress saved.
--- a/internal/leader/federation/offload.go
+++ b/internal/leader/federation/offload.go
@@ -207,7 +207,8 @@
 func (o *Origin) fitsAnyMachine(j *jobtable.Job) bool {
 	for i := range o.snapshots.LastMachines {
 		m := &o.snapshots.LastMachines[i]
-		if planner.TaskResources(&j.Spec).FitsIn(m.Capacity) && planner.MachineAllowed(&j.Spec, m.Type, m.Zone, m.Spot) {
+		if planner.TaskResources(&j.Spec).FitsIn(m.Capacity) &&
+			planner.MachineAllowed(&j.Spec, m.Type, m.Zone, m.Spot) {
 			return true
 		}
 	}
--- a/internal/leader/federation/origin.go
+++ b/internal/leader/federation/origin.go
@@ -118,7 +118,8 @@
 	del := &trackedDelegation{Delegation: delegation.New(r)}
 	del.LastStatusAt = o.Now()
 	o.Delegations[number] = del
-	slog.Info("tasks delegated", "job", j.Spec.ID, "cell", host, "delegation", number, "tasks", r.Tasks.String())
+	slog.Info("tasks delegated", "job", j.Spec.ID, "cell", host, "delegation", number, "tasks",
+		r.Tasks.String())
 }
 
 // Manage offloads and recalls work and carries delegations on, twice a second.
--- a/internal/leader/federation/responses.go
+++ b/internal/leader/federation/responses.go
@@ -70,7 +70,8 @@
 	if length <= 0 {
 		return d, false
 	}
-	d = delegation.Directive{Number: del.Number, Action: del.NextAction(o.cells.drained(del.Host)), PermissionFor: length}
+	d = delegation.Directive{Number: del.Number, Action: del.NextAction(o.cells.drained(del.Host)),
+		PermissionFor: length}
 	del.NotePermission(known, cells.ProofTime(workers))
 	return d, true
 }
--- a/internal/leader/golden_test.go
+++ b/internal/leader/golden_test.go
@@ -183,7 +183,8 @@
 	d, _ := newLeader()
 	store := &fakeStore{}
 	useStore(d, store)
-	lost := &zonerecovery.Zone{Name: "somes", Phase: zonerecovery.Lost, Losses: 3, Since: 90 * clock.Second, Flaps: 2}
+	lost := &zonerecovery.Zone{Name: "somes", Phase: zonerecovery.Lost, Losses: 3, Since: 90 * clock.Second,
+		Flaps: 2}
 	d.zones.Zones = map[string]*zonetracker.Zone{"somes": {Zone: lost, RecordVersion: 9}}
 	d.zones.SaveZones()
 	goldentest.Equal(t, "zone", onlyTxn(t, store),
@@ -221,12 +222,13 @@
 
 func goldenOverview() overview.Overview {
 	return overview.Overview{
-		Node:    "worker-0",
-		Leader:  "worker-0",
-		Leads:   true,
-		Epoch:   41,
-		Plans:   7,
-		Classes: []overview.ClassOverview{{Class: "train", Jobs: 2, PendingTasks: 3, PlacedTasks: 4, Restarting: 1}},
+		Node:   "worker-0",
+		Leader: "worker-0",
+		Leads:  true,
+		Epoch:  41,
+		Plans:  7,
+		Classes: []overview.ClassOverview{{Class: "train", Jobs: 2, PendingTasks: 3, PlacedTasks: 4,
+			Restarting: 1}},
 		Machines: []overview.PoolOverview{{
 			Type:       "g8",
 			Zone:       "a",
@@ -265,7 +267,8 @@
 			HeardElsewhere:     4,
 			HeldTasks:          6,
 			DisplacedTasks:     8,
-			Waiting:            []overview.WaitingJob{{Job: "job-1", Kind: zonerecovery.Gangs, Tasks: 2, Reason: "its turn"}},
+			Waiting: []overview.WaitingJob{{Job: "job-1", Kind: zonerecovery.Gangs, Tasks: 2,
+				Reason: "its turn"}},
 		}},
 	}
 }
@@ -329,7 +332,8 @@
 			Since:     90 * clock.Second,
 			Diagnosis: zonerecovery.PoweredOff,
 		},
-		Evidence: zonerecovery.Evidence{Machines: 4, Heard: 1, Controllers: 1, ControllersReached: 1, HeardElsewhere: 2},
+		Evidence: zonerecovery.Evidence{Machines: 4, Heard: 1, Controllers: 1, ControllersReached: 1,
+			HeardElsewhere: 2},
 	}}
 	var got []byte
 	d.Overview(func(o any) {
@@ -382,7 +386,8 @@
 	asked []protocol.ScaleOutRequest
 }
 
-func (r *rentalRecorder) Rent(x protocol.ScaleOutRequest, _ clock.Micros, _ func(int, protocol.ScaleOutResponse)) {
+func (r *rentalRecorder) Rent(x protocol.ScaleOutRequest, _ clock.Micros,
+	_ func(int, protocol.ScaleOutResponse)) {
 	r.asked = append(r.asked, x)
 }
 
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -62,11 +62,13 @@
 	}
 	got := heartbeat(1, 3500*clock.Millisecond)
 	if got != http.StatusServiceUnavailable || d.machines.ByName["m-1"] != nil {
-		t.Fatalf("a late heartbeat gets %d, the machine is %v; want 503 and nil", got, d.machines.ByName["m-1"])
+		t.Fatalf("a late heartbeat gets %d, the machine is %v; want 503 and nil", got,
+			d.machines.ByName["m-1"])
 	}
 	got = heartbeat(2, 500*clock.Millisecond)
 	if got != http.StatusOK || d.machines.ByName["m-1"] == nil {
-		t.Fatalf("one in time gets %d, the machine is %v; want 200 and the machine", got, d.machines.ByName["m-1"])
+		t.Fatalf("one in time gets %d, the machine is %v; want 200 and the machine", got,
+			d.machines.ByName["m-1"])
 	}
 }
 
--- a/internal/leader/jobtable/jobtable.go
+++ b/internal/leader/jobtable/jobtable.go
@@ -236,7 +236,8 @@
 // job's tasks off.
 func (t *Table) NoteCancelled(j *Job, at clock.Micros) {
 	if !j.Cancelled {
-		slog.Debug("job cancelled", "job", j.Spec.ID, "placed", len(j.Placements), "ago_s", (t.Now() - at).Seconds())
+		slog.Debug("job cancelled", "job", j.Spec.ID, "placed", len(j.Placements), "ago_s",
+			(t.Now() - at).Seconds())
 		j.Cancelled, j.CancelConfirmedAt = true, at
 	}
 	j.CancelConfirmedAt = min(j.CancelConfirmedAt, at)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -107,25 +107,32 @@
 	l.commands = reconciler.NewCommandSender(state, d.Workers, l.jobs, l.machines)
 	l.reconciler = reconciler.New(state, l.jobs, l.machines, l.commands, l.objectives, l.steps)
 	l.health = reconciler.NewHealthMonitor(state, l.jobs, l.machines, l.catalogue, l.commands)
-	l.heartbeats = reconciler.NewHeartbeatHandler(state, l.jobs, l.machines, l.reconciler, l.commands, l.health)
+	l.heartbeats = reconciler.NewHeartbeatHandler(state, l.jobs, l.machines, l.reconciler, l.commands,
+		l.health)
 	l.cancellations = reconciler.NewCancellations(state, l.jobs, l.machines, l.commands, d.Attest)
 	l.writer = recordstore.NewWriter(state, d.Store, l.jobs, l.machines, l.commands, l.steps)
-	l.reader = recordstore.NewReader(state, d.Store, l.jobs, l.machines, l.writer, l.reconciler, l.commands, l.heartbeats,
+	l.reader = recordstore.NewReader(state, d.Store, l.jobs, l.machines, l.writer, l.reconciler, l.commands,
+		l.heartbeats,
 		l.objectives, l.steps)
-	l.zones = zonetracker.New(state, d.Store, l.jobs, l.machines, l.catalogue, l.objectives, l.reader, l.writer,
+	l.zones = zonetracker.New(state, d.Store, l.jobs, l.machines, l.catalogue, l.objectives, l.reader,
+		l.writer,
 		l.commands, l.steps)
 	l.snapshots = snapshots.New(state, l.jobs, l.machines, l.catalogue, l.objectives, l.writer, l.commands,
 		l.zones)
-	l.autoscaler = autoscaler.New(state, d.Cloud, l.jobs, l.machines, l.catalogue, l.objectives, l.commands, l.snapshots,
+	l.autoscaler = autoscaler.New(state, d.Cloud, l.jobs, l.machines, l.catalogue, l.objectives, l.commands,
+		l.snapshots,
 		l.zones, l.steps)
 	l.scheduler = scheduler.New(state, l.jobs, l.machines, l.catalogue, l.writer, l.commands, l.autoscaler,
 		l.snapshots, l.zones)
 	l.cells = federation.NewLinks(state)
-	l.origin = federation.NewOrigin(state, d.Store, l.jobs, l.catalogue, l.reader, l.writer, l.autoscaler, l.snapshots,
+	l.origin = federation.NewOrigin(state, d.Store, l.jobs, l.catalogue, l.reader, l.writer, l.autoscaler,
+		l.snapshots,
 		l.cells, l.steps)
-	l.host = federation.NewHost(state, d.Store, l.jobs, l.machines, l.catalogue, l.reader, l.writer, l.reconciler, l.commands,
+	l.host = federation.NewHost(state, d.Store, l.jobs, l.machines, l.catalogue, l.reader, l.writer,
+		l.reconciler, l.commands,
 		l.autoscaler, l.snapshots, l.cells, l.steps)
-	l.overview = overview.NewReader(state, l.jobs, l.machines, l.catalogue, l.autoscaler, l.scheduler, l.writer,
+	l.overview = overview.NewReader(state, l.jobs, l.machines, l.catalogue, l.autoscaler, l.scheduler,
+		l.writer,
 		l.cells, l.origin, l.zones)
 	l.subscribe()
 	return l
--- a/internal/leader/machinetable/catalogue.go
+++ b/internal/leader/machinetable/catalogue.go
@@ -122,7 +122,8 @@
 		if protocol.Decode(r.Value.Value, &c) != nil || len(c.MachineTypes) == 0 {
 			return
 		}
-		slog.Info("the cloud doesn't respond, using the catalogue that a leader stored", "types", len(c.MachineTypes))
+		slog.Info("the cloud doesn't respond, using the catalogue that a leader stored", "types",
+			len(c.MachineTypes))
 		mc.Replace(c.MachineTypes)
 	})
 }
@@ -205,5 +206,6 @@
 
 // TypeFits reports whether a job may use a machine type and a task of it fits on an empty machine.
 func TypeFits(t protocol.MachineType, s *protocol.JobSpec) bool {
-	return planner.TaskResources(s).FitsIn(scaling.Capacity(t)) && (len(s.Types) == 0 || slices.Contains(s.Types, t.Name))
+	return planner.TaskResources(s).FitsIn(scaling.Capacity(t)) &&
+		(len(s.Types) == 0 || slices.Contains(s.Types, t.Name))
 }
--- a/internal/leader/machinetable/machine.go
+++ b/internal/leader/machinetable/machine.go
@@ -131,7 +131,8 @@
 
 // After reports whether a heartbeat was sent after another one.
 func (n HeartbeatNumber) After(other HeartbeatNumber) bool {
-	return n.Incarnation > other.Incarnation || n.Incarnation == other.Incarnation && n.Counter > other.Counter
+	return n.Incarnation > other.Incarnation || n.Incarnation == other.Incarnation &&
+		n.Counter > other.Counter
 }
 
 // IncarnationState is the worker's present incarnation and what it has acknowledged. The reconciler
--- a/internal/leader/machinetable/machine_test.go
+++ b/internal/leader/machinetable/machine_test.go
@@ -36,12 +36,14 @@
 		m.Tasks[ref] = protocol.TaskStatus{Task: "job-1/0", Attempt: 1, Status: protocol.TaskRunning}
 		m.RunningSince[ref] = 5
 		m.Delivery(ref).InCommand = true
-		m.Placements["job-1"] = map[int]jobrecord.Placement{0: {Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 3}}
+		m.Placements["job-1"] = map[int]jobrecord.Placement{0: {Task: 0, Attempt: 1, Machine: "m-1",
+			Incarnation: 3}}
 		return m
 	}
 	m := used()
 	m.BeginIncarnation(4, 7)
-	if m.Incarnation != 4 || m.IncarnationSeenAt != 7 || m.Steady || m.LeaseExpired || len(m.RunningSince) > 0 ||
+	if m.Incarnation != 4 || m.IncarnationSeenAt != 7 || m.Steady || m.LeaseExpired ||
+		len(m.RunningSince) > 0 ||
 		len(m.Deliveries) > 0 {
 		t.Errorf("a new incarnation leaves %+v %+v", m.IncarnationState, m.WorkerStatus)
 	}
--- a/internal/leader/machinetable/machinetable.go
+++ b/internal/leader/machinetable/machinetable.go
@@ -216,7 +216,8 @@
 	if mt.Now() <= mt.BegunAt+TakeoverTime {
 		return false
 	}
-	return !m.Seen || mt.Now() > m.HeardAt+mt.Settings.Deployment.Workers.HeartbeatInterval()*5/4+missedHeartbeatMargin
+	return !m.Seen ||
+		mt.Now() > m.HeardAt+mt.Settings.Deployment.Workers.HeartbeatInterval()*5/4+missedHeartbeatMargin
 }
 
 // HeardRecently reports whether a machine was heard of about as often as it should be.
--- a/internal/leader/overview/zoneoverview.go
+++ b/internal/leader/overview/zoneoverview.go
@@ -198,6 +198,7 @@
 		tasksByReason[w.Reason] += w.Tasks
 	}
 	slog.Info("zone recovery state", "zone", zone.Zone, "phase", zone.Phase, "losses", zone.Losses,
-		"diagnosis", zone.Diagnosis, "machines", zone.Machines, "heard", zone.Heard, "held_tasks", zone.HeldTasks,
+		"diagnosis", zone.Diagnosis, "machines", zone.Machines, "heard", zone.Heard, "held_tasks",
+		zone.HeldTasks,
 		"displaced_tasks", zone.DisplacedTasks, "waiting_for", tasksByReason)
 }
--- a/internal/leader/reconciler/exits.go
+++ b/internal/leader/reconciler/exits.go
@@ -54,7 +54,8 @@
 }
 
 // noteExit handles the end of a placed attempt.
-func (rc *Reconciler) noteExit(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement, cause string) {
+func (rc *Reconciler) noteExit(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement,
+	cause string) {
 	ran := rc.machines.RanFor(m, attemptOf(j, p))
 	if term.DebugEnabled() {
 		slog.Debug("task exited", "job", j.Spec.ID, "task", p.Task, "attempt", p.Attempt, "machine", m.Name,
@@ -137,7 +138,8 @@
 
 // ReplicaEnded handles the end of a service's replica, which runs again whatever the cause, and
 // reports whether it did: a refused start says nothing of the replica, but of the machine.
-func (rc *Reconciler) ReplicaEnded(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement, cause string,
+func (rc *Reconciler) ReplicaEnded(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement,
+	cause string,
 	ran clock.Micros) bool {
 	if effectOf(cause).refused {
 		return false
--- a/internal/leader/reconciler/health.go
+++ b/internal/leader/reconciler/health.go
@@ -81,7 +81,8 @@
 				hm.commands.Probe(m)
 			}
 		case now > m.ProbedAt+ProbeTimeout:
-			slog.Info("machine with replicas is silent", "machine", m.Name, "silent_s", (now - m.HeardAt).Seconds())
+			slog.Info("machine with replicas is silent", "machine", m.Name, "silent_s",
+				(now - m.HeardAt).Seconds())
 			hm.machines.ScheduleRelease(m, machinetable.ReleaseSilentReplicas)
 		}
 	}
--- a/internal/leader/reconciler/reconciler.go
+++ b/internal/leader/reconciler/reconciler.go
@@ -56,7 +56,8 @@
 		m.IdleSince = rc.Now()
 	}
 	rc.noteIncarnation(m, r.Incarnation)
-	unchanged := m.Steady && r.Incarnation == m.Incarnation && r.Epoch == m.AcknowledgedEpoch && m.SameTasks(r.Tasks)
+	unchanged := m.Steady && r.Incarnation == m.Incarnation && r.Epoch == m.AcknowledgedEpoch &&
+		m.SameTasks(r.Tasks)
 	rc.machines.NoteHeartbeat(m, &r)
 	if !unchanged {
 		m.ViewStale = true
@@ -186,7 +187,8 @@
 	case exited:
 		rc.noteExit(m, j, p, t.Cause)
 	case lostWithLease:
-		slog.Debug("placement lost with the worker's lease", "job", j.Spec.ID, "task", p.Task, "machine", m.Name)
+		slog.Debug("placement lost with the worker's lease", "job", j.Spec.ID, "task", p.Task, "machine",
+			m.Name)
 		rc.jobs.ReleasePlacement(j, p)
 	case neverStarted:
 		rc.jobs.ReleasePlacement(j, p)
@@ -220,6 +222,7 @@
 	j.StartFailures = 0
 	if term.DebugEnabled() {
 		slog.Debug("task running", "job", ref.Job, "class", j.Spec.Class, "task", ref.Task, "machine", m.Name,
-			"type", m.Type, "since_submission_s", (rc.Mailbox.TimeOfDay() - clock.Micros(j.SubmittedAt)).Seconds())
+			"type", m.Type, "since_submission_s",
+			(rc.Mailbox.TimeOfDay() - clock.Micros(j.SubmittedAt)).Seconds())
 	}
 }
--- a/internal/leader/reconciler_test.go
+++ b/internal/leader/reconciler_test.go
@@ -47,8 +47,10 @@
 	}
 	m.Deliveries[firstAttempt] = &machinetable.StartDelivery{OutcomeUnknown: true}
 	j.Status = protocol.StatusCancelled
-	if commands := d.commands.CommandsFor(m, reconciler.ViaHeartbeat); len(commands) != 0 || len(j.Placements) != 1 {
-		t.Fatalf("commands %v, placements %v of a cancelled job; want none, and the placement", commands, j.Placements)
+	if commands := d.commands.CommandsFor(m, reconciler.ViaHeartbeat); len(commands) != 0 ||
+		len(j.Placements) != 1 {
+		t.Fatalf("commands %v, placements %v of a cancelled job; want none, and the placement", commands,
+			j.Placements)
 	}
 	m.Deliveries[firstAttempt] = &machinetable.StartDelivery{}
 	d.reconciler.Observe(m, workerHeartbeat(1, 3))
@@ -114,7 +116,8 @@
 		t.Fatalf("usable %v, releasing %v after one lost incarnation; want neither", usable(), m.Releasing)
 	}
 	box.Now += 14 * clock.Second
-	d.state.Term.RenewedAt, d.state.Term.ValidUntil, d.state.FreshAt = box.Now, box.Now+4*clock.Second, box.Now
+	d.state.Term.RenewedAt, d.state.Term.ValidUntil, d.state.FreshAt = box.Now, box.Now+4*clock.Second,
+		box.Now
 	heartbeat(2, 4)
 	if !usable() {
 		t.Fatal("it isn't used again though its incarnation lasts")
--- a/internal/leader/recordfixtures_test.go
+++ b/internal/leader/recordfixtures_test.go
@@ -21,7 +21,8 @@
 	answer func(storetest.Reply[protocol.TxnResponse])
 }
 
-func (c *fakeStore) Commit(_ kvstore.Priority, t protocol.Txn, done func(storetest.Reply[protocol.TxnResponse])) {
+func (c *fakeStore) Commit(_ kvstore.Priority, t protocol.Txn,
+	done func(storetest.Reply[protocol.TxnResponse])) {
 	c.txns, c.answer = append(c.txns, t), done
 }
 
@@ -111,7 +112,8 @@
 	content.NextAttempt = 2
 	for task := range content.Spec.Tasks {
 		machine := fmt.Sprintf("m-%06d", task)
-		content.Placements[task] = jobrecord.Placement{Task: task, Attempt: 1, Machine: machine, Incarnation: 1}
+		content.Placements[task] = jobrecord.Placement{Task: task, Attempt: 1, Machine: machine,
+			Incarnation: 1}
 	}
 	return content
 }
--- a/internal/leader/recordstore/outcome_test.go
+++ b/internal/leader/recordstore/outcome_test.go
@@ -16,7 +16,8 @@
 	reply storetest.Reply[protocol.TxnResponse]
 }
 
-func (s fixedStore) Commit(_ kvstore.Priority, _ protocol.Txn, done func(storetest.Reply[protocol.TxnResponse])) {
+func (s fixedStore) Commit(_ kvstore.Priority, _ protocol.Txn,
+	done func(storetest.Reply[protocol.TxnResponse])) {
 	done(s.reply)
 }
 
--- a/internal/leader/recordstore/reader.go
+++ b/internal/leader/recordstore/reader.go
@@ -128,13 +128,14 @@
 		adopt(page)
 		return true
 	}
-	kvstore.WalkPages(r.Store, prefix, from, adoptInTerm, term.Guarded2(r.State, func(err error, from string) {
-		if err != nil {
-			r.AfterInTerm(term.RetryDelay, func() { r.loadPages(prefix, from, adopt, done) })
-			return
-		}
-		done()
-	}))
+	kvstore.WalkPages(r.Store, prefix, from, adoptInTerm,
+		term.Guarded2(r.State, func(err error, from string) {
+			if err != nil {
+				r.AfterInTerm(term.RetryDelay, func() { r.loadPages(prefix, from, adopt, done) })
+				return
+			}
+			done()
+		}))
 }
 
 // AdoptShard takes over a shard as read, if its job waits for it. A shard that belongs to no sharded
--- a/internal/leader/scaleout_test.go
+++ b/internal/leader/scaleout_test.go
@@ -24,7 +24,8 @@
 	releaseSets [][]string
 }
 
-func (s *fakeCloud) Rent(r protocol.ScaleOutRequest, _ clock.Micros, done func(int, protocol.ScaleOutResponse)) {
+func (s *fakeCloud) Rent(r protocol.ScaleOutRequest, _ clock.Micros,
+	done func(int, protocol.ScaleOutResponse)) {
 	s.scaleOuts, s.scaledOut = append(s.scaleOuts, r), append(s.scaledOut, done)
 }
 
@@ -170,13 +171,15 @@
 	d.autoscaler.ScaleOut(unmetDemand(1))
 	d.autoscaler.Manage()
 	if len(stub.scaleOuts) != 1 || len(stub.pages) != 0 {
-		t.Fatalf("%d scale-outs and %d lists during the pause, want 1 and 0", len(stub.scaleOuts), len(stub.pages))
+		t.Fatalf("%d scale-outs and %d lists during the pause, want 1 and 0", len(stub.scaleOuts),
+			len(stub.pages))
 	}
 	mailbox.Now += 2 * clock.Second
 	d.autoscaler.ScaleOut(unmetDemand(1))
 	d.autoscaler.Manage()
 	if len(stub.scaleOuts) != 2 || len(stub.pages) != 1 {
-		t.Fatalf("%d scale-outs and %d lists after the pause, want 2 and 1", len(stub.scaleOuts), len(stub.pages))
+		t.Fatalf("%d scale-outs and %d lists after the pause, want 2 and 1", len(stub.scaleOuts),
+			len(stub.pages))
 	}
 }
 
@@ -188,7 +191,8 @@
 	d.machines.ScheduleRelease(m, "idle")
 	d.autoscaler.SendReleases()
 	if len(stub.scaledOut) != 1 || len(stub.listed) != 1 || len(stub.scaledIn) != 1 {
-		t.Fatalf("%d scale-outs, %d lists, %d scale-ins, want one each", len(stub.scaledOut), len(stub.listed),
+		t.Fatalf("%d scale-outs, %d lists, %d scale-ins, want one each", len(stub.scaledOut),
+			len(stub.listed),
 			len(stub.scaledIn))
 	}
 	d.state.Term.Epoch = 9
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -29,7 +29,8 @@
 // machine isn't quarantined for it.
 func TestReplicasRunAgainWhateverTheirEnd(t *testing.T) {
 	causes := []string{
-		protocol.CauseDone, protocol.CauseError, protocol.CauseGangBroken, protocol.CauseStopped, "unheard of",
+		protocol.CauseDone, protocol.CauseError, protocol.CauseGangBroken, protocol.CauseStopped,
+		"unheard of",
 	}
 	for _, cause := range causes {
 		d, j, m := leaderWithService(t)
@@ -37,14 +38,16 @@
 		d.reconciler.Observe(m, workerHeartbeat(1, 2, exited))
 		if j.Final() || j.Done.Len() > 0 || len(j.Placements) > 0 || j.NextAttempt < 2 {
 			t.Errorf("%s: final %v, done %q, placed %v, next attempt %d, want a service with nothing done or "+
-				"placed and a next attempt of 2 at least", cause, j.Final(), j.Done.String(), j.Placements, j.NextAttempt)
+				"placed and a next attempt of 2 at least", cause, j.Final(), j.Done.String(), j.Placements,
+				j.NextAttempt)
 		}
 		pending := j.Restartable(j.Startable(8<<10, 10), d.state.Now())
 		if len(pending) != 3 {
 			t.Errorf("%s: replicas %v may start, want all 3", cause, pending)
 		}
 		if m.Quarantined || len(m.FailedJobs) > 0 {
-			t.Errorf("%s: machine quarantined %v, failed jobs %v, want neither", cause, m.Quarantined, m.FailedJobs)
+			t.Errorf("%s: machine quarantined %v, failed jobs %v, want neither", cause, m.Quarantined,
+				m.FailedJobs)
 		}
 	}
 }
@@ -155,7 +158,8 @@
 		spec := protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeService, Priority: "prod", Tasks: 4}
 		content := jobrecord.New(spec, 1)
 		for task, machine := range []string{"m-1", "m-2", "m-3", "m-4"} {
-			content.Placements[task] = jobrecord.Placement{Task: task, Attempt: 1, Machine: machine, Incarnation: 1}
+			content.Placements[task] = jobrecord.Placement{Task: task, Attempt: 1, Machine: machine,
+				Incarnation: 1}
 		}
 		d.reader.Adopt(jobrecord.Key("job-1"), content.Encode(), 5)
 		for i := range others {
@@ -185,10 +189,12 @@
 			ID: "job-1", Shape: protocol.ShapeService, Priority: "prod", Tasks: 4, Spread: spread,
 		}, 1)
 		for task, machine := range []string{"m-1", "m-2", "m-3", "m-4"} {
-			content.Placements[task] = jobrecord.Placement{Task: task, Attempt: 1, Machine: machine, Incarnation: 1}
+			content.Placements[task] = jobrecord.Placement{Task: task, Attempt: 1, Machine: machine,
+				Incarnation: 1}
 		}
 		d.reader.Adopt(jobrecord.Key("job-1"), content.Encode(), 5)
-		for name, zone := range map[string]string{"m-1": "a", "m-2": "a", "m-3": "b", "m-4": "b", "m-5": "a"} {
+		for name, zone := range map[string]string{"m-1": "a", "m-2": "a", "m-3": "b", "m-4": "b",
+			"m-5": "a"} {
 			m := d.machines.GetOrAdd(name)
 			m.Seen, m.Zone, m.HeardAt = true, zone, box.Now
 		}
--- a/internal/leader/sharding_test.go
+++ b/internal/leader/sharding_test.go
@@ -44,7 +44,8 @@
 			j.Sharding(), len(j.Shards))
 	}
 	if len(j.Placements) != 299 || !j.Committed(j.Placements[7]) {
-		t.Fatalf("%d placed, committed %v, want 299 and true", len(j.Placements), j.Committed(j.Placements[7]))
+		t.Fatalf("%d placed, committed %v, want 299 and true", len(j.Placements),
+			j.Committed(j.Placements[7]))
 	}
 }
 
@@ -60,7 +61,8 @@
 			t.Fatalf("%s has %d bytes, want at most %d", c.Put, size, jobrecord.UsableBytes(2<<10))
 		}
 	}
-	if want := (protocol.Condition{Key: jobrecord.Key("job-1"), Version: 5}); !slices.Contains(txn.Conditions, want) {
+	if want := (protocol.Condition{Key: jobrecord.Key("job-1"), Version: 5}); !slices.Contains(txn.Conditions,
+		want) {
 		t.Fatalf("guards %v, want %v among them", txn.Conditions, want)
 	}
 }
@@ -112,11 +114,13 @@
 		t.Fatal("the placement counts as committed before it is stored")
 	}
 	txn := store.txns[0]
-	if len(txn.Changes) != 1 || txn.Changes[0].Put != jobrecord.ShardKey("job-1", 0) || len(txn.Conditions) != 3 {
+	if len(txn.Changes) != 1 || txn.Changes[0].Put != jobrecord.ShardKey("job-1", 0) ||
+		len(txn.Conditions) != 3 {
 		t.Fatalf("%+v, want the change of shard 0 alone, with 3 guards", txn)
 	}
 	store.answer(committedAt(9))
-	if !j.Committed(j.Placements[0]) || j.Version != 5 || j.Shards[0].Version != 9 || l.jobs.ByID["job-1"] != j {
+	if !j.Committed(j.Placements[0]) || j.Version != 5 || j.Shards[0].Version != 9 ||
+		l.jobs.ByID["job-1"] != j {
 		t.Fatalf("committed %v, head at version %d, shard at version %d, want true, 5 and 9, of the same job",
 			j.Committed(j.Placements[0]), j.Version, j.Shards[0].Version)
 	}
--- a/internal/leader/snapshots/jobs.go
+++ b/internal/leader/snapshots/jobs.go
@@ -148,7 +148,8 @@
 // room that is left beyond the cell's reserve.
 func (b *Builder) restrictHosted(j *jobtable.Job, planned *planner.Job, now clock.Micros) {
 	planned.MayPreempt, planned.HasStartObjective, planned.Lender = false, false, false
-	planned.Tier, planned.SlackS, planned.StartSlackS = planner.TierEndInTime, math.MaxFloat64, math.MaxFloat64
+	planned.Tier, planned.SlackS, planned.StartSlackS = planner.TierEndInTime, math.MaxFloat64,
+		math.MaxFloat64
 	planned.BackingOff = planned.BackingOff || !j.Permission.MayStart(now+startMargin) || j.Hosted.Closed
 	if b.Directory == nil || b.Directory.Own.Reserve == (planner.Resources{}) {
 		return
@@ -188,7 +189,8 @@
 }
 
 // runningTask returns a placed task and when it was first seen running, 0 if it wasn't yet.
-func (b *Builder) runningTask(j *jobtable.Job, placement jobrecord.Placement) (planner.RunningTask, clock.Micros) {
+func (b *Builder) runningTask(j *jobtable.Job, placement jobrecord.Placement) (planner.RunningTask,
+	clock.Micros) {
 	running := planner.RunningTask{Task: placement.Task, Machine: placement.Machine}
 	_, running.Stopping = j.Stops[placement.Task]
 	m := b.machines.ByName[placement.Machine]
--- a/internal/leader/term/steps.go
+++ b/internal/leader/term/steps.go
@@ -51,7 +51,8 @@
 
 func (t *StepTimer) noteLateness(late clock.Micros) {
 	if late > lateTickThreshold {
-		slog.Info("the process stood still or had no processor", "for_s", late.Seconds(), "epoch", t.Term.Epoch)
+		slog.Info("the process stood still or had no processor", "for_s", late.Seconds(), "epoch",
+			t.Term.Epoch)
 	}
 	t.lag = (t.lag + max(late, 0)) / 2
 }
--- a/internal/leader/term/transaction_test.go
+++ b/internal/leader/term/transaction_test.go
@@ -55,7 +55,8 @@
 		t.Errorf("committed %+v, want %+v", store.txn, want)
 	}
 	if store.use != kvstore.PriorityLeader || committed != 1 || txn.Len() != 2 || len(txn.Changes()) != 2 {
-		t.Errorf("use %v, %d responses, %d changes, want use %v, 1 response and 2 changes", store.use, committed,
+		t.Errorf("use %v, %d responses, %d changes, want use %v, 1 response and 2 changes", store.use,
+			committed,
 			txn.Len(), kvstore.PriorityLeader)
 	}
 }
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -21,7 +21,8 @@
 	store := &fakeStore{}
 	useStore(l, store)
 	z := &zonetracker.Zone{
-		Zone:          &zonerecovery.Zone{Name: "a", Phase: zonerecovery.Lost, Losses: 1, Since: 90 * clock.Second},
+		Zone: &zonerecovery.Zone{Name: "a", Phase: zonerecovery.Lost, Losses: 1,
+			Since: 90 * clock.Second},
 		RecordVersion: 5,
 	}
 	l.zones.Zones = map[string]*zonetracker.Zone{"a": z}
--- a/internal/leader/zonetracker/displaced.go
+++ b/internal/leader/zonetracker/displaced.go
@@ -73,7 +73,8 @@
 	switch {
 	case j.ClearedToStart || action == zonerecovery.Hold:
 		return false
-	case action == zonerecovery.Hasten || z.Phase == zonerecovery.Healthy || now > j.DisplacedAt+maxClearanceWait:
+	case action == zonerecovery.Hasten || z.Phase == zonerecovery.Healthy ||
+		now > j.DisplacedAt+maxClearanceWait:
 		j.ClearedToStart = true
 		return false
 	}
--- a/internal/leader/zonetracker/evidence.go
+++ b/internal/leader/zonetracker/evidence.go
@@ -123,7 +123,8 @@
 	}
 }
 
-// OthersHearNothing reports whether other controllers respond and hear no machine either: resigning wouldn't help.
+// OthersHearNothing reports whether other controllers respond and hear no machine either: resigning
+// wouldn't help.
 func (t *Tracker) OthersHearNothing() bool {
 	others := 0
 	for _, report := range t.reports {
--- a/internal/leader/zonetracker/tracker.go
+++ b/internal/leader/zonetracker/tracker.go
@@ -1,8 +1,8 @@
 // Package zonetracker follows the zones and carries out recoveries from the loss of one. The loss of a zone
 // is one event: the tracker gathers the evidence for it, stores each zone's phase for the next leader, and
-// lets displaced work start elsewhere in order and at a pace. When a zone counts as lost and as returned, and
-// in which order its work starts, is decided by package zonerecovery, which has no side effects. No placement is
-// released on account of a lost zone: each needs proof of its own.
+// lets displaced work start elsewhere in order and at a pace. When a zone counts as lost and as returned,
+// and in which order its work starts, is decided by package zonerecovery, which has no side effects. No
+// placement is released on account of a lost zone: each needs proof of its own.
 package zonetracker
 
 import (
@@ -127,7 +127,8 @@
 }
 
 func logPhase(name string, z *Zone) {
-	slog.Info("zone phase changed", "zone", name, "phase", z.Phase, "losses", z.Losses, "diagnosis", z.Diagnosis,
+	slog.Info("zone phase changed", "zone", name, "phase", z.Phase, "losses", z.Losses, "diagnosis",
+		z.Diagnosis,
 		"machines", z.Evidence.Machines, "heard", z.Evidence.Heard, "controllers", z.Evidence.Controllers,
 		"controllers_reached", z.Evidence.ControllersReached, "flaps", z.Flaps)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -43,7 +43,8 @@
 	// Recovery has the settings of zone recovery, nil if it is switched off.
 	Recovery *zonerecovery.Settings
 	// Everyone asks all nodes, given this one's own actor; ok reports whether all have responded.
-	Everyone func(own *admission.Admission, r admission.Request, done func(answers []admission.Response, ok bool))
+	Everyone func(own *admission.Admission, r admission.Request,
+		done func(answers []admission.Response, ok bool))
 }
 
 // Node has the actors of one controller.
@@ -91,18 +92,20 @@
 // attestations returns how the leader asks all nodes to vouch for what they have told users.
 func (n *Node) attestations(e Environment) func(back clock.Micros, done func([]admission.Attestation, bool)) {
 	return func(back clock.Micros, done func([]admission.Attestation, bool)) {
-		e.Everyone(n.Admission, admission.NewAttestationRequest(back), func(answers []admission.Response, ok bool) {
-			done(admission.DecodeAttestations(answers, ok))
-		})
+		e.Everyone(n.Admission, admission.NewAttestationRequest(back),
+			func(answers []admission.Response, ok bool) {
+				done(admission.DecodeAttestations(answers, ok))
+			})
 	}
 }
 
 // zoneReports returns how the leader asks all nodes which zones' machines they hear from.
 func (n *Node) zoneReports(e Environment) func(done func([]admission.ZoneReports)) {
 	return func(done func([]admission.ZoneReports)) {
-		e.Everyone(n.Admission, admission.Request{Kind: admission.GetZoneReports}, func(answers []admission.Response, _ bool) {
-			done(admission.DecodeAllZoneReports(answers))
-		})
+		e.Everyone(n.Admission, admission.Request{Kind: admission.GetZoneReports},
+			func(answers []admission.Response, _ bool) {
+				done(admission.DecodeAllZoneReports(answers))
+			})
 	}
 }
 
--- a/internal/offload/plan_test.go
+++ b/internal/offload/plan_test.go
@@ -107,7 +107,8 @@
 		gain := max(p.gain(greedy), p.gain(rounded))
 		best := p.bestGain(0, p.empty())
 		if gain > best+1e-6 || gain < leastOfOne*best {
-			t.Fatalf("gain %v, want at least %v of the best plan's %v, and no more than it", gain, leastOfOne, best)
+			t.Fatalf("gain %v, want at least %v of the best plan's %v, and no more than it", gain, leastOfOne,
+				best)
 		}
 		chosen += gain
 		possible += best
--- a/internal/peer/cellserver_test.go
+++ b/internal/peer/cellserver_test.go
@@ -19,7 +19,8 @@
 func (a *alpha) Exchange(r delegation.Heartbeat, reply func(delegation.HeartbeatResponse, bool)) {
 	a.reports.Add(1)
 	ruling := delegation.Directive{Number: r.Sequence, Action: delegation.Close}
-	answer := delegation.HeartbeatResponse{Result: delegation.Processed, Directives: []delegation.Directive{ruling}}
+	answer := delegation.HeartbeatResponse{Result: delegation.Processed,
+		Directives: []delegation.Directive{ruling}}
 	reply(answer, r.Host == "beta" && r.Origin == "alpha")
 }
 
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -55,9 +55,11 @@
 	idLength := int(binary.BigEndian.Uint16(b[idLengthOffset:]))
 	rest := b[requestHeaderBytes:]
 	if len(rest) < idLength || len(rest)-idLength > protocol.MaxBodyBytes {
-		return admission.Request{}, fmt.Errorf("%w: request of %d bytes, id of %d", ErrMalformed, len(b), idLength)
+		return admission.Request{}, fmt.Errorf("%w: request of %d bytes, id of %d", ErrMalformed, len(b),
+			idLength)
 	}
-	return admission.Request{Kind: kind, ID: string(rest[:idLength]), Body: rest[idLength:], Forwarded: true}, nil
+	return admission.Request{Kind: kind, ID: string(rest[:idLength]), Body: rest[idLength:], Forwarded: true},
+		nil
 }
 
 func encodeAnswer(a admission.Response) []byte {
--- a/internal/planner/constraints.go
+++ b/internal/planner/constraints.go
@@ -69,5 +69,6 @@
 // mayUse reports whether the job's tasks may be on the machine at all, whatever its
 // present state.
 func (j *Job) mayUse(machine *Machine) bool {
-	return MachineAllowed(j.Spec, machine.Type, machine.Zone, machine.Spot) && !j.AvoidedMachines[machine.Name]
+	return MachineAllowed(j.Spec, machine.Type, machine.Zone, machine.Spot) &&
+		!j.AvoidedMachines[machine.Name]
 }
--- a/internal/planner/draw_test.go
+++ b/internal/planner/draw_test.go
@@ -49,8 +49,10 @@
 	tasks := rapid.IntRange(1, 5).Draw(t, "tasks")
 	return &protocol.JobSpec{ID: id, Team: rapid.SampledFrom([]string{"limited", "open"}).Draw(t, "team"),
 		Shape: rapid.SampledFrom(shapes).Draw(t, "shape"), Tasks: tasks,
-		Cpus: float64(rapid.IntRange(1, 5).Draw(t, "each")), MemoryGB: 1, Spot: rapid.Bool().Draw(t, "mayspot"),
-		OneZone: rapid.IntRange(0, 3).Draw(t, "one") == 0, Spread: rapid.IntRange(0, 3).Draw(t, "spread") == 0}
+		Cpus: float64(rapid.IntRange(1, 5).Draw(t, "each")), MemoryGB: 1,
+		Spot:    rapid.Bool().Draw(t, "mayspot"),
+		OneZone: rapid.IntRange(0, 3).Draw(t, "one") == 0,
+		Spread:  rapid.IntRange(0, 3).Draw(t, "spread") == 0}
 }
 
 // runSomewhere has a task run on the first machine that may hold it, and reports whether
@@ -83,7 +85,8 @@
 		m := &s.Machines[i]
 		m.HourlyPrice = float64(rapid.IntRange(1, 4).Draw(t, "price"))
 		m.FetchSPerGB = 2
-		m.CachedImages = rapid.SliceOfNDistinct(rapid.SampledFrom(images), 0, 2, rapid.ID[string]).Draw(t, "images")
+		m.CachedImages = rapid.SliceOfNDistinct(rapid.SampledFrom(images), 0, 2, rapid.ID[string]).Draw(t,
+			"images")
 		if rapid.IntRange(0, 3).Draw(t, "boots") == 0 && m.Free == m.Capacity {
 			m.Booting, m.BootRemainingS = true, float64(rapid.IntRange(0, 30).Draw(t, "boot"))
 		}
--- a/internal/planner/gang_test.go
+++ b/internal/planner/gang_test.go
@@ -14,7 +14,8 @@
 		t.Fatalf("placed %v, want nothing while room is kept for the gang", plan.Placements)
 	}
 	if len(plan.UnmetDemand) != 2 || plan.UnmetDemand[0].Tasks != 1 {
-		t.Fatalf("unmet demand %+v, want both jobs, and 1 task of the gang beside what is kept", plan.UnmetDemand)
+		t.Fatalf("unmet demand %+v, want both jobs, and 1 task of the gang beside what is kept",
+			plan.UnmetDemand)
 	}
 
 	// No machine has come for it, and those that are there can't hold it.
--- a/internal/planner/model_test.go
+++ b/internal/planner/model_test.go
@@ -136,7 +136,8 @@
 func (c *checkedPlan) checkGangsAreWhole(t *rapid.T) {
 	for id, j := range c.jobs {
 		if j.Spec.Gang() && c.placed[id] != 0 && c.placed[id] != len(j.Pending) {
-			t.Fatalf("%d of %d tasks of gang %s are placed, want all or none", c.placed[id], len(j.Pending), id)
+			t.Fatalf("%d of %d tasks of gang %s are placed, want all or none", c.placed[id], len(j.Pending),
+				id)
 		}
 	}
 }
--- a/internal/planner/preempt_test.go
+++ b/internal/planner/preempt_test.go
@@ -52,7 +52,8 @@
 func TestNothingIsPreemptedWhileTasksStop(t *testing.T) {
 	lower := arrayJob("job-l", 2, 2, 4,
 		RunningTask{Task: 0, Machine: "m0", Stopping: true}, RunningTask{Task: 1, Machine: "m1"})
-	plan := MakePlan(Snapshot{Jobs: []Job{arrayJob("job-u", 1, 1, 4), lower}, Machines: machinesWith(2, 4, 0)})
+	plan := MakePlan(Snapshot{Jobs: []Job{arrayJob("job-u", 1, 1, 4), lower},
+		Machines: machinesWith(2, 4, 0)})
 	if len(plan.Preemptions) != 0 {
 		t.Fatalf("preempted %v, want nothing while room is being made", plan.Preemptions)
 	}
@@ -61,7 +62,8 @@
 // A job that fails everywhere has lost the right to preempt: it would return and preempt
 // for ever.
 func TestFailingJobPreemptsNothing(t *testing.T) {
-	lower := arrayJob("job-l", 2, 2, 4, RunningTask{Task: 0, Machine: "m0"}, RunningTask{Task: 1, Machine: "m1"})
+	lower := arrayJob("job-l", 2, 2, 4, RunningTask{Task: 0, Machine: "m0"},
+		RunningTask{Task: 1, Machine: "m1"})
 	failing := arrayJob("job-u", 1, 1, 4)
 	failing.MayPreempt = false
 	plan := MakePlan(Snapshot{Jobs: []Job{failing, lower}, Machines: machinesWith(2, 4, 0)})
@@ -79,7 +81,8 @@
 	lower := arrayJob("job-w", 3, 1, 4)
 	plan := MakePlan(Snapshot{Jobs: []Job{urgent, leaving, lower}, Machines: machinesWith(1, 8, 4)})
 	if len(plan.Placements) != 0 || len(plan.Preemptions) != 0 {
-		t.Fatalf("placed %v, preempted %v, want neither while a task leaves", plan.Placements, plan.Preemptions)
+		t.Fatalf("placed %v, preempted %v, want neither while a task leaves", plan.Placements,
+			plan.Preemptions)
 	}
 	// Nothing leaves for it any more, and what is free doesn't hold it.
 	plan = MakePlan(Snapshot{Jobs: []Job{urgent, lower}, Machines: machinesWith(1, 8, 4)})
--- a/internal/planner/queue_test.go
+++ b/internal/planner/queue_test.go
@@ -39,7 +39,8 @@
 		}
 		for i, j := range order {
 			if placed[j.ID] != (i < free) {
-				t.Errorf("with room for %d jobs, %q is placed: %v, want %v", free, j.ID, placed[j.ID], i < free)
+				t.Errorf("with room for %d jobs, %q is placed: %v, want %v", free, j.ID, placed[j.ID],
+					i < free)
 			}
 		}
 	}
--- a/internal/planner/reference_test.go
+++ b/internal/planner/reference_test.go
@@ -52,7 +52,8 @@
 	for i := range r.machines {
 		m := &r.machines[i]
 		if !TaskResources(j.Spec).FitsIn(m.Free) || zone != anyZone && m.Zone != zone ||
-			!MachineAllowed(j.Spec, m.Type, m.Zone, m.Spot) || !ZoneAllowed(j.Spec, zones, m.Zone) || !selects(m) {
+			!MachineAllowed(j.Spec, m.Type, m.Zone, m.Spot) || !ZoneAllowed(j.Spec, zones, m.Zone) ||
+			!selects(m) {
 			continue
 		}
 		if best == nil || placementCost(j, m) < placementCost(j, best) {
@@ -150,7 +151,8 @@
 }
 
 func (r reference) placeGang(j *Job) {
-	if len(j.Pending) > j.MaxStarts || !r.teams[j.Spec.Team].withinLimit(TaskResources(j.Spec), len(j.Pending)) {
+	if len(j.Pending) > j.MaxStarts || !r.teams[j.Spec.Team].withinLimit(TaskResources(j.Spec),
+		len(j.Pending)) {
 		return
 	}
 	places := r.fitWhole(j, isUp)
--- a/internal/planner/shrink.go
+++ b/internal/planner/shrink.go
@@ -68,7 +68,10 @@
 	}
 	a.surplus = min(len(a.tasks), len(lower.Running)+lower.startedUnlisted-minSize(lower))
 	if a.surplus > 0 {
-		slices.SortStableFunc(a.tasks, func(x, y RunningTask) int { return cmp.Compare(x.OverheadS, y.OverheadS) })
+		slices.SortStableFunc(a.tasks, func(x, y RunningTask) int {
+			return cmp.Compare(x.OverheadS,
+				y.OverheadS)
+		})
 	}
 	return a
 }
--- a/internal/protocol/check_test.go
+++ b/internal/protocol/check_test.go
@@ -17,7 +17,8 @@
 		if Check(raw) != nil && err == nil {
 			t.Fatalf("% x was decoded, want %v", raw, Check(raw))
 		}
-		for _, into := range []any{&Heartbeat{}, &JobSpec{}, &MachineList{}, &WatchResponse{}, &TxnResponse{}} {
+		for _, into := range []any{&Heartbeat{}, &JobSpec{}, &MachineList{}, &WatchResponse{},
+			&TxnResponse{}} {
 			_ = Decode(raw, into)
 		}
 	})
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -219,7 +219,8 @@
 		"\x82\xa5Epoch\x00\xa6Orders\x90"},
 	{"redirect to nobody", Redirect{}, "\x80"},
 	{"commands", CommandRequest{}, "\x83\xa5Epoch\x00\xa5Shift\x00\xa6Orders\xc0"},
-	{"commands of no orders", CommandRequest{Commands: []Command{}}, "\x83\xa5Epoch\x00\xa5Shift\x00\xa6Orders\x90"},
+	{"commands of no orders", CommandRequest{Commands: []Command{}},
+		"\x83\xa5Epoch\x00\xa5Shift\x00\xa6Orders\x90"},
 	{"machine type", MachineType{},
 		"\x8a\xa3Sku\xa0\xa5Vcpus\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00\x00\x00\x00\x00" +
 			"\x00\x00\x00\xa5MemGb\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa7LocalGb\xcb\x00\x00\x00\x00\x00" +
@@ -227,7 +228,8 @@
 			"\x00\x00\x00\x00\x00\xa9SpotPrice\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa8StartupS\xcb\x00" +
 			"\x00\x00\x00\x00\x00\x00\x00\xa5Halls\xc0"},
 	{"catalogue", Catalogue{}, "\x81\xa6Fleets\xc0"},
-	{"rental", ScaleOutRequest{}, "\x85\xa7Booking\xa0\xa5Fleet\xa0\xa4Hall\xa0\xa7Loaners\xc2\xa7HowMany\x00"},
+	{"rental", ScaleOutRequest{},
+		"\x85\xa7Booking\xa0\xa5Fleet\xa0\xa4Hall\xa0\xa7Loaners\xc2\xa7HowMany\x00"},
 	{"answer to a rental", ScaleOutResponse{}, "\x82\xa5Hosts\xc0\xa5error\xa0"},
 	{"release", ScaleInRequest{}, "\x81\xa5Hosts\xc0"},
 	{"listed machine", ListedMachine{},
--- a/internal/protocol/heartbeatdecoder_test.go
+++ b/internal/protocol/heartbeatdecoder_test.go
@@ -14,7 +14,8 @@
 	r := Heartbeat{Machine: "m-000001", Address: "10.1.0.1:9000", Type: "t", Zone: "a",
 		Incarnation: 1, Counter: 1, Epoch: 3}
 	for i := range tasks {
-		r.Tasks = append(r.Tasks, TaskStatus{Task: TaskName("job-000001", i), Attempt: 1, Status: TaskRunning})
+		r.Tasks = append(r.Tasks, TaskStatus{Task: TaskName("job-000001", i), Attempt: 1,
+			Status: TaskRunning})
 	}
 	return r
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -36,7 +36,8 @@
 	done func(kvstore.Result[protocol.Revision])) {
 	for _, c := range t.Changes {
 		_, exists := s.values[c.Put]
-		if len(t.Conditions) != 1 || t.Conditions[0].Key != c.Put || exists != (t.Conditions[0].Version != 0) {
+		if len(t.Conditions) != 1 || t.Conditions[0].Key != c.Put ||
+			exists != (t.Conditions[0].Version != 0) {
 			conflict := &kvstore.ConflictError{Keys: []string{c.Put}}
 			done(kvstore.Result[protocol.Revision]{Err: conflict})
 			return
--- a/internal/scaling/cordon_test.go
+++ b/internal/scaling/cordon_test.go
@@ -24,7 +24,8 @@
 		name := fmt.Sprintf("m-%02d", i)
 		whole := planner.Resources{Cpus: 8}
 		s.Machines = append(s.Machines, planner.Machine{Name: name, Type: "t", Zone: "a", Capacity: whole,
-			Free: whole.Minus(planner.TaskResources(spec).Times(float64(used))), HourlyPrice: float64(1 + r.IntN(3))})
+			Free:        whole.Minus(planner.TaskResources(spec).Times(float64(used))),
+			HourlyPrice: float64(1 + r.IntN(3))})
 		for range used {
 			task := planner.RunningTask{Task: len(running.Running), Machine: name, Zone: "a"}
 			running.Running = append(running.Running, task)
--- a/internal/scaling/draw_test.go
+++ b/internal/scaling/draw_test.go
@@ -15,8 +15,10 @@
 	for i, t := range []protocol.MachineType{
 		{Name: "small", Cpus: 8, MemoryGB: 16, Price: 0.3, SpotPrice: 0.1, BootS: 30, FetchGBPerS: 0.6},
 		{Name: "middle", Cpus: 16, MemoryGB: 64, Price: 0.7, SpotPrice: 0.2, BootS: 30, FetchGBPerS: 0.5},
-		{Name: "large", Cpus: 48, Gpus: 4, MemoryGB: 288, Price: 14, SpotPrice: 5, BootS: 40, FetchGBPerS: 0.3},
-		{Name: "huge", Cpus: 96, Gpus: 8, MemoryGB: 768, Price: 24, SpotPrice: 7, BootS: 40, FetchGBPerS: 0.25},
+		{Name: "large", Cpus: 48, Gpus: 4, MemoryGB: 288, Price: 14, SpotPrice: 5, BootS: 40,
+			FetchGBPerS: 0.3},
+		{Name: "huge", Cpus: 96, Gpus: 8, MemoryGB: 768, Price: 24, SpotPrice: 7, BootS: 40,
+			FetchGBPerS: 0.25},
 	} {
 		t.Zones = []string{"a", "b"}
 		m.Types[t.Name] = t
@@ -35,7 +37,8 @@
 	for i := range unmet {
 		spec := &protocol.JobSpec{ID: fmt.Sprint("job-", i), Tasks: 1 + r.IntN(mostTasks),
 			Cpus: []float64{1, 10, 15}[r.IntN(3)], MemoryGB: []float64{1.4, 51}[r.IntN(2)],
-			Gpus: float64(r.IntN(4) / 3), ImageGB: 2 * r.Float64(), Spot: r.IntN(3) > 0, OneZone: r.IntN(4) == 0}
+			Gpus: float64(r.IntN(4) / 3), ImageGB: 2 * r.Float64(), Spot: r.IntN(3) > 0,
+			OneZone: r.IntN(4) == 0}
 		j := &planner.Job{ID: spec.ID, Spec: spec, SlackS: -400 + 800*r.Float64(),
 			HasStartObjective: r.IntN(4) == 0, BackingOff: r.IntN(20) == 0}
 		if r.IntN(3) == 0 {
--- a/internal/scaling/market.go
+++ b/internal/scaling/market.go
@@ -55,7 +55,8 @@
 // typeAllowed reports whether the job may use machines of the type in any zone.
 func typeAllowed(t protocol.MachineType, spec *protocol.JobSpec) bool {
 	return slices.ContainsFunc(t.Zones, func(zone string) bool {
-		return planner.MachineAllowed(spec, t.Name, zone, false) || planner.MachineAllowed(spec, t.Name, zone, true)
+		return planner.MachineAllowed(spec, t.Name, zone, false) ||
+			planner.MachineAllowed(spec, t.Name, zone, true)
 	})
 }
 
--- a/internal/scaling/price.go
+++ b/internal/scaling/price.go
@@ -58,7 +58,8 @@
 // FairlyPriced reports whether a task of the job costs not much more in the pool than where it is
 // cheapest. From other pools machines are rented only for jobs that can't wait.
 func (m *CloudView) FairlyPriced(pool CapacityPool, job *planner.Job) bool {
-	return m.priceMultiple(pool, job) <= fairMultiple || m.HourlyPrice(pool) <= negligibleShare*m.highestPrice()
+	return m.priceMultiple(pool, job) <= fairMultiple ||
+		m.HourlyPrice(pool) <= negligibleShare*m.highestPrice()
 }
 
 // highestPrice returns the price of the dearest machine type.
--- a/internal/scaling/scaleout_test.go
+++ b/internal/scaling/scaleout_test.go
@@ -21,7 +21,10 @@
 			zones[r.Zone]++
 		}
 		for w.Tasks > 0 && !w.Job.BackingOff {
-			at := slices.IndexFunc(machines, func(n newMachine) bool { return n.takes(w.Job, request, zones) })
+			at := slices.IndexFunc(machines, func(n newMachine) bool {
+				return n.takes(w.Job, request,
+					zones)
+			})
 			if at < 0 {
 				k, ok := referencePool(m, w, zones, unmet)
 				if !ok || len(machines) == maxMachinesPerDecision {
--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -47,7 +47,8 @@
 	mute.Commands.Heal()
 	w.Run(w.Now() + 5*clock.Second)
 	if mute.runs(j) || mute.incarnation != 1 {
-		t.Fatalf("the cancelled job runs: %v, want false; incarnation %d, want 1", mute.runs(j), mute.incarnation)
+		t.Fatalf("the cancelled job runs: %v, want false; incarnation %d, want 1", mute.runs(j),
+			mute.incarnation)
 	}
 	w.Run(w.Now() + 40*clock.Second)
 	mustKeepRules(t, w)
--- a/internal/simulation/cellclient.go
+++ b/internal/simulation/cellclient.go
@@ -16,7 +16,8 @@
 }
 
 // Exchange carries a report to another cell and its response back, encoded as between real cells.
-func (x *cellClient) Exchange(address string, r delegation.Heartbeat, done func(delegation.HeartbeatResponse, bool)) {
+func (x *cellClient) Exchange(address string, r delegation.Heartbeat,
+	done func(delegation.HeartbeatResponse, bool)) {
 	target := x.d.group.at(address)
 	raw := r.Encode()
 	x.n.Cells.call(x.p, cellTimeout, func(answer func(func())) {
@@ -33,7 +34,8 @@
 
 // deliver hands a report to the other cell's controller and sends the response.
 func (x *cellClient) deliver(
-	target *Node, report delegation.Heartbeat, answer func(func()), done func(delegation.HeartbeatResponse, bool),
+	target *Node, report delegation.Heartbeat, answer func(func()),
+	done func(delegation.HeartbeatResponse, bool),
 ) {
 	target.exchanges.Exchange(report, func(a delegation.HeartbeatResponse, ok bool) {
 		switch {
--- a/internal/simulation/celloperations_test.go
+++ b/internal/simulation/celloperations_test.go
@@ -104,9 +104,13 @@
 					r := delegation.Heartbeat{Host: "beta", Origin: "alpha", Epoch: 1 << 40,
 						Sequence: int64(w.Now()), ClearTime: 20 * clock.Second}
 					for i := range delegation.MaxStatuses {
-						r.Statuses = append(r.Statuses, delegation.Status{Number: int64(i), Job: "job-000001", Closed: true})
+						r.Statuses = append(r.Statuses,
+							delegation.Status{Number: int64(i), Job: "job-000001", Closed: true})
 					}
-					n.process.run(func() { n.Leader.Exchange(r, func(delegation.HeartbeatResponse, bool) {}) })
+					n.process.run(func() {
+						n.Leader.Exchange(r,
+							func(delegation.HeartbeatResponse, bool) {})
+					})
 				}
 			})
 		},
@@ -176,8 +180,10 @@
 		d.Store.CheckPut = func(key string, value []byte) {
 			puts++
 			check(key, value)
-			known := slices.ContainsFunc(prefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
-			if !known || strings.Contains(string(value), "cell ") || strings.Contains(string(value), "guest ") {
+			known := slices.ContainsFunc(prefixes,
+				func(prefix string) bool { return strings.HasPrefix(key, prefix) })
+			if !known || strings.Contains(string(value), "cell ") ||
+				strings.Contains(string(value), "guest ") {
 				d.World.Violate("cells", "%s: %q", key, value)
 			}
 			var published struct {
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -42,7 +42,8 @@
 func newCloud(d *Deployment, types []protocol.MachineType) *FakeCloud {
 	c := &FakeCloud{
 		w: d.World, d: d, Types: types,
-		Capacity: map[scaling.CapacityPool]int{}, rented: map[string][]string{}, machines: map[string]*FakeWorker{},
+		Capacity: map[scaling.CapacityPool]int{}, rented: map[string][]string{},
+		machines: map[string]*FakeWorker{},
 	}
 	for _, t := range types {
 		for _, z := range t.Zones {
--- a/internal/simulation/cloudclient.go
+++ b/internal/simulation/cloudclient.go
@@ -53,7 +53,8 @@
 }
 
 // Rent rents machines; a repeated request gets the response of the first.
-func (x *cloudClient) Rent(r protocol.ScaleOutRequest, until clock.Micros, done func(int, protocol.ScaleOutResponse)) {
+func (x *cloudClient) Rent(r protocol.ScaleOutRequest, until clock.Micros,
+	done func(int, protocol.ScaleOutResponse)) {
 	var answer protocol.ScaleOutResponse
 	x.callUntil(until, func(status int) { done(status, answer) }, func() int {
 		if names, ok := x.cloud.rented[r.IdempotencyKey]; ok {
--- a/internal/simulation/days.go
+++ b/internal/simulation/days.go
@@ -9,7 +9,8 @@
 // announceTighterLimits has the settings announce lower limits of the store.
 func announceTighterLimits(set *settings.Settings) {
 	valueKb, txnOps, writeRps := 2.0, 4, 28.0
-	set.Deployment.KVStore.Next = &settings.NextKVStore{ValueKb: &valueKb, TxnOps: &txnOps, WriteRps: &writeRps}
+	set.Deployment.KVStore.Next = &settings.NextKVStore{ValueKb: &valueKb, TxnOps: &txnOps,
+		WriteRps: &writeRps}
 }
 
 // dayOfUpgrade is a deployment whose controllers are of the new version from the beginning, or upgraded at
@@ -26,7 +27,8 @@
 	if old {
 		upgrade := w.Between(10*clock.Second, day*5/4)
 		w.After(upgrade, func() {
-			d.Upgrade(w.Between(clock.Second, 15*clock.Second), w.Between(50*clock.Millisecond, 6*clock.Second))
+			d.Upgrade(w.Between(clock.Second, 15*clock.Second),
+				w.Between(50*clock.Millisecond, 6*clock.Second))
 		})
 	}
 	if w.chance(0.7) {
--- a/internal/simulation/docsindex_test.go
+++ b/internal/simulation/docsindex_test.go
@@ -42,7 +42,8 @@
 	x := &sourceIndex{
 		declared: map[string]bool{}, values: map[string]bool{},
 		packages: map[string]bool{}, imported: map[string]bool{},
-		files: map[string]bool{}, tags: map[string]bool{}, flags: map[string]bool{}, literals: map[string]bool{},
+		files: map[string]bool{}, tags: map[string]bool{}, flags: map[string]bool{},
+		literals: map[string]bool{},
 	}
 	index := func(file string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
@@ -81,7 +82,8 @@
 		}
 	}
 	for _, imported := range file.Imports {
-		if name, err := strconv.Unquote(imported.Path.Value); err == nil && !strings.HasPrefix(name, "postpoint/") {
+		if name, err := strconv.Unquote(imported.Path.Value); err == nil &&
+			!strings.HasPrefix(name, "postpoint/") {
 			x.imported[path.Base(name)] = true
 		}
 	}
--- a/internal/simulation/failover_test.go
+++ b/internal/simulation/failover_test.go
@@ -89,7 +89,8 @@
 			}
 		})
 		var told admission.Response
-		lone.Admission.Handle(admission.Request{Kind: admission.GetStatus, ID: j.spec.ID}, func(a admission.Response) { told = a })
+		lone.Admission.Handle(admission.Request{Kind: admission.GetStatus, ID: j.spec.ID},
+			func(a admission.Response) { told = a })
 		w.Run(w.Now() + 20*clock.Millisecond)
 		if up {
 			t.Fatalf("led %v: it passes its health check, want it failed", leads)
@@ -99,7 +100,8 @@
 				leads, status, redirect, http.StatusMisdirectedRequest)
 		}
 		if told.Status != http.StatusServiceUnavailable || told.RetryAfterS == 0 {
-			t.Fatalf("led %v: a user gets %+v, want %d and a retry time", leads, told, http.StatusServiceUnavailable)
+			t.Fatalf("led %v: a user gets %+v, want %d and a retry time", leads, told,
+				http.StatusServiceUnavailable)
 		}
 		w.Run(w.Now() + 150*clock.Second)
 		mustBeDone(t, w, j)
--- a/internal/simulation/gangs_test.go
+++ b/internal/simulation/gangs_test.go
@@ -89,7 +89,8 @@
 func TestGangIsMovedOffSurplusWorkerAsAWhole(t *testing.T) {
 	w := NewWorld(19)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
-	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 3, {Type: "big", Zone: "a"}: 2}
+	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 3,
+		{Type: "big", Zone: "a"}: 2}
 	spec := array("job-000001", "open", 3, 2, 600)
 	spec.MemoryGB = 20
 	d.Submit(spec, 600*clock.Second, false) // one on each small machine, which it keeps up
@@ -130,7 +131,8 @@
 	w := NewWorld(91)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
 	d.Cloud.Reliable = true
-	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 3, {Type: "small", Zone: "b"}: 3}
+	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 3,
+		{Type: "small", Zone: "b"}: 3}
 	gang := array("job-000001", "open", 5, 6, 20)
 	gang.Shape, gang.Zone = protocol.ShapeGang, "a"
 	d.Submit(gang, 20*clock.Second, false)
--- a/internal/simulation/loopbackserver.go
+++ b/internal/simulation/loopbackserver.go
@@ -49,39 +49,42 @@
 	}
 }
 
+// answerFunc sends a response.
+type answerFunc = func(status int, body any)
+
 // nothing is an empty message.
 type nothing struct{}
 
 // reply sends a response of the store.
-func reply[T any](answer func(int, any)) func(storetest.Reply[T]) {
+func reply[T any](answer answerFunc) func(storetest.Reply[T]) {
 	return func(x storetest.Reply[T]) { answer(x.Status, x.Value) }
 }
 
 func (l *Loopback) storeService() http.Handler {
 	store := l.Deployment.Store.For(l.node.process, &l.node.State)
 	mux := http.NewServeMux()
-	mux.Handle("GET /kv/{key...}", serve(l, func(r *http.Request, _ nothing, answer func(int, any)) {
+	mux.Handle("GET /kv/{key...}", serve(l, func(r *http.Request, _ nothing, answer answerFunc) {
 		store.Get(r.PathValue("key"), reply[protocol.Item](answer))
 	}))
-	mux.Handle("GET /kv", serve(l, func(r *http.Request, _ nothing, answer func(int, any)) {
+	mux.Handle("GET /kv", serve(l, func(r *http.Request, _ nothing, answer answerFunc) {
 		q := r.URL.Query()
 		store.List(q.Get("Prefix"), q.Get("From"), reply[protocol.ItemList](answer))
 	}))
-	mux.Handle("POST /multi", serve(l, func(_ *http.Request, t protocol.Txn, answer func(int, any)) {
+	mux.Handle("POST /multi", serve(l, func(_ *http.Request, t protocol.Txn, answer answerFunc) {
 		store.Commit(kvstore.PriorityUser, t, reply[protocol.TxnResponse](answer))
 	}))
-	mux.Handle("GET /follow", serve(l, func(r *http.Request, _ nothing, answer func(int, any)) {
+	mux.Handle("GET /follow", serve(l, func(r *http.Request, _ nothing, answer answerFunc) {
 		q := r.URL.Query()
 		from, _ := strconv.ParseInt(q.Get("From"), 10, 64)
 		block, _ := strconv.ParseInt(q.Get("BlockMs"), 10, 64)
 		store.Follow(q.Get("Prefix"), protocol.Revision(from), clock.Micros(block)*clock.Millisecond,
 			reply[protocol.WatchResponse](answer))
 	}))
-	mux.Handle("POST /leases", serve(l, func(_ *http.Request, q protocol.LeaseRequest, answer func(int, any)) {
+	mux.Handle("POST /leases", serve(l, func(_ *http.Request, q protocol.LeaseRequest, answer answerFunc) {
 		ttl := clock.Micros(q.TTLMs) * clock.Millisecond
 		store.Grant(ttl, reply[protocol.LeaseResponse](answer))
 	}))
-	mux.Handle("POST /leases/{id}/touch", serve(l, func(r *http.Request, _ nothing, answer func(int, any)) {
+	mux.Handle("POST /leases/{id}/touch", serve(l, func(r *http.Request, _ nothing, answer answerFunc) {
 		id, _ := strconv.ParseInt(r.PathValue("id"), 10, 64)
 		store.Renew(protocol.LeaseID(id), reply[protocol.LeaseResponse](answer))
 	}))
@@ -91,17 +94,17 @@
 func (l *Loopback) cloudService() http.Handler {
 	client := l.Deployment.Cloud.For(l.node.process, &l.node.Clouds)
 	mux := http.NewServeMux()
-	mux.Handle("GET /catalog", serve(l, func(_ *http.Request, _ nothing, answer func(int, any)) {
+	mux.Handle("GET /catalog", serve(l, func(_ *http.Request, _ nothing, answer answerFunc) {
 		client.Catalogue(func(status int, c protocol.Catalogue) { answer(status, c) })
 	}))
-	mux.Handle("POST /hosts", serve(l, func(_ *http.Request, q protocol.ScaleOutRequest, answer func(int, any)) {
+	mux.Handle("POST /hosts", serve(l, func(_ *http.Request, q protocol.ScaleOutRequest, answer answerFunc) {
 		client.Rent(q, math.MaxInt64, func(status int, a protocol.ScaleOutResponse) { answer(status, a) })
 	}))
-	release := func(_ *http.Request, q protocol.ScaleInRequest, answer func(int, any)) {
+	release := func(_ *http.Request, q protocol.ScaleInRequest, answer answerFunc) {
 		client.Release(q.Machines, math.MaxInt64, func(status int) { answer(status, nothing{}) })
 	}
 	mux.Handle("POST /hosts/release", serve(l, release))
-	mux.Handle("GET /hosts", serve(l, func(r *http.Request, _ nothing, answer func(int, any)) {
+	mux.Handle("GET /hosts", serve(l, func(r *http.Request, _ nothing, answer answerFunc) {
 		client.List(r.URL.Query().Get("From"), func(status int, m protocol.MachineList) { answer(status, m) })
 	}))
 	return mux
@@ -109,7 +112,7 @@
 
 func (l *Loopback) workerService() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("POST /commands", serve(l, func(r *http.Request, c protocol.CommandRequest, answer func(int, any)) {
+	mux.Handle("POST /commands", serve(l, func(r *http.Request, c protocol.CommandRequest, answer answerFunc) {
 		m := l.Deployment.byAddr[r.Host]
 		if m == nil || !m.up {
 			answer(http.StatusServiceUnavailable, nothing{})
--- a/internal/simulation/placement_test.go
+++ b/internal/simulation/placement_test.go
@@ -55,7 +55,8 @@
 func TestLargestArrayDelaysNoOtherJob(t *testing.T) {
 	w := NewWorld(20)
 	set := testSettings()
-	set.Deployment.Objectives = []settings.Objective{{Kind: "finished", Class: "small", WithinS: 60, Share: 0.9}}
+	set.Deployment.Objectives = []settings.Objective{{Kind: "finished", Class: "small", WithinS: 60,
+		Share: 0.9}}
 	d := NewDeployment(w, set, testTypes(), 0)
 	d.Cloud.Reliable = true // or how much is done is a matter of luck
 	w.Run(10 * clock.Second)
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -88,7 +88,8 @@
 	})
 }
 
-// Monotonic is the process's steady clock. With TimeOfDay, Post and After it makes the process an actor.Mailbox.
+// Monotonic is the process's steady clock. With TimeOfDay, Post and After it makes the process an
+// actor.Mailbox.
 func (p *Process) Monotonic() clock.Micros {
 	return clock.Second + clock.Micros(float64(p.w.now-p.start)*p.drift)
 }
--- a/internal/simulation/record.go
+++ b/internal/simulation/record.go
@@ -62,7 +62,8 @@
 			done(a, ok)
 		})
 	}
-	e.Everyone = func(own *admission.Admission, request admission.Request, done func([]admission.Response, bool)) {
+	e.Everyone = func(own *admission.Admission, request admission.Request,
+		done func([]admission.Response, bool)) {
 		r.record("ask all nodes", peer.RequestFrame(request))
 		everyone(own, request, func(answers []admission.Response, ok bool) {
 			for _, a := range answers {
@@ -145,7 +146,8 @@
 	})
 }
 
-func (c *recordedCloud) Rent(r protocol.ScaleOutRequest, until clock.Micros, done func(int, protocol.ScaleOutResponse)) {
+func (c *recordedCloud) Rent(r protocol.ScaleOutRequest, until clock.Micros,
+	done func(int, protocol.ScaleOutResponse)) {
 	c.record("rent", r, int64(until))
 	c.cloud.Rent(r, until, func(status int, a protocol.ScaleOutResponse) {
 		c.record("rent answered", status, a)
@@ -236,7 +238,8 @@
 	exchanges exchangeHandler
 }
 
-func (x *recordedExchanges) Exchange(report delegation.Heartbeat, reply func(delegation.HeartbeatResponse, bool)) {
+func (x *recordedExchanges) Exchange(report delegation.Heartbeat,
+	reply func(delegation.HeartbeatResponse, bool)) {
 	x.record("cell report", report.Encode())
 	x.exchanges.Exchange(report, func(a delegation.HeartbeatResponse, ok bool) {
 		x.record("cell answer", ok, a.Encode())
--- a/internal/simulation/record_test.go
+++ b/internal/simulation/record_test.go
@@ -50,7 +50,8 @@
 	h, first := recordShortDay(1, "", nil)
 	for _, kind := range []string{
 		"get answered", "list answered", "commit answered", "follow answered", "grant answered",
-		"renew answered", "catalogue answered", "rent answered", "list machines answered", "commands answered",
+		"renew answered", "catalogue answered", "rent answered", "list machines answered",
+		"commands answered",
 		"heartbeat answer", "user answer", "overview", "ready", "stored",
 	} {
 		if h.kinds[kind] == 0 {
--- a/internal/simulation/requests_test.go
+++ b/internal/simulation/requests_test.go
@@ -18,11 +18,12 @@
 	done := d.Submit(array("job-000003", "open", 1, 1, 5), 5*clock.Second, false)
 	for range 30 {
 		sendInvalidRequests(d)
-		d.ask(admission.Request{Kind: admission.GetStatus, ID: "job-999999"}, func(status int, _ protocol.JobStatus) {
-			if status != http.StatusNotFound {
-				w.Violate("invented", "answered %d", status)
-			}
-		})
+		d.ask(admission.Request{Kind: admission.GetStatus, ID: "job-999999"},
+			func(status int, _ protocol.JobStatus) {
+				if status != http.StatusNotFound {
+					w.Violate("invented", "answered %d", status)
+				}
+			})
 		w.Run(w.Now() + 4*clock.Second)
 	}
 	mustBeDone(t, w, j)
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -106,7 +106,8 @@
 		d.World.Violate(ranCancelled, "%s/%d starts", k.job, k.task)
 	}
 	zone := m.d.name + m.zone
-	if !planner.MachineAllowed(&j.spec, m.typ, m.zone, m.spot) || !planner.ZoneAllowed(&j.spec, j.zones(k.task), zone) {
+	if !planner.MachineAllowed(&j.spec, m.typ, m.zone, m.spot) ||
+		!planner.ZoneAllowed(&j.spec, j.zones(k.task), zone) {
 		d.World.Violate(wrongPlace, "%s/%d on %s %s", k.job, k.task, m.typ, m.zone)
 	}
 }
--- a/internal/simulation/scale_test.go
+++ b/internal/simulation/scale_test.go
@@ -19,7 +19,8 @@
 	t.Parallel()
 	w := NewWorld(17)
 	set := testSettings()
-	set.Deployment.Workers.HeartbeatS, set.Deployment.Workers.LeaseS, set.Deployment.Workers.CancelS = 5, 22, 42
+	set.Deployment.Workers.HeartbeatS, set.Deployment.Workers.LeaseS, set.Deployment.Workers.CancelS = 5, 22,
+		42
 	set.Deployment.KVStore.ValueKb, set.Deployment.KVStore.TxnOps = 32, 12
 	d := NewDeployment(w, set, testTypes(), 0)
 	d.Store.Kept, d.Store.Page = 10_000, 500
@@ -129,12 +130,14 @@
 	t.Parallel()
 	w := NewWorld(18)
 	set := testSettings()
-	set.Deployment.Workers = settings.Workers{HeartbeatS: 6, LeaseS: 31, GangWaitS: 40, GangPeerS: 5, CancelS: 51}
+	set.Deployment.Workers = settings.Workers{HeartbeatS: 6, LeaseS: 31, GangWaitS: 40, GangPeerS: 5,
+		CancelS: 51}
 	set.Deployment.KVStore = settings.KVStore{Rps: 250, WriteRps: 70, ValueKb: 32, TxnOps: 12}
 	set.Deployment.Cloud.Rps = 12
 	d := NewDeployment(w, set, testTypes(), 0)
 	d.Store.Kept, d.Store.Page = 10_000, 500
-	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 1500, {Type: "small", Zone: "b"}: 500}
+	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 1500,
+		{Type: "small", Zone: "b"}: 500}
 	for i := range clock.Micros(8) {
 		const n = 1000
 		w.After(i*2*clock.Second, func() {
--- a/internal/simulation/scalefailover_test.go
+++ b/internal/simulation/scalefailover_test.go
@@ -17,13 +17,15 @@
 	t.Parallel()
 	w := NewWorld(19)
 	set := testSettings()
-	set.Deployment.Workers = settings.Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 40, GangPeerS: 5, CancelS: 36}
+	set.Deployment.Workers = settings.Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 40, GangPeerS: 5,
+		CancelS: 36}
 	set.Deployment.KVStore = settings.KVStore{Rps: 100, WriteRps: 30, ValueKb: 32, TxnOps: 12}
 	set.Deployment.MachineLimits.CPU = 0.05
 	d := NewDeployment(w, set, testTypes(), 0)
 	d.Store.Kept, d.Store.Page = 10_000, 500
 	d.Cloud.Reliable = true
-	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 400, {Type: "small", Zone: "b"}: 200}
+	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 400,
+		{Type: "small", Zone: "b"}: 200}
 	w.MessageCost = 2 * clock.Millisecond
 	submit := func(tasks int, run clock.Micros) {
 		d.Submit(array(d.nextID(), "open", tasks, 2, run.Seconds()), run, false)
@@ -81,17 +83,20 @@
 	t.Parallel()
 	w := NewWorld(20)
 	set := tighteningSettings()
-	set.Deployment.Workers = settings.Workers{HeartbeatS: 6, LeaseS: 31, GangWaitS: 40, GangPeerS: 5, CancelS: 51}
+	set.Deployment.Workers = settings.Workers{HeartbeatS: 6, LeaseS: 31, GangWaitS: 40, GangPeerS: 5,
+		CancelS: 51}
 	set.Deployment.KVStore.Rps, set.Deployment.KVStore.WriteRps = 250, 70
 	set.Deployment.Cloud.Rps = 12
 	d := NewDeployment(w, set, testTypes(), 0)
 	d.Store.Kept, d.Store.Page = 10_000, 500
 	d.Cloud.Reliable = true
-	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 3000, {Type: "small", Zone: "b"}: 1000}
+	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 3000,
+		{Type: "small", Zone: "b"}: 1000}
 	d.Store.Limit(set.Deployment.KVStore.Tightest(), false)
 	submit := func(shape, rank string, tasks int, cpus float64, run clock.Micros) *Job {
 		spec := array(d.nextID(), "open", tasks, cpus, run.Seconds())
-		spec.Class, spec.Shape, spec.Priority, spec.Spread = shape, shape, rank, shape == protocol.ShapeService
+		spec.Class, spec.Shape, spec.Priority, spec.Spread = shape, shape, rank,
+			shape == protocol.ShapeService
 		return d.Submit(spec, run, false)
 	}
 	for i := range clock.Micros(8) {
--- a/internal/simulation/storeclient.go
+++ b/internal/simulation/storeclient.go
@@ -135,7 +135,8 @@
 			respond(http.StatusGone, protocol.WatchResponse{})
 		default:
 			c.watch(prefix, from, block, func() {
-				respond(http.StatusOK, protocol.WatchResponse{Revision: s.revision, Events: s.eventsSince(prefix, from)})
+				respond(http.StatusOK, protocol.WatchResponse{Revision: s.revision,
+					Events: s.eventsSince(prefix, from)})
 			})
 		}
 	}, func() { done(storetest.Reply[protocol.WatchResponse]{}) })
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -17,7 +17,8 @@
 	set := testSettings()
 	valueKb, txnOps, writeRps := 2.0, 4, 28.0
 	set.Deployment.KVStore.ValueKb, set.Deployment.KVStore.TxnOps = 32, 12
-	set.Deployment.KVStore.Next = &settings.NextKVStore{ValueKb: &valueKb, TxnOps: &txnOps, WriteRps: &writeRps}
+	set.Deployment.KVStore.Next = &settings.NextKVStore{ValueKb: &valueKb, TxnOps: &txnOps,
+		WriteRps: &writeRps}
 	return set
 }
 
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -111,21 +111,22 @@
 func (d *Deployment) poll(j *Job) {
 	d.World.After(d.World.Between(minPollInterval, maxPollInterval), func() {
 		before := j.finalStatus
-		d.ask(admission.Request{Kind: admission.GetStatus, ID: j.spec.ID}, func(status int, s protocol.JobStatus) {
-			if status == http.StatusNotFound {
-				d.World.Violate(forgotten, "%s answered 404", j.spec.ID)
-			}
-			if status == http.StatusOK {
-				j.lastResponseAt = d.World.now
-				d.checkStatus(j, before, s)
-			}
-			if j.finalStatus == "" || d.World.chance(pollAfterEnd) {
-				d.poll(j)
-			}
-			if d.World.chance(resubmission) {
-				d.submit(j)
-			}
-		})
+		d.ask(admission.Request{Kind: admission.GetStatus, ID: j.spec.ID},
+			func(status int, s protocol.JobStatus) {
+				if status == http.StatusNotFound {
+					d.World.Violate(forgotten, "%s answered 404", j.spec.ID)
+				}
+				if status == http.StatusOK {
+					j.lastResponseAt = d.World.now
+					d.checkStatus(j, before, s)
+				}
+				if j.finalStatus == "" || d.World.chance(pollAfterEnd) {
+					d.poll(j)
+				}
+				if d.World.chance(resubmission) {
+					d.submit(j)
+				}
+			})
 	})
 }
 
--- a/internal/simulation/watch.go
+++ b/internal/simulation/watch.go
@@ -162,7 +162,8 @@
 			} else if since[j.spec.ID] == 0 {
 				since[j.spec.ID] = d.World.now
 			} else if d.World.now > max(since[j.spec.ID], d.disturbedAt)+longest {
-				d.World.Violate(incompleteGang, "%s: %d of %d tasks", j.spec.ID, len(r.Placements), j.spec.Tasks)
+				d.World.Violate(incompleteGang, "%s: %d of %d tasks", j.spec.ID, len(r.Placements),
+					j.spec.Tasks)
 				since[j.spec.ID] = d.World.now
 			}
 		}
--- a/internal/simulation/zoneloss_test.go
+++ b/internal/simulation/zoneloss_test.go
@@ -19,14 +19,19 @@
 		reached func(d *Deployment, j *Job) bool
 	}{
 		{"accepted", func(_ *Deployment, j *Job) bool { return j.accepted() }},
-		{"placed", func(d *Deployment, j *Job) bool { return len(d.Store.wholeRecord(j.spec.ID).Placements) > 0 }},
+		{"placed",
+			func(d *Deployment, j *Job) bool { return len(d.Store.wholeRecord(j.spec.ID).Placements) > 0 }},
 		{"fetching", func(d *Deployment, j *Job) bool { return d.count(j, protocol.TaskFetching) > 0 }},
 		{"waiting", func(d *Deployment, j *Job) bool { return d.count(j, protocol.TaskWaiting) > 0 }},
-		{"running", func(d *Deployment, j *Job) bool { return d.count(j, protocol.TaskRunning) == j.spec.Tasks }},
+		{"running", func(d *Deployment, j *Job) bool {
+			return d.count(j,
+				protocol.TaskRunning) == j.spec.Tasks
+		}},
 		{"running for long", func(d *Deployment, j *Job) bool {
 			return j.startedAt != 0 && d.World.now > j.startedAt+12*clock.Second
 		}},
-		{"rebuilt", func(d *Deployment, j *Job) bool { return d.Store.wholeRecord(j.spec.ID).NextAttempt > 1 }},
+		{"rebuilt",
+			func(d *Deployment, j *Job) bool { return d.Store.wholeRecord(j.spec.ID).NextAttempt > 1 }},
 	}
 	for i, step := range steps {
 		t.Run(step.name, func(t *testing.T) {
@@ -42,7 +47,8 @@
 					if step.name == "rebuilt" {
 						w.After(30*clock.Second, func() { w.After(40*clock.Second, d.CutZone("a", true)) })
 					}
-					for w.Now() < 150*clock.Second && !(d.Store.wholeRecord(j.spec.ID) != nil && step.reached(d, j)) {
+					for w.Now() < 150*clock.Second &&
+						!(d.Store.wholeRecord(j.spec.ID) != nil && step.reached(d, j)) {
 						w.Run(w.Now() + 20*clock.Millisecond)
 					}
 					w.After(long, d.CutZone(zone, k%2 == 0))
--- a/internal/simulation/zonerecovery_test.go
+++ b/internal/simulation/zonerecovery_test.go
@@ -16,7 +16,8 @@
 // phase, and the zone is healthy again once it has been back for long enough.
 func TestZoneRecoverySurvivesFailover(t *testing.T) {
 	t.Parallel()
-	for _, phase := range []zonerecovery.Phase{zonerecovery.Suspect, zonerecovery.Lost, zonerecovery.Returning} {
+	for _, phase := range []zonerecovery.Phase{zonerecovery.Suspect, zonerecovery.Lost,
+		zonerecovery.Returning} {
 		for zone, k := range map[string]int{"a": 0, "b": 1} { // with the leader inside, or most controllers
 			w, d, h := twoZones(uint64(5200+k), nil)
 			d.capacity(4)
@@ -36,7 +37,8 @@
 			}
 			w.Run(200 * clock.Second)
 			if z := d.zones()[zone]; z.Phase != zonerecovery.Healthy || z.Losses != 1 {
-				t.Errorf("zone %s, failover while %s: %+v, want %s and loss 1", zone, phase, z, zonerecovery.Healthy)
+				t.Errorf("zone %s, failover while %s: %+v, want %s and loss 1", zone, phase, z,
+					zonerecovery.Healthy)
 			}
 			w.Run(500 * clock.Second)
 			checkJobs(t, string(phase), w, h, j)
--- a/internal/workerclient/golden_test.go
+++ b/internal/workerclient/golden_test.go
@@ -26,7 +26,8 @@
 			"User-Agent: Go-http-client/1.1\n\n\x83\xa5Epoch)\xa5Shift\x03\xa6Orders\x91\x84\xa4Verb\xa4k"+
 			"ill\xa3Leg\xa7job-1/0\xa3Try\x02\xa6LeaveS\xcb@\x10\x00\x00\x00\x00\x00\x00")
 	(<-box.Messages)()
-	want := Response{Status: protocol.Heartbeat{Machine: "m-1", Incarnation: 3}, Err: &RejectedError{Incarnation: 3}}
+	want := Response{Status: protocol.Heartbeat{Machine: "m-1", Incarnation: 3},
+		Err: &RejectedError{Incarnation: 3}}
 	if d := cmp.Diff(want, got); d != "" {
 		t.Error(d)
 	}
--- a/internal/workerclient/workertest/service.go
+++ b/internal/workerclient/workertest/service.go
@@ -12,7 +12,8 @@
 // Service is a stand-in of all workers as one client sees them. Status 0 means that no response came,
 // transport.NotSent that the commands never left.
 type Service interface {
-	Commands(addr string, c protocol.CommandRequest, until clock.Micros, done func(status int, r protocol.Heartbeat))
+	Commands(addr string, c protocol.CommandRequest, until clock.Micros,
+		done func(status int, r protocol.Heartbeat))
 }
 
 // Client returns the workers whose results are what the service responds.
@@ -21,7 +22,8 @@
 // client turns statuses into errors.
 type client struct{ service Service }
 
-func (c client) Commands(addr string, commands protocol.CommandRequest, until clock.Micros, done func(workerclient.Response)) {
+func (c client) Commands(addr string, commands protocol.CommandRequest, until clock.Micros,
+	done func(workerclient.Response)) {
 	c.service.Commands(addr, commands, until, func(status int, r protocol.Heartbeat) {
 		done(workerclient.Response{Status: r, Err: failure(status, r)})
 	})
--- a/internal/zonerecovery/load.go
+++ b/internal/zonerecovery/load.go
@@ -68,7 +68,8 @@
 		switch override.Action {
 		case Hold, Hasten, End:
 		default:
-			return configfile.Invalid(field+".action", string(override.Action), "is none of hold, hasten, end")
+			return configfile.Invalid(field+".action", string(override.Action),
+				"is none of hold, hasten, end")
 		}
 		if len(deployed) > 0 && !slices.Contains(deployed, override.Name) {
 			return configfile.Invalid(field+".name", override.Name, "is not among the deployment's zones")
--- a/internal/zonerecovery/load_test.go
+++ b/internal/zonerecovery/load_test.go
@@ -57,7 +57,8 @@
 		{Old: settle, New: "settles = 10.0", Field: "settles"},
 		{Old: settle, New: settle + "\nzones = [" + milanoHolds + "]", Field: "zones[0].name"},
 		{Old: settle, New: settle + "\nzones = [" + somesWaits + "]", Field: "zones[0].action"},
-		{Old: settle, New: settle + "\nzones = [" + somesEnds + ", " + somesEnds + "]", Field: "zones[1].name"},
+		{Old: settle, New: settle + "\nzones = [" + somesEnds + ", " + somesEnds + "]",
+			Field: "zones[1].name"},
 	}
 	configtest.RequireRejected(t, configtest.ReadExample(t, "recovery.toml"), faults, func(raw []byte) error {
 		_, err := Parse(raw, deploymentSettings())
