--- a/internal/cells/check.go
+++ b/internal/cells/check.go
@@ -157,7 +157,8 @@
 		return nil
 	}
 	return configfile.Invalid(field, host.Name,
-		"needs %.1f s of cancel_s %v s to be rid of a task, which leaves %.1f s between two answers, under %.0f s",
+		"needs %.1f s of cancel_s %v s to be rid of a task, which leaves %.1f s between two answers, "+
+			"under %.0f s",
 		clearTime.Seconds(), origin.CancelS, permission.Seconds(), MinPermission.Seconds())
 }
 
--- a/internal/leader/machinetable/machine.go
+++ b/internal/leader/machinetable/machine.go
@@ -101,7 +101,7 @@
 		return false
 	}
 	if len(tasks) == 0 || len(s.listedTasks) == len(tasks) && &s.listedTasks[0] == &tasks[0] {
-		return true // the very list of the last heartbeat: see protocol.ReportDecoder
+		return true // the very list of the last heartbeat: see protocol.HeartbeatDecoder
 	}
 	for _, t := range tasks {
 		job, task, ok := protocol.ParseTask(t.Task)
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -12,8 +12,8 @@
 //
 //	request:          kind (1), length of the id (2), id, body
 //	answer:           HTTP status (2), seconds to retry after (2), body
-//	exchange request: kind (1), a delegation.Report
-//	exchange answer:  a delegation.Answer
+//	exchange request: kind (1), a delegation.Heartbeat
+//	exchange answer:  a delegation.HeartbeatResponse
 const (
 	requestHeaderBytes = 3
 	idLengthOffset     = 1
--- a/internal/simulation/loopbackserver.go
+++ b/internal/simulation/loopbackserver.go
@@ -112,15 +112,16 @@
 
 func (l *Loopback) workerService() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("POST /commands", serve(l, func(r *http.Request, c protocol.CommandRequest, answer answerFunc) {
-		m := l.Deployment.byAddr[r.Host]
-		if m == nil || !m.up {
-			answer(http.StatusServiceUnavailable, nothing{})
-			return
-		}
-		l.countStarts(c.Commands)
-		status, report := m.command(c)
-		answer(status, report)
-	}))
+	mux.Handle("POST /commands", serve(l,
+		func(r *http.Request, c protocol.CommandRequest, answer answerFunc) {
+			m := l.Deployment.byAddr[r.Host]
+			if m == nil || !m.up {
+				answer(http.StatusServiceUnavailable, nothing{})
+				return
+			}
+			l.countStarts(c.Commands)
+			status, report := m.command(c)
+			answer(status, report)
+		}))
 	return mux
 }
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -77,7 +77,7 @@
 	return &Process{w: w, alive: true, start: w.now, drift: 1 + w.Rand.Float64()*maxClockDrift}
 }
 
-// sendUntil sends a request out unless that is later than a deadline, as transport.CallUntil does.
+// sendUntil sends a request out unless that is later than a deadline, as transport.Client.Do does.
 func (p *Process) sendUntil(until clock.Micros, send, late func()) {
 	p.send(func() {
 		if p.Monotonic() >= until {
