--- a/internal/admission/cancellation_test.go
+++ b/internal/admission/cancellation_test.go
@@ -19,7 +19,7 @@
 	spec.Shape, spec.Tasks = protocol.ShapeArray, 400
 	record := jobrecord.New(spec, 1)
 	for task := range spec.Tasks {
-		machine := fmt.Sprintf("m-%06d", task)
+		machine := protocol.MachineName(fmt.Sprintf("m-%06d", task))
 		record.Placements[task] = jobrecord.Placement{Task: task, Attempt: 1, Machine: machine,
 			Incarnation: 1}
 	}
--- a/internal/admission/handler.go
+++ b/internal/admission/handler.go
@@ -121,7 +121,7 @@
 // are separated by spaces in records.
 func validHeartbeat(r *protocol.Heartbeat) bool {
 	validName := r.Machine != "" && len(r.Machine) <= protocol.MaxTextBytes &&
-		!strings.ContainsFunc(r.Machine, unicode.IsSpace)
+		!strings.ContainsFunc(string(r.Machine), unicode.IsSpace)
 	return validName && r.Address != "" && r.Incarnation > 0
 }
 
--- a/internal/admission/helpers_test.go
+++ b/internal/admission/helpers_test.go
@@ -118,7 +118,7 @@
 }
 
 // heartbeatBody returns a valid heartbeat.
-func heartbeatBody(machine string, counter int64) []byte {
+func heartbeatBody(machine protocol.MachineName, counter int64) []byte {
 	return protocol.Encode(protocol.Heartbeat{Machine: machine, Address: "a:1", Incarnation: 1,
 		Counter: counter})
 }
--- a/internal/admission/listener_test.go
+++ b/internal/admission/listener_test.go
@@ -8,6 +8,8 @@
 	"net/http"
 	"testing"
 	"time"
+
+	"postpoint/internal/protocol"
 )
 
 // A real listener with far fewer connections than there are workers, most of them taken by callers
@@ -42,7 +44,7 @@
 	}
 	for round := range rounds {
 		for i, client := range clients {
-			status, err := ask(client, "POST", "/agent/beat", heartbeatBody(fmt.Sprint("m-", i), 0))
+			status, err := ask(client, "POST", "/agent/beat", heartbeatBody(protocol.MachineName(fmt.Sprint("m-", i)), 0))
 			if err != nil || status != http.StatusOK {
 				t.Fatalf("round %d, worker %d: %d (%v), want %d", round, i, status, err, http.StatusOK)
 			}
--- a/internal/cloudclient/client.go
+++ b/internal/cloudclient/client.go
@@ -39,11 +39,14 @@
 	Catalogue(done func(protocol.Catalogue, error))
 	// ScaleOut rents machines. A booking that is repeated rents nothing more and returns the same
 	// machines, fewer than were asked for if there are no more.
-	ScaleOut(r protocol.ScaleOutRequest, until clock.Micros, done func(machines []string, err error))
+	ScaleOut(
+		r protocol.ScaleOutRequest, until clock.Micros,
+		done func(machines []protocol.MachineName, err error),
+	)
 	// ScaleIn returns machines. Once it has succeeded they are gone with everything on them.
-	ScaleIn(machines []string, until clock.Micros, done func(error))
+	ScaleIn(machines []protocol.MachineName, until clock.Micros, done func(error))
 	// List reads a page of the machines whose names come after from.
-	List(from string, done func(protocol.MachineList, error))
+	List(from protocol.MachineName, done func(protocol.MachineList, error))
 }
 
 // Client is the process's pool of connections to the cloud.
@@ -105,21 +108,23 @@
 	b.call(read, http.MethodGet, "/catalog", nil, &c, func(err error) { done(c, err) })
 }
 
-func (b *bound) ScaleOut(r protocol.ScaleOutRequest, until clock.Micros, done func([]string, error)) {
+func (b *bound) ScaleOut(
+	r protocol.ScaleOutRequest, until clock.Micros, done func([]protocol.MachineName, error),
+) {
 	var a protocol.ScaleOutResponse
 	b.call(b.before(until), http.MethodPost, "/hosts", protocol.Encode(r), &a,
 		func(err error) { done(a.Machines, err) })
 }
 
-func (b *bound) ScaleIn(machines []string, until clock.Micros, done func(error)) {
+func (b *bound) ScaleIn(machines []protocol.MachineName, until clock.Micros, done func(error)) {
 	body := protocol.Encode(protocol.ScaleInRequest{Machines: machines})
 	b.call(b.before(until), http.MethodPost, "/hosts/release", body, nil, done)
 }
 
-func (b *bound) List(from string, done func(protocol.MachineList, error)) {
+func (b *bound) List(from protocol.MachineName, done func(protocol.MachineList, error)) {
 	q := url.Values{"Limit": {strconv.Itoa(PageSize)}}
 	if from != "" {
-		q.Set("From", from)
+		q.Set("From", string(from))
 	}
 	var l protocol.MachineList
 	b.call(read, http.MethodGet, "/hosts?"+q.Encode(), nil, &l, func(err error) { done(l, err) })
--- a/internal/cloudclient/client_test.go
+++ b/internal/cloudclient/client_test.go
@@ -53,14 +53,14 @@
 		requests int32
 	}{
 		{"a late return", func() {
-			api.ScaleIn([]string{"m-1"}, 10*clock.Second, func(err error) { got = err })
+			api.ScaleIn([]protocol.MachineName{"m-1"}, 10*clock.Second, func(err error) { got = err })
 		}, ErrNotSent, 0},
 		{"a late rental", func() {
 			api.ScaleOut(protocol.ScaleOutRequest{IdempotencyKey: "b"}, 9*clock.Second,
-				func(_ []string, err error) { got = err })
+				func(_ []protocol.MachineName, err error) { got = err })
 		}, ErrNotSent, 0},
 		{"a return", func() {
-			api.ScaleIn([]string{"m-1"}, 11*clock.Second, func(err error) { got = err })
+			api.ScaleIn([]protocol.MachineName{"m-1"}, 11*clock.Second, func(err error) { got = err })
 		}, nil, 1},
 		{"a list", func() { api.List("", func(_ protocol.MachineList, err error) { got = err }) }, nil, 2},
 	} {
@@ -81,7 +81,7 @@
 		err                      error
 		notExecuted, outcomeOpen bool
 	}{
-		{200, protocol.Encode(protocol.ScaleOutResponse{Machines: []string{"m-1"}}), nil, false, false},
+		{200, protocol.Encode(protocol.ScaleOutResponse{Machines: []protocol.MachineName{"m-1"}}), nil, false, false},
 		{503, refusal(protocol.NoCapacity), ErrNoCapacity, true, false},
 		{503, refusal("trouble"), ErrUnavailable, true, false},
 		{503, nil, ErrUnavailable, true, false},
@@ -93,10 +93,10 @@
 		{200, []byte{0xc1}, ErrNoResponse, false, true},
 	} {
 		s := newService(t, c.status, c.body)
-		var machines []string
+		var machines []protocol.MachineName
 		var err error
 		s.results().ScaleOut(protocol.ScaleOutRequest{IdempotencyKey: "b"}, 11*clock.Second,
-			func(m []string, e error) { machines, err = m, e })
+			func(m []protocol.MachineName, e error) { machines, err = m, e })
 		s.await()
 		if !errors.Is(err, c.err) || NotExecuted(err) != c.notExecuted ||
 			OutcomeUnknown(err) != c.outcomeOpen {
@@ -104,7 +104,7 @@
 				c.body, err,
 				NotExecuted(err), OutcomeUnknown(err), c.err, c.notExecuted, c.outcomeOpen)
 		}
-		if c.err == nil && !slices.Equal(machines, []string{"m-1"}) {
+		if c.err == nil && !slices.Equal(machines, []protocol.MachineName{"m-1"}) {
 			t.Errorf("machines %v, expected m-1", machines)
 		}
 	}
--- a/internal/cloudclient/cloudtest/service.go
+++ b/internal/cloudclient/cloudtest/service.go
@@ -14,8 +14,8 @@
 type Service interface {
 	Catalogue(done func(status int, c protocol.Catalogue))
 	Rent(r protocol.ScaleOutRequest, until clock.Micros, done func(status int, a protocol.ScaleOutResponse))
-	Release(machines []string, until clock.Micros, done func(status int))
-	List(from string, done func(status int, l protocol.MachineList))
+	Release(machines []protocol.MachineName, until clock.Micros, done func(status int))
+	List(from protocol.MachineName, done func(status int, l protocol.MachineList))
 }
 
 // Client returns the cloud whose results are what the service responds.
@@ -28,17 +28,19 @@
 	c.service.Catalogue(func(status int, types protocol.Catalogue) { done(types, failure(status, "")) })
 }
 
-func (c client) ScaleOut(r protocol.ScaleOutRequest, until clock.Micros, done func([]string, error)) {
+func (c client) ScaleOut(
+	r protocol.ScaleOutRequest, until clock.Micros, done func([]protocol.MachineName, error),
+) {
 	c.service.Rent(r, until, func(status int, a protocol.ScaleOutResponse) {
 		done(a.Machines, failure(status, a.Error))
 	})
 }
 
-func (c client) ScaleIn(machines []string, until clock.Micros, done func(error)) {
+func (c client) ScaleIn(machines []protocol.MachineName, until clock.Micros, done func(error)) {
 	c.service.Release(machines, until, func(status int) { done(failure(status, "")) })
 }
 
-func (c client) List(from string, done func(protocol.MachineList, error)) {
+func (c client) List(from protocol.MachineName, done func(protocol.MachineList, error)) {
 	c.service.List(from, func(status int, l protocol.MachineList) { done(l, failure(status, "")) })
 }
 
--- a/internal/cloudclient/cloudtest/service_test.go
+++ b/internal/cloudclient/cloudtest/service_test.go
@@ -24,12 +24,12 @@
 
 func (f fixedCloud) Rent(_ protocol.ScaleOutRequest, _ clock.Micros,
 	done func(int, protocol.ScaleOutResponse)) {
-	done(f.status, protocol.ScaleOutResponse{Machines: []string{"m-1"}, Error: f.reason})
+	done(f.status, protocol.ScaleOutResponse{Machines: []protocol.MachineName{"m-1"}, Error: f.reason})
 }
 
-func (f fixedCloud) Release(_ []string, _ clock.Micros, done func(int)) { done(f.status) }
+func (f fixedCloud) Release(_ []protocol.MachineName, _ clock.Micros, done func(int)) { done(f.status) }
 
-func (f fixedCloud) List(_ string, done func(int, protocol.MachineList)) {
+func (f fixedCloud) List(_ protocol.MachineName, done func(int, protocol.MachineList)) {
 	done(f.status, protocol.MachineList{More: true})
 }
 
@@ -50,10 +50,10 @@
 	for status := transport.NotSent; status < 1000; status++ {
 		for _, reason := range []string{"", protocol.NoCapacity, "trouble"} {
 			err := errors.New("no outcome")
-			var machines []string
+			var machines []protocol.MachineName
 			Client(fixedCloud{status, reason}).ScaleOut(protocol.ScaleOutRequest{}, 0,
-				func(m []string, e error) { machines, err = m, e })
-			if got := statusOf(t, err); got != status || !slices.Equal(machines, []string{"m-1"}) ||
+				func(m []protocol.MachineName, e error) { machines, err = m, e })
+			if got := statusOf(t, err); got != status || !slices.Equal(machines, []protocol.MachineName{"m-1"}) ||
 				status != http.StatusOK && cloudclient.Reason(err) != reason {
 				t.Errorf("status %d with reason %q became %d with %q and machines %v", status, reason, got,
 					cloudclient.Reason(err), machines)
--- a/internal/cloudclient/golden_test.go
+++ b/internal/cloudclient/golden_test.go
@@ -16,7 +16,7 @@
 // Every request to the cloud is the recorded one, and its answer is read.
 func TestGoldenRequests(t *testing.T) {
 	var catalogue protocol.Catalogue
-	var rented []string
+	var rented []protocol.MachineName
 	var list protocol.MachineList
 	var got error
 	var api API
@@ -31,13 +31,15 @@
 		{"rental", "\x81\xa5Hosts\x91\xa3m-1", func() {
 			r := protocol.ScaleOutRequest{IdempotencyKey: "e41-2", Type: "g8", Zone: "a", Spot: true,
 				Count: 5}
-			api.ScaleOut(r, clock.Second, func(machines []string, err error) { rented, got = machines, err })
+			api.ScaleOut(r, clock.Second, func(machines []protocol.MachineName, err error) {
+				rented, got = machines, err
+			})
 		},
 			"POST /hosts\nContent-Length: 49\nContent-Type: application/msgpack\n" +
 				"User-Agent: Go-http-client/1.1\n\n\x85\xa7Booking\xa5e41-2\xa5Fleet\xa2g8\xa4Hall\xa1a" +
 				"\xa7Loaners\xc3\xa7HowMany\x05"},
 		{"release", "", func() {
-			api.ScaleIn([]string{"m-1", "m-2"}, clock.Second, func(err error) { got = err })
+			api.ScaleIn([]protocol.MachineName{"m-1", "m-2"}, clock.Second, func(err error) { got = err })
 		},
 			"POST /hosts/release\nContent-Length: 16\nContent-Type: application/msgpack\n" +
 				"User-Agent: Go-http-client/1.1\n\n\x81\xa5Hosts\x92\xa3m-1\xa3m-2"},
@@ -62,7 +64,7 @@
 		catalogue); d != "" {
 		t.Error(d)
 	}
-	if d := cmp.Diff([]string{"m-1"}, rented); d != "" {
+	if d := cmp.Diff([]protocol.MachineName{"m-1"}, rented); d != "" {
 		t.Error(d)
 	}
 	want := protocol.MachineList{Machines: []protocol.ListedMachine{{Name: "m-1"}}, More: true}
--- a/internal/jobrecord/capacity_test.go
+++ b/internal/jobrecord/capacity_test.go
@@ -22,7 +22,7 @@
 	for range 200 {
 		tasks := record.Pending(record.StartCapacity(limit))
 		for i, task := range tasks {
-			machine := "m-1" + string(rune('a'+i%26)) + "23456"
+			machine := protocol.MachineName("m-1" + string(rune('a'+i%26)) + "23456")
 			record.Placements[task] = Placement{
 				Task: task, Attempt: protocol.Attempt(100_000 + i), Machine: machine, Incarnation: 123,
 			}
--- a/internal/jobrecord/codec_test.go
+++ b/internal/jobrecord/codec_test.go
@@ -23,7 +23,7 @@
 			record.Placements[task] = Placement{
 				Task:        task,
 				Attempt:     protocol.Attempt(rapid.IntRange(1, 3).Draw(t, "attempt")),
-				Machine:     rapid.SampledFrom([]string{"m-000001", "m-000002"}).Draw(t, "machine"),
+				Machine:     rapid.SampledFrom([]protocol.MachineName{"m-000001", "m-000002"}).Draw(t, "machine"),
 				Incarnation: 1,
 			}
 		}
@@ -87,7 +87,7 @@
 func BenchmarkEncode(b *testing.B) {
 	record := New(protocol.JobSpec{ID: "job-000001", Tasks: 248}, 1)
 	for task := range 248 {
-		machine := "m-00000" + string(rune('0'+task%10))
+		machine := protocol.MachineName("m-00000" + string(rune('0'+task%10)))
 		record.Placements[task] = Placement{Task: task, Attempt: 3, Machine: machine, Incarnation: 1}
 	}
 	for b.Loop() {
--- a/internal/jobrecord/delegation.go
+++ b/internal/jobrecord/delegation.go
@@ -3,16 +3,20 @@
 import (
 	"strconv"
 	"strings"
+
+	"postpoint/internal/protocol"
 )
 
 // DelegatedTo returns what a placement has in place of a machine for a task that the given cell
 // runs. The placement's Incarnation is then the number of the delegation. Names of machines have no
 // spaces, so that it can't be taken for one.
-func DelegatedTo(cell string) string { return cellMarker + " " + cell }
+func DelegatedTo(cell string) protocol.MachineName {
+	return protocol.MachineName(cellMarker + " " + cell)
+}
 
 // HostCell returns the cell that runs the placement's task, or "" if it is this one.
 func (p Placement) HostCell() string {
-	cell, delegated := strings.CutPrefix(p.Machine, cellMarker+" ")
+	cell, delegated := strings.CutPrefix(string(p.Machine), cellMarker+" ")
 	if !delegated {
 		return ""
 	}
@@ -22,14 +26,14 @@
 // splitMachine returns the machine or the cell of a placement's words. The first of the remaining
 // words stands for it, so that what follows has the same index either way: a machine takes one
 // word, and every placement then has an even number of them; a cell takes two.
-func splitMachine(words []string) (machine string, rest []string) {
+func splitMachine(words []string) (machine protocol.MachineName, rest []string) {
 	switch {
 	case len(words) == 0:
 		return "", nil
 	case len(words)%2 == 1 && words[0] == cellMarker:
 		return DelegatedTo(words[1]), words[1:]
 	}
-	return words[0], words
+	return protocol.MachineName(words[0]), words
 }
 
 // HostedJob says to which cell and delegation a hosted job belongs.
--- a/internal/jobrecord/golden_test.go
+++ b/internal/jobrecord/golden_test.go
@@ -369,7 +369,7 @@
 		{"prefix of parts", ShardsPrefix, "parts/"},
 		{"prefix of a job's parts", JobShardsPrefix("job-000412"), "parts/job-000412/"},
 		{"key of a part", ShardKey("job-000412", 12), "parts/job-000412/12"},
-		{"a delegated place", DelegatedTo("beta"), "cell beta"},
+		{"a delegated place", string(DelegatedTo("beta")), "cell beta"},
 		{"id of a guest", HostedJobID("alpha", "job-1", 7), "alpha.job-1.7"},
 		{"marker of a service", serviceMarker, "service"},
 		{"marker of a divided record", shardsMarker, "parts"},
--- a/internal/jobrecord/helpers_test.go
+++ b/internal/jobrecord/helpers_test.go
@@ -67,7 +67,7 @@
 	for range 6 {
 		for _, task := range record.Pending(record.StartCapacity(wideLimit)) {
 			// As plans deal them out: neighbours on different machines.
-			machine := fmt.Sprintf("m-%06d", task%250)
+			machine := protocol.MachineName(fmt.Sprintf("m-%06d", task%250))
 			record.Placements[task] = Placement{Task: task, Attempt: 1, Machine: machine, Incarnation: 1}
 		}
 	}
--- a/internal/jobrecord/placement.go
+++ b/internal/jobrecord/placement.go
@@ -14,7 +14,7 @@
 type Placement struct {
 	Task    int
 	Attempt protocol.Attempt
-	Machine string
+	Machine protocol.MachineName
 	// Incarnation is the incarnation of the machine's worker or, for a task that another cell runs, the
 	// number of the delegation. It is a plain number because the two share their place in the record.
 	Incarnation int64
@@ -27,7 +27,7 @@
 
 // placementGroup is what the placements have in common that share one text of the record.
 type placementGroup struct {
-	machine string
+	machine protocol.MachineName
 	start   start
 }
 
--- a/internal/jobrecord/shards_test.go
+++ b/internal/jobrecord/shards_test.go
@@ -49,7 +49,7 @@
 			Task:        task,
 			Attempt:     record.NextAttempt,
 			Incarnation: int64(rapid.SampledFrom([]int{1, 1, 1, 2, 130}).Draw(t, "incarnation")),
-			Machine:     fmt.Sprintf("m-%06d", rapid.IntRange(1, 300).Draw(t, "machine")),
+			Machine:     protocol.MachineName(fmt.Sprintf("m-%06d", rapid.IntRange(1, 300).Draw(t, "machine"))),
 		}
 	}
 }
@@ -89,8 +89,8 @@
 	record.ShardSize = ShardSizeFor(&array, tightValueBytes)
 	for range 6 {
 		for i, task := range record.Startable(tightValueBytes, 2000) {
-			record.Placements[task] = Placement{Task: task, Attempt: 1, Machine: fmt.Sprintf("m-%06d", i%250),
-				Incarnation: 1}
+			machine := protocol.MachineName(fmt.Sprintf("m-%06d", i%250))
+			record.Placements[task] = Placement{Task: task, Attempt: 1, Machine: machine, Incarnation: 1}
 		}
 	}
 	if len(record.Placements) != 2000 {
--- a/internal/leader/autoscaler/machinelist.go
+++ b/internal/leader/autoscaler/machinelist.go
@@ -29,7 +29,7 @@
 
 // listing is one read of the list, page by page.
 type listing struct {
-	names   map[string]bool
+	names   map[protocol.MachineName]bool
 	begunAt clock.Micros
 }
 
@@ -39,11 +39,11 @@
 		return
 	}
 	a.list = listState{inFlight: true, begunAt: a.Now()}
-	a.readPage(&listing{names: map[string]bool{}, begunAt: a.Now()}, "")
+	a.readPage(&listing{names: map[protocol.MachineName]bool{}, begunAt: a.Now()}, "")
 }
 
 // readPage reads the machines whose names come after from, "" for the first page.
-func (a *Autoscaler) readPage(l *listing, from string) {
+func (a *Autoscaler) readPage(l *listing, from protocol.MachineName) {
 	a.Cloud.List(from, term.Guarded2(a.State, func(page protocol.MachineList, err error) {
 		a.pageRead(l, page, err)
 	}))
--- a/internal/leader/autoscaler/scalein.go
+++ b/internal/leader/autoscaler/scalein.go
@@ -9,6 +9,7 @@
 	"postpoint/internal/leader/term"
 	"postpoint/internal/ordered"
 	"postpoint/internal/planner"
+	"postpoint/internal/protocol"
 	"postpoint/internal/scaling"
 )
 
@@ -86,7 +87,9 @@
 )
 
 // appendReleasing appends marked machines of one urgency, up to what one request takes.
-func (a *Autoscaler) appendReleasing(names []string, urgency releaseUrgency) []string {
+func (a *Autoscaler) appendReleasing(
+	names []protocol.MachineName, urgency releaseUrgency,
+) []protocol.MachineName {
 	for _, m := range a.machines.Ordered {
 		if m.Releasing && m.Overdue == bool(urgency) && len(names) < cloudclient.MaxScaleIn {
 			names = append(names, m.Name)
@@ -97,7 +100,7 @@
 
 // scaleInDone handles the outcome of a scale-in. After a failure the machines stay marked, so that
 // the request is repeated.
-func (a *Autoscaler) scaleInDone(names []string, err error) {
+func (a *Autoscaler) scaleInDone(names []protocol.MachineName, err error) {
 	a.scaleInInFlight = false
 	if err != nil {
 		slog.Debug("scale-in failed", "machines", names, "error", err)
--- a/internal/leader/autoscaler/scaleout.go
+++ b/internal/leader/autoscaler/scaleout.go
@@ -95,12 +95,12 @@
 
 func (a *Autoscaler) sendScaleOut(request scaleOutRequest) {
 	a.Cloud.ScaleOut(request.ScaleOutRequest, a.Term.ValidUntil, term.Guarded2(a.State,
-		func(machines []string, err error) { a.scaleOutDone(request, machines, err) }))
+		func(machines []protocol.MachineName, err error) { a.scaleOutDone(request, machines, err) }))
 }
 
 // scaleOutDone handles the outcome of a request. One without a response may have been carried out:
 // only the same request is safe then.
-func (a *Autoscaler) scaleOutDone(request scaleOutRequest, machines []string, err error) {
+func (a *Autoscaler) scaleOutDone(request scaleOutRequest, machines []protocol.MachineName, err error) {
 	pool := request.pool
 	switch {
 	case err == nil:
@@ -123,7 +123,7 @@
 
 // addStarting adds the machines that a request has brought. Fewer than requested mean that the pool
 // has no more.
-func (a *Autoscaler) addStarting(request scaleOutRequest, names []string) {
+func (a *Autoscaler) addStarting(request scaleOutRequest, names []protocol.MachineName) {
 	pool := request.pool
 	slog.Info("scaled out", "type", pool.Type, "zone", pool.Zone, "spot", pool.Spot,
 		"requested", request.Count, "machines", names)
--- a/internal/leader/cordon_test.go
+++ b/internal/leader/cordon_test.go
@@ -20,7 +20,7 @@
 	d.catalogue.Types = []protocol.MachineType{machineType}
 	const cordoned, maxPlans = 300, 12
 	for i := range cordoned {
-		m := d.machines.GetOrAdd(fmt.Sprintf("m-%03d", i))
+		m := d.machines.GetOrAdd(protocol.MachineName(fmt.Sprintf("m-%03d", i)))
 		m.Type, m.Zone, m.Seen, m.AcknowledgedEpoch = "t", "a", true, 7
 		m.HeardAt, m.RespondedAt, m.Cordoned = box.Now, box.Now, true
 	}
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -25,7 +25,8 @@
 	d.state.Term.RenewedAt, d.state.Term.ValidUntil = box.Now, box.Now+4*clock.Second
 	d.jobs.ByID, d.jobs.Malformed = map[string]*jobtable.Job{}, map[string]bool{}
 	d.jobs.FinalVersions, d.jobs.StrayShards = map[string]protocol.Revision{}, map[string]protocol.Revision{}
-	d.machines.ByName, d.machines.Released = map[string]*machinetable.Machine{}, map[string]clock.Micros{}
+	d.machines.ByName = map[protocol.MachineName]*machinetable.Machine{}
+	d.machines.Released = map[protocol.MachineName]clock.Micros{}
 	d.state.Random = term.NewRandom(7)
 	d.state.Loaded, d.state.FreshAt, d.steps.Pending = true, box.Now, true
 	return d, box
--- a/internal/leader/jobtable/job.go
+++ b/internal/leader/jobtable/job.go
@@ -33,7 +33,7 @@
 	StartFailures int
 	// NotBefore keeps a job that failed to start from starting again at once.
 	NotBefore     clock.Micros
-	AvoidMachines map[string]bool
+	AvoidMachines map[protocol.MachineName]bool
 	// Restarts are the waits of a service's replicas.
 	Restarts map[int]Restart
 	// Cancelled reports that a user was told so; the record may still be behind.
@@ -73,7 +73,7 @@
 // NewJob returns a job whose record isn't known yet.
 func NewJob() *Job {
 	return &Job{
-		AvoidMachines: map[string]bool{},
+		AvoidMachines: map[protocol.MachineName]bool{},
 		Stops:         map[int]StopRequest{},
 		ProposedAt:    map[int]int{},
 		Restarts:      map[int]Restart{},
@@ -114,7 +114,7 @@
 const maxAvoided = 8
 
 // AvoidMachine keeps a job off a machine on which it failed.
-func (j *Job) AvoidMachine(name string) {
+func (j *Job) AvoidMachine(name protocol.MachineName) {
 	j.AvoidMachines[name] = true
 	if len(j.AvoidMachines) > maxAvoided {
 		// It failed wherever it went: the machines aren't at fault.
--- a/internal/leader/jobtable/jobtable.go
+++ b/internal/leader/jobtable/jobtable.go
@@ -47,7 +47,7 @@
 
 // LossObserver is told of placements that are lost before their tasks are done.
 type LossObserver interface {
-	PlacementLost(j *Job, machineName string)
+	PlacementLost(j *Job, machineName protocol.MachineName)
 }
 
 // Begin forgets what was known in earlier terms.
--- a/internal/leader/machinetable/machine.go
+++ b/internal/leader/machinetable/machine.go
@@ -28,7 +28,7 @@
 }
 
 // newMachine returns a machine of which nothing but its name is known.
-func newMachine(name, address string, now clock.Micros) *Machine {
+func newMachine(name protocol.MachineName, address string, now clock.Micros) *Machine {
 	return &Machine{
 		Identity: Identity{Name: name, Address: address},
 		WorkerStatus: WorkerStatus{
@@ -46,8 +46,9 @@
 // Identity is what a machine is and where its worker can be reached. The autoscaler fills it in from
 // the cloud's responses, until heartbeats say it themselves.
 type Identity struct {
-	Name, Address, Type, Zone string
-	Spot                      bool
+	Name                protocol.MachineName
+	Address, Type, Zone string
+	Spot                bool
 }
 
 // Kind returns what is scaled out to get such a machine.
--- a/internal/leader/machinetable/machinetable.go
+++ b/internal/leader/machinetable/machinetable.go
@@ -20,41 +20,41 @@
 	*term.State
 	catalogue *Catalogue
 
-	ByName map[string]*Machine
+	ByName map[protocol.MachineName]*Machine
 	// Ordered are the machines in the order of their names. The slice is replaced, never
 	// changed, so that it can be iterated over while machines come and go.
 	Ordered []*Machine
 	// Released are the machines that were scaled in, and when: what is still heard of them is
 	// outdated. They are kept for ReleasedRetention.
-	Released map[string]clock.Micros
+	Released map[protocol.MachineName]clock.Micros
 	// addresses are kept across terms, also on nodes that don't lead.
-	addresses map[string]string
+	addresses map[protocol.MachineName]string
 }
 
 // New returns an empty table that follows the catalogue's prices.
 func New(term *term.State, catalogue *Catalogue) *Table {
-	mt := &Table{State: term, catalogue: catalogue, addresses: map[string]string{}}
+	mt := &Table{State: term, catalogue: catalogue, addresses: map[protocol.MachineName]string{}}
 	catalogue.changed = mt.MarkViewsStale
 	return mt
 }
 
 // Begin forgets what was known in earlier terms.
 func (mt *Table) Begin() {
-	mt.ByName = map[string]*Machine{}
+	mt.ByName = map[protocol.MachineName]*Machine{}
 	mt.Ordered = nil
-	mt.Released = map[string]clock.Micros{}
+	mt.Released = map[protocol.MachineName]clock.Micros{}
 }
 
 // End forgets the machines when the term is over.
 func (mt *Table) End() { mt.ByName, mt.Ordered = nil, nil }
 
 // GetOrAdd returns the machine of that name, which is added when it is first heard of.
-func (mt *Table) GetOrAdd(name string) *Machine {
+func (mt *Table) GetOrAdd(name protocol.MachineName) *Machine {
 	m := mt.ByName[name]
 	if m == nil {
 		m = newMachine(name, mt.addresses[name], mt.Now())
 		mt.ByName[name] = m
-		at, _ := slices.BinarySearchFunc(mt.Ordered, name, func(m *Machine, name string) int {
+		at, _ := slices.BinarySearchFunc(mt.Ordered, name, func(m *Machine, name protocol.MachineName) int {
 			return cmp.Compare(m.Name, name)
 		})
 		mt.Ordered = slices.Insert(slices.Clone(mt.Ordered), at, m)
@@ -83,7 +83,7 @@
 }
 
 // WasReleased reports whether a machine was scaled in in this term, not long ago.
-func (mt *Table) WasReleased(name string) bool {
+func (mt *Table) WasReleased(name protocol.MachineName) bool {
 	_, released := mt.Released[name]
 	return released
 }
@@ -91,7 +91,7 @@
 // ForgetReleased bounds what a long term remembers.
 func (mt *Table) ForgetReleased() {
 	old := mt.Now() - ReleasedRetention
-	maps.DeleteFunc(mt.Released, func(_ string, at clock.Micros) bool { return at < old })
+	maps.DeleteFunc(mt.Released, func(_ protocol.MachineName, at clock.Micros) bool { return at < old })
 }
 
 // ReleaseReason says in logs why a machine is scaled in.
@@ -130,7 +130,7 @@
 
 // NoteAddress keeps where a machine can be reached, for a term that this node may come to
 // lead. Of machines that were replaced in the meantime only so many are kept.
-func (mt *Table) NoteAddress(machine, address string) {
+func (mt *Table) NoteAddress(machine protocol.MachineName, address string) {
 	if len(mt.addresses) > 2*len(mt.Ordered)+MaxAddresses {
 		clear(mt.addresses) // heartbeats bring those of live machines back
 	}
--- a/internal/leader/reconciler/commands.go
+++ b/internal/leader/reconciler/commands.go
@@ -59,7 +59,7 @@
 
 // resultOf returns what a response says of the machine that the commands were meant for. Another
 // worker that has come to the address of the machine says nothing about it.
-func resultOf(machine string, r *workerclient.Response) CommandResult {
+func resultOf(machine protocol.MachineName, r *workerclient.Response) CommandResult {
 	var result CommandResult
 	switch {
 	case r.Err == nil:
--- a/internal/leader/reconciler/commands_test.go
+++ b/internal/leader/reconciler/commands_test.go
@@ -27,7 +27,7 @@
 func TestResultOfDirectCommands(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		machine string
+		machine protocol.MachineName
 		status  int
 		want    CommandOutcome
 		heard   bool
--- a/internal/leader/reconciler/exits.go
+++ b/internal/leader/reconciler/exits.go
@@ -117,7 +117,7 @@
 	if j.StartFailures == 0 || j.Cause == "" {
 		slog.Info("start failed", "job", j.Spec.ID, "task", p.Task, "machine", m.Name, "cause", cause)
 	}
-	j.Cause = cause + " on " + m.Name
+	j.Cause = onMachine(cause, m.Name)
 	if pause == 0 {
 		return
 	}
@@ -136,6 +136,11 @@
 	}
 }
 
+// onMachine returns a cause as users are shown it, with the machine on which it arose.
+func onMachine(cause string, machine protocol.MachineName) string {
+	return cause + " on " + string(machine)
+}
+
 // ReplicaEnded handles the end of a service's replica, which runs again whatever the cause, and
 // reports whether it did: a refused start says nothing of the replica, but of the machine.
 func (rc *Reconciler) ReplicaEnded(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement,
@@ -156,7 +161,7 @@
 	j.Restarts[p.Task] = r
 	slog.Info("replica ended, it runs again", "job", j.Spec.ID, "task", p.Task, "machine", m.Name,
 		"cause", cause, "ran_s", ran.Seconds(), "failures", r.ShortRuns)
-	j.Cause = cause + " on " + m.Name
+	j.Cause = onMachine(cause, m.Name)
 	if cause == protocol.CauseError {
 		j.AvoidMachine(m.Name)
 	}
--- a/internal/leader/recordfixtures_test.go
+++ b/internal/leader/recordfixtures_test.go
@@ -111,7 +111,7 @@
 	content := jobrecord.New(arraySpec("job-1", 300), 1)
 	content.NextAttempt = 2
 	for task := range content.Spec.Tasks {
-		machine := fmt.Sprintf("m-%06d", task)
+		machine := protocol.MachineName(fmt.Sprintf("m-%06d", task))
 		content.Placements[task] = jobrecord.Placement{Task: task, Attempt: 1, Machine: machine,
 			Incarnation: 1}
 	}
--- a/internal/leader/recordstore/adoption.go
+++ b/internal/leader/recordstore/adoption.go
@@ -191,8 +191,8 @@
 }
 
 // addToMachines adds a job's placements to their machines, which it returns by name.
-func (r *Reader) addToMachines(j *jobtable.Job) map[string]*machinetable.Machine {
-	machines := map[string]*machinetable.Machine{}
+func (r *Reader) addToMachines(j *jobtable.Job) map[protocol.MachineName]*machinetable.Machine {
+	machines := map[protocol.MachineName]*machinetable.Machine{}
 	for _, p := range ordered.ByKey(j.Placements) {
 		if r.machines.WasReleased(p.Machine) {
 			// The machine was released meanwhile, with all on it: the record is behind.
--- a/internal/leader/recordstore/outcome.go
+++ b/internal/leader/recordstore/outcome.go
@@ -172,7 +172,7 @@
 // markStored marks what a transaction has written, and sends commands to the machines whose
 // placements have become durable by it.
 func (w *Writer) markStored(writes []Write, revision protocol.Revision) {
-	affected := map[string]*machinetable.Machine{}
+	affected := map[protocol.MachineName]*machinetable.Machine{}
 	for i := range writes {
 		write := &writes[i]
 		write.markStored(revision)
@@ -192,7 +192,7 @@
 
 // collectCommitted drops the value's placements that have become durable from those that wait for
 // it, and adds their machines to those affected.
-func (w *Writer) collectCommitted(write *Write, affected map[string]*machinetable.Machine) {
+func (w *Writer) collectCommitted(write *Write, affected map[protocol.MachineName]*machinetable.Machine) {
 	write.Value.Uncommitted = slices.DeleteFunc(write.Value.Uncommitted, func(task int) bool {
 		p, placed := write.Job.Placements[task]
 		if placed && !write.Job.Committed(p) {
--- a/internal/leader/requests.go
+++ b/internal/leader/requests.go
@@ -56,4 +56,4 @@
 func (l *Leader) Leads() bool { return l.state.Leads() }
 
 // Knows reports, likewise, whether a machine is in the leader's table.
-func (l *Leader) Knows(machine string) bool { return l.machines.ByName[machine] != nil }
+func (l *Leader) Knows(machine protocol.MachineName) bool { return l.machines.ByName[machine] != nil }
--- a/internal/leader/scaleout_test.go
+++ b/internal/leader/scaleout_test.go
@@ -19,9 +19,9 @@
 	scaleOuts   []protocol.ScaleOutRequest
 	scaledOut   []func(int, protocol.ScaleOutResponse)
 	scaledIn    []func(int)
-	pages       []string
+	pages       []protocol.MachineName
 	listed      []func(int, protocol.MachineList)
-	releaseSets [][]string
+	releaseSets [][]protocol.MachineName
 }
 
 func (s *fakeCloud) Rent(r protocol.ScaleOutRequest, _ clock.Micros,
@@ -29,11 +29,11 @@
 	s.scaleOuts, s.scaledOut = append(s.scaleOuts, r), append(s.scaledOut, done)
 }
 
-func (s *fakeCloud) Release(machines []string, _ clock.Micros, done func(int)) {
+func (s *fakeCloud) Release(machines []protocol.MachineName, _ clock.Micros, done func(int)) {
 	s.releaseSets, s.scaledIn = append(s.releaseSets, machines), append(s.scaledIn, done)
 }
 
-func (s *fakeCloud) List(from string, done func(int, protocol.MachineList)) {
+func (s *fakeCloud) List(from protocol.MachineName, done func(int, protocol.MachineList)) {
 	s.pages, s.listed = append(s.pages, from), append(s.listed, done)
 }
 
@@ -110,8 +110,8 @@
 	d, stub, _ := scalingLeader()
 	d.autoscaler.ScaleOut(unmetDemand(2))
 	request := stub.scaleOuts[0]
-	stub.scaledOut[0](http.StatusOK, protocol.ScaleOutResponse{Machines: []string{"m-1", "m-2"}})
-	for _, name := range []string{"m-1", "m-2"} {
+	stub.scaledOut[0](http.StatusOK, protocol.ScaleOutResponse{Machines: []protocol.MachineName{"m-1", "m-2"}})
+	for _, name := range []protocol.MachineName{"m-1", "m-2"} {
 		m := d.machines.ByName[name]
 		if m == nil || m.CloudStatus != protocol.MachineStarting ||
 			m.Kind() != (scaling.CapacityPool{Type: request.Type, Zone: request.Zone, Spot: request.Spot}) {
@@ -196,7 +196,7 @@
 			len(stub.scaledIn))
 	}
 	d.state.Term.Epoch = 9
-	stub.scaledOut[0](http.StatusOK, protocol.ScaleOutResponse{Machines: []string{"m-1"}})
+	stub.scaledOut[0](http.StatusOK, protocol.ScaleOutResponse{Machines: []protocol.MachineName{"m-1"}})
 	stub.listed[0](http.StatusOK, protocol.MachineList{Machines: []protocol.ListedMachine{{Name: "m-2"}}})
 	stub.scaledIn[0](http.StatusOK)
 	if len(d.machines.ByName) != 1 || d.machines.ByName["m-9"] != m {
@@ -209,7 +209,7 @@
 	lost := d.machines.GetOrAdd("m-0")
 	lost.Listed, lost.ListedAt = true, mailbox.Now-60*clock.Second
 	d.autoscaler.Manage()
-	page := func(more bool, name string) protocol.MachineList {
+	page := func(more bool, name protocol.MachineName) protocol.MachineList {
 		machine := protocol.ListedMachine{Name: name, Type: "t", Zone: "a", Status: protocol.MachineRunning}
 		return protocol.MachineList{More: more, Machines: []protocol.ListedMachine{machine}}
 	}
@@ -218,7 +218,7 @@
 		t.Fatal("a machine is released as missing before the last page")
 	}
 	stub.listed[1](http.StatusOK, page(false, "m-2"))
-	if !slices.Equal(stub.pages, []string{"", "m-1"}) {
+	if !slices.Equal(stub.pages, []protocol.MachineName{"", "m-1"}) {
 		t.Errorf("pages from %q, want the second one from m-1", stub.pages)
 	}
 	if d.machines.ByName["m-1"] == nil || d.machines.ByName["m-2"] == nil || !lost.Releasing {
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -157,13 +157,13 @@
 		d, box := newLeader()
 		spec := protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeService, Priority: "prod", Tasks: 4}
 		content := jobrecord.New(spec, 1)
-		for task, machine := range []string{"m-1", "m-2", "m-3", "m-4"} {
+		for task, machine := range []protocol.MachineName{"m-1", "m-2", "m-3", "m-4"} {
 			content.Placements[task] = jobrecord.Placement{Task: task, Attempt: 1, Machine: machine,
 				Incarnation: 1}
 		}
 		d.reader.Adopt(jobrecord.Key("job-1"), content.Encode(), 5)
 		for i := range others {
-			m := d.machines.GetOrAdd("m-9" + string(rune('0'+i)))
+			m := d.machines.GetOrAdd(protocol.MachineName("m-9" + string(rune('0'+i))))
 			m.Seen, m.Zone, m.HeardAt = true, "a", box.Now+machinetable.TakeoverTime
 		}
 		box.Now += machinetable.TakeoverTime + clock.Millisecond
@@ -188,18 +188,18 @@
 		content := jobrecord.New(protocol.JobSpec{
 			ID: "job-1", Shape: protocol.ShapeService, Priority: "prod", Tasks: 4, Spread: spread,
 		}, 1)
-		for task, machine := range []string{"m-1", "m-2", "m-3", "m-4"} {
+		for task, machine := range []protocol.MachineName{"m-1", "m-2", "m-3", "m-4"} {
 			content.Placements[task] = jobrecord.Placement{Task: task, Attempt: 1, Machine: machine,
 				Incarnation: 1}
 		}
 		d.reader.Adopt(jobrecord.Key("job-1"), content.Encode(), 5)
-		for name, zone := range map[string]string{"m-1": "a", "m-2": "a", "m-3": "b", "m-4": "b",
+		for name, zone := range map[protocol.MachineName]string{"m-1": "a", "m-2": "a", "m-3": "b", "m-4": "b",
 			"m-5": "a"} {
 			m := d.machines.GetOrAdd(name)
 			m.Seen, m.Zone, m.HeardAt = true, zone, box.Now
 		}
 		box.Now += 30 * clock.Second
-		for _, name := range []string{"m-1", "m-2", "m-5"} {
+		for _, name := range []protocol.MachineName{"m-1", "m-2", "m-5"} {
 			d.machines.ByName[name].HeardAt = box.Now
 		}
 		d.health.ReplaceSilent()
--- a/internal/leader/snapshots/jobs.go
+++ b/internal/leader/snapshots/jobs.go
@@ -129,7 +129,7 @@
 // machinesWithEndedTasks returns the machines that a gang avoids, together with those that still
 // report an ended task of the attempt that it may be completed with: a start of the same task and
 // attempt has no effect there.
-func (b *Builder) machinesWithEndedTasks(j *jobtable.Job) map[string]bool {
+func (b *Builder) machinesWithEndedTasks(j *jobtable.Job) map[protocol.MachineName]bool {
 	if len(j.Placements) == 0 {
 		return j.AvoidMachines
 	}
--- a/internal/leader/zonetracker/displaced.go
+++ b/internal/leader/zonetracker/displaced.go
@@ -7,6 +7,7 @@
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/ordered"
 	"postpoint/internal/planner"
+	"postpoint/internal/protocol"
 	"postpoint/internal/zonerecovery"
 )
 
@@ -15,7 +16,7 @@
 
 // PlacementLost marks a job as displaced whose task loses its placement to the loss of a zone: its pending
 // tasks wait for their clearance.
-func (t *Tracker) PlacementLost(j *jobtable.Job, machineName string) {
+func (t *Tracker) PlacementLost(j *jobtable.Job, machineName protocol.MachineName) {
 	if t.Options == nil || j.Over() {
 		return
 	}
--- a/internal/leader/zonetracker/tracker.go
+++ b/internal/leader/zonetracker/tracker.go
@@ -48,7 +48,7 @@
 	reports  []admission.ZoneReports // of the last response
 	probedAt clock.Micros
 	// unanswered are the last heartbeats of machines that reached this node while it didn't lead.
-	unanswered map[string]unansweredHeartbeat
+	unanswered map[protocol.MachineName]unansweredHeartbeat
 	// someHealthy reports that some zone with machine types is healthy, as of the last Advance.
 	someHealthy bool
 }
@@ -74,7 +74,7 @@
 // Enable switches zone recovery on. ask asks all controllers which zones' machines send them heartbeats.
 func (t *Tracker) Enable(options *zonerecovery.Settings, ask func(done func([]admission.ZoneReports))) {
 	t.Options, t.ask = options, ask
-	t.unanswered = map[string]unansweredHeartbeat{}
+	t.unanswered = map[protocol.MachineName]unansweredHeartbeat{}
 }
 
 // Begin drops what was known in earlier terms.
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"testing"
+
+	"postpoint/internal/protocol"
 )
 
 func BenchmarkMake(b *testing.B) {
@@ -20,7 +22,7 @@
 func grownSnapshot() Snapshot {
 	s := Snapshot{Machines: machinesWith(650, 16, 16)}
 	for i := range s.Machines {
-		s.Machines[i].Name = fmt.Sprintf("m-%06d", i)
+		s.Machines[i].Name = protocol.MachineName(fmt.Sprintf("m-%06d", i))
 		s.Machines[i].FetchSPerGB = 2
 		if i%8 != 0 {
 			s.Machines[i].Free = Resources{Cpus: 1}
--- a/internal/planner/build_test.go
+++ b/internal/planner/build_test.go
@@ -29,15 +29,15 @@
 func machinesWith(n int, cpus, free float64) []Machine {
 	var machines []Machine
 	for i := range n {
-		machines = append(machines, Machine{Name: fmt.Sprint("m", i),
+		machines = append(machines, Machine{Name: protocol.MachineName(fmt.Sprint("m", i)),
 			Capacity: Resources{Cpus: cpus}, Free: Resources{Cpus: free}})
 	}
 	return machines
 }
 
 // machinesByName points into the given machines.
-func machinesByName(machines []Machine) map[string]*Machine {
-	byName := make(map[string]*Machine, len(machines))
+func machinesByName(machines []Machine) map[protocol.MachineName]*Machine {
+	byName := make(map[protocol.MachineName]*Machine, len(machines))
 	for i := range machines {
 		byName[machines[i].Name] = &machines[i]
 	}
--- a/internal/planner/draw_test.go
+++ b/internal/planner/draw_test.go
@@ -18,7 +18,7 @@
 		"open":    {},
 	}}
 	for i := range rapid.IntRange(1, 6).Draw(t, "machines") {
-		s.Machines = append(s.Machines, drawMachine(t, fmt.Sprint("m", i)))
+		s.Machines = append(s.Machines, drawMachine(t, protocol.MachineName(fmt.Sprint("m", i))))
 	}
 	for i := range rapid.IntRange(1, 6).Draw(t, "jobs") {
 		spec := drawSpec(t, fmt.Sprint("job-", i))
@@ -38,7 +38,7 @@
 	return s
 }
 
-func drawMachine(t *rapid.T, name string) Machine {
+func drawMachine(t *rapid.T, name protocol.MachineName) Machine {
 	whole := Resources{Cpus: float64(rapid.IntRange(2, 12).Draw(t, "cpus")), MemoryGB: 64}
 	return Machine{Name: name, Type: "t", Zone: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"),
 		Spot: rapid.Bool().Draw(t, "spot"), Capacity: whole, Free: whole, HourlyPrice: 1}
--- a/internal/planner/job.go
+++ b/internal/planner/job.go
@@ -9,7 +9,7 @@
 // RunningTask is a task that runs, or may run, on a machine.
 type RunningTask struct {
 	Task    int
-	Machine string
+	Machine protocol.MachineName
 	Zone    string
 	// Stopping tasks have been told to stop and still hold their resources.
 	Stopping bool
@@ -59,7 +59,7 @@
 	// end within its objective.
 	SlackS float64
 	// AvoidedMachines are the machines on which the job failed.
-	AvoidedMachines map[string]bool
+	AvoidedMachines map[protocol.MachineName]bool
 	// ScaleOutOverdue reports whether machines have been wanted for the job for long
 	// and haven't come.
 	ScaleOutOverdue bool
--- a/internal/planner/machine.go
+++ b/internal/planner/machine.go
@@ -9,7 +9,7 @@
 // Machine is a machine that tasks can be assigned to. Machines that boot take part
 // too: tasks assigned to them start later, and nothing more is rented for them.
 type Machine struct {
-	Name string
+	Name protocol.MachineName
 	Type string
 	Zone string
 	// Spot machines are preemptible: the cloud may take them back.
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -1,5 +1,7 @@
 package planner
 
+import "postpoint/internal/protocol"
+
 // Plan is what is to be done now, in the order in which it was decided.
 type Plan struct {
 	// Placements are the tasks to start.
@@ -14,7 +16,7 @@
 type Placement struct {
 	Job     string
 	Task    int
-	Machine string
+	Machine protocol.MachineName
 	// MachineBooting reports whether the machine still boots, so that the task starts later.
 	MachineBooting bool
 }
--- a/internal/planner/planning.go
+++ b/internal/planner/planning.go
@@ -4,12 +4,14 @@
 	"cmp"
 	"slices"
 	"sync"
+
+	"postpoint/internal/protocol"
 )
 
 // planning is the state of one call of Make.
 type planning struct {
 	machines []Machine // sorted by name
-	byName   map[string]*Machine
+	byName   map[protocol.MachineName]*Machine
 	zones    []string // in the order in which they appear among the machines
 	teams    map[string]*Team
 	plan     Plan
@@ -35,10 +37,12 @@
 // a leader allocated.
 type machineBuffer struct {
 	machines []Machine
-	byName   map[string]*Machine
+	byName   map[protocol.MachineName]*Machine
 }
 
-var machineBuffers = sync.Pool{New: func() any { return &machineBuffer{byName: map[string]*Machine{}} }}
+var machineBuffers = sync.Pool{New: func() any {
+	return &machineBuffer{byName: map[protocol.MachineName]*Machine{}}
+}}
 
 // MakePlan plans for the snapshot, which it leaves unchanged.
 func MakePlan(s Snapshot) Plan {
--- a/internal/planner/preempt_test.go
+++ b/internal/planner/preempt_test.go
@@ -2,10 +2,12 @@
 
 import (
 	"testing"
+
+	"postpoint/internal/protocol"
 )
 
 // runningOn returns running tasks of one machine with the given overheads.
-func runningOn(machine string, overheads ...float64) []RunningTask {
+func runningOn(machine protocol.MachineName, overheads ...float64) []RunningTask {
 	var running []RunningTask
 	for i, overhead := range overheads {
 		running = append(running, RunningTask{Task: i, Machine: machine, OverheadS: overhead})
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -31,8 +31,8 @@
 
 // ScaleOutResponse names the machines of a Rental, or says why there are none.
 type ScaleOutResponse struct {
-	Machines []string `msgpack:"Hosts"`
-	Error    string   `msgpack:"error"`
+	Machines []MachineName `msgpack:"Hosts"`
+	Error    string        `msgpack:"error"`
 }
 
 // NoCapacity is the error of a response when the cloud has no machine of the kind, as opposed to
@@ -41,7 +41,7 @@
 
 // ScaleInRequest is a request to scale in by the named machines.
 type ScaleInRequest struct {
-	Machines []string `msgpack:"Hosts"`
+	Machines []MachineName `msgpack:"Hosts"`
 }
 
 // States of a listed machine.
@@ -53,13 +53,13 @@
 
 // ListedMachine is one entry of the cloud's list of machines.
 type ListedMachine struct {
-	Name    string  `msgpack:"Uid"`
-	Address string  `msgpack:"Address"`
-	Type    string  `msgpack:"Fleet"`
-	Zone    string  `msgpack:"Hall"`
-	Spot    bool    `msgpack:"Loaners"`
-	Status  string  `msgpack:"Status"`
-	AgeS    float64 `msgpack:"HeldS"`
+	Name    MachineName `msgpack:"Uid"`
+	Address string      `msgpack:"Address"`
+	Type    string      `msgpack:"Fleet"`
+	Zone    string      `msgpack:"Hall"`
+	Spot    bool        `msgpack:"Loaners"`
+	Status  string      `msgpack:"Status"`
+	AgeS    float64     `msgpack:"HeldS"`
 }
 
 // MachineList is one page of the cloud's list of machines.
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -149,9 +149,9 @@
 			"\x00\xa5Halls\x92\xa1a\xa1b"},
 	{"rental", ScaleOutRequest{IdempotencyKey: "e41-2", Type: "g8", Zone: "a", Spot: true, Count: 5},
 		"\x85\xa7Booking\xa5e41-2\xa5Fleet\xa2g8\xa4Hall\xa1a\xa7Loaners\xc3\xa7HowMany\x05"},
-	{"answer to a rental", ScaleOutResponse{Machines: []string{"m-000231", "m-000232"}, Error: NoCapacity},
+	{"answer to a rental", ScaleOutResponse{Machines: []MachineName{"m-000231", "m-000232"}, Error: NoCapacity},
 		"\x82\xa5Hosts\x92\xa8m-000231\xa8m-000232\xa5error\xabno capacity"},
-	{"release", ScaleInRequest{Machines: []string{"m-000231", "m-000232"}},
+	{"release", ScaleInRequest{Machines: []MachineName{"m-000231", "m-000232"}},
 		"\x81\xa5Hosts\x92\xa8m-000231\xa8m-000232"},
 	{"listed machine", goldenListedMachine(),
 		"\x87\xa3Uid\xa8m-000231\xa7Address\xaf10.1.0.232:9000\xa5Fleet\xa2g8\xa4Hall\xa1a\xa7Loaners" +
--- a/internal/protocol/identifiers.go
+++ b/internal/protocol/identifiers.go
@@ -33,6 +33,10 @@
 // LeaseID names a lease of the key-value store, 0 none. Keys attached to a lease are removed when it expires.
 type LeaseID int64
 
+// MachineName names a machine, as the cloud listed it and its worker's heartbeats repeat it. Names have no
+// spaces. It is a type of its own so that it can't be taken for a machine type, a zone, an address or a job.
+type MachineName string
+
 // TaskName returns the name of a task on the wire, as in "job-000412/3".
 func TaskName(job string, task int) string { return job + "/" + strconv.Itoa(task) }
 
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -32,11 +32,11 @@
 
 // Heartbeat is a worker's heartbeat, with the status of its machine and tasks.
 type Heartbeat struct {
-	Machine string `msgpack:"Host"`
-	Address string `msgpack:"Address"`
-	Type    string `msgpack:"Fleet"`
-	Zone    string `msgpack:"Hall"`
-	Spot    bool   `msgpack:"Loaners"`
+	Machine MachineName `msgpack:"Host"`
+	Address string      `msgpack:"Address"`
+	Type    string      `msgpack:"Fleet"`
+	Zone    string      `msgpack:"Hall"`
+	Spot    bool        `msgpack:"Loaners"`
 	// Incarnation is the worker's incarnation: it increases each time the worker's lease expires.
 	Incarnation Incarnation `msgpack:"Shift"`
 	// Counter increases with each message, so that late ones are recognised.
--- a/internal/scaling/cordon.go
+++ b/internal/scaling/cordon.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"postpoint/internal/planner"
+	"postpoint/internal/protocol"
 )
 
 const (
@@ -27,7 +28,7 @@
 // after a look that finds them surplus and halves after one that doesn't: at the end of a
 // day hundreds are, in the middle of it hardly one. Cordon makes at most as many looks as
 // given, and returns the batch to begin with next time.
-func Cordon(snapshot planner.Snapshot, looks, batch int) (names []string, nextBatch int) {
+func Cordon(snapshot planner.Snapshot, looks, batch int) (names []protocol.MachineName, nextBatch int) {
 	candidates := surplusCandidates(snapshot.Machines)
 	batch = max(batch, 1)
 	for ; looks > 0 && len(candidates) > 0; looks-- {
@@ -49,7 +50,7 @@
 
 // surplusCandidates returns the names of the machines that are free enough to be
 // considered, ordered by what their free part costs, the costliest first.
-func surplusCandidates(machines []planner.Machine) []string {
+func surplusCandidates(machines []planner.Machine) []protocol.MachineName {
 	var candidates []planner.Machine
 	for _, m := range machines {
 		if !m.Booting && m.Replicas == 0 && idleShare(m) > minIdleShare {
@@ -61,7 +62,7 @@
 			cmp.Compare(b.HourlyPrice*idleShare(b), a.HourlyPrice*idleShare(a)),
 			cmp.Compare(a.Name, b.Name))
 	})
-	names := make([]string, len(candidates))
+	names := make([]protocol.MachineName, len(candidates))
 	for i, m := range candidates {
 		names[i] = m.Name
 	}
@@ -75,7 +76,7 @@
 
 // FitsWithout reports whether everything that runs and waits would have room without some
 // machines, their own tasks included, and returns the snapshot without them.
-func FitsWithout(snapshot planner.Snapshot, machines ...string) (planner.Snapshot, bool) {
+func FitsWithout(snapshot planner.Snapshot, machines ...protocol.MachineName) (planner.Snapshot, bool) {
 	remaining := withoutMachines(snapshot, machines)
 	return remaining, len(planner.MakePlan(remaining).UnmetDemand) == 0
 }
@@ -83,8 +84,8 @@
 // withoutMachines returns the snapshot without some machines and without those that boot,
 // which may not come. Tasks of removed machines are pending. Nothing preempts, so that
 // room has to be there, and nothing backs off, since it needs room again later.
-func withoutMachines(snapshot planner.Snapshot, machines []string) planner.Snapshot {
-	removed := make(map[string]bool, len(machines))
+func withoutMachines(snapshot planner.Snapshot, machines []protocol.MachineName) planner.Snapshot {
+	removed := make(map[protocol.MachineName]bool, len(machines))
 	for _, name := range machines {
 		removed[name] = true
 	}
@@ -102,7 +103,7 @@
 
 // moveToPending makes the tasks of a job that run on removed machines pending. It leaves
 // the arrays that the job shares with others as they are.
-func moveToPending(job *planner.Job, removed map[string]bool) {
+func moveToPending(job *planner.Job, removed map[protocol.MachineName]bool) {
 	var moved []int
 	for _, r := range job.Running {
 		if removed[r.Machine] {
--- a/internal/scaling/cordon_test.go
+++ b/internal/scaling/cordon_test.go
@@ -21,7 +21,7 @@
 		if r.IntN(3) == 0 {
 			used = 1 + r.IntN(4)
 		}
-		name := fmt.Sprintf("m-%02d", i)
+		name := protocol.MachineName(fmt.Sprintf("m-%02d", i))
 		whole := planner.Resources{Cpus: 8}
 		s.Machines = append(s.Machines, planner.Machine{Name: name, Type: "t", Zone: "a", Capacity: whole,
 			Free:        whole.Minus(planner.TaskResources(spec).Times(float64(used))),
@@ -41,7 +41,7 @@
 }
 
 // cordonOneByOne returns the surplus machines that looking at one after the other finds.
-func cordonOneByOne(s planner.Snapshot) []string {
+func cordonOneByOne(s planner.Snapshot) []protocol.MachineName {
 	var candidates []planner.Machine
 	for _, m := range s.Machines {
 		if idleShare(m) > minIdleShare {
@@ -51,7 +51,7 @@
 	slices.SortStableFunc(candidates, func(a, b planner.Machine) int {
 		return cmp.Compare(b.HourlyPrice*idleShare(b), a.HourlyPrice*idleShare(a))
 	})
-	var surplus []string
+	var surplus []protocol.MachineName
 	for _, m := range candidates {
 		if remaining, ok := FitsWithout(s, m.Name); ok {
 			surplus, s = append(surplus, m.Name), remaining
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -33,8 +33,8 @@
 	// Calls counts requests.
 	Calls int
 	// rented are the machines that a request rented, by its idempotency key.
-	rented   map[string][]string
-	machines map[string]*FakeWorker // those that are rented now
+	rented   map[string][]protocol.MachineName
+	machines map[protocol.MachineName]*FakeWorker // those that are rented now
 	all      []*FakeWorker
 	lists    [][]protocol.ListedMachine // copies of the list, the newest last
 }
@@ -42,8 +42,8 @@
 func newCloud(d *Deployment, types []protocol.MachineType) *FakeCloud {
 	c := &FakeCloud{
 		w: d.World, d: d, Types: types,
-		Capacity: map[scaling.CapacityPool]int{}, rented: map[string][]string{},
-		machines: map[string]*FakeWorker{},
+		Capacity: map[scaling.CapacityPool]int{}, rented: map[string][]protocol.MachineName{},
+		machines: map[protocol.MachineName]*FakeWorker{},
 	}
 	for _, t := range types {
 		for _, z := range t.Zones {
@@ -86,11 +86,11 @@
 }
 
 // rent boots as many machines as there are, up to a number, and returns their names.
-func (c *FakeCloud) rent(k scaling.CapacityPool, count int) []string {
-	var names []string
+func (c *FakeCloud) rent(k scaling.CapacityPool, count int) []protocol.MachineName {
+	var names []protocol.MachineName
 	c.Capacity[k] -= count
 	for range count {
-		name := fmt.Sprintf("m-%06d", len(c.all))
+		name := protocol.MachineName(fmt.Sprintf("m-%06d", len(c.all)))
 		m := c.d.boot(name, k)
 		names = append(names, name)
 		c.all = append(c.all, m)
@@ -100,7 +100,7 @@
 }
 
 // Remove ends a machine at once, because it was released or the cloud takes it back.
-func (c *FakeCloud) Remove(name string) {
+func (c *FakeCloud) Remove(name protocol.MachineName) {
 	if m := c.machines[name]; m != nil {
 		m.end()
 		delete(c.machines, name)
--- a/internal/simulation/cloudclient.go
+++ b/internal/simulation/cloudclient.go
@@ -74,7 +74,7 @@
 }
 
 // Release ends machines.
-func (x *cloudClient) Release(names []string, until clock.Micros, done func(int)) {
+func (x *cloudClient) Release(names []protocol.MachineName, until clock.Micros, done func(int)) {
 	x.callUntil(until, done, func() int {
 		for _, name := range names {
 			x.cloud.Remove(name)
@@ -84,7 +84,7 @@
 }
 
 // List reads the machines after a name; the list lags.
-func (x *cloudClient) List(from string, done func(int, protocol.MachineList)) {
+func (x *cloudClient) List(from protocol.MachineName, done func(int, protocol.MachineList)) {
 	var list protocol.MachineList
 	x.call(func(status int) { done(status, list) }, func() int {
 		for _, m := range x.cloud.laggingList() {
--- a/internal/simulation/deployment.go
+++ b/internal/simulation/deployment.go
@@ -44,7 +44,7 @@
 	// Commands counts direct commands.
 	Commands int
 	// address is the address of a new worker.
-	address func(name string) string
+	address func(name protocol.MachineName) string
 }
 
 // nodesPerDeployment is the number of controllers.
@@ -78,7 +78,7 @@
 		World: w, Settings: set, Store: NewFakeStore(w), Loss: loss,
 		cut: map[string]*partitionedZone{}, jobs: map[string]*Job{}, byAddr: map[string]*FakeWorker{},
 		used:    map[string]planner.Resources{},
-		address: func(name string) string { return name + ":9000" },
+		address: func(name protocol.MachineName) string { return string(name) + ":9000" },
 	}
 	d.Cloud = newCloud(d, types)
 	for i := range nodesPerDeployment {
--- a/internal/simulation/loopback.go
+++ b/internal/simulation/loopback.go
@@ -68,8 +68,8 @@
 func newLoopback(d *Deployment, x *RealTime, controllers []Controller, workerPort int) *Loopback {
 	d.Store.Kept, d.Store.Page = loopbackKeptRevisions, loopbackPageSize
 	d.Cloud.Reliable = true
-	d.address = func(name string) string {
-		n, _ := strconv.Atoi(name[len("m-"):])
+	d.address = func(name protocol.MachineName) string {
+		n, _ := strconv.Atoi(string(name[len("m-"):]))
 		return fmt.Sprintf("127.1.%d.%d:%d", n/addressesPerSubnet, n%addressesPerSubnet+1, workerPort)
 	}
 	l := &Loopback{Deployment: d, RealTime: x}
@@ -79,7 +79,7 @@
 	}
 	l.node = remoteNode(d.World, "", nil)
 	for _, c := range controllers {
-		at := &remoteController{l, "http://" + c.Address, map[string]*http.Client{}}
+		at := &remoteController{l, "http://" + c.Address, map[protocol.MachineName]*http.Client{}}
 		l.controllers = append(l.controllers, remoteNode(d.World, c.Name, at))
 	}
 	return l
--- a/internal/simulation/loopbackclient.go
+++ b/internal/simulation/loopbackclient.go
@@ -19,12 +19,12 @@
 // remoteController is a controller in a process of its own, as workers and users reach it by HTTP.
 type remoteController struct {
 	l        *Loopback
-	base     string                  // of its URLs
-	sessions map[string]*http.Client // by worker, a connection each
+	base     string                                // of its URLs
+	sessions map[protocol.MachineName]*http.Client // by worker, a connection each
 }
 
 // session is the connection of a worker, which has just one.
-func (c *remoteController) session(worker string) *http.Client {
+func (c *remoteController) session(worker protocol.MachineName) *http.Client {
 	session := c.sessions[worker]
 	if session == nil {
 		transport := &http.Transport{MaxConnsPerHost: 1, MaxIdleConnsPerHost: 1}
--- a/internal/simulation/loopbackserver.go
+++ b/internal/simulation/loopbackserver.go
@@ -105,7 +105,8 @@
 	}
 	mux.Handle("POST /hosts/release", serve(l, release))
 	mux.Handle("GET /hosts", serve(l, func(r *http.Request, _ nothing, answer answerFunc) {
-		client.List(r.URL.Query().Get("From"), func(status int, m protocol.MachineList) { answer(status, m) })
+		from := protocol.MachineName(r.URL.Query().Get("From"))
+		client.List(from, func(status int, m protocol.MachineList) { answer(status, m) })
 	}))
 	return mux
 }
--- a/internal/simulation/record.go
+++ b/internal/simulation/record.go
@@ -155,7 +155,7 @@
 	})
 }
 
-func (c *recordedCloud) Release(machines []string, until clock.Micros, done func(int)) {
+func (c *recordedCloud) Release(machines []protocol.MachineName, until clock.Micros, done func(int)) {
 	c.record("release", protocol.ScaleInRequest{Machines: machines}, int64(until))
 	c.cloud.Release(machines, until, func(status int) {
 		c.record("release answered", status)
@@ -163,7 +163,7 @@
 	})
 }
 
-func (c *recordedCloud) List(from string, done func(int, protocol.MachineList)) {
+func (c *recordedCloud) List(from protocol.MachineName, done func(int, protocol.MachineList)) {
 	c.record("list machines", from)
 	c.cloud.List(from, func(status int, l protocol.MachineList) {
 		c.record("list machines answered", status, l)
--- a/internal/simulation/storerecords.go
+++ b/internal/simulation/storerecords.go
@@ -41,7 +41,7 @@
 }
 
 // assigned reports whether a job's record has an attempt on a machine.
-func (s *FakeStore) assigned(k taskKey, attempt protocol.Attempt, machine string) bool {
+func (s *FakeStore) assigned(k taskKey, attempt protocol.Attempt, machine protocol.MachineName) bool {
 	j := s.wholeRecord(k.job)
 	return j != nil && j.Placements[k.task].Attempt == attempt && j.Placements[k.task].Machine == machine
 }
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -20,13 +20,14 @@
 
 // FakeWorker is a fake of one machine with its agent: it runs tasks under a lease that heartbeats renew.
 type FakeWorker struct {
-	d          *Deployment
-	name, addr string
-	typ, zone  string
-	spot       bool
-	status     string
-	rentedAt   clock.Micros
-	up, ended  bool
+	d         *Deployment
+	name      protocol.MachineName
+	addr      string
+	typ, zone string
+	spot      bool
+	status    string
+	rentedAt  clock.Micros
+	up, ended bool
 
 	// incarnation counts the agent's incarnations, counter its heartbeats; epoch is the highest that it
 	// has seen.
@@ -64,7 +65,7 @@
 }
 
 // boot starts a machine that comes up some time later.
-func (d *Deployment) boot(name string, k scaling.CapacityPool) *FakeWorker {
+func (d *Deployment) boot(name protocol.MachineName, k scaling.CapacityPool) *FakeWorker {
 	m := &FakeWorker{
 		d: d, name: name, addr: d.address(name), typ: k.Type, zone: k.Zone, spot: k.Spot,
 		status: protocol.MachineStarting, rentedAt: d.World.now,
--- a/internal/workerclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -65,7 +65,7 @@
 		status  int
 		body    []byte
 		err     error
-		machine string
+		machine protocol.MachineName
 		unknown bool
 	}{
 		{200, status, nil, "m-1", false},
