--- a/cmd/loadtool/cellsday.go
+++ b/cmd/loadtool/cellsday.go
@@ -148,7 +148,7 @@
 func submitNext(d *simulation.Deployment, jobs *[]*simulation.Job) {
 	number := len(*jobs)
 	spec := protocol.JobSpec{
-		ID: fmt.Sprintf("job-%06d", number), Class: "array", Team: "open",
+		ID: protocol.JobID(fmt.Sprintf("job-%06d", number)), Class: "array", Team: "open",
 		Shape: protocol.ShapeArray, Priority: "normal", Tasks: 8, Cpus: 2, MemoryGB: 2, Image: "i",
 		ImageGB: 1, Spot: true, EstimateS: jobDuration.Seconds(),
 	}
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -26,7 +26,7 @@
 	// memoryFull reports that new jobs have to wait.
 	memoryFull func() bool
 	// finalStates may be shown from memory by job: they never change.
-	finalStates  map[string]protocol.JobStatus
+	finalStates  map[protocol.JobID]protocol.JobStatus
 	availability availability
 	// startedAt is when this process started, epoch the highest that it was elected with.
 	startedAt clock.Micros
@@ -45,7 +45,7 @@
 		set:           set,
 		forward:       forward,
 		memoryFull:    func() bool { return false },
-		finalStates:   map[string]protocol.JobStatus{},
+		finalStates:   map[protocol.JobID]protocol.JobStatus{},
 		startedAt:     m.Monotonic(),
 		cancellations: newCancellationLog(),
 		zoneReports:   func(reply func(ZoneReports)) { reply(ZoneReports{Node: set.Node}) },
--- a/internal/admission/attestation.go
+++ b/internal/admission/attestation.go
@@ -19,7 +19,7 @@
 
 // CancelledJob is a job that was first told cancelled so long ago.
 type CancelledJob struct {
-	Job string
+	Job protocol.JobID
 	Age clock.Micros
 }
 
@@ -80,7 +80,7 @@
 	if len(b) < end {
 		return CancelledJob{}, nil, false
 	}
-	c.Job = string(b[1:idEnd])
+	c.Job = protocol.JobID(b[1:idEnd])
 	c.Age = clock.Micros(binary.BigEndian.Uint64(b[idEnd:]))
 	return c, b[end:], c.Age >= 0
 }
--- a/internal/admission/attestation_test.go
+++ b/internal/admission/attestation_test.go
@@ -14,7 +14,7 @@
 )
 
 // cancelledJobs is a store that holds the records of cancelled jobs.
-func cancelledJobs(ids ...string) *fakeStore {
+func cancelledJobs(ids ...protocol.JobID) *fakeStore {
 	store := &fakeStore{values: map[string][]byte{}}
 	for _, id := range ids {
 		record := jobrecord.New(protocol.JobSpec{ID: id, Tasks: 1}, 1)
@@ -30,7 +30,7 @@
 func TestNodeVouchesForWhatItHasTold(t *testing.T) {
 	box := &actortest.Still{Now: 5 * clock.Second}
 	in := New(box, cancelledJobs("job-000001", "job-000002"), &settings.Settings{}, nil)
-	show := func(id string) { answerOf(t, in, Request{Kind: GetStatus, ID: id}) }
+	show := func(id protocol.JobID) { answerOf(t, in, Request{Kind: GetStatus, ID: id}) }
 	attest := func(back clock.Micros) (Attestation, bool) {
 		all, ok := DecodeAttestations([]Response{answerOf(t, in, NewAttestationRequest(back))}, true)
 		if !ok {
--- a/internal/admission/call.go
+++ b/internal/admission/call.go
@@ -48,7 +48,7 @@
 func (c *call) finish(o outcome) { c.reply(o.toAnswer()) }
 
 // jobID returns the id that the request or its submission names.
-func (c *call) jobID() string { return cmp.Or(c.request.ID, c.spec.ID) }
+func (c *call) jobID() protocol.JobID { return cmp.Or(c.request.ID, c.spec.ID) }
 
 func (c *call) fail(kind outcomeKind, reason string) { c.finish(failure(kind, reason)) }
 
@@ -99,7 +99,7 @@
 }
 
 // readRecord reads the record of a job, nil if there is none.
-func (c *call) readRecord(id string, done func(record *jobrecord.Record, version protocol.Revision)) {
+func (c *call) readRecord(id protocol.JobID, done func(record *jobrecord.Record, version protocol.Revision)) {
 	key := jobrecord.Key(id)
 	c.in.store.Get(key, func(r kvstore.Result[protocol.Item]) {
 		result := storeResultOf(r.Err)
--- a/internal/admission/cancellationlog.go
+++ b/internal/admission/cancellationlog.go
@@ -1,11 +1,12 @@
 package admission
 
 import (
+	"cmp"
 	"maps"
 	"slices"
-	"strings"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/protocol"
 )
 
 // cancellationsKept is for how long cancellations are kept for attestations. A leader that asks for
@@ -14,23 +15,25 @@
 
 // cancellationLog notes when users were first told that a job is cancelled.
 type cancellationLog struct {
-	toldAt    map[string]clock.Micros // by job
-	cleanedAt clock.Micros            // when old ones were last dropped
+	toldAt    map[protocol.JobID]clock.Micros // by job
+	cleanedAt clock.Micros                    // when old ones were last dropped
 }
 
 func newCancellationLog() cancellationLog {
-	return cancellationLog{toldAt: map[string]clock.Micros{}}
+	return cancellationLog{toldAt: map[protocol.JobID]clock.Micros{}}
 }
 
 // add notes that a user is about to be told.
-func (l *cancellationLog) add(job string, now clock.Micros) {
+func (l *cancellationLog) add(job protocol.JobID, now clock.Micros) {
 	if _, known := l.toldAt[job]; known {
 		return
 	}
 	if now > l.cleanedAt+cancellationsKept {
 		// Seldom enough to go through all of them.
 		l.cleanedAt = now
-		maps.DeleteFunc(l.toldAt, func(_ string, at clock.Micros) bool { return at < now-cancellationsKept })
+		maps.DeleteFunc(l.toldAt, func(_ protocol.JobID, at clock.Micros) bool {
+			return at < now-cancellationsKept
+		})
 	}
 	l.toldAt[job] = now
 }
@@ -43,6 +46,6 @@
 			jobs = append(jobs, CancelledJob{Job: job, Age: now - at})
 		}
 	}
-	slices.SortFunc(jobs, func(x, y CancelledJob) int { return strings.Compare(x.Job, y.Job) })
+	slices.SortFunc(jobs, func(x, y CancelledJob) int { return cmp.Compare(x.Job, y.Job) })
 	return jobs
 }
--- a/internal/admission/handler.go
+++ b/internal/admission/handler.go
@@ -49,12 +49,17 @@
 	}
 }
 
+// pathJobID returns the id of the job that a request's path names.
+func pathJobID(r *http.Request) protocol.JobID {
+	return protocol.JobID(r.PathValue(protocol.PathJobID))
+}
+
 func (h *handler) show(w http.ResponseWriter, r *http.Request) {
-	h.handle(w, Request{Kind: GetStatus, ID: r.PathValue(protocol.PathJobID)})
+	h.handle(w, Request{Kind: GetStatus, ID: pathJobID(r)})
 }
 
 func (h *handler) cancel(w http.ResponseWriter, r *http.Request) {
-	h.handle(w, Request{Kind: Cancel, ID: r.PathValue(protocol.PathJobID)})
+	h.handle(w, Request{Kind: Cancel, ID: pathJobID(r)})
 }
 
 // handle sends a user the actor's answer.
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -1,5 +1,7 @@
 package admission
 
+import "postpoint/internal/protocol"
+
 // Kind is what a request asks for. The numbers are those that nodes send each other.
 type Kind byte
 
@@ -18,7 +20,7 @@
 // store doesn't serve, and go no further.
 type Request struct {
 	Kind      Kind
-	ID        string // of the job, empty for a submission
+	ID        protocol.JobID // of the job, empty for a submission
 	Body      []byte
 	Forwarded bool
 }
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -200,7 +200,7 @@
 	var jobs []*simulation.Job
 	x.Do(func() {
 		for i := range 8 {
-			spec := protocol.JobSpec{ID: fmt.Sprintf("job-%06d", i), Class: "c", Team: "open",
+			spec := protocol.JobSpec{ID: protocol.JobID(fmt.Sprintf("job-%06d", i)), Class: "c", Team: "open",
 				Shape: protocol.ShapeArray, Priority: "normal", Tasks: 8, Cpus: 2, MemoryGB: 1,
 				Image: "i", ImageGB: 1, EstimateS: 4}
 			if i%4 == 3 {
--- a/internal/controller/loopback_test.go
+++ b/internal/controller/loopback_test.go
@@ -150,7 +150,7 @@
 	submitted := 0
 	submit := func(a arrivals) {
 		spec := a.Spec
-		spec.ID, spec.Team, spec.Priority, spec.Spot = fmt.Sprintf("job-%06d", submitted), "open", "normal",
+		spec.ID, spec.Team, spec.Priority, spec.Spot = protocol.JobID(fmt.Sprintf("job-%06d", submitted)), "open", "normal",
 			true
 		spec.Image = fmt.Sprintf("img-%s-%d", spec.Class, submitted%4)
 		submitted++
--- a/internal/delegation/codec.go
+++ b/internal/delegation/codec.go
@@ -30,7 +30,7 @@
 
 func (w *writer) status(s *Status) {
 	w.number(s.Number)
-	w.text(s.Job)
+	w.text(string(s.Job))
 	w.flag(s.Closed)
 	w.text(s.Done.String())
 	w.text(s.Held.String())
@@ -87,7 +87,7 @@
 func (r *reader) status() Status {
 	var s Status
 	s.Number = r.number()
-	s.Job = r.text(protocol.MaxTextBytes)
+	s.Job = protocol.JobID(r.text(protocol.MaxTextBytes))
 	s.Closed = r.flag()
 	s.Done = r.ranges()
 	s.Held = r.ranges()
--- a/internal/delegation/codec_test.go
+++ b/internal/delegation/codec_test.go
@@ -61,7 +61,7 @@
 var drawStatus = rapid.Custom(func(t *rapid.T) Status {
 	return Status{
 		Number:  drawNumber.Draw(t, "number"),
-		Job:     drawText.Draw(t, "job"),
+		Job:     protocol.JobID(drawText.Draw(t, "job")),
 		Closed:  rapid.Bool().Draw(t, "closed"),
 		Done:    drawRanges.Draw(t, "done"),
 		Held:    drawRanges.Draw(t, "held"),
--- a/internal/delegation/message.go
+++ b/internal/delegation/message.go
@@ -29,7 +29,7 @@
 // that a closed delegation doesn't hold, is in the host's records and never changes.
 type Status struct {
 	Number int64
-	Job    string
+	Job    protocol.JobID
 	// Closed delegations start nothing more: what is neither completed nor held is the origin's.
 	Closed bool
 	Done   jobrecord.TaskSet
--- a/internal/delegation/record.go
+++ b/internal/delegation/record.go
@@ -48,7 +48,7 @@
 type Record struct {
 	Number int64
 	Host   string // cell
-	Job    string
+	Job    protocol.JobID
 	Tasks  jobrecord.TaskSet
 	State  State
 	// OfferedAt is the time of day in microseconds.
@@ -56,11 +56,11 @@
 }
 
 type storedRecord struct {
-	Host      string `msgpack:"host"`
-	Job       string `msgpack:"job"`
-	Tasks     string `msgpack:"tasks"`
-	State     string `msgpack:"state"`
-	OfferedAt int64  `msgpack:"at"`
+	Host      string         `msgpack:"host"`
+	Job       protocol.JobID `msgpack:"job"`
+	Tasks     string         `msgpack:"tasks"`
+	State     string         `msgpack:"state"`
+	OfferedAt int64          `msgpack:"at"`
 }
 
 const (
--- a/internal/jobrecord/codec_test.go
+++ b/internal/jobrecord/codec_test.go
@@ -28,7 +28,7 @@
 			}
 		}
 	}
-	record.Lenders = []string{"job-2"}
+	record.Lenders = []protocol.JobID{"job-2"}
 	record.Cause = "error on m-000001"
 	return record
 }
--- a/internal/jobrecord/delegation.go
+++ b/internal/jobrecord/delegation.go
@@ -69,14 +69,14 @@
 
 // HostedJobID returns the id under which a host cell keeps a hosted job and its workers run it. It has
 // dots, which no id that a user may choose has, so that the two can't clash.
-func HostedJobID(cell, job string, delegation int64) string {
-	return cell + "." + job + "." + strconv.FormatInt(delegation, 10)
+func HostedJobID(cell string, job protocol.JobID, delegation int64) protocol.JobID {
+	return protocol.JobID(cell + "." + string(job) + "." + strconv.FormatInt(delegation, 10))
 }
 
 // ParseHostedJobID splits an id that HostedJobID made.
-func ParseHostedJobID(id string) (cell, job string, delegation int64, ok bool) {
-	cell, rest, hasCell := strings.Cut(id, ".")
-	job, number, hasNumber := strings.Cut(rest, ".")
+func ParseHostedJobID(id protocol.JobID) (cell string, job protocol.JobID, delegation int64, ok bool) {
+	cell, rest, hasCell := strings.Cut(string(id), ".")
+	originID, number, hasNumber := strings.Cut(rest, ".")
 	delegation, err := strconv.ParseInt(number, 10, 64)
-	return cell, job, delegation, hasCell && hasNumber && err == nil
+	return cell, protocol.JobID(originID), delegation, hasCell && hasNumber && err == nil
 }
--- a/internal/jobrecord/format.go
+++ b/internal/jobrecord/format.go
@@ -44,7 +44,7 @@
 	Done        string           `msgpack:"done,omitempty"`
 	NextAttempt protocol.Attempt `msgpack:"try"`
 	Placed      []string         `msgpack:"placed,omitempty"`
-	Lenders     []string         `msgpack:"lenders,omitempty"`
+	Lenders     []protocol.JobID `msgpack:"lenders,omitempty"`
 	Cause       string           `msgpack:"cause,omitempty"`
 	Truncated   bool             `msgpack:"truncated,omitempty"`
 	Returned    int              `msgpack:"returned,omitempty"`
--- a/internal/jobrecord/format_test.go
+++ b/internal/jobrecord/format_test.go
@@ -31,7 +31,7 @@
 			Priority: "normal",
 			Tasks:    9, Cpus: 1.5, MemoryGB: 2, Image: "img-1", ImageGB: 1, Spot: true, EstimateS: 40,
 			DeadlineS: &due},
-		SubmittedAt: 1764668400000000, NextAttempt: 3, Lenders: []string{"job-000002"},
+		SubmittedAt: 1764668400000000, NextAttempt: 3, Lenders: []protocol.JobID{"job-000002"},
 		Cause: "error on m-000001",
 		Done:  TaskSet{spans: []span{{0, 1}, {4, 4}}, count: 3},
 		Placements: map[int]Placement{
--- a/internal/jobrecord/keys.go
+++ b/internal/jobrecord/keys.go
@@ -3,6 +3,8 @@
 import (
 	"strconv"
 	"strings"
+
+	"postpoint/internal/protocol"
 )
 
 // Prefix is the prefix of the keys of all records, whole ones and heads of sharded ones.
@@ -13,18 +15,20 @@
 const ShardsPrefix = "parts/"
 
 // Key returns the key of a job's record.
-func Key(job string) string { return Prefix + job }
+func Key(job protocol.JobID) string { return Prefix + string(job) }
 
 // JobShardsPrefix returns the prefix of the keys of one job's shards.
-func JobShardsPrefix(job string) string { return ShardsPrefix + job + "/" }
+func JobShardsPrefix(job protocol.JobID) string { return ShardsPrefix + string(job) + "/" }
 
 // ShardKey returns the key of one shard.
-func ShardKey(job string, shard int) string { return JobShardsPrefix(job) + strconv.Itoa(shard) }
+func ShardKey(job protocol.JobID, shard int) string {
+	return JobShardsPrefix(job) + strconv.Itoa(shard)
+}
 
 // ParseShardKey splits the key of a shard; ok reports whether the key is one.
-func ParseShardKey(key string) (job string, shard int, ok bool) {
+func ParseShardKey(key string) (job protocol.JobID, shard int, ok bool) {
 	rest, hasPrefix := strings.CutPrefix(key, ShardsPrefix)
-	job, number, found := strings.Cut(rest, "/")
+	id, number, found := strings.Cut(rest, "/")
 	shard, err := strconv.Atoi(number)
-	return job, shard, hasPrefix && found && err == nil && shard >= 0
+	return protocol.JobID(id), shard, hasPrefix && found && err == nil && shard >= 0
 }
--- a/internal/jobrecord/record.go
+++ b/internal/jobrecord/record.go
@@ -15,7 +15,7 @@
 	Done        TaskSet // completed tasks
 	NextAttempt protocol.Attempt
 	Placements  map[int]Placement // by task
-	Lenders     []string          // jobs that were preempted for this one and are owed their resources
+	Lenders     []protocol.JobID  // jobs that were preempted for this one and are owed their resources
 	Cause       string            // why the last failed start failed
 	// ShardSize is the number of tasks in a shard, 0 if the record isn't sharded.
 	ShardSize int
@@ -56,7 +56,7 @@
 
 // AddLender adds a job that was preempted for this one and reports whether the record has changed.
 // The first maxLenders are kept.
-func (r *Record) AddLender(lender string) bool {
+func (r *Record) AddLender(lender protocol.JobID) bool {
 	if slices.Contains(r.Lenders, lender) || len(r.Lenders) >= maxLenders {
 		return false
 	}
--- a/internal/leader/cells_permissions_test.go
+++ b/internal/leader/cells_permissions_test.go
@@ -97,7 +97,7 @@
 	r := reportFromBeta()
 	for range delegation.MaxPerHost {
 		number := l.origin.Numbers.Next
-		id := fmt.Sprintf("job-%d", number)
+		id := protocol.JobID(fmt.Sprintf("job-%d", number))
 		spec := protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Tasks: tasksPerJob, Cpus: 1}
 		l.reader.Adopt(jobrecord.Key(id), jobrecord.New(spec, 1).Encode(), 5)
 		r.Statuses = append(r.Statuses, delegation.Status{Number: number, Job: id, Held: taskSet(tasks...)})
--- a/internal/leader/commitoutcome_test.go
+++ b/internal/leader/commitoutcome_test.go
@@ -84,7 +84,7 @@
 // become smaller, and isn't sent unchanged again.
 func TestUnknownLimitsAreLearned(t *testing.T) {
 	l, store := tightLeader(true)
-	for _, id := range []string{"job-1", "job-2", "job-3"} {
+	for _, id := range []protocol.JobID{"job-1", "job-2", "job-3"} {
 		l.reader.Adopt(jobrecord.Key(id), jobrecord.New(arraySpec(id, 1), 1).Encode(), 5)
 		l.jobs.AddPlacement(l.jobs.ByID[id], jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1",
 			Incarnation: 1})
--- a/internal/leader/federation/offers.go
+++ b/internal/leader/federation/offers.go
@@ -33,7 +33,9 @@
 }
 
 // hostedRecord returns the record of an offered job. Tasks that aren't offered count as done.
-func hostedRecord(origin, id string, offer *delegation.Offer, now clock.Micros) *jobrecord.Record {
+func hostedRecord(
+	origin string, id protocol.JobID, offer *delegation.Offer, now clock.Micros,
+) *jobrecord.Record {
 	record := jobrecord.New(hostedSpec(origin, id, offer.Spec), int64(now-offer.JobAge))
 	record.Hosted = &jobrecord.HostedJob{OriginCell: origin, Delegation: offer.Number}
 	for task := range offer.Spec.Tasks {
@@ -46,7 +48,7 @@
 
 // hostedSpec returns a delegated job as this cell runs it. Its class and team are those of another cell:
 // none of this one's objectives and limits apply to them.
-func hostedSpec(origin, id string, spec protocol.JobSpec) protocol.JobSpec {
+func hostedSpec(origin string, id protocol.JobID, spec protocol.JobSpec) protocol.JobSpec {
 	spec.ID = id
 	spec.Class = origin + "." + spec.Class
 	spec.Team = origin + "." + spec.Team
--- a/internal/leader/federation/offload.go
+++ b/internal/leader/federation/offload.go
@@ -11,6 +11,7 @@
 	"postpoint/internal/offload"
 	"postpoint/internal/ordered"
 	"postpoint/internal/planner"
+	"postpoint/internal/protocol"
 )
 
 const (
@@ -166,14 +167,14 @@
 
 // expectedWaits returns how long, in seconds, jobs are expected to wait for room here: for what is queued
 // before them and half of what runs.
-func (o *Origin) expectedWaits() map[string]float64 {
+func (o *Origin) expectedWaits() map[protocol.JobID]float64 {
 	capacity := o.capacity()
 	queue := slices.SortedFunc(maps.Values(o.jobs.ByID), compareQueued)
 	running := 0.0
 	for _, j := range queue {
 		running += clusterSeconds(j, len(j.Placements), capacity)
 	}
-	waits := make(map[string]float64, len(queue))
+	waits := make(map[protocol.JobID]float64, len(queue))
 	ahead := running / 2
 	for _, j := range queue {
 		if j.Over() {
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -23,8 +23,9 @@
 	d := New(Dependencies{Mailbox: box, Settings: set, Deposed: func(protocol.Epoch) {}, Resign: func() {}})
 	d.state.Term.Epoch, d.state.BegunAt = 7, box.Now
 	d.state.Term.RenewedAt, d.state.Term.ValidUntil = box.Now, box.Now+4*clock.Second
-	d.jobs.ByID, d.jobs.Malformed = map[string]*jobtable.Job{}, map[string]bool{}
-	d.jobs.FinalVersions, d.jobs.StrayShards = map[string]protocol.Revision{}, map[string]protocol.Revision{}
+	d.jobs.ByID, d.jobs.Malformed = map[protocol.JobID]*jobtable.Job{}, map[protocol.JobID]bool{}
+	d.jobs.FinalVersions = map[protocol.JobID]protocol.Revision{}
+	d.jobs.StrayShards = map[string]protocol.Revision{}
 	d.machines.ByName = map[protocol.MachineName]*machinetable.Machine{}
 	d.machines.Released = map[protocol.MachineName]clock.Micros{}
 	d.state.Random = term.NewRandom(7)
--- a/internal/leader/jobtable/jobtable.go
+++ b/internal/leader/jobtable/jobtable.go
@@ -27,12 +27,12 @@
 	Losses LossObserver
 
 	// ByID has the jobs by their ids.
-	ByID map[string]*Job
+	ByID map[protocol.JobID]*Job
 	// FinalVersions are the last versions of jobs that are over, until following the records has
 	// caught up with them: an older version that still arrives is outdated.
-	FinalVersions map[string]protocol.Revision
+	FinalVersions map[protocol.JobID]protocol.Revision
 	// Malformed are the ids of jobs whose records can't be decoded.
-	Malformed map[string]bool
+	Malformed map[protocol.JobID]bool
 	// StrayShards are the versions of stored shards, by key, that belong to no sharded record.
 	StrayShards map[string]protocol.Revision
 }
@@ -52,15 +52,15 @@
 
 // Begin forgets what was known in earlier terms.
 func (t *Table) Begin() {
-	t.ByID = map[string]*Job{}
-	t.FinalVersions = map[string]protocol.Revision{}
-	t.Malformed = map[string]bool{}
+	t.ByID = map[protocol.JobID]*Job{}
+	t.FinalVersions = map[protocol.JobID]protocol.Revision{}
+	t.Malformed = map[protocol.JobID]bool{}
 	t.StrayShards = map[string]protocol.Revision{}
 }
 
 // QuarantineRecord forgets a job whose record can't be decoded, and notes its id: what may be running
 // of it is never guessed at.
-func (t *Table) QuarantineRecord(id string, err error) {
+func (t *Table) QuarantineRecord(id protocol.JobID, err error) {
 	slog.Error("malformed record", "job", id, "error", err)
 	t.Malformed[id] = true
 	delete(t.ByID, id)
@@ -199,7 +199,7 @@
 }
 
 // IsHosted reports whether an id is that of a known hosted job.
-func (t *Table) IsHosted(id string) bool {
+func (t *Table) IsHosted(id protocol.JobID) bool {
 	j := t.ByID[id]
 	return j != nil && j.Hosted != nil
 }
--- a/internal/leader/jobtable/recordstate.go
+++ b/internal/leader/jobtable/recordstate.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"log/slog"
+
+	"postpoint/internal/protocol"
 )
 
 // RecordState says how far a job in memory can be trusted to agree with its record in the store,
@@ -201,7 +203,7 @@
 }
 
 // id returns the job's id, "" before its record is known.
-func (j *Job) id() string {
+func (j *Job) id() protocol.JobID {
 	if j.Record == nil {
 		return ""
 	}
--- a/internal/leader/machinetable/delivery.go
+++ b/internal/leader/machinetable/delivery.go
@@ -9,7 +9,7 @@
 
 // AttemptRef identifies an attempt of a task.
 type AttemptRef struct {
-	Job     string
+	Job     protocol.JobID
 	Task    int
 	Attempt protocol.Attempt
 }
--- a/internal/leader/machinetable/machine.go
+++ b/internal/leader/machinetable/machine.go
@@ -35,11 +35,13 @@
 			Tasks:        map[AttemptRef]protocol.TaskStatus{},
 			RunningSince: map[AttemptRef]clock.Micros{},
 		},
-		CommandState:   CommandState{Deliveries: map[AttemptRef]*StartDelivery{}},
-		CloudState:     CloudState{FirstSeen: now},
-		PlacementState: PlacementState{Placements: map[string]map[int]jobrecord.Placement{}, IdleSince: now},
-		PlannerView:    PlannerView{ViewStale: true},
-		FaultState:     FaultState{FailedJobs: map[string]bool{}},
+		CommandState: CommandState{Deliveries: map[AttemptRef]*StartDelivery{}},
+		CloudState:   CloudState{FirstSeen: now},
+		PlacementState: PlacementState{
+			Placements: map[protocol.JobID]map[int]jobrecord.Placement{}, IdleSince: now,
+		},
+		PlannerView: PlannerView{ViewStale: true},
+		FaultState:  FaultState{FailedJobs: map[protocol.JobID]bool{}},
 	}
 }
 
@@ -221,7 +223,7 @@
 // Table.AddPlacement and Table.RemovePlacement.
 type PlacementState struct {
 	// Placements are the placed tasks by job.
-	Placements map[string]map[int]jobrecord.Placement
+	Placements map[protocol.JobID]map[int]jobrecord.Placement
 	// IdleSince is when the last placement was released.
 	IdleSince clock.Micros
 }
@@ -309,7 +311,7 @@
 	// FullUntil is until when the worker is taken to have no room, since it refused a start.
 	FullUntil clock.Micros
 	// FailedJobs are the jobs of which a task failed there.
-	FailedJobs  map[string]bool
+	FailedJobs  map[protocol.JobID]bool
 	Quarantined bool
 }
 
--- a/internal/leader/machinetable/machinetable.go
+++ b/internal/leader/machinetable/machinetable.go
@@ -138,7 +138,7 @@
 }
 
 // AddPlacement notes a placement at its machine, nil if another cell runs the task.
-func (mt *Table) AddPlacement(jobID string, p jobrecord.Placement) *Machine {
+func (mt *Table) AddPlacement(jobID protocol.JobID, p jobrecord.Placement) *Machine {
 	if p.HostCell() != "" {
 		return nil
 	}
@@ -152,7 +152,7 @@
 }
 
 // RemovePlacement takes a placement off its machine.
-func (mt *Table) RemovePlacement(jobID string, p jobrecord.Placement) {
+func (mt *Table) RemovePlacement(jobID protocol.JobID, p jobrecord.Placement) {
 	m := mt.ByName[p.Machine]
 	if m == nil {
 		return
--- a/internal/leader/overview/overview.go
+++ b/internal/leader/overview/overview.go
@@ -105,8 +105,8 @@
 
 // FailingJob is an open job whose last start failed.
 type FailingJob struct {
-	Job   string `json:"job"`
-	Cause string `json:"cause"`
+	Job   protocol.JobID `json:"job"`
+	Cause string         `json:"cause"`
 }
 
 // maxFailing is how many failing jobs are listed.
--- a/internal/leader/overview/zoneoverview.go
+++ b/internal/leader/overview/zoneoverview.go
@@ -35,7 +35,7 @@
 
 // WaitingJob is a displaced job and why it doesn't run.
 type WaitingJob struct {
-	Job    string            `json:"job"`
+	Job    protocol.JobID    `json:"job"`
 	Kind   zonerecovery.Kind `json:"kind"`
 	Tasks  int               `json:"tasks"`
 	Reason string            `json:"why"`
--- a/internal/leader/reconciler/commands.go
+++ b/internal/leader/reconciler/commands.go
@@ -213,7 +213,7 @@
 
 // Stop takes a running task off its machine, saving a checkpoint if it can. A gang can only save as a
 // whole, so that all its tasks are stopped at once. forID is the job that needs the room, if any.
-func (cs *CommandSender) Stop(j *jobtable.Job, task int, reason, forID string) {
+func (cs *CommandSender) Stop(j *jobtable.Job, task int, reason string, forID protocol.JobID) {
 	if !j.Spec.Gang() {
 		cs.stopTask(j, task, reason, forID)
 		return
@@ -224,7 +224,7 @@
 }
 
 // stopTask stops one placed task, unless it is being stopped already.
-func (cs *CommandSender) stopTask(j *jobtable.Job, task int, reason, forID string) {
+func (cs *CommandSender) stopTask(j *jobtable.Job, task int, reason string, forID protocol.JobID) {
 	p, placed := j.Placements[task]
 	if _, stopping := j.Stops[task]; !placed || stopping {
 		return
--- a/internal/leader/recordfixtures_test.go
+++ b/internal/leader/recordfixtures_test.go
@@ -102,7 +102,7 @@
 }
 
 // arraySpec is a job without needs of its own.
-func arraySpec(id string, tasks int) protocol.JobSpec {
+func arraySpec(id protocol.JobID, tasks int) protocol.JobSpec {
 	return protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Priority: "normal", Tasks: tasks}
 }
 
--- a/internal/leader/recordstore/adoption.go
+++ b/internal/leader/recordstore/adoption.go
@@ -13,7 +13,7 @@
 
 // Adopt takes over a record as read or followed, unless it is known already.
 func (r *Reader) Adopt(key string, raw []byte, version protocol.Revision) {
-	id := key[len(jobrecord.Prefix):]
+	id := protocol.JobID(key[len(jobrecord.Prefix):])
 	j := r.jobs.ByID[id]
 	if r.outdated(id, j, version) {
 		return
@@ -45,7 +45,7 @@
 // outdated reports whether a version of a record is no news. A read whose response was late can be
 // older than what is known: taking it over would bring back placements that were released. The
 // version that is known is news only if memory has to be replaced by it.
-func (r *Reader) outdated(id string, j *jobtable.Job, version protocol.Revision) bool {
+func (r *Reader) outdated(id protocol.JobID, j *jobtable.Job, version protocol.Revision) bool {
 	if version <= r.jobs.FinalVersions[id] {
 		return true
 	}
@@ -71,7 +71,7 @@
 }
 
 // adoptNew takes over the record of a job that isn't known.
-func (r *Reader) adoptNew(id string, content *jobrecord.Record, version protocol.Revision) {
+func (r *Reader) adoptNew(id protocol.JobID, content *jobrecord.Record, version protocol.Revision) {
 	// Of a sharded record only the shards say whether anything may still run.
 	shardsUnread := content.ShardSize > 0 && r.Loading
 	if content.Final() && len(content.Placements) == 0 && !shardsUnread && content.Hosted == nil {
--- a/internal/leader/recordstore/reader.go
+++ b/internal/leader/recordstore/reader.go
@@ -209,7 +209,7 @@
 	if len(changes.Events) > 0 {
 		r.steps.Wake()
 	}
-	maps.DeleteFunc(r.jobs.FinalVersions, func(_ string, version protocol.Revision) bool {
+	maps.DeleteFunc(r.jobs.FinalVersions, func(_ protocol.JobID, version protocol.Revision) bool {
 		return version <= changes.Revision
 	})
 }
--- a/internal/leader/scheduler/actions.go
+++ b/internal/leader/scheduler/actions.go
@@ -10,6 +10,7 @@
 	"postpoint/internal/leader/snapshots"
 	"postpoint/internal/leader/term"
 	"postpoint/internal/planner"
+	"postpoint/internal/protocol"
 )
 
 // stopReasonPreempted says in logs why tasks are stopped that are preempted.
@@ -32,8 +33,8 @@
 // gangsWaitingForBoot returns the gangs of which a plan places some task on a machine that boots. They
 // start whole or not at all: in part they would hold capacity, fail for want of the rest and start
 // over.
-func (s *Scheduler) gangsWaitingForBoot(placements []planner.Placement) map[string]bool {
-	waiting := map[string]bool{}
+func (s *Scheduler) gangsWaitingForBoot(placements []planner.Placement) map[protocol.JobID]bool {
+	waiting := map[protocol.JobID]bool{}
 	for _, p := range placements {
 		if p.MachineBooting && !snapshots.IsReserve(p.Job) && s.jobs.ByID[p.Job].Spec.Gang() {
 			waiting[p.Job] = true
--- a/internal/leader/scheduler/demand.go
+++ b/internal/leader/scheduler/demand.go
@@ -5,6 +5,7 @@
 
 	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/planner"
+	"postpoint/internal/protocol"
 	"postpoint/internal/scaling"
 )
 
@@ -44,8 +45,8 @@
 }
 
 // awaitedPools returns, by job, the pools of the booting machines that its tasks wait for.
-func (s *Scheduler) awaitedPools(placements []planner.Placement) map[string][]scaling.CapacityPool {
-	awaited := map[string][]scaling.CapacityPool{}
+func (s *Scheduler) awaitedPools(placements []planner.Placement) map[protocol.JobID][]scaling.CapacityPool {
+	awaited := map[protocol.JobID][]scaling.CapacityPool{}
 	for _, p := range placements {
 		if p.MachineBooting {
 			awaited[p.Job] = append(awaited[p.Job], s.machines.ByName[p.Machine].Kind())
--- a/internal/leader/snapshots/reserve.go
+++ b/internal/leader/snapshots/reserve.go
@@ -32,11 +32,11 @@
 )
 
 // IsReserve reports whether a job of a plan is a reserve.
-func IsReserve(jobID string) bool { return strings.HasPrefix(jobID, reservePrefix) }
+func IsReserve(jobID protocol.JobID) bool { return strings.HasPrefix(string(jobID), reservePrefix) }
 
 // newReserve returns a reserve for so many tasks like those of a spec, which it changes into an
 // array. It is in no hurry, and comes after all other jobs of its rank and tier.
-func newReserve(id string, spec *protocol.JobSpec, tasks, rank int, tier planner.Tier) planner.Job {
+func newReserve(id protocol.JobID, spec *protocol.JobSpec, tasks, rank int, tier planner.Tier) planner.Job {
 	spec.Shape, spec.Tasks = protocol.ShapeArray, tasks
 	return planner.Job{
 		ID:          id,
@@ -83,7 +83,8 @@
 		tasks, rank = b.ReplicaReserve(history), len(protocol.Priorities)
 		spec.Types = b.catalogue.ReplicaTypes(&history.Spec)
 	}
-	return newReserve(reservePrefix+class, &spec, tasks, rank, planner.TierStartInTime)
+	id := protocol.JobID(reservePrefix + class)
+	return newReserve(id, &spec, tasks, rank, planner.TierStartInTime)
 }
 
 // ReplicaReserve returns how many replicas of a class room is reserved for: those of one more job, or
@@ -160,7 +161,7 @@
 		}
 		spec := *like
 		spec.Zone, spec.OneZone, spec.Spread = zone, false, false
-		id := zoneReservePrefix + like.Class + "/" + lostZone + "/" + zone
+		id := protocol.JobID(zoneReservePrefix + like.Class + "/" + lostZone + "/" + zone)
 		jobs = append(jobs, newReserve(id, &spec, share, len(protocol.Priorities), planner.TierEndInTime))
 	}
 	return jobs
@@ -183,8 +184,8 @@
 }
 
 // lostTasks counts, by job, the tasks on silent machines of lost zones.
-func (b *Builder) lostTasks() map[string]int {
-	lost := map[string]int{}
+func (b *Builder) lostTasks() map[protocol.JobID]int {
+	lost := map[protocol.JobID]int{}
 	for _, m := range b.machines.Ordered {
 		zone := b.zones.Zones[m.Zone]
 		if zone == nil || zone.Phase != zonerecovery.Lost || !b.machines.HeartbeatMissed(m) {
--- a/internal/offload/plan.go
+++ b/internal/offload/plan.go
@@ -20,7 +20,7 @@
 
 // Candidate is one job whose tasks wait and may be offloaded.
 type Candidate struct {
-	Job   string
+	Job   protocol.JobID
 	Spec  *protocol.JobSpec
 	Tasks int
 	// AllOrNothing jobs go to one cell with all of their tasks or not at all.
@@ -38,7 +38,7 @@
 
 // Assignment assigns some of a job's tasks to a host cell.
 type Assignment struct {
-	Job   string
+	Job   protocol.JobID
 	Host  string
 	Tasks int
 }
--- a/internal/offload/plan_test.go
+++ b/internal/offload/plan_test.go
@@ -31,7 +31,7 @@
 	return Host{Name: name, Load: delegation.Load{QuotaLeft: room, Types: types}}
 }
 
-func work(job string, tasks int, cpus, gpus, originS float64, to ...string) Candidate {
+func work(job protocol.JobID, tasks int, cpus, gpus, originS float64, to ...string) Candidate {
 	spec := &protocol.JobSpec{ID: job, Cpus: cpus, Gpus: gpus, MemoryGB: 1, ImageGB: 2}
 	return Candidate{Job: job, Tasks: tasks, OriginWaitS: originS, Hosts: to, Spec: spec}
 }
@@ -75,7 +75,7 @@
 		cpus := drawAmount(t, "cpus", 4) + 1
 		gpus := drawAmount(t, "gpus", 1)
 		originS := 20 + drawAmount(t, "wait in the origin cell", 60)
-		w := work(fmt.Sprint(i), tasks, cpus, gpus, originS, "0", "1")
+		w := work(protocol.JobID(fmt.Sprint(i)), tasks, cpus, gpus, originS, "0", "1")
 		w.AllOrNothing = rapid.Bool().Draw(t, "whole")
 		jobs = append(jobs, w)
 	}
@@ -179,7 +179,7 @@
 	var jobs []Candidate
 	var hosts []Host
 	for i := range 20 {
-		name := fmt.Sprintf("job-%d", i)
+		name := protocol.JobID(fmt.Sprintf("job-%d", i))
 		originS := 60 + float64(3*i)
 		jobs = append(jobs, work(name, 50+7*i, float64(1+i%5), float64(i%2), originS, "0", "1", "2", "3"))
 	}
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -58,8 +58,8 @@
 		return admission.Request{}, fmt.Errorf("%w: request of %d bytes, id of %d", ErrMalformed, len(b),
 			idLength)
 	}
-	return admission.Request{Kind: kind, ID: string(rest[:idLength]), Body: rest[idLength:], Forwarded: true},
-		nil
+	id, body := protocol.JobID(rest[:idLength]), rest[idLength:]
+	return admission.Request{Kind: kind, ID: id, Body: body, Forwarded: true}, nil
 }
 
 func encodeAnswer(a admission.Response) []byte {
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -10,7 +10,7 @@
 func BenchmarkMake(b *testing.B) {
 	s := Snapshot{Machines: machinesWith(48, 16, 16)}
 	for i := range 100 {
-		s.Jobs = append(s.Jobs, arrayJob(fmt.Sprint("job-", i), 2, 20, 1))
+		s.Jobs = append(s.Jobs, arrayJob(protocol.JobID(fmt.Sprint("job-", i)), 2, 20, 1))
 	}
 	for b.Loop() {
 		MakePlan(s)
@@ -29,10 +29,10 @@
 		}
 	}
 	for i := range 20 {
-		s.Jobs = append(s.Jobs, arrayJob(fmt.Sprint("job-a", i), 2, 400, 1))
+		s.Jobs = append(s.Jobs, arrayJob(protocol.JobID(fmt.Sprint("job-a", i)), 2, 400, 1))
 	}
 	for i := range 80 {
-		s.Jobs = append(s.Jobs, gangJob(fmt.Sprint("job-g", i), 2, 2+i%15, 15))
+		s.Jobs = append(s.Jobs, gangJob(protocol.JobID(fmt.Sprint("job-g", i)), 2, 2+i%15, 15))
 	}
 	return s
 }
--- a/internal/planner/build_test.go
+++ b/internal/planner/build_test.go
@@ -9,7 +9,7 @@
 
 // arrayJob returns an array that may preempt, of which the given tasks run and the rest
 // are pending.
-func arrayJob(id string, rank, tasks int, cpus float64, running ...RunningTask) Job {
+func arrayJob(id protocol.JobID, rank, tasks int, cpus float64, running ...RunningTask) Job {
 	j := Job{ID: id, Rank: rank, MaxStarts: 100, MayPreempt: true, Running: running,
 		Spec: &protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Tasks: tasks, Cpus: cpus}}
 	for task := len(running); task < tasks; task++ {
@@ -19,7 +19,7 @@
 }
 
 // gangJob returns a gang that may preempt, all tasks of which are pending.
-func gangJob(id string, rank, tasks int, cpus float64) Job {
+func gangJob(id protocol.JobID, rank, tasks int, cpus float64) Job {
 	j := arrayJob(id, rank, tasks, cpus)
 	j.Spec.Shape = protocol.ShapeGang
 	return j
--- a/internal/planner/draw_test.go
+++ b/internal/planner/draw_test.go
@@ -21,7 +21,7 @@
 		s.Machines = append(s.Machines, drawMachine(t, protocol.MachineName(fmt.Sprint("m", i))))
 	}
 	for i := range rapid.IntRange(1, 6).Draw(t, "jobs") {
-		spec := drawSpec(t, fmt.Sprint("job-", i))
+		spec := drawSpec(t, protocol.JobID(fmt.Sprint("job-", i)))
 		j := Job{ID: spec.ID, Spec: spec, Rank: rapid.IntRange(0, 3).Draw(t, "rank"),
 			SubmittedAt: int64(i), MaxStarts: 100, MayPreempt: true}
 		start := rapid.Bool().Draw(t, "running")
@@ -44,7 +44,7 @@
 		Spot: rapid.Bool().Draw(t, "spot"), Capacity: whole, Free: whole, HourlyPrice: 1}
 }
 
-func drawSpec(t *rapid.T, id string) *protocol.JobSpec {
+func drawSpec(t *rapid.T, id protocol.JobID) *protocol.JobSpec {
 	shapes := []string{protocol.ShapeArray, protocol.ShapeGang, protocol.ShapeService}
 	tasks := rapid.IntRange(1, 5).Draw(t, "tasks")
 	return &protocol.JobSpec{ID: id, Team: rapid.SampledFrom([]string{"limited", "open"}).Draw(t, "team"),
--- a/internal/planner/job.go
+++ b/internal/planner/job.go
@@ -22,7 +22,7 @@
 
 // Job is a job that isn't over.
 type Job struct {
-	ID   string
+	ID   protocol.JobID
 	Spec *protocol.JobSpec
 	// Rank is the job's priority class. 0 is the highest.
 	Rank int
--- a/internal/planner/model_test.go
+++ b/internal/planner/model_test.go
@@ -6,6 +6,8 @@
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"postpoint/internal/protocol"
 )
 
 // modelRoom is a plain model of how many more tasks of a job fit: its tasks are alike, so
@@ -49,16 +51,17 @@
 	Plan
 	before Snapshot
 	// jobs are those of the snapshot by ID; jobsAfter have what was placed running.
-	jobs, jobsAfter map[string]*Job
+	jobs, jobsAfter map[protocol.JobID]*Job
 	// machinesAfter have less free by what was placed.
 	machinesAfter []Machine
-	placed        map[string]int // tasks by job
+	placed        map[protocol.JobID]int // tasks by job
 }
 
 // applyPlacements applies the placements of a plan and checks each of them.
 func applyPlacements(t *rapid.T, s Snapshot, plan Plan) *checkedPlan {
-	c := &checkedPlan{Plan: plan, before: s, jobs: map[string]*Job{}, jobsAfter: map[string]*Job{},
-		machinesAfter: slices.Clone(s.Machines), placed: map[string]int{}}
+	c := &checkedPlan{Plan: plan, before: s,
+		jobs: map[protocol.JobID]*Job{}, jobsAfter: map[protocol.JobID]*Job{},
+		machinesAfter: slices.Clone(s.Machines), placed: map[protocol.JobID]int{}}
 	for i := range s.Jobs {
 		j := &s.Jobs[i]
 		after := *j
@@ -82,7 +85,7 @@
 }
 
 // missing is how many tasks of a job neither ran before nor were placed.
-func (c *checkedPlan) missing(job string) int {
+func (c *checkedPlan) missing(job protocol.JobID) int {
 	before := c.jobs[job]
 	return len(before.Running) + len(before.Pending) - len(c.jobsAfter[job].Running)
 }
@@ -157,12 +160,12 @@
 }
 
 // preempted are preempted tasks by the job that they belong to.
-type preempted map[string]map[int]bool
+type preempted map[protocol.JobID]map[int]bool
 
 // checkRanksOfPreempted checks that only lower work yields, and returns the preempted
 // tasks by the job that they yield to.
-func (c *checkedPlan) checkRanksOfPreempted(t *rapid.T) map[string]preempted {
-	winners := map[string]preempted{}
+func (c *checkedPlan) checkRanksOfPreempted(t *rapid.T) map[protocol.JobID]preempted {
+	winners := map[protocol.JobID]preempted{}
 	for _, stop := range c.Preemptions {
 		if c.jobs[stop.Job].Rank <= c.jobs[stop.Preemptor].Rank {
 			t.Fatalf("%s of rank %d is preempted for %s of rank %d, want only lower work to yield",
@@ -184,7 +187,7 @@
 
 // machinesWithout returns the machines once the preempted tasks have left, save for one
 // task, or every task, of the job that is kept.
-func (c *checkedPlan) machinesWithout(tasks preempted, keptJob string, keptTask int) []Machine {
+func (c *checkedPlan) machinesWithout(tasks preempted, keptJob protocol.JobID, keptTask int) []Machine {
 	machines := slices.Clone(c.machinesAfter)
 	byName := machinesByName(machines)
 	for loser, stopped := range tasks {
@@ -200,7 +203,7 @@
 
 // checkPreemptionsAreNeeded checks that what is preempted makes enough room, and that
 // nothing of it could be kept.
-func (c *checkedPlan) checkPreemptionsAreNeeded(t *rapid.T, winners map[string]preempted) {
+func (c *checkedPlan) checkPreemptionsAreNeeded(t *rapid.T, winners map[protocol.JobID]preempted) {
 	if len(winners) != 1 {
 		return // each alone may not suffice, or not be needed
 	}
@@ -225,7 +228,7 @@
 
 // possiblyKept returns which of the preempted tasks of a job could have been kept without
 // the others: any of a shrunk array, only all of a job that is preempted as a whole.
-func (c *checkedPlan) possiblyKept(loser string, tasks map[int]bool) []int {
+func (c *checkedPlan) possiblyKept(loser protocol.JobID, tasks map[int]bool) []int {
 	if c.jobs[loser].Spec.Gang() || len(tasks) == len(c.jobs[loser].Running) {
 		return []int{everyTask}
 	}
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -14,7 +14,7 @@
 
 // Placement assigns a task to a machine.
 type Placement struct {
-	Job     string
+	Job     protocol.JobID
 	Task    int
 	Machine protocol.MachineName
 	// MachineBooting reports whether the machine still boots, so that the task starts later.
@@ -23,10 +23,10 @@
 
 // Preemption has a running task stopped for another job.
 type Preemption struct {
-	Job  string
+	Job  protocol.JobID
 	Task int
 	// Preemptor is the job that gets the room.
-	Preemptor string
+	Preemptor protocol.JobID
 }
 
 // UnmetDemand counts the tasks of a job that should run now and found no room.
--- a/internal/planner/preempt_test.go
+++ b/internal/planner/preempt_test.go
@@ -21,7 +21,7 @@
 	a := arrayJob("job-a", 2, 4, 1, runningOn("m0", 40, 30, 20, 10)...)
 	b := arrayJob("job-b", 2, 4, 1, runningOn("m0", 8, 7, 6, 5)...)
 	plan := MakePlan(Snapshot{Jobs: []Job{urgent, a, b}, Machines: machinesWith(1, 8, 0)})
-	preempted := map[string][]int{}
+	preempted := map[protocol.JobID][]int{}
 	for _, s := range plan.Preemptions {
 		preempted[s.Job] = append(preempted[s.Job], s.Task)
 	}
--- a/internal/planner/queue_test.go
+++ b/internal/planner/queue_test.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"testing"
+
+	"postpoint/internal/protocol"
 )
 
 // Jobs compete for one machine after the other in the order of the queue.
@@ -11,7 +13,7 @@
 		j.Spec.Team = team
 		return j
 	}
-	job := func(id string, rank int, tier Tier) Job {
+	job := func(id protocol.JobID, rank int, tier Tier) Job {
 		j := arrayJob(id, rank, 1, 1)
 		j.Tier, j.MayPreempt = tier, false
 		return j
@@ -33,7 +35,7 @@
 	for free := range order {
 		s := Snapshot{Jobs: slices.Clone(order), Machines: machinesWith(free, 1, 1), Teams: teams}
 		slices.Reverse(s.Jobs)
-		placed := map[string]bool{}
+		placed := map[protocol.JobID]bool{}
 		for _, p := range MakePlan(s).Placements {
 			placed[p.Job] = true
 		}
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -390,15 +390,15 @@
 	if job, task, ok := ParseTask("beta.job-1.7/12"); job != "beta.job-1.7" || task != 12 || !ok {
 		t.Errorf("a task's name is read as %q %d %v", job, task, ok)
 	}
-	for id, valid := range map[string]bool{
-		"job-000412":                     true,
-		"job-a_Z-9":                      true,
-		"job-" + strings.Repeat("x", 60): true,
-		"job-" + strings.Repeat("x", 61): false,
-		"job-":                           false,
-		"beta.job-1.7":                   false,
-		"job-1.7":                        false,
-		"job-1/7":                        false,
+	for id, valid := range map[JobID]bool{
+		"job-000412":                            true,
+		"job-a_Z-9":                             true,
+		JobID("job-" + strings.Repeat("x", 60)): true,
+		JobID("job-" + strings.Repeat("x", 61)): false,
+		"job-":                                  false,
+		"beta.job-1.7":                          false,
+		"job-1.7":                               false,
+		"job-1/7":                               false,
 	} {
 		if ValidJobID(id) != valid {
 			t.Errorf("%q: valid %v", id, !valid)
--- a/internal/protocol/identifiers.go
+++ b/internal/protocol/identifiers.go
@@ -37,22 +37,27 @@
 // spaces. It is a type of its own so that it can't be taken for a machine type, a zone, an address or a job.
 type MachineName string
 
+// JobID is the id of a job: one that a user chose, see ValidJobID, that of a job hosted for another cell, or
+// that of a reserve of the planner. It is a type of its own so that it can't be taken for the name of a task
+// or a machine, or for a key of the key-value store.
+type JobID string
+
 // TaskName returns the name of a task on the wire, as in "job-000412/3".
-func TaskName(job string, task int) string { return job + "/" + strconv.Itoa(task) }
+func TaskName(job JobID, task int) string { return string(job) + "/" + strconv.Itoa(task) }
 
 // ParseTask splits the name of a task; ok reports whether it is one.
-func ParseTask(name string) (job string, task int, ok bool) {
-	job, number, found := strings.Cut(name, "/")
+func ParseTask(name string) (job JobID, task int, ok bool) {
+	id, number, found := strings.Cut(name, "/")
 	if !found {
 		return "", 0, false
 	}
 	task, err := strconv.Atoi(number)
-	return job, task, err == nil && task >= 0
+	return JobID(id), task, err == nil && task >= 0
 }
 
 // ValidJobID reports whether an id has the form in which users choose them.
-func ValidJobID(id string) bool {
-	suffix, ok := strings.CutPrefix(id, jobIDPrefix)
+func ValidJobID(id JobID) bool {
+	suffix, ok := strings.CutPrefix(string(id), jobIDPrefix)
 	if !ok || suffix == "" || len(suffix) > maxJobIDSuffix {
 		return false
 	}
--- a/internal/protocol/jobs.go
+++ b/internal/protocol/jobs.go
@@ -28,7 +28,7 @@
 
 // JobSpec is a submission: the description of a job.
 type JobSpec struct {
-	ID       string  `msgpack:"Uid"`
+	ID       JobID   `msgpack:"Uid"`
 	Class    string  `msgpack:"Lane"` // service-level objectives are set for classes
 	Team     string  `msgpack:"Desk"`
 	Shape    string  `msgpack:"Shape"`
@@ -65,7 +65,7 @@
 
 // JobStatus is the response to users about a job. Done and Running count tasks.
 type JobStatus struct {
-	ID      string `msgpack:"Uid"`
+	ID      JobID  `msgpack:"Uid"`
 	Status  string `msgpack:"Status"`
 	Done    int    `msgpack:"done"`
 	Running int    `msgpack:"running"`
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -64,7 +64,7 @@
 		return JobSpec{}, err
 	}
 	p := submissionParser{fields: fields}
-	id := p.text(fieldID)
+	id := JobID(p.text(fieldID))
 	if p.err == nil && !ValidJobID(id) {
 		return JobSpec{}, &FieldError{Field: fieldID, Problem: FieldUnacceptable, Want: wantJobID}
 	}
--- a/internal/scaling/draw_test.go
+++ b/internal/scaling/draw_test.go
@@ -35,7 +35,7 @@
 func drawUnmetDemand(r *rand.Rand, jobs, mostTasks int) []planner.UnmetDemand {
 	unmet := make([]planner.UnmetDemand, jobs)
 	for i := range unmet {
-		spec := &protocol.JobSpec{ID: fmt.Sprint("job-", i), Tasks: 1 + r.IntN(mostTasks),
+		spec := &protocol.JobSpec{ID: protocol.JobID(fmt.Sprint("job-", i)), Tasks: 1 + r.IntN(mostTasks),
 			Cpus: []float64{1, 10, 15}[r.IntN(3)], MemoryGB: []float64{1.4, 51}[r.IntN(2)],
 			Gpus: float64(r.IntN(4) / 3), ImageGB: 2 * r.Float64(), Spot: r.IntN(3) > 0,
 			OneZone: r.IntN(4) == 0}
--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -151,7 +151,7 @@
 	d.CancelAtEnd = 1
 	var jobs []*Job
 	for i := range 40 {
-		spec := array(fmt.Sprintf("job-%06d", i), "open", 1+i%3, 2, 10)
+		spec := array(protocol.JobID(fmt.Sprintf("job-%06d", i)), "open", 1+i%3, 2, 10)
 		jobs = append(jobs, d.Submit(spec, 10*clock.Second, false))
 	}
 	for w.Now() < 300*clock.Second {
--- a/internal/simulation/cells.go
+++ b/internal/simulation/cells.go
@@ -102,7 +102,7 @@
 
 // find is the job that a worker of the cell runs under an id, or nil. A hosted job is that of its origin
 // cell.
-func (d *Deployment) find(id string) *Job {
+func (d *Deployment) find(id protocol.JobID) *Job {
 	origin, job, _, hosted := jobrecord.ParseHostedJobID(id)
 	if !hosted || d.group == nil {
 		return d.jobs[id]
@@ -153,7 +153,7 @@
 	lent := map[string]int{}
 	for key := range d.Store.entries {
 		if id, isJob := strings.CutPrefix(key, jobrecord.Prefix); isJob {
-			for _, p := range d.Store.record(id).Placements {
+			for _, p := range d.Store.record(protocol.JobID(id)).Placements {
 				if host := p.HostCell(); host != "" {
 					lent[host]++
 				}
--- a/internal/simulation/cells_test.go
+++ b/internal/simulation/cells_test.go
@@ -16,7 +16,7 @@
 func flood(d *Deployment, n int) []*Job {
 	var jobs []*Job
 	for i := range n {
-		s := array(fmt.Sprintf("job-%06d", i), "open", 20, 2, 30)
+		s := array(protocol.JobID(fmt.Sprintf("job-%06d", i)), "open", 20, 2, 30)
 		if i%4 == 3 {
 			s.Shape, s.Tasks = protocol.ShapeGang, 4
 		}
@@ -88,7 +88,7 @@
 func (s *FakeStore) delegations() []string {
 	var keys []string
 	for key := range s.entries {
-		_, _, _, guest := jobrecord.ParseHostedJobID(strings.TrimPrefix(key, jobrecord.Prefix))
+		_, _, _, guest := jobrecord.ParseHostedJobID(protocol.JobID(strings.TrimPrefix(key, jobrecord.Prefix)))
 		if guest || strings.HasPrefix(key, delegation.Prefix) {
 			keys = append(keys, key)
 		}
--- a/internal/simulation/days.go
+++ b/internal/simulation/days.go
@@ -58,7 +58,7 @@
 // class gives a job its class.
 func (l workload) class(s protocol.JobSpec) protocol.JobSpec {
 	if l.ownClasses {
-		s.Class = s.ID
+		s.Class = string(s.ID)
 	}
 	return s
 }
--- a/internal/simulation/deployment.go
+++ b/internal/simulation/deployment.go
@@ -37,7 +37,7 @@
 	cut map[string]*partitionedZone
 	// History records what runs when, if set.
 	History *History
-	jobs    map[string]*Job
+	jobs    map[protocol.JobID]*Job
 	order   []*Job // in the order of their submission
 	byAddr  map[string]*FakeWorker
 	used    map[string]planner.Resources // by team, on machines
@@ -76,7 +76,7 @@
 ) *Deployment {
 	d := &Deployment{
 		World: w, Settings: set, Store: NewFakeStore(w), Loss: loss,
-		cut: map[string]*partitionedZone{}, jobs: map[string]*Job{}, byAddr: map[string]*FakeWorker{},
+		cut: map[string]*partitionedZone{}, jobs: map[protocol.JobID]*Job{}, byAddr: map[string]*FakeWorker{},
 		used:    map[string]planner.Resources{},
 		address: func(name protocol.MachineName) string { return string(name) + ":9000" },
 	}
--- a/internal/simulation/gangs.go
+++ b/internal/simulation/gangs.go
@@ -9,7 +9,7 @@
 }
 
 // gang lists the tasks of one attempt that are on machines, by the id under which they run.
-func (d *Deployment) gang(id string, attempt protocol.Attempt) []member {
+func (d *Deployment) gang(id protocol.JobID, attempt protocol.Attempt) []member {
 	j := d.find(id)
 	var all []member
 	for n := range j.spec.Tasks {
@@ -23,7 +23,7 @@
 }
 
 // startGang starts a gang once all its tasks wait.
-func (d *Deployment) startGang(id string, attempt protocol.Attempt) {
+func (d *Deployment) startGang(id protocol.JobID, attempt protocol.Attempt) {
 	j, all := d.find(id), d.gang(id, attempt)
 	for _, x := range all {
 		if x.t.status != protocol.TaskWaiting {
@@ -38,7 +38,7 @@
 }
 
 // completeGang completes all tasks of a gang together, unless one is gone: the others notice that later.
-func (d *Deployment) completeGang(id string, attempt protocol.Attempt) {
+func (d *Deployment) completeGang(id protocol.JobID, attempt protocol.Attempt) {
 	all := d.gang(id, attempt)
 	if len(all) != d.find(id).spec.Tasks {
 		return
--- a/internal/simulation/gangs_test.go
+++ b/internal/simulation/gangs_test.go
@@ -138,7 +138,7 @@
 	d.Submit(gang, 20*clock.Second, false)
 	for i := range 8 {
 		w.After(clock.Micros(100+i*20)*clock.Second, func() {
-			s := array(fmt.Sprintf("job-1%05d", i), "open", 4, 4, 15)
+			s := array(protocol.JobID(fmt.Sprintf("job-1%05d", i)), "open", 4, 4, 15)
 			s.Zone = gang.Zone
 			d.Submit(s, 15*clock.Second, false)
 		})
--- a/internal/simulation/kinds.go
+++ b/internal/simulation/kinds.go
@@ -238,7 +238,7 @@
 		n.Leader.Overview(of.recordOverview)
 		n.Admission.Ready(func(ready bool) { of.record("ready", ready) })
 	}
-	id := "job-none"
+	id := protocol.JobID("job-none")
 	if jobs := d.Jobs(); asked%5 != 0 && len(jobs) > 0 {
 		id = jobs[asked%len(jobs)].spec.ID
 	}
--- a/internal/simulation/loopbackclient.go
+++ b/internal/simulation/loopbackclient.go
@@ -65,6 +65,11 @@
 	}
 }
 
+// jobURL returns the address of a job at the controller.
+func (c *remoteController) jobURL(id protocol.JobID) string {
+	return c.base + jobsPath + "/" + string(id)
+}
+
 // Handle sends a user's request to the controller.
 func (c *remoteController) Handle(r admission.Request, reply func(admission.Response)) {
 	l := c.l
@@ -77,9 +82,9 @@
 			answer.Status, answer.Body = post(&l.users, c.base+jobsPath, r.Body)
 		case admission.GetStatus:
 			counter = &l.Polls
-			answer.Status, answer.Body = get(&l.users, c.base+jobsPath+"/"+r.ID)
+			answer.Status, answer.Body = get(&l.users, c.jobURL(r.ID))
 		case admission.Cancel:
-			answer.Status, answer.Body = post(&l.users, c.base+jobsPath+"/"+r.ID+cancelSuffix, nil)
+			answer.Status, answer.Body = post(&l.users, c.jobURL(r.ID)+cancelSuffix, nil)
 		}
 		l.Do(func() {
 			if answer.Status == http.StatusOK || answer.Status == http.StatusCreated {
--- a/internal/simulation/placement_test.go
+++ b/internal/simulation/placement_test.go
@@ -22,7 +22,7 @@
 		}
 		var jobs []*Job
 		for i := range 6 {
-			s := array(fmt.Sprintf("job-%06d", i), "open", 4, 4, 30)
+			s := array(protocol.JobID(fmt.Sprintf("job-%06d", i)), "open", 4, 4, 30)
 			s.OneZone = true
 			if i%2 == 1 {
 				s.Shape = protocol.ShapeGang
@@ -70,7 +70,7 @@
 	w.Run(60 * clock.Second)
 	var small []*Job
 	for i := range 5 {
-		spec := array(fmt.Sprintf("job-1%05d", i), "open", 4, 1, 5)
+		spec := array(protocol.JobID(fmt.Sprintf("job-1%05d", i)), "open", 4, 1, 5)
 		spec.Class = "small"
 		small = append(small, d.Submit(spec, 5*clock.Second, false))
 	}
--- a/internal/simulation/scale_test.go
+++ b/internal/simulation/scale_test.go
@@ -111,7 +111,9 @@
 }
 
 // nextID is an id that no job of the deployment has yet.
-func (d *Deployment) nextID() string { return fmt.Sprintf("job-%06d", len(d.order)) }
+func (d *Deployment) nextID() protocol.JobID {
+	return protocol.JobID(fmt.Sprintf("job-%06d", len(d.order)))
+}
 
 // mustFinish fails the test if a rule was broken or an accepted job isn't done.
 func mustFinish(t *testing.T, d *Deployment) {
--- a/internal/simulation/storeoutage_test.go
+++ b/internal/simulation/storeoutage_test.go
@@ -7,6 +7,7 @@
 
 	"postpoint/internal/clock"
 	"postpoint/internal/election"
+	"postpoint/internal/protocol"
 )
 
 // The store refuses the leader alone, another controller confirms a cancellation, and then the store is
@@ -121,7 +122,7 @@
 		}
 		d.Store.LateWrites = 0.5
 		for i := range 6 {
-			d.Submit(array(fmt.Sprintf("job-1%05d", i), "limited", 4, 2, 15), 15*clock.Second, false)
+			d.Submit(array(protocol.JobID(fmt.Sprintf("job-1%05d", i)), "limited", 4, 2, 15), 15*clock.Second, false)
 			w.Run(w.Now() + 2*clock.Second)
 		}
 		w.Run(w.Now() + 30*clock.Second)
--- a/internal/simulation/storerecords.go
+++ b/internal/simulation/storerecords.go
@@ -12,7 +12,7 @@
 }
 
 // record decodes a job's record, without its shards; nil if there is none.
-func (s *FakeStore) record(job string) *jobrecord.Record {
+func (s *FakeStore) record(job protocol.JobID) *jobrecord.Record {
 	e, ok := s.entries[jobrecord.Key(job)]
 	if !ok {
 		return nil
@@ -25,7 +25,7 @@
 }
 
 // wholeRecord decodes a job's record with its shards; nil if there is none.
-func (s *FakeStore) wholeRecord(job string) *jobrecord.Record {
+func (s *FakeStore) wholeRecord(job protocol.JobID) *jobrecord.Record {
 	j := s.record(job)
 	if j == nil {
 		return nil
@@ -47,7 +47,7 @@
 }
 
 // final reports whether a job's record is final.
-func (s *FakeStore) final(job string) bool {
+func (s *FakeStore) final(job protocol.JobID) bool {
 	j := s.record(job)
 	return j != nil && j.Final()
 }
--- a/internal/simulation/tasks.go
+++ b/internal/simulation/tasks.go
@@ -12,7 +12,7 @@
 
 // taskKey is a task of a job, by the id under which the machine knows the job.
 type taskKey struct {
-	job  string
+	job  protocol.JobID
 	task int
 }
 
--- a/internal/simulation/transfer_test.go
+++ b/internal/simulation/transfer_test.go
@@ -116,7 +116,7 @@
 
 func (x *transfer) hosted() *jobrecord.Record {
 	for key := range x.host.Store.entries {
-		id := strings.TrimPrefix(key, jobrecord.Prefix)
+		id := protocol.JobID(strings.TrimPrefix(key, jobrecord.Prefix))
 		if _, _, _, guest := jobrecord.ParseHostedJobID(id); guest {
 			return x.host.Store.record(id)
 		}
--- a/internal/simulation/watch.go
+++ b/internal/simulation/watch.go
@@ -152,7 +152,7 @@
 	workers := d.Settings.Deployment.Workers
 	longest := clock.FromSeconds(workers.GangWaitS+workers.LeaseS+workers.GangPeerS) +
 		workers.RenewalWindow() + 10*clock.Second
-	since := map[string]clock.Micros{}
+	since := map[protocol.JobID]clock.Micros{}
 	d.World.Every(clock.Second, func() {
 		for _, j := range d.order {
 			r := d.Store.wholeRecord(j.spec.ID)
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -49,7 +49,7 @@
 	deferred []func()
 	// expiredJobs are the jobs with tasks on the machine when its lease expired while it hung, and when
 	// that was: the tasks are there until it continues.
-	expiredJobs map[string]clock.Micros
+	expiredJobs map[protocol.JobID]clock.Micros
 	// Link carries heartbeats and their responses, Commands what controllers send directly.
 	Link, Commands Link
 	// HeartbeatsLost machines reach no controller; what controllers send directly reaches them.
@@ -166,7 +166,7 @@
 // keepExpiredJobs remembers the jobs whose tasks a hung machine can't end.
 func (m *FakeWorker) keepExpiredJobs() {
 	if m.expiredJobs == nil {
-		m.expiredJobs = map[string]clock.Micros{}
+		m.expiredJobs = map[protocol.JobID]clock.Micros{}
 	}
 	for _, t := range m.tasks {
 		if t.resident {
--- a/internal/simulation/workerloss_test.go
+++ b/internal/simulation/workerloss_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/protocol"
 	"postpoint/internal/scaling"
 )
 
@@ -24,7 +25,7 @@
 	m := d.Workers()[0]
 	m.HeartbeatsLost = true
 	for i := range 20 {
-		d.Submit(array(fmt.Sprintf("job-1%05d", i), "open", 1, 1, 4), 4*clock.Second, false)
+		d.Submit(array(protocol.JobID(fmt.Sprintf("job-1%05d", i)), "open", 1, 1, 4), 4*clock.Second, false)
 		for until := w.Now() + 3*clock.Second; w.Now() < until; {
 			w.Run(w.Now() + 100*clock.Millisecond)
 			if m.incarnation > 1 && len(m.tasks) > 0 {
--- a/internal/simulation/workload.go
+++ b/internal/simulation/workload.go
@@ -39,7 +39,7 @@
 }
 
 // array is the specification of a job array without placement constraints.
-func array(id, team string, tasks int, cpus, seconds float64) protocol.JobSpec {
+func array(id protocol.JobID, team string, tasks int, cpus, seconds float64) protocol.JobSpec {
 	return protocol.JobSpec{ID: id, Class: "c", Team: team, Shape: protocol.ShapeArray, Priority: "normal",
 		Tasks: tasks, Cpus: cpus, MemoryGB: 1, Image: "i", EstimateS: seconds}
 }
@@ -48,7 +48,8 @@
 func randomSpec(w *World, n int) protocol.JobSpec {
 	r := w.Rand
 	s := protocol.JobSpec{
-		ID: fmt.Sprintf("job-%06d", n), Class: "c", Team: []string{"limited", "open"}[r.IntN(2)],
+		ID: protocol.JobID(fmt.Sprintf("job-%06d", n)), Class: "c",
+		Team:  []string{"limited", "open"}[r.IntN(2)],
 		Shape: protocol.ShapeArray, Priority: protocol.Priorities[r.IntN(4)], Tasks: 1 + r.IntN(10),
 		Cpus: float64(1 + r.IntN(4)), MemoryGB: float64(1 + r.IntN(8)),
 		Image: fmt.Sprintf("img-%d", r.IntN(3)), ImageGB: 1,
--- a/internal/simulation/zonefixture_test.go
+++ b/internal/simulation/zonefixture_test.go
@@ -65,7 +65,7 @@
 }
 
 // gang is the specification of a gang that saves checkpoints.
-func gang(id string, tasks int, seconds float64) protocol.JobSpec {
+func gang(id protocol.JobID, tasks int, seconds float64) protocol.JobSpec {
 	s := array(id, "open", tasks, 4, seconds)
 	s.Shape, s.CheckpointS, s.SaveS = protocol.ShapeGang, 5, 1
 	return s
@@ -116,8 +116,8 @@
 }
 
 // displaced are the unfinished jobs marked as having lost tasks with a zone though no task is missing.
-func (d *Deployment) displaced() []string {
-	var ids []string
+func (d *Deployment) displaced() []protocol.JobID {
+	var ids []protocol.JobID
 	for _, j := range d.order {
 		r := d.Store.wholeRecord(j.spec.ID)
 		if r != nil && !r.Final() && r.DisplacedFrom != "" && r.PendingCount() == 0 {
--- a/internal/simulation/zonerecovery_test.go
+++ b/internal/simulation/zonerecovery_test.go
@@ -127,7 +127,7 @@
 	d.Cloud.Capacity[scaling.CapacityPool{Type: "small", Zone: "b"}] = 12
 	w.After(300*clock.Second, d.CutZone("a", false))
 	turns, reason := d.watchWaiting("a", bound.ID)
-	order := []string{service.ID, due.ID, whole.ID, plain.ID}
+	order := []protocol.JobID{service.ID, due.ID, whole.ID, plain.ID}
 	for i := 1; i < len(order); i++ {
 		if turns[order[i]] < turns[order[i-1]] || turns[plain.ID] == 0 {
 			t.Errorf("%s waits until %.1f s, %s until %.1f s, want both to wait and in this order",
@@ -149,8 +149,10 @@
 
 // watchWaiting runs for 40 s and returns until when each job of a lost zone waited for its turn, and for what
 // one job waits that can't start.
-func (d *Deployment) watchWaiting(zone, stuck string) (turns map[string]clock.Micros, reason string) {
-	turns = map[string]clock.Micros{}
+func (d *Deployment) watchWaiting(
+	zone string, stuck protocol.JobID,
+) (turns map[protocol.JobID]clock.Micros, reason string) {
+	turns = map[protocol.JobID]clock.Micros{}
 	for range 400 {
 		d.World.Run(d.World.Now() + 100*clock.Millisecond)
 		for _, x := range d.zones()[zone].Waiting {
--- a/internal/zonerecovery/order.go
+++ b/internal/zonerecovery/order.go
@@ -3,11 +3,13 @@
 import (
 	"cmp"
 	"slices"
+
+	"postpoint/internal/protocol"
 )
 
 // DisplacedJob is a job some of whose tasks a lost zone had, which are to start elsewhere.
 type DisplacedJob struct {
-	Job  string
+	Job  protocol.JobID
 	Kind Kind
 	Rank int // 0 is the highest
 	// LostShare is which share of a service's replicas is gone.
--- a/internal/zonerecovery/order_test.go
+++ b/internal/zonerecovery/order_test.go
@@ -7,11 +7,12 @@
 	"pgregory.net/rapid"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/protocol"
 )
 
 var drawDisplaced = rapid.Custom(func(t *rapid.T) DisplacedJob {
 	return DisplacedJob{
-		Job:          rapid.StringMatching("job-[0-9]{3}").Draw(t, "job"),
+		Job:          protocol.JobID(rapid.StringMatching("job-[0-9]{3}").Draw(t, "job")),
 		Kind:         rapid.SampledFrom(DefaultOrder()).Draw(t, "kind"),
 		Rank:         rapid.IntRange(0, 3).Draw(t, "rank"),
 		LostShare:    float64(rapid.IntRange(1, 4).Draw(t, "share")) / 4,
@@ -54,7 +55,7 @@
 // whole, and over any time no more than the pace, one second's worth and one job's excess.
 func TestOrderAndPaceAgreeWithPlainModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		id := func(d DisplacedJob) string { return d.Job }
+		id := func(d DisplacedJob) protocol.JobID { return d.Job }
 		remaining := rapid.SliceOfNDistinct(drawDisplaced, 1, 20, id).Draw(t, "jobs")
 		order := rapid.Permutation(DefaultOrder()).Draw(t, "order")
 		tasksPerS := float64(rapid.IntRange(1, 50).Draw(t, "pace"))
--- a/internal/zonerecovery/pace.go
+++ b/internal/zonerecovery/pace.go
@@ -1,6 +1,9 @@
 package zonerecovery
 
-import "postpoint/internal/clock"
+import (
+	"postpoint/internal/clock"
+	"postpoint/internal/protocol"
+)
 
 // Pacer is a token bucket that paces the start of displaced tasks. It holds a second's worth of
 // tokens at most, so that a lull is followed by a burst of that size and no more.
@@ -12,9 +15,9 @@
 // Release returns which of the sorted jobs may start now: as many as the pace allows, in their
 // order. A job that is larger than what is left starts whole once it is the first, and is paid for
 // by the pause after it.
-func (p *Pacer) Release(jobs []DisplacedJob, now clock.Micros, tasksPerS float64) []string {
+func (p *Pacer) Release(jobs []DisplacedJob, now clock.Micros, tasksPerS float64) []protocol.JobID {
 	p.refill(now, tasksPerS)
-	var released []string
+	var released []protocol.JobID
 	for _, job := range jobs {
 		if p.tokens <= 0 {
 			break
