--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -36,13 +36,6 @@
 
 const controllersPerCell = 2
 
-// freeAddress is one that nothing listens on.
-func freeAddress() string {
-	l := listen("127.0.0.1:0")
-	defer l.Close()
-	return l.Addr().String()
-}
-
 // cellTypes are machines that boot fast.
 var cellTypes = []protocol.MachineType{
 	{Name: "small", Cpus: 8, MemoryGB: 32, CacheGB: 50, FetchGBPerS: 1, Price: 0.4, SpotPrice: 0.1, BootS: 4,
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -116,12 +116,8 @@
 func TestControllerServesOnSmallestMachine(t *testing.T) {
 	set := loadSettings(loads["often"])
 	set.Deployment.MachineLimits = smallest
-	bind, internal, nobody := listen("127.0.0.1:0"), listen("127.0.0.1:0"), listen("127.0.0.1:0")
-	set.Bind, set.InternalAddr = bind.Addr().String(), internal.Addr().String()
-	set.Endpoints = settings.Endpoints{KVStore: nobody.Addr().String(), Cloud: nobody.Addr().String()}
-	for _, l := range []interface{ Close() error }{bind, internal, nobody} {
-		l.Close()
-	}
+	set.Bind, set.InternalAddr = freeAddress(), freeAddress()
+	set.Endpoints = settings.Endpoints{KVStore: freeAddress(), Cloud: freeAddress()}
 	child := startAlone(set)
 	defer func() {
 		_ = child.Process.Kill()
--- a/internal/controller/loopback_test.go
+++ b/internal/controller/loopback_test.go
@@ -243,10 +243,7 @@
 func startStandIns(tb testing.TB) (*standIns, *settings.Settings) {
 	tb.Helper()
 	set := loadSettings(loads[*load])
-	bind, internal := listen("127.0.0.1:0"), listen("127.0.0.1:0")
-	set.Bind, set.InternalAddr = bind.Addr().String(), internal.Addr().String()
-	bind.Close()
-	internal.Close()
+	set.Bind, set.InternalAddr = freeAddress(), freeAddress()
 	options, err := json.Marshal(standInsOptions{*load, set.Bind})
 	must(err)
 	child := exec.Command(os.Args[0])
