--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -26,11 +26,11 @@
 	// memoryFull reports that new jobs have to wait.
 	memoryFull func() bool
 	// finalStates may be shown from memory by job: they never change.
-	finalStates  map[string]protocol.JobStatus
+	finalStates  map[protocol.JobID]protocol.JobStatus
 	availability availability
 	// startedAt is when this process started, epoch the highest that it was elected with.
 	startedAt clock.Micros
-	epoch     int64
+	epoch     protocol.Epoch
 	// cancellations are those that users were told of.
 	cancellations cancellationLog
 	// zoneReports asks the part of this node that receives heartbeats.
@@ -45,7 +45,7 @@
 		set:           set,
 		forward:       forward,
 		memoryFull:    func() bool { return false },
-		finalStates:   map[string]protocol.JobStatus{},
+		finalStates:   map[protocol.JobID]protocol.JobStatus{},
 		startedAt:     m.Monotonic(),
 		cancellations: newCancellationLog(),
 		zoneReports:   func(reply func(ZoneReports)) { reply(ZoneReports{Node: set.Node}) },
@@ -72,7 +72,7 @@
 }
 
 // NoteElection is called at each election of this node, before anything is done about it.
-func (in *Admission) NoteElection(epoch int64) {
+func (in *Admission) NoteElection(epoch protocol.Epoch) {
 	in.mailbox.Post(func() { in.epoch = max(in.epoch, epoch) })
 }
 
--- a/internal/admission/attestation.go
+++ b/internal/admission/attestation.go
@@ -12,14 +12,14 @@
 // cancellations that it has told users of lately, and that it wasn't elected itself. It says
 // nothing of the time before its process started.
 type Attestation struct {
-	Age       clock.Micros // of the process
-	Epoch     int64        // the highest that it was elected with, 0 if it never led
+	Age       clock.Micros   // of the process
+	Epoch     protocol.Epoch // the highest that it was elected with, 0 if it never led
 	Cancelled []CancelledJob
 }
 
 // CancelledJob is a job that was first told cancelled so long ago.
 type CancelledJob struct {
-	Job string
+	Job protocol.JobID
 	Age clock.Micros
 }
 
@@ -58,7 +58,7 @@
 	}
 	a := Attestation{
 		Age:   clock.Micros(binary.BigEndian.Uint64(b)),
-		Epoch: int64(binary.BigEndian.Uint64(b[microsBytes:])),
+		Epoch: protocol.Epoch(binary.BigEndian.Uint64(b[microsBytes:])),
 	}
 	if a.Age < 0 || a.Epoch < 0 {
 		return Attestation{}, ErrAttestation
@@ -80,7 +80,7 @@
 	if len(b) < end {
 		return CancelledJob{}, nil, false
 	}
-	c.Job = string(b[1:idEnd])
+	c.Job = protocol.JobID(b[1:idEnd])
 	c.Age = clock.Micros(binary.BigEndian.Uint64(b[idEnd:]))
 	return c, b[end:], c.Age >= 0
 }
--- a/internal/admission/golden_test.go
+++ b/internal/admission/golden_test.go
@@ -56,15 +56,15 @@
 }
 
 func (s *goldenStore) Commit(_ kvstore.Priority, t protocol.Txn,
-	done func(kvstore.Result[kvstore.Revision])) {
+	done func(kvstore.Result[protocol.Revision])) {
 	s.txns = append(s.txns, t)
 	for _, guard := range t.Conditions {
 		if _, exists := s.values[guard.Key]; exists != (guard.Version != 0) {
-			done(kvstore.Result[kvstore.Revision]{Err: kvstore.ErrConflict})
+			done(kvstore.Result[protocol.Revision]{Err: kvstore.ErrConflict})
 			return
 		}
 	}
-	done(kvstore.Result[kvstore.Revision]{Err: s.err, Value: 300})
+	done(kvstore.Result[protocol.Revision]{Err: s.err, Value: 300})
 }
 
 // goldenIntake serves with a running job job-1 and a divided one job-2.
@@ -86,7 +86,8 @@
 	}}
 	alone := func(_ Request, done func(Response, bool)) { done(Response{}, false) }
 	in := New(&actortest.Still{Now: 20 * clock.Second}, store, set, alone)
-	in.SetMachineTypes([]protocol.MachineType{{Name: "g8", Cpus: 96, Gpus: 8, MemoryGB: 768, Zones: []string{"a"}}})
+	in.SetMachineTypes([]protocol.MachineType{{Name: "g8", Cpus: 96, Gpus: 8, MemoryGB: 768,
+		Zones: []string{"a"}}})
 	in.SetFormatStatus(rollout.Status{Services: true})
 	return in, store
 }
--- a/internal/admission/handler.go
+++ b/internal/admission/handler.go
@@ -49,12 +49,17 @@
 	}
 }
 
+// pathJobID returns the id of the job that a request's path names.
+func pathJobID(r *http.Request) protocol.JobID {
+	return protocol.JobID(r.PathValue(protocol.PathJobID))
+}
+
 func (h *handler) show(w http.ResponseWriter, r *http.Request) {
-	h.handle(w, Request{Kind: GetStatus, ID: r.PathValue(protocol.PathJobID)})
+	h.handle(w, Request{Kind: GetStatus, ID: pathJobID(r)})
 }
 
 func (h *handler) cancel(w http.ResponseWriter, r *http.Request) {
-	h.handle(w, Request{Kind: Cancel, ID: r.PathValue(protocol.PathJobID)})
+	h.handle(w, Request{Kind: Cancel, ID: pathJobID(r)})
 }
 
 // handle sends a user the actor's answer.
@@ -102,7 +107,10 @@
 		return
 	}
 	answered := make(chan heartbeatResult, 1)
-	h.heartbeats.Heartbeat(heartbeat, func(status int, body any) { answered <- heartbeatResult{status, body} })
+	h.heartbeats.Heartbeat(heartbeat, func(status int, body any) {
+		answered <- heartbeatResult{status,
+			body}
+	})
 	result := <-answered
 	keep := keepForWorker(r)
 	if !keep {
@@ -118,7 +126,7 @@
 // are separated by spaces in records.
 func validHeartbeat(r *protocol.Heartbeat) bool {
 	validName := r.Machine != "" && len(r.Machine) <= protocol.MaxTextBytes &&
-		!strings.ContainsFunc(r.Machine, unicode.IsSpace)
+		!strings.ContainsFunc(string(r.Machine), unicode.IsSpace)
 	return validName && r.Address != "" && r.Incarnation > 0
 }
 
--- a/internal/admission/status.go
+++ b/internal/admission/status.go
@@ -10,7 +10,7 @@
 
 // show answers with the state of a job.
 func (c *call) show() {
-	c.findRecord(func(record *jobrecord.Record, _ int64) {
+	c.findRecord(func(record *jobrecord.Record, _ protocol.Revision) {
 		if record.ShardSize > 0 && !record.Final() {
 			c.showSharded(record)
 			return
@@ -39,7 +39,8 @@
 			continue
 		}
 		if err := record.ApplyShard(shard, item.Value); err != nil {
-			slog.Error("malformed shard of a job record", "job", record.Spec.ID, "key", item.Key, "error", err)
+			slog.Error("malformed shard of a job record", "job", record.Spec.ID, "key", item.Key, "error",
+				err)
 		}
 	}
 }
--- a/internal/cells/check.go
+++ b/internal/cells/check.go
@@ -111,8 +111,9 @@
 		return notAmongCells(field+".from", rule.From)
 	}
 	if rule.SplitGangs {
-		return configfile.Invalid(field+".split_gangs", true, "isn't possible: the tasks of a gang find each "+
-			"other among one cell's workers, and are stopped by one leader")
+		return configfile.Invalid(field+".split_gangs", true,
+			"isn't possible: the tasks of a gang find each "+
+				"other among one cell's workers, and are stopped by one leader")
 	}
 	for k := range rule.To {
 		if err := f.checkDestination(field+".to", rule, k, set); err != nil {
@@ -156,7 +157,8 @@
 		return nil
 	}
 	return configfile.Invalid(field, host.Name,
-		"needs %.1f s of cancel_s %v s to be rid of a task, which leaves %.1f s between two answers, under %.0f s",
+		"needs %.1f s of cancel_s %v s to be rid of a task, which leaves %.1f s between two answers, "+
+			"under %.0f s",
 		clearTime.Seconds(), origin.CancelS, permission.Seconds(), MinPermission.Seconds())
 }
 
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -36,13 +36,6 @@
 
 const controllersPerCell = 2
 
-// freeAddress is one that nothing listens on.
-func freeAddress() string {
-	l := listen("127.0.0.1:0")
-	defer l.Close()
-	return l.Addr().String()
-}
-
 // cellTypes are machines that boot fast.
 var cellTypes = []protocol.MachineType{
 	{Name: "small", Cpus: 8, MemoryGB: 32, CacheGB: 50, FetchGBPerS: 1, Price: 0.4, SpotPrice: 0.1, BootS: 4,
@@ -57,7 +50,8 @@
 			Bind: freeAddress(), InternalAddr: freeAddress()}
 		s.Deployment = settings.Deployment{
 			InitialSize: controllersPerCell, Zones: []string{"a"}, Teams: []settings.Team{{Name: "open"}},
-			Workers:       settings.Workers{HeartbeatS: 1, LeaseS: 6, GangWaitS: 15, GangPeerS: 3, CancelS: 24},
+			Workers: settings.Workers{HeartbeatS: 1, LeaseS: 6, GangWaitS: 15, GangPeerS: 3,
+				CancelS: 24},
 			MachineLimits: settings.MachineLimits{CPU: 0.2, MemoryMb: 120, MaxSockets: 800},
 			KVStore:       settings.KVStore{Rps: 200, WriteRps: 80, ValueKb: 8, TxnOps: 12},
 			Cloud:         settings.Cloud{Rps: 8, ListLagS: 1},
@@ -199,7 +193,7 @@
 	var jobs []*simulation.Job
 	x.Do(func() {
 		for i := range 8 {
-			spec := protocol.JobSpec{ID: fmt.Sprintf("job-%06d", i), Class: "c", Team: "open",
+			spec := protocol.JobSpec{ID: protocol.JobID(fmt.Sprintf("job-%06d", i)), Class: "c", Team: "open",
 				Shape: protocol.ShapeArray, Priority: "normal", Tasks: 8, Cpus: 2, MemoryGB: 1,
 				Image: "i", ImageGB: 1, EstimateS: 4}
 			if i%4 == 3 {
--- a/internal/controller/loopback_test.go
+++ b/internal/controller/loopback_test.go
@@ -150,7 +150,8 @@
 	submitted := 0
 	submit := func(a arrivals) {
 		spec := a.Spec
-		spec.ID, spec.Team, spec.Priority, spec.Spot = fmt.Sprintf("job-%06d", submitted), "open", "normal", true
+		spec.ID, spec.Team, spec.Priority, spec.Spot = protocol.JobID(fmt.Sprintf("job-%06d", submitted)), "open", "normal",
+			true
 		spec.Image = fmt.Sprintf("img-%s-%d", spec.Class, submitted%4)
 		submitted++
 		l.Deployment.Submit(spec, a.Run, false)
@@ -242,10 +243,7 @@
 func startStandIns(tb testing.TB) (*standIns, *settings.Settings) {
 	tb.Helper()
 	set := loadSettings(loads[*load])
-	bind, internal := listen("127.0.0.1:0"), listen("127.0.0.1:0")
-	set.Bind, set.InternalAddr = bind.Addr().String(), internal.Addr().String()
-	bind.Close()
-	internal.Close()
+	set.Bind, set.InternalAddr = freeAddress(), freeAddress()
 	options, err := json.Marshal(standInsOptions{*load, set.Bind})
 	must(err)
 	child := exec.Command(os.Args[0])
--- a/internal/delegation/codec.go
+++ b/internal/delegation/codec.go
@@ -17,7 +17,7 @@
 	w := writer{Version}
 	w.text(r.Host)
 	w.text(r.Origin)
-	w.number(r.Epoch)
+	w.number(int64(r.Epoch))
 	w.number(r.Sequence)
 	w.number(int64(r.ClearTime))
 	w.load(&r.Load)
@@ -30,7 +30,7 @@
 
 func (w *writer) status(s *Status) {
 	w.number(s.Number)
-	w.text(s.Job)
+	w.text(string(s.Job))
 	w.flag(s.Closed)
 	w.text(s.Done.String())
 	w.text(s.Held.String())
@@ -71,7 +71,7 @@
 	var report Heartbeat
 	report.Host = r.text(maxNameText)
 	report.Origin = r.text(maxNameText)
-	report.Epoch = r.number()
+	report.Epoch = protocol.Epoch(r.number())
 	report.Sequence = r.number()
 	report.ClearTime = clock.Micros(r.number())
 	report.Load = r.load()
@@ -87,7 +87,7 @@
 func (r *reader) status() Status {
 	var s Status
 	s.Number = r.number()
-	s.Job = r.text(protocol.MaxTextBytes)
+	s.Job = protocol.JobID(r.text(protocol.MaxTextBytes))
 	s.Closed = r.flag()
 	s.Done = r.ranges()
 	s.Held = r.ranges()
--- a/internal/delegation/message.go
+++ b/internal/delegation/message.go
@@ -15,8 +15,9 @@
 type Heartbeat struct {
 	Host   string
 	Origin string // the origin cell
-	// Epoch and Counter order the heartbeats of a host: Epoch is its leader's.
-	Epoch, Sequence int64
+	// Epoch and Sequence order the heartbeats of a host: Epoch is its leader's.
+	Epoch    protocol.Epoch
+	Sequence int64
 	// ClearTime is how long after the end of a permission the host takes at most until nothing
 	// that needed it is on its machines.
 	ClearTime clock.Micros
@@ -28,7 +29,7 @@
 // that a closed delegation doesn't hold, is in the host's records and never changes.
 type Status struct {
 	Number int64
-	Job    string
+	Job    protocol.JobID
 	// Closed delegations start nothing more: what is neither completed nor held is the origin's.
 	Closed bool
 	Done   jobrecord.TaskSet
--- a/internal/delegation/record.go
+++ b/internal/delegation/record.go
@@ -1,7 +1,7 @@
 // Package delegation has the transfer of a job's tasks from the cell that accepted the job, its
 // origin, to another cell that runs them, their host. It owns the records of both sides, their
 // states, the messages between them with their binary form, and what each message may change. It
-// doesn't own connections, timers and the state service, nor the choice of what is offloaded
+// doesn't own connections, timers and the key-value store, nor the choice of what is offloaded
 // (internal/offload). It is pure: the leaders of both cells (internal/leader) store the records, send the
 // messages and tell the time; internal/peer carries the messages.
 //
@@ -44,11 +44,11 @@
 	return false
 }
 
-// Record is a delegation in the origin cell's state service.
+// Record is a delegation in the origin cell's key-value store.
 type Record struct {
 	Number int64
 	Host   string // cell
-	Job    string
+	Job    protocol.JobID
 	Tasks  jobrecord.TaskSet
 	State  State
 	// OfferedAt is the time of day in microseconds.
@@ -56,11 +56,11 @@
 }
 
 type storedRecord struct {
-	Host      string `msgpack:"host"`
-	Job       string `msgpack:"job"`
-	Tasks     string `msgpack:"tasks"`
-	State     string `msgpack:"state"`
-	OfferedAt int64  `msgpack:"at"`
+	Host      string         `msgpack:"host"`
+	Job       protocol.JobID `msgpack:"job"`
+	Tasks     string         `msgpack:"tasks"`
+	State     string         `msgpack:"state"`
+	OfferedAt int64          `msgpack:"at"`
 }
 
 const (
--- a/internal/jobrecord/format.go
+++ b/internal/jobrecord/format.go
@@ -42,9 +42,9 @@
 	SubmittedAt int64            `msgpack:"at"`
 	CancelledAt int64            `msgpack:"cancelled,omitempty"`
 	Done        string           `msgpack:"done,omitempty"`
-	NextAttempt int64            `msgpack:"try"`
+	NextAttempt protocol.Attempt `msgpack:"try"`
 	Placed      []string         `msgpack:"placed,omitempty"`
-	Lenders     []string         `msgpack:"lenders,omitempty"`
+	Lenders     []protocol.JobID `msgpack:"lenders,omitempty"`
 	Cause       string           `msgpack:"cause,omitempty"`
 	Truncated   bool             `msgpack:"truncated,omitempty"`
 	Returned    int              `msgpack:"returned,omitempty"`
@@ -54,45 +54,45 @@
 // storedShard is the value at a shard's key. Tasks are numbered from the shard's first one.
 type storedShard struct {
 	// Done is a bitmap in hexadecimal digits, the lowest task in the lowest bit of the first byte.
-	Done        string `msgpack:"done,omitempty"`
-	NextAttempt int64  `msgpack:"next"`
+	Done        string           `msgpack:"done,omitempty"`
+	NextAttempt protocol.Attempt `msgpack:"next"`
 	// Incarnation and Attempt are those of every placement that names none of its own.
-	Incarnation int64 `msgpack:"shift,omitempty"`
-	Attempt     int64 `msgpack:"try,omitempty"`
+	Incarnation int64            `msgpack:"shift,omitempty"`
+	Attempt     protocol.Attempt `msgpack:"try,omitempty"`
 	// Placed has "machine tasks" or "machine tasks incarnation attempt", separated by semicolons.
 	Placed string `msgpack:"placed,omitempty"`
 }
 
 // markers returns the markers that stand before the record's placements.
-func (j *Record) markers() []string {
+func (r *Record) markers() []string {
 	var markers []string
-	if j.Hosted != nil {
-		markers = append(markers, hostedMarker+" "+j.Hosted.encode())
+	if r.Hosted != nil {
+		markers = append(markers, hostedMarker+" "+r.Hosted.encode())
 	}
-	if j.Marked && j.Spec.Service() {
+	if r.Marked && r.Spec.Service() {
 		markers = append(markers, serviceMarker)
 	}
-	if j.ShardSize > 0 && !j.Truncated {
-		markers = append(markers, shardsMarker+" "+strconv.Itoa(j.ShardSize))
+	if r.ShardSize > 0 && !r.Truncated {
+		markers = append(markers, shardsMarker+" "+strconv.Itoa(r.ShardSize))
 	}
 	return markers
 }
 
 // applyMarker notes what a marker says; ok reports whether the text is a valid one.
-func (j *Record) applyMarker(text string) (ok bool) {
+func (r *Record) applyMarker(text string) (ok bool) {
 	if text == serviceMarker {
-		j.Marked = true
+		r.Marked = true
 		return true
 	}
 	if hosted, isHosted := strings.CutPrefix(text, hostedMarker+" "); isHosted {
-		j.Hosted = parseHostedJob(hosted)
-		return j.Hosted != nil
+		r.Hosted = parseHostedJob(hosted)
+		return r.Hosted != nil
 	}
 	size, isSharded := strings.CutPrefix(text, shardsMarker+" ")
 	n, err := strconv.Atoi(size)
 	if !isSharded || err != nil || n < 1 || n > maxShardTasks {
 		return false
 	}
-	j.ShardSize, j.Marked = n, true
+	r.ShardSize, r.Marked = n, true
 	return true
 }
--- a/internal/jobrecord/placement.go
+++ b/internal/jobrecord/placement.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"postpoint/internal/protocol"
 	"slices"
 	"strconv"
 	"strings"
@@ -11,15 +12,22 @@
 // that this attempt no longer is, and never again can be, on that machine. A task that another cell
 // runs has that cell in place of a machine: see DelegatedTo.
 type Placement struct {
-	Task        int
-	Attempt     int64
-	Machine     string
-	Incarnation int64 // the incarnation of the machine's worker, or the number of the delegation
+	Task    int
+	Attempt protocol.Attempt
+	Machine protocol.MachineName
+	// Incarnation is the incarnation of the machine's worker or, for a task that another cell runs, the
+	// number of the delegation. It is a plain number because the two share their place in the record.
+	Incarnation int64
+}
+
+// WorkerIncarnation returns the incarnation of the worker that a task of this cell was placed on.
+func (p Placement) WorkerIncarnation() protocol.Incarnation {
+	return protocol.Incarnation(p.Incarnation)
 }
 
 // placementGroup is what the placements have in common that share one text of the record.
 type placementGroup struct {
-	machine string
+	machine protocol.MachineName
 	start   start
 }
 
@@ -27,7 +35,10 @@
 const tasksPerGroup = 4
 
 // start identifies one start of a task among all others.
-type start struct{ incarnation, attempt int64 }
+type start struct {
+	incarnation int64
+	attempt     protocol.Attempt
+}
 
 func (p Placement) start() start { return start{p.Incarnation, p.Attempt} }
 
@@ -38,7 +49,7 @@
 	text = append(text, ' ')
 	text = strconv.AppendInt(text, s.incarnation, 10)
 	text = append(text, ' ')
-	return strconv.AppendInt(text, s.attempt, 10)
+	return strconv.AppendInt(text, int64(s.attempt), 10)
 }
 
 // parseStart reads the two words that appendTo writes.
@@ -46,17 +57,19 @@
 	if s.incarnation, err = strconv.ParseInt(incarnation, 10, 64); err != nil {
 		return start{}, err
 	}
-	if s.attempt, err = strconv.ParseInt(attempt, 10, 64); err != nil {
+	number, err := strconv.ParseInt(attempt, 10, 64)
+	if err != nil {
 		return start{}, err
 	}
+	s.attempt = protocol.Attempt(number)
 	return s, nil
 }
 
 // encodePlacements returns the texts of all placements, "machine incarnation attempt tasks".
-func (j *Record) encodePlacements() []string {
-	groups := make(map[placementGroup]*TaskSet, len(j.Placements)/tasksPerGroup)
-	for _, task := range slices.Sorted(maps.Keys(j.Placements)) { // in order, sets grow at their ends
-		group := j.Placements[task].group()
+func (r *Record) encodePlacements() []string {
+	groups := make(map[placementGroup]*TaskSet, len(r.Placements)/tasksPerGroup)
+	for _, task := range slices.Sorted(maps.Keys(r.Placements)) { // in order, sets grow at their ends
+		group := r.Placements[task].group()
 		if groups[group] == nil {
 			groups[group] = &TaskSet{}
 		}
@@ -76,15 +89,15 @@
 }
 
 // applyPlacements adds the placements of one text. Tasks that the job doesn't have are ignored.
-func (j *Record) applyPlacements(text string) error {
+func (r *Record) applyPlacements(text string) error {
 	placement, tasks, err := parsePlacements(text)
 	if err != nil {
 		return err
 	}
 	for _, s := range tasks.spans {
-		for task := s.lo; task <= s.hi && task < j.Spec.Tasks; task++ {
+		for task := s.lo; task <= s.hi && task < r.Spec.Tasks; task++ {
 			placement.Task = task
-			j.Placements[task] = placement
+			r.Placements[task] = placement
 		}
 	}
 	return nil
--- a/internal/leader/cells_delegating_test.go
+++ b/internal/leader/cells_delegating_test.go
@@ -118,8 +118,8 @@
 // A leader whose key has changed hands learns it from its transaction.
 func TestDelegationsTellOfANewLeader(t *testing.T) {
 	l, store, _ := createDelegation(t)
-	deposedBy := int64(0)
-	l.state.Deposed = func(epoch int64) { deposedBy = epoch }
+	deposedBy := protocol.Epoch(0)
+	l.state.Deposed = func(epoch protocol.Epoch) { deposedBy = epoch }
 	store.answer(conflictOn(election.LeaderKey, delegation.Key(7)))
 	if deposedBy != 8 {
 		t.Errorf("got deposed by epoch %d, want 8", deposedBy)
@@ -137,7 +137,8 @@
 	}
 	reportDelegation(l, delegation.Status{Done: first})
 	if _, placed := j.Placements[1]; !placed || !j.Done.Contains(0) || len(j.Placements) != 1 {
-		t.Fatalf("got placements %v, done %v, want task 1 placed and task 0 done", j.Placements, j.Done.String())
+		t.Fatalf("got placements %v, done %v, want task 1 placed and task 0 done", j.Placements,
+			j.Done.String())
 	}
 	reportDelegation(l, delegation.Status{Held: both}) // an old one
 	reportDelegation(l, delegation.Status{Closed: true, Done: first})
@@ -162,9 +163,10 @@
 		"came back": {func(l *Leader, j *jobtable.Job) {
 			j.GivenBackAt = l.state.Now() - federation.MinStayTime + 1
 		}, 0},
-		"came back too often": {func(_ *Leader, j *jobtable.Job) { j.ReturnCount = federation.MaxReturns }, 0},
-		"service":             {func(_ *Leader, j *jobtable.Job) { j.Spec.Shape = protocol.ShapeService }, 0},
-		"whole gang":          {func(_ *Leader, j *jobtable.Job) { j.Spec.Shape = protocol.ShapeGang }, 4},
+		"came back too often": {func(_ *Leader, j *jobtable.Job) { j.ReturnCount = federation.MaxReturns },
+			0},
+		"service":    {func(_ *Leader, j *jobtable.Job) { j.Spec.Shape = protocol.ShapeService }, 0},
+		"whole gang": {func(_ *Leader, j *jobtable.Job) { j.Spec.Shape = protocol.ShapeGang }, 4},
 		"broken gang": {func(_ *Leader, j *jobtable.Job) {
 			j.Spec.Shape = protocol.ShapeGang
 			j.Done.Add(0)
--- a/internal/leader/federation/celllinks.go
+++ b/internal/leader/federation/celllinks.go
@@ -12,6 +12,7 @@
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
 	"postpoint/internal/leader/term"
+	"postpoint/internal/protocol"
 )
 
 // Links owns what is known of the other cells. Its directory is nil if cells are switched off.
@@ -82,7 +83,8 @@
 	load   delegation.Load
 	loadAt clock.Micros // 0 if it hasn't sent a heartbeat in this term
 	// epoch and sequence are those of the newest heartbeat.
-	epoch, sequence int64
+	epoch    protocol.Epoch
+	sequence int64
 }
 
 // loadLifetime is how long a host cell's load counts.
@@ -118,7 +120,8 @@
 	// Reachable reports whether the cell responds to this one's heartbeats and sends its own, if it does
 	// either.
 	Reachable bool `json:"reachable"`
-	// LentTasks counts this cell's tasks that the other one has, Borrowed the other one's tasks that this cell has.
+	// LentTasks counts this cell's tasks that the other one has, Borrowed the other one's tasks that this
+	// cell has.
 	LentTasks     int `json:"lent_tasks"`
 	BorrowedTasks int `json:"borrowed_tasks"`
 	// Recalled counts delegations that this cell has asked back.
--- a/internal/leader/machinetable/machine.go
+++ b/internal/leader/machinetable/machine.go
@@ -28,26 +28,29 @@
 }
 
 // newMachine returns a machine of which nothing but its name is known.
-func newMachine(name, address string, now clock.Micros) *Machine {
+func newMachine(name protocol.MachineName, address string, now clock.Micros) *Machine {
 	return &Machine{
 		Identity: Identity{Name: name, Address: address},
 		WorkerStatus: WorkerStatus{
 			Tasks:        map[AttemptRef]protocol.TaskStatus{},
 			RunningSince: map[AttemptRef]clock.Micros{},
 		},
-		CommandState:   CommandState{Deliveries: map[AttemptRef]*StartDelivery{}},
-		CloudState:     CloudState{FirstSeen: now},
-		PlacementState: PlacementState{Placements: map[string]map[int]jobrecord.Placement{}, IdleSince: now},
-		PlannerView:    PlannerView{ViewStale: true},
-		FaultState:     FaultState{FailedJobs: map[string]bool{}},
+		CommandState: CommandState{Deliveries: map[AttemptRef]*StartDelivery{}},
+		CloudState:   CloudState{FirstSeen: now},
+		PlacementState: PlacementState{
+			Placements: map[protocol.JobID]map[int]jobrecord.Placement{}, IdleSince: now,
+		},
+		PlannerView: PlannerView{ViewStale: true},
+		FaultState:  FaultState{FailedJobs: map[protocol.JobID]bool{}},
 	}
 }
 
 // Identity is what a machine is and where its worker can be reached. The autoscaler fills it in from
 // the cloud's responses, until heartbeats say it themselves.
 type Identity struct {
-	Name, Address, Type, Zone string
-	Spot                      bool
+	Name                protocol.MachineName
+	Address, Type, Zone string
+	Spot                bool
 }
 
 // Kind returns what is scaled out to get such a machine.
@@ -101,7 +104,7 @@
 		return false
 	}
 	if len(tasks) == 0 || len(s.listedTasks) == len(tasks) && &s.listedTasks[0] == &tasks[0] {
-		return true // the very list of the last heartbeat: see protocol.ReportDecoder
+		return true // the very list of the last heartbeat: see protocol.HeartbeatDecoder
 	}
 	for _, t := range tasks {
 		job, task, ok := protocol.ParseTask(t.Task)
@@ -119,7 +122,7 @@
 // HeartbeatNumber orders the heartbeats of a machine, however late each of them arrives.
 type HeartbeatNumber struct {
 	// Incarnation rises each time the worker begins a new lease after losing one.
-	Incarnation int64
+	Incarnation protocol.Incarnation
 	// Counter rises with each heartbeat.
 	Counter int64
 }
@@ -131,7 +134,8 @@
 
 // After reports whether a heartbeat was sent after another one.
 func (n HeartbeatNumber) After(other HeartbeatNumber) bool {
-	return n.Incarnation > other.Incarnation || n.Incarnation == other.Incarnation && n.Counter > other.Counter
+	return n.Incarnation > other.Incarnation || n.Incarnation == other.Incarnation &&
+		n.Counter > other.Counter
 }
 
 // IncarnationState is the worker's present incarnation and what it has acknowledged. The reconciler
@@ -139,7 +143,7 @@
 type IncarnationState struct {
 	HeartbeatNumber
 	// AcknowledgedEpoch is the highest fencing token that the worker has seen.
-	AcknowledgedEpoch int64
+	AcknowledgedEpoch protocol.Epoch
 	// IncarnationSeenAt is when the present incarnation was first heard of.
 	IncarnationSeenAt clock.Micros
 }
@@ -165,7 +169,7 @@
 
 // BeginIncarnation notes that the worker has begun a later incarnation. It holds nothing of the
 // earlier ones, and no command that was sent to them has any effect on it.
-func (m *Machine) BeginIncarnation(incarnation int64, now clock.Micros) {
+func (m *Machine) BeginIncarnation(incarnation protocol.Incarnation, now clock.Micros) {
 	clear(m.Deliveries)
 	clear(m.RunningSince)
 	m.LeaseExpired = false
@@ -179,7 +183,7 @@
 	m.LeaseExpired = true
 	for _, tasks := range m.Placements {
 		for _, p := range tasks {
-			m.Incarnation = max(m.Incarnation, p.Incarnation)
+			m.Incarnation = max(m.Incarnation, p.WorkerIncarnation())
 		}
 	}
 	clear(m.Tasks)
@@ -219,7 +223,7 @@
 // Table.AddPlacement and Table.RemovePlacement.
 type PlacementState struct {
 	// Placements are the placed tasks by job.
-	Placements map[string]map[int]jobrecord.Placement
+	Placements map[protocol.JobID]map[int]jobrecord.Placement
 	// IdleSince is when the last placement was released.
 	IdleSince clock.Micros
 }
@@ -307,7 +311,7 @@
 	// FullUntil is until when the worker is taken to have no room, since it refused a start.
 	FullUntil clock.Micros
 	// FailedJobs are the jobs of which a task failed there.
-	FailedJobs  map[string]bool
+	FailedJobs  map[protocol.JobID]bool
 	Quarantined bool
 }
 
--- a/internal/leader/overview/overview.go
+++ b/internal/leader/overview/overview.go
@@ -62,7 +62,7 @@
 	Node     string          `json:"node"`
 	Leader   string          `json:"leader"`
 	Leads    bool            `json:"leads"`
-	Epoch    int64           `json:"epoch,omitempty"`
+	Epoch    protocol.Epoch  `json:"epoch,omitempty"`
 	Plans    int             `json:"plans,omitempty"` // made in this term
 	Classes  []ClassOverview `json:"classes,omitempty"`
 	Machines []PoolOverview  `json:"machines,omitempty"`
@@ -105,8 +105,8 @@
 
 // FailingJob is an open job whose last start failed.
 type FailingJob struct {
-	Job   string `json:"job"`
-	Cause string `json:"cause"`
+	Job   protocol.JobID `json:"job"`
+	Cause string         `json:"cause"`
 }
 
 // maxFailing is how many failing jobs are listed.
--- a/internal/leader/overview/zoneoverview.go
+++ b/internal/leader/overview/zoneoverview.go
@@ -35,7 +35,7 @@
 
 // WaitingJob is a displaced job and why it doesn't run.
 type WaitingJob struct {
-	Job    string            `json:"job"`
+	Job    protocol.JobID    `json:"job"`
 	Kind   zonerecovery.Kind `json:"kind"`
 	Tasks  int               `json:"tasks"`
 	Reason string            `json:"why"`
@@ -198,6 +198,7 @@
 		tasksByReason[w.Reason] += w.Tasks
 	}
 	slog.Info("zone recovery state", "zone", zone.Zone, "phase", zone.Phase, "losses", zone.Losses,
-		"diagnosis", zone.Diagnosis, "machines", zone.Machines, "heard", zone.Heard, "held_tasks", zone.HeldTasks,
+		"diagnosis", zone.Diagnosis, "machines", zone.Machines, "heard", zone.Heard, "held_tasks",
+		zone.HeldTasks,
 		"displaced_tasks", zone.DisplacedTasks, "waiting_for", tasksByReason)
 }
--- a/internal/leader/reconciler/reconciler.go
+++ b/internal/leader/reconciler/reconciler.go
@@ -56,7 +56,8 @@
 		m.IdleSince = rc.Now()
 	}
 	rc.noteIncarnation(m, r.Incarnation)
-	unchanged := m.Steady && r.Incarnation == m.Incarnation && r.Epoch == m.AcknowledgedEpoch && m.SameTasks(r.Tasks)
+	unchanged := m.Steady && r.Incarnation == m.Incarnation && r.Epoch == m.AcknowledgedEpoch &&
+		m.SameTasks(r.Tasks)
 	rc.machines.NoteHeartbeat(m, &r)
 	if !unchanged {
 		m.ViewStale = true
@@ -73,7 +74,7 @@
 
 // noteIncarnation notes which incarnation of the worker a heartbeat is from, before the rest of it is
 // taken: what is known of an earlier incarnation doesn't count any more.
-func (rc *Reconciler) noteIncarnation(m *machinetable.Machine, incarnation int64) {
+func (rc *Reconciler) noteIncarnation(m *machinetable.Machine, incarnation protocol.Incarnation) {
 	switch {
 	case incarnation > m.Incarnation:
 		if m.Seen {
@@ -89,7 +90,7 @@
 // latest response reached it, the lease would not have expired yet: a machine whose heartbeats come
 // through while responses and commands don't looks alive, and loses its tasks lease after lease. It
 // gets no work until an incarnation outlasts its first lease, and is released the second time.
-func (rc *Reconciler) noteLostIncarnation(m *machinetable.Machine, next int64) {
+func (rc *Reconciler) noteLostIncarnation(m *machinetable.Machine, next protocol.Incarnation) {
 	lease := rc.Settings.Deployment.Workers.Lease()
 	if m.RespondedAt == 0 || rc.Now() >= m.RespondedAt+lease {
 		return
@@ -153,10 +154,10 @@
 // docs/rules.md.
 func (rc *Reconciler) evidenceFor(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement,
 	ref machinetable.AttemptRef) (evidence, protocol.TaskStatus) {
-	if p.Incarnation < m.Incarnation {
+	if p.WorkerIncarnation() < m.Incarnation {
 		return lostWithLease, protocol.TaskStatus{}
 	}
-	if p.Incarnation > m.Incarnation {
+	if p.WorkerIncarnation() > m.Incarnation {
 		if rc.machines.EpochAcknowledged(m) {
 			return startedOver, protocol.TaskStatus{}
 		}
@@ -186,7 +187,8 @@
 	case exited:
 		rc.noteExit(m, j, p, t.Cause)
 	case lostWithLease:
-		slog.Debug("placement lost with the worker's lease", "job", j.Spec.ID, "task", p.Task, "machine", m.Name)
+		slog.Debug("placement lost with the worker's lease", "job", j.Spec.ID, "task", p.Task, "machine",
+			m.Name)
 		rc.jobs.ReleasePlacement(j, p)
 	case neverStarted:
 		rc.jobs.ReleasePlacement(j, p)
@@ -220,6 +222,7 @@
 	j.StartFailures = 0
 	if term.DebugEnabled() {
 		slog.Debug("task running", "job", ref.Job, "class", j.Spec.Class, "task", ref.Task, "machine", m.Name,
-			"type", m.Type, "since_submission_s", (rc.Mailbox.TimeOfDay() - clock.Micros(j.SubmittedAt)).Seconds())
+			"type", m.Type, "since_submission_s",
+			(rc.Mailbox.TimeOfDay() - clock.Micros(j.SubmittedAt)).Seconds())
 	}
 }
--- a/internal/leader/recordfixtures_test.go
+++ b/internal/leader/recordfixtures_test.go
@@ -21,7 +21,8 @@
 	answer func(storetest.Reply[protocol.TxnResponse])
 }
 
-func (c *fakeStore) Commit(_ kvstore.Priority, t protocol.Txn, done func(storetest.Reply[protocol.TxnResponse])) {
+func (c *fakeStore) Commit(_ kvstore.Priority, t protocol.Txn,
+	done func(storetest.Reply[protocol.TxnResponse])) {
 	c.txns, c.answer = append(c.txns, t), done
 }
 
@@ -50,7 +51,7 @@
 }
 
 // committedAt is the response to a transaction that was carried out.
-func committedAt(revision int64) storetest.Reply[protocol.TxnResponse] {
+func committedAt(revision protocol.Revision) storetest.Reply[protocol.TxnResponse] {
 	return storetest.Reply[protocol.TxnResponse]{
 		Status: http.StatusOK,
 		Value:  protocol.TxnResponse{Revision: revision},
@@ -71,12 +72,12 @@
 }
 
 // resultOf returns the typed result of a transaction to which the store replies as given.
-func resultOf(reply storetest.Reply[protocol.TxnResponse]) kvstore.Result[kvstore.Revision] {
-	var result kvstore.Result[kvstore.Revision]
+func resultOf(reply storetest.Reply[protocol.TxnResponse]) kvstore.Result[protocol.Revision] {
+	var result kvstore.Result[protocol.Revision]
 	store := &fakeStore{}
 	client := storetest.Client(store)
 	client.Commit(kvstore.PriorityElection, protocol.Txn{},
-		func(r kvstore.Result[kvstore.Revision]) { result = r })
+		func(r kvstore.Result[protocol.Revision]) { result = r })
 	store.answer(reply)
 	return result
 }
@@ -101,7 +102,7 @@
 }
 
 // arraySpec is a job without needs of its own.
-func arraySpec(id string, tasks int) protocol.JobSpec {
+func arraySpec(id protocol.JobID, tasks int) protocol.JobSpec {
 	return protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Priority: "normal", Tasks: tasks}
 }
 
@@ -110,8 +111,9 @@
 	content := jobrecord.New(arraySpec("job-1", 300), 1)
 	content.NextAttempt = 2
 	for task := range content.Spec.Tasks {
-		machine := fmt.Sprintf("m-%06d", task)
-		content.Placements[task] = jobrecord.Placement{Task: task, Attempt: 1, Machine: machine, Incarnation: 1}
+		machine := protocol.MachineName(fmt.Sprintf("m-%06d", task))
+		content.Placements[task] = jobrecord.Placement{Task: task, Attempt: 1, Machine: machine,
+			Incarnation: 1}
 	}
 	return content
 }
--- a/internal/leader/scaleout_test.go
+++ b/internal/leader/scaleout_test.go
@@ -19,20 +19,21 @@
 	scaleOuts   []protocol.ScaleOutRequest
 	scaledOut   []func(int, protocol.ScaleOutResponse)
 	scaledIn    []func(int)
-	pages       []string
+	pages       []protocol.MachineName
 	listed      []func(int, protocol.MachineList)
-	releaseSets [][]string
+	releaseSets [][]protocol.MachineName
 }
 
-func (s *fakeCloud) Rent(r protocol.ScaleOutRequest, _ clock.Micros, done func(int, protocol.ScaleOutResponse)) {
+func (s *fakeCloud) Rent(r protocol.ScaleOutRequest, _ clock.Micros,
+	done func(int, protocol.ScaleOutResponse)) {
 	s.scaleOuts, s.scaledOut = append(s.scaleOuts, r), append(s.scaledOut, done)
 }
 
-func (s *fakeCloud) Release(machines []string, _ clock.Micros, done func(int)) {
+func (s *fakeCloud) Release(machines []protocol.MachineName, _ clock.Micros, done func(int)) {
 	s.releaseSets, s.scaledIn = append(s.releaseSets, machines), append(s.scaledIn, done)
 }
 
-func (s *fakeCloud) List(from string, done func(int, protocol.MachineList)) {
+func (s *fakeCloud) List(from protocol.MachineName, done func(int, protocol.MachineList)) {
 	s.pages, s.listed = append(s.pages, from), append(s.listed, done)
 }
 
@@ -109,8 +110,8 @@
 	d, stub, _ := scalingLeader()
 	d.autoscaler.ScaleOut(unmetDemand(2))
 	request := stub.scaleOuts[0]
-	stub.scaledOut[0](http.StatusOK, protocol.ScaleOutResponse{Machines: []string{"m-1", "m-2"}})
-	for _, name := range []string{"m-1", "m-2"} {
+	stub.scaledOut[0](http.StatusOK, protocol.ScaleOutResponse{Machines: []protocol.MachineName{"m-1", "m-2"}})
+	for _, name := range []protocol.MachineName{"m-1", "m-2"} {
 		m := d.machines.ByName[name]
 		if m == nil || m.CloudStatus != protocol.MachineStarting ||
 			m.Kind() != (scaling.CapacityPool{Type: request.Type, Zone: request.Zone, Spot: request.Spot}) {
@@ -170,13 +171,15 @@
 	d.autoscaler.ScaleOut(unmetDemand(1))
 	d.autoscaler.Manage()
 	if len(stub.scaleOuts) != 1 || len(stub.pages) != 0 {
-		t.Fatalf("%d scale-outs and %d lists during the pause, want 1 and 0", len(stub.scaleOuts), len(stub.pages))
+		t.Fatalf("%d scale-outs and %d lists during the pause, want 1 and 0", len(stub.scaleOuts),
+			len(stub.pages))
 	}
 	mailbox.Now += 2 * clock.Second
 	d.autoscaler.ScaleOut(unmetDemand(1))
 	d.autoscaler.Manage()
 	if len(stub.scaleOuts) != 2 || len(stub.pages) != 1 {
-		t.Fatalf("%d scale-outs and %d lists after the pause, want 2 and 1", len(stub.scaleOuts), len(stub.pages))
+		t.Fatalf("%d scale-outs and %d lists after the pause, want 2 and 1", len(stub.scaleOuts),
+			len(stub.pages))
 	}
 }
 
@@ -188,11 +191,12 @@
 	d.machines.ScheduleRelease(m, "idle")
 	d.autoscaler.SendReleases()
 	if len(stub.scaledOut) != 1 || len(stub.listed) != 1 || len(stub.scaledIn) != 1 {
-		t.Fatalf("%d scale-outs, %d lists, %d scale-ins, want one each", len(stub.scaledOut), len(stub.listed),
+		t.Fatalf("%d scale-outs, %d lists, %d scale-ins, want one each", len(stub.scaledOut),
+			len(stub.listed),
 			len(stub.scaledIn))
 	}
 	d.state.Term.Epoch = 9
-	stub.scaledOut[0](http.StatusOK, protocol.ScaleOutResponse{Machines: []string{"m-1"}})
+	stub.scaledOut[0](http.StatusOK, protocol.ScaleOutResponse{Machines: []protocol.MachineName{"m-1"}})
 	stub.listed[0](http.StatusOK, protocol.MachineList{Machines: []protocol.ListedMachine{{Name: "m-2"}}})
 	stub.scaledIn[0](http.StatusOK)
 	if len(d.machines.ByName) != 1 || d.machines.ByName["m-9"] != m {
@@ -205,7 +209,7 @@
 	lost := d.machines.GetOrAdd("m-0")
 	lost.Listed, lost.ListedAt = true, mailbox.Now-60*clock.Second
 	d.autoscaler.Manage()
-	page := func(more bool, name string) protocol.MachineList {
+	page := func(more bool, name protocol.MachineName) protocol.MachineList {
 		machine := protocol.ListedMachine{Name: name, Type: "t", Zone: "a", Status: protocol.MachineRunning}
 		return protocol.MachineList{More: more, Machines: []protocol.ListedMachine{machine}}
 	}
@@ -214,7 +218,7 @@
 		t.Fatal("a machine is released as missing before the last page")
 	}
 	stub.listed[1](http.StatusOK, page(false, "m-2"))
-	if !slices.Equal(stub.pages, []string{"", "m-1"}) {
+	if !slices.Equal(stub.pages, []protocol.MachineName{"", "m-1"}) {
 		t.Errorf("pages from %q, want the second one from m-1", stub.pages)
 	}
 	if d.machines.ByName["m-1"] == nil || d.machines.ByName["m-2"] == nil || !lost.Releasing {
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -21,7 +21,8 @@
 	store := &fakeStore{}
 	useStore(l, store)
 	z := &zonetracker.Zone{
-		Zone:          &zonerecovery.Zone{Name: "a", Phase: zonerecovery.Lost, Losses: 1, Since: 90 * clock.Second},
+		Zone: &zonerecovery.Zone{Name: "a", Phase: zonerecovery.Lost, Losses: 1,
+			Since: 90 * clock.Second},
 		RecordVersion: 5,
 	}
 	l.zones.Zones = map[string]*zonetracker.Zone{"a": z}
@@ -92,8 +93,8 @@
 // A leader whose key has changed hands learns it from its transaction.
 func TestZonesTellOfANewLeader(t *testing.T) {
 	l, _, store, _ := saveLostZone(t)
-	deposedBy := int64(0)
-	l.state.Deposed = func(epoch int64) { deposedBy = epoch }
+	deposedBy := protocol.Epoch(0)
+	l.state.Deposed = func(epoch protocol.Epoch) { deposedBy = epoch }
 	store.answer(conflictOn(election.LeaderKey, zonerecovery.Key("a")))
 	if deposedBy != 8 {
 		t.Errorf("got deposed by epoch %d, want 8", deposedBy)
--- a/internal/leader/zonetracker/tracker.go
+++ b/internal/leader/zonetracker/tracker.go
@@ -1,8 +1,8 @@
 // Package zonetracker follows the zones and carries out recoveries from the loss of one. The loss of a zone
 // is one event: the tracker gathers the evidence for it, stores each zone's phase for the next leader, and
-// lets displaced work start elsewhere in order and at a pace. When a zone counts as lost and as returned, and
-// in which order its work starts, is decided by package zonerecovery, which has no side effects. No placement is
-// released on account of a lost zone: each needs proof of its own.
+// lets displaced work start elsewhere in order and at a pace. When a zone counts as lost and as returned,
+// and in which order its work starts, is decided by package zonerecovery, which has no side effects. No
+// placement is released on account of a lost zone: each needs proof of its own.
 package zonetracker
 
 import (
@@ -18,6 +18,7 @@
 	"postpoint/internal/leader/recordstore"
 	"postpoint/internal/leader/term"
 	"postpoint/internal/ordered"
+	"postpoint/internal/protocol"
 	"postpoint/internal/zonerecovery"
 )
 
@@ -47,7 +48,7 @@
 	reports  []admission.ZoneReports // of the last response
 	probedAt clock.Micros
 	// unanswered are the last heartbeats of machines that reached this node while it didn't lead.
-	unanswered map[string]unansweredHeartbeat
+	unanswered map[protocol.MachineName]unansweredHeartbeat
 	// someHealthy reports that some zone with machine types is healthy, as of the last Advance.
 	someHealthy bool
 }
@@ -73,7 +74,7 @@
 // Enable switches zone recovery on. ask asks all controllers which zones' machines send them heartbeats.
 func (t *Tracker) Enable(options *zonerecovery.Settings, ask func(done func([]admission.ZoneReports))) {
 	t.Options, t.ask = options, ask
-	t.unanswered = map[string]unansweredHeartbeat{}
+	t.unanswered = map[protocol.MachineName]unansweredHeartbeat{}
 }
 
 // Begin drops what was known in earlier terms.
@@ -87,7 +88,7 @@
 	*zonerecovery.Zone
 	Evidence zonerecovery.Evidence
 	// RecordVersion is that of the record's key, 0 if there is none.
-	RecordVersion int64
+	RecordVersion protocol.Revision
 	record        storedRecord
 }
 
@@ -126,7 +127,8 @@
 }
 
 func logPhase(name string, z *Zone) {
-	slog.Info("zone phase changed", "zone", name, "phase", z.Phase, "losses", z.Losses, "diagnosis", z.Diagnosis,
+	slog.Info("zone phase changed", "zone", name, "phase", z.Phase, "losses", z.Losses, "diagnosis",
+		z.Diagnosis,
 		"machines", z.Evidence.Machines, "heard", z.Evidence.Heard, "controllers", z.Evidence.Controllers,
 		"controllers_reached", z.Evidence.ControllersReached, "flaps", z.Flaps)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -30,7 +30,7 @@
 	Settings  *settings.Settings
 	Election  election.Config
 	Mailboxes Mailboxes
-	// Store returns the state service whose results arrive in a mailbox.
+	// Store returns the key-value store whose results arrive in a mailbox.
 	Store func(actor.Mailbox) kvstore.Store
 	// Cloud and Agent respond to the mailbox of Dispatch, Forward to that of Intake.
 	Cloud   cloudclient.API
@@ -43,7 +43,8 @@
 	// Recovery has the settings of zone recovery, nil if it is switched off.
 	Recovery *zonerecovery.Settings
 	// Everyone asks all nodes, given this one's own actor; ok reports whether all have responded.
-	Everyone func(own *admission.Admission, r admission.Request, done func(answers []admission.Response, ok bool))
+	Everyone func(own *admission.Admission, r admission.Request,
+		done func(answers []admission.Response, ok bool))
 }
 
 // Node has the actors of one controller.
@@ -75,28 +76,36 @@
 // newLeader returns the leader's actor.
 func (n *Node) newLeader(e Environment) *leader.Leader {
 	box := e.Mailboxes.Leader
-	return leader.New(box, e.Store(box), e.Cloud, e.Agent, e.Settings,
-		func(epoch int64) { n.Candidate.ObserveEpoch(epoch) },
-		func() { n.Candidate.Resign() },
-		n.attestations(e),
-		func(types []protocol.MachineType) { n.Admission.SetMachineTypes(types) })
+	return leader.New(leader.Dependencies{
+		Mailbox:          box,
+		Settings:         e.Settings,
+		Store:            e.Store(box),
+		Cloud:            e.Cloud,
+		Workers:          e.Agent,
+		Deposed:          func(epoch protocol.Epoch) { n.Candidate.ObserveEpoch(epoch) },
+		Resign:           func() { n.Candidate.Resign() },
+		Attest:           n.attestations(e),
+		CatalogueChanged: func(types []protocol.MachineType) { n.Admission.SetMachineTypes(types) },
+	})
 }
 
 // attestations returns how the leader asks all nodes to vouch for what they have told users.
 func (n *Node) attestations(e Environment) func(back clock.Micros, done func([]admission.Attestation, bool)) {
 	return func(back clock.Micros, done func([]admission.Attestation, bool)) {
-		e.Everyone(n.Admission, admission.NewAttestationRequest(back), func(answers []admission.Response, ok bool) {
-			done(admission.DecodeAttestations(answers, ok))
-		})
+		e.Everyone(n.Admission, admission.NewAttestationRequest(back),
+			func(answers []admission.Response, ok bool) {
+				done(admission.DecodeAttestations(answers, ok))
+			})
 	}
 }
 
 // zoneReports returns how the leader asks all nodes which zones' machines they hear from.
 func (n *Node) zoneReports(e Environment) func(done func([]admission.ZoneReports)) {
 	return func(done func([]admission.ZoneReports)) {
-		e.Everyone(n.Admission, admission.Request{Kind: admission.GetZoneReports}, func(answers []admission.Response, _ bool) {
-			done(admission.DecodeAllZoneReports(answers))
-		})
+		e.Everyone(n.Admission, admission.Request{Kind: admission.GetZoneReports},
+			func(answers []admission.Response, _ bool) {
+				done(admission.DecodeAllZoneReports(answers))
+			})
 	}
 }
 
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -12,8 +12,8 @@
 //
 //	request:          kind (1), length of the id (2), id, body
 //	answer:           HTTP status (2), seconds to retry after (2), body
-//	exchange request: kind (1), a delegation.Report
-//	exchange answer:  a delegation.Answer
+//	exchange request: kind (1), a delegation.Heartbeat
+//	exchange answer:  a delegation.HeartbeatResponse
 const (
 	requestHeaderBytes = 3
 	idLengthOffset     = 1
@@ -55,9 +55,11 @@
 	idLength := int(binary.BigEndian.Uint16(b[idLengthOffset:]))
 	rest := b[requestHeaderBytes:]
 	if len(rest) < idLength || len(rest)-idLength > protocol.MaxBodyBytes {
-		return admission.Request{}, fmt.Errorf("%w: request of %d bytes, id of %d", ErrMalformed, len(b), idLength)
+		return admission.Request{}, fmt.Errorf("%w: request of %d bytes, id of %d", ErrMalformed, len(b),
+			idLength)
 	}
-	return admission.Request{Kind: kind, ID: string(rest[:idLength]), Body: rest[idLength:], Forwarded: true}, nil
+	id, body := protocol.JobID(rest[:idLength]), rest[idLength:]
+	return admission.Request{Kind: kind, ID: id, Body: body, Forwarded: true}, nil
 }
 
 func encodeAnswer(a admission.Response) []byte {
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -3,12 +3,14 @@
 import (
 	"fmt"
 	"testing"
+
+	"postpoint/internal/protocol"
 )
 
 func BenchmarkMake(b *testing.B) {
 	s := Snapshot{Machines: machinesWith(48, 16, 16)}
 	for i := range 100 {
-		s.Jobs = append(s.Jobs, arrayJob(fmt.Sprint("job-", i), 2, 20, 1))
+		s.Jobs = append(s.Jobs, arrayJob(protocol.JobID(fmt.Sprint("job-", i)), 2, 20, 1))
 	}
 	for b.Loop() {
 		MakePlan(s)
@@ -20,17 +22,17 @@
 func grownSnapshot() Snapshot {
 	s := Snapshot{Machines: machinesWith(650, 16, 16)}
 	for i := range s.Machines {
-		s.Machines[i].Name = fmt.Sprintf("m-%06d", i)
+		s.Machines[i].Name = protocol.MachineName(fmt.Sprintf("m-%06d", i))
 		s.Machines[i].FetchSPerGB = 2
 		if i%8 != 0 {
 			s.Machines[i].Free = Resources{Cpus: 1}
 		}
 	}
 	for i := range 20 {
-		s.Jobs = append(s.Jobs, arrayJob(fmt.Sprint("job-a", i), 2, 400, 1))
+		s.Jobs = append(s.Jobs, arrayJob(protocol.JobID(fmt.Sprint("job-a", i)), 2, 400, 1))
 	}
 	for i := range 80 {
-		s.Jobs = append(s.Jobs, gangJob(fmt.Sprint("job-g", i), 2, 2+i%15, 15))
+		s.Jobs = append(s.Jobs, gangJob(protocol.JobID(fmt.Sprint("job-g", i)), 2, 2+i%15, 15))
 	}
 	return s
 }
--- a/internal/planner/build_test.go
+++ b/internal/planner/build_test.go
@@ -9,7 +9,7 @@
 
 // arrayJob returns an array that may preempt, of which the given tasks run and the rest
 // are pending.
-func arrayJob(id string, rank, tasks int, cpus float64, running ...RunningTask) Job {
+func arrayJob(id protocol.JobID, rank, tasks int, cpus float64, running ...RunningTask) Job {
 	j := Job{ID: id, Rank: rank, MaxStarts: 100, MayPreempt: true, Running: running,
 		Spec: &protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Tasks: tasks, Cpus: cpus}}
 	for task := len(running); task < tasks; task++ {
@@ -19,7 +19,7 @@
 }
 
 // gangJob returns a gang that may preempt, all tasks of which are pending.
-func gangJob(id string, rank, tasks int, cpus float64) Job {
+func gangJob(id protocol.JobID, rank, tasks int, cpus float64) Job {
 	j := arrayJob(id, rank, tasks, cpus)
 	j.Spec.Shape = protocol.ShapeGang
 	return j
@@ -29,15 +29,15 @@
 func machinesWith(n int, cpus, free float64) []Machine {
 	var machines []Machine
 	for i := range n {
-		machines = append(machines, Machine{Name: fmt.Sprint("m", i),
+		machines = append(machines, Machine{Name: protocol.MachineName(fmt.Sprint("m", i)),
 			Capacity: Resources{Cpus: cpus}, Free: Resources{Cpus: free}})
 	}
 	return machines
 }
 
 // machinesByName points into the given machines.
-func machinesByName(machines []Machine) map[string]*Machine {
-	byName := make(map[string]*Machine, len(machines))
+func machinesByName(machines []Machine) map[protocol.MachineName]*Machine {
+	byName := make(map[protocol.MachineName]*Machine, len(machines))
 	for i := range machines {
 		byName[machines[i].Name] = &machines[i]
 	}
--- a/internal/planner/draw_test.go
+++ b/internal/planner/draw_test.go
@@ -18,10 +18,10 @@
 		"open":    {},
 	}}
 	for i := range rapid.IntRange(1, 6).Draw(t, "machines") {
-		s.Machines = append(s.Machines, drawMachine(t, fmt.Sprint("m", i)))
+		s.Machines = append(s.Machines, drawMachine(t, protocol.MachineName(fmt.Sprint("m", i))))
 	}
 	for i := range rapid.IntRange(1, 6).Draw(t, "jobs") {
-		spec := drawSpec(t, fmt.Sprint("job-", i))
+		spec := drawSpec(t, protocol.JobID(fmt.Sprint("job-", i)))
 		j := Job{ID: spec.ID, Spec: spec, Rank: rapid.IntRange(0, 3).Draw(t, "rank"),
 			SubmittedAt: int64(i), MaxStarts: 100, MayPreempt: true}
 		start := rapid.Bool().Draw(t, "running")
@@ -38,19 +38,21 @@
 	return s
 }
 
-func drawMachine(t *rapid.T, name string) Machine {
+func drawMachine(t *rapid.T, name protocol.MachineName) Machine {
 	whole := Resources{Cpus: float64(rapid.IntRange(2, 12).Draw(t, "cpus")), MemoryGB: 64}
 	return Machine{Name: name, Type: "t", Zone: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"),
 		Spot: rapid.Bool().Draw(t, "spot"), Capacity: whole, Free: whole, HourlyPrice: 1}
 }
 
-func drawSpec(t *rapid.T, id string) *protocol.JobSpec {
+func drawSpec(t *rapid.T, id protocol.JobID) *protocol.JobSpec {
 	shapes := []string{protocol.ShapeArray, protocol.ShapeGang, protocol.ShapeService}
 	tasks := rapid.IntRange(1, 5).Draw(t, "tasks")
 	return &protocol.JobSpec{ID: id, Team: rapid.SampledFrom([]string{"limited", "open"}).Draw(t, "team"),
 		Shape: rapid.SampledFrom(shapes).Draw(t, "shape"), Tasks: tasks,
-		Cpus: float64(rapid.IntRange(1, 5).Draw(t, "each")), MemoryGB: 1, Spot: rapid.Bool().Draw(t, "mayspot"),
-		OneZone: rapid.IntRange(0, 3).Draw(t, "one") == 0, Spread: rapid.IntRange(0, 3).Draw(t, "spread") == 0}
+		Cpus: float64(rapid.IntRange(1, 5).Draw(t, "each")), MemoryGB: 1,
+		Spot:    rapid.Bool().Draw(t, "mayspot"),
+		OneZone: rapid.IntRange(0, 3).Draw(t, "one") == 0,
+		Spread:  rapid.IntRange(0, 3).Draw(t, "spread") == 0}
 }
 
 // runSomewhere has a task run on the first machine that may hold it, and reports whether
@@ -83,7 +85,8 @@
 		m := &s.Machines[i]
 		m.HourlyPrice = float64(rapid.IntRange(1, 4).Draw(t, "price"))
 		m.FetchSPerGB = 2
-		m.CachedImages = rapid.SliceOfNDistinct(rapid.SampledFrom(images), 0, 2, rapid.ID[string]).Draw(t, "images")
+		m.CachedImages = rapid.SliceOfNDistinct(rapid.SampledFrom(images), 0, 2, rapid.ID[string]).Draw(t,
+			"images")
 		if rapid.IntRange(0, 3).Draw(t, "boots") == 0 && m.Free == m.Capacity {
 			m.Booting, m.BootRemainingS = true, float64(rapid.IntRange(0, 30).Draw(t, "boot"))
 		}
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -1,5 +1,7 @@
 package planner
 
+import "postpoint/internal/protocol"
+
 // Plan is what is to be done now, in the order in which it was decided.
 type Plan struct {
 	// Placements are the tasks to start.
@@ -12,19 +14,19 @@
 
 // Placement assigns a task to a machine.
 type Placement struct {
-	Job     string
+	Job     protocol.JobID
 	Task    int
-	Machine string
-	// MachineBooting tells that the machine still boots, so that the task starts later.
+	Machine protocol.MachineName
+	// MachineBooting reports whether the machine still boots, so that the task starts later.
 	MachineBooting bool
 }
 
 // Preemption has a running task stopped for another job.
 type Preemption struct {
-	Job  string
+	Job  protocol.JobID
 	Task int
 	// Preemptor is the job that gets the room.
-	Preemptor string
+	Preemptor protocol.JobID
 }
 
 // UnmetDemand counts the tasks of a job that should run now and found no room.
--- a/internal/planner/planning.go
+++ b/internal/planner/planning.go
@@ -4,28 +4,30 @@
 	"cmp"
 	"slices"
 	"sync"
+
+	"postpoint/internal/protocol"
 )
 
 // planning is the state of one call of Make.
 type planning struct {
 	machines []Machine // sorted by name
-	byName   map[string]*Machine
+	byName   map[protocol.MachineName]*Machine
 	zones    []string // in the order in which they appear among the machines
 	teams    map[string]*Team
 	plan     Plan
 
 	// lowestRank is the lowest rank (the highest number) of which anything runs, and
-	// anyOverQuota tells that some team runs more than its guarantee. A job for which
+	// anyOverQuota reports whether some team runs more than its guarantee. A job for which
 	// neither leaves a victim is spared the search for one.
 	lowestRank   int
 	anyOverQuota bool
 
 	// stopping are the tasks that have been told to stop in earlier plans.
 	stopping []victim
-	// preempting tells that room is being made for some job. No more is made until
+	// preempting reports whether room is being made for some job. No more is made until
 	// then, or one shortage would preempt again and again.
 	preempting bool
-	// gangReserved tells that room is reserved for a gang, which is done for the
+	// gangReserved reports whether room is reserved for a gang, which is done for the
 	// first in the queue only.
 	gangReserved bool
 }
@@ -35,10 +37,12 @@
 // a leader allocated.
 type machineBuffer struct {
 	machines []Machine
-	byName   map[string]*Machine
+	byName   map[protocol.MachineName]*Machine
 }
 
-var machineBuffers = sync.Pool{New: func() any { return &machineBuffer{byName: map[string]*Machine{}} }}
+var machineBuffers = sync.Pool{New: func() any {
+	return &machineBuffer{byName: map[protocol.MachineName]*Machine{}}
+}}
 
 // MakePlan plans for the snapshot, which it leaves unchanged.
 func MakePlan(s Snapshot) Plan {
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -149,9 +149,9 @@
 			"\x00\xa5Halls\x92\xa1a\xa1b"},
 	{"rental", ScaleOutRequest{IdempotencyKey: "e41-2", Type: "g8", Zone: "a", Spot: true, Count: 5},
 		"\x85\xa7Booking\xa5e41-2\xa5Fleet\xa2g8\xa4Hall\xa1a\xa7Loaners\xc3\xa7HowMany\x05"},
-	{"answer to a rental", ScaleOutResponse{Machines: []string{"m-000231", "m-000232"}, Error: NoCapacity},
+	{"answer to a rental", ScaleOutResponse{Machines: []MachineName{"m-000231", "m-000232"}, Error: NoCapacity},
 		"\x82\xa5Hosts\x92\xa8m-000231\xa8m-000232\xa5error\xabno capacity"},
-	{"release", ScaleInRequest{Machines: []string{"m-000231", "m-000232"}},
+	{"release", ScaleInRequest{Machines: []MachineName{"m-000231", "m-000232"}},
 		"\x81\xa5Hosts\x92\xa8m-000231\xa8m-000232"},
 	{"listed machine", goldenListedMachine(),
 		"\x87\xa3Uid\xa8m-000231\xa7Address\xaf10.1.0.232:9000\xa5Fleet\xa2g8\xa4Hall\xa1a\xa7Loaners" +
@@ -219,7 +219,8 @@
 		"\x82\xa5Epoch\x00\xa6Orders\x90"},
 	{"redirect to nobody", Redirect{}, "\x80"},
 	{"commands", CommandRequest{}, "\x83\xa5Epoch\x00\xa5Shift\x00\xa6Orders\xc0"},
-	{"commands of no orders", CommandRequest{Commands: []Command{}}, "\x83\xa5Epoch\x00\xa5Shift\x00\xa6Orders\x90"},
+	{"commands of no orders", CommandRequest{Commands: []Command{}},
+		"\x83\xa5Epoch\x00\xa5Shift\x00\xa6Orders\x90"},
 	{"machine type", MachineType{},
 		"\x8a\xa3Sku\xa0\xa5Vcpus\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00\x00\x00\x00\x00" +
 			"\x00\x00\x00\xa5MemGb\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa7LocalGb\xcb\x00\x00\x00\x00\x00" +
@@ -227,7 +228,8 @@
 			"\x00\x00\x00\x00\x00\xa9SpotPrice\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa8StartupS\xcb\x00" +
 			"\x00\x00\x00\x00\x00\x00\x00\xa5Halls\xc0"},
 	{"catalogue", Catalogue{}, "\x81\xa6Fleets\xc0"},
-	{"rental", ScaleOutRequest{}, "\x85\xa7Booking\xa0\xa5Fleet\xa0\xa4Hall\xa0\xa7Loaners\xc2\xa7HowMany\x00"},
+	{"rental", ScaleOutRequest{},
+		"\x85\xa7Booking\xa0\xa5Fleet\xa0\xa4Hall\xa0\xa7Loaners\xc2\xa7HowMany\x00"},
 	{"answer to a rental", ScaleOutResponse{}, "\x82\xa5Hosts\xc0\xa5error\xa0"},
 	{"release", ScaleInRequest{}, "\x81\xa5Hosts\xc0"},
 	{"listed machine", ListedMachine{},
@@ -388,15 +390,15 @@
 	if job, task, ok := ParseTask("beta.job-1.7/12"); job != "beta.job-1.7" || task != 12 || !ok {
 		t.Errorf("a task's name is read as %q %d %v", job, task, ok)
 	}
-	for id, valid := range map[string]bool{
-		"job-000412":                     true,
-		"job-a_Z-9":                      true,
-		"job-" + strings.Repeat("x", 60): true,
-		"job-" + strings.Repeat("x", 61): false,
-		"job-":                           false,
-		"beta.job-1.7":                   false,
-		"job-1.7":                        false,
-		"job-1/7":                        false,
+	for id, valid := range map[JobID]bool{
+		"job-000412":                            true,
+		"job-a_Z-9":                             true,
+		JobID("job-" + strings.Repeat("x", 60)): true,
+		JobID("job-" + strings.Repeat("x", 61)): false,
+		"job-":                                  false,
+		"beta.job-1.7":                          false,
+		"job-1.7":                               false,
+		"job-1/7":                               false,
 	} {
 		if ValidJobID(id) != valid {
 			t.Errorf("%q: valid %v", id, !valid)
--- a/internal/protocol/heartbeatdecoder_test.go
+++ b/internal/protocol/heartbeatdecoder_test.go
@@ -14,7 +14,8 @@
 	r := Heartbeat{Machine: "m-000001", Address: "10.1.0.1:9000", Type: "t", Zone: "a",
 		Incarnation: 1, Counter: 1, Epoch: 3}
 	for i := range tasks {
-		r.Tasks = append(r.Tasks, TaskStatus{Task: TaskName("job-000001", i), Attempt: 1, Status: TaskRunning})
+		r.Tasks = append(r.Tasks, TaskStatus{Task: TaskName("job-000001", i), Attempt: 1,
+			Status: TaskRunning})
 	}
 	return r
 }
@@ -33,7 +34,7 @@
 			case 3, 4:
 				last.Tasks = shuffled(r, last.Tasks)
 			case 1:
-				last.Epoch = r.Int64N(300)
+				last.Epoch = Epoch(r.Int64N(300))
 			case 2:
 				left := r.Float64()
 				last.PreemptionNoticeS = []*float64{nil, &left}[r.IntN(2)]
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -23,26 +23,26 @@
 
 // TaskStatus is the status of one task in a worker's heartbeat.
 type TaskStatus struct {
-	Task    string `msgpack:"Leg"`
-	Attempt int64  `msgpack:"Try"`
-	Status  string `msgpack:"Status"`
-	Cause   string `msgpack:"Cause"`
-	Saved   bool   `msgpack:"Saved"` // its progress was saved when it was stopped
+	Task    string  `msgpack:"Leg"`
+	Attempt Attempt `msgpack:"Try"`
+	Status  string  `msgpack:"Status"`
+	Cause   string  `msgpack:"Cause"`
+	Saved   bool    `msgpack:"Saved"` // its progress was saved when it was stopped
 }
 
 // Heartbeat is a worker's heartbeat, with the status of its machine and tasks.
 type Heartbeat struct {
-	Machine string `msgpack:"Host"`
-	Address string `msgpack:"Address"`
-	Type    string `msgpack:"Fleet"`
-	Zone    string `msgpack:"Hall"`
-	Spot    bool   `msgpack:"Loaners"`
+	Machine MachineName `msgpack:"Host"`
+	Address string      `msgpack:"Address"`
+	Type    string      `msgpack:"Fleet"`
+	Zone    string      `msgpack:"Hall"`
+	Spot    bool        `msgpack:"Loaners"`
 	// Incarnation is the worker's incarnation: it increases each time the worker's lease expires.
-	Incarnation int64 `msgpack:"Shift"`
+	Incarnation Incarnation `msgpack:"Shift"`
 	// Counter increases with each message, so that late ones are recognised.
 	Counter int64 `msgpack:"Counter"`
 	// Epoch is the highest fencing token that the worker has seen.
-	Epoch int64 `msgpack:"Epoch"`
+	Epoch Epoch `msgpack:"Epoch"`
 	// PreemptionNoticeS is how long it takes until the spot machine is preempted, nil without notice.
 	PreemptionNoticeS *float64     `msgpack:"RecallS"`
 	Tasks             []TaskStatus `msgpack:"Legs"`
@@ -59,13 +59,13 @@
 type Command struct {
 	Verb    string  `msgpack:"Verb"`
 	Task    string  `msgpack:"Leg"`
-	Attempt int64   `msgpack:"Try"`
+	Attempt Attempt `msgpack:"Try"`
 	GraceS  float64 `msgpack:"LeaveS"` // in which a stopped task may save a checkpoint
 }
 
 // HeartbeatResponse is the response to a heartbeat.
 type HeartbeatResponse struct {
-	Epoch    int64     `msgpack:"Epoch"` // fencing token of the leader
+	Epoch    Epoch     `msgpack:"Epoch"` // fencing token of the leader
 	Commands []Command `msgpack:"Orders"`
 }
 
@@ -77,7 +77,7 @@
 
 // CommandRequest is a request that brings commands to a worker, other than as a response to a heartbeat.
 type CommandRequest struct {
-	Epoch       int64     `msgpack:"Epoch"` // fencing token of the leader
-	Incarnation int64     `msgpack:"Shift"` // the worker's incarnation
-	Commands    []Command `msgpack:"Orders"`
+	Epoch       Epoch       `msgpack:"Epoch"` // fencing token of the leader
+	Incarnation Incarnation `msgpack:"Shift"` // the worker's incarnation
+	Commands    []Command   `msgpack:"Orders"`
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -10,7 +10,7 @@
 	"postpoint/internal/protocol"
 )
 
-// memoryStore is a state service that responds at once, or is unavailable.
+// memoryStore is a key-value store that responds at once, or is unavailable.
 type memoryStore struct {
 	kvstore.Store
 	values map[string][]byte
@@ -33,18 +33,19 @@
 }
 
 func (s *memoryStore) Commit(_ kvstore.Priority, t protocol.Txn,
-	done func(kvstore.Result[kvstore.Revision])) {
+	done func(kvstore.Result[protocol.Revision])) {
 	for _, c := range t.Changes {
 		_, exists := s.values[c.Put]
-		if len(t.Conditions) != 1 || t.Conditions[0].Key != c.Put || exists != (t.Conditions[0].Version != 0) {
+		if len(t.Conditions) != 1 || t.Conditions[0].Key != c.Put ||
+			exists != (t.Conditions[0].Version != 0) {
 			conflict := &kvstore.ConflictError{Keys: []string{c.Put}}
-			done(kvstore.Result[kvstore.Revision]{Err: conflict})
+			done(kvstore.Result[protocol.Revision]{Err: conflict})
 			return
 		}
 		s.values[c.Put] = c.Value
 		s.puts = append(s.puts, c.Put)
 	}
-	done(kvstore.Result[kvstore.Revision]{})
+	done(kvstore.Result[protocol.Revision]{})
 }
 
 // controller is one controller's rollout, which polls when the test says so.
@@ -96,7 +97,7 @@
 	}
 }
 
-// While the state service is unavailable, a node hasn't published and nothing is open; a malformed
+// While the key-value store is unavailable, a node hasn't published and nothing is open; a malformed
 // value counts as unpublished.
 func TestGateStaysClosedWithoutEvidence(t *testing.T) {
 	store := &memoryStore{values: map[string][]byte{"rollout/node/b": {0xc1}}, down: true}
--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -47,7 +47,8 @@
 	mute.Commands.Heal()
 	w.Run(w.Now() + 5*clock.Second)
 	if mute.runs(j) || mute.incarnation != 1 {
-		t.Fatalf("the cancelled job runs: %v, want false; incarnation %d, want 1", mute.runs(j), mute.incarnation)
+		t.Fatalf("the cancelled job runs: %v, want false; incarnation %d, want 1", mute.runs(j),
+			mute.incarnation)
 	}
 	w.Run(w.Now() + 40*clock.Second)
 	mustKeepRules(t, w)
@@ -150,7 +151,7 @@
 	d.CancelAtEnd = 1
 	var jobs []*Job
 	for i := range 40 {
-		spec := array(fmt.Sprintf("job-%06d", i), "open", 1+i%3, 2, 10)
+		spec := array(protocol.JobID(fmt.Sprintf("job-%06d", i)), "open", 1+i%3, 2, 10)
 		jobs = append(jobs, d.Submit(spec, 10*clock.Second, false))
 	}
 	for w.Now() < 300*clock.Second {
--- a/internal/simulation/cloudclient.go
+++ b/internal/simulation/cloudclient.go
@@ -53,7 +53,8 @@
 }
 
 // Rent rents machines; a repeated request gets the response of the first.
-func (x *cloudClient) Rent(r protocol.ScaleOutRequest, until clock.Micros, done func(int, protocol.ScaleOutResponse)) {
+func (x *cloudClient) Rent(r protocol.ScaleOutRequest, until clock.Micros,
+	done func(int, protocol.ScaleOutResponse)) {
 	var answer protocol.ScaleOutResponse
 	x.callUntil(until, func(status int) { done(status, answer) }, func() int {
 		if names, ok := x.cloud.rented[r.IdempotencyKey]; ok {
@@ -73,7 +74,7 @@
 }
 
 // Release ends machines.
-func (x *cloudClient) Release(names []string, until clock.Micros, done func(int)) {
+func (x *cloudClient) Release(names []protocol.MachineName, until clock.Micros, done func(int)) {
 	x.callUntil(until, done, func() int {
 		for _, name := range names {
 			x.cloud.Remove(name)
@@ -83,7 +84,7 @@
 }
 
 // List reads the machines after a name; the list lags.
-func (x *cloudClient) List(from string, done func(int, protocol.MachineList)) {
+func (x *cloudClient) List(from protocol.MachineName, done func(int, protocol.MachineList)) {
 	var list protocol.MachineList
 	x.call(func(status int) { done(status, list) }, func() int {
 		for _, m := range x.cloud.laggingList() {
--- a/internal/simulation/deployment.go
+++ b/internal/simulation/deployment.go
@@ -37,14 +37,14 @@
 	cut map[string]*partitionedZone
 	// History records what runs when, if set.
 	History *History
-	jobs    map[string]*Job
+	jobs    map[protocol.JobID]*Job
 	order   []*Job // in the order of their submission
 	byAddr  map[string]*FakeWorker
 	used    map[string]planner.Resources // by team, on machines
 	// Commands counts direct commands.
 	Commands int
 	// address is the address of a new worker.
-	address func(name string) string
+	address func(name protocol.MachineName) string
 }
 
 // nodesPerDeployment is the number of controllers.
@@ -76,9 +76,9 @@
 ) *Deployment {
 	d := &Deployment{
 		World: w, Settings: set, Store: NewFakeStore(w), Loss: loss,
-		cut: map[string]*partitionedZone{}, jobs: map[string]*Job{}, byAddr: map[string]*FakeWorker{},
+		cut: map[string]*partitionedZone{}, jobs: map[protocol.JobID]*Job{}, byAddr: map[string]*FakeWorker{},
 		used:    map[string]planner.Resources{},
-		address: func(name string) string { return name + ":9000" },
+		address: func(name protocol.MachineName) string { return string(name) + ":9000" },
 	}
 	d.Cloud = newCloud(d, types)
 	for i := range nodesPerDeployment {
--- a/internal/simulation/heartbeats.go
+++ b/internal/simulation/heartbeats.go
@@ -99,7 +99,7 @@
 }
 
 // adopt takes a leader's epoch that is higher than all before.
-func (m *FakeWorker) adopt(epoch int64) {
+func (m *FakeWorker) adopt(epoch protocol.Epoch) {
 	if epoch > m.epoch {
 		m.epoch = epoch
 		m.scheduleHeartbeat()
@@ -111,7 +111,7 @@
 	m       *FakeWorker
 	n       *Node
 	sent    clock.Micros
-	session int64
+	session protocol.Incarnation
 	another int // the controller that is tried next if this one doesn't respond
 	over    bool
 }
--- a/internal/simulation/record.go
+++ b/internal/simulation/record.go
@@ -62,7 +62,8 @@
 			done(a, ok)
 		})
 	}
-	e.Everyone = func(own *admission.Admission, request admission.Request, done func([]admission.Response, bool)) {
+	e.Everyone = func(own *admission.Admission, request admission.Request,
+		done func([]admission.Response, bool)) {
 		r.record("ask all nodes", peer.RequestFrame(request))
 		everyone(own, request, func(answers []admission.Response, ok bool) {
 			for _, a := range answers {
@@ -114,7 +115,8 @@
 }
 
 func (s *recordedStore) Follow(
-	prefix string, from int64, block clock.Micros, done func(storetest.Reply[protocol.WatchResponse]),
+	prefix string, from protocol.Revision, block clock.Micros,
+	done func(storetest.Reply[protocol.WatchResponse]),
 ) {
 	s.record("follow", prefix, from, int64(block))
 	s.store.Follow(prefix, from, block, answered(s.recording, "follow", done))
@@ -125,7 +127,7 @@
 	s.store.Grant(ttl, answered(s.recording, "grant", done))
 }
 
-func (s *recordedStore) Renew(lease int64, done func(storetest.Reply[protocol.LeaseResponse])) {
+func (s *recordedStore) Renew(lease protocol.LeaseID, done func(storetest.Reply[protocol.LeaseResponse])) {
 	s.record("renew", lease)
 	s.store.Renew(lease, answered(s.recording, "renew", done))
 }
@@ -144,7 +146,8 @@
 	})
 }
 
-func (c *recordedCloud) Rent(r protocol.ScaleOutRequest, until clock.Micros, done func(int, protocol.ScaleOutResponse)) {
+func (c *recordedCloud) Rent(r protocol.ScaleOutRequest, until clock.Micros,
+	done func(int, protocol.ScaleOutResponse)) {
 	c.record("rent", r, int64(until))
 	c.cloud.Rent(r, until, func(status int, a protocol.ScaleOutResponse) {
 		c.record("rent answered", status, a)
@@ -152,7 +155,7 @@
 	})
 }
 
-func (c *recordedCloud) Release(machines []string, until clock.Micros, done func(int)) {
+func (c *recordedCloud) Release(machines []protocol.MachineName, until clock.Micros, done func(int)) {
 	c.record("release", protocol.ScaleInRequest{Machines: machines}, int64(until))
 	c.cloud.Release(machines, until, func(status int) {
 		c.record("release answered", status)
@@ -160,7 +163,7 @@
 	})
 }
 
-func (c *recordedCloud) List(from string, done func(int, protocol.MachineList)) {
+func (c *recordedCloud) List(from protocol.MachineName, done func(int, protocol.MachineList)) {
 	c.record("list machines", from)
 	c.cloud.List(from, func(status int, l protocol.MachineList) {
 		c.record("list machines answered", status, l)
@@ -235,7 +238,8 @@
 	exchanges exchangeHandler
 }
 
-func (x *recordedExchanges) Exchange(report delegation.Heartbeat, reply func(delegation.HeartbeatResponse, bool)) {
+func (x *recordedExchanges) Exchange(report delegation.Heartbeat,
+	reply func(delegation.HeartbeatResponse, bool)) {
 	x.record("cell report", report.Encode())
 	x.exchanges.Exchange(report, func(a delegation.HeartbeatResponse, ok bool) {
 		x.record("cell answer", ok, a.Encode())
--- a/internal/simulation/record_test.go
+++ b/internal/simulation/record_test.go
@@ -27,7 +27,7 @@
 }
 
 // recordShortDay plays a job for a minute. In the first message of the kind to be changed, if any,
-// another last byte is recorded; change may do something to the state service in the end.
+// another last byte is recorded; change may do something to the key-value store in the end.
 func recordShortDay(seed uint64, changedKind string, change func(*FakeStore)) (*hashRecorder, string) {
 	h := &hashRecorder{sha256.New(), map[string]int{}, changedKind}
 	w := NewWorld(seed)
@@ -50,7 +50,8 @@
 	h, first := recordShortDay(1, "", nil)
 	for _, kind := range []string{
 		"get answered", "list answered", "commit answered", "follow answered", "grant answered",
-		"renew answered", "catalogue answered", "rent answered", "list machines answered", "commands answered",
+		"renew answered", "catalogue answered", "rent answered", "list machines answered",
+		"commands answered",
 		"heartbeat answer", "user answer", "overview", "ready", "stored",
 	} {
 		if h.kinds[kind] == 0 {
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -106,7 +106,8 @@
 		d.World.Violate(ranCancelled, "%s/%d starts", k.job, k.task)
 	}
 	zone := m.d.name + m.zone
-	if !planner.MachineAllowed(&j.spec, m.typ, m.zone, m.spot) || !planner.ZoneAllowed(&j.spec, j.zones(k.task), zone) {
+	if !planner.MachineAllowed(&j.spec, m.typ, m.zone, m.spot) ||
+		!planner.ZoneAllowed(&j.spec, j.zones(k.task), zone) {
 		d.World.Violate(wrongPlace, "%s/%d on %s %s", k.job, k.task, m.typ, m.zone)
 	}
 }
@@ -140,7 +141,7 @@
 
 // checkCommands checks that nobody sends commands without the leader's lease, but to stop tasks of final
 // jobs: that ends nothing which a later leader could want. Cancelled jobs aren't started.
-func (d *Deployment) checkCommands(n *Node, epoch int64, commands []protocol.Command) {
+func (d *Deployment) checkCommands(n *Node, epoch protocol.Epoch, commands []protocol.Command) {
 	for _, c := range commands {
 		id, _, _ := protocol.ParseTask(c.Task)
 		j := d.find(id)
--- a/internal/simulation/scale_test.go
+++ b/internal/simulation/scale_test.go
@@ -19,7 +19,8 @@
 	t.Parallel()
 	w := NewWorld(17)
 	set := testSettings()
-	set.Deployment.Workers.HeartbeatS, set.Deployment.Workers.LeaseS, set.Deployment.Workers.CancelS = 5, 22, 42
+	set.Deployment.Workers.HeartbeatS, set.Deployment.Workers.LeaseS, set.Deployment.Workers.CancelS = 5, 22,
+		42
 	set.Deployment.KVStore.ValueKb, set.Deployment.KVStore.TxnOps = 32, 12
 	d := NewDeployment(w, set, testTypes(), 0)
 	d.Store.Kept, d.Store.Page = 10_000, 500
@@ -97,7 +98,7 @@
 		n, most int
 	}{
 		{"changes of records", d.Store.Changes, most.changes},
-		{"requests to the state service", d.Store.Requests, most.requests},
+		{"requests to the key-value store", d.Store.Requests, most.requests},
 		{"calls to the cloud", d.Cloud.Calls, most.calls},
 		{"plans of the last leader", plans, most.plans},
 		{"direct commands", d.Commands, most.commands},
@@ -110,7 +111,9 @@
 }
 
 // nextID is an id that no job of the deployment has yet.
-func (d *Deployment) nextID() string { return fmt.Sprintf("job-%06d", len(d.order)) }
+func (d *Deployment) nextID() protocol.JobID {
+	return protocol.JobID(fmt.Sprintf("job-%06d", len(d.order)))
+}
 
 // mustFinish fails the test if a rule was broken or an accepted job isn't done.
 func mustFinish(t *testing.T, d *Deployment) {
@@ -129,12 +132,14 @@
 	t.Parallel()
 	w := NewWorld(18)
 	set := testSettings()
-	set.Deployment.Workers = settings.Workers{HeartbeatS: 6, LeaseS: 31, GangWaitS: 40, GangPeerS: 5, CancelS: 51}
+	set.Deployment.Workers = settings.Workers{HeartbeatS: 6, LeaseS: 31, GangWaitS: 40, GangPeerS: 5,
+		CancelS: 51}
 	set.Deployment.KVStore = settings.KVStore{Rps: 250, WriteRps: 70, ValueKb: 32, TxnOps: 12}
 	set.Deployment.Cloud.Rps = 12
 	d := NewDeployment(w, set, testTypes(), 0)
 	d.Store.Kept, d.Store.Page = 10_000, 500
-	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 1500, {Type: "small", Zone: "b"}: 500}
+	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 1500,
+		{Type: "small", Zone: "b"}: 500}
 	for i := range clock.Micros(8) {
 		const n = 1000
 		w.After(i*2*clock.Second, func() {
--- a/internal/simulation/storerecords.go
+++ b/internal/simulation/storerecords.go
@@ -3,13 +3,16 @@
 import (
 	"postpoint/internal/election"
 	"postpoint/internal/jobrecord"
+	"postpoint/internal/protocol"
 )
 
 // leads reports whether the epoch is that of the leader by the store.
-func (s *FakeStore) leads(epoch int64) bool { return s.entries[election.LeaderKey].version == epoch }
+func (s *FakeStore) leads(epoch protocol.Epoch) bool {
+	return s.entries[election.LeaderKey].version == protocol.Revision(epoch)
+}
 
 // record decodes a job's record, without its shards; nil if there is none.
-func (s *FakeStore) record(job string) *jobrecord.Record {
+func (s *FakeStore) record(job protocol.JobID) *jobrecord.Record {
 	e, ok := s.entries[jobrecord.Key(job)]
 	if !ok {
 		return nil
@@ -22,7 +25,7 @@
 }
 
 // wholeRecord decodes a job's record with its shards; nil if there is none.
-func (s *FakeStore) wholeRecord(job string) *jobrecord.Record {
+func (s *FakeStore) wholeRecord(job protocol.JobID) *jobrecord.Record {
 	j := s.record(job)
 	if j == nil {
 		return nil
@@ -38,13 +41,13 @@
 }
 
 // assigned reports whether a job's record has an attempt on a machine.
-func (s *FakeStore) assigned(k taskKey, attempt int64, machine string) bool {
+func (s *FakeStore) assigned(k taskKey, attempt protocol.Attempt, machine protocol.MachineName) bool {
 	j := s.wholeRecord(k.job)
 	return j != nil && j.Placements[k.task].Attempt == attempt && j.Placements[k.task].Machine == machine
 }
 
 // final reports whether a job's record is final.
-func (s *FakeStore) final(job string) bool {
+func (s *FakeStore) final(job protocol.JobID) bool {
 	j := s.record(job)
 	return j != nil && j.Final()
 }
--- a/internal/simulation/watch.go
+++ b/internal/simulation/watch.go
@@ -152,7 +152,7 @@
 	workers := d.Settings.Deployment.Workers
 	longest := clock.FromSeconds(workers.GangWaitS+workers.LeaseS+workers.GangPeerS) +
 		workers.RenewalWindow() + 10*clock.Second
-	since := map[string]clock.Micros{}
+	since := map[protocol.JobID]clock.Micros{}
 	d.World.Every(clock.Second, func() {
 		for _, j := range d.order {
 			r := d.Store.wholeRecord(j.spec.ID)
@@ -162,7 +162,8 @@
 			} else if since[j.spec.ID] == 0 {
 				since[j.spec.ID] = d.World.now
 			} else if d.World.now > max(since[j.spec.ID], d.disturbedAt)+longest {
-				d.World.Violate(incompleteGang, "%s: %d of %d tasks", j.spec.ID, len(r.Placements), j.spec.Tasks)
+				d.World.Violate(incompleteGang, "%s: %d of %d tasks", j.spec.ID, len(r.Placements),
+					j.spec.Tasks)
 				since[j.spec.ID] = d.World.now
 			}
 		}
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -20,24 +20,27 @@
 
 // FakeWorker is a fake of one machine with its agent: it runs tasks under a lease that heartbeats renew.
 type FakeWorker struct {
-	d          *Deployment
-	name, addr string
-	typ, zone  string
-	spot       bool
-	status     string
-	rentedAt   clock.Micros
-	up, ended  bool
+	d         *Deployment
+	name      protocol.MachineName
+	addr      string
+	typ, zone string
+	spot      bool
+	status    string
+	rentedAt  clock.Micros
+	up, ended bool
 
 	// incarnation counts the agent's incarnations, counter its heartbeats; epoch is the highest that it
 	// has seen.
-	incarnation, counter, epoch int64
-	tasks                       []*task
+	incarnation protocol.Incarnation
+	counter     int64
+	epoch       protocol.Epoch
+	tasks       []*task
 	// node is the index of the controller to which heartbeats go.
 	node int
 	// leaseStart is when the last heartbeat with a response was sent: the lease counts from then.
 	leaseStart clock.Micros
 	inFlight   bool
-	// changed tells that a heartbeat about a change is scheduled.
+	// changed reports whether a heartbeat about a change is scheduled.
 	changed  bool
 	recallAt clock.Micros
 	// Hung machines do nothing until they continue, but their leases expire.
@@ -46,7 +49,7 @@
 	deferred []func()
 	// expiredJobs are the jobs with tasks on the machine when its lease expired while it hung, and when
 	// that was: the tasks are there until it continues.
-	expiredJobs map[string]clock.Micros
+	expiredJobs map[protocol.JobID]clock.Micros
 	// Link carries heartbeats and their responses, Commands what controllers send directly.
 	Link, Commands Link
 	// HeartbeatsLost machines reach no controller; what controllers send directly reaches them.
@@ -62,7 +65,7 @@
 }
 
 // boot starts a machine that comes up some time later.
-func (d *Deployment) boot(name string, k scaling.CapacityPool) *FakeWorker {
+func (d *Deployment) boot(name protocol.MachineName, k scaling.CapacityPool) *FakeWorker {
 	m := &FakeWorker{
 		d: d, name: name, addr: d.address(name), typ: k.Type, zone: k.Zone, spot: k.Spot,
 		status: protocol.MachineStarting, rentedAt: d.World.now,
@@ -163,7 +166,7 @@
 // keepExpiredJobs remembers the jobs whose tasks a hung machine can't end.
 func (m *FakeWorker) keepExpiredJobs() {
 	if m.expiredJobs == nil {
-		m.expiredJobs = map[string]clock.Micros{}
+		m.expiredJobs = map[protocol.JobID]clock.Micros{}
 	}
 	for _, t := range m.tasks {
 		if t.resident {
