--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -36,6 +36,7 @@
 	return m
 }
 
+// Post implements Mailbox.
 func (m *mailbox) Post(message func()) {
 	m.mu.Lock()
 	m.queue = append(m.queue, message)
@@ -46,6 +47,7 @@
 	}
 }
 
+// After implements Mailbox.
 func (m *mailbox) After(delay clock.Micros, message func()) {
 	time.AfterFunc(delay.Duration(), func() { m.Post(message) })
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -41,4 +41,5 @@
 // Monotonic starts at one second so that 0 can stand for "never".
 func (s system) Monotonic() Micros { return Micros(time.Since(s.began).Microseconds()) + Second }
 
+// TimeOfDay implements Clock.
 func (s system) TimeOfDay() Micros { return Micros(time.Now().UnixMicro()) }
--- a/internal/cloudclient/client.go
+++ b/internal/cloudclient/client.go
@@ -103,11 +103,13 @@
 	return ""
 }
 
+// Catalogue implements API.
 func (b *bound) Catalogue(done func(protocol.Catalogue, error)) {
 	var c protocol.Catalogue
 	b.call(read, http.MethodGet, "/catalog", nil, &c, func(err error) { done(c, err) })
 }
 
+// ScaleOut implements API.
 func (b *bound) ScaleOut(
 	r protocol.ScaleOutRequest, until clock.Micros, done func([]protocol.MachineName, error),
 ) {
@@ -116,11 +118,13 @@
 		func(err error) { done(a.Machines, err) })
 }
 
+// ScaleIn implements API.
 func (b *bound) ScaleIn(machines []protocol.MachineName, until clock.Micros, done func(error)) {
 	body := protocol.Encode(protocol.ScaleInRequest{Machines: machines})
 	b.call(b.before(until), http.MethodPost, "/hosts/release", body, nil, done)
 }
 
+// List implements API.
 func (b *bound) List(from protocol.MachineName, done func(protocol.MachineList, error)) {
 	q := url.Values{"Limit": {strconv.Itoa(PageSize)}}
 	if from != "" {
--- a/internal/cloudclient/cloudtest/service.go
+++ b/internal/cloudclient/cloudtest/service.go
@@ -24,10 +24,12 @@
 // client turns statuses into errors.
 type client struct{ service Service }
 
+// Catalogue implements cloudclient.API.
 func (c client) Catalogue(done func(protocol.Catalogue, error)) {
 	c.service.Catalogue(func(status int, types protocol.Catalogue) { done(types, failure(status, "")) })
 }
 
+// ScaleOut implements cloudclient.API.
 func (c client) ScaleOut(
 	r protocol.ScaleOutRequest, until clock.Micros, done func([]protocol.MachineName, error),
 ) {
@@ -36,10 +38,12 @@
 	})
 }
 
+// ScaleIn implements cloudclient.API.
 func (c client) ScaleIn(machines []protocol.MachineName, until clock.Micros, done func(error)) {
 	c.service.Release(machines, until, func(status int) { done(failure(status, "")) })
 }
 
+// List implements cloudclient.API.
 func (c client) List(from protocol.MachineName, done func(protocol.MachineList, error)) {
 	c.service.List(from, func(status int, l protocol.MachineList) { done(l, failure(status, "")) })
 }
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -209,10 +209,12 @@
 		Method: method, URL: c.base + path, Body: body, Timeout: timeout, ResponseLimit: responseLimit})
 }
 
+// Get implements Store.
 func (b *bound) Get(key string, done func(Result[protocol.Item])) {
 	send(b, OpGet, b.read("/kv/"+key, readTimeout), unchanged, done)
 }
 
+// List implements Store.
 func (b *bound) List(prefix, from string, done func(Result[protocol.ItemList])) {
 	q := url.Values{"Prefix": {prefix}, "Limit": {strconv.Itoa(pageSize)}}
 	if from != "" {
@@ -221,6 +223,7 @@
 	send(b, OpList, b.read("/kv?"+q.Encode(), callTimeout), unchanged, done)
 }
 
+// Commit implements Store.
 func (b *bound) Commit(priority Priority, t protocol.Txn, done func(Result[protocol.Revision])) {
 	body := protocol.Encode(t)
 	commit := func() (transport.Response, error) {
@@ -237,6 +240,7 @@
 	send(b, OpCommit, commit, revision, done)
 }
 
+// Follow implements Store.
 func (b *bound) Follow(prefix string, from protocol.Revision, wait clock.Micros,
 	done func(Result[protocol.WatchResponse])) {
 	q := url.Values{
@@ -252,6 +256,7 @@
 	send(b, OpFollow, follow, unchanged, done)
 }
 
+// Grant implements Store.
 func (b *bound) Grant(ttl clock.Micros, done func(Result[protocol.LeaseID])) {
 	body := protocol.Encode(protocol.LeaseRequest{TTLMs: int64(ttl / clock.Millisecond)})
 	grant := func() (transport.Response, error) {
@@ -260,6 +265,7 @@
 	send(b, OpGrant, grant, func(a protocol.LeaseResponse) protocol.LeaseID { return a.Lease }, done)
 }
 
+// Renew implements Store.
 func (b *bound) Renew(lease protocol.LeaseID, done func(err error)) {
 	renew := func() (transport.Response, error) {
 		return b.do(b.election, http.MethodPost, fmt.Sprintf("/leases/%d/touch", lease), nil, renewTimeout)
--- a/internal/kvstore/storetest/service.go
+++ b/internal/kvstore/storetest/service.go
@@ -33,14 +33,17 @@
 // client turns statuses into errors.
 type client struct{ service Service }
 
+// Get implements kvstore.Store.
 func (c client) Get(key string, done func(kvstore.Result[protocol.Item])) {
 	c.service.Get(key, func(r Reply[protocol.Item]) { done(result(kvstore.OpGet, r)) })
 }
 
+// List implements kvstore.Store.
 func (c client) List(prefix, from string, done func(kvstore.Result[protocol.ItemList])) {
 	c.service.List(prefix, from, func(r Reply[protocol.ItemList]) { done(result(kvstore.OpList, r)) })
 }
 
+// Commit implements kvstore.Store.
 func (c client) Commit(priority kvstore.Priority, txn protocol.Txn,
 	done func(kvstore.Result[protocol.Revision])) {
 	c.service.Commit(priority, txn, func(r Reply[protocol.TxnResponse]) {
@@ -51,12 +54,14 @@
 	})
 }
 
+// Follow implements kvstore.Store.
 func (c client) Follow(prefix string, from protocol.Revision, wait clock.Micros,
 	done func(kvstore.Result[protocol.WatchResponse])) {
 	c.service.Follow(prefix, from, wait,
 		func(r Reply[protocol.WatchResponse]) { done(result(kvstore.OpFollow, r)) })
 }
 
+// Grant implements kvstore.Store.
 func (c client) Grant(ttl clock.Micros, done func(kvstore.Result[protocol.LeaseID])) {
 	c.service.Grant(ttl, func(r Reply[protocol.LeaseResponse]) {
 		done(kvstore.Result[protocol.LeaseID]{
@@ -66,6 +71,7 @@
 	})
 }
 
+// Renew implements kvstore.Store.
 func (c client) Renew(lease protocol.LeaseID, done func(err error)) {
 	c.service.Renew(lease, func(r Reply[protocol.LeaseResponse]) { done(errorOf(kvstore.OpRenew, r)) })
 }
--- a/internal/simulation/loopbackserver.go
+++ b/internal/simulation/loopbackserver.go
@@ -15,9 +15,14 @@
 
 // Serve serves the store, the cloud and the workers on the given listeners.
 func (l *Loopback) Serve(state, cloud, workers net.Listener) {
-	go http.Serve(state, l.storeService())
-	go http.Serve(cloud, l.cloudService())
-	go http.Serve(workers, l.workerService())
+	go serveUntilClosed(state, l.storeService())
+	go serveUntilClosed(cloud, l.cloudService())
+	go serveUntilClosed(workers, l.workerService())
+}
+
+// serveUntilClosed drops the error: http.Serve returns one in any case once its listener is closed.
+func serveUntilClosed(listener net.Listener, handler http.Handler) {
+	_ = http.Serve(listener, handler)
 }
 
 // handler executes a decoded request in the world and responds, at once or later.
--- a/internal/simulation/record.go
+++ b/internal/simulation/record.go
@@ -97,16 +97,19 @@
 	}
 }
 
+// Get implements storetest.Service.
 func (s *recordedStore) Get(key string, done func(storetest.Reply[protocol.Item])) {
 	s.record("get", key)
 	s.store.Get(key, answered(s.recording, "get", done))
 }
 
+// List implements storetest.Service.
 func (s *recordedStore) List(prefix, from string, done func(storetest.Reply[protocol.ItemList])) {
 	s.record("list", prefix, from)
 	s.store.List(prefix, from, answered(s.recording, "list", done))
 }
 
+// Commit implements storetest.Service.
 func (s *recordedStore) Commit(
 	use kvstore.Priority, t protocol.Txn, done func(storetest.Reply[protocol.TxnResponse]),
 ) {
@@ -114,6 +117,7 @@
 	s.store.Commit(use, t, answered(s.recording, "commit", done))
 }
 
+// Follow implements storetest.Service.
 func (s *recordedStore) Follow(
 	prefix string, from protocol.Revision, block clock.Micros,
 	done func(storetest.Reply[protocol.WatchResponse]),
@@ -122,11 +126,13 @@
 	s.store.Follow(prefix, from, block, answered(s.recording, "follow", done))
 }
 
+// Grant implements storetest.Service.
 func (s *recordedStore) Grant(ttl clock.Micros, done func(storetest.Reply[protocol.LeaseResponse])) {
 	s.record("grant", int64(ttl))
 	s.store.Grant(ttl, answered(s.recording, "grant", done))
 }
 
+// Renew implements storetest.Service.
 func (s *recordedStore) Renew(lease protocol.LeaseID, done func(storetest.Reply[protocol.LeaseResponse])) {
 	s.record("renew", lease)
 	s.store.Renew(lease, answered(s.recording, "renew", done))
@@ -138,6 +144,7 @@
 	cloud cloudtest.Service
 }
 
+// Catalogue implements cloudtest.Service.
 func (c *recordedCloud) Catalogue(done func(int, protocol.Catalogue)) {
 	c.record("catalogue")
 	c.cloud.Catalogue(func(status int, catalogue protocol.Catalogue) {
@@ -146,6 +153,7 @@
 	})
 }
 
+// Rent implements cloudtest.Service.
 func (c *recordedCloud) Rent(r protocol.ScaleOutRequest, until clock.Micros,
 	done func(int, protocol.ScaleOutResponse)) {
 	c.record("rent", r, int64(until))
@@ -155,6 +163,7 @@
 	})
 }
 
+// Release implements cloudtest.Service.
 func (c *recordedCloud) Release(machines []protocol.MachineName, until clock.Micros, done func(int)) {
 	c.record("release", protocol.ScaleInRequest{Machines: machines}, int64(until))
 	c.cloud.Release(machines, until, func(status int) {
@@ -163,6 +172,7 @@
 	})
 }
 
+// List implements cloudtest.Service.
 func (c *recordedCloud) List(from protocol.MachineName, done func(int, protocol.MachineList)) {
 	c.record("list machines", from)
 	c.cloud.List(from, func(status int, l protocol.MachineList) {
@@ -177,6 +187,7 @@
 	agent workertest.Service
 }
 
+// Commands implements workertest.Service.
 func (a *recordedAgent) Commands(
 	addr string, c protocol.CommandRequest, until clock.Micros, done func(int, protocol.Heartbeat),
 ) {
@@ -193,6 +204,7 @@
 	exchanger federation.Exchanger
 }
 
+// Exchange implements federation.Exchanger.
 func (x *recordedExchanger) Exchange(
 	address string, report delegation.Heartbeat, done func(delegation.HeartbeatResponse, bool),
 ) {
@@ -209,6 +221,7 @@
 	reports reportHandler
 }
 
+// Heartbeat implements reportHandler.
 func (x *recordedReports) Heartbeat(report protocol.Heartbeat, reply func(status int, body any)) {
 	x.record("heartbeat", report)
 	x.reports.Heartbeat(report, func(status int, body any) {
@@ -224,6 +237,7 @@
 	from     string
 }
 
+// Handle implements requestHandler.
 func (x *recordedRequests) Handle(request admission.Request, reply func(admission.Response)) {
 	x.record(x.from+" request", peer.RequestFrame(request), request.Forwarded)
 	x.requests.Handle(request, func(a admission.Response) {
@@ -238,6 +252,7 @@
 	exchanges exchangeHandler
 }
 
+// Exchange implements exchangeHandler.
 func (x *recordedExchanges) Exchange(report delegation.Heartbeat,
 	reply func(delegation.HeartbeatResponse, bool)) {
 	x.record("cell report", report.Encode())
--- a/internal/simulation/record_test.go
+++ b/internal/simulation/record_test.go
@@ -23,7 +23,7 @@
 	if kind == h.changed && h.kinds[kind] == 1 {
 		content[len(content)-1] ^= 1
 	}
-	fmt.Fprintf(h, "%d %s %s %x\n", at, controller, kind, content)
+	_, _ = fmt.Fprintf(h, "%d %s %s %x\n", at, controller, kind, content)
 }
 
 // recordShortDay plays a job for a minute. In the first message of the kind to be changed, if any,
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -53,6 +53,7 @@
 	mailbox actor.Mailbox
 }
 
+// Commands implements API.
 func (b *bound) Commands(addr string, c protocol.CommandRequest, until clock.Micros, done func(Response)) {
 	request := transport.Request{Method: http.MethodPost, URL: "http://" + addr + "/commands",
 		Body: protocol.Encode(c), Timeout: timeout, ResponseLimit: responseLimit}
--- a/internal/workerclient/workertest/service.go
+++ b/internal/workerclient/workertest/service.go
@@ -22,6 +22,7 @@
 // client turns statuses into errors.
 type client struct{ service Service }
 
+// Commands implements workerclient.API.
 func (c client) Commands(addr string, commands protocol.CommandRequest, until clock.Micros,
 	done func(workerclient.Response)) {
 	c.service.Commands(addr, commands, until, func(status int, r protocol.Heartbeat) {
