--- a/internal/admission/golden_test.go
+++ b/internal/admission/golden_test.go
@@ -33,16 +33,7 @@
 }
 
 func (s *goldenStore) Get(key string, done func(kvstore.Result[protocol.Item])) {
-	value, found := s.values[key]
-	switch {
-	case s.down:
-		done(kvstore.Result[protocol.Item]{Err: kvstore.ErrUnavailable})
-	case !found:
-		done(kvstore.Result[protocol.Item]{Err: kvstore.ErrNotFound})
-	default:
-		item := protocol.Item{Key: key, Value: value, Version: 9}
-		done(kvstore.Result[protocol.Item]{Value: item})
-	}
+	done(lookup(s.values, s.down, key, 9))
 }
 
 func (s *goldenStore) List(prefix, _ string, done func(kvstore.Result[protocol.ItemList])) {
@@ -80,14 +71,9 @@
 	divided.Placements[2] = jobrecord.Placement{Task: 2, Attempt: 1, Machine: "m-1", Incarnation: 1}
 	store.values["jobs/job-2"] = divided.Encode()
 	store.values["parts/job-2/1"] = divided.EncodeShard(1)
-	set := &settings.Settings{Deployment: settings.Deployment{
-		Teams:   []settings.Team{{Name: "vision", GpusMax: 4}},
-		KVStore: settings.KVStore{ValueKb: 8, TxnOps: 5},
-	}}
-	alone := func(_ Request, done func(Response, bool)) { done(Response{}, false) }
-	in := New(&actortest.Still{Now: 20 * clock.Second}, store, set, alone)
-	in.SetMachineTypes([]protocol.MachineType{{Name: "g8", Cpus: 96, Gpus: 8, MemoryGB: 768,
-		Zones: []string{"a"}}})
+	set := &settings.Settings{Deployment: visionDeployment()}
+	in := New(&actortest.Still{Now: 20 * clock.Second}, store, set, noPeers)
+	in.SetMachineTypes(gpuTypes("a"))
 	in.SetFormatStatus(rollout.Status{Services: true})
 	return in, store
 }
--- a/internal/admission/helpers_test.go
+++ b/internal/admission/helpers_test.go
@@ -44,16 +44,21 @@
 }
 
 func (s *fakeStore) Get(key string, done func(kvstore.Result[protocol.Item])) {
-	value, found := s.values[key]
+	done(lookup(s.values, s.down, key, 5))
+}
+
+// lookup is a store's result for a key, whose version is given if it is found.
+func lookup(
+	values map[string][]byte, down bool, key string, version protocol.Revision,
+) kvstore.Result[protocol.Item] {
+	value, found := values[key]
 	switch {
-	case s.down:
-		done(kvstore.Result[protocol.Item]{Err: kvstore.ErrUnavailable})
+	case down:
+		return kvstore.Result[protocol.Item]{Err: kvstore.ErrUnavailable}
 	case !found:
-		done(kvstore.Result[protocol.Item]{Err: kvstore.ErrNotFound})
-	default:
-		item := protocol.Item{Key: key, Value: value, Version: 5}
-		done(kvstore.Result[protocol.Item]{Value: item})
+		return kvstore.Result[protocol.Item]{Err: kvstore.ErrNotFound}
 	}
+	return kvstore.Result[protocol.Item]{Value: protocol.Item{Key: key, Value: value, Version: version}}
 }
 
 func (s *fakeStore) Commit(
--- a/internal/delegation/codec.go
+++ b/internal/delegation/codec.go
@@ -129,7 +129,7 @@
 	w.text(a.Leader)
 	w.count(len(a.Directives))
 	for i := range a.Directives {
-		w.ruling(&a.Directives[i])
+		w.directive(&a.Directives[i])
 	}
 	w.count(len(a.Offers))
 	for i := range a.Offers {
@@ -138,10 +138,10 @@
 	return w
 }
 
-func (w *writer) ruling(r *Directive) {
-	w.number(r.Number)
-	w.byte(byte(r.Action))
-	w.number(int64(r.PermissionFor))
+func (w *writer) directive(d *Directive) {
+	w.number(d.Number)
+	w.byte(byte(d.Action))
+	w.number(int64(d.PermissionFor))
 }
 
 func (w *writer) offer(o *Offer) {
@@ -160,7 +160,7 @@
 	a.Result = r.result()
 	a.Leader = r.text(maxNameText)
 	for range r.count(MaxStatuses) {
-		a.Directives = append(a.Directives, r.ruling())
+		a.Directives = append(a.Directives, r.directive())
 	}
 	for range r.count(MaxPerHost) {
 		a.Offers = append(a.Offers, r.offer())
@@ -179,15 +179,15 @@
 	return result
 }
 
-func (r *reader) ruling() Directive {
-	var ruling Directive
-	ruling.Number = r.number()
-	ruling.Action = Action(r.byte())
-	if !ruling.Action.valid() {
+func (r *reader) directive() Directive {
+	var d Directive
+	d.Number = r.number()
+	d.Action = Action(r.byte())
+	if !d.Action.valid() {
 		r.fail("there is no such action")
 	}
-	ruling.PermissionFor = clock.Micros(r.number())
-	return ruling
+	d.PermissionFor = clock.Micros(r.number())
+	return d
 }
 
 func (r *reader) offer() Offer {
--- a/internal/delegation/golden_test.go
+++ b/internal/delegation/golden_test.go
@@ -9,6 +9,7 @@
 	"postpoint/internal/goldentest"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
+	"postpoint/internal/protocol/protocoltest"
 )
 
 func goldenReport() Heartbeat {
@@ -54,32 +55,6 @@
 	}
 }
 
-func goldenOfferedSpec() protocol.JobSpec {
-	deadline := 900.0
-	return protocol.JobSpec{
-		ID:          "job-000412",
-		Class:       "train",
-		Team:        "vision",
-		Shape:       protocol.ShapeArray,
-		Priority:    "urgent",
-		Tasks:       12,
-		Cpus:        8,
-		Gpus:        1,
-		MemoryGB:    64,
-		Image:       "img-07",
-		ImageGB:     6.25,
-		Types:       []string{"g8"},
-		Zone:        "a",
-		OneZone:     true,
-		Spread:      true,
-		Spot:        true,
-		EstimateS:   240,
-		CheckpointS: 30,
-		SaveS:       4,
-		DeadlineS:   &deadline,
-	}
-}
-
 func goldenAnswer() HeartbeatResponse {
 	return HeartbeatResponse{
 		Result: Processed,
@@ -93,7 +68,7 @@
 		},
 		Offers: []Offer{{
 			Number: 11,
-			Spec:   goldenOfferedSpec(),
+			Spec:   protocoltest.WholeJobSpec(),
 			Tasks:  ranges(0, 1, 2, 7),
 			JobAge: 90 * clock.Second,
 		}},
--- a/internal/election/golden_test.go
+++ b/internal/election/golden_test.go
@@ -3,11 +3,10 @@
 import (
 	"testing"
 
-	"github.com/google/go-cmp/cmp"
-
 	"postpoint/internal/clock"
 	"postpoint/internal/goldentest"
 	"postpoint/internal/protocol"
+	"postpoint/internal/protocol/protocoltest"
 )
 
 const goldenHolder = "\x83\xa4node\xa8worker-0\xabincarnation\xa4this\xa5lease\x01"
@@ -15,16 +14,8 @@
 // The value of the leader's key is the recorded bytes, and is read from them.
 func TestGoldenHolder(t *testing.T) {
 	h := holder{Node: "worker-0", Incarnation: "this", Lease: 1}
-	goldentest.RequireFieldsSet(t, "holder", h)
 	goldentest.RequireTags(t, "msgpack", h)
-	goldentest.Equal(t, "holder", protocol.Encode(h), goldenHolder)
-	var again holder
-	if err := protocol.Decode([]byte(goldenHolder), &again); err != nil {
-		t.Fatal(err)
-	}
-	if d := cmp.Diff(h, again); d != "" {
-		t.Error(d)
-	}
+	protocoltest.RequireGolden(t, "holder", h, goldenHolder)
 }
 
 // A campaign puts the key under a lease, and a leader that resigns deletes it: both as recorded.
--- a/internal/jobrecord/golden_test.go
+++ b/internal/jobrecord/golden_test.go
@@ -7,35 +7,9 @@
 
 	"postpoint/internal/goldentest"
 	"postpoint/internal/protocol"
+	"postpoint/internal/protocol/protocoltest"
 )
 
-// goldenSpec has all fields of a submission set.
-func goldenSpec() protocol.JobSpec {
-	deadline := 900.0
-	return protocol.JobSpec{
-		ID:          "job-000412",
-		Class:       "train",
-		Team:        "vision",
-		Shape:       protocol.ShapeArray,
-		Priority:    "urgent",
-		Tasks:       12,
-		Cpus:        8,
-		Gpus:        1,
-		MemoryGB:    64,
-		Image:       "img-07",
-		ImageGB:     6.25,
-		Types:       []string{"g8"},
-		Zone:        "a",
-		OneZone:     true,
-		Spread:      true,
-		Spot:        true,
-		EstimateS:   240,
-		CheckpointS: 30,
-		SaveS:       4,
-		DeadlineS:   &deadline,
-	}
-}
-
 // smallSpec has hardly any.
 func smallSpec(shape string, tasks int) protocol.JobSpec {
 	return protocol.JobSpec{ID: "job-1", Shape: shape, Tasks: tasks}
@@ -89,7 +63,7 @@
 	{
 		name: "a whole record with all that it may have",
 		job: Record{
-			Spec:          goldenSpec(),
+			Spec:          protocoltest.WholeJobSpec(),
 			Status:        protocol.StatusCancelled,
 			SubmittedAt:   1764668400000000,
 			CancelledAt:   1764668460000000,
@@ -224,7 +198,7 @@
 	{
 		name: "a divided record",
 		job: Record{
-			Spec:          goldenSpec(),
+			Spec:          protocoltest.WholeJobSpec(),
 			SubmittedAt:   1764668400000000,
 			Done:          goldenRanges(span{0, 3}, span{7, 7}),
 			NextAttempt:   5,
@@ -307,7 +281,7 @@
 // The stored forms with every field set at once, which no job has.
 func TestGoldenStoredForms(t *testing.T) {
 	whole := storedRecord{
-		Spec:        goldenSpec(),
+		Spec:        protocoltest.WholeJobSpec(),
 		Status:      protocol.StatusCancelled,
 		SubmittedAt: 1764668400000000,
 		CancelledAt: 1764668460000000,
@@ -320,7 +294,6 @@
 		Returned:    2,
 		Displaced:   "b",
 	}
-	goldentest.RequireFieldsSet(t, "record", whole)
 	const wholeBytes = "" +
 		"\x8c\xa4spec\xde\x00\x14\xa3Uid\xaajob-000412\xa4Lane\xa5train\xa4Desk\xa6vision\xa5Shape" +
 		"\xa5batch\xa4Rank\xa6urgent\xa4Legs\x0c\xa5Vcpus\xcb@ \x00\x00\x00\x00\x00\x00\xa4Gpus\xcb?" +
@@ -332,14 +305,7 @@
 		"\x06D\xf4\xe4\xb4c\x00\xa4done\xa50-3,7\xa3try\x05\xa6placed\x91\xb0m-000001 3 2 5-6\xa7lend" +
 		"ers\x91\xaajob-000001\xa5cause\xb1error on m-000001\xa9truncated\xc3\xa8returned\x02\xa9disp" +
 		"laced\xa1b"
-	goldentest.Equal(t, "record", protocol.Encode(whole), wholeBytes)
-	var wholeAgain storedRecord
-	if err := protocol.Decode([]byte(wholeBytes), &wholeAgain); err != nil {
-		t.Fatal(err)
-	}
-	if d := cmp.Diff(whole, wholeAgain); d != "" {
-		t.Error(d)
-	}
+	protocoltest.RequireGolden(t, "record", whole, wholeBytes)
 	part := storedShard{
 		Done:        "8f00",
 		NextAttempt: 5,
@@ -347,18 +313,10 @@
 		Attempt:     2,
 		Placed:      "m-000001 0-2,4;m-000002 3 1 4",
 	}
-	goldentest.RequireFieldsSet(t, "part", part)
 	const partBytes = "" +
 		"\x85\xa4done\xa48f00\xa4next\x05\xa5shift\x03\xa3try\x02\xa6placed\xbdm-000001 0-2,4;m-00000" +
 		"2 3 1 4"
-	goldentest.Equal(t, "part", protocol.Encode(part), partBytes)
-	var partAgain storedShard
-	if err := protocol.Decode([]byte(partBytes), &partAgain); err != nil {
-		t.Fatal(err)
-	}
-	if d := cmp.Diff(part, partAgain); d != "" {
-		t.Error(d)
-	}
+	protocoltest.RequireGolden(t, "part", part, partBytes)
 }
 
 // Where records and parts stand, and what stands in them in place of machines.
--- a/internal/leader/adoption_test.go
+++ b/internal/leader/adoption_test.go
@@ -16,12 +16,7 @@
 func TestLateReadsDontBringPlacementsBack(t *testing.T) {
 	l, j, m, _ := leaderWithOneTask(t)
 	old := j.Encode()
-	l.reconciler.Observe(m, workerHeartbeat(1, 1, protocol.TaskStatus{
-		Task:    "job-1/0",
-		Attempt: 1,
-		Status:  protocol.TaskExited,
-		Cause:   protocol.CauseStopped,
-	}))
+	l.reconciler.Observe(m, exitedHeartbeat(protocol.CauseStopped))
 	l.reader.Adopt(jobrecord.Key("job-1"), j.Encode(), 6)
 	j.NoteRecordEvent(jobtable.EventRecordConflict)
 	l.reader.Adopt(jobrecord.Key("job-1"), old, 5)
@@ -35,12 +30,7 @@
 func TestOldEventsDontBringJobsBack(t *testing.T) {
 	l, j, m, _ := leaderWithOneTask(t)
 	old := j.Encode()
-	l.reconciler.Observe(m, workerHeartbeat(1, 1, protocol.TaskStatus{
-		Task:    "job-1/0",
-		Attempt: 1,
-		Status:  protocol.TaskExited,
-		Cause:   protocol.CauseDone,
-	}))
+	l.reconciler.Observe(m, exitedHeartbeat(protocol.CauseDone))
 	j.InFlight = true
 	l.writer.HandleResult([]recordstore.Write{
 		{Job: j, Value: &j.StoredValue, Shard: recordstore.HeadIndex, ChangeCount: j.ChangeCount},
--- a/internal/leader/commitoutcome_test.go
+++ b/internal/leader/commitoutcome_test.go
@@ -59,12 +59,7 @@
 		l, j, m, _ := leaderWithOneTask(t)
 		l.state.Deposed = func(protocol.Epoch) {}
 		j.InFlight = true
-		l.reconciler.Observe(m, workerHeartbeat(1, 1, protocol.TaskStatus{
-			Task:    "job-1/0",
-			Attempt: 1,
-			Status:  protocol.TaskExited,
-			Cause:   protocol.CauseStopped,
-		}))
+		l.reconciler.Observe(m, exitedHeartbeat(protocol.CauseStopped))
 		for _, response := range c.responses {
 			j.InFlight = true
 			l.writer.HandleResult([]recordstore.Write{
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -55,6 +55,17 @@
 	return d, d.jobs.ByID["job-1"], d.machines.ByName["m-1"], box
 }
 
+// exitedHeartbeat returns the first heartbeat of machine m-1, which says that task 0 of job-1 has
+// exited.
+func exitedHeartbeat(cause string) protocol.Heartbeat {
+	return workerHeartbeat(1, 1, protocol.TaskStatus{
+		Task:    "job-1/0",
+		Attempt: 1,
+		Status:  protocol.TaskExited,
+		Cause:   cause,
+	})
+}
+
 // workerHeartbeat returns a heartbeat of machine m-1, whose agent knows of epoch 7.
 func workerHeartbeat(
 	incarnation protocol.Incarnation, counter int64, tasks ...protocol.TaskStatus,
--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -64,13 +64,7 @@
 	hung.Hung = true
 	for range 5 {
 		w.Run(w.Now() + 5*clock.Second)
-		for _, n := range d.Nodes {
-			if n.Leader.Leads() {
-				n.Crash()
-				w.After(200*clock.Millisecond, func() { d.StartNode(n) })
-				break
-			}
-		}
+		d.crashLeader(200 * clock.Millisecond)
 	}
 	w.Run(w.Now() + 20*clock.Second)
 	mustKeepRules(t, w)
--- a/internal/simulation/celloperations_test.go
+++ b/internal/simulation/celloperations_test.go
@@ -152,10 +152,7 @@
 	group.File = strings.Replace(group.File, "name = \"beta\"", "name = \"beta\"\ndrain = true", 1)
 	for _, d := range []*Deployment{x.host, x.origin} {
 		for i, n := range d.Nodes {
-			x.w.After(clock.Micros(i)*5*clock.Second, func() {
-				n.Crash()
-				x.w.After(clock.Second, func() { d.StartNode(n) })
-			})
+			x.w.After(clock.Micros(i)*5*clock.Second, func() { d.crashFor(n, clock.Second) })
 		}
 	}
 	x.w.Run(x.w.Now() + 60*clock.Second)
--- a/internal/simulation/docschecks_test.go
+++ b/internal/simulation/docschecks_test.go
@@ -62,11 +62,16 @@
 	return ""
 }
 
-func testProblem(x *sourceIndex, _, name string) string {
-	if !x.declared[name] {
-		return "no such test or benchmark"
+// unlessKnown returns the problem of a name that isn't among the known ones.
+func unlessKnown(known map[string]bool, name, problem string) string {
+	if known[name] {
+		return ""
 	}
-	return ""
+	return problem
+}
+
+func testProblem(x *sourceIndex, _, name string) string {
+	return unlessKnown(x.declared, name, "no such test or benchmark")
 }
 
 func pathProblem(_ *sourceIndex, page, name string) string {
@@ -113,17 +118,11 @@
 // literalProblem is for names of rules, settings and fields of the overview: they stand in the
 // sources as literals or field tags.
 func literalProblem(x *sourceIndex, _, name string) string {
-	if !x.literals[name] {
-		return "no rule, setting or field has this name"
-	}
-	return ""
+	return unlessKnown(x.literals, name, "no rule, setting or field has this name")
 }
 
 func variableProblem(x *sourceIndex, _, name string) string {
-	if !x.literals[name] {
-		return "nothing reads this variable"
-	}
-	return ""
+	return unlessKnown(x.literals, name, "nothing reads this variable")
 }
 
 // commandProblem sees to it that a command of the go tool names packages, tools, tests and flags
--- a/internal/simulation/failover_test.go
+++ b/internal/simulation/failover_test.go
@@ -22,8 +22,7 @@
 		}
 		for _, n := range d.Nodes {
 			if n.Leader.Leads() {
-				n.Crash()
-				w.After(w.Between(100*clock.Millisecond, 3*clock.Second), func() { d.StartNode(n) })
+				d.crashFor(n, w.Between(100*clock.Millisecond, 3*clock.Second))
 			}
 		}
 	}
@@ -127,8 +126,7 @@
 							stand(n, step)
 						}
 					}
-					leader.Crash()
-					w.After(3*clock.Second, func() { d.StartNode(leader) })
+					d.crashFor(leader, 3*clock.Second)
 				} else {
 					stand(leader, step)
 				}
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -92,6 +92,16 @@
 	return false
 }
 
+// mustKeepLeases fails the test if the lease of a worker that isn't excused expired.
+func mustKeepLeases(t *testing.T, d *Deployment, excused map[*FakeWorker]bool) {
+	t.Helper()
+	for _, m := range d.Cloud.all {
+		if m.incarnation > 1 && !excused[m] {
+			t.Errorf("the lease of %s expired, want it kept", m.name)
+		}
+	}
+}
+
 // partition cuts a worker off in both directions.
 func (m *FakeWorker) partition() { m.Link.Cut, m.Commands.Cut = true, true }
 
@@ -104,13 +114,11 @@
 // mustLead is the first controller that leads; the test fails if none does.
 func mustLead(t *testing.T, d *Deployment) *Node {
 	t.Helper()
-	for _, n := range d.Nodes {
-		if n.Leader.Leads() {
-			return n
-		}
+	leader := d.Leader()
+	if leader == nil {
+		t.Fatal("no controller leads")
 	}
-	t.Fatal("no controller leads")
-	return nil
+	return leader
 }
 
 // expired counts the workers whose lease expired, which cost them their tasks.
--- a/internal/simulation/scale_test.go
+++ b/internal/simulation/scale_test.go
@@ -53,12 +53,7 @@
 			}
 		}
 	})
-	w.After(70*clock.Second, func() {
-		for _, n := range d.Nodes {
-			n.Crash()
-			w.After(2*clock.Second, func() { d.StartNode(n) })
-		}
-	})
+	w.After(70*clock.Second, func() { d.crashAll(2 * clock.Second) })
 	w.After(90*clock.Second, d.WatchAnswers)
 	const day = 300 * clock.Second
 	w.Run(day)
@@ -110,6 +105,14 @@
 	}
 }
 
+// scaleToThousands gives a deployment the timing and the request budgets of thousands of workers.
+func scaleToThousands(set *settings.Settings) {
+	set.Deployment.Workers = settings.Workers{HeartbeatS: 6, LeaseS: 31, GangWaitS: 40, GangPeerS: 5,
+		CancelS: 51}
+	set.Deployment.KVStore.Rps, set.Deployment.KVStore.WriteRps = 250, 70
+	set.Deployment.Cloud.Rps = 12
+}
+
 // nextID is an id that no job of the deployment has yet.
 func (d *Deployment) nextID() protocol.JobID {
 	return protocol.JobID(fmt.Sprintf("job-%06d", len(d.order)))
@@ -132,10 +135,8 @@
 	t.Parallel()
 	w := NewWorld(18)
 	set := testSettings()
-	set.Deployment.Workers = settings.Workers{HeartbeatS: 6, LeaseS: 31, GangWaitS: 40, GangPeerS: 5,
-		CancelS: 51}
-	set.Deployment.KVStore = settings.KVStore{Rps: 250, WriteRps: 70, ValueKb: 32, TxnOps: 12}
-	set.Deployment.Cloud.Rps = 12
+	scaleToThousands(set)
+	set.Deployment.KVStore.ValueKb, set.Deployment.KVStore.TxnOps = 32, 12
 	d := NewDeployment(w, set, testTypes(), 0)
 	d.Store.Kept, d.Store.Page = 10_000, 500
 	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 1500,
@@ -164,20 +165,11 @@
 			}
 		}
 	})
-	w.After(115*clock.Second, func() {
-		for _, n := range d.Nodes {
-			n.Crash()
-			w.After(3*clock.Second, func() { d.StartNode(n) })
-		}
-	})
+	w.After(115*clock.Second, func() { d.crashAll(3 * clock.Second) })
 	w.After(130*clock.Second, d.WatchAnswers)
 	w.Run(450 * clock.Second)
 
 	mustFinish(t, d)
-	for _, m := range d.Cloud.all {
-		if m.incarnation > 1 && !excused[m] {
-			t.Errorf("the lease of %s expired, want it kept", m.name)
-		}
-	}
+	mustKeepLeases(t, d, excused)
 	d.mustHaveUsed(t, used{changes: 2600, requests: 5500, calls: 1100, plans: 3500, commands: 5700})
 }
--- a/internal/simulation/scalefailover_test.go
+++ b/internal/simulation/scalefailover_test.go
@@ -42,8 +42,7 @@
 			t.Errorf("%d workers are up, want at least 550", up)
 		}
 		old := mustLead(t, d)
-		old.Crash()
-		w.After(6*clock.Second, func() { d.StartNode(old) })
+		d.crashFor(old, 6*clock.Second)
 	})
 	w.After(end+15*clock.Second, func() {
 		heir := mustLead(t, d)
@@ -60,11 +59,7 @@
 	})
 	w.Run(400 * clock.Second)
 	mustFinish(t, d)
-	for _, m := range d.Cloud.all {
-		if m.incarnation > 1 {
-			t.Errorf("the lease of %s expired, want it kept", m.name)
-		}
-	}
+	mustKeepLeases(t, d, nil)
 	for _, j := range d.order {
 		if took := j.acceptedAt - j.submittedAt; took > 2*clock.Second {
 			t.Errorf("%s was accepted after %.1f s, want 2 s at most", j.spec.ID, took.Seconds())
@@ -83,10 +78,7 @@
 	t.Parallel()
 	w := NewWorld(20)
 	set := tighteningSettings()
-	set.Deployment.Workers = settings.Workers{HeartbeatS: 6, LeaseS: 31, GangWaitS: 40, GangPeerS: 5,
-		CancelS: 51}
-	set.Deployment.KVStore.Rps, set.Deployment.KVStore.WriteRps = 250, 70
-	set.Deployment.Cloud.Rps = 12
+	scaleToThousands(set)
 	d := NewDeployment(w, set, testTypes(), 0)
 	d.Store.Kept, d.Store.Page = 10_000, 500
 	d.Cloud.Reliable = true
@@ -113,8 +105,7 @@
 			t.Errorf("%d workers are up, want at least 3900", up)
 		}
 		old := mustLead(t, d)
-		old.Crash()
-		w.After(3*clock.Second, func() { d.StartNode(old) })
+		d.crashFor(old, 3*clock.Second)
 	})
 	w.After(124*clock.Second, func() {
 		for _, m := range d.Workers() {
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -59,8 +59,7 @@
 		}
 		for _, n := range d.Nodes {
 			if n.Up() && n.Leader.Leads() {
-				n.Crash()
-				w.After(2*clock.Second, func() { d.StartNode(n) })
+				d.crashFor(n, 2*clock.Second)
 			}
 		}
 		d.Store.Limit(d.Settings.Deployment.KVStore.Tightest(), false)
@@ -100,8 +99,7 @@
 	w.Run(w.Now() + 20*clock.Second)
 	for _, n := range d.Nodes[:2] {
 		if n.Leader.Leads() {
-			n.Crash()
-			w.After(clock.Second, func() { d.StartNode(n) })
+			d.crashFor(n, clock.Second)
 		}
 	}
 	w.Run(w.Now() + 60*clock.Second)
--- a/internal/simulation/workerloss_test.go
+++ b/internal/simulation/workerloss_test.go
@@ -102,8 +102,7 @@
 		}
 		if next {
 			n := mustLead(t, d)
-			n.Crash()
-			w.After(3*clock.Second, func() { d.StartNode(n) })
+			d.crashFor(n, 3*clock.Second)
 		}
 		m.RestartCounters(next)
 		w.Run(w.Now() + 60*clock.Second)
