--- a/internal/admission/attestation_test.go
+++ b/internal/admission/attestation_test.go
@@ -15,7 +15,7 @@
 
 // cancelledJobs is a store that holds the records of cancelled jobs.
 func cancelledJobs(ids ...protocol.JobID) *fakeStore {
-	store := &fakeStore{values: map[string][]byte{}}
+	store := &fakeStore{values: map[string][]byte{}, readOnly: true}
 	for _, id := range ids {
 		record := jobrecord.New(protocol.JobSpec{ID: id, Tasks: 1}, 1)
 		record.Status = protocol.StatusCancelled
--- a/internal/admission/helpers_test.go
+++ b/internal/admission/helpers_test.go
@@ -41,6 +41,7 @@
 	down     bool
 	maxValue int      // bytes of JSON, 0 for no limit
 	puts     [][]byte // values of the transactions that were carried out
+	readOnly bool     // a transaction is a fault of the code under test
 }
 
 func (s *fakeStore) Get(key string, done func(kvstore.Result[protocol.Item])) {
@@ -66,6 +67,8 @@
 ) {
 	value := txn.Changes[0].Value
 	switch {
+	case s.readOnly:
+		panic("a transaction was sent, want reads only")
 	case s.down:
 		done(kvstore.Result[protocol.Revision]{Err: kvstore.ErrUnavailable})
 	case s.maxValue > 0 && protocol.JSONSize(value) > s.maxValue:
@@ -116,7 +119,7 @@
 	set := &settings.Settings{}
 	set.Deployment.Workers.HeartbeatS = heartbeatIntervalS
 	box := lockedMailbox{Still: &actortest.Still{Now: 20 * clock.Second}, mu: &sync.Mutex{}}
-	in := New(box, &fakeStore{}, set, noPeers)
+	in := New(box, &fakeStore{readOnly: true}, set, noPeers)
 	in.SetMachineTypes([]protocol.MachineType{{Name: "g8"}})
 	in.availability.storeAnsweredAt = in.mailbox.Monotonic()
 	return in
--- a/internal/admission/submission_test.go
+++ b/internal/admission/submission_test.go
@@ -53,7 +53,7 @@
 	spec := submission()
 	raw := protocol.Encode(spec)
 	for _, known := range []bool{false, true} {
-		store := &fakeStore{}
+		store := &fakeStore{readOnly: true}
 		if known {
 			store.values = map[string][]byte{jobrecord.Key(spec.ID): jobrecord.New(spec, 1).Encode()}
 		}
--- a/internal/leader/cells_permissions_test.go
+++ b/internal/leader/cells_permissions_test.go
@@ -42,7 +42,9 @@
 
 // Nobody but a leader that has read all records says that there is no such delegation.
 func TestOnlyLeadersWithAllRecordsForgetDelegations(t *testing.T) {
-	l, _, _, box := delegatingLeader(t)
+	l, j, _, box := delegatingLeader(t)
+	box.Now += 2 * clock.Second
+	l.jobs.NoteCancelled(j, box.Now) // a delegation that there isn't is forgotten, not cancelled
 	delete(l.origin.Delegations, 7)
 	l.state.Term.ValidUntil = box.Now + clock.Second
 	directive := onlyDirective(t, reportDelegation(l, delegation.Status{}))
