--- a/internal/simulation/watch.go
+++ b/internal/simulation/watch.go
@@ -17,9 +17,6 @@
 	longestAbsence = 60 * clock.Second
 	// returnable is how much time without disturbance suffices to release a machine that hangs.
 	returnable = 12 * clock.Second
-	// hardlyAnswered, each way, is about as long as a controller waits for a response: a new leader
-	// needs as long to read the records as if it were refused.
-	hardlyAnswered = 700 * clock.Millisecond
 )
 
 // WatchAnswers checks from now on, after all faults, that users get responses about all accepted jobs that
@@ -57,8 +54,8 @@
 
 // disturbed reports whether a fault affects the controller.
 func (n *Node) disturbed() bool {
-	return !n.process.alive || n.process.paused || n.Clouds.Cut || n.Workers.Cut ||
-		n.State.Cut || n.State.StoreRefuses || n.State.Delay >= hardlyAnswered
+	return !n.Up() || n.process.paused || n.Clouds.Cut || n.Workers.Cut ||
+		n.State.Cut || n.State.StoreRefuses
 }
 
 // WatchRoom checks from now on that no job waits long while machines that fit have room for it and its team
