--- a/internal/leader/reconciler/heartbeats.go
+++ b/internal/leader/reconciler/heartbeats.go
@@ -41,7 +41,7 @@
 
 // HeartbeatWatcher observes heartbeats that reach a node which doesn't lead.
 type HeartbeatWatcher interface {
-	NoteMisdirectedHeartbeat(r *protocol.Heartbeat)
+	NoteMisdirectedHeartbeat(machine protocol.MachineName, zone string)
 }
 
 const (
@@ -107,12 +107,12 @@
 		hb.deferHeartbeat(func() { hb.Handle(r, arrived, reply) })
 		return
 	}
-	outcome, body := hb.respond(&r, arrived)
+	outcome, body := hb.respond(r, arrived)
 	reply(outcome.status(), body)
 }
 
 // respond decides how to respond to a heartbeat, and returns the body of the response as well.
-func (hb *HeartbeatHandler) respond(r *protocol.Heartbeat, arrived clock.Micros) (heartbeatOutcome, any) {
+func (hb *HeartbeatHandler) respond(r protocol.Heartbeat, arrived clock.Micros) (heartbeatOutcome, any) {
 	// After the process was suspended, or behind more heartbeats than the processor can handle, one
 	// that waited this long says nothing of now, and its worker is about to give up. A refusal costs
 	// next to nothing, lets those be handled whose responses will be in time, and isn't counted as a
@@ -122,12 +122,12 @@
 	}
 	hb.machines.NoteAddress(r.Machine, r.Address)
 	if !hb.Leads() && !hb.MayRespond() || hb.machines.WasReleased(r.Machine) {
-		hb.Zones.NoteMisdirectedHeartbeat(r)
+		hb.Zones.NoteMisdirectedHeartbeat(r.Machine, r.Zone)
 		return misdirected, protocol.Redirect{Node: hb.otherLeader()}
 	}
 	m := hb.machines.GetOrAdd(r.Machine)
-	hb.reconciler.Observe(m, *r)
-	if !hb.isCurrent(m, r) {
+	hb.reconciler.Observe(m, r)
+	if !hb.isCurrent(m, &r) {
 		return misdirected, protocol.Redirect{}
 	}
 	hb.checkPermissions(m)
@@ -136,7 +136,7 @@
 	}
 	m.NoteHeartbeatReceived()
 	commands := hb.commands.CommandsFor(m, ViaHeartbeat)
-	m.NoteResponse(machinetable.NumberOf(r), hb.Now())
+	m.NoteResponse(machinetable.NumberOf(&r), hb.Now())
 	return accepted, protocol.HeartbeatResponse{Epoch: hb.Term.Epoch, Commands: commands}
 }
 
--- a/internal/leader/zonetracker/evidence.go
+++ b/internal/leader/zonetracker/evidence.go
@@ -30,14 +30,14 @@
 )
 
 // NoteMisdirectedHeartbeat notes from which zone a heartbeat reached this node while it didn't lead.
-func (t *Tracker) NoteMisdirectedHeartbeat(r *protocol.Heartbeat) {
+func (t *Tracker) NoteMisdirectedHeartbeat(machine protocol.MachineName, zone string) {
 	if t.Options == nil {
 		return
 	}
 	if len(t.unanswered) > machinetable.MaxAddresses {
 		clear(t.unanswered)
 	}
-	t.unanswered[r.Machine] = unansweredHeartbeat{r.Zone, t.Now()}
+	t.unanswered[machine] = unansweredHeartbeat{zone, t.Now()}
 }
 
 // HeardByZone counts, by zone, the machines whose heartbeats have reached this node lately while it didn't
