--- a/internal/delegation/origin.go
+++ b/internal/delegation/origin.go
@@ -1,7 +1,7 @@
 package delegation
 
 import (
-	"iter"
+	"slices"
 
 	"postpoint/internal/clock"
 	"postpoint/internal/jobrecord"
@@ -17,7 +17,7 @@
 	// clearAt is when nothing of it runs or can start any more, if no other permission is given;
 	// 0 if none ever was.
 	clearAt clock.Micros
-	// LastStatus is the host's last status, HeardAt when it came.
+	// LastStatus is the host's last status, LastStatusAt when it came.
 	LastStatus   Status
 	LastStatusAt clock.Micros
 }
@@ -51,23 +51,26 @@
 // changes once it is true.
 func (d *Delegation) ApplyStatus(s Status, now clock.Micros) FreedTasks {
 	d.LastStatus, d.LastStatusAt = s, now
-	freed := d.freedBy(&s)
-	d.remove(freed)
+	freed := d.free(&s)
 	d.State = d.stateAfter(&s)
 	return freed
 }
 
-// freedBy returns the tasks that a status of the host frees.
-func (d *Delegation) freedBy(s *Status) FreedTasks {
+// free takes the tasks out of the delegation that a status of the host frees, and returns them.
+func (d *Delegation) free(s *Status) FreedTasks {
 	var freed FreedTasks
-	for task := range tasksIn(&d.Outstanding) {
+	var left jobrecord.TaskSet
+	for task := range d.Outstanding.All() {
 		switch {
 		case s.Done.Contains(task):
 			freed.Completed = append(freed.Completed, task)
 		case s.Closed && !s.Held.Contains(task):
 			freed.Unfinished = append(freed.Unfinished, task)
+		default:
+			left.Add(task)
 		}
 	}
+	d.Outstanding = left
 	return freed
 }
 
@@ -89,47 +92,11 @@
 
 // Expire frees all tasks of a delegation whose host has had no permission for long enough.
 func (d *Delegation) Expire() FreedTasks {
-	var freed FreedTasks
-	for task := range tasksIn(&d.Outstanding) {
-		freed.Unfinished = append(freed.Unfinished, task)
-	}
-	d.remove(freed)
-	d.State = Ended
+	freed := FreedTasks{Unfinished: slices.Collect(d.Outstanding.All())}
+	d.Outstanding, d.State = jobrecord.TaskSet{}, Ended
 	return freed
 }
 
-// remove takes freed tasks out of the delegation.
-func (d *Delegation) remove(freed FreedTasks) {
-	gone := map[int]bool{}
-	for _, task := range freed.Completed {
-		gone[task] = true
-	}
-	for _, task := range freed.Unfinished {
-		gone[task] = true
-	}
-	if len(gone) == 0 {
-		return
-	}
-	var left jobrecord.TaskSet
-	for task := range tasksIn(&d.Outstanding) {
-		if !gone[task] {
-			left.Add(task)
-		}
-	}
-	d.Outstanding = left
-}
-
-// tasksIn iterates over task numbers in ascending order.
-func tasksIn(tasks *jobrecord.TaskSet) iter.Seq[int] {
-	return func(yield func(int) bool) {
-		for task := tasks.NextPresent(0); task <= tasks.Max(); task = tasks.NextPresent(task + 1) {
-			if !yield(task) {
-				return
-			}
-		}
-	}
-}
-
 // Recall asks for the tasks back, for good.
 func (d *Delegation) Recall() {
 	if d.State == Offered || d.State == Accepted {
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -153,33 +153,25 @@
 	c.announceLeader("")
 }
 
-// inRound returns a step that is taken only if the round is still the present one by then.
-func (c *Candidate) inRound(step func()) func() {
+// sameRound returns a function that reports whether the present round is still under way.
+func (c *Candidate) sameRound() func() bool {
 	round := c.round
-	return func() {
-		if c.round == round {
-			step()
-		}
-	}
+	return func() bool { return c.round == round }
 }
 
-// inTerm returns a step that is taken only if the term is still the present one by then.
-func (c *Candidate) inTerm(step func()) func() {
+// sameTerm returns a function that reports whether the present term still lasts.
+func (c *Candidate) sameTerm() func() bool {
 	epoch, lease := c.term.Epoch, c.lease
-	return func() {
-		if c.term.Epoch == epoch && c.lease == lease {
-			step()
-		}
-	}
+	return func() bool { return c.term.Epoch == epoch && c.lease == lease }
 }
 
 // resultInRound returns a callback that handles a result only in the present round.
 func resultInRound[T any](c *Candidate, handle func(kvstore.Result[T])) func(kvstore.Result[T]) {
-	var result kvstore.Result[T]
-	step := c.inRound(func() { handle(result) })
+	same := c.sameRound()
 	return func(r kvstore.Result[T]) {
-		result = r
-		step()
+		if same() {
+			handle(r)
+		}
 	}
 }
 
@@ -203,7 +195,14 @@
 }
 
 // observeAfter observes later, unless something else happens first.
-func (c *Candidate) observeAfter(delay clock.Micros) { c.mailbox.After(delay, c.inRound(c.observe)) }
+func (c *Candidate) observeAfter(delay clock.Micros) {
+	same := c.sameRound()
+	c.mailbox.After(delay, func() {
+		if same() {
+			c.observe()
+		}
+	})
+}
 
 // observationFailed tries again later. A leader that hasn't been seen for a while isn't named any
 // more: workers sent there could find another in its place, or nobody.
@@ -311,15 +310,17 @@
 // renew sends renewals at a steady pace, whatever became of earlier ones: one that hangs must not
 // cost the lease.
 func (c *Candidate) renew() {
-	sent := c.mailbox.Monotonic()
-	var renewal error
-	ended := c.inTerm(func() { c.renewalEnded(sent, renewal) })
-	next := c.inTerm(c.renew)
+	sent, same := c.mailbox.Monotonic(), c.sameTerm()
 	c.store.Renew(c.lease, func(err error) {
-		renewal = err
-		ended()
+		if same() {
+			c.renewalEnded(sent, err)
+		}
+	})
+	c.mailbox.After(c.cfg.TTL/renewalsPerTTL, func() {
+		if same() {
+			c.renew()
+		}
 	})
-	c.mailbox.After(c.cfg.TTL/renewalsPerTTL, next)
 }
 
 func (c *Candidate) renewalEnded(sent clock.Micros, err error) {
--- a/internal/jobrecord/doc.go
+++ b/internal/jobrecord/doc.go
@@ -5,6 +5,6 @@
 // estimates of how large a record may become. It doesn't call the store, takes no decisions about
 // jobs and doesn't validate submissions.
 //
-// Package admission creates records, cancels jobs and shows their state. The leader, package
-// dispatch, writes everything else. Package delegation uses Ranges only.
+// Package admission creates records, cancels jobs and shows their state. Package leader
+// writes everything else. Package delegation uses TaskSet only.
 package jobrecord
--- a/internal/jobrecord/format.go
+++ b/internal/jobrecord/format.go
@@ -29,7 +29,7 @@
 const (
 	serviceMarker = "service"
 	shardsMarker  = "parts"  // followed by the number of tasks in a shard
-	hostedMarker  = "guest"  // followed by what Guest.encode returns
+	hostedMarker  = "guest"  // followed by what HostedJob.encode returns
 	closedMarker  = "closed" // last in a closed hosted job's marker
 	cellMarker    = "cell"   // followed by the name of a cell
 )
--- a/internal/jobrecord/placement.go
+++ b/internal/jobrecord/placement.go
@@ -2,10 +2,11 @@
 
 import (
 	"maps"
-	"postpoint/internal/protocol"
 	"slices"
 	"strconv"
 	"strings"
+
+	"postpoint/internal/protocol"
 )
 
 // Placement is the assignment of a task to a machine. It stays in the record until it is proven
--- a/internal/jobrecord/ranges.go
+++ b/internal/jobrecord/ranges.go
@@ -1,6 +1,7 @@
 package jobrecord
 
 import (
+	"iter"
 	"slices"
 	"sort"
 	"strconv"
@@ -99,6 +100,17 @@
 	return r.spans[len(r.spans)-1].hi
 }
 
+// All iterates over the numbers of the set in increasing order.
+func (r *TaskSet) All() iter.Seq[int] {
+	return func(yield func(int) bool) {
+		for n := r.NextPresent(0); n <= r.Max(); n = r.NextPresent(n + 1) {
+			if !yield(n) {
+				return
+			}
+		}
+	}
+}
+
 // String returns the set as text: single numbers and ranges in increasing order, as in "0-5,7".
 func (r *TaskSet) String() string {
 	var buffer [64]byte // enough for most sets, so that they need no other
--- a/internal/leader/autoscaler/cordon.go
+++ b/internal/leader/autoscaler/cordon.go
@@ -200,5 +200,5 @@
 
 // ranFor returns for how long the attempt of a placement has been seen running on its machine.
 func (a *Autoscaler) ranFor(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement) clock.Micros {
-	return a.machines.RanFor(m, machinetable.AttemptRef{Job: j.Spec.ID, Task: p.Task, Attempt: p.Attempt})
+	return a.machines.RanFor(m, j.AttemptOf(p))
 }
--- a/internal/leader/autoscaler/machinelist.go
+++ b/internal/leader/autoscaler/machinelist.go
@@ -102,7 +102,7 @@
 	}
 	m.CloudStatus = status
 	if status == protocol.MachineRunning && !m.Seen {
-		boot := clock.FromSeconds(a.catalogue.ByName[m.Type].BootS)
+		boot := a.machines.BootTime(m)
 		m.FirstSeen = max(m.FirstSeen, a.Now()-boot)
 	}
 }
--- a/internal/leader/autoscaler/scalein.go
+++ b/internal/leader/autoscaler/scalein.go
@@ -29,7 +29,7 @@
 	now := a.Now()
 	view := a.CloudView()
 	for _, m := range a.machines.Ordered {
-		if !m.Seen || m.Releasing || len(m.Placements) > 0 || a.machines.RunsTasks(m) {
+		if !m.Seen || m.Releasing || len(m.Placements) > 0 || m.RunsTasks() {
 			continue
 		}
 		idle := scaling.IdleMachine{
--- a/internal/leader/federation/delegationstore.go
+++ b/internal/leader/federation/delegationstore.go
@@ -10,7 +10,6 @@
 	"postpoint/internal/election"
 	"postpoint/internal/jobrecord"
 	"postpoint/internal/kvstore"
-	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/leader/term"
 	"postpoint/internal/ordered"
 	"postpoint/internal/protocol"
@@ -202,7 +201,7 @@
 // placementsStored reports whether its job's stored record has all placements of a delegation.
 func (o *Origin) placementsStored(del *trackedDelegation) bool {
 	j := o.jobs.ByID[del.Job]
-	return j != nil && readable(j) && del.holdsAllAsStored(j)
+	return j != nil && !j.ReadPending() && del.holdsAllAsStored(j)
 }
 
 // placementsReleased reports whether its job's stored record has none of a delegation's placements.
@@ -214,9 +213,6 @@
 	return del.holdsNoneAsStored(j)
 }
 
-// readable reports whether a job's record needn't be read again before its content counts.
-func readable(j *jobtable.Job) bool { return !j.MustReload() && !j.Loading() }
-
 // readRecord finds out what became of a change whose outcome is unknown. If it is carried out later still, it
 // conflicts with whatever is written at the version that was read.
 func (o *Origin) readRecord(del *trackedDelegation) {
--- a/internal/leader/federation/heartbeats.go
+++ b/internal/leader/federation/heartbeats.go
@@ -8,7 +8,6 @@
 	"postpoint/internal/delegation"
 	"postpoint/internal/jobrecord"
 	"postpoint/internal/leader/jobtable"
-	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/term"
 	"postpoint/internal/ordered"
 	"postpoint/internal/planner"
@@ -184,7 +183,7 @@
 // read, since only what is stored may be told.
 func (h *Host) StatusOf(j *jobtable.Job) (s delegation.Status, known bool) {
 	_, originID, number, ok := jobrecord.ParseHostedJobID(j.Spec.ID)
-	if !ok || !readable(j) {
+	if !ok || j.ReadPending() {
 		return s, false
 	}
 	s = delegation.Status{
@@ -212,12 +211,7 @@
 // isRunning reports whether a placement's machine has told that the task runs.
 func (h *Host) isRunning(j *jobtable.Job, p jobrecord.Placement) bool {
 	m := h.machines.ByName[p.Machine]
-	return m != nil && m.RunningSince[attemptRef(j, p)] != 0
-}
-
-// attemptRef names a placement's attempt as machines know it.
-func attemptRef(j *jobtable.Job, p jobrecord.Placement) machinetable.AttemptRef {
-	return machinetable.AttemptRef{Job: j.Spec.ID, Task: p.Task, Attempt: p.Attempt}
+	return m != nil && m.RunningSince[j.AttemptOf(p)] != 0
 }
 
 // ownLoad returns how much this cell could take, for other cells to choose by.
@@ -299,7 +293,7 @@
 	now := h.Now()
 	longest := clock.Micros(0)
 	for _, j := range h.jobs.ByID {
-		if counts(j) && !j.Over() && hasUnmetDemand(j, now) {
+		if counts(j) && !j.Over() && j.HasUnmetDemand(now) {
 			longest = max(longest, now-j.UnmetSince)
 		}
 	}
@@ -312,8 +306,3 @@
 // ShortageTime is how long work waits at least before there is a shortage of machines: a plan or two and a
 // response of the cloud take as long.
 const ShortageTime = 5 * clock.Second
-
-// hasUnmetDemand reports whether a late enough plan has wanted machines for a job.
-func hasUnmetDemand(j *jobtable.Job, now clock.Micros) bool {
-	return j.UnmetAt != 0 && now <= j.UnmetAt+jobtable.UnmetDemandGap
-}
--- a/internal/leader/federation/host.go
+++ b/internal/leader/federation/host.go
@@ -123,7 +123,7 @@
 		h.removeRecord(j)
 		return
 	}
-	if !readable(j) || j.Final() {
+	if j.ReadPending() || j.Final() {
 		return
 	}
 	if j.Permission.Stopping {
@@ -173,7 +173,7 @@
 		if m == nil {
 			continue
 		}
-		if _, reported := m.Tasks[attemptRef(j, p)]; !reported {
+		if _, reported := m.Tasks[j.AttemptOf(p)]; !reported {
 			h.commands.Stop(j, task, stopClosed, "")
 			h.reconciler.Reconcile(m)
 		}
@@ -200,7 +200,7 @@
 		return closedRecalled
 	case h.cells.Directory == nil || h.cells.Directory.Own.Draining:
 		return closedDraining
-	case j.PendingCount() == 0 || !hasUnmetDemand(j, now):
+	case j.PendingCount() == 0 || !j.HasUnmetDemand(now):
 		return ""
 	case h.ownDemandWait() > ownShortageTime:
 		return closedShortage
--- a/internal/leader/federation/offload.go
+++ b/internal/leader/federation/offload.go
@@ -154,9 +154,9 @@
 	switch {
 	case j.Over() || j.Hosted != nil || j.Spec.Service():
 		return false
-	case !readable(j) || j.ShardsUnread() || j.Sharding():
+	case j.ReadPending() || j.ShardsUnread() || j.Sharding():
 		return false
-	case !hasUnmetDemand(j, now) || now < j.NotBefore:
+	case !j.HasUnmetDemand(now) || now < j.NotBefore:
 		return false
 	case j.ReturnCount >= MaxReturns || j.GivenBackAt != 0 && now < j.GivenBackAt+MinStayTime:
 		return false
--- a/internal/leader/federation/origin.go
+++ b/internal/leader/federation/origin.go
@@ -164,12 +164,12 @@
 	case !silent && del.State != delegation.Recalled:
 		return false
 	}
-	return j == nil || readable(j)
+	return j == nil || !j.ReadPending()
 }
 
 // placementsLost reports whether some of a delegation's placements didn't get into its job's record.
 func (o *Origin) placementsLost(j *jobtable.Job, del *trackedDelegation) bool {
-	return readable(j) && !j.InFlight && !del.holdsAll(j)
+	return !j.ReadPending() && !j.InFlight && !del.holdsAll(j)
 }
 
 // releaseFreed releases the placements of tasks that are no longer the host's.
--- a/internal/leader/federation/responses.go
+++ b/internal/leader/federation/responses.go
@@ -46,7 +46,7 @@
 		return d, leads && !o.HasMalformed
 	}
 	j := o.jobs.ByID[del.Job]
-	if leads && (j == nil || readable(j)) {
+	if leads && (j == nil || !j.ReadPending()) {
 		o.releaseFreed(del, del.ApplyStatus(s, o.Now()))
 	}
 	switch {
--- a/internal/leader/federation/trackeddelegation.go
+++ b/internal/leader/federation/trackeddelegation.go
@@ -1,8 +1,6 @@
 package federation
 
 import (
-	"iter"
-
 	"postpoint/internal/delegation"
 	"postpoint/internal/jobrecord"
 	"postpoint/internal/leader/jobtable"
@@ -67,21 +65,10 @@
 	return p, placed && d.ownsPlacement(p)
 }
 
-// tasksOf iterates over a set of tasks in ascending order.
-func tasksOf(set *jobrecord.TaskSet) iter.Seq[int] {
-	return func(yield func(int) bool) {
-		for task := set.NextPresent(0); task <= set.Max(); task = set.NextPresent(task + 1) {
-			if !yield(task) {
-				return
-			}
-		}
-	}
-}
-
 // holdsAll reports whether all outstanding tasks are placed with the delegation's host.
 func (d *trackedDelegation) holdsAll(j *jobtable.Job) bool {
-	for task := range tasksOf(&d.Outstanding) {
-		if p, placed := j.Placements[task]; !placed || !d.holds(j, p) {
+	for task := range d.Outstanding.All() {
+		if _, held := d.placement(j, task); !held {
 			return false
 		}
 	}
@@ -90,8 +77,8 @@
 
 // holdsAllAsStored reports whether the stored record of its job says so.
 func (d *trackedDelegation) holdsAllAsStored(j *jobtable.Job) bool {
-	for task := range tasksOf(&d.Outstanding) {
-		if p, placed := j.Placements[task]; !placed || !d.holds(j, p) || !j.Committed(p) {
+	for task := range d.Outstanding.All() {
+		if p, held := d.placement(j, task); !held || !j.Committed(p) {
 			return false
 		}
 	}
@@ -101,7 +88,7 @@
 // holdsNoneAsStored reports whether by the stored record of its job none of the delegation's tasks, not even
 // one that was freed already, is placed with its host.
 func (d *trackedDelegation) holdsNoneAsStored(j *jobtable.Job) bool {
-	for task := range tasksOf(&d.Tasks) {
+	for task := range d.Tasks.All() {
 		p, placed := j.Placements[task]
 		if placed && p.Incarnation == d.Number && p.HostCell() != "" || !j.OutcomeStored(task) {
 			return false
--- a/internal/leader/jobtable/job.go
+++ b/internal/leader/jobtable/job.go
@@ -4,6 +4,7 @@
 	"postpoint/internal/clock"
 	"postpoint/internal/delegation"
 	"postpoint/internal/jobrecord"
+	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
 )
@@ -86,6 +87,11 @@
 	return !j.ShardsUnread() && j.ProposedAt[p.Task] <= j.valueOf(p.Task).StoredCount
 }
 
+// AttemptOf identifies the attempt of the job's task that a placement is for.
+func (j *Job) AttemptOf(p jobrecord.Placement) machinetable.AttemptRef {
+	return machinetable.AttemptRef{Job: j.Spec.ID, Task: p.Task, Attempt: p.Attempt}
+}
+
 // StartPermitted reports whether a start of the job's task may be sent: of this cell's own jobs
 // always, of a hosted one while its origin cell permits it. A task that has to be stopped as it
 // starts is no new work.
@@ -93,6 +99,11 @@
 	return j.Permission == nil || j.Permission.MayStart(now) || stop != nil && j.Permission.MayKeep(now)
 }
 
+// HasUnmetDemand reports whether a late enough plan has wanted machines for the job.
+func (j *Job) HasUnmetDemand(now clock.Micros) bool {
+	return j.UnmetAt != 0 && now <= j.UnmetAt+unmetDemandGap
+}
+
 // Over reports whether nothing of the job may start or stay any more.
 func (j *Job) Over() bool { return j.Final() || j.MustEnd() }
 
--- a/internal/leader/jobtable/jobtable.go
+++ b/internal/leader/jobtable/jobtable.go
@@ -250,9 +250,9 @@
 }
 
 const (
-	// UnmetDemandGap is longer than it takes from one plan to the next: demand that no plan had unmet
+	// unmetDemandGap is longer than it takes from one plan to the next: demand that no plan had unmet
 	// for so long is met.
-	UnmetDemandGap = 10 * clock.Second
+	unmetDemandGap = 10 * clock.Second
 	// AnnounceTime is how long machines have to send their heartbeats at the beginning of a term.
 	AnnounceTime = 4 * clock.Second
 )
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -18,7 +18,7 @@
 //	overview       the operators' overview
 //
 // Users' requests are another actor's (package admission), the election a third one's (package
-// leadership); this package learns of both through the key-value store and the term.
+// election); this package learns of both through the key-value store and the term.
 package leader
 
 import (
@@ -106,7 +106,7 @@
 	l.objectives = objectives.New(state, l.catalogue)
 	l.commands = reconciler.NewCommandSender(state, d.Workers, l.jobs, l.machines)
 	l.reconciler = reconciler.New(state, l.jobs, l.machines, l.commands, l.objectives, l.steps)
-	l.health = reconciler.NewHealthMonitor(state, l.jobs, l.machines, l.catalogue, l.commands)
+	l.health = reconciler.NewHealthMonitor(state, l.jobs, l.machines, l.commands)
 	l.heartbeats = reconciler.NewHeartbeatHandler(state, l.jobs, l.machines, l.reconciler, l.commands,
 		l.health)
 	l.cancellations = reconciler.NewCancellations(state, l.jobs, l.machines, l.commands, d.Attest)
--- a/internal/leader/machinetable/machine.go
+++ b/internal/leader/machinetable/machine.go
@@ -60,8 +60,6 @@
 
 // WorkerStatus is what the last heartbeat of the worker said. The reconciler changes it.
 type WorkerStatus struct {
-	// Seen reports that a heartbeat was received in this term.
-	Seen    bool
 	HeardAt clock.Micros
 	// RecallAt is when the cloud takes the machine back, 0 as long as that isn't announced.
 	RecallAt clock.Micros
@@ -73,6 +71,8 @@
 	// Steady reports that every placed task stood in the last heartbeat and none of them had
 	// exited: the same heartbeat again proves nothing new.
 	Steady bool
+	// Seen reports that a heartbeat was received in this term.
+	Seen bool
 	// ExitedTasks counts the tasks that only have to be forgotten, as of the last heartbeat that
 	// changed anything. ForgetAt is when that happens at the latest.
 	ExitedTasks int
@@ -98,6 +98,16 @@
 	}
 }
 
+// RunsTasks reports whether anything runs there, whether or not a record knows it.
+func (s *WorkerStatus) RunsTasks() bool {
+	for _, t := range s.Tasks {
+		if t.Status != protocol.TaskExited {
+			return true
+		}
+	}
+	return false
+}
+
 // SameTasks reports whether a heartbeat lists the tasks that are known, in the states that are known.
 func (s *WorkerStatus) SameTasks(tasks []protocol.TaskStatus) bool {
 	if len(tasks) != len(s.Tasks) {
--- a/internal/leader/machinetable/machinetable.go
+++ b/internal/leader/machinetable/machinetable.go
@@ -247,10 +247,14 @@
 	return known > 1 && mt.Now() > since+2*mt.Settings.Deployment.Workers.HeartbeatInterval()+clock.Second
 }
 
+// BootTime returns how long machines of a machine's type usually take to boot.
+func (mt *Table) BootTime(m *Machine) clock.Micros {
+	return clock.FromSeconds(mt.catalogue.ByName[m.Type].BootS)
+}
+
 // BootOverdue reports whether a machine should have come up long ago.
 func (mt *Table) BootOverdue(m *Machine) bool {
-	boot := clock.FromSeconds(mt.catalogue.ByName[m.Type].BootS)
-	return !m.Seen && mt.Now() > m.FirstSeen+overdueBootFactor*boot
+	return !m.Seen && mt.Now() > m.FirstSeen+overdueBootFactor*mt.BootTime(m)
 }
 
 // MostReplicas returns how many replicas the machine with most of them holds, within bounds.
@@ -262,16 +266,6 @@
 	return min(most, MaxSpareForLoss)
 }
 
-// RunsTasks reports whether anything runs there, whether or not a record knows it.
-func (mt *Table) RunsTasks(m *Machine) bool {
-	for _, t := range m.Tasks {
-		if t.Status != protocol.TaskExited {
-			return true
-		}
-	}
-	return false
-}
-
 // RanFor returns how long an attempt has been seen running on a machine.
 func (mt *Table) RanFor(m *Machine, ref AttemptRef) clock.Micros {
 	if since := m.RunningSince[ref]; since != 0 {
--- a/internal/leader/overview/zoneoverview.go
+++ b/internal/leader/overview/zoneoverview.go
@@ -4,12 +4,10 @@
 	"log/slog"
 
 	"postpoint/internal/leader/jobtable"
-	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/leader/zonetracker"
 	"postpoint/internal/ordered"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
-	"postpoint/internal/scaling"
 	"postpoint/internal/zonerecovery"
 )
 
@@ -100,7 +98,7 @@
 // displacedWork returns the jobs with displaced tasks of a zone, in the order in which they are to start.
 func (r *Reader) displacedWork(zone string) []zonerecovery.DisplacedJob {
 	var displaced []zonerecovery.DisplacedJob
-	for _, j := range ordered.ByKey(r.jobs.ByID) {
+	for _, j := range r.jobs.ByID {
 		if j.DisplacedFrom == zone && !j.Over() && j.PendingCount() > 0 {
 			displaced = append(displaced, r.zones.DescribeDisplaced(j))
 		}
@@ -139,7 +137,7 @@
 		return waitsForSpread
 	case r.Now() < j.NotBefore:
 		return waitsForBackoff
-	case !r.capacityAvailable(spec):
+	case !r.autoscaler.CloudView().HasCapacity(spec):
 		return waitsForCapacity
 	}
 	return waitsForBoot
@@ -158,27 +156,6 @@
 	return false
 }
 
-// capacityAvailable reports whether the cloud may have machines for a job, as far as is known.
-func (r *Reader) capacityAvailable(spec *protocol.JobSpec) bool {
-	refused := r.autoscaler.CloudView().OutOfCapacity
-	for _, t := range r.catalogue.Types {
-		if !machinetable.TypeFits(t, spec) {
-			continue
-		}
-		for _, zone := range t.Zones {
-			regular := scaling.CapacityPool{Type: t.Name, Zone: zone}
-			spot := scaling.CapacityPool{Type: t.Name, Zone: zone, Spot: true}
-			if !refused[regular] && planner.MachineAllowed(spec, t.Name, zone, false) {
-				return true
-			}
-			if !refused[spot] && planner.MachineAllowed(spec, t.Name, zone, true) {
-				return true
-			}
-		}
-	}
-	return false
-}
-
 // LogRecovery logs now and then how the recoveries stand.
 func (r *Reader) LogRecovery() {
 	if r.Now() < r.recoveryLoggedAt+zonetracker.RecoveryLogInterval || !r.zones.AnyCordoned() {
--- a/internal/leader/reconciler/cancellations.go
+++ b/internal/leader/reconciler/cancellations.go
@@ -175,8 +175,7 @@
 	for _, a := range all {
 		if a.Epoch > cn.Term.Epoch {
 			slog.Info("another node was elected", "epoch", cn.Term.Epoch, "elected_epoch", a.Epoch)
-			cn.Term.ValidUntil = 0
-			cn.Deposed(a.Epoch)
+			cn.Depose(a.Epoch)
 			return
 		}
 		complete = complete && a.Age >= back
--- a/internal/leader/reconciler/commands.go
+++ b/internal/leader/reconciler/commands.go
@@ -207,7 +207,7 @@
 	if m == nil || !cs.machines.EpochAcknowledged(m) || !cs.machines.LeaseRenewed(m) || m.RecallAt != 0 {
 		return false
 	}
-	t, reported := m.Tasks[attemptOf(j, p)]
+	t, reported := m.Tasks[j.AttemptOf(p)]
 	return !reported || t.Status == protocol.TaskFetching || t.Status == protocol.TaskWaiting
 }
 
--- a/internal/leader/reconciler/commandset.go
+++ b/internal/leader/reconciler/commandset.go
@@ -82,7 +82,7 @@
 	if !j.Committed(p) || p.WorkerIncarnation() != m.Incarnation {
 		return
 	}
-	ref := attemptOf(j, p)
+	ref := j.AttemptOf(p)
 	t, reported := m.Tasks[ref]
 	if reported && t.Status == protocol.TaskExited {
 		return
--- a/internal/leader/reconciler/exits.go
+++ b/internal/leader/reconciler/exits.go
@@ -56,7 +56,7 @@
 // noteExit handles the end of a placed attempt.
 func (rc *Reconciler) noteExit(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement,
 	cause string) {
-	ran := rc.machines.RanFor(m, attemptOf(j, p))
+	ran := rc.machines.RanFor(m, j.AttemptOf(p))
 	if term.DebugEnabled() {
 		slog.Debug("task exited", "job", j.Spec.ID, "task", p.Task, "attempt", p.Attempt, "machine", m.Name,
 			"cause", cause, "ran_s", ran.Seconds())
--- a/internal/leader/reconciler/health.go
+++ b/internal/leader/reconciler/health.go
@@ -16,21 +16,19 @@
 // HealthMonitor watches for machines that are silent, failed or about to be taken back by the cloud.
 type HealthMonitor struct {
 	*term.State
-	jobs      *jobtable.Table
-	machines  *machinetable.Table
-	catalogue *machinetable.Catalogue
-	commands  *CommandSender
+	jobs     *jobtable.Table
+	machines *machinetable.Table
+	commands *CommandSender
 }
 
 // NewHealthMonitor returns a monitor of the given machines.
 func NewHealthMonitor(term *term.State, jobs *jobtable.Table, machines *machinetable.Table,
-	catalogue *machinetable.Catalogue, commands *CommandSender) *HealthMonitor {
+	commands *CommandSender) *HealthMonitor {
 	return &HealthMonitor{
-		State:     term,
-		jobs:      jobs,
-		machines:  machines,
-		catalogue: catalogue,
-		commands:  commands,
+		State:    term,
+		jobs:     jobs,
+		machines: machines,
+		commands: commands,
 	}
 }
 
@@ -167,7 +165,7 @@
 // releaseReason returns why a machine is to be given up, "" if it isn't.
 func (hm *HealthMonitor) releaseReason(m *machinetable.Machine, now clock.Micros) machinetable.ReleaseReason {
 	lease := hm.Settings.Deployment.Workers.Lease()
-	boot := clock.FromSeconds(hm.catalogue.ByName[m.Type].BootS)
+	boot := hm.machines.BootTime(m)
 	starting := !m.Seen && m.CloudStatus == protocol.MachineStarting
 	running := !m.Seen && m.CloudStatus == protocol.MachineRunning
 	switch {
--- a/internal/leader/reconciler/reconciler.go
+++ b/internal/leader/reconciler/reconciler.go
@@ -179,7 +179,7 @@
 
 // reconcilePlacement acts on what the last heartbeat of a machine proves about a placement.
 func (rc *Reconciler) reconcilePlacement(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement) {
-	ref := attemptOf(j, p)
+	ref := j.AttemptOf(p)
 	proof, t := rc.evidenceFor(m, j, p, ref)
 	switch proof {
 	case listed:
@@ -200,11 +200,6 @@
 	}
 }
 
-// attemptOf identifies the attempt of a job's task that a placement is for.
-func attemptOf(j *jobtable.Job, p jobrecord.Placement) machinetable.AttemptRef {
-	return machinetable.AttemptRef{Job: j.Spec.ID, Task: p.Task, Attempt: p.Attempt}
-}
-
 // noteListed notes a placed task that the worker holds: its image is in the machine's cache once it
 // doesn't fetch any more, and it may have begun to run.
 func (rc *Reconciler) noteListed(m *machinetable.Machine, j *jobtable.Job, ref machinetable.AttemptRef,
--- a/internal/leader/reconciler/renewal.go
+++ b/internal/leader/reconciler/renewal.go
@@ -19,7 +19,7 @@
 			return false // a hosted job that nobody permits and nobody ends, for a moment
 		}
 		for _, p := range tasks {
-			if _, reported := m.Tasks[attemptOf(j, p)]; !reported && p.WorkerIncarnation() >= m.Incarnation {
+			if _, reported := m.Tasks[j.AttemptOf(p)]; !reported && p.WorkerIncarnation() >= m.Incarnation {
 				return false
 			}
 		}
--- a/internal/leader/recordstore/adoption.go
+++ b/internal/leader/recordstore/adoption.go
@@ -117,9 +117,7 @@
 		return
 	}
 	j.NoteRecordEvent(jobtable.EventHeadFollowed)
-	if cancelled {
-		r.jobs.NoteCancelled(j, r.ConfirmedAt(content))
-	}
+	r.noteCancelled(j, content)
 }
 
 // cancelSharded takes over the cancellation of a sharded record: the head is all that a user's node
--- a/internal/leader/recordstore/outcome.go
+++ b/internal/leader/recordstore/outcome.go
@@ -91,8 +91,7 @@
 // noteDeposed stops this node from acting as leader, and has it look for the one that replaced it.
 func (w *Writer) noteDeposed() {
 	slog.Info("the leader's key changed hands", "epoch", w.Term.Epoch)
-	w.Term.ValidUntil = 0
-	w.Deposed(w.Term.Epoch + 1)
+	w.Depose(w.Term.Epoch + 1)
 }
 
 // noteUnknown has changes go again as they stand by then, that may have been carried out or may be
--- a/internal/leader/recordstore/units.go
+++ b/internal/leader/recordstore/units.go
@@ -123,7 +123,7 @@
 	if j.InFlight {
 		return nil
 	}
-	j.StoredValue.NoteChange(w.Now())
+	w.jobs.NoteHeadChange(j)
 	return []WriteUnit{{[]Write{headWrite(j)}, j.Rank(), urgencyWhole, j.ChangedAt}}
 }
 
--- a/internal/leader/scheduler/demand.go
+++ b/internal/leader/scheduler/demand.go
@@ -3,7 +3,6 @@
 import (
 	"math"
 
-	"postpoint/internal/leader/jobtable"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
 	"postpoint/internal/scaling"
@@ -16,7 +15,7 @@
 		if j == nil {
 			continue // a reserve
 		}
-		if j.UnmetAt == 0 || s.Now() > j.UnmetAt+jobtable.UnmetDemandGap {
+		if !j.HasUnmetDemand(s.Now()) {
 			j.UnmetSince = s.Now()
 		}
 		j.UnmetAt, j.UnmetTasks = s.Now(), unmet.Tasks
--- a/internal/leader/snapshots/jobs.go
+++ b/internal/leader/snapshots/jobs.go
@@ -8,7 +8,6 @@
 	"postpoint/internal/clock"
 	"postpoint/internal/jobrecord"
 	"postpoint/internal/leader/jobtable"
-	"postpoint/internal/leader/machinetable"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
 )
@@ -98,7 +97,7 @@
 
 // scaleOutOverdue reports whether a job has needed machines for long and still does.
 func scaleOutOverdue(j *jobtable.Job, now clock.Micros) bool {
-	return j.UnmetAt != 0 && now > j.UnmetSince+scaleOutTimeout && now <= j.UnmetAt+jobtable.UnmetDemandGap
+	return j.HasUnmetDemand(now) && now > j.UnmetSince+scaleOutTimeout
 }
 
 // mayStartTasks reports whether a job has pending tasks that a plan may start.
@@ -198,8 +197,7 @@
 		return running, 0
 	}
 	running.Zone = m.Zone
-	ref := machinetable.AttemptRef{Job: j.Spec.ID, Task: placement.Task, Attempt: placement.Attempt}
-	return running, m.RunningSince[ref]
+	return running, m.RunningSince[j.AttemptOf(placement)]
 }
 
 // setOverheads sets what the preemption of each running task would lose: the time since its last
--- a/internal/leader/snapshots/reserve.go
+++ b/internal/leader/snapshots/reserve.go
@@ -10,7 +10,6 @@
 	"postpoint/internal/ordered"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
-	"postpoint/internal/zonerecovery"
 )
 
 // A reserve is capacity that is kept free. The planner is shown it as a job that never runs, whose id
@@ -187,8 +186,7 @@
 func (b *Builder) lostTasks() map[protocol.JobID]int {
 	lost := map[protocol.JobID]int{}
 	for _, m := range b.machines.Ordered {
-		zone := b.zones.Zones[m.Zone]
-		if zone == nil || zone.Phase != zonerecovery.Lost || !b.machines.HeartbeatMissed(m) {
+		if !b.zones.IsLost(m.Zone) || !b.machines.HeartbeatMissed(m) {
 			continue
 		}
 		for id, tasks := range m.Placements {
--- a/internal/leader/snapshots/snapshot.go
+++ b/internal/leader/snapshots/snapshot.go
@@ -60,6 +60,7 @@
 	s := planner.Snapshot{Teams: b.teams()}
 	s.Machines = b.plannedMachines(now)
 	overheads := b.overheadsNeeded(s.Teams)
+	s.Jobs = make([]planner.Job, 0, len(b.jobs.ByID)+len(b.objectives.Classes))
 	for _, j := range ordered.ByKey(b.jobs.ByID) {
 		addUsage(s.Teams, j)
 		if plannable(j, now) {
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -20,7 +20,8 @@
 
 // State is the term in which this node leads, and what it may do in it: until when it may give
 // commands, until when it may respond to heartbeats, and how fresh its knowledge is. Every component
-// embeds it, to read; only its own methods and the Leader's change it.
+// embeds it, to read; what changes it are its own methods, the Leader, the reader of the records (Loaded,
+// FreshAt) and attestations (AttestedAt).
 type State struct {
 	Mailbox  actor.Mailbox
 	Settings *settings.Settings
@@ -67,6 +68,12 @@
 	s.Random = NewRandom(s.Term.Epoch)
 }
 
+// Depose stops this node from acting as leader at once, and has it look for the node that was elected.
+func (s *State) Depose(elected protocol.Epoch) {
+	s.Term.ValidUntil = 0
+	s.Deposed(elected)
+}
+
 // Now returns the time on the monotonic clock.
 func (s *State) Now() clock.Micros { return s.Mailbox.Monotonic() }
 
--- a/internal/leader/zonetracker/displaced.go
+++ b/internal/leader/zonetracker/displaced.go
@@ -5,7 +5,6 @@
 
 	"postpoint/internal/clock"
 	"postpoint/internal/leader/jobtable"
-	"postpoint/internal/ordered"
 	"postpoint/internal/planner"
 	"postpoint/internal/protocol"
 	"postpoint/internal/zonerecovery"
@@ -43,7 +42,7 @@
 func (t *Tracker) clearDisplaced() {
 	now := t.Now()
 	var waiting []zonerecovery.DisplacedJob
-	for _, j := range ordered.ByKey(t.jobs.ByID) {
+	for _, j := range t.jobs.ByID { // SortDisplaced puts them into an order
 		if j.DisplacedAt == 0 {
 			j.DisplacedAt = now // under an earlier leader, if at all
 		}
--- a/internal/planner/assign.go
+++ b/internal/planner/assign.go
@@ -31,7 +31,7 @@
 func (p *planning) assignTasks(job *Job, candidates []*Machine) (wanted, assigned int) {
 	team := p.teams[job.Spec.Team]
 	request := TaskResources(job.Spec)
-	zones := job.tasksByZone()
+	zones := job.TasksByZone()
 	machines := newMachineHeap(job, candidates)
 	job.unshareRunning()
 	tasks := job.Pending[:min(len(job.Pending), job.MaxStarts)]
@@ -45,7 +45,7 @@
 			return len(tasks), i
 		}
 		zones[machine.Zone]++
-		p.assign(job, task, machine)
+		p.assign(job, task, machine, team)
 		machines.updateCheapest()
 	}
 	return len(tasks), len(tasks)
@@ -55,7 +55,8 @@
 // and how many were assigned.
 func (p *planning) assignGang(job *Job) (wanted, assigned int) {
 	n := len(job.Pending)
-	if n > job.MaxStarts || !p.teams[job.Spec.Team].withinLimit(TaskResources(job.Spec), n) {
+	team := p.teams[job.Spec.Team]
+	if n > job.MaxStarts || !team.withinLimit(TaskResources(job.Spec), n) {
 		return 0, 0
 	}
 	// Machines that are up come first: a gang of which a part waits for a machine to
@@ -69,7 +70,7 @@
 	}
 	job.unshareRunning()
 	for i, machine := range machines {
-		p.assign(job, job.Pending[i], machine)
+		p.assign(job, job.Pending[i], machine, team)
 	}
 	return n, n
 }
@@ -79,10 +80,10 @@
 func (j *Job) unshareRunning() { j.Running = slices.Clip(j.Running) }
 
 // assign adds a placement to the plan and takes the resources for it.
-func (p *planning) assign(job *Job, task int, machine *Machine) {
+func (p *planning) assign(job *Job, task int, machine *Machine, team *Team) {
 	request := TaskResources(job.Spec)
 	machine.Free = machine.Free.Minus(request)
-	if team := p.teams[job.Spec.Team]; team != nil {
+	if team != nil {
 		team.Used = team.Used.Plus(request)
 	}
 	machine.StartPull(job.Spec)
--- a/internal/planner/gang.go
+++ b/internal/planner/gang.go
@@ -44,7 +44,7 @@
 // task, and their total cost. It leaves the machines as they are.
 func (p *planning) fitMost(job *Job, n int, candidates []*Machine) (machines []*Machine, cost float64) {
 	available := newMachineHeap(job, candidates)
-	zones := job.tasksByZone()
+	zones := job.TasksByZone()
 	request := TaskResources(job.Spec)
 	var freeBefore []Resources
 	for len(machines) < n {
--- a/internal/planner/job.go
+++ b/internal/planner/job.go
@@ -87,9 +87,9 @@
 // zoneConstrained reports whether the zone of one task restricts those of the others.
 func (j *Job) zoneConstrained() bool { return j.Spec.OneZone || j.Spec.Spread }
 
-// tasksByZone counts the job's tasks by zone. It is empty if zones don't matter to the
+// TasksByZone counts the job's tasks by zone. It is empty if zones don't matter to the
 // job. The caller may change it.
-func (j *Job) tasksByZone() map[string]int {
+func (j *Job) TasksByZone() map[string]int {
 	zones := map[string]int{}
 	if !j.zoneConstrained() {
 		return zones
--- a/internal/planner/planning.go
+++ b/internal/planner/planning.go
@@ -8,7 +8,7 @@
 	"postpoint/internal/protocol"
 )
 
-// planning is the state of one call of Make.
+// planning is the state of one call of MakePlan.
 type planning struct {
 	machines []Machine // sorted by name
 	byName   map[protocol.MachineName]*Machine
--- a/internal/planner/reference_test.go
+++ b/internal/planner/reference_test.go
@@ -87,7 +87,7 @@
 // tryZone places up to n tasks in a zone. It leaves the machines as they are.
 func (r reference) tryZone(j *Job, n int, zone string, selects machineFilter) trial {
 	before := slices.Clone(r.machines)
-	zones := j.tasksByZone()
+	zones := j.TasksByZone()
 	var result trial
 	for len(result.places) < n {
 		m := r.best(j, zones, zone, selects)
@@ -163,7 +163,7 @@
 		r.reserve(j)
 	}
 	for i, m := range places {
-		r.assign(j, j.Pending[i], m)
+		r.assign(j, j.Pending[i], m, r.teams[j.Spec.Team])
 	}
 }
 
@@ -178,11 +178,11 @@
 		selects = func(m *Machine) bool { return isUp(m) && m.ImageWaitS(j.Spec) == 0 }
 	}
 	for len(j.Pending) > 0 && j.MaxStarts > 0 && r.teams[j.Spec.Team].withinLimit(TaskResources(j.Spec), 1) {
-		m := r.best(j, j.tasksByZone(), anyZone, selects)
+		m := r.best(j, j.TasksByZone(), anyZone, selects)
 		if m == nil {
 			return
 		}
-		r.assign(j, j.Pending[0], m)
+		r.assign(j, j.Pending[0], m, r.teams[j.Spec.Team])
 		j.Pending, j.MaxStarts = j.Pending[1:], j.MaxStarts-1
 	}
 }
--- a/internal/planner/resources.go
+++ b/internal/planner/resources.go
@@ -16,7 +16,7 @@
 // is as small.
 const roundingSlack = 1e-6
 
-// mostCopies bounds Count for requests of nothing. It is more than any job has tasks.
+// mostCopies bounds CopiesIn for requests of nothing. It is more than any job has tasks.
 const mostCopies = 1 << 20
 
 // TaskResources returns what one task of a job requests.
--- a/internal/scaling/market.go
+++ b/internal/scaling/market.go
@@ -84,6 +84,16 @@
 	}
 }
 
+// HasCapacity reports whether some pool that a job may use isn't known to be out of capacity.
+func (m *CloudView) HasCapacity(spec *protocol.JobSpec) bool {
+	for pool := range m.usablePools(spec) {
+		if !m.OutOfCapacity[pool] {
+			return true
+		}
+	}
+	return false
+}
+
 // allPools returns the pools of the machine types, ordered by the types' names and then
 // as the types list their zones. The order decides between pools of equal cost.
 func allPools(types map[string]protocol.MachineType) []CapacityPool {
--- a/internal/scaling/scaleout.go
+++ b/internal/scaling/scaleout.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"maps"
 	"slices"
 
 	"postpoint/internal/planner"
@@ -54,7 +53,7 @@
 // machines for those that find no room there.
 func (s *scaleOut) addMachinesFor(demand *planner.UnmetDemand) {
 	request := planner.TaskResources(demand.Job.Spec)
-	zones := tasksByZone(demand.Job)
+	zones := demand.Job.TasksByZone()
 	// Machines before this index have no room for a task of this job, and get none.
 	at := 0
 	for demand.Tasks > 0 {
@@ -73,16 +72,6 @@
 	s.urgent.settle(demand.Job)
 }
 
-// tasksByZone counts a job's tasks by zone.
-func tasksByZone(job *planner.Job) map[string]int {
-	zones := map[string]int{}
-	maps.Copy(zones, job.OtherTasksByZone)
-	for _, r := range job.Running {
-		zones[r.Zone]++
-	}
-	return zones
-}
-
 // takes reports whether one more task of a job may go to the machine.
 func (n *newMachine) takes(job *planner.Job, request planner.Resources, zones map[string]int) bool {
 	return request.FitsIn(n.free) &&
