--- a/internal/admission/attestation.go
+++ b/internal/admission/attestation.go
@@ -44,8 +44,7 @@
 	b := binary.BigEndian.AppendUint64(nil, uint64(a.Age))
 	b = binary.BigEndian.AppendUint64(b, uint64(a.Epoch))
 	for _, c := range a.Cancelled {
-		b = append(b, byte(len(c.Job)))
-		b = append(b, c.Job...)
+		b = appendName(b, string(c.Job))
 		b = binary.BigEndian.AppendUint64(b, uint64(c.Age))
 	}
 	return b
@@ -75,14 +74,12 @@
 }
 
 func decodeCancelledJob(b []byte) (c CancelledJob, rest []byte, ok bool) {
-	idEnd := 1 + int(b[0])
-	end := idEnd + microsBytes
-	if len(b) < end {
+	id, rest, ok := cutName(b)
+	if !ok || len(rest) < microsBytes {
 		return CancelledJob{}, nil, false
 	}
-	c.Job = protocol.JobID(b[1:idEnd])
-	c.Age = clock.Micros(binary.BigEndian.Uint64(b[idEnd:]))
-	return c, b[end:], c.Age >= 0
+	c = CancelledJob{Job: protocol.JobID(id), Age: clock.Micros(binary.BigEndian.Uint64(rest))}
+	return c, rest[microsBytes:], c.Age >= 0
 }
 
 // DecodeAttestations reads the answers of all nodes; ok reports whether all of them vouch.
--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -3,7 +3,7 @@
 //
 // It owns the HTTP server of a node with its connections, the admission of submissions, the record
 // of a job until the leader first changes it, and what a node vouches for to a new leader (see
-// Attestation). It doesn't schedule: heartbeats go to a HeartbeatHandler, and placements are none
+// Attestation). It doesn't schedule: heartbeats go to a LeaderHandler, and placements are none
 // of its business.
 //
 // Package controller starts the server; package node wires the actor to the rest of a node; package
--- a/internal/admission/handler.go
+++ b/internal/admission/handler.go
@@ -89,7 +89,7 @@
 	_ = e.Encode(<-answered)
 }
 
-// heartbeatResult is the answer of a HeartbeatHandler.
+// heartbeatResult is the answer of a LeaderHandler.
 type heartbeatResult struct {
 	status int
 	body   any
--- a/internal/admission/zonereports.go
+++ b/internal/admission/zonereports.go
@@ -3,8 +3,8 @@
 import (
 	"encoding/binary"
 	"errors"
-	"maps"
-	"slices"
+
+	"postpoint/internal/ordered"
 )
 
 // ZoneReports says to the leader from which zones' machines a node receives heartbeats: machines
@@ -25,11 +25,10 @@
 //
 //	length of the node's name (1), name, and for each zone: length (1), name, machines (4)
 func (z ZoneReports) Encode() []byte {
-	b := append([]byte{byte(len(z.Node))}, z.Node...)
-	for _, zone := range slices.Sorted(maps.Keys(z.Machines)) {
-		b = append(b, byte(len(zone)))
-		b = append(b, zone...)
-		b = binary.BigEndian.AppendUint32(b, uint32(z.Machines[zone]))
+	b := appendName(nil, z.Node)
+	for zone, machines := range ordered.ByKey(z.Machines) {
+		b = appendName(b, zone)
+		b = binary.BigEndian.AppendUint32(b, uint32(machines))
 	}
 	return b
 }
@@ -53,6 +52,11 @@
 	return z, nil
 }
 
+// appendName appends a name behind its length of one byte.
+func appendName(b []byte, name string) []byte {
+	return append(append(b, byte(len(name))), name...)
+}
+
 // cutName reads a name behind its length of one byte.
 func cutName(b []byte) (name string, rest []byte, ok bool) {
 	if len(b) < 1 || len(b) < 1+int(b[0]) {
--- a/internal/cloudclient/client.go
+++ b/internal/cloudclient/client.go
@@ -4,7 +4,6 @@
 package cloudclient
 
 import (
-	"context"
 	"net/http"
 	"net/url"
 	"strconv"
@@ -32,8 +31,6 @@
 //
 // The cloud knows no epochs: a late return would take machines that the next leader uses. Changes
 // therefore have an instant from which they must not leave any more, and fail with ErrNotSent then.
-//
-// It takes the name API as soon as nobody needs the interface of that name any more.
 type API interface {
 	// Catalogue reads the machine types and their present prices.
 	Catalogue(done func(protocol.Catalogue, error))
@@ -81,7 +78,7 @@
 	done func(error)) {
 	go func() {
 		// Requests end with their timeouts: the actor that asks runs as long as the process.
-		response, err := b.calls.Do(context.Background(), deadline, transport.Request{Method: method,
+		response, err := b.calls.Do(deadline, transport.Request{Method: method,
 			URL: b.base + path, Body: body, Timeout: timeout, ResponseLimit: responseLimit})
 		if err == nil && len(response.Body) > 0 && value != nil {
 			err = protocol.Decode(response.Body, value)
--- a/internal/configfile/configfile.go
+++ b/internal/configfile/configfile.go
@@ -1,7 +1,7 @@
 // Package configfile reads and checks configuration files: the platform's settings (JSON), the
 // cells file and the zone-recovery file (both TOML). It owns decoding, the checks that the fields'
 // tags ask for, and the typed errors that name file, field and value. It doesn't know what the
-// fields mean: the packages settings, cells and recovery, which call it, check fields against each
+// fields mean: the packages settings, cells and zonerecovery, which call it, check fields against each
 // other.
 package configfile
 
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -1,7 +1,6 @@
 package kvstore
 
 import (
-	"context"
 	"fmt"
 	"log/slog"
 	"net/http"
@@ -201,11 +200,10 @@
 	}
 }
 
-// do makes a request of an ordinary size. Requests end with their timeouts, not with a context:
-// the actors that ask run as long as the process.
+// do makes a request of an ordinary size.
 func (c *Client) do(pool *transport.Client, method, path string, body []byte,
 	timeout clock.Micros) (transport.Response, error) {
-	return pool.Do(context.Background(), transport.Deadline{}, transport.Request{
+	return pool.Do(transport.Deadline{}, transport.Request{
 		Method: method, URL: c.base + path, Body: body, Timeout: timeout, ResponseLimit: responseLimit})
 }
 
@@ -249,7 +247,7 @@
 		"BlockMs": {fmt.Sprint(int64(wait / clock.Millisecond))},
 	}
 	follow := func() (transport.Response, error) {
-		return b.follows.Do(context.Background(), transport.Deadline{}, transport.Request{
+		return b.follows.Do(transport.Deadline{}, transport.Request{
 			Method: http.MethodGet, URL: b.base + "/follow?" + q.Encode(),
 			Timeout: wait + callTimeout, ResponseLimit: followLimit})
 	}
--- a/internal/kvstore/store.go
+++ b/internal/kvstore/store.go
@@ -17,8 +17,6 @@
 }
 
 // Store is the store as one actor sees it: all callbacks run in the actor's mailbox.
-//
-// It takes the name Store as soon as nobody needs the interface of that name any more.
 type Store interface {
 	// Get reads one key.
 	Get(key string, done func(Result[protocol.Item]))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -32,12 +32,12 @@
 	Mailboxes Mailboxes
 	// Store returns the key-value store whose results arrive in a mailbox.
 	Store func(actor.Mailbox) kvstore.Store
-	// Cloud and Agent respond to the mailbox of Dispatch, Forward to that of Intake.
+	// Cloud and Agent respond to the mailbox of Leader, Forward to that of Admission.
 	Cloud   cloudclient.API
 	Agent   workerclient.API
 	Forward admission.Forward
 	// Cells lists the cells, nil if they are switched off; Exchange reaches them and responds to the
-	// mailbox of Dispatch.
+	// mailbox of Leader.
 	Cells    *cells.Directory
 	Exchange federation.Exchanger
 	// Recovery has the settings of zone recovery, nil if it is switched off.
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -3,8 +3,8 @@
 // submissions, so that no other package knows a wire name. It doesn't send anything and takes no
 // decisions.
 //
-// Every package that talks to the outside calls it: intake for users, dispatch for workers, agent,
-// cloud and statestore as clients, and testkit for the other side of all of them.
+// Every package that talks to the outside calls it: admission for users, leader for workers,
+// workerclient, cloudclient and kvstore as clients, and simulation for the other side of all of them.
 //
 // The names on the wire are themed and fixed. Each is mapped to the term of its field once, by the
 // tag of a struct's field:
--- a/internal/protocol/heartbeatlayout.go
+++ b/internal/protocol/heartbeatlayout.go
@@ -6,7 +6,7 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// Names on the wire of Report.Counter and Report.Tasks, those of its tags.
+// Names on the wire of Heartbeat.Counter and Heartbeat.Tasks, those of its tags.
 const (
 	counterKey = "Counter"
 	tasksKey   = "Legs"
--- a/internal/protocol/jobs.go
+++ b/internal/protocol/jobs.go
@@ -23,7 +23,7 @@
 // Priorities lists the priorities from the highest to the lowest.
 var Priorities = []string{"prod", "urgent", "normal", "idle"}
 
-// PriorityOf returns the index of a priority in Ranks, or -1 if there is no such priority.
+// PriorityOf returns the index of a priority in Priorities, or -1 if there is no such priority.
 func PriorityOf(name string) int { return slices.Index(Priorities, name) }
 
 // JobSpec is a submission: the description of a job.
--- a/internal/simulation/cells.go
+++ b/internal/simulation/cells.go
@@ -26,7 +26,7 @@
 ) *Group {
 	g := &Group{}
 	for i, set := range sets {
-		d := prepare(w, set, types, loss, false)
+		d := prepare(w, set, types, loss)
 		d.group, d.name = g, cellNames[i]
 		g.Cells = append(g.Cells, d)
 		g.File += cellEntry(d, i, guests)
--- a/internal/simulation/days.go
+++ b/internal/simulation/days.go
@@ -13,30 +13,6 @@
 		WriteRps: &writeRps}
 }
 
-// dayOfUpgrade is a deployment whose controllers are of the new version from the beginning, or upgraded at
-// some time, perhaps only after the faults. On most days the store's limits tighten at some time, whichever
-// controllers are upgraded by then.
-func dayOfUpgrade(w *World) *Deployment {
-	const day = dayLength
-	set := testSettings()
-	announceTighterLimits(set)
-	old := w.chance(0.5)
-	d := newDeployment(w, set, testTypes(), 0.01, old)
-	d.Store.Limit(set.Deployment.KVStore, false)
-	d.Store.CheckPut = d.checkFormat
-	if old {
-		upgrade := w.Between(10*clock.Second, day*5/4)
-		w.After(upgrade, func() {
-			d.Upgrade(w.Between(clock.Second, 15*clock.Second),
-				w.Between(50*clock.Millisecond, 6*clock.Second))
-		})
-	}
-	if w.chance(0.7) {
-		w.After(w.Between(0, day), func() { d.Store.Limit(set.Deployment.KVStore.Tightest(), true) })
-	}
-	return d
-}
-
 const (
 	// dayLength is how long jobs are submitted and faults are injected.
 	dayLength = 240 * clock.Second
@@ -63,9 +39,6 @@
 	return s
 }
 
-// usualWorkload is a mix of all shapes.
-var usualWorkload = workload{services: 0.15, spec: randomSpec, longest: 120 * clock.Second}
-
 const (
 	// jobsPerDay are submitted at random times, the faults begin at faultsPerDay times.
 	jobsPerDay   = 30
--- a/internal/simulation/deployment.go
+++ b/internal/simulation/deployment.go
@@ -65,15 +65,16 @@
 func newDeployment(
 	w *World, set *settings.Settings, types []protocol.MachineType, loss float64, old bool,
 ) *Deployment {
-	d := prepare(w, set, types, loss, old)
+	d := prepare(w, set, types, loss)
+	for _, n := range d.Nodes {
+		n.Old = old
+	}
 	d.startNodes()
 	return d
 }
 
 // prepare returns a deployment whose controllers are still to be started.
-func prepare(
-	w *World, set *settings.Settings, types []protocol.MachineType, loss float64, old bool,
-) *Deployment {
+func prepare(w *World, set *settings.Settings, types []protocol.MachineType, loss float64) *Deployment {
 	d := &Deployment{
 		World: w, Settings: set, Store: NewFakeStore(w), Loss: loss,
 		cut: map[string]*partitionedZone{}, jobs: map[protocol.JobID]*Job{}, byAddr: map[string]*FakeWorker{},
@@ -82,8 +83,8 @@
 	}
 	d.Cloud = newCloud(d, types)
 	for i := range nodesPerDeployment {
-		n := &Node{Name: fmt.Sprintf("worker-%d", i), Zone: []string{"a", "b"}[i%2], Old: old}
-		for _, l := range []*Link{&n.State, &n.Clouds, &n.Workers, &n.Peers, &n.Cells} {
+		n := &Node{Name: fmt.Sprintf("worker-%d", i), Zone: []string{"a", "b"}[i%2]}
+		for _, l := range n.links() {
 			l.w, l.Loss = w, loss
 		}
 		d.Nodes = append(d.Nodes, n)
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -82,7 +82,7 @@
 	}
 	if w.chance(leaderShare) {
 		for _, n := range d.Nodes {
-			if n.process.alive && n.Leader.Leads() {
+			if n.Up() && n.Leader.Leads() {
 				f.node = n
 			}
 		}
--- a/internal/simulation/heartbeats.go
+++ b/internal/simulation/heartbeats.go
@@ -146,7 +146,7 @@
 
 // reaches reports whether the controller can be reached now.
 func (e *heartbeatCall) reaches() bool {
-	return e.n.process != nil && e.n.process.alive && !e.n.Workers.Cut && !e.m.HeartbeatsLost
+	return e.n.Up() && !e.n.Workers.Cut && !e.m.HeartbeatsLost
 }
 
 // arrive hands the heartbeat to the controller and carries its response back.
--- a/internal/simulation/kinds.go
+++ b/internal/simulation/kinds.go
@@ -152,11 +152,9 @@
 func playRecovery(w *World, odd bool) []*Deployment {
 	set := testSettings()
 	set.Deployment.Zones = []string{"a", "b"}
-	d := prepare(w, set, testTypes(), 0.01, false)
+	d := prepare(w, set, testTypes(), 0.01)
 	d.Recovery = recoveryOn(set, odd)
-	for _, n := range d.Nodes {
-		d.StartNode(n)
-	}
+	d.startNodes()
 	d.inspect()
 	d.cutZonesSometimes()
 	d.crashLeaders(4)
--- a/internal/simulation/loopback.go
+++ b/internal/simulation/loopback.go
@@ -57,7 +57,7 @@
 	x *RealTime, g *Group, name string, set *settings.Settings, types []protocol.MachineType,
 	controllers []Controller, workerPort int,
 ) *Loopback {
-	d := prepare(x.World, set, types, 0, false)
+	d := prepare(x.World, set, types, 0)
 	d.group, d.name = g, name
 	g.Cells = append(g.Cells, d)
 	l := newLoopback(d, x, controllers, workerPort)
@@ -88,7 +88,7 @@
 // remoteNode is a node whose process is elsewhere.
 func remoteNode(w *World, name string, at *remoteController) *Node {
 	n := &Node{Name: name, process: w.process(), reports: at, requests: at}
-	for _, link := range []*Link{&n.State, &n.Clouds, &n.Workers, &n.Peers} {
+	for _, link := range n.links() {
 		link.w = w
 	}
 	return n
--- a/internal/simulation/nodes.go
+++ b/internal/simulation/nodes.go
@@ -36,7 +36,7 @@
 	// for their sake.
 	Old bool
 
-	// Leader and Intake are the actors of the present process.
+	// Leader and Admission are the actors of the present process.
 	Leader    *leader.Leader
 	Admission *admission.Admission
 	// The handlers are the controller as workers, users, other controllers and other cells reach it.
@@ -94,15 +94,18 @@
 	}
 }
 
+// links are the controller's connections.
+func (n *Node) links() []*Link { return []*Link{&n.State, &n.Clouds, &n.Workers, &n.Peers, &n.Cells} }
+
 // Up reports whether a process runs.
-func (n *Node) Up() bool { return n.process.alive }
+func (n *Node) Up() bool { return n.process != nil && n.process.alive }
 
 // leaseTTL is that of the leader's lease.
 const leaseTTL = 4 * clock.Second
 
 // StartNode starts a new process of the controller, if none runs.
 func (d *Deployment) StartNode(n *Node) {
-	if n.process != nil && n.process.alive {
+	if n.Up() {
 		return
 	}
 	n.process = d.World.process()
--- a/internal/simulation/peers.go
+++ b/internal/simulation/peers.go
@@ -9,7 +9,7 @@
 func (d *Deployment) forward(n *Node, r admission.Request, done func(admission.Response, bool)) {
 	var others []*Node
 	for _, o := range d.Nodes {
-		if o != n && o.process != nil && o.process.alive {
+		if o != n && o.Up() {
 			others = append(others, o)
 		}
 	}
--- a/internal/simulation/record.go
+++ b/internal/simulation/record.go
@@ -2,8 +2,6 @@
 
 import (
 	"encoding/json"
-	"maps"
-	"slices"
 
 	"postpoint/internal/admission"
 	"postpoint/internal/clock"
@@ -13,6 +11,7 @@
 	"postpoint/internal/kvstore/storetest"
 	"postpoint/internal/leader/federation"
 	"postpoint/internal/node"
+	"postpoint/internal/ordered"
 	"postpoint/internal/peer"
 	"postpoint/internal/protocol"
 	"postpoint/internal/workerclient/workertest"
@@ -274,8 +273,7 @@
 // recordStored records all values of a deployment's store.
 func (d *Deployment) recordStored() {
 	r := &recording{d.World, d.name}
-	for _, key := range slices.Sorted(maps.Keys(d.Store.entries)) {
-		e := d.Store.entries[key]
+	for key, e := range ordered.ByKey(d.Store.entries) {
 		r.record("stored", key, e.value, e.version, e.lease)
 	}
 }
--- a/internal/simulation/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -8,6 +8,7 @@
 	"strings"
 	"testing"
 
+	"postpoint/internal/clock"
 	"postpoint/internal/protocol"
 )
 
@@ -66,3 +67,29 @@
 		}
 	}
 }
+
+// dayOfUpgrade is a deployment whose controllers are of the new version from the beginning, or upgraded at
+// some time, perhaps only after the faults. On most days the store's limits tighten at some time, whichever
+// controllers are upgraded by then.
+func dayOfUpgrade(w *World) *Deployment {
+	set := testSettings()
+	announceTighterLimits(set)
+	old := w.chance(0.5)
+	d := newDeployment(w, set, testTypes(), 0.01, old)
+	d.Store.Limit(set.Deployment.KVStore, false)
+	d.Store.CheckPut = d.checkFormat
+	if old {
+		upgrade := w.Between(10*clock.Second, dayLength*5/4)
+		w.After(upgrade, func() {
+			d.Upgrade(w.Between(clock.Second, 15*clock.Second),
+				w.Between(50*clock.Millisecond, 6*clock.Second))
+		})
+	}
+	if w.chance(0.7) {
+		w.After(w.Between(0, dayLength), func() { d.Store.Limit(set.Deployment.KVStore.Tightest(), true) })
+	}
+	return d
+}
+
+// usualWorkload is a mix of all shapes.
+var usualWorkload = workload{services: 0.15, spec: randomSpec, longest: 120 * clock.Second}
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -1,12 +1,12 @@
 package simulation
 
 import (
-	"maps"
 	"slices"
 	"sort"
 	"strings"
 
 	"postpoint/internal/clock"
+	"postpoint/internal/ordered"
 	"postpoint/internal/protocol"
 )
 
@@ -87,7 +87,7 @@
 	if on {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(s.leases)) { // in order, since each draws a time
+	for id := range ordered.ByKey(s.leases) { // in order, since each draws a time
 		s.renewLease(id)
 	}
 	s.notifyWatchers()
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -46,7 +46,7 @@
 		done(status, s)
 	}
 	d.World.After(userTimeout, func() { finish(0, nil) })
-	if !n.process.alive || d.cut[n.Zone] != nil {
+	if !n.Up() || d.cut[n.Zone] != nil {
 		return
 	}
 	proc := n.process
--- a/internal/simulation/zonefixture_test.go
+++ b/internal/simulation/zonefixture_test.go
@@ -21,13 +21,11 @@
 	if change != nil {
 		change(set)
 	}
-	d := prepare(w, set, testTypes(), 0, false)
+	d := prepare(w, set, testTypes(), 0)
 	s := zonerecovery.Defaults()
 	d.Recovery = &s
 	d.Cloud.Reliable = true
-	for _, n := range d.Nodes {
-		d.StartNode(n)
-	}
+	d.startNodes()
 	return w, d, NewHistory(w, d)
 }
 
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -29,8 +29,8 @@
 // ErrTooLarge is a response body beyond the request's limit.
 var ErrTooLarge = errors.New("response too large")
 
-// NotSent is the status that stood for ErrNotSent before there were typed errors. To be removed
-// with its last user.
+// NotSent is the status that stands for ErrNotSent where statuses are all there is: in tests' fakes and in
+// what the simulation records.
 const NotSent = -1
 
 // Request is one HTTP request.
@@ -78,13 +78,14 @@
 	}}
 }
 
-// Do makes one request unless its deadline has passed, which is ErrNotSent. Any other error means
-// that no whole response came: the request may or may not have been carried out.
-func (c *Client) Do(ctx context.Context, deadline Deadline, r Request) (Response, error) {
+// Do makes one request, which ends with its timeout, unless its deadline has passed, which is
+// ErrNotSent. Any other error means that no whole response came: the request may or may not have been
+// carried out.
+func (c *Client) Do(deadline Deadline, r Request) (Response, error) {
 	if deadline.passed() {
 		return Response{}, notSent()
 	}
-	ctx, cancel := context.WithTimeout(ctx, r.Timeout.Duration())
+	ctx, cancel := context.WithTimeout(context.Background(), r.Timeout.Duration())
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, r.Method, r.URL, bytes.NewReader(r.Body))
 	if err != nil {
@@ -106,17 +107,17 @@
 // DoOnce makes one request like Client.Do, on a connection of its own. It is for systems that are
 // so many that a kept connection is hardly ever used again: a pool costs two goroutines, two
 // buffers and an entry for each.
-func DoOnce(ctx context.Context, deadline Deadline, r Request) (Response, error) {
+func DoOnce(deadline Deadline, r Request) (Response, error) {
 	if deadline.passed() {
 		return Response{}, notSent()
 	}
-	req, err := http.NewRequestWithContext(ctx, r.Method, r.URL, bytes.NewReader(r.Body))
+	req, err := http.NewRequest(r.Method, r.URL, bytes.NewReader(r.Body))
 	if err != nil {
 		return Response{}, err
 	}
 	req.Header.Set("Content-Type", contentType)
 	req.Close = true
-	conn, err := dialOnce(ctx, req.URL.Host, r.Timeout.Duration())
+	conn, err := dialOnce(req.URL.Host, r.Timeout.Duration())
 	if err != nil {
 		return Response{}, err
 	}
@@ -129,10 +130,10 @@
 }
 
 // dialOnce returns a connection whose reads and writes end with the timeout.
-func dialOnce(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
+func dialOnce(address string, timeout time.Duration) (net.Conn, error) {
 	// Connections this short need no probes.
 	dialer := net.Dialer{Deadline: time.Now().Add(min(dialTimeout, timeout)), KeepAlive: -1}
-	conn, err := dialer.DialContext(ctx, "tcp4", address)
+	conn, err := dialer.Dial("tcp4", address)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -46,7 +46,7 @@
 	} {
 		request := Request{Method: http.MethodPost, URL: server.URL + "/x", Body: []byte("b"),
 			Timeout: 3 * clock.Second, ResponseLimit: c.limit}
-		got, err := DoOnce(context.Background(), Deadline{&advancingClock{}, c.instant}, request)
+		got, err := DoOnce(Deadline{&advancingClock{}, c.instant}, request)
 		if !errors.Is(err, c.err) || got.Status != c.status || len(got.Body) != c.bytes {
 			t.Errorf("%s: status %d, %d bytes, error %v; expected status %d, %d bytes, error %v",
 				c.name, got.Status, len(got.Body), err, c.status, c.bytes, c.err)
@@ -86,7 +86,7 @@
 		{"ahead", Deadline{&advancingClock{}, 2 * clock.Second}, http.StatusOK, 1},
 		{"none", Deadline{}, http.StatusOK, 2},
 	} {
-		_, err := New(1).Do(context.Background(), c.deadline, request)
+		_, err := New(1).Do(c.deadline, request)
 		if statusOf(t, err) != c.status || requests.Load() != c.requests {
 			t.Errorf("%s: %v and %d requests, expected status %d and %d requests", c.name, err,
 				requests.Load(), c.status, c.requests)
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -4,7 +4,6 @@
 package workerclient
 
 import (
-	"context"
 	"net/http"
 
 	"postpoint/internal/actor"
@@ -30,8 +29,6 @@
 }
 
 // API sends commands to workers. Callbacks run in the mailbox of the actor that asks.
-//
-// It takes the name API as soon as nobody needs the interface of that name any more.
 type API interface {
 	// Commands sends commands to the worker at an address, unless that instant has come before they
 	// leave.
@@ -68,7 +65,7 @@
 // exchange makes one request and decodes its response.
 func (b *bound) exchange(request transport.Request, until clock.Micros) Response {
 	deadline := transport.Deadline{Clock: b.mailbox, Instant: until}
-	response, err := transport.DoOnce(context.Background(), deadline, request)
+	response, err := transport.DoOnce(deadline, request)
 	if err != nil {
 		return Response{Err: transport.NoResponse(err)}
 	}
--- a/internal/zonerecovery/evidence.go
+++ b/internal/zonerecovery/evidence.go
@@ -8,7 +8,7 @@
 	ProbesAnswered int
 	// Gone counts machines that the cloud lists as failed or no longer lists.
 	Gone int
-	// Controllers counts those of the zone, Reached those of them that answer this one.
+	// Controllers counts those of the zone, ControllersReached those of them that answer this one.
 	Controllers, ControllersReached int
 	// HeardElsewhere counts machines whose heartbeats other controllers get.
 	HeardElsewhere int
@@ -26,7 +26,7 @@
 // decision: a task is free to run elsewhere only on proof that it has ended.
 type Diagnosis string
 
-// The readings. Their texts are shown in the overview.
+// The diagnoses. Their texts are shown in the overview.
 const (
 	AllHeard Diagnosis = "well"
 	// ControllerIsolated zones can't be judged: this controller hears nothing from anywhere.
