--- a/internal/leader/recordstore/adoption.go
+++ b/internal/leader/recordstore/adoption.go
@@ -11,7 +11,8 @@
 	"postpoint/internal/protocol"
 )
 
-// Adopt takes over a record as read or followed, unless it is known already.
+// Adopt applies a record that the reader has read or received from a watch, unless this leader already
+// knows that version.
 func (r *Reader) Adopt(key string, raw []byte, version protocol.Revision) {
 	id := protocol.JobID(key[len(jobrecord.Prefix):])
 	j := r.jobs.ByID[id]
@@ -20,8 +21,9 @@
 	}
 	content, err := jobrecord.Decode(raw)
 	if j != nil && (j.InFlight || j.Loading()) {
-		// Which change this is becomes clear once the response to this leader's own change, or the
-		// record's shards, are there. A cancellation is final whichever it is.
+		// Whether this event is the leader's own change becomes clear only when the response to the
+		// leader's own write, or the read of the shards, arrives. A cancellation is final in either
+		// case.
 		j.FollowedEvent = &protocol.Event{Put: key, Value: raw, Version: version}
 		if err == nil {
 			r.noteCancelled(j, content)
@@ -30,7 +32,8 @@
 	}
 	switch {
 	case err != nil:
-		// Never guess at what may be running: leave it alone and say so.
+		// The leader can't tell which tasks of this job may be running, so it leaves the job alone and
+		// logs an error.
 		slog.Error("malformed record", "job", id, "error", err)
 		r.jobs.Malformed[id] = true
 	case j == nil:
@@ -42,9 +45,9 @@
 	}
 }
 
-// outdated reports whether a version of a record is no news. A read whose response was late can be
-// older than what is known: taking it over would bring back placements that were released. The
-// version that is known is news only if memory has to be replaced by it.
+// outdated reports whether a version of a record is already known or superseded. The response to a read
+// may be late and older than the state in memory: applying it would bring back released placements. The
+// leader applies the version that it already knows only if the job must be reloaded.
 func (r *Reader) outdated(id protocol.JobID, j *jobtable.Job, version protocol.Revision) bool {
 	if version <= r.jobs.FinalVersions[id] {
 		return true
@@ -52,7 +55,8 @@
 	return j != nil && (version < j.Version || version == j.Version && !j.MustReload())
 }
 
-// adoptDeferred takes over what was followed while a read or write was under way, once neither is.
+// adoptDeferred applies the event that arrived during a read or write of the job, once neither is in
+// progress.
 func (r *Reader) adoptDeferred(j *jobtable.Job) {
 	e := j.FollowedEvent
 	if e == nil || j.InFlight || j.Loading() {
@@ -62,17 +66,18 @@
 	r.Adopt(e.Put, e.Value, e.Version)
 }
 
-// noteCancelled notes the cancellation of one of this cell's own jobs, if its record has it. Hosted
-// jobs have that status once this cell itself has closed them, which no user was told.
+// noteCancelled notes the cancellation of one of this cell's own jobs if its record says so. The record
+// of a hosted job has that status once this cell has closed the job itself, and no user was told of
+// that.
 func (r *Reader) noteCancelled(j *jobtable.Job, content *jobrecord.Record) {
 	if content.Status == protocol.StatusCancelled && content.Hosted == nil {
 		r.jobs.NoteCancelled(j, r.ConfirmedAt(content))
 	}
 }
 
-// adoptNew takes over the record of a job that isn't known.
+// adoptNew adds a job that isn't known yet from its record.
 func (r *Reader) adoptNew(id protocol.JobID, content *jobrecord.Record, version protocol.Revision) {
-	// Of a sharded record only the shards say whether anything may still run.
+	// Only the shards of a sharded record show whether any task may still run.
 	shardsUnread := content.ShardSize > 0 && r.Loading
 	if content.Final() && len(content.Placements) == 0 && !shardsUnread && content.Hosted == nil {
 		return
@@ -81,7 +86,7 @@
 		r.objectives.NoteArrival(&content.Spec)
 	}
 	if r.Format.Services && content.Spec.Service() {
-		content.Marked = true // it was left by a version that took it for an array
+		content.Marked = true // an earlier version of the software wrote it as an array
 	}
 	j := jobtable.NewJob()
 	if content.Hosted != nil {
@@ -96,10 +101,11 @@
 	r.jobs.ForgetIfOver(j)
 }
 
-// adoptWhole takes over a newer undivided record of a known job.
+// adoptWhole applies a newer version of an undivided record to a known job.
 func (r *Reader) adoptWhole(j *jobtable.Job, content *jobrecord.Record, version protocol.Revision) {
 	if content.Truncated {
-		// What is known of the tasks is all there is.
+		// A truncated record omits the tasks because it was too large for the store: those in memory
+		// stay valid.
 		content.Placements, content.NextAttempt = maps.Clone(j.Placements), j.NextAttempt
 	}
 	r.jobs.RemoveFromMachines(j)
@@ -108,8 +114,9 @@
 	r.jobs.ForgetIfOver(j)
 }
 
-// adoptSharded takes over a newer head of a known job. Users' nodes only cancel: anything else is a
-// change of this leader's own whose response was lost, and the shards have to be read as well.
+// adoptSharded applies a newer head to a known job. The controllers that serve users change a head only
+// to cancel its job. Any other change is one of this leader's own whose response was lost, and the
+// leader must read the shards as well.
 func (r *Reader) adoptSharded(j *jobtable.Job, content *jobrecord.Record, version protocol.Revision) {
 	cancelled := content.Status == protocol.StatusCancelled
 	if cancelled && !j.MustReload() && !j.Sharding() && content.ShardSize == j.ShardSize {
@@ -120,8 +127,8 @@
 	r.noteCancelled(j, content)
 }
 
-// cancelSharded takes over the cancellation of a sharded record: the head is all that a user's node
-// changes, and what is known of the tasks stays.
+// cancelSharded applies the cancellation of a sharded record. The controller that accepts a
+// cancellation changes only the head, so the state of the tasks in memory stays valid.
 func (r *Reader) cancelSharded(j *jobtable.Job, content *jobrecord.Record, version protocol.Revision) {
 	j.Status, j.CancelledAt = content.Status, content.CancelledAt
 	j.StoredValue.Replace(version)
@@ -134,18 +141,20 @@
 	r.jobs.ForgetIfOver(j)
 }
 
-// replaceContent makes a record what is known of its job and its tasks.
+// replaceContent replaces the state of a job and its tasks in memory by a record.
 func (r *Reader) replaceContent(j *jobtable.Job, content *jobrecord.Record, version protocol.Revision) {
 	r.setContent(j, content, version, jobtable.EventRecordLoaded)
 	r.matchPlacements(j)
 }
 
-// replaceHead makes the head of a sharded record what is known of its job. Its tasks are known once
-// its shards are loaded.
+// replaceHead replaces the state of a job in memory by the head of its sharded record. The tasks are
+// unknown until the shards are loaded.
 func (r *Reader) replaceHead(j *jobtable.Job, content *jobrecord.Record, version protocol.Revision) {
 	r.setContent(j, content, version, jobtable.EventHeadLoaded)
 }
 
+// setContent replaces the record of a job, notes the given event and resets the state that the leader
+// derives from the record.
 func (r *Reader) setContent(
 	j *jobtable.Job, content *jobrecord.Record, version protocol.Revision, event jobtable.RecordEvent,
 ) {
@@ -161,7 +170,7 @@
 	r.noteCancelled(j, content)
 }
 
-// noteShardsLoaded ends the time in which only the head of a record is known.
+// noteShardsLoaded completes the load of a sharded record whose shards have all been applied.
 func (r *Reader) noteShardsLoaded(j *jobtable.Job) {
 	j.NoteRecordEvent(jobtable.EventShardsLoaded)
 	if j.Spec.Gang() && j.Done.Len() > 0 {
@@ -172,8 +181,9 @@
 	r.jobs.ForgetIfOver(j)
 }
 
-// matchPlacements applies the placements of a record that was taken over: to the machines, to the
-// delegations, and to what the machines last reported.
+// matchPlacements applies the placements of a record that was just loaded: it adds them to the
+// machines, matches them with the delegations, and reconciles them with the last heartbeats of the
+// machines.
 func (r *Reader) matchPlacements(j *jobtable.Job) {
 	machines := r.addToMachines(j)
 	r.Delegations.MatchDelegation(j)
@@ -188,12 +198,12 @@
 	}
 }
 
-// addToMachines adds a job's placements to their machines, which it returns by name.
+// addToMachines adds a job's placements to their machines and returns those machines by name.
 func (r *Reader) addToMachines(j *jobtable.Job) map[protocol.MachineName]*machinetable.Machine {
 	machines := map[protocol.MachineName]*machinetable.Machine{}
 	for _, p := range ordered.ByKey(j.Placements) {
 		if r.machines.WasReleased(p.Machine) {
-			// The machine was released meanwhile, with all on it: the record is behind.
+			// The machine and all tasks on it are gone: the record is outdated.
 			r.jobs.ReleasePlacement(j, p)
 			continue
 		}
--- a/internal/leader/recordstore/outcome.go
+++ b/internal/leader/recordstore/outcome.go
@@ -14,31 +14,34 @@
 	"postpoint/internal/protocol"
 )
 
-// outcome is what became of a transaction.
+// outcome classifies the result of a transaction.
 type outcome int
 
 const (
+	// outcomeCommitted means that the store committed the transaction.
 	outcomeCommitted outcome = iota
-	// outcomeDeposed means that the leader's key has changed hands.
+	// outcomeDeposed means that another controller has changed the leader key.
 	outcomeDeposed
 	// outcomeConflict means that another request has changed some of the keys.
 	outcomeConflict
-	// outcomeRejected means that the store takes the transaction for malformed or too large.
+	// outcomeRejected means that the store rejects the transaction as malformed or too large.
 	outcomeRejected
-	// outcomeNotExecuted means that the store declined the transaction for now.
+	// outcomeNotExecuted means that the store didn't execute the transaction, because of overload for
+	// instance.
 	outcomeNotExecuted
-	// outcomeUnknown means that the transaction may have been carried out, or may be later.
+	// outcomeUnknown means that the store may have executed the transaction, or may execute it later.
 	outcomeUnknown
-	// outcomeUnexpected means that the response has no meaning for a transaction.
+	// outcomeUnexpected means that the response isn't one that the store's protocol defines for a
+	// transaction.
 	outcomeUnexpected
 )
 
-// outcomeOf returns what became of a transaction, by its error.
+// outcomeOf classifies the error of a transaction, nil if the store committed it.
 func outcomeOf(err error) outcome {
 	switch {
 	case err == nil:
 		return outcomeCommitted
-	case errors.Is(err, election.ErrNotLeader): // which is a conflict, too
+	case errors.Is(err, election.ErrNotLeader): // before ErrConflict, which matches this error too
 		return outcomeDeposed
 	case errors.Is(err, kvstore.ErrConflict):
 		return outcomeConflict
@@ -52,8 +55,9 @@
 	return outcomeUnexpected
 }
 
-// decided reports whether a transaction was carried out or never will be. Of a failure of the store
-// that isn't taken for granted, not even when it says that it is unavailable.
+// decided reports whether the outcome of a transaction is final: the store has executed it or never
+// will. An unavailable store may still execute the transaction later, although its response says that
+// it didn't.
 func decided(err error) bool {
 	return !kvstore.OutcomeUnknown(err) && !errors.Is(err, kvstore.ErrUnavailable)
 }
@@ -61,7 +65,7 @@
 // HandleResult handles the response to a transaction.
 func (w *Writer) HandleResult(writes []Write, r kvstore.Result[protocol.Revision]) {
 	for i := range writes {
-		writes[i].end(decided(r.Err))
+		writes[i].noteResponse(decided(r.Err))
 	}
 	switch outcomeOf(r.Err) {
 	case outcomeCommitted:
@@ -74,12 +78,13 @@
 	case outcomeRejected:
 		w.learnLimits(writes, kvstore.Reason(r.Err))
 	case outcomeNotExecuted:
-		w.Pause() // the same changes go again
+		w.Pause() // Commit retries the same changes later
 	case outcomeUnknown:
 		slog.Info("commit outcome unknown, retrying", "error", r.Err, "values", len(writes))
 		w.noteUnknown(writes)
 	case outcomeUnexpected:
-		slog.Error("commit refused, reading the records", "error", r.Err, "values", len(writes))
+		slog.Error("unexpected response to a commit, reloading the records", "error", r.Err,
+			"values", len(writes))
 		w.noteUnexpected(writes)
 	}
 	for _, write := range writes {
@@ -88,17 +93,19 @@
 	}
 }
 
-// noteDeposed stops this node from acting as leader, and has it look for the one that replaced it.
+// noteDeposed stops this controller from acting as leader and makes it look for the new leader.
 func (w *Writer) noteDeposed() {
-	slog.Info("the leader's key changed hands", "epoch", w.Term.Epoch)
+	slog.Info("deposed: another controller changed the leader key", "epoch", w.Term.Epoch)
 	w.Depose(w.Term.Epoch + 1)
 }
 
-// noteUnknown has changes go again as they stand by then, that may have been carried out or may be
-// seconds from now. Until something else is written at these versions nothing that they say may be
-// forgotten: a placement that a read doesn't show yet would be given away and then exist all the
-// same. Only one of the two transactions can apply; if it was the first, the second is refused and
-// the records are read.
+// noteUnknown schedules a retry of writes whose outcome is unknown: the store may have executed them,
+// or may do so seconds later. A retry writes the content that is current by then. Until another write
+// at these versions commits, the leader must not forget any of the written placements: a later read may
+// not show a placement yet, the leader would give its capacity away, and then the late write would
+// create it nevertheless. At most one of the first write and its retry can commit, since both require
+// the same version. If the first one did, the store refuses the retry and the leader reloads the
+// records.
 func (w *Writer) noteUnknown(writes []Write) {
 	w.Pause()
 	for _, write := range writes {
@@ -106,7 +113,8 @@
 	}
 }
 
-// noteUnexpected has the records read whose changes were refused for an unknown reason.
+// noteUnexpected schedules a reload of the records whose changes the store refused for an unknown
+// reason.
 func (w *Writer) noteUnexpected(writes []Write) {
 	w.Pause()
 	for _, write := range writes {
@@ -118,7 +126,8 @@
 	}
 }
 
-// noteConflicts has the records read that another request has changed: only they show what it was.
+// noteConflicts schedules a reload of the records that another request has changed: only the stored
+// records show what it changed.
 func noteConflicts(jobs *jobtable.Table, writes []Write, failed []string) {
 	for i := range writes {
 		write := &writes[i]
@@ -130,19 +139,20 @@
 	}
 }
 
-// noteHeadConflict handles a write whose record or head has changed.
+// noteHeadConflict handles a write that failed because its record or head has changed.
 func noteHeadConflict(write *Write) {
-	// If the head's change is known by now, the shard just goes again.
+	// If the leader knows the head's new version by now, it only retries the shard.
 	if write.Shard == HeadIndex || write.headVersion == write.Job.Version {
 		write.Job.NoteRecordEvent(jobtable.EventRecordConflict)
 	}
 }
 
-// noteShardConflict handles a write of a shard that has changed though its head hasn't.
+// noteShardConflict handles a write of a shard that failed because the shard has changed although its
+// head hasn't.
 func noteShardConflict(jobs *jobtable.Table, write *Write) {
 	switch j := write.Job; {
 	case j.Final():
-		write.Value.OutcomeUnknown = true // the shard is looked for, to be removed
+		write.Value.OutcomeUnknown = true // findUnknownShards then lists the shard for removal
 	case j.Sharding():
 		jobs.AbandonSharding(j)
 	default:
@@ -150,12 +160,13 @@
 	}
 }
 
-// learnLimits learns from changes that the store takes for malformed: its limits have become
-// tighter. The changes go again within tighter ones, first those that were announced, then whatever
-// is found by halves.
+// learnLimits tightens the limits after the store rejected changes as invalid: its limits are lower
+// than assumed. The writer retries the changes within lower limits. It first applies the announced
+// limits, and after that halves the number of changes in a transaction until the store accepts it. A
+// single change that the store rejects isn't written again at that size.
 func (w *Writer) learnLimits(writes []Write, reason string) {
-	slog.Error("commit too large for the key-value store", "error", reason, "values", len(writes),
-		"limits_tightened", w.LimitsTightened)
+	slog.Error("key-value store rejected a commit as too large or malformed", "error", reason,
+		"values", len(writes), "limits_tightened", w.LimitsTightened)
 	w.Pause()
 	switch {
 	case !w.LimitsTightened:
@@ -168,8 +179,8 @@
 	}
 }
 
-// markStored marks what a transaction has written, and sends commands to the machines whose
-// placements have become durable by it.
+// markStored marks the values that a transaction has written as stored, and sends commands to the
+// machines whose placements are now committed.
 func (w *Writer) markStored(writes []Write, revision protocol.Revision) {
 	affected := map[protocol.MachineName]*machinetable.Machine{}
 	for i := range writes {
@@ -182,15 +193,15 @@
 		w.collectCommitted(write, affected)
 	}
 	if w.steps.Overloaded() {
-		return // commands go with the responses to heartbeats
+		return // the responses to heartbeats carry the commands
 	}
 	for _, m := range ordered.ByKey(affected) {
 		w.commands.Push(m)
 	}
 }
 
-// collectCommitted drops the value's placements that have become durable from those that wait for
-// it, and adds their machines to those affected.
+// collectCommitted removes the value's committed placements from its list of uncommitted ones and adds
+// their machines to affected.
 func (w *Writer) collectCommitted(write *Write, affected map[protocol.MachineName]*machinetable.Machine) {
 	write.Value.Uncommitted = slices.DeleteFunc(write.Value.Uncommitted, func(task int) bool {
 		p, placed := write.Job.Placements[task]
--- a/internal/leader/recordstore/outcome_test.go
+++ b/internal/leader/recordstore/outcome_test.go
@@ -10,7 +10,7 @@
 	"postpoint/internal/protocol"
 )
 
-// fixedStore responds to every transaction in the same way.
+// fixedStore is a fake store that responds to every transaction in the same way.
 type fixedStore struct {
 	storetest.Service
 	reply storetest.Reply[protocol.TxnResponse]
@@ -21,7 +21,8 @@
 	done(s.reply)
 }
 
-// commit returns the error of a leader's transaction to which the store responds in the given way.
+// commit returns the error of a leader's transaction to which the store responds with the given status
+// and failed keys.
 func commit(status int, failed []string) error {
 	store := fixedStore{reply: storetest.Reply[protocol.TxnResponse]{
 		Status: status, Value: protocol.TxnResponse{Failed: failed}}}
@@ -31,6 +32,8 @@
 	return err
 }
 
+// A wrong classification would make the leader drop a change that the store may still execute, or retry
+// one that it never accepts.
 func TestOutcomesOfTransactions(t *testing.T) {
 	for name, c := range map[string]struct {
 		status  int
@@ -38,17 +41,17 @@
 		outcome outcome
 		decided bool
 	}{
-		"committed":             {200, nil, outcomeCommitted, true},
-		"another leader":        {409, []string{"jobs/job-1", election.LeaderKey}, outcomeDeposed, true},
-		"conflict":              {409, []string{"jobs/job-1"}, outcomeConflict, true},
-		"malformed":             {400, nil, outcomeRejected, true},
-		"throttled":             {429, nil, outcomeNotExecuted, true},
-		"unavailable":           {503, nil, outcomeNotExecuted, false},
-		"no response":           {0, nil, outcomeUnknown, false},
-		"failure of the store":  {500, nil, outcomeUnknown, false},
-		"failure of a gateway":  {502, nil, outcomeUnknown, false},
-		"status of no meaning":  {404, nil, outcomeUnexpected, true},
-		"success of no meaning": {204, nil, outcomeUnexpected, true},
+		"committed":         {200, nil, outcomeCommitted, true},
+		"another leader":    {409, []string{"jobs/job-1", election.LeaderKey}, outcomeDeposed, true},
+		"conflict":          {409, []string{"jobs/job-1"}, outcomeConflict, true},
+		"malformed":         {400, nil, outcomeRejected, true},
+		"throttled":         {429, nil, outcomeNotExecuted, true},
+		"unavailable":       {503, nil, outcomeNotExecuted, false},
+		"no response":       {0, nil, outcomeUnknown, false},
+		"store error":       {500, nil, outcomeUnknown, false},
+		"gateway error":     {502, nil, outcomeUnknown, false},
+		"undefined status":  {404, nil, outcomeUnexpected, true},
+		"undefined success": {204, nil, outcomeUnexpected, true},
 	} {
 		err := commit(c.status, c.failed)
 		if got := outcomeOf(err); got != c.outcome {
--- a/internal/leader/recordstore/reader.go
+++ b/internal/leader/recordstore/reader.go
@@ -17,7 +17,7 @@
 	"postpoint/internal/protocol"
 )
 
-// Reader loads the job records at the beginning of a term and follows their changes.
+// Reader loads the job records at the beginning of a term and watches them for changes.
 type Reader struct {
 	*term.State
 	Store      kvstore.Store
@@ -33,11 +33,11 @@
 	Zones       ZoneRecords
 	steps       *term.StepTimer
 
-	// Loading reports that all records are being read.
+	// Loading reports that the reader is loading all records.
 	Loading bool
 }
 
-// NewReader returns a reader, and makes it the one that the writer asks to reload records.
+// NewReader returns a reader and registers it with the writer, which asks it to reload records.
 func NewReader(term *term.State, store kvstore.Store, jobs *jobtable.Table, machines *machinetable.Table,
 	writer *Writer, reconciler *reconciler.Reconciler, commands *reconciler.CommandSender,
 	heartbeats *reconciler.HeartbeatHandler, objectives *objectives.Tracker, steps *term.StepTimer) *Reader {
@@ -57,7 +57,7 @@
 	return r
 }
 
-// DelegationRecords loads the delegations to other cells, and reconciles them with the job records.
+// DelegationRecords loads the delegations to other cells and reconciles them with the job records.
 type DelegationRecords interface {
 	LoadDelegations(done func())
 	MatchDelegations()
@@ -69,15 +69,15 @@
 	LoadZones(done func())
 }
 
-// loadPass is one pass over all records, from the first page of heads until following begins.
+// loadPass is one pass over all records, from the first page of heads until the watch begins.
 type loadPass struct {
 	startedAt clock.Micros
-	// revision is that of the first page. Following starts there, so that no change is missed
-	// between reading and following.
+	// revision is the store's revision at the first page. The watch starts there, so that the reader
+	// misses no change between the load and the watch.
 	revision protocol.Revision
 }
 
-// Load reads all records, and then follows their changes.
+// Load reads all records and then watches them for changes.
 func (r *Reader) Load() {
 	r.Loading = true
 	pass := &loadPass{startedAt: r.Now()}
@@ -85,7 +85,7 @@
 		func() { r.loadShards(pass) })
 }
 
-// adoptPage takes over a page of job records.
+// adoptPage applies a page of job records.
 func (r *Reader) adoptPage(pass *loadPass, page protocol.ItemList) {
 	if pass.revision == 0 {
 		pass.revision = page.Revision
@@ -95,20 +95,22 @@
 	}
 }
 
-// loadShards comes after the heads: only the leader writes shards, so none is missed.
+// loadShards loads the shards after the heads. Only the leader writes shards, so the load misses none.
 func (r *Reader) loadShards(pass *loadPass) {
 	r.LoadAll(jobrecord.ShardsPrefix, r.AdoptShard, func() { r.loadDelegations(pass) })
 }
 
+// loadDelegations loads the delegations after the shards.
 func (r *Reader) loadDelegations(pass *loadPass) {
 	r.Delegations.LoadDelegations(func() { r.loadZones(pass) })
 }
 
+// loadZones loads the state of zone recoveries after the delegations.
 func (r *Reader) loadZones(pass *loadPass) {
 	r.Zones.LoadZones(func() { r.finishLoad(pass) })
 }
 
-// LoadAll reads all keys with a prefix, however often it has to retry.
+// LoadAll reads all keys with a prefix and retries until it succeeds.
 func (r *Reader) LoadAll(prefix string, adopt func(protocol.Item), done func()) {
 	r.loadPages(prefix, "", func(page protocol.ItemList) {
 		for _, item := range page.Items {
@@ -117,12 +119,12 @@
 	}, done)
 }
 
-// loadPages reads all keys with a prefix after from. A page that can't be read is asked for again
-// after a pause.
+// loadPages reads all keys with a prefix after the key from. It retries a page that can't be read after
+// a pause.
 func (r *Reader) loadPages(prefix, from string, adopt func(protocol.ItemList), done func()) {
-	same := r.SameTerm()
+	sameTerm := r.SameTerm()
 	adoptInTerm := func(page protocol.ItemList) (more bool) {
-		if !same() {
+		if !sameTerm() {
 			return false
 		}
 		adopt(page)
@@ -138,8 +140,8 @@
 		}))
 }
 
-// AdoptShard takes over a shard as read, if its job waits for it. A shard that belongs to no sharded
-// record is left over from a leader that ended while it sharded one.
+// AdoptShard applies a shard if the job's shards are still unread. A shard without a sharded record is
+// a stray shard: it was written by a leader whose term ended while it sharded the record.
 func (r *Reader) AdoptShard(item protocol.Item) {
 	id, shard, ok := jobrecord.ParseShardKey(item.Key)
 	j := r.jobs.ByID[id]
@@ -156,7 +158,7 @@
 	}
 }
 
-// finishLoad lets the leader act on the records, and begins to follow their changes.
+// finishLoad marks the records as loaded, which lets the leader act on them, and begins to watch them.
 func (r *Reader) finishLoad(pass *loadPass) {
 	for _, j := range ordered.ByKey(r.jobs.ByID) {
 		if j.ShardsUnread() {
@@ -169,22 +171,23 @@
 	r.FreshAt = pass.startedAt
 	if first {
 		r.heartbeats.HandleDeferred()
-		slog.Info("records read", "epoch", r.Term.Epoch, "open_jobs", len(r.jobs.ByID),
+		slog.Info("job records loaded", "epoch", r.Term.Epoch, "open_jobs", len(r.jobs.ByID),
 			"took_ms", (r.Now()-pass.startedAt)/clock.Millisecond)
 	}
 	r.steps.Wake()
 	r.follow(pass.revision)
 }
 
-// follow waits for what other nodes accept and cancel after a revision. The store responds at least
-// every FollowInterval, which shows how fresh the records are.
+// follow watches for the jobs that other controllers accept or cancel after a revision. The store
+// responds at least every FollowInterval, and each response shows how fresh the records are.
 func (r *Reader) follow(from protocol.Revision) {
 	sentAt := r.Now()
 	handle := func(reply kvstore.Result[protocol.WatchResponse]) { r.handleFollowed(from, sentAt, reply) }
 	r.Store.Follow(jobrecord.Prefix, from, term.FollowInterval, term.Guarded(r.State, handle))
 }
 
-// handleFollowed takes over the changes of the records since a revision, and goes on from there.
+// handleFollowed applies the changes that the watch returned, and continues the watch from their
+// revision.
 func (r *Reader) handleFollowed(from protocol.Revision, sentAt clock.Micros,
 	reply kvstore.Result[protocol.WatchResponse]) {
 	switch {
@@ -193,13 +196,14 @@
 		r.adoptChanges(reply.Value)
 		r.follow(max(from, reply.Value.Revision))
 	case errors.Is(reply.Err, kvstore.ErrCompacted):
-		r.Load() // the store has forgotten changes since
+		r.Load() // the store has compacted the changes after this revision
 	default:
 		r.AfterInTerm(term.RetryDelay, func() { r.follow(from) })
 	}
 }
 
-// adoptChanges takes over followed changes. Deletions are this leader's own.
+// adoptChanges applies the changes that a watch returned. It ignores deletions, since only this leader
+// deletes records.
 func (r *Reader) adoptChanges(changes protocol.WatchResponse) {
 	for _, e := range changes.Events {
 		if e.Put != "" {
--- a/internal/leader/recordstore/reload.go
+++ b/internal/leader/recordstore/reload.go
@@ -11,15 +11,15 @@
 	"postpoint/internal/protocol"
 )
 
-// shardedRecord is a sharded record as read.
+// shardedRecord is a sharded record as the reader has read it.
 type shardedRecord struct {
 	head    *jobrecord.Record
 	version protocol.Revision // of the head
 	shards  []protocol.Item
 }
 
-// reload reads a record again, to replace what is in memory. Nothing was done about what is lost by
-// this: the leader acts on durable placements only.
+// reload reads a record again to replace the state in memory. This may discard uncommitted changes, but
+// the leader hasn't acted on them: it acts on committed placements only.
 func (r *Reader) reload(j *jobtable.Job) {
 	if j.Loading() {
 		return
@@ -29,7 +29,8 @@
 	r.Store.Get(jobrecord.Key(j.Spec.ID), term.Guarded(r.State, handle))
 }
 
-// handleReload takes over the record of a reload. For a sharded one it goes on to the shards.
+// handleReload applies the record that a reload has read. If it is the head of a sharded record, the
+// reader lists the shards next.
 func (r *Reader) handleReload(j *jobtable.Job, reply kvstore.Result[protocol.Item]) {
 	head, err := jobrecord.Decode(reply.Value.Value)
 	if reply.Err == nil && err == nil && head.ShardSize > 0 {
@@ -40,34 +41,35 @@
 	}
 	r.endRead(j)
 	if r.jobs.ByID[j.Spec.ID] != j {
-		return // over meanwhile
+		return // the leader has dropped the job meanwhile
 	}
 	switch {
 	case reply.Err == nil:
 		r.Adopt(jobrecord.Key(j.Spec.ID), reply.Value.Value, reply.Value.Version)
 	case errors.Is(reply.Err, kvstore.ErrNotFound) && j.Hosted != nil:
-		r.jobs.Forget(j) // only this leader removes it
+		r.jobs.Forget(j) // only this leader deletes a hosted job's record
 	default:
 		r.writer.Pause()
 	}
 	r.steps.Wake()
 }
 
-// listShards reads the stored shards of one record, while its job counts as being read. found isn't
-// called if the read fails or the job is over by then.
+// listShards reads the stored shards of one record and passes them to found. The job counts as loading
+// until then. listShards doesn't call found if the read fails or the leader has dropped the job
+// meanwhile.
 func (r *Reader) listShards(j *jobtable.Job, found func(shards []protocol.Item)) {
-	same := r.SameTerm()
+	sameTerm := r.SameTerm()
 	var shards []protocol.Item
 	collect := func(page protocol.ItemList) (more bool) {
 		shards = append(shards, page.Items...)
-		return same()
+		return sameTerm()
 	}
 	kvstore.WalkPages(r.Store, jobrecord.JobShardsPrefix(j.Spec.ID), "", collect,
 		term.Guarded2(r.State, func(err error, _ string) {
 			if err == nil {
 				r.endListing(j, shards, found)
 			} else {
-				// All of it is read again after a pause.
+				// PendingUnits starts the whole read again after the pause.
 				j.NoteRecordEvent(jobtable.EventReadEnded)
 				r.writer.Pause()
 			}
@@ -75,6 +77,8 @@
 		}))
 }
 
+// endListing passes the listed shards to found, unless the leader has dropped the job, and ends the
+// read.
 func (r *Reader) endListing(j *jobtable.Job, shards []protocol.Item, found func([]protocol.Item)) {
 	if r.jobs.ByID[j.Spec.ID] == j {
 		found(shards)
@@ -82,7 +86,7 @@
 	r.endRead(j)
 }
 
-// endRead ends a read of a record or its shards, and takes over what was followed meanwhile.
+// endRead ends a read of a record or its shards, and applies the event that arrived meanwhile.
 func (r *Reader) endRead(j *jobtable.Job) {
 	j.NoteRecordEvent(jobtable.EventReadEnded)
 	if r.jobs.ByID[j.Spec.ID] == j {
@@ -90,10 +94,10 @@
 	}
 }
 
-// replaceSharded makes a sharded record, as read, what is known of its job.
+// replaceSharded replaces the state of a job in memory by its sharded record as read.
 func (r *Reader) replaceSharded(j *jobtable.Job, record shardedRecord) {
 	if record.version < j.Version {
-		return // a response from before the last change; it is read again
+		return // the response is older than the last known change; the record is read again
 	}
 	versions, err := applyShards(record)
 	r.jobs.RemoveFromMachines(j)
@@ -103,14 +107,15 @@
 	}
 	j.Shards = nil
 	r.replaceHead(j, record.head, record.version)
-	// The versions come before what the machines reported meanwhile, which is a change of the shards.
+	// The versions must be set first: noteShardsLoaded applies the heartbeats that arrived meanwhile,
+	// which changes the shards.
 	for shard, version := range versions {
 		j.Shards[shard].Replace(version)
 	}
 	r.noteShardsLoaded(j)
 }
 
-// applyShards adds what the shards say to the head, and returns the shards' versions by number.
+// applyShards adds the content of the shards to the head, and returns the shards' versions by number.
 func applyShards(record shardedRecord) (versions map[int]protocol.Revision, err error) {
 	versions = map[int]protocol.Revision{}
 	for _, item := range record.shards {
@@ -126,9 +131,9 @@
 	return versions, nil
 }
 
-// findShards looks for shards of a job that is over whose changes had no response. Its head has
-// changed since, so none of those changes can be carried out any more.
-func (r *Reader) findShards(j *jobtable.Job) {
+// findUnknownShards lists the stored shards of a final job if the outcome of some shard write is
+// unknown. The head has changed since those writes, so the store can't execute any of them any more.
+func (r *Reader) findUnknownShards(j *jobtable.Job) {
 	unknown := func(v *jobtable.StoredValue) bool { return v.OutcomeUnknown }
 	if j.Loading() || !j.IsStored() || !slices.ContainsFunc(j.Shards, unknown) {
 		return
@@ -137,7 +142,7 @@
 	r.listShards(j, func(shards []protocol.Item) { noteStoredShards(j, shards) })
 }
 
-// noteStoredShards notes which shards of a job exist, by a list of all of them.
+// noteStoredShards notes which shards of a job exist, from a list of all of its stored shards.
 func noteStoredShards(j *jobtable.Job, shards []protocol.Item) {
 	for _, v := range j.Shards {
 		v.Version, v.OutcomeUnknown = 0, false
@@ -149,9 +154,9 @@
 	}
 }
 
-// findStrayShards looks for what is stored of shards that were dropped, to have it removed. A shard
-// whose change had no response may exist unknown to this leader, and would conflict with sharding
-// the record again.
+// findStrayShards lists the stored shards of a record that is undivided again, so that the writer
+// removes them. A shard whose write had an unknown outcome may exist without this leader's knowledge,
+// and would conflict with a new attempt to shard the record.
 func (r *Reader) findStrayShards(j *jobtable.Job) {
 	if j.Loading() {
 		return
@@ -160,6 +165,7 @@
 	r.listShards(j, func(shards []protocol.Item) { r.noteStrayShards(j, shards) })
 }
 
+// noteStrayShards registers the listed shards for removal.
 func (r *Reader) noteStrayShards(j *jobtable.Job, shards []protocol.Item) {
 	for _, item := range shards {
 		r.jobs.StrayShards[item.Key] = item.Version
--- a/internal/leader/recordstore/sharding.go
+++ b/internal/leader/recordstore/sharding.go
@@ -8,21 +8,22 @@
 	"postpoint/internal/ordered"
 )
 
-// Limits returns the limits that records are written within: the tightest that may hold once no
-// controller needs undivided records any more.
+// Limits returns the limits on the size of a value and the number of operations in a transaction. Once
+// all controllers can read sharded records, these are the tightest limits that the store may have.
 func (w *Writer) Limits() (valueBytes, txnOps int) {
-	state := w.Settings.Deployment.KVStore
+	limits := w.Settings.Deployment.KVStore
 	if w.Format.Services || w.LimitsTightened {
-		state = state.Tightest()
+		limits = limits.Tightest()
 	}
-	txnOps = state.TxnOps
+	txnOps = limits.TxnOps
 	if w.learnedTxnOps > 0 {
 		txnOps = min(txnOps, w.learnedTxnOps)
 	}
-	return state.ValueBytes(), txnOps
+	return limits.ValueBytes(), txnOps
 }
 
-// ShardLargeRecords starts to shard the records that have no room for all of their jobs' tasks.
+// ShardLargeRecords starts to shard the records that can't hold the placements of all pending tasks of
+// their jobs within the size limit of a value.
 func (w *Writer) ShardLargeRecords() {
 	if !w.Format.Services {
 		return
@@ -38,10 +39,10 @@
 	}
 }
 
-// Shard starts to write a record in shards. The undivided record stays the valid one until all
-// shards are stored and the head, which is written last, says so: a leader that takes over before
-// that reads the undivided record, and removes the shards. Nothing is placed meanwhile; tasks that
-// end are noted in the shards.
+// Shard starts to split a record into shards. The undivided record stays valid until all shards are
+// stored and the head, which the leader writes last, marks the record as sharded. A new leader that
+// takes over before that reads the undivided record and removes the shards. While a record is being
+// sharded the leader places no task of the job, and notes the ends of tasks in the shards.
 func (w *Writer) Shard(j *jobtable.Job) {
 	if !w.mayShard(j) {
 		return
@@ -57,8 +58,8 @@
 	w.jobs.NoteHeadChange(j)
 }
 
-// mayShard reports whether sharding a record can't conflict with anything under way. Stray shards
-// would stand where the new ones are to be created.
+// mayShard reports whether a record can be sharded without a conflict with writes or reads in progress.
+// Stray shards would occupy the keys of the new shards.
 func (w *Writer) mayShard(j *jobtable.Job) bool {
 	switch {
 	case j.InFlight, j.MustReload():
@@ -69,7 +70,7 @@
 	return j.ShardSize == 0 && j.Hosted == nil
 }
 
-// noteShardContents has all shards written that anything is known of.
+// noteShardContents marks every shard that has any content as changed, so that the writer stores it.
 func (w *Writer) noteShardContents(j *jobtable.Job) {
 	for task := range j.Placements {
 		j.ShardValue(task).NoteChange(w.Now())
--- a/internal/leader/recordstore/units.go
+++ b/internal/leader/recordstore/units.go
@@ -8,7 +8,7 @@
 	"postpoint/internal/protocol"
 )
 
-// HeadIndex stands for a job's record, or the head of a sharded one, where shards are numbered.
+// HeadIndex denotes a job's record, or the head of a sharded one, in place of a shard number.
 const HeadIndex = -1
 
 // Write is a change of one stored value of a job.
@@ -16,24 +16,25 @@
 	Job   *jobtable.Job
 	Value *jobtable.StoredValue
 	Shard int // the shard's number, or HeadIndex
-	// ChangeCount is the value's count of changes that this write stores.
+	// ChangeCount is the value's count of changes at the content that this write stores.
 	ChangeCount int
-	// headVersion is the version of the head that a shard's change depends on.
+	// headVersion is the version of the head that the write of a shard requires.
 	headVersion protocol.Revision
-	remove      bool
+	remove      bool // deletes the shard
 }
 
-// headWrite returns the write of a job's record or head as it is now.
+// headWrite returns the write of a job's current record or head.
 func headWrite(j *jobtable.Job) Write {
 	return Write{Job: j, Value: &j.StoredValue, Shard: HeadIndex, ChangeCount: j.ChangeCount}
 }
 
-// shardWrite returns the write of a shard as it is now.
+// shardWrite returns the write of a shard's current content.
 func shardWrite(j *jobtable.Job, shard int) Write {
 	v := j.Shards[shard]
 	return Write{Job: j, Value: v, Shard: shard, ChangeCount: v.ChangeCount, headVersion: j.Version}
 }
 
+// key returns the key of the value in the store.
 func (w *Write) key() string {
 	if w.Shard == HeadIndex {
 		return jobrecord.Key(w.Job.Spec.ID)
@@ -41,7 +42,8 @@
 	return jobrecord.ShardKey(w.Job.Spec.ID, w.Shard)
 }
 
-// change returns what is written, encoded only when it is about to be sent.
+// change returns the change that the transaction contains. It encodes the value only now, just before
+// the writer sends it.
 func (w *Write) change() protocol.Change {
 	switch {
 	case w.Shard == HeadIndex:
@@ -52,16 +54,16 @@
 	return protocol.Change{Put: w.key(), Value: w.Job.EncodeShard(w.Shard)}
 }
 
-// end ends the time in which the write is in flight. Releases that it may contradict are confirmed
-// if it is decided, and no earlier write of the value can come late.
-func (w *Write) end(decided bool) {
+// noteResponse notes that the write isn't in flight any more. If its outcome is decided and no earlier
+// write of the value can still be executed, the releases of placements in the value are confirmed.
+func (w *Write) noteResponse(decided bool) {
 	w.Value.InFlight = false
 	if decided && !w.Value.OutcomeUnknown {
 		w.Value.UnconfirmedReleases = nil
 	}
 }
 
-// markStored notes that the write was carried out.
+// markStored notes that the store committed the write at a revision.
 func (w *Write) markStored(revision protocol.Revision) {
 	w.Value.Version, w.Value.StoredCount, w.Value.RefusedBytes = revision, w.ChangeCount, 0
 	w.Value.ResolveOutcome()
@@ -70,17 +72,17 @@
 	}
 }
 
-// urgency orders the changes of one rank.
+// urgency orders the changes of jobs with the same rank.
 type urgency int
 
 const (
-	urgencyWhole   urgency = iota // a whole job waits for it
-	urgencyStart                  // some tasks of a job wait for it, or all while it is sharded
-	urgencyEnds                   // ends of some tasks among many, that nobody waits for
-	urgencyRemoval                // of shards that nobody needs any more
+	urgencyWholeJob urgency = iota // a whole job waits for it
+	urgencyStart                   // some tasks of a job wait for it, or all while it is being sharded
+	urgencyExit                    // exits of some tasks among many, which nobody waits for
+	urgencyRemoval                 // removal of shards that nobody needs any more
 )
 
-// WriteUnit is a set of changes that go in one transaction or not at all.
+// WriteUnit is a set of changes that the writer commits in one transaction or not at all.
 type WriteUnit struct {
 	writes    []Write
 	rank      int
@@ -89,14 +91,13 @@
 }
 
 const (
-	// endedTasksDelay is how long the end of a task may wait for other changes of its record.
-	endedTasksDelay = 700 * clock.Millisecond
-	// shardEndedTasksDelay is the same for sharded records, that cost a write for each shard.
-	shardEndedTasksDelay = 4 * clock.Second
+	// exitCommitDelay is how long the exit of a task may wait for other changes of its record.
+	exitCommitDelay = 700 * clock.Millisecond
+	// shardExitCommitDelay is the delay for sharded records, which need one write per shard.
+	shardExitCommitDelay = 4 * clock.Second
 )
 
-// PendingUnits returns the changes that are due, and starts to read the records that must be
-// reloaded.
+// PendingUnits returns the changes that are due, and starts to read the records that must be reloaded.
 func (w *Writer) PendingUnits() []WriteUnit {
 	var units []WriteUnit
 	for _, j := range ordered.ByKey(w.jobs.ByID) {
@@ -116,30 +117,30 @@
 	return units
 }
 
-// fenceUnit writes the head of a sharded record anew before its shards are read. Changes of shards
-// that had no response depend on the head's version: they can't be carried out any more after it,
-// while a read before it may not show them yet.
+// fenceUnit returns a write of a sharded record's head that must commit before its shards are read.
+// Writes of shards with an unknown outcome require the head's present version: the store can't execute
+// them after the head has changed, while a read before that might not show them yet.
 func (w *Writer) fenceUnit(j *jobtable.Job) []WriteUnit {
 	if j.InFlight {
 		return nil
 	}
 	w.jobs.NoteHeadChange(j)
-	return []WriteUnit{{[]Write{headWrite(j)}, j.Rank(), urgencyWhole, j.ChangedAt}}
+	return []WriteUnit{{[]Write{headWrite(j)}, j.Rank(), urgencyWholeJob, j.ChangedAt}}
 }
 
-// unitsOf returns the changes of one job that are due. Once a job is over its shards aren't written
-// any more, but removed.
+// unitsOf returns the changes of one job that are due. Once a job is final, the writer doesn't write
+// its shards any more but removes them.
 func (w *Writer) unitsOf(j *jobtable.Job) []WriteUnit {
 	units := w.headUnits(j)
 	if j.Final() {
-		w.reader.findShards(j)
+		w.reader.findUnknownShards(j)
 		return append(units, removalUnits(j)...)
 	}
 	return append(units, w.shardUnits(j)...)
 }
 
-// headUnits returns the change of a job's record or head, if it is due. A record that is being
-// sharded gets its head once all of its shards are stored.
+// headUnits returns the change of a job's record or head if it is due. The head of a record that is
+// being sharded is due only after all of its shards are stored.
 func (w *Writer) headUnits(j *jobtable.Job) []WriteUnit {
 	v := &j.StoredValue
 	if v.InFlight || v.ChangeCount == v.StoredCount || j.Sharding() && !j.ShardsStored() {
@@ -152,37 +153,37 @@
 	return []WriteUnit{{[]Write{headWrite(j)}, j.Rank(), urgency, v.ChangedAt}}
 }
 
-// shardUnits returns the changes of a job's shards that are due: each for itself, or all together
-// for a gang, which starts as a whole.
+// shardUnits returns the changes of a job's shards that are due. Each shard is a unit of its own,
+// except that the shards of a gang, which starts as a whole, form a single unit.
 func (w *Writer) shardUnits(j *jobtable.Job) []WriteUnit {
 	_, txnOps := w.Limits()
-	together := j.Spec.Gang() && !j.Sharding() && len(j.Shards) <= txnOps
+	asOneUnit := j.Spec.Gang() && !j.Sharding() && len(j.Shards) <= txnOps
 	var units []WriteUnit
-	whole := WriteUnit{rank: j.Rank(), urgency: urgencyWhole}
+	gangUnit := WriteUnit{rank: j.Rank(), urgency: urgencyWholeJob}
 	for shard, v := range j.Shards {
 		if v.IsStored() || v.InFlight {
 			continue
 		}
 		urgency := shardUrgency(j, v)
 		switch {
-		case together:
-			whole.writes = append(whole.writes, shardWrite(j, shard))
-			whole.changedAt = max(whole.changedAt, v.ChangedAt)
+		case asOneUnit:
+			gangUnit.writes = append(gangUnit.writes, shardWrite(j, shard))
+			gangUnit.changedAt = max(gangUnit.changedAt, v.ChangedAt)
 		case w.Now() >= v.ChangedAt+commitDelay(urgency, j):
 			units = append(units, WriteUnit{[]Write{shardWrite(j, shard)}, j.Rank(), urgency, v.ChangedAt})
 		}
 	}
-	if len(whole.writes) > 0 {
-		units = append(units, whole)
+	if len(gangUnit.writes) > 0 {
+		units = append(units, gangUnit)
 	}
 	return units
 }
 
-// removalUnits returns the removals of those shards of a job that is over which hold nothing that
-// may still run.
+// removalUnits returns the removals of those shards of a final job that hold no placement, so that none
+// of their tasks may still run.
 func removalUnits(j *jobtable.Job) []WriteUnit {
 	if !j.IsStored() {
-		return nil // until its end is stored they are needed
+		return nil // the shards are needed until the final record is stored
 	}
 	needed := map[int]bool{}
 	if j.ShardSize > 0 {
@@ -202,36 +203,37 @@
 	return units
 }
 
-// headUrgency puts what a whole job waits for before starts, and those before ends of some tasks
-// among many.
+// headUrgency returns the urgency of a change of a record or head. A change that a whole job waits for
+// precedes starts of some tasks, and those precede exits of some tasks among many.
 func headUrgency(j *jobtable.Job) urgency {
 	switch {
 	case j.Sharding():
 		return urgencyStart
 	case j.Final() || j.Spec.Gang() || len(j.Uncommitted) > 0 && len(j.Uncommitted) == len(j.Placements):
-		return urgencyWhole
+		return urgencyWholeJob
 	case len(j.Uncommitted) > 0:
 		return urgencyStart
 	}
-	return urgencyEnds
+	return urgencyExit
 }
 
+// shardUrgency returns the urgency of a change of a shard: starts precede exits.
 func shardUrgency(j *jobtable.Job, v *jobtable.StoredValue) urgency {
 	if j.Sharding() || len(v.Uncommitted) > 0 {
 		return urgencyStart
 	}
-	return urgencyEnds
+	return urgencyExit
 }
 
-// commitDelay is how long a change may wait for others of its value. Each write costs a part of the
-// store's rate limit however much it changes, and the ends of single tasks, that nobody waits for,
-// come one by one.
+// commitDelay returns how long a change may wait for other changes of the same value. Each write counts
+// against the store's rate limit regardless of how much it changes, and the exits of single tasks,
+// which nobody waits for, happen one at a time.
 func commitDelay(urgency urgency, j *jobtable.Job) clock.Micros {
 	switch {
-	case urgency != urgencyEnds:
+	case urgency != urgencyExit:
 		return 0
 	case j.ShardSize > 0:
-		return shardEndedTasksDelay
+		return shardExitCommitDelay
 	}
-	return endedTasksDelay
+	return exitCommitDelay
 }
--- a/internal/leader/recordstore/writer.go
+++ b/internal/leader/recordstore/writer.go
@@ -1,6 +1,7 @@
-// Package recordstore reads, follows and writes the job records in the key-value store: the write
-// path of the leader. Every write depends on the leader's key and on the version that it changes.
-// What the records say belongs to package jobtable; how they are encoded, to package jobrecord.
+// Package recordstore loads, watches and writes the job records in the key-value store: it is the write
+// path of the leader. Every write requires that the leader key and the written value still have the
+// versions that the leader knows. Package jobtable owns the content of the records, and package
+// jobrecord their encoding.
 package recordstore
 
 import (
@@ -19,7 +20,7 @@
 	"postpoint/internal/protocol"
 )
 
-// Writer commits changed job records, within the limits of the key-value store.
+// Writer commits changed job records within the limits of the key-value store.
 type Writer struct {
 	*term.State
 	Store    kvstore.Store
@@ -27,18 +28,19 @@
 	machines *machinetable.Table
 	reader   *Reader
 	commands *reconciler.CommandSender
-	// Hosted is told of stored changes of jobs that another cell has delegated to this one.
+	// Hosted observes committed changes of hosted jobs, which another cell has delegated to this one.
 	Hosted HostedObserver
 	steps  *term.StepTimer
 
 	// Committing reports that a transaction is in flight.
 	Committing bool
-	// PauseUntil is set after the store has refused a request.
+	// PauseUntil is when the writer may send again after the store has refused a request.
 	PauseUntil clock.Micros
-	// LimitsTightened reports that the store was seen to refuse what its first limits allow.
+	// LimitsTightened reports that the store has rejected a transaction within the limits that were
+	// assumed first.
 	LimitsTightened bool
-	// learnedTxnOps is how many changes a transaction may have by what the store has refused, 0 if
-	// it has refused none for that.
+	// learnedTxnOps is how many changes a transaction may have according to what the store has
+	// rejected, 0 if it has rejected no transaction for its number of changes.
 	learnedTxnOps int
 }
 
@@ -58,30 +60,31 @@
 // Begin forgets a transaction that was sent in an earlier term.
 func (w *Writer) Begin() { w.Committing = false }
 
-// Pause puts the next transaction off: the key-value store doesn't serve this node.
+// Pause delays the next transaction by RetryDelay, since the key-value store doesn't serve this
+// controller.
 func (w *Writer) Pause() { w.PauseUntil = w.Now() + term.RetryDelay }
 
-// Paused reports whether the key-value store refused a request a moment ago.
+// Paused reports whether the writer still waits after the key-value store refused a request.
 func (w *Writer) Paused() bool { return w.Now() < w.PauseUntil }
 
-// HostedObserver is told of stored changes of jobs that another cell has delegated to this one.
+// HostedObserver observes committed changes of hosted jobs.
 type HostedObserver interface {
 	NoteHostedStored(j *jobtable.Job)
 }
 
-// txnBytes is how much of the 64 KiB that a transaction may have is used: sizes are counted as JSON,
+// txnBytes is how much of the 64 KiB limit on a transaction the writer uses. It counts sizes as JSON,
 // which is a little longer than what the store measures.
 const txnBytes = 40 << 10
 
-// writeTransaction is a transaction in the making, with the writes that it consists of.
+// writeTransaction is a transaction that is being assembled, with the writes that it consists of.
 type writeTransaction struct {
 	*election.Transaction
 	writes []Write
 	size   int
 }
 
-// Commit writes changed records, many in one transaction, each on the condition of its own version
-// and all on that of the leader's key: a deposed leader changes nothing.
+// Commit writes changed records, many in one transaction. Each write requires the version of its value,
+// and all of them require the leader key: a deposed leader changes nothing.
 func (w *Writer) Commit() {
 	if w.Committing || w.Paused() {
 		return
@@ -101,7 +104,7 @@
 	}
 }
 
-// add takes a unit into the transaction if there is room for all of it.
+// add adds a unit to the transaction if all of it fits.
 func (w *Writer) add(t *writeTransaction, u WriteUnit) {
 	limit, txnOps := w.Limits()
 	if len(t.writes)+len(u.writes) > txnOps {
@@ -131,8 +134,9 @@
 	}
 }
 
-// tooLarge reports whether a value can't be stored as it is. An undivided record is sharded if it
-// may be; until then its job goes on with what is stored, and other changes go out.
+// tooLarge reports whether a value is too large to be stored. If its record is undivided and may be
+// sharded, tooLarge starts to shard it. Until that is done the stored version stays in effect for its
+// job, and changes of other jobs are committed.
 func (w *Writer) tooLarge(write *Write, value []byte, limit int) bool {
 	refusedBytes := write.Value.RefusedBytes
 	if len(value) < limit/2 && refusedBytes == 0 {
@@ -149,7 +153,7 @@
 	return true
 }
 
-// send commits a transaction, one at a time.
+// send commits a transaction. Only one is in flight at a time.
 func (w *Writer) send(t *election.Transaction, handle func(kvstore.Result[protocol.Revision])) {
 	w.Committing = true
 	t.Commit(w.Store, term.Guarded(w.State, func(r kvstore.Result[protocol.Revision]) {
@@ -159,8 +163,8 @@
 	}))
 }
 
-// removeStrayShards removes shards that belong to no sharded record: a leader ended while it sharded
-// one, or sharding was abandoned.
+// removeStrayShards removes shards that belong to no sharded record: the term of a leader ended while
+// it sharded the record, or a leader abandoned the sharding.
 func (w *Writer) removeStrayShards() {
 	if len(w.jobs.StrayShards) == 0 {
 		return
@@ -177,7 +181,7 @@
 	w.send(t, func(r kvstore.Result[protocol.Revision]) { w.handleRemoval(t.Changes(), r) })
 }
 
-// handleRemoval takes note of the removal of stray shards.
+// handleRemoval handles the result of a removal of stray shards.
 func (w *Writer) handleRemoval(changes []protocol.Change, r kvstore.Result[protocol.Revision]) {
 	switch outcomeOf(r.Err) {
 	case outcomeCommitted:
@@ -185,7 +189,7 @@
 			delete(w.jobs.StrayShards, c.Delete)
 		}
 	case outcomeConflict, outcomeDeposed:
-		// Another request has changed them, an earlier copy of this one most likely.
+		// Another request has changed them, most likely an earlier copy of this one.
 		for _, key := range kvstore.Failed(r.Err) {
 			delete(w.jobs.StrayShards, key)
 		}
@@ -194,8 +198,8 @@
 	}
 }
 
-// compareUnits orders units: by rank, urgency, how long they have waited, and then by name, so that
-// the same units always go in the same order.
+// compareUnits orders units by rank, urgency, waiting time, and then by job ID and shard, so that the
+// order of the same units is always the same.
 func compareUnits(a, b WriteUnit) int {
 	first, second := &a.writes[0], &b.writes[0]
 	return cmp.Or(
