--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -129,7 +129,7 @@
 			store.respond()
 			want = http.StatusOK
 		} else {
-			d.heartbeats.HandleDeferred() // after deferredTime
+			d.heartbeats.HandleDeferred() // after maxDeferral
 		}
 		if status != want {
 			t.Fatalf("records read %v: status %d, want %d", read, status, want)
--- a/internal/leader/reconciler/commands.go
+++ b/internal/leader/reconciler/commands.go
@@ -15,8 +15,8 @@
 	"postpoint/internal/workerclient"
 )
 
-// CommandSender decides which commands a worker needs, and sends them directly or hands them to the
-// HeartbeatHandler.
+// CommandSender decides which commands a worker needs. It sends them directly or returns them to the
+// HeartbeatHandler for a response.
 type CommandSender struct {
 	*term.State
 	Workers    workerclient.API
@@ -32,33 +32,35 @@
 }
 
 const (
-	// CommandRepeatDelay is after which a command that seems not to have arrived is repeated.
+	// CommandRepeatDelay is how long the leader waits before it repeats a command that seems not to
+	// have arrived.
 	CommandRepeatDelay = clock.Second
-	// epochAnnounceInterval is from one announcement of the epoch to a machine to the next.
+	// epochAnnounceInterval is the time between two announcements of the epoch to the same machine.
 	epochAnnounceInterval = 2 * clock.Second
 )
 
-// CommandOutcome is what became of commands that were sent directly.
+// CommandOutcome classifies the result of a request with direct commands.
 type CommandOutcome int
 
 const (
-	// OutcomeUnknown is commands without a usable response: they may still be executed, however late.
+	// OutcomeUnknown means that there was no usable response: the worker may still execute the
+	// commands, however late.
 	OutcomeUnknown CommandOutcome = iota
-	// Executed is commands that the worker accepted.
+	// Executed means that the worker accepted the commands.
 	Executed
-	// NotExecuted is commands that the worker rejected, or that never left.
+	// NotExecuted means that the worker rejected the commands, or that the request was never sent.
 	NotExecuted
 )
 
-// CommandResult is the response to a direct command.
+// CommandResult is the result of a request with direct commands.
 type CommandResult struct {
 	Outcome CommandOutcome
-	// Heartbeat is what the worker said of itself, nil if it said nothing.
+	// Heartbeat is the worker's heartbeat in the response, nil if there is none.
 	Heartbeat *protocol.Heartbeat
 }
 
-// resultOf returns what a response says of the machine that the commands were meant for. Another
-// worker that has come to the address of the machine says nothing about it.
+// resultOf returns the result of a request to the given machine. If another worker responds because it
+// now has the machine's address, its heartbeat says nothing about the machine.
 func resultOf(machine protocol.MachineName, r *workerclient.Response) CommandResult {
 	var result CommandResult
 	switch {
@@ -67,15 +69,15 @@
 	case workerclient.NotExecuted(r.Err):
 		result.Outcome = NotExecuted
 	}
-	answered := r.Err == nil || errors.Is(r.Err, workerclient.ErrRejected)
-	if answered && r.Status.Machine == machine {
+	hasStatus := r.Err == nil || errors.Is(r.Err, workerclient.ErrRejected)
+	if hasStatus && r.Status.Machine == machine {
 		result.Heartbeat = &r.Status
 	}
 	return result
 }
 
-// Send sends direct commands, one request at a time to a machine. The worker's response, if there is
-// one, is passed to done and observed before the next request leaves.
+// Send sends direct commands, one request at a time to a machine. If the worker responds, Send passes
+// the result to done and the heartbeat to the reconciler before the next request leaves.
 func (cs *CommandSender) Send(m *machinetable.Machine, incarnation protocol.Incarnation,
 	commands []protocol.Command, done func(CommandResult)) {
 	m.BeginCommand()
@@ -97,12 +99,13 @@
 	}))
 }
 
-// Probe asks a worker for a sign of life by a request without commands.
+// Probe asks a worker for a heartbeat by a request without commands.
 func (cs *CommandSender) Probe(m *machinetable.Machine) {
 	cs.Send(m, m.Incarnation, []protocol.Command{}, func(CommandResult) {})
 }
 
-// permittedUntil returns until when starts of hosted jobs may leave.
+// permittedUntil returns the time until which the commands may be sent: the earliest expiry of the
+// permissions of the hosted jobs that they start.
 func (cs *CommandSender) permittedUntil(commands []protocol.Command) clock.Micros {
 	until := clock.Micros(math.MaxInt64)
 	for _, c := range commands {
@@ -114,11 +117,11 @@
 	return until
 }
 
-// unknownIncarnation is the guess for a worker that wasn't heard of yet. A wrong one is responded to
-// with the worker's heartbeat all the same.
-const unknownIncarnation protocol.Incarnation = 1
+// guessedIncarnation is the incarnation that the leader assumes for a worker that hasn't sent a
+// heartbeat yet. If it is wrong, the worker rejects the commands but still responds with its heartbeat.
+const guessedIncarnation protocol.Incarnation = 1
 
-// Push sends what is due directly, without waiting for the next heartbeat.
+// Push sends the commands that are due directly, without waiting for the next heartbeat.
 func (cs *CommandSender) Push(m *machinetable.Machine) {
 	leads := cs.Leads()
 	if !leads && !cs.MayRespond() || m.Address == "" || m.LeaseExpired {
@@ -134,7 +137,7 @@
 	}
 	incarnation := m.Incarnation
 	if !m.Seen {
-		incarnation = unknownIncarnation
+		incarnation = guessedIncarnation
 	}
 	if !cs.machines.EpochAcknowledged(m) {
 		m.EpochAnnouncedAt = cs.Now()
@@ -144,13 +147,13 @@
 	})
 }
 
-// epochAnnouncementDue reports whether a worker is to be sent this term's epoch.
+// epochAnnouncementDue reports whether it is time to announce this term's epoch to a worker.
 func (cs *CommandSender) epochAnnouncementDue(m *machinetable.Machine) bool {
 	return !cs.machines.EpochAcknowledged(m) &&
 		(m.EpochAnnouncedAt == 0 || cs.Now() >= m.EpochAnnouncedAt+epochAnnounceInterval)
 }
 
-// noteStartOutcomes notes what became of the starts among direct commands.
+// noteStartOutcomes notes the outcome of the starts among direct commands.
 func noteStartOutcomes(m *machinetable.Machine, commands []protocol.Command, outcome CommandOutcome) {
 	for _, c := range commands {
 		if c.Verb != protocol.VerbStart {
@@ -164,7 +167,7 @@
 	}
 }
 
-// stopRequest returns whether and how a placed task is to be stopped, nil if it isn't.
+// stopRequest returns the request to stop a placed task, nil if the task isn't to be stopped.
 func (cs *CommandSender) stopRequest(j *jobtable.Job, p jobrecord.Placement) *jobtable.StopRequest {
 	if j.Over() {
 		return &jobtable.StopRequest{Reason: "over"}
@@ -173,16 +176,16 @@
 		return &s
 	}
 	if j.Spec.Gang() && len(j.Placements) < j.Spec.Tasks && !cs.Completable(j) {
-		// A part of the gang is gone; the next attempt needs the room of all tasks.
+		// Some of the gang's tasks are gone: the next attempt needs the capacity of all tasks.
 		return &jobtable.StopRequest{Reason: "gang broken"}
 	}
 	return nil
 }
 
-// Completable reports whether a gang that lost tasks hasn't started, so that
-// replacements under the same attempt complete it. What a lost task's machine did
-// last isn't known, but had the gang started, the others would run or have
-// ended for want of a peer by the time the loss is proven.
+// Completable reports whether a gang that lost tasks hasn't started, so that replacements with the same
+// attempt number complete it. The leader doesn't know the last state of a lost task, but if the gang
+// had started, the remaining tasks would be running, or would have exited because a peer was missing,
+// by the time the loss is proven.
 func (cs *CommandSender) Completable(j *jobtable.Job) bool {
 	if !j.Spec.Gang() || len(j.Placements) == 0 || len(j.Stops) > 0 {
 		return false
@@ -200,8 +203,8 @@
 	return true
 }
 
-// mayWaitForPeers reports whether a task of a gang stands on a machine that goes on, and hasn't
-// started.
+// mayWaitForPeers reports whether a task of a gang hasn't started yet and is on a machine that keeps
+// running: one that renews its lease and that the cloud isn't about to recall.
 func (cs *CommandSender) mayWaitForPeers(j *jobtable.Job, p jobrecord.Placement) bool {
 	m := cs.machines.ByName[p.Machine]
 	if m == nil || !cs.machines.EpochAcknowledged(m) || !cs.machines.LeaseRenewed(m) || m.RecallAt != 0 {
@@ -211,8 +214,8 @@
 	return !reported || t.Status == protocol.TaskFetching || t.Status == protocol.TaskWaiting
 }
 
-// Stop takes a running task off its machine, saving a checkpoint if it can. A gang can only save as a
-// whole, so that all its tasks are stopped at once. forID is the job that needs the room, if any.
+// Stop stops a running task, which saves a checkpoint if it can. A gang can only save a checkpoint as a
+// whole, so Stop stops all of its tasks at once. forID is the job that needs the capacity, if any.
 func (cs *CommandSender) Stop(j *jobtable.Job, task int, reason string, forID protocol.JobID) {
 	if !j.Spec.Gang() {
 		cs.stopTask(j, task, reason, forID)
@@ -223,7 +226,7 @@
 	}
 }
 
-// stopTask stops one placed task, unless it is being stopped already.
+// stopTask stops one placed task unless it is already stopping.
 func (cs *CommandSender) stopTask(j *jobtable.Job, task int, reason string, forID protocol.JobID) {
 	p, placed := j.Placements[task]
 	if _, stopping := j.Stops[task]; !placed || stopping {
--- a/internal/leader/reconciler/commands_test.go
+++ b/internal/leader/reconciler/commands_test.go
@@ -11,7 +11,7 @@
 	"postpoint/internal/workerclient/workertest"
 )
 
-// fixedWorker responds to all commands in the same way.
+// fixedWorker is a fake worker that responds to all commands in the same way.
 type fixedWorker struct {
 	status    int
 	heartbeat protocol.Heartbeat
@@ -22,23 +22,24 @@
 	done(w.status, w.heartbeat)
 }
 
-// Only the protocol's refusals, and what never left, are known not to be executed; only the worker
-// that was asked speaks for its machine.
+// Only a rejection that the protocol defines, or a request that was never sent, proves that the worker
+// didn't execute the commands, and only the machine's own worker may report its status. If the leader
+// trusted other responses, it could place a task again while the first start still arrives.
 func TestResultOfDirectCommands(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		machine protocol.MachineName
-		status  int
-		want    CommandOutcome
-		heard   bool
+		name          string
+		machine       protocol.MachineName
+		status        int
+		want          CommandOutcome
+		wantHeartbeat bool
 	}{
 		{"accepted", "m-1", http.StatusOK, Executed, true},
 		{"accepted by another worker", "m-2", http.StatusOK, Executed, false},
 		{"rejected", "m-1", http.StatusConflict, NotExecuted, true},
 		{"malformed", "m-1", http.StatusBadRequest, NotExecuted, false},
-		{"never left", "", transport.NotSent, NotExecuted, false},
+		{"never sent", "", transport.NotSent, NotExecuted, false},
 		{"no response", "", 0, OutcomeUnknown, false},
-		{"failure of the worker", "m-1", http.StatusInternalServerError, OutcomeUnknown, false},
+		{"worker error", "m-1", http.StatusInternalServerError, OutcomeUnknown, false},
 	} {
 		worker := workertest.Client(fixedWorker{c.status, protocol.Heartbeat{Machine: c.machine}})
 		responses := 0
@@ -50,9 +51,9 @@
 		if responses != 1 {
 			t.Fatalf("%s: %d responses, want 1", c.name, responses)
 		}
-		if got.Outcome != c.want || (got.Heartbeat != nil) != c.heard {
-			t.Errorf("%s: outcome %v, heard of the machine %v; want %v and %v",
-				c.name, got.Outcome, got.Heartbeat != nil, c.want, c.heard)
+		if got.Outcome != c.want || (got.Heartbeat != nil) != c.wantHeartbeat {
+			t.Errorf("%s: outcome %v, heartbeat %v; want %v and %v",
+				c.name, got.Outcome, got.Heartbeat != nil, c.want, c.wantHeartbeat)
 		}
 	}
 }
--- a/internal/leader/reconciler/commandset.go
+++ b/internal/leader/reconciler/commandset.go
@@ -11,26 +11,28 @@
 	"postpoint/internal/protocol"
 )
 
-// Channel is the way by which commands reach a worker.
+// Channel is the way in which commands reach a worker.
 type Channel int
 
 const (
 	// ViaHeartbeat is the response to a heartbeat, which renews the worker's lease.
 	ViaHeartbeat Channel = iota
-	// ViaDirectCommand is a request of the leader's own, which doesn't.
+	// ViaDirectCommand is a request that the leader sends, which doesn't renew the lease.
 	ViaDirectCommand
 )
 
 const (
-	// ForgetBatch is how many exited tasks are forgotten at a time, unless ForgetDelay is over.
+	// ForgetBatch is the number of exited tasks that the leader lets a worker forget at a time, unless
+	// ForgetDelay has passed.
 	ForgetBatch = 4
-	// ForgetDelay is how long exited tasks wait for others to be forgotten with.
+	// ForgetDelay is the maximum time for which an exited task waits for others to be forgotten in the
+	// same batch.
 	ForgetDelay = 8 * clock.Second
 )
 
-// CommandsFor returns what the worker should do now, given its last heartbeat. Commands can be
-// repeated; responses to heartbeats carry all, direct commands only what is due. Without the leader's
-// lease there is nothing but the ends of what is cancelled.
+// CommandsFor returns the commands that the worker needs now, given its last heartbeat. Commands may be
+// repeated. Responses to heartbeats carry all of them, direct commands only those that are due. Without
+// the leader's lease the only commands are stops of cancelled tasks.
 func (cs *CommandSender) CommandsFor(m *machinetable.Machine, via Channel) []protocol.Command {
 	if cs.upToDate(m) {
 		return []protocol.Command{}
@@ -43,8 +45,8 @@
 	for id, tasks := range ordered.ByKey(m.Placements) {
 		j := cs.jobs.ByID[id]
 		if j == nil || j.Over() || j.MustReload() {
-			// Nothing of a job that is over is started, not even to be stopped at once: while a
-			// start may still arrive, its placement is kept until the incarnation ends.
+			// A task of a job that is over is never started, not even to stop it at once: while a start
+			// may still arrive, its placement stays until the worker's incarnation ends.
 			continue
 		}
 		for _, p := range ordered.ByKey(tasks) {
@@ -70,13 +72,13 @@
 }
 
 // repeatDue reports whether a command that was last sent at the given time, 0 for never, is to be sent
-// again: one that has just left by one channel doesn't leave by the other.
+// again. A command that was just sent through one channel isn't sent through the other.
 func (set *commandSet) repeatDue(sentAt clock.Micros) bool {
 	return sentAt == 0 || set.now-sentAt >= CommandRepeatDelay
 }
 
-// addForPlacement adds the commands that a placed task needs. Only placements that are in the stored
-// record are acted on.
+// addForPlacement adds the commands for a placed task. The leader acts only on placements that are in
+// the stored record.
 func (set *commandSet) addForPlacement(j *jobtable.Job, p jobrecord.Placement) {
 	m := set.m
 	if !j.Committed(p) || p.WorkerIncarnation() != m.Incarnation {
@@ -89,8 +91,8 @@
 	}
 	stop := set.sender.stopRequest(j, p)
 	d := m.Delivery(ref)
-	// With a stop wanted, a start that may still arrive is made to arrive now: it then has no effect
-	// later.
+	// If the task is to be stopped, a start that may still arrive is sent again before the stop: a late
+	// copy then has no effect.
 	startNeeded := !reported && (stop == nil || d.MayArrive())
 	if startNeeded && set.repeatDue(d.StartSentAt) && j.StartPermitted(stop, set.now) {
 		set.add(protocol.VerbStart, ref)
@@ -104,11 +106,12 @@
 	}
 }
 
-// addCancellations stops what is left of jobs that are over. For confirmed cancellations these are the
-// only commands that need neither the leader's lease nor fresh records: they are final. The response
-// to a heartbeat always carries them, since it renews the lease of what it doesn't stop.
+// addCancellations adds stops for the remaining tasks of jobs that are over. Confirmed cancellations
+// are final, so their stops are the only commands that need neither the leader's lease nor fresh
+// records. The response to a heartbeat always carries these stops, since it renews the lease, which
+// keeps alive every task that it doesn't stop.
 func (set *commandSet) addCancellations() {
-	for _, ref := range set.sender.endedTasks(set.m) {
+	for _, ref := range set.sender.tasksOfEndedJobs(set.m) {
 		d := set.m.Delivery(ref)
 		if set.via == ViaHeartbeat || set.repeatDue(d.StopSentAt) {
 			set.add(protocol.VerbStop, ref)
@@ -117,9 +120,9 @@
 	}
 }
 
-// endedTasks returns the tasks on a machine whose jobs are over, in a fixed order. Without the leader's
-// lease only those count that have to end in time.
-func (cs *CommandSender) endedTasks(m *machinetable.Machine) []machinetable.AttemptRef {
+// tasksOfEndedJobs returns the tasks on a machine whose jobs are over, in a fixed order. Without the
+// leader's lease it returns only the tasks that must end within a time limit.
+func (cs *CommandSender) tasksOfEndedJobs(m *machinetable.Machine) []machinetable.AttemptRef {
 	leads := cs.Leads()
 	var ended []machinetable.AttemptRef
 	for ref, t := range m.Tasks {
@@ -137,9 +140,10 @@
 	return protocol.Command{Verb: verb, Task: protocol.TaskName(ref.Job, ref.Task), Attempt: ref.Attempt}
 }
 
-// addForUnassigned stops and forgets what is on a machine and in no record. Each forgotten task is a
-// change that the worker reports at once, and most of what a leader under load receives: exited tasks
-// are forgotten several at a time, along with other commands, or after a while.
+// addForUnassigned adds commands that stop and forget the tasks that a machine reports but no record
+// contains. When a worker forgets a task it reports this change at once, and such reports are most of
+// what a leader under load receives. So the leader forgets exited tasks in batches, along with other
+// commands, or after ForgetDelay.
 func (set *commandSet) addForUnassigned() {
 	m := set.m
 	var forgets []protocol.Command
@@ -147,7 +151,7 @@
 	for _, ref := range set.sender.unassignedTasks(m) {
 		t := m.Tasks[ref]
 		if t.Status != protocol.TaskExited {
-			// No record has it: whatever it is, nobody needs it.
+			// No record contains the task, so nobody needs it.
 			set.add(protocol.VerbStop, ref)
 			continue
 		}
@@ -168,9 +172,9 @@
 	}
 }
 
-// unassignedTasks returns the tasks on a machine that aren't placed there, in a fixed order. What is
-// left of jobs that are over is stopped by addCancellations, and nothing is known of a job whose
-// record is malformed.
+// unassignedTasks returns the tasks on a machine that aren't placed there, in a fixed order. It skips
+// the tasks of jobs that are over, which addCancellations stops, and those of jobs whose records are
+// malformed, of which the leader knows nothing.
 func (cs *CommandSender) unassignedTasks(m *machinetable.Machine) []machinetable.AttemptRef {
 	var unassigned []machinetable.AttemptRef
 	for ref, t := range m.Tasks {
@@ -186,17 +190,17 @@
 	return unassigned
 }
 
-// forgettable reports whether a worker may forget an exited task: its end is stored, and no start can
-// bring the attempt back.
+// forgettable reports whether a worker may forget an exited task: its exit is stored, and no start can
+// run the attempt again.
 func (cs *CommandSender) forgettable(m *machinetable.Machine, ref machinetable.AttemptRef,
 	t protocol.TaskStatus) bool {
 	j := cs.jobs.ByID[ref.Job]
 	return (j == nil || j.OutcomeStored(ref.Task)) && !m.StartMayArrive(ref) && !LateStartHarmful(m, ref, t)
 }
 
-// upToDate reports whether a machine runs exactly what it is to run, so that it needs no commands.
-// Most heartbeats are like that, and sorting the placements only to find that out was a tenth of a
-// leader's time.
+// upToDate reports whether a machine runs exactly the tasks that it should, so that it needs no
+// commands. That holds for most heartbeats, and sorting the placements only to find this out took a
+// tenth of a leader's processor time.
 func (cs *CommandSender) upToDate(m *machinetable.Machine) bool {
 	if !m.Steady {
 		return false
@@ -209,8 +213,8 @@
 		}
 		placed += len(tasks)
 	}
-	// Every placed task was reported: if as many were reported, those are all, but for some that are
-	// to be forgotten later.
+	// A steady machine has reported every placed task. If it reports no more tasks than that, apart
+	// from exited ones that are to be forgotten later, these are all.
 	return placed+m.ExitedTasks == len(m.Tasks) &&
 		(m.ExitedTasks == 0 || m.ExitedTasks < ForgetBatch && cs.Now() < m.ForgetAt)
 }
--- a/internal/leader/reconciler/exits.go
+++ b/internal/leader/reconciler/exits.go
@@ -11,25 +11,25 @@
 	"postpoint/internal/protocol"
 )
 
-// exitEffect is what the end of an attempt says of its job and its machine.
+// exitEffect describes what the exit of an attempt implies for its job and its machine.
 type exitEffect struct {
-	// breaksAttempt reports that a gang which lost this task can't be completed under the same
-	// attempt: the others ran, or have ended too.
+	// breaksAttempt reports that a gang which lost this task can't be completed with the same attempt
+	// number: the other tasks ran, or have exited too.
 	breaksAttempt bool
 	// refused reports that the worker never started the task.
 	refused bool
-	// failedStart reports that the job is held back for startPause, longer if it fails repeatedly. 0
-	// only names the cause to users.
+	// failedStart reports that the job is held back for startPause, and longer if it fails repeatedly.
+	// With a startPause of 0 the job isn't held back, and users only see the cause.
 	failedStart bool
 	startPause  clock.Micros
-	// fullFor is for how long the machine is taken to have no room.
+	// fullFor is how long the machine counts as full.
 	fullFor clock.Micros
-	// suspectsMachine reports that either the job or the machine is faulty: the job avoids the
-	// machine, and one on which several jobs failed is quarantined.
+	// suspectsMachine reports that either the job or the machine is faulty: the job avoids the machine,
+	// and a machine on which several jobs failed is quarantined.
 	suspectsMachine bool
 }
 
-// exitEffects are the effects of the causes of the protocol.
+// exitEffects maps the causes that the protocol defines to their effects.
 var exitEffects = map[string]exitEffect{
 	protocol.CauseDone:           {breaksAttempt: true},
 	protocol.CauseStopped:        {breaksAttempt: true},
@@ -42,24 +42,24 @@
 	},
 }
 
-// otherExit is the effect of all other causes.
-var otherExit = exitEffect{failedStart: true, startPause: 2 * clock.Second}
+// otherExitEffect is the effect of all other causes.
+var otherExitEffect = exitEffect{failedStart: true, startPause: 2 * clock.Second}
 
 // effectOf returns the effect of a cause.
 func effectOf(cause string) exitEffect {
 	if effect, known := exitEffects[cause]; known {
 		return effect
 	}
-	return otherExit
+	return otherExitEffect
 }
 
-// noteExit handles the end of a placed attempt.
+// noteExit handles the exit of a placed attempt.
 func (rc *Reconciler) noteExit(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement,
 	cause string) {
-	ran := rc.machines.RanFor(m, j.AttemptOf(p))
+	runTime := rc.machines.RanFor(m, j.AttemptOf(p))
 	if term.DebugEnabled() {
 		slog.Debug("task exited", "job", j.Spec.ID, "task", p.Task, "attempt", p.Attempt, "machine", m.Name,
-			"cause", cause, "ran_s", ran.Seconds())
+			"cause", cause, "ran_s", runTime.Seconds())
 	}
 	if cause == protocol.CauseDone {
 		j.RecordDone(p.Task)
@@ -68,22 +68,22 @@
 	if j.Over() {
 		return
 	}
-	if j.Spec.Service() && rc.ReplicaEnded(m, j, p, cause, ran) {
+	if j.Spec.Service() && rc.HandleReplicaExit(m, j, p, cause, runTime) {
 		return
 	}
-	rc.applyExit(m, j, p, cause, ran)
+	rc.applyExit(m, j, p, cause, runTime)
 }
 
-// applyExit applies the effects of an attempt's end to its job and its machine.
+// applyExit applies the effects of an attempt's exit to its job and its machine.
 func (rc *Reconciler) applyExit(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement, cause string,
-	ran clock.Micros) {
+	runTime clock.Micros) {
 	effect := effectOf(cause)
 	if effect.breaksAttempt {
 		j.BrokenAttempt = max(j.BrokenAttempt, p.Attempt)
 	}
 	if cause == protocol.CauseDone {
 		j.StartFailures, j.Cause = 0, ""
-		rc.objectives.NoteRun(m, &j.Spec, ran)
+		rc.objectives.NoteRun(m, &j.Spec, runTime)
 		rc.jobs.CompleteIfDone(j)
 	}
 	if effect.suspectsMachine {
@@ -104,14 +104,14 @@
 const (
 	// undelayedStartFailures is how many starts may fail before the pauses grow.
 	undelayedStartFailures = 3
-	// maxStartPauseDoubled is how often a pause is doubled at most.
-	maxStartPauseDoubled = 6
-	// maxStartPause bounds the pause of a job that fails again and again.
+	// maxStartPauseDoublings is how often a pause is doubled at most.
+	maxStartPauseDoublings = 6
+	// maxStartPause bounds the pause of a job whose starts fail repeatedly.
 	maxStartPause = 60 * clock.Second
 )
 
-// noteFailedStart keeps the cause for the user and the operator, and holds a job back that fails again
-// and again, for longer each time. Without a pause the failure isn't counted.
+// noteFailedStart records the cause for the user and the operator, and holds a job back whose starts
+// fail repeatedly, for longer each time. A failure without a pause doesn't count.
 func (rc *Reconciler) noteFailedStart(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement,
 	cause string, pause clock.Micros) {
 	if j.StartFailures == 0 || j.Cause == "" {
@@ -123,12 +123,12 @@
 	}
 	j.StartFailures++
 	if j.StartFailures > undelayedStartFailures {
-		pause *= clock.Micros(1) << min(j.StartFailures-undelayedStartFailures, maxStartPauseDoubled)
+		pause *= clock.Micros(1) << min(j.StartFailures-undelayedStartFailures, maxStartPauseDoublings)
 	}
 	j.NotBefore = max(j.NotBefore, rc.Now()+min(pause, maxStartPause))
 }
 
-// quarantineIfFaulty quarantines a machine on which several jobs failed that run elsewhere.
+// quarantineIfFaulty quarantines a machine on which several jobs failed that run on other machines.
 func quarantineIfFaulty(m *machinetable.Machine) {
 	if m.QuarantineIfFaulty() {
 		slog.Info("machine quarantined, several jobs failed on it", "machine", m.Name, "type", m.Type,
@@ -136,31 +136,33 @@
 	}
 }
 
-// onMachine returns a cause as users are shown it, with the machine on which it arose.
+// onMachine returns the text that users see for a cause: the cause and the machine on which it
+// occurred.
 func onMachine(cause string, machine protocol.MachineName) string {
 	return cause + " on " + string(machine)
 }
 
-// ReplicaEnded handles the end of a service's replica, which runs again whatever the cause, and
-// reports whether it did: a refused start says nothing of the replica, but of the machine.
-func (rc *Reconciler) ReplicaEnded(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement,
+// HandleReplicaExit handles the exit of a service's replica, which runs again whatever the cause, and
+// reports whether it did. It leaves a refused start to the caller: a refusal says nothing about the
+// replica, only about the machine.
+func (rc *Reconciler) HandleReplicaExit(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement,
 	cause string,
-	ran clock.Micros) bool {
+	runTime clock.Micros) bool {
 	if effectOf(cause).refused {
 		return false
 	}
 	if cause == protocol.CauseStopped {
-		return true // by this leader or an earlier one, to move it
+		return true // this leader or an earlier one stopped the replica to move it
 	}
 	r := j.Restarts[p.Task]
-	if ran >= jobtable.GoodRunTime {
+	if runTime >= jobtable.GoodRunTime {
 		r.ShortRuns = 0
 	}
 	r.ShortRuns++
 	r.NotBefore = rc.Now() + rc.restartPause(r.ShortRuns)
 	j.Restarts[p.Task] = r
-	slog.Info("replica ended, it runs again", "job", j.Spec.ID, "task", p.Task, "machine", m.Name,
-		"cause", cause, "ran_s", ran.Seconds(), "failures", r.ShortRuns)
+	slog.Info("replica exited, restarting it", "job", j.Spec.ID, "task", p.Task, "machine", m.Name,
+		"cause", cause, "ran_s", runTime.Seconds(), "failures", r.ShortRuns)
 	j.Cause = onMachine(cause, m.Name)
 	if cause == protocol.CauseError {
 		j.AvoidMachine(m.Name)
@@ -168,30 +170,30 @@
 	return true
 }
 
-// restartPause returns how long a replica waits after so many short runs.
+// restartPause returns how long a replica waits before a restart after the given number of short runs.
 func (rc *Reconciler) restartPause(shortRuns int) clock.Micros {
 	if shortRuns <= 1 {
 		return 0
 	}
-	doubled := min(shortRuns-2, jobtable.MaxRestartDoubled)
-	pause := min(jobtable.FirstRestartPause<<doubled, jobtable.MaxRestartPause)
-	spread := 1 - jobtable.RestartJitter + 2*jobtable.RestartJitter*rc.Random.Float64()
-	return clock.Micros(float64(pause) * spread)
+	doublings := min(shortRuns-2, jobtable.MaxRestartDoubled)
+	pause := min(jobtable.FirstRestartPause<<doublings, jobtable.MaxRestartPause)
+	jitter := 1 - jobtable.RestartJitter + 2*jobtable.RestartJitter*rc.Random.Float64()
+	return clock.Micros(float64(pause) * jitter)
 }
 
-// maxReportedTasks bounds the tasks that a worker keeps only in case of late starts, so that
+// maxReportedTasks bounds the number of tasks that a worker keeps only in case of late starts, so that
 // heartbeats stay well within their size limit.
 const maxReportedTasks = 400
 
-// LateStartHarmful reports whether a late copy of a start that was executed could do harm: the task
-// is to run again, and a worker that has forgotten this attempt would start it where nobody
-// expects it. What was started in earlier terms is safe, since workers reject older epochs, and so
-// is what is done, since it doesn't run again. Only a machine with very many such attempts takes
-// the risk.
+// LateStartHarmful reports whether a late copy of an executed start could do harm: the task is to run
+// again, and a worker that has forgotten this attempt would start it although the leader doesn't expect
+// it there. Starts from earlier terms are harmless, since workers reject older epochs, and so are
+// starts of tasks that are done, since these don't run again. The leader takes the risk only on a
+// machine with a very large number of such attempts.
 func LateStartHarmful(m *machinetable.Machine, ref machinetable.AttemptRef, t protocol.TaskStatus) bool {
 	d := m.Deliveries[ref]
 	if d == nil || len(m.Tasks) >= maxReportedTasks {
 		return false
 	}
-	return t.Cause != protocol.CauseDone || d.Replica // which runs again after any end
+	return t.Cause != protocol.CauseDone || d.Replica // a replica runs again after any exit
 }
--- a/internal/leader/reconciler/exits_test.go
+++ b/internal/leader/reconciler/exits_test.go
@@ -7,8 +7,9 @@
 	"postpoint/internal/protocol"
 )
 
-// Each cause has the effect that it proves: what ended at the job's or the machine's fault holds the
-// job back, what a worker refused says that it is full, and what ran breaks the attempt of its gang.
+// Each cause has the effect that it proves: a fault of the job or the machine holds the job back, a
+// refusal by the worker marks the machine as full, and a run breaks the attempt of its gang. A wrong
+// effect would restart a failing job without a pause, or complete a gang whose other tasks have ended.
 func TestEffectsOfExits(t *testing.T) {
 	second := clock.Second
 	for cause, want := range map[string]exitEffect{
--- a/internal/leader/reconciler/health.go
+++ b/internal/leader/reconciler/health.go
@@ -13,7 +13,8 @@
 	"postpoint/internal/protocol"
 )
 
-// HealthMonitor watches for machines that are silent, failed or about to be taken back by the cloud.
+// HealthMonitor watches for machines that are silent, that have failed, or that the cloud is about to
+// recall.
 type HealthMonitor struct {
 	*term.State
 	jobs     *jobtable.Table
@@ -33,32 +34,32 @@
 }
 
 const (
-	// saveMarginS is how many seconds a command to save a checkpoint may take to arrive.
+	// saveMarginS is how long a command to save a checkpoint may take to arrive, in seconds.
 	saveMarginS = 4.0
-	// epochAnnounceBatch is to how many machines the epoch is announced at a time.
+	// epochAnnounceBatch is the number of machines to which the epoch is announced at a time.
 	epochAnnounceBatch = 8
-	// challengeInterval is from one challenge of a machine to the next.
+	// challengeInterval is the time between two challenges of the same machine.
 	challengeInterval = 5 * clock.Second
 	// ProbeTimeout is longer than a worker that isn't silent takes to respond.
 	ProbeTimeout = 1500 * clock.Millisecond
 
-	// silentTime is how long after the end of its lease a silent machine is given up.
-	silentTime = 20 * clock.Second
-	// A machine that the cloud starts is given up after bootFactor usual boot times and bootMargin,
-	// one that runs after neverReportedTime without a heartbeat.
-	bootFactor        = 2
-	bootMargin        = 10 * clock.Second
-	neverReportedTime = 30 * clock.Second
+	// silentTimeout is how long after the expiry of its lease the leader releases a silent machine.
+	silentTimeout = 20 * clock.Second
+	// The leader releases a machine that the cloud is starting after bootFactor times its usual boot
+	// time plus bootMargin, and one that runs after firstHeartbeatTimeout without a heartbeat.
+	bootFactor            = 2
+	bootMargin            = 10 * clock.Second
+	firstHeartbeatTimeout = 30 * clock.Second
 )
 
-// stopForRecall is the reason of stops on machines that the cloud takes back.
+// stopForRecall is the reason for stops on machines that the cloud recalls.
 const stopForRecall = "recall"
 
-// ReplaceSilent releases machines with replicas that have missed a heartbeat and don't respond
-// when probed: the cloud's response is proof that they are empty, long before their leases
-// expire. If half of all machines are silent, it is more likely this node that hears nothing.
-// A machine whose replicas could run nowhere else stays: where a whole zone is cut off they
-// may serve on inside it.
+// ReplaceSilent releases machines with replicas that have missed a heartbeat and don't respond to a
+// probe. The cloud's confirmation of a release proves that the machine is empty, long before the
+// machine's lease expires. If half of all machines are silent, it is more likely that this controller
+// receives nothing, and ReplaceSilent releases no machine. It also keeps a machine whose replicas could
+// run nowhere else: if a whole zone is unreachable, the replicas may still serve inside it.
 func (hm *HealthMonitor) ReplaceSilent() {
 	zones := hm.machines.HeardByZone()
 	var all machinetable.HeardCount
@@ -72,7 +73,7 @@
 	now := hm.Now()
 	for _, m := range hm.machines.Ordered {
 		switch {
-		case m.Releasing || !hm.machines.HeartbeatMissed(m) || !hm.replaceable(m, zones):
+		case m.Releasing || !hm.machines.HeartbeatMissed(m) || !hm.canRunElsewhere(m, zones):
 		case m.ProbedAt <= m.HeardAt || m.ProbedAt == 0:
 			m.ProbedAt = now
 			if !m.CommandInFlight && m.Address != "" {
@@ -86,8 +87,10 @@
 	}
 }
 
-// replaceable reports whether a replica on a machine could run in a zone that is heard of.
-func (hm *HealthMonitor) replaceable(m *machinetable.Machine, zones map[string]machinetable.HeardCount) bool {
+// canRunElsewhere reports whether a replica on a machine could run in a zone whose machines send
+// heartbeats.
+func (hm *HealthMonitor) canRunElsewhere(m *machinetable.Machine,
+	zones map[string]machinetable.HeardCount) bool {
 	for id := range m.Placements {
 		j := hm.jobs.ByID[id]
 		if j == nil || j.Over() || !j.Spec.Service() {
@@ -105,27 +108,27 @@
 	return false
 }
 
-// challenge asks a machine of which only old heartbeats come for its present state: either they are
-// late copies, or the worker has started over, and counts from one again. The response to a command is
-// never older than the command. A machine that has started over is released: late copies of its former
-// life would look newer than all that it says, and what it still holds is known for certain once it is
-// gone.
+// challenge asks a machine for its present state if only old heartbeats arrive from it: either they are
+// late copies, or the worker has started over and numbers its heartbeats from one again. The response
+// to a command is never older than the command. The leader releases a machine that has started over:
+// late copies of the heartbeats from before would look newer than all later ones, and which tasks the
+// machine still holds is certain only once it is gone.
 func (hm *HealthMonitor) challenge(m *machinetable.Machine) {
 	if !hm.Leads() || m.CommandInFlight || m.Releasing || m.Address == "" ||
 		hm.machines.HeardRecently(m) || hm.Now() < m.ChallengedAt+challengeInterval {
 		return
 	}
 	m.ChallengedAt = hm.Now()
-	before := m.HeartbeatNumber
+	lastNumber := m.HeartbeatNumber
 	hm.commands.Send(m, m.Incarnation, []protocol.Command{}, func(result CommandResult) {
-		if result.Heartbeat != nil && !machinetable.NumberOf(result.Heartbeat).After(before) {
+		if result.Heartbeat != nil && !machinetable.NumberOf(result.Heartbeat).After(lastNumber) {
 			hm.machines.ScheduleRelease(m, machinetable.ReleaseStartedOver)
 		}
 	})
 }
 
-// ExpireLeases releases the placements of machines whose leases have expired unheard, and gives up on
-// machines that show no sign of life.
+// ExpireLeases releases the placements of silent machines whose leases have expired, and releases
+// machines that have been silent for too long.
 func (hm *HealthMonitor) ExpireLeases() {
 	now := hm.Now()
 	for _, m := range hm.machines.Ordered {
@@ -141,9 +144,9 @@
 	}
 }
 
-// expireLease notes that a machine's lease has expired, which proves its tasks gone. Tasks that have to
-// be gone in time are no exception, but the worker may hang: what it was stopped in the middle of
-// counts as there until the worker goes on or the machine is gone.
+// expireLease notes that a machine's lease has expired, which proves that its tasks are gone. The proof
+// covers cancelled tasks too, but their worker may hang: its cancelled tasks count as present until the
+// worker resumes or the machine is gone.
 func (hm *HealthMonitor) expireLease(m *machinetable.Machine, now clock.Micros) {
 	slog.Info("machine is silent, its lease has expired", "machine", m.Name, "jobs", len(m.Placements),
 		"silent_s", (now - m.HeardAt).Seconds())
@@ -162,20 +165,20 @@
 	}
 }
 
-// releaseReason returns why a machine is to be given up, "" if it isn't.
+// releaseReason returns why a machine is to be released, "" if it isn't.
 func (hm *HealthMonitor) releaseReason(m *machinetable.Machine, now clock.Micros) machinetable.ReleaseReason {
 	lease := hm.Settings.Deployment.Workers.Lease()
 	boot := hm.machines.BootTime(m)
 	starting := !m.Seen && m.CloudStatus == protocol.MachineStarting
 	running := !m.Seen && m.CloudStatus == protocol.MachineRunning
 	switch {
-	case m.LeaseExpired && now > max(m.HeardAt, m.FirstSeen)+lease+silentTime:
+	case m.LeaseExpired && now > max(m.HeardAt, m.FirstSeen)+lease+silentTimeout:
 		return machinetable.ReleaseSilent
 	case m.CloudStatus == protocol.MachineFailed:
 		return machinetable.ReleaseFailed
 	case starting && now > m.FirstSeen+bootFactor*boot+bootMargin:
 		return machinetable.ReleaseNeverBooted
-	case running && now > m.FirstSeen+max(boot, lease)+neverReportedTime:
+	case running && now > m.FirstSeen+max(boot, lease)+firstHeartbeatTimeout:
 		return machinetable.ReleaseNeverReported
 	case m.Quarantined && len(m.Placements) == 0:
 		return machinetable.ReleaseQuarantined
@@ -183,20 +186,21 @@
 	return ""
 }
 
-// DrainRecalled saves what runs on machines that the cloud takes back.
+// DrainRecalled stops tasks on machines that the cloud is about to recall: tasks save a checkpoint
+// first, and replicas move to other machines.
 func (hm *HealthMonitor) DrainRecalled() {
 	for _, m := range hm.machines.Ordered {
 		if m.RecallAt == 0 {
 			continue
 		}
-		left := (m.RecallAt - hm.Now()).Seconds()
+		remaining := (m.RecallAt - hm.Now()).Seconds()
 		for id, tasks := range ordered.ByKey(m.Placements) {
 			j := hm.jobs.ByID[id]
 			switch {
 			case j == nil:
 			case j.Spec.Service():
 				hm.moveReplica(j, tasks)
-			case j.Spec.CheckpointS != 0 && left <= j.Spec.SaveS+saveMarginS:
+			case j.Spec.CheckpointS != 0 && remaining <= j.Spec.SaveS+saveMarginS:
 				for task := range ordered.ByKey(tasks) {
 					hm.commands.Stop(j, task, stopForRecall, "")
 				}
@@ -205,8 +209,8 @@
 	}
 }
 
-// moveReplica stops a replica on a machine that the cloud takes back, one of each job at a time, so
-// that the others serve while it starts elsewhere.
+// moveReplica stops a replica on a machine that the cloud recalls. It stops only one replica of a job
+// at a time, so that the others serve until its replacement has been placed.
 func (hm *HealthMonitor) moveReplica(j *jobtable.Job, tasks map[int]jobrecord.Placement) {
 	if j.Over() || len(j.Stops) > 0 || j.PendingCount() > 0 {
 		return
@@ -217,14 +221,14 @@
 	}
 }
 
-// AnnounceEpoch announces this term's epoch by direct commands to machines of which no heartbeat has
-// come, a few at a time.
+// AnnounceEpoch announces this term's epoch by direct commands to machines that have missed their
+// heartbeat, epochAnnounceBatch machines at a time.
 func (hm *HealthMonitor) AnnounceEpoch() {
 	now := hm.Now()
 	due := now - hm.Settings.Deployment.Workers.HeartbeatInterval()*3/2 - clock.Second
-	left := epochAnnounceBatch
+	remaining := epochAnnounceBatch
 	for _, m := range hm.machines.Ordered {
-		if left == 0 {
+		if remaining == 0 {
 			return
 		}
 		if hm.machines.EpochAcknowledged(m) || m.Releasing || m.CommandInFlight ||
@@ -232,7 +236,7 @@
 			continue
 		}
 		if max(m.HeardAt, hm.BegunAt) < due && now >= m.EpochAnnouncedAt+epochAnnounceInterval {
-			left--
+			remaining--
 			hm.commands.Push(m)
 		}
 	}
--- a/internal/leader/reconciler/heartbeats.go
+++ b/internal/leader/reconciler/heartbeats.go
@@ -18,10 +18,10 @@
 	commands   *CommandSender
 	health     *HealthMonitor
 	jobs       *jobtable.Table
-	// Zones observes heartbeats that this node doesn't respond to as leader.
+	// Zones observes the heartbeats to which this controller doesn't respond as leader.
 	Zones HeartbeatWatcher
 
-	// Deferring reports that heartbeats wait until the records are read.
+	// Deferring reports that heartbeats are deferred until the records are loaded.
 	Deferring bool
 	deferred  []func()
 }
@@ -39,35 +39,37 @@
 	}
 }
 
-// HeartbeatWatcher observes heartbeats that reach a node which doesn't lead.
+// HeartbeatWatcher observes heartbeats that reach a controller which doesn't lead.
 type HeartbeatWatcher interface {
 	NoteMisdirectedHeartbeat(machine protocol.MachineName, zone string)
 }
 
 const (
-	// deferredTime is how long heartbeats wait for the records: far less than workers wait.
-	deferredTime = clock.Second
-	// heartbeatTimeout is after which a heartbeat isn't looked at: less than the four seconds that a
-	// worker waits.
-	heartbeatTimeout = 3 * clock.Second
+	// maxDeferral is how long heartbeats wait for the records: far less than workers wait for a
+	// response.
+	maxDeferral = clock.Second
+	// maxHeartbeatAge is the age beyond which the leader refuses a heartbeat without reading it: less
+	// than the four seconds that a worker waits for a response.
+	maxHeartbeatAge = 3 * clock.Second
 )
 
-// Begin has heartbeats wait until the records of the new term are read.
+// Begin defers heartbeats until the records of the new term are loaded.
 func (hb *HeartbeatHandler) Begin() {
 	hb.HandleDeferred()
 	hb.Deferring = true
 }
 
-// deferHeartbeat keeps a heartbeat until the records are read, but not for long: a new leader knows
-// how to respond a moment later, and a refusal would send each worker round the other nodes and back.
+// deferHeartbeat defers a heartbeat until the records are loaded, but no longer than maxDeferral: a new
+// leader can respond a moment later, while a refusal would send each worker to all other controllers
+// and back.
 func (hb *HeartbeatHandler) deferHeartbeat(heartbeat func()) {
 	if len(hb.deferred) == 0 {
-		hb.AfterInTerm(deferredTime, hb.HandleDeferred)
+		hb.AfterInTerm(maxDeferral, hb.HandleDeferred)
 	}
 	hb.deferred = append(hb.deferred, heartbeat)
 }
 
-// HandleDeferred handles the heartbeats that were deferred by what is known now.
+// HandleDeferred handles the deferred heartbeats with what the leader knows now.
 func (hb *HeartbeatHandler) HandleDeferred() {
 	heartbeats := hb.deferred
 	hb.Deferring, hb.deferred = false, nil
@@ -76,24 +78,25 @@
 	}
 }
 
-// heartbeatOutcome is what becomes of a heartbeat.
+// heartbeatOutcome is the leader's decision on a heartbeat.
 type heartbeatOutcome int
 
 const (
-	// accepted renews the worker's lease; the response carries its commands.
+	// accepted renews the worker's lease. The response carries the worker's commands.
 	accepted heartbeatOutcome = iota
-	// misdirected sends the worker on, to the leader if one is known. It doesn't renew the lease.
+	// misdirected redirects the worker, to the leader if one is known. It doesn't renew the lease.
 	misdirected
-	// notNow has the worker try again here. It doesn't renew the lease.
-	notNow
+	// retryLater makes the worker try this controller again. It doesn't renew the lease.
+	retryLater
 )
 
-// status returns the HTTP status that a worker expects. Nothing else here knows these numbers.
+// status returns the HTTP status of the response. Only this function in the package knows the statuses
+// that a worker expects.
 func (o heartbeatOutcome) status() int {
 	switch o {
 	case misdirected:
 		return http.StatusMisdirectedRequest
-	case notNow:
+	case retryLater:
 		return http.StatusServiceUnavailable
 	default:
 		return http.StatusOK
@@ -113,12 +116,12 @@
 
 // respond decides how to respond to a heartbeat, and returns the body of the response as well.
 func (hb *HeartbeatHandler) respond(r protocol.Heartbeat, arrived clock.Micros) (heartbeatOutcome, any) {
-	// After the process was suspended, or behind more heartbeats than the processor can handle, one
-	// that waited this long says nothing of now, and its worker is about to give up. A refusal costs
-	// next to nothing, lets those be handled whose responses will be in time, and isn't counted as a
-	// response that the worker didn't receive.
-	if hb.Now() > arrived+heartbeatTimeout {
-		return notNow, protocol.Redirect{}
+	// If the process was suspended, or more heartbeats arrive than the processor can handle, a
+	// heartbeat that has waited this long is outdated, and its worker is about to give up. A refusal
+	// costs almost nothing and leaves time for the heartbeats whose responses will be in time. The
+	// leader doesn't count it as a response that the worker failed to receive.
+	if hb.Now() > arrived+maxHeartbeatAge {
+		return retryLater, protocol.Redirect{}
 	}
 	hb.machines.NoteAddress(r.Machine, r.Address)
 	if !hb.Leads() && !hb.MayRespond() || hb.machines.WasReleased(r.Machine) {
@@ -132,7 +135,7 @@
 	}
 	hb.checkPermissions(m)
 	if !hb.commands.mayRenewLease(m) {
-		return notNow, protocol.Redirect{}
+		return retryLater, protocol.Redirect{}
 	}
 	m.NoteHeartbeatReceived()
 	commands := hb.commands.CommandsFor(m, ViaHeartbeat)
@@ -140,7 +143,7 @@
 	return accepted, protocol.HeartbeatResponse{Epoch: hb.Term.Epoch, Commands: commands}
 }
 
-// otherLeader returns the node that workers are to turn to, "" if none is known.
+// otherLeader returns the controller to which workers should turn, "" if none is known.
 func (hb *HeartbeatHandler) otherLeader() string {
 	if hb.KnownLeader == hb.Settings.Node {
 		return ""
@@ -148,8 +151,9 @@
 	return hb.KnownLeader
 }
 
-// isCurrent reports whether an observed heartbeat may be responded to. A late copy may not; one that is
-// only older than the response to a direct command is the worker's current one.
+// isCurrent reports whether the leader may respond to a heartbeat that it has observed. It may not
+// respond to a late copy. A heartbeat that is only older than the response to a direct command is still
+// the worker's current one.
 func (hb *HeartbeatHandler) isCurrent(m *machinetable.Machine, r *protocol.Heartbeat) bool {
 	if !machinetable.NumberOf(r).After(m.RespondedTo) {
 		hb.health.challenge(m)
@@ -158,8 +162,8 @@
 	return r.Incarnation == m.Incarnation && !m.LeaseExpired && r.Epoch <= hb.Term.Epoch
 }
 
-// checkPermissions looks at the permissions of the hosted jobs on a machine whose heartbeat is about to
-// be responded to.
+// checkPermissions checks the permissions of the hosted jobs on a machine for expiry before the leader
+// responds to the machine's heartbeat.
 func (hb *HeartbeatHandler) checkPermissions(m *machinetable.Machine) {
 	for id := range m.Placements {
 		if j := hb.jobs.ByID[id]; j != nil && j.Hosted != nil {
--- a/internal/leader/reconciler/reconciler.go
+++ b/internal/leader/reconciler/reconciler.go
@@ -1,7 +1,7 @@
-// Package reconciler reconciles workers' heartbeats with the placements in the job records, and
-// decides which commands each worker is sent. It owns no tables: it changes machines (package
-// machinetable) and jobs (package jobtable) by what heartbeats prove, and watches for machines that
-// are silent. The leader's actor calls it for each heartbeat and on each tick.
+// Package reconciler reconciles workers' heartbeats with the placements in the job records, and decides
+// which commands each worker receives. It owns no tables: it changes machines (package machinetable)
+// and jobs (package jobtable) according to what heartbeats prove, and watches for silent machines. The
+// leader's actor calls it for each heartbeat and on each tick.
 package reconciler
 
 import (
@@ -27,7 +27,7 @@
 	steps      *term.StepTimer
 }
 
-// New returns a reconciler that also observes the responses to direct commands.
+// New returns a reconciler that also observes the heartbeats in responses to direct commands.
 func New(term *term.State, jobs *jobtable.Table, machines *machinetable.Table, commands *CommandSender,
 	objectives *objectives.Tracker, steps *term.StepTimer) *Reconciler {
 	rc := &Reconciler{
@@ -42,7 +42,7 @@
 	return rc
 }
 
-// Observe takes a heartbeat if it is newer than what is known.
+// Observe applies a heartbeat if it is newer than the last one.
 func (rc *Reconciler) Observe(m *machinetable.Machine, r protocol.Heartbeat) {
 	if outdated(m, &r) {
 		return
@@ -51,8 +51,8 @@
 		rc.Deposed(r.Epoch)
 	}
 	if !m.Seen {
-		slog.Info("machine heard of", "machine", m.Name, "type", r.Type, "zone", r.Zone, "spot", r.Spot,
-			"tasks", len(r.Tasks))
+		slog.Info("first heartbeat from machine", "machine", m.Name, "type", r.Type, "zone", r.Zone,
+			"spot", r.Spot, "tasks", len(r.Tasks))
 		m.IdleSince = rc.Now()
 	}
 	rc.noteIncarnation(m, r.Incarnation)
@@ -65,15 +65,15 @@
 	}
 }
 
-// outdated reports whether a heartbeat proves nothing any more, however late it arrives: it was sent
-// before the last one, or before the lease expired.
+// outdated reports whether a heartbeat proves nothing any more, however late it arrives: the worker
+// sent it before the last one, or before the machine's lease expired.
 func outdated(m *machinetable.Machine, r *protocol.Heartbeat) bool {
 	return m.Seen && !machinetable.NumberOf(r).After(m.HeartbeatNumber) ||
 		m.LeaseExpired && r.Incarnation <= m.Incarnation
 }
 
-// noteIncarnation notes which incarnation of the worker a heartbeat is from, before the rest of it is
-// taken: what is known of an earlier incarnation doesn't count any more.
+// noteIncarnation notes which incarnation of the worker sent a heartbeat, before the rest of the
+// heartbeat is applied: the state of an earlier incarnation doesn't count any more.
 func (rc *Reconciler) noteIncarnation(m *machinetable.Machine, incarnation protocol.Incarnation) {
 	switch {
 	case incarnation > m.Incarnation:
@@ -86,10 +86,11 @@
 	}
 }
 
-// noteLostIncarnation handles a machine whose lease expired although its heartbeats arrive. Had the
-// latest response reached it, the lease would not have expired yet: a machine whose heartbeats come
-// through while responses and commands don't looks alive, and loses its tasks lease after lease. It
-// gets no work until an incarnation outlasts its first lease, and is released the second time.
+// noteLostIncarnation handles a machine whose lease expired although its heartbeats arrive. If the
+// latest response had reached the worker, the lease would not have expired yet: a machine whose
+// heartbeats arrive while responses and commands don't reach it looks alive, and loses its tasks with
+// each lease. It gets no tasks until an incarnation outlasts its first lease, and the leader releases
+// it the second time.
 func (rc *Reconciler) noteLostIncarnation(m *machinetable.Machine, next protocol.Incarnation) {
 	lease := rc.Settings.Deployment.Workers.Lease()
 	if m.RespondedAt == 0 || rc.Now() >= m.RespondedAt+lease {
@@ -99,12 +100,12 @@
 		rc.machines.ScheduleRelease(m, machinetable.ReleaseResponsesLost)
 		return
 	}
-	slog.Info("machine loses its lease though its heartbeats are responded to", "machine", m.Name,
+	slog.Info("worker lost its lease although the leader responded to its heartbeats", "machine", m.Name,
 		"incarnation", next)
 	m.ResponsesLost = true
 }
 
-// replaceTasks replaces what is known of a machine's tasks by what its heartbeat lists, and acts on
+// replaceTasks replaces the known tasks of a machine by those that its heartbeat lists, and acts on
 // what that proves.
 func (rc *Reconciler) replaceTasks(m *machinetable.Machine, tasks []protocol.TaskStatus) {
 	m.SetTasks(tasks)
@@ -132,26 +133,27 @@
 type evidence int
 
 const (
-	// unproven is no proof of anything: the task may run without being listed yet, or its start may
-	// still arrive.
+	// unproven means that the heartbeat proves nothing: the task may run without being listed yet, or
+	// its start may still arrive.
 	unproven evidence = iota
-	// listed is a task that the worker holds, and that hasn't exited.
+	// listed means that the worker holds the task and that it hasn't exited.
 	listed
-	// exited is a task that has ended, for the cause that the heartbeat gives.
+	// exited means that the task has exited, with the cause that the heartbeat gives.
 	exited
-	// lostWithLease is a task of an earlier incarnation: it ended when that one's lease expired.
+	// lostWithLease means that the task belongs to an earlier incarnation, whose lease expired and
+	// ended it.
 	lostWithLease
-	// neverStarted is a task that was to be stopped before it was started, and that no start can
-	// bring any more.
+	// neverStarted means that the task is to be stopped and never started, and that no start of it can
+	// arrive any more.
 	neverStarted
-	// startedOver is a task that was placed in a later incarnation than the worker is in: the worker
-	// has lost count and numbers its incarnations from one again.
+	// startedOver means that the task was placed in a later incarnation than the worker's present one:
+	// the worker has lost its count of incarnations and numbers them from one again.
 	startedOver
 )
 
-// evidenceFor returns what the last heartbeat of a machine proves about a placement, and the task if it
-// is listed. Absence is proof only if the worker rejects whatever an earlier leader sent: see
-// docs/rules.md.
+// evidenceFor returns what the last heartbeat of a machine proves about a placement, and the task's
+// status if the heartbeat lists it. The absence of a task is proof only if the worker rejects the
+// commands of earlier leaders: see docs/rules.md.
 func (rc *Reconciler) evidenceFor(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement,
 	ref machinetable.AttemptRef) (evidence, protocol.TaskStatus) {
 	if p.WorkerIncarnation() < m.Incarnation {
@@ -200,8 +202,8 @@
 	}
 }
 
-// noteListed notes a placed task that the worker holds: its image is in the machine's cache once it
-// doesn't fetch any more, and it may have begun to run.
+// noteListed handles a placed task that the worker holds. The machine has cached the task's image once
+// the task isn't fetching any more, and the task may have begun to run.
 func (rc *Reconciler) noteListed(m *machinetable.Machine, j *jobtable.Job, ref machinetable.AttemptRef,
 	status string) {
 	if status == protocol.TaskFetching || m.RunningSince[ref] != 0 {
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -58,7 +58,7 @@
 	d, j, m := leaderWithService(t)
 	p := jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1}
 	end := func(ran clock.Micros) clock.Micros {
-		d.reconciler.ReplicaEnded(m, j, p, protocol.CauseError, ran)
+		d.reconciler.HandleReplicaExit(m, j, p, protocol.CauseError, ran)
 		return j.Restarts[0].NotBefore - d.state.Now()
 	}
 	if first := end(clock.Second); first != 0 {
