--- a/internal/leader/snapshots/jobs.go
+++ b/internal/leader/snapshots/jobs.go
@@ -13,20 +13,21 @@
 )
 
 const (
-	// maxPreemptingFailures is how many of its starts may fail before a job preempts nothing more: room
-	// that it can't use isn't made for it.
+	// maxPreemptingFailures is how many starts of a job may fail before it preempts no other job any
+	// more: preemption wouldn't help a job that can't use the capacity.
 	maxPreemptingFailures = 2
 	// maxTasksPerPlan bounds how many tasks of one job a single plan starts.
 	maxTasksPerPlan = 2000
-	// scaleOutTimeout is after which machines that a job needs and that haven't come are taken not to:
-	// longer than any boot, and less than the 90 s that users grant other jobs.
+	// scaleOutTimeout is how long the planner waits for machines that a job needs before it assumes
+	// that they won't come. It is longer than any boot, and less than the 90 s that users grant other
+	// jobs.
 	scaleOutTimeout = 60 * clock.Second
-	// startMargin is what has to be left of a hosted job's permission for a start: the permission would
-	// end before the task began.
+	// startMargin is the minimum remaining time of a hosted job's permission for a start: with less,
+	// the permission would expire before the task began.
 	startMargin = 2 * clock.Second
 )
 
-// Overheads says whether a snapshot contains what the preemption of each running task would lose.
+// Overheads selects whether a snapshot contains what the preemption of each running task would lose.
 type Overheads bool
 
 const (
@@ -36,8 +37,8 @@
 	WithoutOverheads Overheads = false
 )
 
-// overheadsNeeded returns WithOverheads if some job could preempt another. There are thousands of
-// running tasks in each plan, so that the losses are computed only then.
+// overheadsNeeded returns WithOverheads if some job could preempt another. Each plan contains thousands
+// of running tasks, so the losses are computed only in this case.
 func (b *Builder) overheadsNeeded(teams map[string]planner.Team) Overheads {
 	for _, team := range teams {
 		if team.HasGuarantee() {
@@ -51,8 +52,8 @@
 	return len(ranks) > 1
 }
 
-// plannable reports whether the planner is shown a job: one whose record is known, and of which
-// something may run.
+// plannable reports whether a snapshot contains a job: its record is known, and some of its tasks may
+// run.
 func plannable(j *jobtable.Job, now clock.Micros) bool {
 	if j.Over() || !j.ContentKnown() {
 		return false
@@ -60,7 +61,7 @@
 	return j.Permission == nil || j.Permission.MayStart(now) || len(j.Placements) > 0
 }
 
-// PlannedJob returns a job as the planner is shown it.
+// PlannedJob returns the planner's view of a job.
 func (b *Builder) PlannedJob(j *jobtable.Job, now clock.Micros, overheads Overheads) planner.Job {
 	planned := planner.Job{
 		ID:              j.Spec.ID,
@@ -73,7 +74,7 @@
 		AvoidedMachines: j.AvoidMachines,
 		ScaleOutOverdue: scaleOutOverdue(j, now),
 	}
-	b.judge(j, &planned)
+	b.setUrgency(j, &planned)
 	planned.Running = b.runningTasks(j, now, overheads)
 	if b.mayStartTasks(j) {
 		b.setPending(j, &planned, now)
@@ -87,15 +88,16 @@
 	return planned
 }
 
-// judge sets by when a job should start and end.
-func (b *Builder) judge(j *jobtable.Job, planned *planner.Job) {
+// setUrgency sets by when a job should start and end.
+func (b *Builder) setUrgency(j *jobtable.Job, planned *planner.Job) {
 	urgency := b.objectives.Urgency(j)
 	planned.Tier, planned.SlackS = urgency.Tier, urgency.SlackS
 	planned.HasStartObjective = j.Spec.Service() || b.objectives.StartObjectiveS(j.Spec.Class) > 0
 	planned.StartSlackS = b.objectives.StartSlackS(j)
 }
 
-// scaleOutOverdue reports whether a job has needed machines for long and still does.
+// scaleOutOverdue reports whether a job has needed additional machines for longer than scaleOutTimeout
+// and still needs them.
 func scaleOutOverdue(j *jobtable.Job, now clock.Micros) bool {
 	return j.HasUnmetDemand(now) && now > j.UnmetSince+scaleOutTimeout
 }
@@ -105,30 +107,32 @@
 	if j.PendingCount() == 0 || j.Sharding() {
 		return false
 	}
-	// The zones that its tasks depend on are known only if none of them runs in another cell.
+	// A job with OneZone or Spread restricts the zones of its tasks, and those of tasks in other cells
+	// are unknown.
 	if j.TasksElsewhere > 0 && (j.Spec.OneZone || j.Spec.Spread) {
 		return false
 	}
 	return !j.Spec.Gang() || len(j.Placements) == 0 || b.commands.Completable(j)
 }
 
-// setPending sets the tasks that a plan may start, within what the record has room for.
+// setPending sets the pending tasks of a job, and how many of them a plan may start within what the
+// record can hold.
 func (b *Builder) setPending(j *jobtable.Job, planned *planner.Job, now clock.Micros) {
 	valueBytes, _ := b.writer.Limits()
 	if j.Spec.Gang() {
 		planned.Pending = j.Pending(j.Spec.Tasks)
 		planned.MaxStarts = len(j.Startable(valueBytes, j.Spec.Tasks))
-		planned.AvoidedMachines = b.machinesWithEndedTasks(j)
+		planned.AvoidedMachines = b.machinesWithExitedTasks(j)
 		return
 	}
 	planned.Pending = j.Restartable(j.Startable(valueBytes, maxTasksPerPlan), now)
 	planned.MaxStarts = len(planned.Pending)
 }
 
-// machinesWithEndedTasks returns the machines that a gang avoids, together with those that still
-// report an ended task of the attempt that it may be completed with: a start of the same task and
-// attempt has no effect there.
-func (b *Builder) machinesWithEndedTasks(j *jobtable.Job) map[protocol.MachineName]bool {
+// machinesWithExitedTasks returns the machines that a gang avoids, and also those that still report an
+// exited task of the attempt with which the gang may be completed: a start of the same task and attempt
+// has no effect there.
+func (b *Builder) machinesWithExitedTasks(j *jobtable.Job) map[protocol.MachineName]bool {
 	if len(j.Placements) == 0 {
 		return j.AvoidMachines
 	}
@@ -143,8 +147,8 @@
 	return avoid
 }
 
-// restrictHosted shows another cell's job to the planner. It preempts nothing, and takes only the
-// room that is left beyond the cell's reserve.
+// restrictHosted restricts the planner's view of a hosted job. The job preempts nothing, and takes only
+// the capacity that is free beyond the cell's reserve.
 func (b *Builder) restrictHosted(j *jobtable.Job, planned *planner.Job, now clock.Micros) {
 	planned.MayPreempt, planned.HasStartObjective, planned.Lender = false, false, false
 	planned.Tier, planned.SlackS, planned.StartSlackS = planner.TierEndInTime, math.MaxFloat64,
@@ -153,15 +157,15 @@
 	if b.Directory == nil || b.Directory.Own.Reserve == (planner.Resources{}) {
 		return
 	}
-	room := b.free.Minus(b.Directory.Own.Reserve)
-	room.MemoryGB = planner.UnlimitedMemoryGB // the reserve is of CPUs and GPUs only
-	if fits := planner.TaskResources(&j.Spec).CopiesIn(room); fits < len(planned.Pending) {
+	available := b.free.Minus(b.Directory.Own.Reserve)
+	available.MemoryGB = planner.UnlimitedMemoryGB // the reserve is of CPUs and GPUs only
+	if fits := planner.TaskResources(&j.Spec).CopiesIn(available); fits < len(planned.Pending) {
 		planned.MaxStarts = min(planned.MaxStarts, fits)
 	}
 }
 
-// runningTasks returns what a job has placed in this cell, kept from one snapshot to the next as long
-// as no placement changes.
+// runningTasks returns the tasks that a job has placed in this cell. The next snapshots reuse the
+// result until a placement changes.
 func (b *Builder) runningTasks(j *jobtable.Job, now clock.Micros, overheads Overheads) []planner.RunningTask {
 	if j.RunningStale {
 		b.rebuildRunning(j)
@@ -172,7 +176,7 @@
 	return j.RunningView
 }
 
-// rebuildRunning makes the planner's view of a job's placements anew.
+// rebuildRunning rebuilds the planner's view of a job's placements.
 func (b *Builder) rebuildRunning(j *jobtable.Job) {
 	j.RunningStale = false
 	j.RunningView, j.RunningSince, j.TasksElsewhere = j.RunningView[:0], j.RunningSince[:0], 0
@@ -180,14 +184,15 @@
 		placement := j.Placements[task]
 		if placement.HostCell() != "" {
 			j.TasksElsewhere++
-			continue // its preemption makes no room here
+			continue // its preemption frees no capacity in this cell
 		}
 		running, since := b.runningTask(j, placement)
 		j.RunningView, j.RunningSince = append(j.RunningView, running), append(j.RunningSince, since)
 	}
 }
 
-// runningTask returns a placed task and when it was first seen running, 0 if it wasn't yet.
+// runningTask returns a placed task and the time at which a heartbeat first reported it as running, 0
+// if none has yet.
 func (b *Builder) runningTask(j *jobtable.Job, placement jobrecord.Placement) (planner.RunningTask,
 	clock.Micros) {
 	running := planner.RunningTask{Task: placement.Task, Machine: placement.Machine}
@@ -201,7 +206,8 @@
 }
 
 // setOverheads sets what the preemption of each running task would lose: the time since its last
-// checkpoint, by the interval that the job declares, or since its start without one.
+// checkpoint, derived from the interval that the job declares, or the time since its start if it
+// declares none.
 func setOverheads(j *jobtable.Job, now clock.Micros) {
 	for i, since := range j.RunningSince {
 		running := &j.RunningView[i]
--- a/internal/leader/snapshots/machines.go
+++ b/internal/leader/snapshots/machines.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	// A machine that the cloud boots is waited for maxBootFactor times its type's usual boot and
-	// bootMargin: the same again is all that a slow boot takes.
+	// The planner waits for a booting machine for maxBootFactor times the usual boot time of its type
+	// plus bootMargin: a slow boot takes at most twice the usual time.
 	maxBootFactor = 2
 	bootMargin    = 5 * clock.Second
-	// firstHeartbeatMargin is added to the usual boot for a machine that is up by the cloud's word, and
-	// whose worker has yet to find the leader.
+	// firstHeartbeatMargin is added to the usual boot time for a machine that runs according to the
+	// cloud, but whose worker has yet to find the leader.
 	firstHeartbeatMargin = 10 * clock.Second
 )
 
-// PlannedMachine returns a machine as the planner is shown it, and reports whether it may be used.
+// PlannedMachine returns the planner's view of a machine, and reports whether plans may use the
+// machine.
 func (b *Builder) PlannedMachine(m *machinetable.Machine, now clock.Micros) (planner.Machine, bool) {
 	machineType, known := b.catalogue.ByName[m.Type]
 	if !known || !b.acceptsTasks(m, now) {
@@ -41,7 +42,7 @@
 	return m.View, !m.Unrecognized
 }
 
-// acceptsTasks reports whether a machine may get tasks, as far as it isn't a matter of what it runs.
+// acceptsTasks reports whether a machine may get tasks, regardless of the tasks that it runs.
 func (b *Builder) acceptsTasks(m *machinetable.Machine, now clock.Micros) bool {
 	if m.Releasing || m.Quarantined || m.RecallAt != 0 || now < m.FullUntil || b.zones.IsLost(m.Zone) {
 		return false
@@ -52,8 +53,9 @@
 	return !m.Cordoned && !m.ResponsesLost && b.machines.EpochAcknowledged(m) && b.machines.LeaseRenewed(m)
 }
 
-// setBooting sets whether a machine that was never heard of is waited for, and for how long. One that
-// is late is expected to take as long again as it is late.
+// setBooting sets whether the planner waits for a machine that hasn't sent a heartbeat yet, and how
+// long its boot still takes. A machine that is late is expected to need as much time again as it is
+// late.
 func setBooting(m *machinetable.Machine, machineType protocol.MachineType, now clock.Micros) {
 	boot := clock.FromSeconds(machineType.BootS)
 	switch m.CloudStatus {
@@ -68,7 +70,7 @@
 	m.View.BootRemainingS = max(-late, late).Seconds()
 }
 
-// rebuildView makes the planner's view of a machine anew.
+// rebuildView rebuilds the planner's view of a machine.
 func (b *Builder) rebuildView(m *machinetable.Machine, machineType protocol.MachineType) {
 	m.ViewStale = false
 	m.AdvancePulls(b.Now(), machineType)
@@ -78,7 +80,7 @@
 	m.Unrecognized = runsUnrecognizedTask(m)
 }
 
-// emptyView returns the planner's view of a machine without any placements.
+// emptyView returns the planner's view of a machine without placements.
 func emptyView(m *machinetable.Machine, machineType protocol.MachineType) planner.Machine {
 	view := planner.Machine{
 		Name:        m.Name,
@@ -99,8 +101,8 @@
 	return view
 }
 
-// addPlacements takes what is placed on a machine out of what its view has free. Images that weren't
-// being pulled before add to what is still to be pulled.
+// addPlacements subtracts the placements on a machine from the free capacity of its view. Images that
+// the machine wasn't pulling before add to PullGB, the amount that it still has to pull.
 func (b *Builder) addPlacements(m *machinetable.Machine, pulling []string) {
 	for id, tasks := range ordered.ByKey(m.Placements) {
 		spec := &b.jobs.ByID[id].Spec
@@ -116,8 +118,8 @@
 	}
 }
 
-// runsUnrecognizedTask reports whether a machine runs a task that isn't placed there: nobody knows
-// what it takes.
+// runsUnrecognizedTask reports whether a machine runs a task that isn't placed there, whose resource
+// needs are therefore unknown.
 func runsUnrecognizedTask(m *machinetable.Machine) bool {
 	for ref, task := range m.Tasks {
 		if _, placed := m.Placements[ref.Job][ref.Task]; !placed && task.Status != protocol.TaskExited {
--- a/internal/leader/snapshots/quota.go
+++ b/internal/leader/snapshots/quota.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// resourceTolerance absorbs the rounding of decimal amounts, as it does in the planner.
+	// resourceTolerance absorbs the rounding errors of decimal amounts, as in the planner.
 	resourceTolerance = 1e-6
-	// quotaBoundFactor is how many times as long as all the rest a team's backlog has to take for its
-	// limit to decide when everything is done: estimates are often wrong by half.
-	quotaBoundFactor = 1.5
+	// quotaLimitedFactor is how many times as long as the work of all teams a team's backlog must take
+	// before its limit determines when all jobs are done. Estimates are often wrong by half.
+	quotaLimitedFactor = 1.5
 )
 
 // teams returns the teams of the settings, without any usage yet.
@@ -29,8 +29,8 @@
 	return teams
 }
 
-// addUsage adds a job to what its team uses and has yet to do. A placement counts from its proposal
-// until its end is proven.
+// addUsage adds a job to its team's usage and backlog. A placement counts from its proposal until the
+// leader has proof that the task is gone.
 func addUsage(teams map[string]planner.Team, j *jobtable.Job) {
 	team := teams[j.Spec.Team]
 	needs := planner.TaskResources(&j.Spec)
@@ -42,19 +42,19 @@
 	teams[j.Spec.Team] = team
 }
 
-// promoteQuotaBound raises late jobs of teams whose limits hold them back for longer than all the rest
-// takes: they decide when everything is done.
-func promoteQuotaBound(s *planner.Snapshot) {
-	restS := remainingWorkS(s)
+// promoteQuotaLimited raises the tier of late jobs whose teams are held back by their limits for longer
+// than the work of all jobs takes: these jobs determine when all jobs are done.
+func promoteQuotaLimited(s *planner.Snapshot) {
+	remainingS := remainingWorkS(s)
 	for i := range s.Jobs {
 		j := &s.Jobs[i]
-		if j.Tier == planner.TierTooLate && s.Teams[j.Spec.Team].BacklogS > quotaBoundFactor*restS {
+		if j.Tier == planner.TierTooLate && s.Teams[j.Spec.Team].BacklogS > quotaLimitedFactor*remainingS {
 			j.Tier, j.SlackS = planner.TierEndInTime, 0
 		}
 	}
 }
 
-// remainingWorkS returns how long all jobs take together on all machines, in seconds.
+// remainingWorkS returns how long all jobs together take on all machines, in seconds.
 func remainingWorkS(s *planner.Snapshot) float64 {
 	var capacity planner.Resources
 	for _, m := range s.Machines {
@@ -76,15 +76,15 @@
 	if len(left) == 0 {
 		return
 	}
-	for _, j := range slices.Backward(youngestFirst(s)) {
-		room, guaranteed := left[j.Spec.Team]
+	for _, j := range slices.Backward(newestFirst(s)) {
+		remaining, guaranteed := left[j.Spec.Team]
 		if !guaranteed {
 			continue
 		}
 		unfinished := j.Spec.Tasks - b.jobs.ByID[j.ID].Done.Len()
 		needs := planner.TaskResources(j.Spec).Times(float64(unfinished))
-		j.WithinGuarantee = fitsGuarantee(needs, room, s.Teams[j.Spec.Team].Guarantee)
-		left[j.Spec.Team] = room.Minus(needs)
+		j.WithinGuarantee = fitsGuarantee(needs, remaining, s.Teams[j.Spec.Team].Guarantee)
+		left[j.Spec.Team] = remaining.Minus(needs)
 	}
 }
 
@@ -99,15 +99,15 @@
 	return guarantees
 }
 
-// fitsGuarantee reports whether resources fit into what is left of a guarantee, in every respect in
-// which it guarantees anything.
+// fitsGuarantee reports whether resources fit into the remaining part of a guarantee. It compares only
+// the resources that the guarantee covers.
 func fitsGuarantee(needs, left, guarantee planner.Resources) bool {
 	return (guarantee.Cpus == 0 || needs.Cpus <= left.Cpus+resourceTolerance) &&
 		(guarantee.Gpus == 0 || needs.Gpus <= left.Gpus+resourceTolerance)
 }
 
-// MarkOverQuota marks, youngest jobs first, the running tasks by which teams exceed their guarantees.
-// Without any guarantee there is nobody who could ask for the resources.
+// MarkOverQuota marks the running tasks by which teams exceed their guarantees, those of the newest
+// jobs first. Without any guarantee no team can reclaim resources, and MarkOverQuota marks nothing.
 func MarkOverQuota(s *planner.Snapshot) {
 	if len(guaranteesOf(s.Teams)) == 0 {
 		return
@@ -116,7 +116,7 @@
 	for name, team := range s.Teams {
 		excess[name] = team.Used.Minus(team.Guarantee)
 	}
-	for _, j := range youngestFirst(s) {
+	for _, j := range newestFirst(s) {
 		if preemptibleForGuarantee(j) {
 			left := markJobOverQuota(j, excess[j.Spec.Team], s.Teams[j.Spec.Team].Guarantee)
 			excess[j.Spec.Team] = left
@@ -125,14 +125,14 @@
 }
 
 // preemptibleForGuarantee reports whether a job may be preempted for another team's guarantee. A
-// service isn't: that costs its users more than a guarantee that is met later. Nor are jobs of other
-// cells, whose rank is below all others anyway.
+// service may not: its preemption costs its users more than a guarantee that is met later. A hosted job
+// may not either: its rank is below those of all other jobs anyway.
 func preemptibleForGuarantee(j *planner.Job) bool {
 	return !j.Spec.Service() && j.Rank <= len(protocol.Priorities)
 }
 
 // markJobOverQuota marks a job's running tasks as long as its team exceeds its guarantee, and returns
-// by how much it would exceed it without them.
+// the team's excess without the marked tasks.
 func markJobOverQuota(j *planner.Job, excess, guarantee planner.Resources) planner.Resources {
 	for i := range j.Running {
 		if exceeds(excess, guarantee) {
@@ -143,16 +143,16 @@
 	return excess
 }
 
-// exceeds reports whether a team with this excess uses more than its guarantee in any respect in which
-// it guarantees anything. All that is used without a guarantee is beyond it.
+// exceeds reports whether a team with the given excess uses more than its guarantee of any resource
+// that the guarantee covers. A team without a guarantee exceeds it with any use.
 func exceeds(excess, guarantee planner.Resources) bool {
 	return guarantee.Cpus > 0 && excess.Cpus > resourceTolerance ||
 		guarantee.Gpus > 0 && excess.Gpus > resourceTolerance ||
 		guarantee.Cpus == 0 && guarantee.Gpus == 0
 }
 
-// youngestFirst returns the jobs of a snapshot in descending order of their submission.
-func youngestFirst(s *planner.Snapshot) []*planner.Job {
+// newestFirst returns the jobs of a snapshot in descending order of submission.
+func newestFirst(s *planner.Snapshot) []*planner.Job {
 	jobs := make([]*planner.Job, len(s.Jobs))
 	for i := range s.Jobs {
 		jobs[i] = &s.Jobs[i]
--- a/internal/leader/snapshots/reserve.go
+++ b/internal/leader/snapshots/reserve.go
@@ -12,29 +12,29 @@
 	"postpoint/internal/protocol"
 )
 
-// A reserve is capacity that is kept free. The planner is shown it as a job that never runs, whose id
-// begins with reservePrefix as no other job's does. The planner orders jobs by their ids in the end.
+// A reserve is capacity that is kept free. The planner sees it as a job that never runs, whose ID
+// begins with reservePrefix. No other job's ID does. The planner breaks ties between jobs by their IDs.
 const (
 	reservePrefix = "spare/"
-	// zoneReservePrefix is for the loss of a zone.
+	// zoneReservePrefix marks reserves for the loss of a zone.
 	zoneReservePrefix = reservePrefix + "zone/"
-	// displacedReservePrefix is for tasks in a lost zone that aren't proven to have ended yet: machines
-	// for them boot meanwhile.
+	// displacedReservePrefix marks reserves for tasks in a lost zone that aren't proven to have ended
+	// yet: machines for them boot in the meantime.
 	displacedReservePrefix = reservePrefix + "lost/"
 )
 
 const (
-	// classMemory is for how long after its last job more jobs of a class are expected.
-	classMemory = 2 * objectives.ArrivalWindow
-	// arrivalHorizonS is the time, in seconds, for whose arrivals capacity is reserved.
+	// classRetention is how long after the last job of a class more jobs of the class are expected.
+	classRetention = 2 * objectives.ArrivalWindow
+	// arrivalHorizonS is how far ahead, in seconds, capacity is reserved for expected arrivals.
 	arrivalHorizonS = 12.0
 )
 
 // IsReserve reports whether a job of a plan is a reserve.
 func IsReserve(jobID protocol.JobID) bool { return strings.HasPrefix(string(jobID), reservePrefix) }
 
-// newReserve returns a reserve for so many tasks like those of a spec, which it changes into an
-// array. It is in no hurry, and comes after all other jobs of its rank and tier.
+// newReserve returns a reserve for the given number of tasks like those of spec, which it changes into
+// an array. The reserve has no deadline, and comes after all other jobs of its rank and tier.
 func newReserve(id protocol.JobID, spec *protocol.JobSpec, tasks, rank int, tier planner.Tier) planner.Job {
 	spec.Shape, spec.Tasks = protocol.ShapeArray, tasks
 	return planner.Job{
@@ -59,21 +59,22 @@
 	return tasks
 }
 
-// expectedArrivals returns reserves for jobs that are about to be submitted and should start sooner
-// than a machine boots. They come after the jobs that can still start in time, and before all others.
+// expectedArrivals returns reserves for jobs that users are expected to submit soon and that should
+// start sooner than a machine boots. These reserves come after the jobs that can still start in time,
+// and before all others.
 func (b *Builder) expectedArrivals() []planner.Job {
 	var jobs []planner.Job
 	for class, history := range ordered.ByKey(b.objectives.Classes) {
-		if b.objectives.StartsBeforeBoot(class) && b.Now() <= history.LastAt+classMemory {
+		if b.objectives.StartsBeforeBoot(class) && b.Now() <= history.LastAt+classRetention {
 			jobs = append(jobs, b.arrivalReserve(class, history))
 		}
 	}
 	return jobs
 }
 
-// arrivalReserve returns the reserve for a class: one more job, and those of the next seconds. That of
-// a service comes after everything else that is pending, since a replica can preempt other tasks where
-// no room is reserved.
+// arrivalReserve returns the reserve for a class: for one more job, and for the arrivals within
+// arrivalHorizonS. The reserve of a service comes after all other pending jobs, since a replica can
+// preempt other tasks where no capacity is reserved.
 func (b *Builder) arrivalReserve(class string, history objectives.ClassHistory) planner.Job {
 	spec := history.Spec
 	expected := float64(len(history.Arrivals)) * arrivalHorizonS / objectives.ArrivalWindow.Seconds()
@@ -86,9 +87,9 @@
 	return newReserve(id, &spec, tasks, rank, planner.TierStartInTime)
 }
 
-// ReplicaReserve returns how many replicas of a class room is reserved for: those of one more job, or
-// those that are submitted while a machine boots, and the replicas of the machine with most of them,
-// which may be lost.
+// ReplicaReserve returns the number of replicas of a class for which capacity is reserved. It is the
+// larger of the replicas of one more job and those that users submit while a machine boots, plus the
+// replicas on the machine with most of them, since that machine may be lost.
 func (b *Builder) ReplicaReserve(history objectives.ClassHistory) int {
 	recent, largest := 0, 0
 	for _, arrival := range history.Arrivals {
@@ -104,9 +105,9 @@
 	return max(int(whileBooting), largest) + b.machines.MostReplicas()
 }
 
-// zoneReserves returns reserves, in the other zones, for a share of what each zone runs, if the
-// settings of zone recovery ask for it. They come after everything that is pending. As long as a zone
-// isn't healthy there are none: it is what the room is for.
+// zoneReserves returns reserves, in the other zones, for a share of the tasks that each zone runs, if
+// the settings of zone recovery ask for it. They come after all pending jobs. While any zone isn't
+// healthy there are no such reserves, since their capacity is for that case.
 func (b *Builder) zoneReserves() []planner.Job {
 	if b.zones.Options == nil || b.zones.Options.Reserve.Share == 0 || b.zones.AnyCordoned() {
 		return nil
@@ -138,14 +139,14 @@
 }
 
 // needsZoneReserve reports whether a job's tasks could run in another zone and are of a class that the
-// reserve is for. Without any classes it is for all of them.
+// reserve covers. Without any classes the reserve covers all of them.
 func needsZoneReserve(j *jobtable.Job, classes []string) bool {
 	return !j.Over() && j.Spec.Zone == "" && (len(classes) == 0 || slices.Contains(classes, j.Spec.Class))
 }
 
-// reservesOutside returns reserves for tasks like those of a spec, spread evenly over all zones but
-// one.
-func (b *Builder) reservesOutside(like *protocol.JobSpec, lostZone string, tasks int) []planner.Job {
+// reservesOutside returns reserves for tasks like those of template, spread evenly over all zones but
+// lostZone.
+func (b *Builder) reservesOutside(template *protocol.JobSpec, lostZone string, tasks int) []planner.Job {
 	var others []string
 	for name := range ordered.ByKey(b.zones.Zones) {
 		if name != lostZone {
@@ -154,25 +155,26 @@
 	}
 	var jobs []planner.Job
 	for i, zone := range others {
-		share := (tasks + i) / len(others)
-		if share == 0 {
+		zoneTasks := (tasks + i) / len(others)
+		if zoneTasks == 0 {
 			continue
 		}
-		spec := *like
+		spec := *template
 		spec.Zone, spec.OneZone, spec.Spread = zone, false, false
-		id := protocol.JobID(zoneReservePrefix + like.Class + "/" + lostZone + "/" + zone)
-		jobs = append(jobs, newReserve(id, &spec, share, len(protocol.Priorities), planner.TierEndInTime))
+		id := protocol.JobID(zoneReservePrefix + template.Class + "/" + lostZone + "/" + zone)
+		jobs = append(jobs, newReserve(id, &spec, zoneTasks, len(protocol.Priorities), planner.TierEndInTime))
 	}
 	return jobs
 }
 
-// displacedReserves returns reserves for the tasks of lost zones, which will have to start elsewhere.
+// displacedReserves returns reserves for the tasks of lost zones, which will have to start in other
+// zones.
 func (b *Builder) displacedReserves() []planner.Job {
 	if b.zones.Options == nil || !b.zones.AnyLost() {
 		return nil
 	}
 	var jobs []planner.Job
-	for id, tasks := range ordered.ByKey(b.lostTasks()) {
+	for id, tasks := range ordered.ByKey(b.displacedTasks()) {
 		j := b.jobs.ByID[id]
 		if j == nil || j.Over() || j.Spec.Zone != "" && b.zones.IsCordoned(j.Spec.Zone) {
 			continue
@@ -182,21 +184,22 @@
 	return jobs
 }
 
-// lostTasks counts, by job, the tasks on silent machines of lost zones.
-func (b *Builder) lostTasks() map[protocol.JobID]int {
-	lost := map[protocol.JobID]int{}
+// displacedTasks counts, by job, the tasks on silent machines of lost zones.
+func (b *Builder) displacedTasks() map[protocol.JobID]int {
+	displaced := map[protocol.JobID]int{}
 	for _, m := range b.machines.Ordered {
 		if !b.zones.IsLost(m.Zone) || !b.machines.HeartbeatMissed(m) {
 			continue
 		}
 		for id, tasks := range m.Placements {
-			lost[id] += len(tasks)
+			displaced[id] += len(tasks)
 		}
 	}
-	return lost
+	return displaced
 }
 
-// displacedReserve returns the reserve for tasks of a job, which is as urgent as the job itself.
+// displacedReserve returns the reserve for displaced tasks of a job, which is as urgent as the job
+// itself.
 func (b *Builder) displacedReserve(j *jobtable.Job, tasks int) planner.Job {
 	spec := j.Spec
 	urgency := b.objectives.Urgency(j)
@@ -211,7 +214,7 @@
 	return reserve
 }
 
-// tasksByHealthyZone counts a job's tasks by zone, except for those in lost zones, which will be gone.
+// tasksByHealthyZone counts a job's tasks by zone, except for those in lost zones, which won't stay.
 func (b *Builder) tasksByHealthyZone(j *jobtable.Job) map[string]int {
 	zones := map[string]int{}
 	for _, placement := range j.Placements {
--- a/internal/leader/snapshots/snapshot.go
+++ b/internal/leader/snapshots/snapshot.go
@@ -1,6 +1,5 @@
-// Package snapshots shows the planner what is known of jobs, machines and teams. It changes nothing
-// but cached views. The scheduler plans from a snapshot, the autoscaler searches one for surplus
-// machines.
+// Package snapshots builds the planner's view of jobs, machines and teams. It changes only cached
+// views. The scheduler plans from a snapshot, and the autoscaler searches one for surplus machines.
 package snapshots
 
 import (
@@ -19,7 +18,7 @@
 	"postpoint/internal/planner"
 )
 
-// Builder builds snapshots of what is known of jobs, machines and teams.
+// Builder builds snapshots of the leader's jobs, machines and teams.
 type Builder struct {
 	*term.State
 	jobs       *jobtable.Table
@@ -29,16 +28,16 @@
 	writer     *recordstore.Writer
 	commands   *reconciler.CommandSender
 	zones      *zonetracker.Tracker
-	// Directory lists the cells, nil if they are switched off.
+	// Directory lists the cells, nil if cells are disabled.
 	Directory *cells.Directory
 
 	// LastMachines are the machines of the last snapshot.
 	LastMachines []planner.Machine
-	// free is what these machines have left, known only if cells are switched on.
+	// free is the free capacity of these machines, known only if cells are enabled.
 	free planner.Resources
 }
 
-// New returns a builder of snapshots of the given components.
+// New returns a builder that takes snapshots of the given components.
 func New(term *term.State, jobs *jobtable.Table, machines *machinetable.Table,
 	catalogue *machinetable.Catalogue, objectives *objectives.Tracker, writer *recordstore.Writer,
 	commands *reconciler.CommandSender, zones *zonetracker.Tracker) *Builder {
@@ -54,7 +53,7 @@
 	}
 }
 
-// Snapshot returns what is known now. It is valid until the next one is taken.
+// Snapshot returns the present state. It is valid until the next snapshot is taken.
 func (b *Builder) Snapshot() planner.Snapshot {
 	now := b.Now()
 	s := planner.Snapshot{Teams: b.teams()}
@@ -68,7 +67,7 @@
 		}
 	}
 	b.markWithinGuarantees(&s)
-	promoteQuotaBound(&s)
+	promoteQuotaLimited(&s)
 	s.Jobs = append(s.Jobs, b.expectedArrivals()...)
 	s.Jobs = append(s.Jobs, b.displacedReserves()...)
 	s.Jobs = append(s.Jobs, b.zoneReserves()...)
@@ -76,8 +75,8 @@
 	return s
 }
 
-// plannedMachines returns the machines that the planner may use. It overwrites those of the last
-// snapshot, which nobody needs any more.
+// plannedMachines returns the machines that plans may use. It overwrites the machines of the last
+// snapshot, which is no longer valid.
 func (b *Builder) plannedMachines(now clock.Micros) []planner.Machine {
 	planned := slices.Grow(b.LastMachines[:0], len(b.machines.Ordered))
 	for _, m := range b.machines.Ordered {
@@ -92,7 +91,7 @@
 	return planned
 }
 
-// freeResources returns what machines have left, those that boot included.
+// freeResources returns the free capacity of machines, including booting ones.
 func freeResources(machines []planner.Machine) planner.Resources {
 	var free planner.Resources
 	for i := range machines {
@@ -101,16 +100,16 @@
 	return free
 }
 
-// What each machine, job and placement adds to the cost of a step.
+// These constants are what each machine, job and placement adds to the cost of a step.
 const (
 	machineCost   clock.Micros = 1
 	jobCost       clock.Micros = 5
 	placementCost clock.Micros = 1
 )
 
-// PlanningCost returns what a step costs by estimate. The pause after the step follows from it, which
-// leaves the processor to heartbeats, renewals and users: a leader that plans without a break on a
-// tenth of a core is late for everything else. The cost is counted, not measured, so that the same
+// PlanningCost returns the estimated cost of a step. The pause after the step is derived from it and
+// leaves processor time to heartbeats, renewals and users' requests: a leader that plans without pauses
+// on a tenth of a core is late for everything else. The cost is counted, not measured, so that the same
 // events always lead to the same decisions.
 func (b *Builder) PlanningCost() clock.Micros {
 	placements := 0
