--- a/internal/leader/jobtable/job.go
+++ b/internal/leader/jobtable/job.go
@@ -9,69 +9,74 @@
 	"postpoint/internal/protocol"
 )
 
-// Job is a record with what this leader knows beyond it.
+// Job holds a job's record and the state that only this leader keeps.
 type Job struct {
 	*jobrecord.Record
-	// StoredValue is the value at the job's key: the whole record, or the head of a sharded one.
+	// StoredValue tracks the value at the job's key: the whole record, or the head of a sharded
+	// one.
 	StoredValue
-	// Shards are the other values of a sharded record.
+	// Shards track the other values of a sharded record.
 	Shards []*StoredValue
 	RecordState
-	// FollowedEvent is a change of the record that was followed while a read or write was under way.
+	// FollowedEvent is a change of the record that the watch delivered during a read or write.
 	FollowedEvent *protocol.Event
 
-	// ProposedAt holds, for each placement, the count of its value's changes at its proposal: it is
-	// in the record once the stored count has reached that.
+	// ProposedAt holds, for each placement, the ChangeCount of its value when the leader proposed
+	// it: the placement is in the record once StoredCount has reached that number.
 	ProposedAt map[int]int
-	// RunningView and RunningSince are what the planner is shown, kept until a placement changes.
+	// RunningView and RunningSince are part of the planner's input, cached until a placement
+	// changes.
 	RunningView  []planner.RunningTask
 	RunningSince []clock.Micros
 	RunningStale bool
-	// TasksElsewhere counts the tasks that other cells run, kept with RunningView.
+	// TasksElsewhere counts the tasks that other cells run, cached with RunningView.
 	TasksElsewhere int
-	// BrokenAttempt is a gang's attempt that can't be completed any more.
+	// BrokenAttempt is the latest attempt of a gang that can no longer be completed.
 	BrokenAttempt protocol.Attempt
 	StartFailures int
-	// NotBefore keeps a job that failed to start from starting again at once.
+	// NotBefore delays the next start of a job that failed to start.
 	NotBefore     clock.Micros
 	AvoidMachines map[protocol.MachineName]bool
-	// Restarts are the waits of a service's replicas.
+	// Restarts are the restart delays of a service's replicas, by task.
 	Restarts map[int]Restart
-	// Cancelled reports that a user was told so; the record may still be behind.
+	// Cancelled reports that a user received the confirmation of a cancellation; the record may not
+	// show it yet.
 	Cancelled bool
-	// CancelConfirmedAt is when that was, or somewhat earlier. It may lie before this process began,
-	// and so be negative on its monotonic clock.
+	// CancelConfirmedAt is the time of that confirmation, or somewhat earlier. It may precede the
+	// start of this process, and so be negative on its monotonic clock.
 	CancelConfirmedAt clock.Micros
-	// Stops are the placed tasks that are to be stopped.
+	// Stops holds the placed tasks that the leader has to stop.
 	Stops map[int]StopRequest
-	// Reclaiming reports that the job is to have capacity back that it lent.
+	// Reclaiming reports that the job was a lender and now gets its capacity back first.
 	Reclaiming bool
-	// MovedOffSurplus reports that the job was moved off a machine that could be scaled in.
+	// MovedOffSurplus reports that the job was moved once so that its surplus machine could be
+	// scaled in.
 	MovedOffSurplus bool
-	// UnmetAt is when a plan last had unmet demand of the job, UnmetSince since when all plans did,
-	// UnmetTasks for how many tasks.
+	// UnmetAt is the time of the last plan that had unmet demand of the job, UnmetSince the time
+	// since which all plans had, and UnmetTasks the number of tasks.
 	UnmetSince, UnmetAt clock.Micros
 	UnmetTasks          int
-	// Permission is what may be done with a hosted job, nil for this cell's own.
+	// Permission is what the origin cell permits for a hosted job, nil for this cell's own jobs.
 	Permission *delegation.Permission
-	// ClosedAtChange counts the record's changes at the one that closed the hosted job, StoredDone
-	// are the tasks that are done by the stored record.
+	// ClosedAtChange is the ChangeCount at which the hosted job was closed. StoredDone holds the
+	// tasks that are done according to the stored record.
 	ClosedAtChange int
 	StoredDone     jobrecord.TaskSet
-	// DisplacedAt is when the job lost tasks with a zone, ClearedToStart that they may start again.
+	// DisplacedAt is when the job lost tasks with a zone; ClearedToStart reports that they may
+	// start again.
 	DisplacedAt    clock.Micros
 	ClearedToStart bool
-	// GivenBackAt is when another cell last gave tasks of the job back unfinished.
+	// GivenBackAt is when another cell last returned unfinished tasks of the job.
 	GivenBackAt clock.Micros
 }
 
-// StopRequest asks for a placed task to be stopped.
+// StopRequest asks the leader to stop a placed task.
 type StopRequest struct {
 	GraceS float64
 	Reason string
 }
 
-// NewJob returns a job whose record isn't known yet.
+// NewJob returns a job without a record.
 func NewJob() *Job {
 	return &Job{
 		AvoidMachines: map[protocol.MachineName]bool{},
@@ -82,37 +87,37 @@
 	}
 }
 
-// Committed reports whether a placement is in the record: only then is it acted on.
+// Committed reports whether a placement is in the record: the leader acts on it only then.
 func (j *Job) Committed(p jobrecord.Placement) bool {
 	return !j.ShardsUnread() && j.ProposedAt[p.Task] <= j.valueOf(p.Task).StoredCount
 }
 
-// AttemptOf identifies the attempt of the job's task that a placement is for.
+// AttemptOf identifies the task attempt of a placement.
 func (j *Job) AttemptOf(p jobrecord.Placement) machinetable.AttemptRef {
 	return machinetable.AttemptRef{Job: j.Spec.ID, Task: p.Task, Attempt: p.Attempt}
 }
 
-// StartPermitted reports whether a start of the job's task may be sent: of this cell's own jobs
-// always, of a hosted one while its origin cell permits it. A task that has to be stopped as it
-// starts is no new work.
+// StartPermitted reports whether the leader may send a start of the job's task. It always may for
+// this cell's own jobs; for a hosted job it may while the origin cell permits it. A task with a
+// stop request may start while the job may keep its tasks, since it adds no new work.
 func (j *Job) StartPermitted(stop *StopRequest, now clock.Micros) bool {
 	return j.Permission == nil || j.Permission.MayStart(now) || stop != nil && j.Permission.MayKeep(now)
 }
 
-// HasUnmetDemand reports whether a late enough plan has wanted machines for the job.
+// HasUnmetDemand reports whether a recent plan had unmet demand of the job.
 func (j *Job) HasUnmetDemand(now clock.Micros) bool {
 	return j.UnmetAt != 0 && now <= j.UnmetAt+unmetDemandGap
 }
 
-// Over reports whether nothing of the job may start or stay any more.
+// Over reports whether no task of the job may start or keep running.
 func (j *Job) Over() bool { return j.Final() || j.MustEnd() }
 
-// MustEnd reports whether whatever is left of the job has to be gone in time: it was cancelled, or
-// the cell whose job it is no longer permits it.
+// MustEnd reports whether the remaining tasks of the job must end within the time limit for
+// cancellations: the job was cancelled, or its origin cell no longer permits it.
 func (j *Job) MustEnd() bool { return j.Cancelled || j.Permission != nil && j.Permission.Ending }
 
-// Rank returns the job's place among ranks, 0 the highest. Hosted jobs come after all of this cell's
-// own.
+// Rank returns the job's rank in the planner's order, 0 for the highest. Hosted jobs rank below all
+// of this cell's own jobs.
 func (j *Job) Rank() int {
 	rank := protocol.PriorityOf(j.Spec.Priority)
 	if j.Hosted != nil {
@@ -121,21 +126,22 @@
 	return rank
 }
 
-// maxAvoided is how many machines a job fails on before the fault is taken to be its own.
-const maxAvoided = 8
+// maxAvoidedMachines is the number of machines after which the job itself is assumed to cause its
+// failures.
+const maxAvoidedMachines = 8
 
-// AvoidMachine keeps a job off a machine on which it failed.
+// AvoidMachine excludes a machine on which the job failed from its placements.
 func (j *Job) AvoidMachine(name protocol.MachineName) {
 	j.AvoidMachines[name] = true
-	if len(j.AvoidMachines) > maxAvoided {
-		// It failed wherever it went: the machines aren't at fault.
+	if len(j.AvoidMachines) > maxAvoidedMachines {
+		// The job failed on many machines, so the machines aren't the cause.
 		clear(j.AvoidMachines)
 	}
 }
 
-// CurrentAttempt returns the attempt for tasks placed now. None of them ever had it, since the next
-// attempt rises above that of each task that has to run again. A gang that is to be completed goes on
-// with the attempt of its other tasks.
+// CurrentAttempt returns the attempt number for tasks that are placed now. No task has had this
+// number before, since NextAttempt rises above the attempt of each task that has to run again. A
+// gang that has placed tasks keeps their attempt for the remaining ones.
 func (j *Job) CurrentAttempt() protocol.Attempt {
 	if j.Spec.Gang() {
 		for _, p := range j.Placements {
@@ -145,8 +151,8 @@
 	return j.NextAttempt
 }
 
-// LastPending returns the last n tasks that are neither done nor placed. They are the ones to be
-// delegated, as this cell starts the first.
+// LastPending returns the last n tasks that are neither done nor placed. They are the candidates
+// for delegation, since this cell starts the first ones.
 func (j *Job) LastPending(n int) []int {
 	tasks := make([]int, 0, n)
 	for task := j.Spec.Tasks - 1; task >= 0 && len(tasks) < n; task-- {
@@ -157,8 +163,8 @@
 	return tasks
 }
 
-// RecordDone notes a task that has completed. A gang completes together: if one is done, all are.
-// What is over doesn't change any more, and a service's tasks are never done.
+// RecordDone marks a completed task as done. A gang completes as a whole: if one of its tasks is
+// done, all are. Final jobs don't change, and a service's tasks are never done.
 func (j *Job) RecordDone(task int) {
 	switch {
 	case j.Final() || j.Spec.Service():
--- a/internal/leader/jobtable/jobtable.go
+++ b/internal/leader/jobtable/jobtable.go
@@ -1,7 +1,7 @@
-// Package jobtable owns the jobs of a term that aren't over: the contents of their records, how much
-// of that is stored, and their placements. A placement is released only on proof (docs/rules.md).
-// It neither reads nor writes the key-value store (package recordstore), and places nothing by
-// itself (package scheduler).
+// Package jobtable owns the jobs of a term that aren't final: the contents of their records, how
+// much of them is stored, and their placements. It releases a placement only on proof that the task
+// no longer runs (docs/rules.md). Package recordstore reads and writes the key-value store, and
+// package scheduler chooses the placements.
 package jobtable
 
 import (
@@ -18,22 +18,23 @@
 	"postpoint/internal/protocol"
 )
 
-// Table owns the jobs that aren't over, with their records' contents and placements.
+// Table owns the jobs that aren't final, with their records' contents and placements.
 type Table struct {
 	*term.State
 	machines *machinetable.Table
 	steps    *term.StepTimer
-	// Losses is told of placements that are lost before their tasks are done.
+	// Losses is notified of placements that are lost before their tasks are done.
 	Losses LossObserver
 
-	// ByID has the jobs by their ids.
+	// ByID holds the jobs by their ids.
 	ByID map[protocol.JobID]*Job
-	// FinalVersions are the last versions of jobs that are over, until following the records has
-	// caught up with them: an older version that still arrives is outdated.
+	// FinalVersions holds the last record versions of final jobs. The watch of the records may
+	// still deliver older versions, which are outdated; an entry stays until the watch has caught
+	// up with it.
 	FinalVersions map[protocol.JobID]protocol.Revision
-	// Malformed are the ids of jobs whose records can't be decoded.
+	// Malformed holds the ids of jobs whose records can't be decoded.
 	Malformed map[protocol.JobID]bool
-	// StrayShards are the versions of stored shards, by key, that belong to no sharded record.
+	// StrayShards holds the versions of stored shards, by key, that belong to no sharded record.
 	StrayShards map[string]protocol.Revision
 }
 
@@ -42,15 +43,16 @@
 	return &Table{State: state, machines: machines, steps: steps}
 }
 
-// End forgets the jobs when the term is over.
+// End forgets the jobs when the term has ended.
 func (t *Table) End() { t.ByID = nil }
 
-// LossObserver is told of placements that are lost before their tasks are done.
+// LossObserver is notified of placements that are lost before their tasks are done.
 type LossObserver interface {
+	// PlacementLost is called when the table releases the placement of a task that isn't done.
 	PlacementLost(j *Job, machineName protocol.MachineName)
 }
 
-// Begin forgets what was known in earlier terms.
+// Begin forgets the state of earlier terms.
 func (t *Table) Begin() {
 	t.ByID = map[protocol.JobID]*Job{}
 	t.FinalVersions = map[protocol.JobID]protocol.Revision{}
@@ -58,16 +60,16 @@
 	t.StrayShards = map[string]protocol.Revision{}
 }
 
-// QuarantineRecord forgets a job whose record can't be decoded, and notes its id: what may be running
-// of it is never guessed at.
+// QuarantineRecord forgets a job whose record can't be decoded, and keeps its id: the leader never
+// guesses which of its tasks may be running.
 func (t *Table) QuarantineRecord(id protocol.JobID, err error) {
-	slog.Error("malformed record", "job", id, "error", err)
+	slog.Error("malformed job record", "job", id, "error", err)
 	t.Malformed[id] = true
 	delete(t.ByID, id)
 }
 
-// NoteTaskChange notes a change of a task's state. While a record is being sharded both of its forms
-// have to follow.
+// NoteTaskChange marks the stored value of a task's state as changed. While a record is being
+// sharded, its undivided value and its shard must both be written.
 func (t *Table) NoteTaskChange(j *Job, task int) {
 	j.valueOf(task).NoteChange(t.Now())
 	if j.Sharding() {
@@ -76,12 +78,14 @@
 	j.RunningStale = true
 }
 
-// NoteHeadChange notes a change of the job's own state, as against that of its tasks.
+// NoteHeadChange marks the head, which holds the job's own state rather than that of its tasks, as
+// changed.
 func (t *Table) NoteHeadChange(j *Job) {
 	j.StoredValue.NoteChange(t.Now())
 }
 
-// AddPlacement adds a placement. It takes capacity from now on, and is acted on once it is durable.
+// AddPlacement adds a placement. It takes capacity immediately; the leader acts on it once it is
+// committed.
 func (t *Table) AddPlacement(j *Job, p jobrecord.Placement) {
 	j.Placements[p.Task] = p
 	t.machines.AddPlacement(j.Spec.ID, p)
@@ -91,8 +95,8 @@
 	v.Uncommitted = append(v.Uncommitted, p.Task)
 }
 
-// ReleasePlacement releases a placement. Only proof that its task can't run there any more allows
-// that: see docs/rules.md.
+// ReleasePlacement releases a placement. The caller must have proof that the task can no longer run
+// there: see docs/rules.md.
 func (t *Table) ReleasePlacement(j *Job, p jobrecord.Placement) {
 	delete(j.Placements, p.Task)
 	delete(j.Stops, p.Task)
@@ -104,7 +108,7 @@
 	t.NoteTaskChange(j, p.Task)
 	if !j.Done.Contains(p.Task) {
 		t.Losses.PlacementLost(j, p.Machine)
-		// The task is to run again, under another attempt than any before.
+		// The task has to run again, with an attempt number that was never used before.
 		j.NextAttempt = max(j.NextAttempt, p.Attempt+1)
 	}
 	t.steps.Wake()
@@ -117,20 +121,21 @@
 	}
 }
 
-// ForgetIfOver drops a job that is over, has no placements, and is stored like that.
+// ForgetIfOver drops a job that is final, has no placements, and is stored in this state.
 func (t *Table) ForgetIfOver(j *Job) {
 	if j.Final() && len(j.Placements) == 0 && j.allStored() && !j.HasStrayShards() && j.Permission == nil {
 		t.Forget(j)
 	}
 }
 
-// Forget drops a job that needs no leader any more, or whose record is gone.
+// Forget drops a job that no longer needs a leader, or whose record doesn't exist any more.
 func (t *Table) Forget(j *Job) {
 	t.FinalVersions[j.Spec.ID] = j.Version
 	delete(t.ByID, j.Spec.ID)
 }
 
-// returnCapacity lets the jobs that were preempted for a job have their capacity back first.
+// returnCapacity gives the lenders of a job, which were preempted for it, priority for their
+// capacity.
 func (t *Table) returnCapacity(j *Job) {
 	for _, id := range j.Lenders {
 		if lender := t.ByID[id]; lender != nil {
@@ -139,25 +144,25 @@
 	}
 }
 
-// TasksWithinQuota returns how many more tasks of a job its team's limit allows, over all cells.
+// TasksWithinQuota returns how many more tasks of a job its team's quota allows, over all cells.
 func (t *Table) TasksWithinQuota(j *Job) int {
 	team, _ := t.Settings.Deployment.Team(j.Spec.Team)
-	room := planner.Resources{Cpus: team.CpusMax, Gpus: team.GpusMax, MemoryGB: planner.UnlimitedMemoryGB}
+	free := planner.Resources{Cpus: team.CpusMax, Gpus: team.GpusMax, MemoryGB: planner.UnlimitedMemoryGB}
 	for _, other := range t.ByID {
 		if other.Spec.Team == j.Spec.Team {
-			room = room.Minus(planner.TaskResources(&other.Spec).Times(float64(other.PlacementsTaken())))
+			free = free.Minus(planner.TaskResources(&other.Spec).Times(float64(other.PlacementsTaken())))
 		}
 	}
 	if team.CpusMax == 0 { // no limit
-		room.Cpus = math.MaxInt32
+		free.Cpus = math.MaxInt32
 	}
 	if team.GpusMax == 0 {
-		room.Gpus = math.MaxInt32
+		free.Gpus = math.MaxInt32
 	}
-	return planner.TaskResources(&j.Spec).CopiesIn(room)
+	return planner.TaskResources(&j.Spec).CopiesIn(free)
 }
 
-// ZonesOf counts a job's placements by zone, those in unknown ones under "".
+// ZonesOf counts a job's placements by zone, those in unknown zones under "".
 func (t *Table) ZonesOf(j *Job) map[string]int {
 	zones := map[string]int{}
 	for _, p := range j.Placements {
@@ -170,14 +175,14 @@
 	return zones
 }
 
-// AbandonSharding goes on with the undivided record, which has been the valid one all along.
+// AbandonSharding keeps the undivided record, which has been the valid one throughout.
 func (t *Table) AbandonSharding(j *Job) {
 	j.ShardSize, j.Marked = 0, j.Spec.Service()
 	t.DropShards(j)
 }
 
-// DropShards forgets the shards of a record that turned out to be undivided. What is stored of them
-// has to be looked for.
+// DropShards forgets the shards of a record that is undivided. Shards that were stored are now
+// stray and have to be listed.
 func (t *Table) DropShards(j *Job) {
 	if len(j.Shards) > 0 {
 		j.Shards = nil
@@ -185,26 +190,28 @@
 	}
 }
 
-// CompleteIfDone makes a job done once all of its tasks are. A service never is.
+// CompleteIfDone makes a job final with the status done once all of its tasks are done. Services
+// never complete.
 func (t *Table) CompleteIfDone(j *Job) {
 	if j.Final() || j.Spec.Service() || j.Done.Len() < j.Spec.Tasks {
 		return
 	}
 	j.Status = protocol.StatusDone
 	if j.Sharding() {
-		t.AbandonSharding(j) // its record is small enough again
+		t.AbandonSharding(j) // the final record is small enough to stay undivided
 	}
 	t.NoteHeadChange(j)
 	t.returnCapacity(j)
 }
 
-// IsHosted reports whether an id is that of a known hosted job.
+// IsHosted reports whether an id belongs to a known hosted job.
 func (t *Table) IsHosted(id protocol.JobID) bool {
 	j := t.ByID[id]
 	return j != nil && j.Hosted != nil
 }
 
-// HostedByOrigin returns the hosted jobs by their origin cells, each cell's in the order of their ids.
+// HostedByOrigin returns the hosted jobs by their origin cells, each cell's in the order of their
+// ids.
 func (t *Table) HostedByOrigin() map[string][]*Job {
 	hosted := map[string][]*Job{}
 	for _, j := range ordered.ByKey(t.ByID) {
@@ -215,7 +222,7 @@
 	return hosted
 }
 
-// HostedAmounts returns what hosted jobs may use at once.
+// HostedAmounts returns the resources that all hosted jobs may use at the same time.
 func (t *Table) HostedAmounts() planner.Resources {
 	var used planner.Resources
 	for _, j := range t.ByID {
@@ -231,9 +238,9 @@
 	return used
 }
 
-// NoteCancelled notes when a cancellation was confirmed to a user, or an earlier time. It isn't counted
-// from when this leader came to know of it, since each change of leader would then put the end of the
-// job's tasks off.
+// NoteCancelled notes the time at which a cancellation was confirmed to a user, or an earlier time.
+// The time at which this leader learned of it doesn't count: each change of leader would then
+// postpone the end of the job's tasks.
 func (t *Table) NoteCancelled(j *Job, at clock.Micros) {
 	if !j.Cancelled {
 		slog.Debug("job cancelled", "job", j.Spec.ID, "placed", len(j.Placements), "ago_s",
@@ -243,16 +250,16 @@
 	j.CancelConfirmedAt = min(j.CancelConfirmedAt, at)
 }
 
-// AwaitPermission has a hosted job wait for the permission of its origin cell. Whatever an earlier
-// leader was permitted, this one has to ask for itself.
+// AwaitPermission makes a hosted job wait for the permission of its origin cell. A permission that
+// an earlier leader received doesn't count: each leader has to request its own.
 func (t *Table) AwaitPermission(j *Job) {
 	j.Permission = delegation.NewPermission(t.Now() + AnnounceTime)
 }
 
 const (
-	// unmetDemandGap is longer than it takes from one plan to the next: demand that no plan had unmet
-	// for so long is met.
+	// unmetDemandGap is longer than the time between two plans: demand counts as met if no plan
+	// reported it as unmet for so long.
 	unmetDemandGap = 10 * clock.Second
-	// AnnounceTime is how long machines have to send their heartbeats at the beginning of a term.
+	// AnnounceTime is the time that machines have to send their first heartbeats of a term.
 	AnnounceTime = 4 * clock.Second
 )
--- a/internal/leader/jobtable/recordstate.go
+++ b/internal/leader/jobtable/recordstate.go
@@ -7,17 +7,17 @@
 	"postpoint/internal/protocol"
 )
 
-// RecordState says how far a job in memory can be trusted to agree with its record in the store,
-// and what has to be done about it. It is a product of three parts that change independently:
+// RecordState tells whether a job in memory agrees with its record in the store, and what has to
+// happen if it may not. It consists of three parts that change independently:
 //
 //   - the phase, which follows the table below;
-//   - whether a read of the record or its shards is under way. It overlaps most phases: a reload in
-//     the reload phases, a search for shards that nobody needs in PhaseCurrent and whatever that
-//     becomes until the read ends;
-//   - whether shards may be stored that belong to no record. They may still be there, to be listed
-//     and removed, when the record has long been reloaded or changed again.
+//   - whether a read of the record or its shards is in progress. A read overlaps most phases: a reload
+//     overlaps the reload phases; a search for stray shards starts in PhaseCurrent and overlaps each
+//     phase that follows until the read ends;
+//   - whether shards may be stored that belong to no record. They may still have to be listed and
+//     removed long after the record was reloaded or changed again.
 //
-// The zero value is the state of a job that was just made.
+// The zero value is the state of a new job.
 type RecordState struct {
 	phase       RecordPhase
 	loading     bool
@@ -30,26 +30,27 @@
 
 // The phases of a record.
 const (
-	// PhaseCurrent means that memory is the record as last read with this leader's own changes.
+	// PhaseCurrent means that memory holds the record as last read, plus this leader's own changes.
 	PhaseCurrent RecordPhase = iota
-	// PhaseSharding means that shards are being written of a record whose undivided form stays the
-	// valid one until its head, which is written last, says otherwise.
+	// PhaseSharding means that the leader is writing the shards of a record. The undivided record
+	// stays valid until the leader writes the head, which comes last.
 	PhaseSharding
 	// PhaseShardsUnread means that only the head of a sharded record has been read.
 	PhaseShardsUnread
-	// PhaseReloadDue means that the record has changed, or may have, in a way that only reading it
-	// shows.
+	// PhaseReloadDue means that the record has changed, or may have changed, and the leader has to
+	// read it to learn how.
 	PhaseReloadDue
-	// PhaseFenceDue means that the head has to be written anew before the record is read: changes of
-	// shards without a response depend on the head's version, and can't be carried out after that,
-	// while a read before it may not show them yet.
+	// PhaseFenceDue means that the leader has to rewrite the head before it reads the record.
+	// Writes of shards that had no response depend on the head's version: after the rewrite the
+	// store can't execute them any more, whereas a read before it might miss them.
 	PhaseFenceDue
-	// PhaseShardingReloadDue is PhaseReloadDue for a record that was being sharded: whether its
-	// undivided form is still valid is unknown until it is read, and memory goes on as if it were.
+	// PhaseShardingReloadDue is PhaseReloadDue for a record that was being sharded. Until it is
+	// read, the leader doesn't know whether the undivided record is still valid, and assumes in
+	// memory that it is.
 	PhaseShardingReloadDue
 )
 
-// phaseNames are for logs and tests.
+// phaseNames are the names of the phases in logs and tests.
 var phaseNames = map[RecordPhase]string{
 	PhaseCurrent:           "current",
 	PhaseSharding:          "sharding",
@@ -62,39 +63,41 @@
 // String returns the phase's name.
 func (p RecordPhase) String() string { return phaseNames[p] }
 
-// RecordEvent is something that happens to a record and changes its state.
+// RecordEvent is an event that changes the state of a record.
 type RecordEvent int
 
 // The events of a record.
 const (
-	// EventRecordLoaded is a record taken over from the store, with all there is to know of it.
+	// EventRecordLoaded means that a record was loaded from the store with all of its content.
 	EventRecordLoaded RecordEvent = iota
-	// EventHeadLoaded is the head of a sharded record taken over, the shards of which come next.
+	// EventHeadLoaded means that the head of a sharded record was loaded; its shards are read next.
 	EventHeadLoaded
-	// EventShardsLoaded is all shards of a record taken over.
+	// EventShardsLoaded means that all shards of a record were loaded.
 	EventShardsLoaded
-	// EventShardingStarted is the decision to write a record in shards.
+	// EventShardingStarted means that the leader decided to write a record in shards.
 	EventShardingStarted
-	// EventShardsDropped is the end of the bookkeeping of shards, whose record is undivided. What is
-	// stored of them is stray.
+	// EventShardsDropped means that the leader dropped the shards of an undivided record from
+	// memory. Those that are stored are now stray.
 	EventShardsDropped
-	// EventHeadFollowed is a newer head seen while following the records.
+	// EventHeadFollowed means that the watch of the records delivered a newer head.
 	EventHeadFollowed
-	// EventRecordConflict is a write of the record or head that another request has made void.
+	// EventRecordConflict means that a write of the record or head failed because another request
+	// had changed it.
 	EventRecordConflict
-	// EventShardConflict is a write of a shard that was refused though its head hasn't changed.
+	// EventShardConflict means that the store rejected a write of a shard though its head hasn't
+	// changed.
 	EventShardConflict
-	// EventHeadStored is a write of the record or head that was carried out.
+	// EventHeadStored means that the store executed a write of the record or head.
 	EventHeadStored
-	// EventReadStarted is a read of the record, or of its shards, that was sent.
+	// EventReadStarted means that a read of the record, or of its shards, was sent.
 	EventReadStarted
-	// EventReadEnded is the end of that read, whether it succeeded or not.
+	// EventReadEnded means that this read ended, successfully or not.
 	EventReadEnded
-	// EventStrayShardsListed is a list of all that is stored of stray shards.
+	// EventStrayShardsListed means that all stored stray shards were listed.
 	EventStrayShardsListed
 )
 
-// eventNames are for logs and tests.
+// eventNames are the names of the events in logs and tests.
 var eventNames = map[RecordEvent]string{
 	EventRecordLoaded:      "record loaded",
 	EventHeadLoaded:        "head loaded",
@@ -119,10 +122,10 @@
 	event RecordEvent
 }
 
-// phaseTransitions has the next phase for each event that may occur in a phase. A pair that isn't
-// listed can't occur: unread shards, for instance, exclude all events but their reading, since
-// nothing is written and no read is sent before that. EventReadStarted, EventReadEnded and
-// EventStrayShardsListed leave every phase as it is and are not listed.
+// phaseTransitions holds the next phase for each event that may occur in a phase. A pair that isn't
+// listed can't occur. Unread shards, for example, exclude all events except their loading, because
+// the leader writes nothing and sends no other read before that. EventReadStarted, EventReadEnded
+// and EventStrayShardsListed don't change the phase and are not listed.
 var phaseTransitions = map[phaseStep]RecordPhase{
 	{PhaseCurrent, EventRecordLoaded}:    PhaseCurrent,
 	{PhaseCurrent, EventHeadLoaded}:      PhaseShardsUnread,
@@ -133,8 +136,8 @@
 	{PhaseCurrent, EventShardConflict}:   PhaseFenceDue,
 	{PhaseCurrent, EventHeadStored}:      PhaseCurrent,
 
-	// Shards that were refused under way to a sharded record need no fence: the undivided record is
-	// still the valid one.
+	// A rejected shard of a record that is being sharded needs no fence: the undivided record is
+	// still valid.
 	{PhaseSharding, EventShardsDropped}:  PhaseCurrent,
 	{PhaseSharding, EventHeadFollowed}:   PhaseShardingReloadDue,
 	{PhaseSharding, EventRecordConflict}: PhaseShardingReloadDue,
@@ -151,8 +154,8 @@
 	{PhaseReloadDue, EventShardConflict}:  PhaseFenceDue,
 	{PhaseReloadDue, EventHeadStored}:     PhaseReloadDue,
 
-	// A newer head that is followed doesn't replace the fence: a fence at the version before it is
-	// refused, and that refusal does.
+	// A newer head from the watch doesn't replace the fence. The store rejects the fence at the
+	// older version, and this conflict makes the reload due.
 	{PhaseFenceDue, EventRecordLoaded}:   PhaseCurrent,
 	{PhaseFenceDue, EventHeadLoaded}:     PhaseShardsUnread,
 	{PhaseFenceDue, EventShardsDropped}:  PhaseFenceDue,
@@ -169,8 +172,8 @@
 	{PhaseShardingReloadDue, EventHeadStored}:     PhaseReloadDue,
 }
 
-// next returns the state after an event, or the present one and an error if the event can't occur
-// in it.
+// next returns the state after an event. If the event can't occur in the present state, it returns
+// this state and an error.
 func (s RecordState) next(event RecordEvent) (RecordState, error) {
 	switch event {
 	case EventReadStarted:
@@ -192,8 +195,8 @@
 	return s, nil
 }
 
-// NoteRecordEvent changes the state of the job's record. An event that can't occur is a fault of
-// this program: it is logged, and the state stays.
+// NoteRecordEvent changes the state of the job's record. An event that can't occur is a bug in this
+// program: it is logged, and the state doesn't change.
 func (j *Job) NoteRecordEvent(event RecordEvent) {
 	state, err := j.next(event)
 	if err != nil {
@@ -202,7 +205,7 @@
 	j.RecordState = state
 }
 
-// id returns the job's id, "" before its record is known.
+// id returns the job's id, "" while its record is unknown.
 func (j *Job) id() protocol.JobID {
 	if j.Record == nil {
 		return ""
@@ -210,16 +213,17 @@
 	return j.Spec.ID
 }
 
-// MustReload reports whether the record has to be read before anything else happens to the job.
+// MustReload reports whether the leader has to read the record before it does anything else for the
+// job.
 func (s RecordState) MustReload() bool {
 	return s.phase == PhaseReloadDue || s.phase == PhaseFenceDue || s.phase == PhaseShardingReloadDue
 }
 
-// MustFence reports whether the head has to be written anew before the record is read.
+// MustFence reports whether the leader has to rewrite the head before it reads the record.
 func (s RecordState) MustFence() bool { return s.phase == PhaseFenceDue }
 
-// Sharding reports whether shards are being written of a record whose undivided form is, as far as
-// is known, the valid one.
+// Sharding reports whether the leader is writing the shards of a record and assumes that the
+// undivided record is still valid.
 func (s RecordState) Sharding() bool {
 	return s.phase == PhaseSharding || s.phase == PhaseShardingReloadDue
 }
@@ -227,16 +231,16 @@
 // ShardsUnread reports whether only the head of a sharded record has been read.
 func (s RecordState) ShardsUnread() bool { return s.phase == PhaseShardsUnread }
 
-// Loading reports whether a read of the record or its shards is under way.
+// Loading reports whether a read of the record or its shards is in progress.
 func (s RecordState) Loading() bool { return s.loading }
 
-// ReadPending reports whether the record is being read, or has to be: until then nothing may be
-// concluded from what it doesn't say.
+// ReadPending reports whether the record is being read or has to be read. Until then the absence of
+// something from memory proves nothing.
 func (s RecordState) ReadPending() bool { return s.MustReload() || s.loading }
 
 // HasStrayShards reports whether shards may be stored though the record is undivided.
 func (s RecordState) HasStrayShards() bool { return s.strayShards }
 
 // ContentKnown reports whether the job's tasks are known from its record, so that the leader may
-// plan them and write what changes.
+// plan them and write changes.
 func (s RecordState) ContentKnown() bool { return !s.MustReload() && !s.ShardsUnread() }
--- a/internal/leader/jobtable/recordstate_test.go
+++ b/internal/leader/jobtable/recordstate_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// conditions are what a phase stands for.
+// conditions are the results of a RecordState's queries that depend on the phase alone.
 type conditions struct {
 	mustReload, mustFence, sharding, shardsUnread bool
 }
@@ -11,8 +11,8 @@
 	return conditions{s.MustReload(), s.MustFence(), s.Sharding(), s.ShardsUnread()}
 }
 
-// after says what an event does to the conditions, whatever the phase. It is the table's
-// counterpart, written down independently.
+// after returns the conditions that must hold after an event. It states the rules of
+// phaseTransitions a second time, independently of the phases.
 func (c conditions) after(event RecordEvent) conditions {
 	switch event {
 	case EventRecordLoaded:
@@ -37,13 +37,13 @@
 	return c
 }
 
-// impossible are the events that can't occur in a phase.
+// impossible holds the events that can't occur in a phase.
 var impossible = map[RecordPhase][]RecordEvent{
 	PhaseCurrent: {EventShardsLoaded},
-	// What was being sharded is dropped before an undivided record replaces it, and a sharded one is
-	// only read once a reload is due.
+	// The leader drops unfinished shards before it loads an undivided record, and loads a sharded
+	// one only when a reload is due.
 	PhaseSharding: {EventRecordLoaded, EventHeadLoaded, EventShardsLoaded, EventShardingStarted},
-	// Nothing is written, and no read is sent, before the shards are read.
+	// The leader writes nothing, and sends no other read, before it has loaded the shards.
 	PhaseShardsUnread: {EventRecordLoaded, EventHeadLoaded, EventShardingStarted, EventShardsDropped,
 		EventHeadFollowed, EventRecordConflict, EventShardConflict, EventHeadStored},
 	PhaseReloadDue:         {EventShardsLoaded, EventShardingStarted},
@@ -114,7 +114,7 @@
 	}
 }
 
-// Reads and stray shards overlap every phase, and change none.
+// Reads and stray shards overlap every phase and don't change it.
 func TestReadsAndStrayShardsAreIndependentOfThePhase(t *testing.T) {
 	for phase := range phaseNames {
 		s := RecordState{phase: phase, strayShards: true}
@@ -167,7 +167,7 @@
 
 func TestUnexpectedRecordEventsLeaveTheStateAlone(t *testing.T) {
 	j := NewJob()
-	j.NoteRecordEvent(EventShardsLoaded) // not even the record is known yet
+	j.NoteRecordEvent(EventShardsLoaded) // a new job has no record
 	if j.RecordState != (RecordState{}) {
 		t.Fatalf("state %+v, want that of a new job", j.RecordState)
 	}
--- a/internal/leader/jobtable/replicas.go
+++ b/internal/leader/jobtable/replicas.go
@@ -2,28 +2,28 @@
 
 import "postpoint/internal/clock"
 
-// Restart is a replica's wait for its next start.
+// Restart is the restart delay of a replica.
 type Restart struct {
-	// ShortRuns counts the short runs in a row.
+	// ShortRuns counts the consecutive short runs.
 	ShortRuns int
 	NotBefore clock.Micros
 }
 
 const (
-	// GoodRunTime is how long a replica has to run for its earlier failures to be forgotten.
+	// GoodRunTime is how long a replica has to run before its earlier failures no longer count.
 	GoodRunTime = 30 * clock.Second
-	// FirstRestartPause is the wait after the second short run in a row: the first restart is
-	// immediate, and each short run after it doubles the wait.
+	// FirstRestartPause is the delay after the second consecutive short run: the first restart is
+	// immediate, and each further short run doubles the delay.
 	FirstRestartPause = clock.Second
-	// MaxRestartPause bounds the wait.
+	// MaxRestartPause is the upper bound of the delay.
 	MaxRestartPause = 30 * clock.Second
-	// MaxRestartDoubled bounds how often it doubles.
+	// MaxRestartDoubled is the maximum number of times that the delay doubles.
 	MaxRestartDoubled = 5
-	// RestartJitter is the part of the wait by which it may differ either way.
+	// RestartJitter is the fraction of the delay by which the actual delay may differ either way.
 	RestartJitter = 0.25
 )
 
-// Restartable returns those of a service's pending replicas that needn't wait.
+// Restartable returns those of a service's pending replicas whose restart delay has passed.
 func (j *Job) Restartable(pending []int, now clock.Micros) []int {
 	if len(j.Restarts) == 0 {
 		return pending
@@ -37,7 +37,7 @@
 	return due
 }
 
-// WaitingRestarts counts the replicas that wait for their next start.
+// WaitingRestarts counts the replicas whose restart delay hasn't passed.
 func (j *Job) WaitingRestarts(now clock.Micros) int {
 	n := 0
 	for task, restart := range j.Restarts {
--- a/internal/leader/jobtable/storedvalue.go
+++ b/internal/leader/jobtable/storedvalue.go
@@ -8,28 +8,29 @@
 	"postpoint/internal/protocol"
 )
 
-// StoredValue relates what is in memory to one value of the key-value store: a record, or the head
-// or a shard of a sharded one.
+// StoredValue compares the content in memory with one value of the key-value store: a record, or
+// the head or a shard of a sharded record.
 type StoredValue struct {
-	// Version is that of the key when it was last known, 0 if it doesn't exist.
+	// Version is the last known version of the key, 0 if it doesn't exist.
 	Version protocol.Revision
-	// ChangeCount counts the changes of the content, StoredCount is its value that is stored.
+	// ChangeCount counts the changes of the content in memory; StoredCount is the ChangeCount of
+	// the stored content.
 	ChangeCount int
 	StoredCount int
-	// InFlight reports that a write of the value has been sent.
+	// InFlight reports that a write of the value was sent and has no response yet.
 	InFlight bool
-	// ChangedAt is since when the content differs from what is stored.
+	// ChangedAt is the time since which the content differs from the stored one.
 	ChangedAt clock.Micros
-	// Uncommitted are the tasks whose placements aren't stored yet.
+	// Uncommitted holds the tasks whose placements aren't stored yet.
 	Uncommitted []int
-	// OutcomeUnknown reports that a write had no response: the key may exist, or have another
-	// version.
+	// OutcomeUnknown reports that a write ended without a response: the key may exist, or have
+	// another version.
 	OutcomeUnknown bool
-	// UnconfirmedReleases are placements that were released while a write which may contain them was
-	// in flight, or had no response. Carried out late it would bring them back, so they count as taken
-	// until that can't happen any more.
+	// UnconfirmedReleases holds placements that were released while a write that may contain them
+	// was in flight or had an unknown outcome. If the store executes this write late, it restores
+	// them, so they count as taken until that is impossible.
 	UnconfirmedReleases []jobrecord.Placement
-	// RefusedBytes is the size at which the store refused the value, 0 if it didn't.
+	// RefusedBytes is the size at which the store rejected the value as too large, 0 if it didn't.
 	RefusedBytes int
 }
 
@@ -41,10 +42,10 @@
 	v.ChangeCount++
 }
 
-// IsStored reports whether what is in memory is stored.
+// IsStored reports whether the content in memory is stored.
 func (v *StoredValue) IsStored() bool { return !v.InFlight && v.ChangeCount == v.StoredCount }
 
-// Replace notes that the content was replaced by what was read at a version.
+// Replace notes that a read at the given version replaced the content.
 func (v *StoredValue) Replace(version protocol.Revision) {
 	v.Version = version
 	v.ResolveOutcome()
@@ -53,14 +54,15 @@
 	v.Uncommitted = nil
 }
 
-// ResolveOutcome forgets what was unknown: nothing that was sent before can be carried out any more.
+// ResolveOutcome resets what was unknown about earlier writes: the store can't execute them any
+// more.
 func (v *StoredValue) ResolveOutcome() { v.OutcomeUnknown, v.UnconfirmedReleases = false, nil }
 
-// absent reports whether the key surely doesn't exist.
+// absent reports whether the key certainly doesn't exist.
 func (v *StoredValue) absent() bool { return v.Version == 0 && !v.OutcomeUnknown }
 
-// unconfirmedReleases returns the placements that count as taken though they were released. Those of
-// tasks that have a new placement are left out: the new one counts.
+// unconfirmedReleases returns the released placements that still count as taken. It omits those of
+// tasks that have a new placement, because the new one counts.
 func (j *Job) unconfirmedReleases() []jobrecord.Placement {
 	unconfirmed := slices.Clone(j.UnconfirmedReleases)
 	for _, v := range j.Shards {
@@ -72,11 +74,11 @@
 	})
 }
 
-// PlacementsTaken returns how many placements of the job count against its team's limit.
+// PlacementsTaken returns how many placements of the job count against its team's quota.
 func (j *Job) PlacementsTaken() int { return len(j.Placements) + len(j.unconfirmedReleases()) }
 
-// valueOf returns the value in which a task's state is stored. While a record is being sharded that
-// is still its undivided form.
+// valueOf returns the value that holds a task's state. While a record is being sharded, this is
+// still the undivided record.
 func (j *Job) valueOf(task int) *StoredValue {
 	if j.ShardSize == 0 || j.Sharding() {
 		return &j.StoredValue
@@ -84,10 +86,10 @@
 	return j.ShardValue(task)
 }
 
-// ShardValue returns the stored shard that a task belongs to.
+// ShardValue returns the shard that holds a task's state.
 func (j *Job) ShardValue(task int) *StoredValue { return j.Shards[j.ShardOf(task)] }
 
-// MakeShards prepares the bookkeeping of a sharded record, of which no shard exists yet.
+// MakeShards prepares the shards in memory of a record that has none in the store yet.
 func (j *Job) MakeShards() {
 	j.Shards = make([]*StoredValue, j.ShardCount())
 	for i := range j.Shards {
@@ -105,8 +107,8 @@
 	return true
 }
 
-// NoteHeadStored notes that the record or head was written. If that ended sharding, the shards are
-// the valid record from now on, and all placements are in them.
+// NoteHeadStored notes that the record or head was written. If this write completed the sharding,
+// the shards are valid from now on, and they contain all placements.
 func (j *Job) NoteHeadStored() {
 	if j.Sharding() {
 		clear(j.ProposedAt)
@@ -114,8 +116,8 @@
 	j.NoteRecordEvent(EventHeadStored)
 }
 
-// allStored reports whether all of the job is stored as it is in memory. Of the shards of a job that
-// is over nothing stays.
+// allStored reports whether everything of the job in memory is stored. All shards of a final job
+// must be removed.
 func (j *Job) allStored() bool {
 	if !j.ContentKnown() || !j.IsStored() {
 		return false
@@ -128,14 +130,14 @@
 	return true
 }
 
-// OutcomeStored reports whether what became of a task is stored.
+// OutcomeStored reports whether the outcome of a task is stored.
 func (j *Job) OutcomeStored(task int) bool {
 	if !j.ContentKnown() || task >= j.Spec.Tasks {
 		return j.ContentKnown()
 	}
 	v := j.valueOf(task)
 	if j.Final() && v != &j.StoredValue {
-		return j.IsStored() && v.absent() && !v.InFlight // shards are then only removed
+		return j.IsStored() && v.absent() && !v.InFlight // the leader only removes shards of a final job
 	}
 	return v.IsStored()
 }
