--- a/internal/leader/term/guarded.go
+++ b/internal/leader/term/guarded.go
@@ -1,16 +1,16 @@
 package term
 
-// SameTerm returns a function that reports whether the term in which SameTerm was called still
-// lasts. Each election has an epoch of its own, so a node that loses and regains leadership is in
-// another term.
+// SameTerm returns a function that reports whether the term of the call to SameTerm still lasts.
+// Each election has an epoch of its own, so a node that loses and regains leadership is in another
+// term.
 func (s *State) SameTerm() func() bool {
 	epoch := s.Term.Epoch
 	return func() bool { return s.Term.Epoch == epoch }
 }
 
-// Guarded returns a callback that passes its result to handle as long as the term lasts in which
-// Guarded was called, and does nothing afterwards. What an outside system answers in a later term
-// is about state that this node has forgotten since: every callback of the leader goes through here.
+// Guarded returns a callback that passes its result to handle while the term of the call to Guarded
+// lasts, and does nothing afterwards. A response that arrives in a later term refers to state that
+// this node has forgotten, so every callback of the leader is guarded.
 func Guarded[T any](state *State, handle func(T)) func(T) {
 	same := state.SameTerm()
 	return func(result T) {
--- a/internal/leader/term/guarded_test.go
+++ b/internal/leader/term/guarded_test.go
@@ -12,7 +12,7 @@
 	var results []int
 	callback := Guarded(state, func(result int) { results = append(results, result) })
 	callback(1)
-	state.Term.ValidUntil = 100 // a renewal is no new term
+	state.Term.ValidUntil = 100 // a renewal doesn't begin a new term
 	callback(2)
 	if len(results) != 2 || results[0] != 1 || results[1] != 2 {
 		t.Fatalf("handled %v, want [1 2]", results)
@@ -45,7 +45,7 @@
 	}
 }
 
-// The guard belongs to the term of the call that made it, not to that of the first callback.
+// The guard belongs to the term in which SameTerm is called, not to the term of the first callback.
 func TestSameTermRemembersTheEpochOfItsCall(t *testing.T) {
 	state := &State{}
 	state.Term.Epoch = 7
--- a/internal/leader/term/steps.go
+++ b/internal/leader/term/steps.go
@@ -6,8 +6,8 @@
 	"postpoint/internal/clock"
 )
 
-// StepTimer decides when the leader plans and writes next: soon after an event, but not so often
-// that heartbeats, renewals and users' requests are left without processor time.
+// StepTimer decides when the leader plans and writes next: soon after an event, but rarely enough
+// that heartbeats, lease renewals and users' requests get processor time.
 type StepTimer struct {
 	*State
 	// Step plans and writes.
@@ -15,33 +15,33 @@
 
 	// Pending reports that a step is scheduled.
 	Pending bool
-	// notBefore keeps steps to their share of the processor.
+	// notBefore is the earliest time of the next step, which keeps steps within stepShare.
 	notBefore clock.Micros
 	TickedAt  clock.Micros
-	// lag is by how much ticks have been late lately.
+	// lag is a moving average of how late recent ticks were.
 	lag clock.Micros
 }
 
 const (
-	// TickInterval is from one periodic look at everything to the next.
+	// TickInterval is the time between two periodic ticks.
 	TickInterval = 500 * clock.Millisecond
-	// lateTickThreshold is by how much a tick has to be late to be logged.
+	// lateTickThreshold is the lateness beyond which a tick is logged.
 	lateTickThreshold = 2 * clock.Second
 	// wakeDelay lets events that happen at about the same time share a step.
 	wakeDelay = 15 * clock.Millisecond
-	// stepShare is the part of the processor that steps may take.
+	// stepShare is the fraction of the processor that steps may use.
 	stepShare = 0.25
-	// overloadLag is the lag of ticks beyond which the processor doesn't keep up.
+	// overloadLag is the lag of ticks beyond which the process counts as overloaded.
 	overloadLag = 300 * clock.Millisecond
 )
 
-// NewStepTimer returns a timer whose Step has to be set before it is woken.
+// NewStepTimer returns a timer. Its Step must be set before the first call of Wake.
 func NewStepTimer(state *State) *StepTimer { return &StepTimer{State: state} }
 
-// Begin forgets a step that an earlier term had scheduled.
+// Begin forgets a step that was scheduled in an earlier term.
 func (t *StepTimer) Begin() { t.Pending = false }
 
-// NoteTick measures by how much a periodic tick is late.
+// NoteTick measures how late a periodic tick is.
 func (t *StepTimer) NoteTick() {
 	if t.TickedAt != 0 {
 		t.noteLateness(t.Now() - t.TickedAt - TickInterval)
@@ -49,23 +49,24 @@
 	t.TickedAt = t.Now()
 }
 
+// noteLateness logs a very late tick and updates the lag.
 func (t *StepTimer) noteLateness(late clock.Micros) {
 	if late > lateTickThreshold {
-		slog.Info("the process stood still or had no processor", "for_s", late.Seconds(), "epoch",
+		slog.Info("process was suspended or had no processor time", "for_s", late.Seconds(), "epoch",
 			t.Term.Epoch)
 	}
 	t.lag = (t.lag + max(late, 0)) / 2
 }
 
-// PauseAfter puts the next step off so that steps of this cost take their share of the processor
-// and no more.
+// PauseAfter delays the next step so that steps of this cost don't exceed their share of the
+// processor.
 func (t *StepTimer) PauseAfter(cost clock.Micros) {
 	if cpu := t.Settings.Deployment.MachineLimits.CPU; cpu > 0 {
 		t.notBefore = t.Now() + clock.Micros(float64(cost)/(min(cpu, 1)*stepShare))
 	}
 }
 
-// Wake schedules a step for soon. What happens until then shares it.
+// Wake schedules a step soon. Further events until then share this step.
 func (t *StepTimer) Wake() {
 	if t.Pending || t.Term.Epoch == 0 {
 		return
@@ -77,8 +78,7 @@
 	})
 }
 
-// Overloaded reports whether the processor doesn't keep up. Commands then go with the responses to
-// heartbeats where they can: a direct command mostly costs a connection. Workers whose heartbeats
-// are responded to too late come again by new connections, which leaves even less time for the work
-// itself.
+// Overloaded reports whether the processor can't keep up. Commands are then sent with the responses
+// to heartbeats where possible, since a direct command usually costs a connection. Workers that get
+// their responses too late reconnect, which leaves even less processor time for the work itself.
 func (t *StepTimer) Overloaded() bool { return t.lag > overloadLag }
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -1,7 +1,7 @@
-// Package term owns what a node knows of the term in which it leads: the fencing token, until when
-// commands may leave and heartbeats may be answered, how fresh the records are, and when the next
-// step of planning is due. It neither elects (package election) nor reads records (package
-// recordstore). Every component of the leader embeds State to read it.
+// Package term owns the state of the term in which this node leads: the fencing token, how long the
+// node may send commands and respond to heartbeats, how recent its knowledge of the records is, and
+// when the next planning step is due. Package election elects the leader, and package recordstore
+// reads the records. Every component of the leader embeds State to read it.
 package term
 
 import (
@@ -18,49 +18,50 @@
 	"postpoint/internal/settings"
 )
 
-// State is the term in which this node leads, and what it may do in it: until when it may give
-// commands, until when it may respond to heartbeats, and how fresh its knowledge is. Every component
-// embeds it, to read; what changes it are its own methods, the Leader, the reader of the records (Loaded,
-// FreshAt) and attestations (AttestedAt).
+// State is the term in which this node leads and the limits that apply to its actions: until when
+// it may send commands, until when it may respond to heartbeats, and how recent its knowledge is.
+// Every component embeds it to read it. Only its own methods, the Leader, the reader of the records
+// (Loaded, FreshAt) and attestations (AttestedAt) change it.
 type State struct {
 	Mailbox  actor.Mailbox
 	Settings *settings.Settings
-	// Deposed is called with fencing tokens above this node's own.
+	// Deposed is called with each fencing token that is higher than this node's own.
 	Deposed func(epoch protocol.Epoch)
 
 	Term election.Term
-	// KnownLeader is the node that workers are sent to, "" if none is known.
+	// KnownLeader is the node to which workers are redirected, "" if none is known.
 	KnownLeader string
-	// Format is how far the controllers' upgrade is, which decides what may be written.
+	// Format is the progress of the controllers' upgrade, which decides what may be written.
 	Format rollout.Status
 	// Loaded reports that the records were read in this term.
 	Loaded bool
 	// BegunAt is when the term began on this node.
 	BegunAt clock.Micros
-	// FreshAt is the time before which everything in the records is known.
+	// FreshAt is the time up to which this node knows all changes of the records.
 	FreshAt clock.Micros
-	// AttestedAt is the time before which everything that any node told users is known: every node
-	// was asked.
+	// AttestedAt is the time up to which this node knows all cancellations that any node has
+	// confirmed to users, because it has asked every node.
 	AttestedAt clock.Micros
 	// Random is seeded with the epoch, so that the same events draw the same numbers.
 	Random *rand.Rand
 }
 
 const (
-	// StaleAfter is how old the records' last confirmation may be for a leader to act on them.
+	// StaleAfter is the maximum time since FreshAt at which a leader may still act.
 	StaleAfter = 6 * clock.Second
-	// RetryDelay is the pause after the key-value store has refused a request.
+	// RetryDelay is the delay before a retry after the key-value store has rejected a request.
 	RetryDelay = 300 * clock.Millisecond
-	// FollowInterval is after how long a watch of the records responds without any change.
+	// FollowInterval is the time after which a watch of the records responds even if nothing has
+	// changed.
 	FollowInterval = 2 * clock.Second
 )
 
-// New returns the state of a node that doesn't lead. deposed is called with higher fencing tokens.
+// New returns the state of a node that doesn't lead. It calls deposed with higher fencing tokens.
 func New(mailbox actor.Mailbox, settings *settings.Settings, deposed func(epoch protocol.Epoch)) *State {
 	return &State{Mailbox: mailbox, Settings: settings, Deposed: deposed}
 }
 
-// Begin forgets what was known in earlier terms.
+// Begin forgets the state of earlier terms.
 func (s *State) Begin() {
 	s.Loaded = false
 	s.BegunAt = s.Now()
@@ -68,7 +69,8 @@
 	s.Random = NewRandom(s.Term.Epoch)
 }
 
-// Depose stops this node from acting as leader at once, and has it look for the node that was elected.
+// Depose stops this node from acting as leader at once. The Deposed callback then makes it look for
+// the elected node.
 func (s *State) Depose(elected protocol.Epoch) {
 	s.Term.ValidUntil = 0
 	s.Deposed(elected)
@@ -77,14 +79,14 @@
 // Now returns the time on the monotonic clock.
 func (s *State) Now() clock.Micros { return s.Mailbox.Monotonic() }
 
-// Leads reports whether this node may act: its lease holds, and what users changed through other
-// nodes is known.
+// Leads reports whether this node may act: its lease is valid, and it knows the changes that users
+// have made through other nodes.
 func (s *State) Leads() bool {
 	now := s.Now()
 	return s.Term.Epoch != 0 && now < s.Term.ValidUntil && s.Loaded && now < s.FreshAt+StaleAfter
 }
 
-// AfterInTerm calls do after a delay, if this is still the same term then.
+// AfterInTerm calls do after a delay, if the term is still the same by then.
 func (s *State) AfterInTerm(delay clock.Micros, do func()) {
 	same := s.SameTerm()
 	s.Mailbox.After(delay, func() {
@@ -94,17 +96,18 @@
 	})
 }
 
-// KnownUntil returns the time up to which every cancellation is known that any user was told of: from
-// the records, or from what every node has attested.
+// KnownUntil returns the time up to which this node knows every cancellation that was confirmed to
+// a user, from the records or from the attestations of all nodes.
 func (s *State) KnownUntil() clock.Micros { return max(s.FreshAt, s.AttestedAt) }
 
-// SoleLeaderUntil returns the time up to which no other node can have been elected: this node's lease held,
-// or every node attested that it hadn't been.
+// SoleLeaderUntil returns the time up to which no other node can have been elected: this node's
+// lease was valid, or every node attested that it hadn't been elected.
 func (s *State) SoleLeaderUntil() clock.Micros { return max(s.Term.RenewedAt, s.AttestedAt) }
 
-// RespondsUntil returns the time until which heartbeats may be responded to. A cancellation that isn't
-// known was told after KnownUntil, and a leader that isn't known was elected after SoleLeaderUntil. Before
-// the records are read nothing is known at all, whoever led before: no heartbeat is responded to.
+// RespondsUntil returns the time until which this node may respond to heartbeats. A cancellation
+// that it doesn't know was confirmed after KnownUntil, and a leader that it doesn't know was
+// elected after SoleLeaderUntil. Before it has read the records it knows nothing about earlier
+// leaders, and responds to no heartbeat.
 func (s *State) RespondsUntil() clock.Micros {
 	if s.Term.Epoch == 0 || !s.Loaded {
 		return 0
@@ -112,23 +115,24 @@
 	return min(s.KnownUntil(), s.SoleLeaderUntil()) + s.Settings.Deployment.Workers.RenewalWindow()
 }
 
-// MayRespond reports whether heartbeats may still be responded to, without commands other than those by
-// which cancelled tasks end.
+// MayRespond reports whether this node may still respond to heartbeats. Without the lease, its
+// responses may only contain the commands that end cancelled tasks.
 func (s *State) MayRespond() bool { return s.Now() < s.RespondsUntil() }
 
-// ConfirmedAt returns a record's time of cancellation on this node's monotonic clock, no later than it
-// was: clocks of the time of day, the record's and this node's, are off by a bounded error either way.
+// ConfirmedAt returns the time at which a record's cancellation was confirmed, on this node's
+// monotonic clock, or an earlier time. The wall clocks of the record's writer and of this node each
+// differ from the true time by a bounded error, which is subtracted twice.
 func (s *State) ConfirmedAt(r *jobrecord.Record) clock.Micros {
 	if r.CancelledAt == 0 {
-		return s.Now() // a record of an earlier version
+		return s.Now() // earlier versions didn't record the time
 	}
 	clockError := clock.Micros(s.Settings.Deployment.ClockErrorMs * float64(clock.Millisecond))
 	age := max(0, s.Mailbox.TimeOfDay()-clock.Micros(r.CancelledAt))
 	return s.Now() - age - 2*clockError
 }
 
-// ActsUntil returns the time until which commands and scale-in requests may leave: without the lease
-// only those by which cancelled tasks end.
+// ActsUntil returns the time until which this node may send commands and scale-in requests. Without
+// the lease it may only send those that end cancelled tasks.
 func (s *State) ActsUntil() clock.Micros {
 	if s.Leads() {
 		return s.Term.ValidUntil
@@ -136,9 +140,10 @@
 	return s.RespondsUntil()
 }
 
-// NewRandom returns a source of jitter from which the same events draw the same numbers.
+// NewRandom returns a source of jitter that is seeded with the epoch, so that the same events draw
+// the same numbers.
 func NewRandom(epoch protocol.Epoch) *rand.Rand { return rand.New(rand.NewPCG(uint64(epoch), 0)) }
 
-// DebugEnabled reports whether debug lines are logged, so that callers needn't prepare lines that
-// would be thrown away.
+// DebugEnabled reports whether debug messages are logged, so that callers can skip the work of
+// preparing them.
 func DebugEnabled() bool { return slog.Default().Enabled(context.Background(), slog.LevelDebug) }
--- a/internal/leader/term/transaction_test.go
+++ b/internal/leader/term/transaction_test.go
@@ -10,7 +10,7 @@
 	"postpoint/internal/protocol"
 )
 
-// recordingStore keeps the last transaction and its priority.
+// recordingStore is a fake store that keeps the last transaction and its priority.
 type recordingStore struct {
 	storetest.Service
 	use kvstore.Priority
@@ -65,7 +65,7 @@
 	state := &State{}
 	txn := state.NewTransaction()
 	txn.RequireOnce("jobs/job-1", 5)
-	txn.RequireOnce("jobs/job-1", 6) // a contradiction for the store to refuse, not to be dropped here
+	txn.RequireOnce("jobs/job-1", 6) // a contradiction that the store must reject; the client must not drop it
 	store := &recordingStore{}
 	txn.Commit(storetest.Client(store), func(kvstore.Result[protocol.Revision]) {})
 	if guards := store.txn.Conditions; len(guards) != 3 || guards[1].Version != 5 || guards[2].Version != 6 {
