--- a/internal/leader/scheduler/actions.go
+++ b/internal/leader/scheduler/actions.go
@@ -13,11 +13,11 @@
 	"postpoint/internal/protocol"
 )
 
-// stopReasonPreempted says in logs why tasks are stopped that are preempted.
+// stopReasonPreempted is the logged reason for stopping preempted tasks.
 const stopReasonPreempted = "preempted"
 
-// applyPlacements proposes the placements on machines that are up. The plan keeps capacity free for
-// the others: reserves, and what waits for a machine to boot.
+// applyPlacements proposes the placements on ready machines. The plan's other placements only keep
+// capacity free: reserves, and tasks that wait for a machine to boot.
 func (s *Scheduler) applyPlacements(placements []planner.Placement) {
 	waiting := s.gangsWaitingForBoot(placements)
 	for _, p := range placements {
@@ -30,9 +30,9 @@
 	}
 }
 
-// gangsWaitingForBoot returns the gangs of which a plan places some task on a machine that boots. They
-// start whole or not at all: in part they would hold capacity, fail for want of the rest and start
-// over.
+// gangsWaitingForBoot returns the gangs that have a planned placement on a booting machine. A gang
+// starts as a whole or not at all: a part of it would hold capacity, fail because the rest is
+// missing, and start over.
 func (s *Scheduler) gangsWaitingForBoot(placements []planner.Placement) map[protocol.JobID]bool {
 	waiting := map[protocol.JobID]bool{}
 	for _, p := range placements {
@@ -58,12 +58,12 @@
 		Incarnation: int64(m.Incarnation),
 	})
 	if j.DisplacedFrom != "" && j.PendingCount() == 0 {
-		s.zones.EndDisplacement(j) // all that the lost zone ran is placed again
+		s.zones.EndDisplacement(j) // all tasks from the lost zone are placed again
 	}
 }
 
-// applyPreemptions stops the tasks that are preempted. The job that they are preempted for returns the
-// capacity when it ends.
+// applyPreemptions stops the preempted tasks. The preemptor records their jobs as lenders, which
+// get the capacity back when it ends.
 func (s *Scheduler) applyPreemptions(preemptions []planner.Preemption) {
 	for _, p := range preemptions {
 		slog.Info("preempting task", "job", p.Job, "task", p.Task, "preemptor", p.Preemptor)
--- a/internal/leader/scheduler/demand.go
+++ b/internal/leader/scheduler/demand.go
@@ -8,12 +8,12 @@
 	"postpoint/internal/scaling"
 )
 
-// noteUnmetDemand notes since when machines have been needed for each job.
+// noteUnmetDemand records for each job how long it has had unmet demand.
 func (s *Scheduler) noteUnmetDemand(demand []planner.UnmetDemand) {
 	for _, unmet := range demand {
 		j := s.jobs.ByID[unmet.Job.ID]
 		if j == nil {
-			continue // a reserve
+			continue // a reserve has no job
 		}
 		if !j.HasUnmetDemand(s.Now()) {
 			j.UnmetSince = s.Now()
@@ -22,28 +22,30 @@
 	}
 }
 
-// cheaperCapacity returns the tasks that wait for costly machines to boot as demand that only a fair
-// price is paid for: a cheaper machine leaves the costly one to tasks that need it.
-func (s *Scheduler) cheaperCapacity(made *planned) []planner.UnmetDemand {
+// fairPriceDemand returns the tasks that wait for expensive machines to boot, as demand for which
+// the autoscaler pays only a fair price: a cheaper machine leaves the expensive one to tasks that
+// need it.
+func (s *Scheduler) fairPriceDemand(result *planResult) []planner.UnmetDemand {
 	view := s.autoscaler.CloudView()
-	awaited := s.awaitedPools(made.plan.Placements)
+	awaited := s.awaitedPools(result.plan.Placements)
 	var demand []planner.UnmetDemand
-	for i := range made.snapshot.Jobs {
-		j := &made.snapshot.Jobs[i]
-		costly := 0
+	for i := range result.snapshot.Jobs {
+		j := &result.snapshot.Jobs[i]
+		expensive := 0
 		for _, pool := range awaited[j.ID] {
 			if !view.FairlyPriced(pool, j) {
-				costly++
+				expensive++
 			}
 		}
-		if costly > 0 {
-			demand = append(demand, planner.UnmetDemand{Job: patient(j), Tasks: costly})
+		if expensive > 0 {
+			demand = append(demand, planner.UnmetDemand{Job: withUnlimitedSlack(j), Tasks: expensive})
 		}
 	}
 	return demand
 }
 
-// awaitedPools returns, by job, the pools of the booting machines that its tasks wait for.
+// awaitedPools returns, by job, the capacity pools of the booting machines for which its tasks
+// wait.
 func (s *Scheduler) awaitedPools(placements []planner.Placement) map[protocol.JobID][]scaling.CapacityPool {
 	awaited := map[protocol.JobID][]scaling.CapacityPool{}
 	for _, p := range placements {
@@ -54,27 +56,27 @@
 	return awaited
 }
 
-// patient returns a copy of a job that has all the time in the world.
-func patient(j *planner.Job) *planner.Job {
+// withUnlimitedSlack returns a copy of a job that is never urgent.
+func withUnlimitedSlack(j *planner.Job) *planner.Job {
 	copied := *j
 	copied.SlackS, copied.HasStartObjective = math.MaxFloat64, false
 	return &copied
 }
 
-// hostedDemand returns the tasks of other cells' jobs that this cell's reserve keeps off the machines
-// that are up: machines are scaled out for them.
+// hostedDemand returns the tasks of hosted jobs that may not start on the ready machines because of
+// this cell's reserve: the autoscaler scales out for them.
 func (s *Scheduler) hostedDemand(snapshot *planner.Snapshot) []planner.UnmetDemand {
 	var demand []planner.UnmetDemand
 	for i := range snapshot.Jobs {
 		j := &snapshot.Jobs[i]
-		beyond := len(j.Pending) - j.MaxStarts
-		if beyond <= 0 || j.BackingOff || !s.jobs.IsHosted(j.ID) {
+		withheld := len(j.Pending) - j.MaxStarts
+		if withheld <= 0 || j.BackingOff || !s.jobs.IsHosted(j.ID) {
 			continue
 		}
 		if j.Spec.Gang() {
-			beyond = len(j.Pending) // it starts whole or not at all
+			withheld = len(j.Pending) // a gang starts as a whole or not at all
 		}
-		demand = append(demand, planner.UnmetDemand{Job: j, Tasks: beyond})
+		demand = append(demand, planner.UnmetDemand{Job: j, Tasks: withheld})
 	}
 	return demand
 }
--- a/internal/leader/scheduler/scheduler.go
+++ b/internal/leader/scheduler/scheduler.go
@@ -1,5 +1,5 @@
-// Package scheduler has plans made from snapshots, and turns them into placements, preemptions and
-// scale-outs. The plan itself is package planner's, which is pure.
+// Package scheduler passes snapshots to the planner and turns its plans into placements,
+// preemptions and scale-outs. Package planner makes the plans as pure functions of the snapshots.
 package scheduler
 
 import (
@@ -28,11 +28,11 @@
 	snapshots  *snapshots.Builder
 	zones      *zonetracker.Tracker
 
-	// Plans counts those made in this term.
+	// Plans counts the plans of this term.
 	Plans int
 }
 
-// New returns a scheduler of the given components.
+// New returns a scheduler that uses the given components.
 func New(term *term.State, jobs *jobtable.Table, machines *machinetable.Table,
 	catalogue *machinetable.Catalogue, writer *recordstore.Writer, commands *reconciler.CommandSender,
 	autoscaler *autoscaler.Autoscaler, snapshots *snapshots.Builder, zones *zonetracker.Tracker) *Scheduler {
@@ -49,45 +49,47 @@
 	}
 }
 
-// Begin counts the plans of a new term.
+// Begin resets the count of plans at the start of a term.
 func (s *Scheduler) Begin() { s.Plans = 0 }
 
-// Schedule plans from what is known now, and carries the plan out as far as that doesn't need the
-// key-value store: placements and preemptions count once they are committed.
+// Schedule makes a plan from the current state and proposes its placements and preemptions, which
+// take effect once they are committed to the key-value store.
 func (s *Scheduler) Schedule() {
 	if len(s.catalogue.Types) == 0 {
 		return
 	}
 	s.writer.ShardLargeRecords()
-	made := s.planWithCordoned()
-	s.applyPlacements(made.plan.Placements)
-	s.applyPreemptions(made.plan.Preemptions)
-	s.noteUnmetDemand(made.plan.UnmetDemand)
-	demand := slices.Concat(made.plan.UnmetDemand, s.cheaperCapacity(&made), s.hostedDemand(&made.snapshot))
+	result := s.planWithCordoned()
+	s.applyPlacements(result.plan.Placements)
+	s.applyPreemptions(result.plan.Preemptions)
+	s.noteUnmetDemand(result.plan.UnmetDemand)
+	demand := slices.Concat(result.plan.UnmetDemand, s.fairPriceDemand(&result),
+		s.hostedDemand(&result.snapshot))
 	s.autoscaler.ScaleOut(demand)
 }
 
-// planned is a plan with the snapshot that it was made from.
-type planned struct {
+// planResult is a plan with the snapshot from which it was made.
+type planResult struct {
 	snapshot planner.Snapshot
 	plan     planner.Plan
 }
 
-// planWithCordoned makes a plan, and uncordons machines until it leaves no demand that they could
-// meet. Each further plan has twice as many more machines, since hundreds may be cordoned.
-func (s *Scheduler) planWithCordoned() planned {
-	made := s.makePlan()
+// planWithCordoned makes a plan, and uncordons machines until the plan has no unmet demand that
+// they could meet. The number of machines to uncordon doubles with each further plan, since
+// hundreds may be cordoned.
+func (s *Scheduler) planWithCordoned() planResult {
+	result := s.makePlan()
 	machines := 1
-	for len(made.plan.UnmetDemand) > 0 && s.autoscaler.Uncordon(made.plan.UnmetDemand, machines) {
-		made = s.makePlan()
+	for len(result.plan.UnmetDemand) > 0 && s.autoscaler.Uncordon(result.plan.UnmetDemand, machines) {
+		result = s.makePlan()
 		machines *= 2
 	}
-	return made
+	return result
 }
 
-// makePlan makes a plan from what is known now.
-func (s *Scheduler) makePlan() planned {
+// makePlan makes a plan from the current state.
+func (s *Scheduler) makePlan() planResult {
 	s.Plans++
 	snapshot := s.snapshots.Snapshot()
-	return planned{snapshot: snapshot, plan: planner.MakePlan(snapshot)}
+	return planResult{snapshot: snapshot, plan: planner.MakePlan(snapshot)}
 }
