--- a/internal/leader/cells_helpers_test.go
+++ b/internal/leader/cells_helpers_test.go
@@ -47,7 +47,7 @@
 	store := &fakeStore{}
 	useStore(l, store)
 	l.state.Format.Services, l.state.Format.Cells = true, true
-	l.JoinCells(directory, nil)
+	l.EnableCells(directory, nil)
 	l.cells.Begin()
 	l.origin.Begin()
 	return l, store, box
--- a/internal/leader/golden_test.go
+++ b/internal/leader/golden_test.go
@@ -53,7 +53,7 @@
 	d, _ := newLeader()
 	store := &fakeStore{}
 	useStore(d, &singleKeyStore{store, protocol.Item{}, 404})
-	d.catalogue.Published = func([]protocol.MachineType) {}
+	d.catalogue.Publish = func([]protocol.MachineType) {}
 	d.catalogue.Replace(goldenTypes())
 	d.catalogue.FromCloud = true
 	d.catalogue.Share()
@@ -68,7 +68,7 @@
 	next, _ := newLeader()
 	left := protocol.Item{Key: "catalogue", Value: store.txns[0].Changes[0].Value, Version: 9}
 	useStore(next, &singleKeyStore{store, left, 200})
-	next.catalogue.Published = func([]protocol.MachineType) {}
+	next.catalogue.Publish = func([]protocol.MachineType) {}
 	next.catalogue.ReadShared()
 	if len(next.catalogue.Types) != 1 || !machinetable.SameType(next.catalogue.Types[0], goldenTypes()[0]) {
 		t.Errorf("%+v", next.catalogue.Types)
@@ -358,7 +358,7 @@
 	d, _ := newLeader()
 	rented := &rentalRecorder{}
 	d.autoscaler.Cloud = cloudtest.Client(rented)
-	d.catalogue.Published = func([]protocol.MachineType) {}
+	d.catalogue.Publish = func([]protocol.MachineType) {}
 	d.catalogue.Replace(goldenTypes())
 	d.state.Settings.Deployment.Cloud.Rps = 100
 	d.autoscaler.Begin()
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,24 +1,24 @@
-// Package leader is the actor that owns jobs and machines on the node that leads. It
-// makes every placement decision, commits it to the job's record, and only then acts on it.
+// Package leader contains the actor that owns jobs and machines while this node is the leader. The
+// actor makes every placement decision, commits it to the job's record, and only then acts on it.
 //
-// The Leader owns the order in which things happen. Each part of the state belongs to one of its
-// components, and only that component's methods change it:
+// The Leader decides the order of operations. Each part of the state belongs to one component, and
+// only that component's methods change it:
 //
-//	term           the term, until when this node may give commands, and when it plans next
+//	term           the term, how long this node may send commands, and when it plans next
 //	machinetable   machines with their workers' incarnations and leases, machine types
-//	jobtable       jobs that aren't over, with their records and placements
+//	jobtable       jobs that aren't final, with their records and placements
 //	recordstore    loading, following and writing the records: the write path
-//	reconciler     heartbeats against placements, commands to workers, silent machines
+//	reconciler     heartbeats compared with placements, commands to workers, silent machines
 //	objectives     service-level objectives and classes of jobs
-//	snapshots      what the planner is shown
-//	scheduler      plans, and what follows from them
-//	autoscaler     scale out and in
-//	federation     work that other cells run, and theirs that runs here
+//	snapshots      the input of the planner
+//	scheduler      plans and the placements, preemptions and scale-outs that follow from them
+//	autoscaler     scale out and scale in
+//	federation     this cell's tasks that other cells run, and their jobs that run here
 //	zonetracker    loss and return of zones
 //	overview       the operators' overview
 //
-// Users' requests are another actor's (package admission), the election a third one's (package
-// election); this package learns of both through the key-value store and the term.
+// Other actors handle users' requests (package admission) and the election (package election). This
+// package learns their results from the key-value store and from the term.
 package leader
 
 import (
@@ -46,9 +46,9 @@
 	"postpoint/internal/zonerecovery"
 )
 
-// Leader is the actor. All its state belongs to its mailbox; what it knows as a leader is built
-// anew at each election. It owns the order in which things happen, and each of its components
-// the state that its type says.
+// Leader is the actor. Only its mailbox accesses its state, and it rebuilds what it knows as a
+// leader at each election. It decides the order of operations; each component owns the state that
+// its type documents.
 type Leader struct {
 	state         *term.State
 	steps         *term.StepTimer
@@ -72,73 +72,68 @@
 	zones         *zonetracker.Tracker
 	overview      *overview.Reader
 
-	// resign asks to give leadership up.
+	// resign asks the election to give up leadership.
 	resign     func()
-	resignedAt clock.Micros // 0: never
+	resignedAt clock.Micros // 0 if it never resigned
 }
 
-// Dependencies are what a Leader talks to, and whom it tells what.
+// Dependencies are the services that a Leader uses and the functions that it calls to report
+// events.
 type Dependencies struct {
 	Mailbox  actor.Mailbox
 	Settings *settings.Settings
-	// Store, Cloud and Workers respond to the Mailbox.
+	// Store, Cloud and Workers call back in the Mailbox.
 	Store   kvstore.Store
 	Cloud   cloudclient.API
 	Workers workerclient.API
-	// Deposed is told of fencing tokens above this node's own.
+	// Deposed is called with each fencing token that is higher than this node's own.
 	Deposed func(epoch protocol.Epoch)
-	// Resign asks to give leadership up.
+	// Resign asks the election to give up leadership.
 	Resign func()
-	// Attest asks all nodes what they have told users of cancellations.
+	// Attest asks all nodes which cancellations they have confirmed to users.
 	Attest reconciler.Attester
-	// CatalogueChanged is told of each new catalogue.
+	// CatalogueChanged is called with each new list of machine types.
 	CatalogueChanged func([]protocol.MachineType)
 }
 
-// New returns a leader's actor that does nothing before it is started.
-func New(d Dependencies) *Leader {
-	state := term.New(d.Mailbox, d.Settings, d.Deposed)
-	l := &Leader{state: state, resign: d.Resign}
+// New returns a Leader that does nothing until Start is called.
+func New(deps Dependencies) *Leader {
+	state := term.New(deps.Mailbox, deps.Settings, deps.Deposed)
+	l := &Leader{state: state, resign: deps.Resign}
 	l.steps = term.NewStepTimer(state)
-	l.catalogue = machinetable.NewCatalogue(state, d.Cloud, d.Store, d.CatalogueChanged)
+	l.catalogue = machinetable.NewCatalogue(state, deps.Cloud, deps.Store, deps.CatalogueChanged)
 	l.machines = machinetable.New(state, l.catalogue)
 	l.jobs = jobtable.New(state, l.machines, l.steps)
 	l.objectives = objectives.New(state, l.catalogue)
-	l.commands = reconciler.NewCommandSender(state, d.Workers, l.jobs, l.machines)
+	l.commands = reconciler.NewCommandSender(state, deps.Workers, l.jobs, l.machines)
 	l.reconciler = reconciler.New(state, l.jobs, l.machines, l.commands, l.objectives, l.steps)
 	l.health = reconciler.NewHealthMonitor(state, l.jobs, l.machines, l.commands)
 	l.heartbeats = reconciler.NewHeartbeatHandler(state, l.jobs, l.machines, l.reconciler, l.commands,
 		l.health)
-	l.cancellations = reconciler.NewCancellations(state, l.jobs, l.machines, l.commands, d.Attest)
-	l.writer = recordstore.NewWriter(state, d.Store, l.jobs, l.machines, l.commands, l.steps)
-	l.reader = recordstore.NewReader(state, d.Store, l.jobs, l.machines, l.writer, l.reconciler, l.commands,
-		l.heartbeats,
-		l.objectives, l.steps)
-	l.zones = zonetracker.New(state, d.Store, l.jobs, l.machines, l.catalogue, l.objectives, l.reader,
-		l.writer,
-		l.commands, l.steps)
+	l.cancellations = reconciler.NewCancellations(state, l.jobs, l.machines, l.commands, deps.Attest)
+	l.writer = recordstore.NewWriter(state, deps.Store, l.jobs, l.machines, l.commands, l.steps)
+	l.reader = recordstore.NewReader(state, deps.Store, l.jobs, l.machines, l.writer, l.reconciler,
+		l.commands, l.heartbeats, l.objectives, l.steps)
+	l.zones = zonetracker.New(state, deps.Store, l.jobs, l.machines, l.catalogue, l.objectives, l.reader,
+		l.writer, l.commands, l.steps)
 	l.snapshots = snapshots.New(state, l.jobs, l.machines, l.catalogue, l.objectives, l.writer, l.commands,
 		l.zones)
-	l.autoscaler = autoscaler.New(state, d.Cloud, l.jobs, l.machines, l.catalogue, l.objectives, l.commands,
-		l.snapshots,
-		l.zones, l.steps)
+	l.autoscaler = autoscaler.New(state, deps.Cloud, l.jobs, l.machines, l.catalogue, l.objectives,
+		l.commands, l.snapshots, l.zones, l.steps)
 	l.scheduler = scheduler.New(state, l.jobs, l.machines, l.catalogue, l.writer, l.commands, l.autoscaler,
 		l.snapshots, l.zones)
 	l.cells = federation.NewLinks(state)
-	l.origin = federation.NewOrigin(state, d.Store, l.jobs, l.catalogue, l.reader, l.writer, l.autoscaler,
-		l.snapshots,
-		l.cells, l.steps)
-	l.host = federation.NewHost(state, d.Store, l.jobs, l.machines, l.catalogue, l.reader, l.writer,
-		l.reconciler, l.commands,
-		l.autoscaler, l.snapshots, l.cells, l.steps)
+	l.origin = federation.NewOrigin(state, deps.Store, l.jobs, l.catalogue, l.reader, l.writer, l.autoscaler,
+		l.snapshots, l.cells, l.steps)
+	l.host = federation.NewHost(state, deps.Store, l.jobs, l.machines, l.catalogue, l.reader, l.writer,
+		l.reconciler, l.commands, l.autoscaler, l.snapshots, l.cells, l.steps)
 	l.overview = overview.NewReader(state, l.jobs, l.machines, l.catalogue, l.autoscaler, l.scheduler,
-		l.writer,
-		l.cells, l.origin, l.zones)
+		l.writer, l.cells, l.origin, l.zones)
 	l.subscribe()
 	return l
 }
 
-// subscribe connects components with those that are made after them.
+// subscribe connects components to those that New creates after them.
 func (l *Leader) subscribe() {
 	l.steps.Step = l.step
 	l.jobs.Losses = l.zones
@@ -149,19 +144,19 @@
 	l.writer.Hosted = l.host
 }
 
-// Recover switches zone recovery on. It is called before Start. ask asks all controllers which zones'
-// machines they hear from.
-func (l *Leader) Recover(s *zonerecovery.Settings, ask func(done func([]admission.ZoneReports))) {
+// EnableZoneRecovery switches zone recovery on; call it before Start. ask asks all controllers from
+// which zones they receive heartbeats.
+func (l *Leader) EnableZoneRecovery(s *zonerecovery.Settings, ask func(done func([]admission.ZoneReports))) {
 	l.zones.Enable(s, ask)
 }
 
-// JoinCells switches cells on. It is called before Start.
-func (l *Leader) JoinCells(directory *cells.Directory, exchange federation.Exchanger) {
+// EnableCells switches the federation with other cells on; call it before Start.
+func (l *Leader) EnableCells(directory *cells.Directory, exchange federation.Exchanger) {
 	l.cells.Connect(directory, exchange)
 	l.snapshots.Directory = directory
 }
 
-// Start begins to read the catalogue and to tick.
+// Start starts the reads of the catalogue and the periodic tick.
 func (l *Leader) Start() {
 	l.state.Mailbox.Post(func() {
 		l.catalogue.Read()
--- a/internal/leader/lifecycle.go
+++ b/internal/leader/lifecycle.go
@@ -9,16 +9,17 @@
 	"postpoint/internal/rollout"
 )
 
-// resignInterval is the least time from one resignation to the next. It leaves a leader the time to
-// prove silent machines empty: if it is the workers that are gone, no other node hears them either.
+// resignInterval is the minimum time between two resignations. It leaves a leader enough time to
+// prove silent machines empty: if the workers themselves are gone, no other node receives
+// heartbeats either.
 const resignInterval = 60 * clock.Second
 
-// SetLeader tells the node which node workers should send their heartbeats to, "" if none is known.
+// SetLeader sets the node to which workers should send their heartbeats, "" if none is known.
 func (l *Leader) SetLeader(node string) {
 	l.state.Mailbox.Post(func() { l.state.KnownLeader = node })
 }
 
-// SetTerm tells the node of every election, renewal and loss of its own.
+// SetTerm reports each election, lease renewal and loss of leadership of this node.
 func (l *Leader) SetTerm(t election.Term) {
 	l.state.Mailbox.Post(func() {
 		before := l.state.Term.Epoch
@@ -26,14 +27,14 @@
 		switch {
 		case t.Epoch == before:
 		case t.Epoch == 0:
-			l.end()
+			l.endTerm()
 		default:
-			l.begin()
+			l.beginTerm()
 		}
 	})
 }
 
-// SetFormat tells the node how far the controllers' upgrade is.
+// SetFormat reports the progress of the controllers' upgrade.
 func (l *Leader) SetFormat(s rollout.Status) {
 	l.state.Mailbox.Post(func() {
 		l.state.Format = s
@@ -41,8 +42,9 @@
 	})
 }
 
-// begin begins a term: the records are read first, then every machine speaks for itself.
-func (l *Leader) begin() {
+// beginTerm resets all components and loads the records. The state of each machine then comes from
+// its worker's heartbeats.
+func (l *Leader) beginTerm() {
 	slog.Info("taking over", "epoch", l.state.Term.Epoch)
 	l.jobs.Begin()
 	l.machines.Begin()
@@ -60,15 +62,15 @@
 	l.reader.Load()
 }
 
-// end forgets what was known in a term that is over.
-func (l *Leader) end() {
+// endTerm forgets the state of a term that has ended.
+func (l *Leader) endTerm() {
 	l.state.Loaded = false
 	l.jobs.End()
 	l.machines.End()
 	l.heartbeats.HandleDeferred()
 }
 
-// tick does what is due at regular times, whatever else happens.
+// tick runs the periodic work and schedules the next tick.
 func (l *Leader) tick() {
 	l.steps.NoteTick()
 	l.state.Mailbox.After(term.TickInterval, l.tick)
@@ -82,7 +84,8 @@
 	l.steps.Wake()
 }
 
-// tickInTerm does what a node also does while it has lost the lease, or the store, for a moment.
+// tickInTerm runs the periodic work that continues while this node has briefly lost the lease or
+// the key-value store.
 func (l *Leader) tickInTerm() {
 	l.host.CheckHostedJobs()
 	l.cancellations.EndCancelled()
@@ -90,7 +93,7 @@
 	l.host.SendHeartbeats()
 }
 
-// tickAsLeader does what takes a valid lease and fresh records.
+// tickAsLeader runs the periodic work that requires a valid lease and up-to-date records.
 func (l *Leader) tickAsLeader() {
 	l.health.ExpireLeases()
 	l.health.DrainRecalled()
@@ -104,12 +107,13 @@
 	l.origin.Manage()
 	l.autoscaler.CordonPeriodically()
 	l.overview.LogState()
-	l.resignIfDeaf()
+	l.resignIfIsolated()
 }
 
-// resignIfDeaf gives leadership up if this node hears from no worker while others may.
-func (l *Leader) resignIfDeaf() {
-	if !l.machines.HearsNoWorker() || l.zones.OthersHearNothing() {
+// resignIfIsolated gives up leadership if this node receives no worker's heartbeats and other nodes
+// may receive them.
+func (l *Leader) resignIfIsolated() {
+	if !l.machines.IsolatedFromWorkers() || l.zones.OthersHearNothing() {
 		return
 	}
 	if l.resignedAt != 0 && l.state.Now() <= l.resignedAt+resignInterval {
@@ -119,7 +123,8 @@
 	l.resign()
 }
 
-// step plans, writes what the plan and events have changed, and pauses as long as that costs.
+// step plans, writes the changes that the plan and events have made, and delays the next step in
+// proportion to the cost of planning.
 func (l *Leader) step() {
 	if !l.state.Leads() {
 		return
--- a/internal/leader/machinetable/catalogue.go
+++ b/internal/leader/machinetable/catalogue.go
@@ -16,58 +16,60 @@
 	"postpoint/internal/scaling"
 )
 
-// Catalogue keeps the cloud's machine types and prices, on every node and across terms.
+// Catalogue holds the cloud's machine types and prices, on every node and across terms.
 type Catalogue struct {
 	*term.State
 	cloud cloudclient.API
 	Store kvstore.Store
-	// Published is called with each new list of types.
-	Published func([]protocol.MachineType)
-	// changed is called when types or prices have changed.
-	changed func()
+	// Publish is called with each new list of types.
+	Publish func([]protocol.MachineType)
+	// invalidateViews is called when types or prices have changed.
+	invalidateViews func()
 
 	Types  []protocol.MachineType
 	ByName map[string]protocol.MachineType
-	// FromCloud reports that the list is the cloud's own, not one that a leader has stored.
+	// FromCloud reports that the list came from the cloud, rather than from the key-value store.
 	FromCloud bool
-	// sharedThisTerm reports that the list is stored, or being stored, for other nodes.
+	// sharedThisTerm reports that the list was stored for other nodes in this term, or is being
+	// stored.
 	sharedThisTerm bool
 }
 
-// NewCatalogue returns an empty catalogue; published is called with each new list of types.
+// NewCatalogue returns an empty catalogue. It calls publish with each new list of types.
 func NewCatalogue(term *term.State, cl cloudclient.API, store kvstore.Store,
-	published func([]protocol.MachineType)) *Catalogue {
+	publish func([]protocol.MachineType)) *Catalogue {
 	return &Catalogue{
-		State:     term,
-		cloud:     cl,
-		Store:     store,
-		Published: published,
-		ByName:    map[string]protocol.MachineType{},
+		State:   term,
+		cloud:   cl,
+		Store:   store,
+		Publish: publish,
+		ByName:  map[string]protocol.MachineType{},
 	}
 }
 
-// Begin forgets that the catalogue was shared in an earlier term.
+// Begin makes the catalogue due for storing again in a new term.
 func (mc *Catalogue) Begin() { mc.sharedThisTerm = false }
 
-// catalogueKey is where the leader stores the catalogue for nodes that start while the cloud doesn't
-// respond: without the machine types they could neither judge submissions nor place anything.
+// catalogueKey is the key at which the leader stores the catalogue for nodes that start while the
+// cloud doesn't respond: without the machine types they could neither check submissions nor place
+// anything.
 const catalogueKey = "catalogue"
 
 const (
-	// refreshInterval is from one read of the cloud's prices to the next.
+	// refreshInterval is the time between two reads of the cloud's prices.
 	refreshInterval = 30 * clock.Second
-	// firstReadRetryDelay is the pause before the next read as long as no machine type is known.
+	// firstReadRetryDelay is the time to the next read while no machine type is known.
 	firstReadRetryDelay = clock.Second
 )
 
-// Read keeps the catalogue and its prices up to date, on every node.
+// Read reads the catalogue from the cloud now and then periodically, on every node.
 func (mc *Catalogue) Read() {
 	mc.cloud.Catalogue(func(c protocol.Catalogue, err error) {
 		mc.Mailbox.After(mc.noteRead(c.MachineTypes, err), mc.Read)
 	})
 }
 
-// noteRead takes what the cloud responded and returns the pause before the next read.
+// noteRead handles the cloud's response and returns the delay of the next read.
 func (mc *Catalogue) noteRead(listed []protocol.MachineType, err error) clock.Micros {
 	count := len(listed)
 	types := slices.DeleteFunc(listed, unusable)
@@ -88,7 +90,7 @@
 // maxPlausible bounds the numbers of a machine type.
 const maxPlausible = 1e9
 
-// unusable reports whether a machine type has values that planning can't compute with.
+// unusable reports whether a machine type has values with which the planner can't compute.
 func unusable(t protocol.MachineType) bool {
 	numbers := []float64{
 		t.Cpus, t.Gpus, t.MemoryGB, t.CacheGB, t.FetchGBPerS, t.Price, t.SpotPrice, t.BootS,
@@ -101,18 +103,18 @@
 	return t.Name == "" || len(t.Zones) == 0 || t.Price == 0 || t.SpotPrice == 0
 }
 
-// Replace takes new machine types and prices.
+// Replace replaces the machine types and prices.
 func (mc *Catalogue) Replace(types []protocol.MachineType) {
 	mc.Types = types
 	clear(mc.ByName)
 	for _, t := range types {
 		mc.ByName[t.Name] = t
 	}
-	mc.changed()
-	mc.Published(types)
+	mc.invalidateViews()
+	mc.Publish(types)
 }
 
-// ReadShared takes the catalogue that a leader has stored, unless the cloud has responded meanwhile.
+// ReadShared loads the catalogue that a leader has stored, unless the cloud responds first.
 func (mc *Catalogue) ReadShared() {
 	mc.Store.Get(catalogueKey, func(r kvstore.Result[protocol.Item]) {
 		if r.Err != nil || len(mc.Types) > 0 {
@@ -128,13 +130,13 @@
 	})
 }
 
-// Share stores the catalogue for other nodes, once in a term and only if it has changed by more than
-// prices.
+// Share stores the catalogue for other nodes, once per term and only if more than prices differs
+// from the stored one.
 func (mc *Catalogue) Share() {
 	if mc.sharedThisTerm || !mc.FromCloud {
 		return
 	}
-	mc.sharedThisTerm = true // unless it fails
+	mc.sharedThisTerm = true // reset if reading or storing fails
 	mc.Store.Get(catalogueKey, term.Guarded(mc.State, mc.shareUnlessStored))
 }
 
@@ -172,8 +174,9 @@
 		slices.Equal(a.Zones, b.Zones)
 }
 
-// SlowestFetchS returns how many seconds a GB of image takes on the slowest type that the job may use.
-func (mc *Catalogue) SlowestFetchS(s *protocol.JobSpec) float64 {
+// SlowestFetchSPerGB returns how many seconds the fetch of one GB of an image takes on the slowest
+// type that the job may use.
+func (mc *Catalogue) SlowestFetchSPerGB(s *protocol.JobSpec) float64 {
 	slowest := 0.0
 	for _, t := range mc.Types {
 		if t.FetchGBPerS > 0 && TypeFits(t, s) {
@@ -183,11 +186,13 @@
 	return slowest
 }
 
-// replicaPriceFactor is how many times the cheapest suitable type's price a machine for replicas may cost.
+// replicaPriceFactor limits the price of a machine for replicas, as a multiple of the cheapest
+// suitable type's price.
 const replicaPriceFactor = 2.5
 
-// ReplicaTypes returns the machine types that replicas of a job are to have for long: a replica
-// keeps its whole machine, so that only those count which cost about as little as any.
+// ReplicaTypes returns the machine types on which replicas of a job may stay. A replica occupies
+// its whole machine for a long time, so only types that cost little more than the cheapest one
+// count.
 func (mc *Catalogue) ReplicaTypes(s *protocol.JobSpec) []string {
 	cheapest := math.MaxFloat64
 	for _, t := range mc.Types {
--- a/internal/leader/machinetable/delivery.go
+++ b/internal/leader/machinetable/delivery.go
@@ -19,19 +19,20 @@
 	return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
 }
 
-// StartDelivery is what is known of a start command on its way to the worker. As long as one may
-// still arrive the attempt must not be forgotten, or it would start again.
+// StartDelivery tracks a start command on its way to the worker. While a start may still arrive,
+// the leader must not tell the worker to forget the attempt: the start would run it again.
 type StartDelivery struct {
 	// InCommand reports that a direct command with the start has no response yet.
 	InCommand bool
-	// InHeartbeat reports that the response to a heartbeat carried the start, and no later heartbeat
-	// has come.
+	// InHeartbeat reports that the response to a heartbeat contained the start, and no later
+	// heartbeat has arrived.
 	InHeartbeat bool
 	// OutcomeUnknown reports that a direct command with the start got no usable response.
 	OutcomeUnknown bool
-	// Replica reports that the task is a service's, even once that is over and forgotten.
+	// Replica reports that the task belongs to a service. It is needed here because the job may be
+	// final and forgotten.
 	Replica bool
-	// StartSentAt and StopSentAt are when the commands last left.
+	// StartSentAt and StopSentAt are the times at which a start and a stop were last sent.
 	StartSentAt clock.Micros
 	StopSentAt  clock.Micros
 }
@@ -39,7 +40,7 @@
 // MayArrive reports whether a start may still reach the worker.
 func (d *StartDelivery) MayArrive() bool { return d.InCommand || d.InHeartbeat || d.OutcomeUnknown }
 
-// Delivery returns what is known of an attempt's commands, to be added to.
+// Delivery returns the delivery state of an attempt, and creates it if there is none.
 func (c *CommandState) Delivery(ref AttemptRef) *StartDelivery {
 	d := c.Deliveries[ref]
 	if d == nil {
@@ -55,27 +56,27 @@
 	return d != nil && d.MayArrive()
 }
 
-// DropDeliveries forgets the deliveries of attempts that are neither reported nor placed, unless a
-// start of them may still arrive.
+// DropDeliveries forgets the deliveries of attempts that the worker doesn't list and that aren't
+// placed on the machine, unless a start of them may still arrive.
 func (m *Machine) DropDeliveries() {
 	for ref, d := range m.Deliveries {
-		_, reported := m.Tasks[ref]
+		_, listed := m.Tasks[ref]
 		_, placed := m.Placements[ref.Job][ref.Task]
-		if !reported && !placed && !d.MayArrive() {
+		if !listed && !placed && !d.MayArrive() {
 			delete(m.Deliveries, ref)
 		}
 	}
 }
 
-// NoteHeartbeatReceived notes that the worker has executed or dropped the response to its last
-// heartbeat: it has one heartbeat in flight at a time.
+// NoteHeartbeatReceived notes that the worker has executed or dropped the response to its previous
+// heartbeat, since a worker has only one heartbeat in flight at a time.
 func (c *CommandState) NoteHeartbeatReceived() {
 	for _, d := range c.Deliveries {
 		d.InHeartbeat = false
 	}
 }
 
-// NoteStart notes that a start leaves, in the response to a heartbeat or by a direct command.
+// NoteStart notes that a start is sent, in the response to a heartbeat or by a direct command.
 func (d *StartDelivery) NoteStart(inHeartbeat, replica bool, now clock.Micros) {
 	d.StartSentAt, d.Replica = now, replica
 	if inHeartbeat {
--- a/internal/leader/machinetable/machine.go
+++ b/internal/leader/machinetable/machine.go
@@ -10,9 +10,9 @@
 	"postpoint/internal/scaling"
 )
 
-// Machine is one worker as the leader knows it. Its fields are grouped by subject; the comment of
-// each group names the part of the leader that changes it. Fields that change together are changed
-// by methods.
+// Machine is the leader's state of one machine and its worker. The fields are grouped by subject;
+// the comment of each group names the component of the leader that changes it. Methods change
+// fields that change together.
 type Machine struct {
 	Identity
 	WorkerStatus
@@ -27,7 +27,7 @@
 	ScaleInState
 }
 
-// newMachine returns a machine of which nothing but its name is known.
+// newMachine returns a machine of which only the name and possibly the address are known.
 func newMachine(name protocol.MachineName, address string, now clock.Micros) *Machine {
 	return &Machine{
 		Identity: Identity{Name: name, Address: address},
@@ -45,42 +45,44 @@
 	}
 }
 
-// Identity is what a machine is and where its worker can be reached. The autoscaler fills it in from
-// the cloud's responses, until heartbeats say it themselves.
+// Identity is the machine's type and location and its worker's address. The autoscaler fills it in
+// from the cloud's responses until heartbeats provide it.
 type Identity struct {
 	Name                protocol.MachineName
 	Address, Type, Zone string
 	Spot                bool
 }
 
-// Kind returns what is scaled out to get such a machine.
+// Kind returns the capacity pool that the machine belongs to.
 func (i *Identity) Kind() scaling.CapacityPool {
 	return scaling.CapacityPool{Type: i.Type, Zone: i.Zone, Spot: i.Spot}
 }
 
-// WorkerStatus is what the last heartbeat of the worker said. The reconciler changes it.
+// WorkerStatus is the content of the worker's last heartbeat. The reconciler changes it.
 type WorkerStatus struct {
+	// HeardAt is when the last heartbeat was received.
 	HeardAt clock.Micros
-	// RecallAt is when the cloud takes the machine back, 0 as long as that isn't announced.
+	// RecallAt is when the cloud reclaims the machine, 0 if it hasn't announced that.
 	RecallAt clock.Micros
-	Tasks    map[AttemptRef]protocol.TaskStatus
-	// listedTasks is the list that Tasks was made from.
+	// Tasks holds the listed tasks by attempt.
+	Tasks map[AttemptRef]protocol.TaskStatus
+	// listedTasks is the list from which SetTasks made Tasks.
 	listedTasks []protocol.TaskStatus
 	// RunningSince is when an attempt was first seen running.
 	RunningSince map[AttemptRef]clock.Micros
-	// Steady reports that every placed task stood in the last heartbeat and none of them had
-	// exited: the same heartbeat again proves nothing new.
+	// Steady reports that the last heartbeat listed every placed task and none of them had exited:
+	// an identical heartbeat proves nothing new.
 	Steady bool
 	// Seen reports that a heartbeat was received in this term.
 	Seen bool
-	// ExitedTasks counts the tasks that only have to be forgotten, as of the last heartbeat that
-	// changed anything. ForgetAt is when that happens at the latest.
+	// ExitedTasks counts the tasks that the worker only has to be told to forget, as of the last
+	// heartbeat that changed anything. ForgetAt is the latest time for this command.
 	ExitedTasks int
 	ForgetAt    clock.Micros
 }
 
-// SetTasks replaces the tasks by those that a heartbeat lists. Running times are kept of those that
-// are still listed.
+// SetTasks replaces the tasks by those that a heartbeat lists, and forgets the running times of all
+// others.
 func (s *WorkerStatus) SetTasks(tasks []protocol.TaskStatus) {
 	clear(s.Tasks)
 	s.listedTasks, s.ExitedTasks = tasks, 0
@@ -98,7 +100,7 @@
 	}
 }
 
-// RunsTasks reports whether anything runs there, whether or not a record knows it.
+// RunsTasks reports whether any task runs on the machine, even one that is in no record.
 func (s *WorkerStatus) RunsTasks() bool {
 	for _, t := range s.Tasks {
 		if t.Status != protocol.TaskExited {
@@ -108,13 +110,13 @@
 	return false
 }
 
-// SameTasks reports whether a heartbeat lists the tasks that are known, in the states that are known.
+// SameTasks reports whether a heartbeat lists exactly the known tasks in their known states.
 func (s *WorkerStatus) SameTasks(tasks []protocol.TaskStatus) bool {
 	if len(tasks) != len(s.Tasks) {
 		return false
 	}
 	if len(tasks) == 0 || len(s.listedTasks) == len(tasks) && &s.listedTasks[0] == &tasks[0] {
-		return true // the very list of the last heartbeat: see protocol.HeartbeatDecoder
+		return true // the same slice as in the last heartbeat: see protocol.HeartbeatDecoder
 	}
 	for _, t := range tasks {
 		job, task, ok := protocol.ParseTask(t.Task)
@@ -129,9 +131,9 @@
 	return true
 }
 
-// HeartbeatNumber orders the heartbeats of a machine, however late each of them arrives.
+// HeartbeatNumber orders the heartbeats of a machine by their sending, even if they arrive late.
 type HeartbeatNumber struct {
-	// Incarnation rises each time the worker begins a new lease after losing one.
+	// Incarnation rises each time the worker begins a new lease after it lost one.
 	Incarnation protocol.Incarnation
 	// Counter rises with each heartbeat.
 	Counter int64
@@ -142,43 +144,44 @@
 	return HeartbeatNumber{Incarnation: r.Incarnation, Counter: r.Counter}
 }
 
-// After reports whether a heartbeat was sent after another one.
+// After reports whether a heartbeat was sent later than another one.
 func (n HeartbeatNumber) After(other HeartbeatNumber) bool {
 	return n.Incarnation > other.Incarnation || n.Incarnation == other.Incarnation &&
 		n.Counter > other.Counter
 }
 
-// IncarnationState is the worker's present incarnation and what it has acknowledged. The reconciler
-// changes it.
+// IncarnationState is the worker's current incarnation and the highest epoch that it has
+// acknowledged. The reconciler changes it.
 type IncarnationState struct {
 	HeartbeatNumber
 	// AcknowledgedEpoch is the highest fencing token that the worker has seen.
 	AcknowledgedEpoch protocol.Epoch
-	// IncarnationSeenAt is when the present incarnation was first heard of.
+	// IncarnationSeenAt is when the first heartbeat of the current incarnation arrived.
 	IncarnationSeenAt clock.Micros
 }
 
-// LeaseState is what is known of the lease that lets the worker's tasks run. The heartbeat handler
-// renews it, the health monitor proves it expired.
+// LeaseState describes the lease that allows the worker's tasks to run. The heartbeat handler
+// renews it; the health monitor establishes that it has expired.
 type LeaseState struct {
-	// RespondedAt is when a heartbeat was last responded to, which renews the lease.
+	// RespondedAt is when the leader last responded to a heartbeat, which renews the lease.
 	RespondedAt clock.Micros
-	// RespondedTo is the heartbeat that was.
+	// RespondedTo is the number of that heartbeat.
 	RespondedTo HeartbeatNumber
-	// LeaseExpired reports that the lease has certainly expired: only a later incarnation counts.
+	// LeaseExpired reports that the lease has certainly expired: the leader then accepts only a
+	// later incarnation.
 	LeaseExpired bool
-	// ResponsesLost reports that heartbeats arrive, but the worker loses one incarnation after the
-	// other though they are responded to: responses don't reach it.
+	// ResponsesLost reports that heartbeats arrive but responses don't reach the worker: it loses
+	// one incarnation after another though the leader responds.
 	ResponsesLost bool
 }
 
-// NoteResponse notes that a heartbeat is responded to.
+// NoteResponse notes that the leader responds to a heartbeat.
 func (l *LeaseState) NoteResponse(heartbeat HeartbeatNumber, now clock.Micros) {
 	l.RespondedTo, l.RespondedAt = heartbeat, now
 }
 
-// BeginIncarnation notes that the worker has begun a later incarnation. It holds nothing of the
-// earlier ones, and no command that was sent to them has any effect on it.
+// BeginIncarnation notes that the worker has begun a later incarnation. The worker then holds no
+// tasks of earlier incarnations, and commands that were sent to them have no effect.
 func (m *Machine) BeginIncarnation(incarnation protocol.Incarnation, now clock.Micros) {
 	clear(m.Deliveries)
 	clear(m.RunningSince)
@@ -187,8 +190,8 @@
 	m.Incarnation, m.IncarnationSeenAt = incarnation, now
 }
 
-// ExpireLease notes that the lease of the present incarnation, and of any that something was placed
-// in, has certainly expired: nothing runs there any more.
+// ExpireLease notes that the lease has certainly expired, both of the current incarnation and of
+// any incarnation for which a placement was made: no task runs there any more.
 func (m *Machine) ExpireLease() {
 	m.LeaseExpired = true
 	for _, tasks := range m.Placements {
@@ -201,36 +204,39 @@
 	m.ViewStale = true
 }
 
-// CommandState is which commands are on their way to the worker. The command sender changes it; the
-// health monitor and the zone tracker note their probes.
+// CommandState tracks the commands on their way to the worker. The command sender changes it; the
+// health monitor and the zone tracker record their probes in it.
 type CommandState struct {
+	// Deliveries holds the state of the commands of each attempt.
 	Deliveries map[AttemptRef]*StartDelivery
 	// CommandInFlight reports that a direct command has no response yet.
 	CommandInFlight bool
-	// PushPending asks for another direct command after that.
+	// PushPending reports that another direct command has to follow that response.
 	PushPending bool
 	// EpochAnnouncedAt is when the leader's epoch was last announced by a direct command.
 	EpochAnnouncedAt clock.Micros
-	// ProbedAt is when the worker was last asked whether it is still there.
+	// ProbedAt is when the worker was last asked whether it is reachable.
 	ProbedAt clock.Micros
-	// ChallengedAt is when the worker was last asked whether it has started over.
+	// ChallengedAt is when the worker was last asked whether it has restarted.
 	ChallengedAt clock.Micros
 }
 
-// BeginCommand notes that a direct command is sent; pushes wait for its response.
+// BeginCommand notes that a direct command is sent; later pushes wait for its response.
 func (c *CommandState) BeginCommand() { c.CommandInFlight, c.PushPending = true, false }
 
-// CloudState is what the cloud says of the machine. The autoscaler changes it.
+// CloudState is what the cloud reports about the machine. The autoscaler changes it.
 type CloudState struct {
+	// Listed reports that the cloud has listed the machine in this term.
 	Listed bool
-	// FirstSeen is when the machine was first heard of, or earlier if the cloud says so.
+	// FirstSeen is when the leader first knew of the machine, or earlier if the cloud reports a
+	// higher age.
 	FirstSeen   clock.Micros
 	ListedAt    clock.Micros
 	CloudStatus string
 }
 
-// PlacementState is what the job records place on the machine. The job table changes it, through
-// Table.AddPlacement and Table.RemovePlacement.
+// PlacementState holds the machine's placements according to the job records. The job table changes
+// it through Table.AddPlacement and Table.RemovePlacement.
 type PlacementState struct {
 	// Placements are the placed tasks by job.
 	Placements map[protocol.JobID]map[int]jobrecord.Placement
@@ -238,21 +244,21 @@
 	IdleSince clock.Micros
 }
 
-// Placed reports whether the machine's placement of a task is the given attempt.
+// Placed reports whether an attempt is placed on the machine.
 func (p *PlacementState) Placed(ref AttemptRef) bool {
 	placement, ok := p.Placements[ref.Job][ref.Task]
 	return ok && placement.Attempt == ref.Attempt
 }
 
-// PlannerView is the machine as the planner is shown it. Package snapshots makes it anew whenever
-// ViewStale is set, which everything does that changes what it depends on.
+// PlannerView is the machine as the planner's input describes it. Package snapshots rebuilds it
+// when ViewStale is set, and every change of its inputs sets ViewStale.
 type PlannerView struct {
 	View      planner.Machine
 	ViewStale bool
-	// Unrecognized reports that something of unknown size runs there.
+	// Unrecognized reports that the machine runs a task of unknown size.
 	Unrecognized bool
 	Images       []image
-	// PullGB was still to be fetched at pulledAt.
+	// PullGB is the amount of images that remained to be fetched at pulledAt.
 	PullGB   float64
 	pulledAt clock.Micros
 }
@@ -268,8 +274,8 @@
 	return slices.ContainsFunc(v.Images, func(i image) bool { return i.Name == name })
 }
 
-// noteImage moves an image to the front of the cache, which holds the most recently used images up
-// to its size.
+// noteImage moves an image to the front of the estimated cache, which holds the most recently used
+// images up to the cache's size.
 func (v *PlannerView) noteImage(name string, sizeGB, cacheGB float64) {
 	images := []image{{name, sizeGB}}
 	used := sizeGB
@@ -283,7 +289,7 @@
 	v.ViewStale = true
 }
 
-// AdvancePulls subtracts what was fetched of the pulled images since it was last called.
+// AdvancePulls subtracts the amount that was fetched since the last call from PullGB.
 func (v *PlannerView) AdvancePulls(now clock.Micros, t protocol.MachineType) {
 	if len(v.View.PullingImages) == 0 {
 		v.PullGB = 0
@@ -292,44 +298,48 @@
 	v.pulledAt = now
 }
 
-// Performance is how fast tasks run there. Package objectives changes it.
+// Performance is how fast tasks run on the machine. Package objectives changes it.
 type Performance struct {
-	// Pace is the run times of tasks in proportion to the averages of their classes.
-	Pace float64
-	// PaceRuns is from how many runs Pace is drawn.
-	PaceRuns int
+	// RelativeRunTime is the average ratio of tasks' run times to the averages of their classes.
+	RelativeRunTime float64
+	// RunTimeSamples is the number of runs in RelativeRunTime.
+	RunTimeSamples int
 }
 
 const (
-	// minPaceRuns is from how many runs on Pace is believed: estimates are often wrong by half.
-	minPaceRuns = 4
-	// slowPace is the least Pace that counts as slow.
-	slowPace = 1.6
+	// minRunTimeSamples is the number of runs from which RelativeRunTime is used: estimates are
+	// often wrong by half.
+	minRunTimeSamples = 4
+	// slowRelativeRunTime is the lowest RelativeRunTime that counts as slow.
+	slowRelativeRunTime = 1.6
 )
 
-// Slowness returns by which part tasks take longer than on other machines, 0 if that isn't clear.
-// Slow machines are used last; they aren't scaled in for it, since most recover.
+// Slowness returns the fraction by which tasks take longer than on other machines, 0 if it isn't
+// established. The planner uses slow machines last; the autoscaler doesn't scale them in for it,
+// since most recover.
 func (p *Performance) Slowness() float64 {
-	if p.PaceRuns < minPaceRuns || p.Pace < slowPace {
+	if p.RunTimeSamples < minRunTimeSamples || p.RelativeRunTime < slowRelativeRunTime {
 		return 0
 	}
-	return p.Pace - 1
+	return p.RelativeRunTime - 1
 }
 
-// FaultState is what failed on the machine. The reconciler changes it.
+// FaultState records the failures on the machine. The reconciler changes it.
 type FaultState struct {
-	// FullUntil is until when the worker is taken to have no room, since it refused a start.
+	// FullUntil is the time until which the worker counts as full, since it refused a start.
 	FullUntil clock.Micros
-	// FailedJobs are the jobs of which a task failed there.
+	// FailedJobs holds the jobs that had a task fail on the machine.
 	FailedJobs  map[protocol.JobID]bool
 	Quarantined bool
 }
 
-// quarantineFailures is from how many failed jobs on it is the machine that is taken to be faulty.
+// quarantineFailures is the number of jobs with failures on a machine from which the machine itself
+// counts as faulty.
 const quarantineFailures = 2
 
-// QuarantineIfFaulty quarantines a machine on which several jobs failed, and reports whether it was
-// that call that did. Nothing is placed on it any more, and it is scaled in once it is empty.
+// QuarantineIfFaulty quarantines a machine on which several jobs failed, and reports whether this
+// call did so. Nothing more is placed on a quarantined machine, and it is scaled in once it is
+// empty.
 func (f *FaultState) QuarantineIfFaulty() bool {
 	if len(f.FailedJobs) < quarantineFailures || f.Quarantined {
 		return false
@@ -338,19 +348,19 @@
 	return true
 }
 
-// ScaleInState is whether the machine is to go. The autoscaler cordons it; whoever proves that it has
-// to go schedules its release.
+// ScaleInState is how far the machine's scale-in is. The autoscaler cordons it; the component that
+// establishes that the machine has to go schedules its release.
 type ScaleInState struct {
-	// Cordoned reports that no new tasks are placed there, so that the machine empties: see
+	// Cordoned reports that no new tasks are placed on the machine, so that it empties: see
 	// scaling.Cordon.
 	Cordoned   bool
 	CordonedAt clock.Micros
-	// ReservedAt is when room on it was last reserved.
+	// ReservedAt is when capacity on the machine was last reserved.
 	ReservedAt clock.Micros
-	// Releasing reports that the machine is to be released: see Table.ScheduleRelease.
+	// Releasing reports that the machine has to be released: see Table.ScheduleRelease.
 	Releasing bool
-	// Overdue reports that the machine holds tasks of a cancelled job that don't end: its release
-	// goes before others.
+	// Overdue reports that the machine holds tasks of a cancelled job that don't end: the
+	// autoscaler releases it before others.
 	Overdue bool
 }
 
--- a/internal/leader/machinetable/machine_test.go
+++ b/internal/leader/machinetable/machine_test.go
@@ -7,7 +7,8 @@
 	"postpoint/internal/protocol"
 )
 
-// Heartbeats are ordered by incarnation first: counters don't compare across incarnations.
+// The incarnation decides the order of heartbeats first: counters of different incarnations don't
+// compare.
 func TestHeartbeatNumbersAreOrdered(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -26,8 +27,8 @@
 	}
 }
 
-// A new incarnation, and the end of a lease, leave nothing of what ran before. Only the latter covers
-// incarnations that were placed in without being heard of.
+// Neither a new incarnation nor an expired lease keeps tasks of the earlier incarnation. Only the
+// expired lease covers incarnations that have placements but sent no heartbeat.
 func TestNothingOutlivesItsLease(t *testing.T) {
 	ref := AttemptRef{Job: "job-1", Task: 0, Attempt: 1}
 	used := func() *Machine {
@@ -45,14 +46,14 @@
 	if m.Incarnation != 4 || m.IncarnationSeenAt != 7 || m.Steady || m.LeaseExpired ||
 		len(m.RunningSince) > 0 ||
 		len(m.Deliveries) > 0 {
-		t.Errorf("a new incarnation leaves %+v %+v", m.IncarnationState, m.WorkerStatus)
+		t.Errorf("state after a new incarnation: %+v %+v", m.IncarnationState, m.WorkerStatus)
 	}
 	m = used()
 	m.ExpireLease()
 	if m.Incarnation != 3 || !m.LeaseExpired || !m.ViewStale || len(m.RunningSince) > 0 || len(m.Tasks) > 0 {
-		t.Errorf("an expired lease leaves %+v %+v", m.IncarnationState, m.WorkerStatus)
+		t.Errorf("state after an expired lease: %+v %+v", m.IncarnationState, m.WorkerStatus)
 	}
 	if !m.StartMayArrive(ref) {
-		t.Error("a start on its way is forgotten with the lease, want it kept")
+		t.Error("an expired lease drops a start that may still arrive, want it kept")
 	}
 }
--- a/internal/leader/machinetable/machinetable.go
+++ b/internal/leader/machinetable/machinetable.go
@@ -1,6 +1,6 @@
-// Package machinetable owns the machines of a term with their workers' incarnations and leases, and
-// the cloud's machine types and prices. It decides nothing: the reconciler changes machines by what
-// heartbeats prove, the autoscaler scales out and in.
+// Package machinetable owns the machines of a term, with their workers' incarnations and leases,
+// and the cloud's machine types and prices. It makes no decisions: the reconciler changes machines
+// according to heartbeats, and the autoscaler scales out and in.
 package machinetable
 
 import (
@@ -15,40 +15,41 @@
 	"postpoint/internal/protocol"
 )
 
-// Table owns the machines and what is known of their workers' incarnations and leases.
+// Table owns the machines and the state of their workers' incarnations and leases.
 type Table struct {
 	*term.State
 	catalogue *Catalogue
 
+	// ByName holds the machines by their names.
 	ByName map[protocol.MachineName]*Machine
-	// Ordered are the machines in the order of their names. The slice is replaced, never
-	// changed, so that it can be iterated over while machines come and go.
+	// Ordered holds the machines in the order of their names. The slice is replaced, never changed
+	// in place, so that machines may be added or removed while it is iterated over.
 	Ordered []*Machine
-	// Released are the machines that were scaled in, and when: what is still heard of them is
+	// Released holds the machines that were scaled in, and when: later messages about them are
 	// outdated. They are kept for ReleasedRetention.
 	Released map[protocol.MachineName]clock.Micros
-	// addresses are kept across terms, also on nodes that don't lead.
+	// addresses are kept across terms, and also on nodes that don't lead.
 	addresses map[protocol.MachineName]string
 }
 
-// New returns an empty table that follows the catalogue's prices.
+// New returns an empty table whose planner views follow the catalogue's prices.
 func New(term *term.State, catalogue *Catalogue) *Table {
 	mt := &Table{State: term, catalogue: catalogue, addresses: map[protocol.MachineName]string{}}
-	catalogue.changed = mt.MarkViewsStale
+	catalogue.invalidateViews = mt.MarkViewsStale
 	return mt
 }
 
-// Begin forgets what was known in earlier terms.
+// Begin forgets the state of earlier terms.
 func (mt *Table) Begin() {
 	mt.ByName = map[protocol.MachineName]*Machine{}
 	mt.Ordered = nil
 	mt.Released = map[protocol.MachineName]clock.Micros{}
 }
 
-// End forgets the machines when the term is over.
+// End forgets the machines when the term has ended.
 func (mt *Table) End() { mt.ByName, mt.Ordered = nil, nil }
 
-// GetOrAdd returns the machine of that name, which is added when it is first heard of.
+// GetOrAdd returns the machine of that name, and adds it if it is unknown.
 func (mt *Table) GetOrAdd(name protocol.MachineName) *Machine {
 	m := mt.ByName[name]
 	if m == nil {
@@ -62,39 +63,40 @@
 	return m
 }
 
-// MarkViewsStale has the planner's views of all machines rebuilt.
+// MarkViewsStale causes a rebuild of the planner's views of all machines.
 func (mt *Table) MarkViewsStale() {
 	for _, m := range mt.Ordered {
 		m.ViewStale = true
 	}
 }
 
-// Remove forgets a machine that is proven gone.
+// Remove forgets a machine that certainly no longer exists.
 func (mt *Table) Remove(m *Machine) {
 	delete(mt.ByName, m.Name)
 	delete(mt.addresses, m.Name)
 	mt.Released[m.Name] = mt.Now()
 }
 
-// DropRemoved drops the machines that were removed from Ordered.
+// DropRemoved deletes the removed machines from Ordered.
 func (mt *Table) DropRemoved() {
 	removed := func(m *Machine) bool { return mt.ByName[m.Name] != m }
 	mt.Ordered = slices.DeleteFunc(slices.Clone(mt.Ordered), removed)
 }
 
-// WasReleased reports whether a machine was scaled in in this term, not long ago.
+// WasReleased reports whether a machine was scaled in recently in this term.
 func (mt *Table) WasReleased(name protocol.MachineName) bool {
 	_, released := mt.Released[name]
 	return released
 }
 
-// ForgetReleased bounds what a long term remembers.
+// ForgetReleased deletes the entries of Released that are older than ReleasedRetention, which
+// bounds the memory of a long term.
 func (mt *Table) ForgetReleased() {
 	old := mt.Now() - ReleasedRetention
 	maps.DeleteFunc(mt.Released, func(_ protocol.MachineName, at clock.Micros) bool { return at < old })
 }
 
-// ReleaseReason says in logs why a machine is scaled in.
+// ReleaseReason is the reason of a scale-in, as it appears in the log.
 type ReleaseReason string
 
 // The reasons for which the reconciler releases machines.
@@ -111,7 +113,7 @@
 	ReleaseQuarantined        ReleaseReason = "quarantined"
 )
 
-// ScheduleRelease marks a machine to be scaled in; nothing is placed on it from now on.
+// ScheduleRelease marks a machine to be scaled in. Nothing is placed on it from now on.
 func (mt *Table) ScheduleRelease(m *Machine, reason ReleaseReason) {
 	if m.Releasing {
 		return
@@ -121,23 +123,24 @@
 		"reason", string(reason))
 }
 
-// ScheduleOverdueRelease marks a machine to be scaled in before others, since it holds tasks of a
-// cancelled job that have to be gone in time.
+// ScheduleOverdueRelease marks a machine to be scaled in before others, because it holds tasks of a
+// cancelled job that must end in time.
 func (mt *Table) ScheduleOverdueRelease(m *Machine, reason ReleaseReason) {
 	m.Overdue = true
 	mt.ScheduleRelease(m, reason)
 }
 
-// NoteAddress keeps where a machine can be reached, for a term that this node may come to
-// lead. Of machines that were replaced in the meantime only so many are kept.
+// NoteAddress keeps the address of a machine for a later term in which this node may lead. The
+// number of addresses of replaced machines is bounded.
 func (mt *Table) NoteAddress(machine protocol.MachineName, address string) {
 	if len(mt.addresses) > 2*len(mt.Ordered)+MaxAddresses {
-		clear(mt.addresses) // heartbeats bring those of live machines back
+		clear(mt.addresses) // heartbeats restore the addresses of live machines
 	}
 	mt.addresses[machine] = address
 }
 
-// AddPlacement notes a placement at its machine, nil if another cell runs the task.
+// AddPlacement adds a placement to its machine and returns the machine, nil if another cell runs
+// the task.
 func (mt *Table) AddPlacement(jobID protocol.JobID, p jobrecord.Placement) *Machine {
 	if p.HostCell() != "" {
 		return nil
@@ -151,7 +154,7 @@
 	return m
 }
 
-// RemovePlacement takes a placement off its machine.
+// RemovePlacement removes a placement from its machine.
 func (mt *Table) RemovePlacement(jobID protocol.JobID, p jobrecord.Placement) {
 	m := mt.ByName[p.Machine]
 	if m == nil {
@@ -167,7 +170,7 @@
 	}
 }
 
-// NoteHeartbeat takes what a heartbeat says of the machine itself.
+// NoteHeartbeat updates the machine's own state from a heartbeat.
 func (mt *Table) NoteHeartbeat(m *Machine, r *protocol.Heartbeat) {
 	m.Seen = true
 	m.Address, m.Type, m.Zone, m.Spot = r.Address, r.Type, r.Zone, r.Spot
@@ -182,18 +185,19 @@
 	}
 }
 
-// NoteImage keeps a guess at the machine's image cache.
+// NoteImage adds an image to the estimate of the machine's image cache.
 func (mt *Table) NoteImage(m *Machine, name string, sizeGB float64) {
 	m.noteImage(name, sizeGB, mt.catalogue.ByName[m.Type].CacheGB)
 }
 
-// HeardCount counts how many machines are heard of as often as they should be.
+// HeardCount counts the machines that should send heartbeats, and those that do so on time.
 type HeardCount struct{ Heard, Expected int }
 
-// Most reports whether at least half of the machines are heard of.
+// Most reports whether at least half of the machines send heartbeats on time.
 func (c HeardCount) Most() bool { return 2*c.Heard >= c.Expected }
 
-// HeardByZone counts the machines that are up or are to be.
+// HeardByZone returns, by zone, the counts of the machines that have sent a heartbeat in this term
+// or have placements, except those that are being released.
 func (mt *Table) HeardByZone() map[string]HeardCount {
 	zones := map[string]HeardCount{}
 	for _, m := range mt.Ordered {
@@ -210,8 +214,8 @@
 	return zones
 }
 
-// HeartbeatMissed reports whether a heartbeat of a machine is missing. A new leader gives workers the time to
-// find it.
+// HeartbeatMissed reports whether a heartbeat of a machine is late. A new leader first waits
+// TakeoverTime, so that workers can find it.
 func (mt *Table) HeartbeatMissed(m *Machine) bool {
 	if mt.Now() <= mt.BegunAt+TakeoverTime {
 		return false
@@ -220,22 +224,22 @@
 		mt.Now() > m.HeardAt+mt.Settings.Deployment.Workers.HeartbeatInterval()*5/4+missedHeartbeatMargin
 }
 
-// HeardRecently reports whether a machine was heard of about as often as it should be.
+// HeardRecently reports whether a machine has sent a heartbeat within about two intervals.
 func (mt *Table) HeardRecently(m *Machine) bool {
 	return m.Seen && mt.withinTwoHeartbeats(m.HeardAt)
 }
 
-// withinTwoHeartbeats reports whether something that every heartbeat repeats happened no longer ago
-// than two of them may take.
+// withinTwoHeartbeats reports whether an event that recurs with every heartbeat last happened no
+// longer ago than two heartbeats may take.
 func (mt *Table) withinTwoHeartbeats(at clock.Micros) bool {
 	return mt.Now() < at+2*mt.Settings.Deployment.Workers.HeartbeatInterval()+2*clock.Second
 }
 
-// HearsNoWorker reports whether no worker at all has been heard of for a while, though there
-// are several: this node may be cut off from them while others are not, and their
-// leases expire at a leader that they can't reach. A worker spends four seconds on
-// a node that doesn't respond, so that two missing heartbeats have to be enough.
-func (mt *Table) HearsNoWorker() bool {
+// IsolatedFromWorkers reports whether this node has received no heartbeat at all for a while though
+// several machines have placements. This node may then be partitioned from workers that other nodes
+// can reach, and the workers' leases expire because they can't reach their leader. A worker spends
+// four seconds on a node that doesn't respond, so two missing heartbeats have to be enough.
+func (mt *Table) IsolatedFromWorkers() bool {
 	since := mt.BegunAt
 	known := 0
 	for _, m := range mt.Ordered {
@@ -247,26 +251,26 @@
 	return known > 1 && mt.Now() > since+2*mt.Settings.Deployment.Workers.HeartbeatInterval()+clock.Second
 }
 
-// BootTime returns how long machines of a machine's type usually take to boot.
+// BootTime returns the usual boot time of a machine's type.
 func (mt *Table) BootTime(m *Machine) clock.Micros {
 	return clock.FromSeconds(mt.catalogue.ByName[m.Type].BootS)
 }
 
-// BootOverdue reports whether a machine should have come up long ago.
+// BootOverdue reports whether a machine without any heartbeat has far exceeded its usual boot time.
 func (mt *Table) BootOverdue(m *Machine) bool {
 	return !m.Seen && mt.Now() > m.FirstSeen+overdueBootFactor*mt.BootTime(m)
 }
 
-// MostReplicas returns how many replicas the machine with most of them holds, within bounds.
+// MostReplicas returns the highest number of replicas on one machine, at most MaxLossReserve.
 func (mt *Table) MostReplicas() int {
 	most := 0
 	for _, m := range mt.Ordered {
 		most = max(most, m.View.Replicas)
 	}
-	return min(most, MaxSpareForLoss)
+	return min(most, MaxLossReserve)
 }
 
-// RanFor returns how long an attempt has been seen running on a machine.
+// RanFor returns for how long an attempt has been seen running on a machine.
 func (mt *Table) RanFor(m *Machine, ref AttemptRef) clock.Micros {
 	if since := m.RunningSince[ref]; since != 0 {
 		return mt.Now() - since
@@ -274,23 +278,23 @@
 	return 0
 }
 
-// LeaseRenewed reports whether the machine's lease is being renewed: one that only responds to
-// direct commands loses whatever it is given when its lease expires.
+// LeaseRenewed reports whether the leader has renewed the machine's lease recently. A machine that
+// only responds to direct commands loses all its tasks when its lease expires.
 func (mt *Table) LeaseRenewed(m *Machine) bool {
 	return m.RespondedAt != 0 && mt.withinTwoHeartbeats(m.RespondedAt)
 }
 
-// EpochAcknowledged reports whether the worker rejects everything of earlier leaders: what its
-// heartbeats lack is not there, and what an earlier leader sent can't arrive.
+// EpochAcknowledged reports whether the worker rejects all commands of earlier leaders: a task that
+// its heartbeats don't list isn't there, and no command of an earlier leader can add it.
 func (mt *Table) EpochAcknowledged(m *Machine) bool {
 	return m.Seen && !m.LeaseExpired && m.AcknowledgedEpoch == mt.Term.Epoch
 }
 
-// ProvenEmptyAt returns when every lease that could keep a machine's tasks alive has
-// expired: those renewed by this node's own responses, those that an earlier leader may
-// have renewed until the end of its allowance, and the one that an incarnation begins
-// with, without a response, no later than its first heartbeat. See "Silence" in "The arithmetic of
-// cancellations", docs/rules.md.
+// ProvenEmptyAt returns when every lease that could keep a machine's tasks alive has expired: those
+// that this node renewed by its own responses, those that an earlier leader may have renewed until
+// the end of its renewal window, and the one with which an incarnation begins, without a response,
+// no later than its first heartbeat. See "Silence" in "The arithmetic of cancellations",
+// docs/rules.md.
 func (mt *Table) ProvenEmptyAt(m *Machine) clock.Micros {
 	w := mt.Settings.Deployment.Workers
 	last := max(m.RespondedAt, m.IncarnationSeenAt, mt.BegunAt+w.RenewalWindow())
@@ -298,19 +302,21 @@
 }
 
 const (
-	// TakeoverTime is what workers take to find a new leader.
+	// TakeoverTime is the time that workers need to find a new leader.
 	TakeoverTime = 8 * clock.Second
-	// missedHeartbeatMargin is added to a heartbeat interval before a heartbeat counts as missed.
+	// missedHeartbeatMargin is added to the time that a heartbeat may take before it counts as
+	// missed.
 	missedHeartbeatMargin = 750 * clock.Millisecond
 	// leaseMargin covers the time from a check to its effect.
 	leaseMargin = clock.Second
-	// overdueBootFactor is after how many usual boot times a machine without any heartbeat counts as silent.
+	// overdueBootFactor is the number of usual boot times after which a machine without any
+	// heartbeat counts as silent.
 	overdueBootFactor = 2
-	// MaxAddresses is more than the machines of any deployment and a day's replacements.
+	// MaxAddresses is more than the machines of any deployment plus their replacements of a day.
 	MaxAddresses = 32 << 10
-	// MaxSpareForLoss bounds the room that is kept free for the loss of a machine.
-	MaxSpareForLoss = 8
-	// ReleasedRetention is far beyond any delay of a heartbeat or a list. A machine of which
-	// something even older arrived would be taken for an unexpected one, and be released once more.
+	// MaxLossReserve bounds the reserve for the loss of a machine, in replicas.
+	MaxLossReserve = 8
+	// ReleasedRetention is far longer than any delay of a heartbeat or a list. An even older
+	// message would make a released machine look unexpected, and the leader would release it again.
 	ReleasedRetention = 15 * 60 * clock.Second
 )
--- a/internal/leader/objectives/history.go
+++ b/internal/leader/objectives/history.go
@@ -9,32 +9,35 @@
 )
 
 const (
-	// ArrivalWindow is the time over which the arrivals of a class are counted.
+	// ArrivalWindow is the period over which the arrivals of a class are counted.
 	ArrivalWindow = 60 * clock.Second
-	// The averages of run times are exponential. One run counts for classRunWeight in that of its
-	// class, which has many runs, and for machineRunWeight in that of its machine, which has few and
-	// may change.
+	// The averages of run times are exponential. The weight of one run is classRunWeight in the
+	// average of its class, which has many runs, and machineRunWeight in the average of its
+	// machine, which has few and may change.
 	classRunWeight   = 0.1
 	machineRunWeight = 0.3
 )
 
-// ClassHistory is what a class of jobs was last seen to need.
+// ClassHistory holds the last job specification, the recent arrivals and the run times of a class
+// of jobs.
 type ClassHistory struct {
-	Spec   protocol.JobSpec
+	Spec protocol.JobSpec
+	// LastAt is when the last job of the class arrived.
 	LastAt clock.Micros
-	// Arrivals are those of the last ArrivalWindow.
+	// Arrivals are the arrivals within the last ArrivalWindow.
 	Arrivals []Arrival
-	// pace is the average ratio of run times to the owners' estimates, 0 before the first run.
-	pace float64
+	// runTimeRatio is the average ratio of run times to the owners' estimates, 0 before the first
+	// run.
+	runTimeRatio float64
 }
 
-// Arrival is a job that was submitted.
+// Arrival is the submission of a job.
 type Arrival struct {
 	At    clock.Micros
 	Tasks int
 }
 
-// NoteArrival notes a submission, from which more jobs of its class are expected.
+// NoteArrival records a submission, which predicts more jobs of its class.
 func (t *Tracker) NoteArrival(spec *protocol.JobSpec) {
 	history := t.Classes[spec.Class]
 	history.Spec, history.LastAt = *spec, t.Now()
@@ -45,34 +48,35 @@
 	t.Classes[spec.Class] = history
 }
 
-// NoteRun learns from a completed run how fast a machine is beside others. The owners' estimates
-// only make runs comparable: what all of them get wrong is in the average of the class.
+// NoteRun learns from a completed run how fast a machine is compared with others. The owners'
+// estimates only make runs comparable: the average of the class contains their common error.
 func (t *Tracker) NoteRun(m *machinetable.Machine, spec *protocol.JobSpec, ran clock.Micros) {
 	history, known := t.Classes[spec.Class]
 	if !known || spec.EstimateS <= 0 || ran <= 0 {
 		return
 	}
-	toClass := history.noteRun(ran.Seconds() / spec.EstimateS)
+	classRatio := history.noteRun(ran.Seconds() / spec.EstimateS)
 	t.Classes[spec.Class] = history
-	noteMachineRun(m, toClass)
+	noteMachineRun(m, classRatio)
 }
 
-// noteRun adds a run's ratio to the class's average, and returns the run's ratio to the average before.
-func (h *ClassHistory) noteRun(toEstimate float64) float64 {
-	if h.pace == 0 {
-		h.pace = toEstimate
+// noteRun adds the ratio of a run time to its estimate to the class's average, and returns the
+// ratio of this value to the previous average.
+func (h *ClassHistory) noteRun(estimateRatio float64) float64 {
+	if h.runTimeRatio == 0 {
+		h.runTimeRatio = estimateRatio
 	}
-	toClass := toEstimate / h.pace
-	h.pace += classRunWeight * (toEstimate - h.pace)
-	return toClass
+	classRatio := estimateRatio / h.runTimeRatio
+	h.runTimeRatio += classRunWeight * (estimateRatio - h.runTimeRatio)
+	return classRatio
 }
 
-// noteMachineRun adds a run's ratio to its class's average to the average of its machine.
-func noteMachineRun(m *machinetable.Machine, toClass float64) {
-	if m.PaceRuns == 0 {
-		m.Pace = 1
+// noteMachineRun adds the ratio of a run to its class's average to the average of its machine.
+func noteMachineRun(m *machinetable.Machine, classRatio float64) {
+	if m.RunTimeSamples == 0 {
+		m.RelativeRunTime = 1
 	}
-	m.PaceRuns++
+	m.RunTimeSamples++
 	m.ViewStale = true
-	m.Pace += machineRunWeight * (toClass - m.Pace)
+	m.RelativeRunTime += machineRunWeight * (classRatio - m.RelativeRunTime)
 }
--- a/internal/leader/objectives/objectives.go
+++ b/internal/leader/objectives/objectives.go
@@ -1,6 +1,6 @@
-// Package objectives judges jobs by the service-level objectives of their classes, and keeps what was
-// seen of each class: arrivals and run times. The snapshot that the planner is shown takes its tiers
-// and slacks from here.
+// Package objectives evaluates jobs against the service-level objectives of their classes, and
+// keeps the arrivals and run times of each class. The planner's snapshot takes the jobs' tiers and
+// slacks from this package.
 package objectives
 
 import (
@@ -15,38 +15,39 @@
 
 // The kinds of objectives that the settings name.
 const (
-	// kindStart wants tasks to start within a time from the job's submission.
+	// kindStart requires tasks to start within a time from the job's submission.
 	kindStart = "wait"
-	// kindEnd wants the job to be done within a time from its submission.
+	// kindEnd requires the job to be done within a time from its submission.
 	kindEnd = "finished"
-	// kindDeadline wants the job to be done within a multiple of its own deadline.
+	// kindDeadline requires the job to be done within a multiple of its own deadline.
 	kindDeadline = "deadline"
 )
 
 const (
-	// startWithinS is the time from its submission in which users count on every job to start,
+	// startWithinS is the time from its submission within which users expect every job to start,
 	// whatever the objectives of its class.
 	startWithinS = 240
-	// BootAllowance is by how much longer than usual a boot may take.
+	// BootAllowance is the factor by which a boot may exceed its usual time.
 	BootAllowance = 1.5
 )
 
-// Tracker judges jobs by the objectives of their classes, and keeps what was seen of each class
-// across terms.
+// Tracker evaluates jobs against the objectives of their classes, and keeps the history of each
+// class across terms.
 type Tracker struct {
 	*term.State
 	catalogue *machinetable.Catalogue
 
+	// Classes holds the histories by class.
 	Classes map[string]ClassHistory
 }
 
-// New returns a tracker that has seen no classes.
+// New returns a tracker without any history.
 func New(term *term.State, catalogue *machinetable.Catalogue) *Tracker {
 	return &Tracker{State: term, catalogue: catalogue, Classes: map[string]ClassHistory{}}
 }
 
-// StartObjectiveS returns the shortest time in which jobs of a class should start, in seconds, 0 if
-// there is no objective for their starts.
+// StartObjectiveS returns the shortest objective for the start of jobs of a class, in seconds, 0 if
+// there is none.
 func (t *Tracker) StartObjectiveS(class string) float64 {
 	shortest := 0.0
 	for _, objective := range t.Settings.Deployment.Objectives {
@@ -57,10 +58,11 @@
 	return shortest
 }
 
-// StartSlackS returns how many seconds are left for the next objective for a job's start. The last of
-// them is the time in which users count on every job to start, the fetch of its image included, which
-// takes a third of that for one of 20 GB. Classes that can't wait for a boot have no other: if jobs
-// that have missed an objective of seconds were put off, they would only miss the next one too.
+// StartSlackS returns how many seconds are left until the next objective for a job's start. The
+// last of these is startWithinS minus the fetch of the job's image, which takes a third of
+// startWithinS for an image of 20 GB. For classes that can't wait for a boot it is the only one: a
+// job that has missed an objective of a few seconds gains nothing from a lower priority, and would
+// miss startWithinS too.
 func (t *Tracker) StartSlackS(j *jobtable.Job) float64 {
 	age := t.ageS(j)
 	left := startWithinS - age - t.imageFetchS(j)
@@ -75,11 +77,11 @@
 	return left
 }
 
-// StartsBeforeBoot reports whether jobs of a class should start sooner than a machine boots: only
-// capacity that is up already can do that.
+// StartsBeforeBoot reports whether jobs of a class should start sooner than a machine boots, which
+// only the capacity of ready machines allows.
 func (t *Tracker) StartsBeforeBoot(class string) bool {
 	if history := t.Classes[class]; history.Spec.Service() {
-		return true // its users miss each second until its replicas run
+		return true // a service is unavailable until its replicas run
 	}
 	slowestBoot := 0.0
 	for _, machineType := range t.catalogue.Types {
@@ -108,18 +110,18 @@
 	return due
 }
 
-// isFor reports whether an objective is of a kind and for a class.
+// isFor reports whether an objective is of a kind and applies to a class.
 func isFor(objective settings.Objective, kind, class string) bool {
 	return objective.Kind == kind && objective.Class == class
 }
 
-// ageS returns the time since a job's submission, in seconds. Clocks of different nodes differ by
-// little beside the times of objectives.
+// ageS returns the time since a job's submission, in seconds. The difference between the clocks of
+// two nodes is small compared with the times of objectives.
 func (t *Tracker) ageS(j *jobtable.Job) float64 {
 	return (t.Mailbox.TimeOfDay() - clock.Micros(j.SubmittedAt)).Seconds()
 }
 
-// imageFetchS returns how long the fetch of a job's image takes at most, in seconds.
+// imageFetchS returns the maximum time of the fetch of a job's image, in seconds.
 func (t *Tracker) imageFetchS(j *jobtable.Job) float64 {
-	return j.Spec.ImageGB * t.catalogue.SlowestFetchS(&j.Spec)
+	return j.Spec.ImageGB * t.catalogue.SlowestFetchSPerGB(&j.Spec)
 }
--- a/internal/leader/objectives/urgency.go
+++ b/internal/leader/objectives/urgency.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// defaultSlackS is granted to jobs without any objective for their ends, beyond their estimates.
+	// defaultSlackS is the slack beyond the estimate of jobs that have no objective for their end.
 	defaultSlackS = 120
-	// overlookedS is when a job that hasn't started goes first, the fetch of its image included: it
-	// leaves time enough of startWithinS.
-	overlookedS = 150
-	// maxYieldS is for how long a job without any objective for its end yields to others.
-	maxYieldS = 3 * overlookedS
+	// startOverdueS is the age, including the fetch of its image, at which a job that hasn't
+	// started gets the highest tier. It leaves enough time to start within startWithinS.
+	startOverdueS = 150
+	// maxYieldS is the age up to which a job without any objective for its end yields to others.
+	maxYieldS = 3 * startOverdueS
 )
 
-// Urgency is which objectives for a job can still be met, and how long, in seconds, it can still wait
-// before its tasks must run for that.
+// Urgency tells which objectives a job can still meet, and how many seconds it can still wait
+// before its tasks must run to meet the next one.
 type Urgency struct {
 	Tier   planner.Tier
 	SlackS float64
@@ -25,7 +25,7 @@
 // Urgency returns the urgency of a job.
 func (t *Tracker) Urgency(j *jobtable.Job) Urgency {
 	if j.Spec.Service() {
-		return Urgency{Tier: planner.TierStartInTime} // its users wait for whatever doesn't run
+		return Urgency{Tier: planner.TierStartInTime} // users wait for each missing replica
 	}
 	age := t.ageS(j)
 	started := len(j.Placements)+j.Done.Len() > 0
@@ -35,13 +35,14 @@
 		due = append(due, j.Spec.EstimateS+defaultSlackS)
 		tier = tierWithoutEndObjective(tier, age)
 	}
-	if !started && age+t.imageFetchS(j) > overlookedS {
+	if !started && age+t.imageFetchS(j) > startOverdueS {
 		tier = planner.TierStartInTime
 	}
 	return endUrgency(tier, due, j.Spec.EstimateS+age)
 }
 
-// startTier returns TierStartInTime if an objective for the job's start can still be met, else TierTooLate.
+// startTier returns TierStartInTime if the job can still meet an objective for its start, else
+// TierTooLate.
 func (t *Tracker) startTier(j *jobtable.Job, age float64, started bool) planner.Tier {
 	for _, objective := range t.Settings.Deployment.Objectives {
 		if isFor(objective, kindStart, j.Spec.Class) && !started && age < objective.WithinS {
@@ -51,11 +52,11 @@
 	return planner.TierTooLate
 }
 
-// hasEndObjective reports whether any of the sorted due times says something of a job's end.
+// hasEndObjective reports whether the sorted due times contain an objective for a job's end.
 func hasEndObjective(due []float64) bool { return len(due) > 0 && due[len(due)-1] != 0 }
 
-// tierWithoutEndObjective raises the tier of a job that can never be too late for its end, and would
-// yield for ever.
+// tierWithoutEndObjective raises the tier of a job that has no objective for its end. Such a job is
+// never too late, so it would yield to others forever.
 func tierWithoutEndObjective(tier planner.Tier, age float64) planner.Tier {
 	if age > maxYieldS {
 		return planner.TierStartInTime
@@ -63,9 +64,10 @@
 	return min(tier, planner.TierEndInTime)
 }
 
-// endUrgency returns the urgency of a job with sorted due times that would end so many seconds after
-// its submission if it ran from now on. The slack is that to the next due time; once all are missed,
-// the job yields until it is late by as much again.
+// endUrgency returns the urgency of a job with sorted due times that would end endsS seconds after
+// its submission if it ran from now on. Its slack is the time left before the next due time. A job
+// that has missed all due times yields to others until it is late by as much again as its last due
+// time.
 func endUrgency(tier planner.Tier, due []float64, endsS float64) Urgency {
 	for _, dueS := range due {
 		if dueS >= endsS {
--- a/internal/leader/requests.go
+++ b/internal/leader/requests.go
@@ -7,31 +7,33 @@
 	"postpoint/internal/protocol"
 )
 
-// Heartbeat handles a worker's heartbeat. The response is sent from the actor.
+// Heartbeat handles a worker's heartbeat. The actor calls reply from its mailbox.
 func (l *Leader) Heartbeat(r protocol.Heartbeat, reply func(status int, body any)) {
 	arrived := l.state.Now()
 	l.state.Mailbox.Post(func() { l.heartbeats.Handle(r, arrived, reply) })
 }
 
-// Overview responds with what operators see, from the actor.
+// Overview passes the operators' overview to reply, from the actor's mailbox.
 func (l *Leader) Overview(reply func(any)) {
 	l.state.Mailbox.Post(func() { reply(l.overview.Build()) })
 }
 
-// ZoneReports responds to another controller that asks which zones' machines this one hears from.
+// ZoneReports responds to another controller that asks from which zones this one receives
+// heartbeats.
 func (l *Leader) ZoneReports(reply func(admission.ZoneReports)) {
 	l.state.Mailbox.Post(func() {
 		reply(admission.ZoneReports{Node: l.state.Settings.Node, Machines: l.zones.HeardByZone()})
 	})
 }
 
-// Exchange responds to a heartbeat of another cell. ok reports whether it is one that this cell knows.
+// Exchange responds to a heartbeat of another cell. ok is false if this cell doesn't know the
+// sender or the response would be too late.
 func (l *Leader) Exchange(r delegation.Heartbeat, reply func(a delegation.HeartbeatResponse, ok bool)) {
 	arrived := l.state.Now()
 	l.state.Mailbox.Post(func() {
 		switch {
-		case !l.expects(&r) || l.state.Now() > arrived+federation.ExchangeTimeout:
-			// After a pause of the process nobody waits for the response any more.
+		case !l.isFromKnownCell(&r) || l.state.Now() > arrived+federation.ExchangeTimeout:
+			// The process was suspended: the other cell no longer waits for the response.
 			reply(delegation.HeartbeatResponse{}, false)
 		case !l.state.Leads() && !l.state.MayRespond():
 			leader := l.cells.Directory.Own.Address(l.state.KnownLeader)
@@ -42,8 +44,9 @@
 	})
 }
 
-// expects reports whether another cell of the cells file sends a heartbeat to this one.
-func (l *Leader) expects(r *delegation.Heartbeat) bool {
+// isFromKnownCell reports whether a heartbeat comes from another cell in the cells file and is
+// addressed to this cell.
+func (l *Leader) isFromKnownCell(r *delegation.Heartbeat) bool {
 	if !l.cells.Enabled() {
 		return false
 	}
@@ -51,9 +54,12 @@
 	return r.Origin == directory.Own.Name && directory.Cell(r.Host) != nil && r.Host != r.Origin
 }
 
-// Leads reports whether this node may act as leader now. It is called in the actor's own mailbox, or
-// while the world stands still.
+// Leads reports whether this node may act as leader now. Call it from the actor's mailbox, or while
+// no actor runs.
 func (l *Leader) Leads() bool { return l.state.Leads() }
 
-// Knows reports, likewise, whether a machine is in the leader's table.
-func (l *Leader) Knows(machine protocol.MachineName) bool { return l.machines.ByName[machine] != nil }
+// HasMachine reports whether a machine is in the leader's table. Call it under the same conditions
+// as Leads.
+func (l *Leader) HasMachine(machine protocol.MachineName) bool {
+	return l.machines.ByName[machine] != nil
+}
--- a/internal/leader/reserve_test.go
+++ b/internal/leader/reserve_test.go
@@ -15,7 +15,7 @@
 // others.
 func useReplicaTypes(d *Leader) {
 	zones := []string{"a"}
-	d.catalogue.Published = func([]protocol.MachineType) {}
+	d.catalogue.Publish = func([]protocol.MachineType) {}
 	d.catalogue.Replace([]protocol.MachineType{
 		{Name: "small", Cpus: 8, MemoryGB: 16, Price: 0.5, SpotPrice: 0.2, BootS: 20, Zones: zones},
 		{Name: "middle", Cpus: 16, MemoryGB: 64, Price: 1.2, SpotPrice: 0.5, BootS: 40, Zones: zones},
@@ -52,7 +52,7 @@
 	}{
 		{"one job", 1, 3, 4 + 3},
 		{"six jobs in a minute, which is the slowest boot", 6, 3, 24 + 3},
-		{"a crowded machine", 1, 100, 4 + machinetable.MaxSpareForLoss},
+		{"a crowded machine", 1, 100, 4 + machinetable.MaxLossReserve},
 	} {
 		m.View.Replicas = c.onOneMachine
 		history := objectives.ClassHistory{Spec: protocol.JobSpec{
--- a/internal/leader/scaleout_test.go
+++ b/internal/leader/scaleout_test.go
@@ -54,7 +54,7 @@
 	d.state.Mailbox = mailbox
 	stub := &fakeCloud{}
 	d.autoscaler.Cloud = cloudtest.Client(stub)
-	d.catalogue.Published = func([]protocol.MachineType) {}
+	d.catalogue.Publish = func([]protocol.MachineType) {}
 	d.catalogue.Replace([]protocol.MachineType{{
 		Name: "t", Zones: []string{"a"}, Cpus: 8, MemoryGB: 32, Price: 1, SpotPrice: 1, BootS: 30,
 	}})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -64,10 +64,10 @@
 	n.Candidate = n.newCandidate(e)
 	n.Admission.ZoneReportsFrom(n.Leader.ZoneReports)
 	if e.Recovery != nil {
-		n.Leader.Recover(e.Recovery, n.zoneReports(e))
+		n.Leader.EnableZoneRecovery(e.Recovery, n.zoneReports(e))
 	}
 	if e.Cells != nil {
-		n.Leader.JoinCells(e.Cells, e.Exchange)
+		n.Leader.EnableCells(e.Cells, e.Exchange)
 	}
 	n.Rollout = n.newRollout(e)
 	return n
--- a/internal/simulation/scalefailover_test.go
+++ b/internal/simulation/scalefailover_test.go
@@ -48,7 +48,7 @@
 		heir := mustLead(t, d)
 		heard := 0
 		for _, m := range d.Workers() {
-			if heir.Leader.Knows(m.name) && m.epoch > 1 {
+			if heir.Leader.HasMachine(m.name) && m.epoch > 1 {
 				heard++
 			}
 		}
--- a/internal/simulation/workerloss_test.go
+++ b/internal/simulation/workerloss_test.go
@@ -131,7 +131,7 @@
 		w.Run(w.Now() + 5*clock.Second)
 	}
 	w.Run(w.Now() + 60*clock.Second)
-	if heir.Leader.Knows(m.name) {
+	if heir.Leader.HasMachine(m.name) {
 		t.Fatalf("%s is still known, want it forgotten", m.name)
 	}
 	w.Run(w.Now() + 200*clock.Second)
