--- a/internal/leader/autoscaler/autoscaler.go
+++ b/internal/leader/autoscaler/autoscaler.go
@@ -1,6 +1,6 @@
-// Package autoscaler scales the deployment out and in: it gets machines for unmet demand, cordons and
-// releases surplus ones, and keeps up with the cloud's list of machines. Which machines to get and
-// which are surplus is decided by package scaling, which is pure.
+// Package autoscaler scales the deployment out and in. It requests machines for unmet demand, cordons and
+// releases surplus machines, and reads the cloud's list of machines periodically. Package scaling decides
+// which machines to request and which machines are surplus; that package has no side effects.
 package autoscaler
 
 import (
@@ -15,7 +15,7 @@
 	"postpoint/internal/leader/zonetracker"
 )
 
-// Autoscaler gets machines for unmet demand and releases those that aren't needed any more.
+// Autoscaler requests machines for unmet demand and releases machines that are no longer needed.
 type Autoscaler struct {
 	*term.State
 	Cloud      cloudclient.API
@@ -28,20 +28,20 @@
 	zones      *zonetracker.Tracker
 	steps      *term.StepTimer
 
-	// BackoffUntil is until when the cloud is left alone after it has refused a request.
+	// BackoffUntil is the end of the pause in requests that follows a request that the cloud refused.
 	BackoffUntil clock.Micros
 	scaleOut     scaleOutState
 	list         listState
-	// scaleInInFlight reports that the response to a scale-in is awaited.
+	// scaleInInFlight reports that the response to a scale-in request is outstanding.
 	scaleInInFlight bool
 	cordons         cordonState
 }
 
-// refusalBackoff is the pause after the cloud has refused a request: long enough for a limit of
-// requests a second to recover, short beside a boot.
+// refusalBackoff is the pause after the cloud refuses a request. It is long enough for a limit on requests
+// per second to recover, and short compared with the time that a machine takes to boot.
 const refusalBackoff = 2 * clock.Second
 
-// New returns an autoscaler that scales by means of the given cloud.
+// New returns an autoscaler that requests and releases machines through the given cloud client.
 func New(term *term.State, cl cloudclient.API, jobs *jobtable.Table, machines *machinetable.Table,
 	catalogue *machinetable.Catalogue, objectives *objectives.Tracker, commands *reconciler.CommandSender,
 	snapshots *snapshots.Builder, zones *zonetracker.Tracker, steps *term.StepTimer) *Autoscaler {
@@ -59,7 +59,7 @@
 	}
 }
 
-// Begin forgets the requests of earlier terms. What was found out about cordoning is kept.
+// Begin drops the state of requests from earlier terms. The state of cordoning is kept across terms.
 func (a *Autoscaler) Begin() {
 	a.BackoffUntil = 0
 	a.scaleOut = newScaleOutState(a.Settings.Deployment.Cloud.Rps)
@@ -67,8 +67,8 @@
 	a.scaleInInFlight = false
 }
 
-// Manage reads the cloud's list when it is due, releases idle machines and carries on with
-// scale-ins.
+// Manage reads the cloud's list of machines when that is due, marks idle machines for release and sends
+// the pending scale-in requests. It does nothing during a backoff or before the machine types are known.
 func (a *Autoscaler) Manage() {
 	if a.Now() < a.BackoffUntil || len(a.catalogue.Types) == 0 {
 		return
@@ -78,5 +78,5 @@
 	a.SendReleases()
 }
 
-// backOff leaves the cloud alone for a while.
+// backOff starts a pause of refusalBackoff in which no regular request goes to the cloud.
 func (a *Autoscaler) backOff() { a.BackoffUntil = a.Now() + refusalBackoff }
--- a/internal/leader/autoscaler/cloudview.go
+++ b/internal/leader/autoscaler/cloudview.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// initialCapacityPause is after how long a pool that has run out of machines is asked again. The
-	// pause doubles with each refusal in a row, up to maxCapacityPause, which bounds how late new
-	// capacity is noticed.
+	// initialCapacityPause is the pause before the autoscaler requests machines again from a capacity pool
+	// that has run out. The pause doubles with each consecutive refusal, up to maxCapacityPause, which
+	// bounds how late the autoscaler detects new capacity.
 	initialCapacityPause = 8 * clock.Second
 	maxCapacityPause     = 32 * clock.Second
 )
 
-// capacityPause is the time in which a pool that has run out of machines isn't asked.
+// capacityPause is the pause in requests to a capacity pool that has run out of machines.
 type capacityPause struct {
 	until  clock.Micros
 	length clock.Micros
 }
 
-// CloudView returns what can be scaled out at present, as far as is known.
+// CloudView returns the machine types and the capacity pools that are believed to have capacity at present.
 func (a *Autoscaler) CloudView() *scaling.CloudView {
 	view := &scaling.CloudView{Types: a.catalogue.ByName, OutOfCapacity: map[scaling.CapacityPool]bool{}}
 	for pool, pause := range a.scaleOut.exhausted {
@@ -28,14 +28,15 @@
 		}
 	}
 	if a.zones.AnyCordoned() {
-		a.excludeAvoidedZones(view)
+		a.excludeCordonedZones(view)
 	}
 	return view
 }
 
-// excludeAvoidedZones leaves out the zones that aren't healthy, since machines that boot there may
-// never be heard of. Zones that have just returned are only marked: what depends on them may go there.
-func (a *Autoscaler) excludeAvoidedZones(view *scaling.CloudView) {
+// excludeCordonedZones marks the capacity pools of cordoned zones as out of capacity, because machines that
+// boot there may never send a heartbeat. Returning zones are only marked as at risk: jobs that depend on such
+// a zone may still get machines there.
+func (a *Autoscaler) excludeCordonedZones(view *scaling.CloudView) {
 	view.ZonesAtRisk = map[string]bool{}
 	for _, machineType := range a.catalogue.Types {
 		for _, zone := range machineType.Zones {
@@ -50,13 +51,13 @@
 	}
 }
 
-// noteExhausted pauses requests for a pool that has run out of machines.
-func (a *Autoscaler) noteExhausted(pool scaling.CapacityPool) {
+// markExhausted pauses requests to a capacity pool that has run out of machines.
+func (a *Autoscaler) markExhausted(pool scaling.CapacityPool) {
 	pause := a.scaleOut.exhausted[pool]
 	pause.length = min(max(initialCapacityPause, 2*pause.length), maxCapacityPause)
 	pause.until = a.Now() + pause.length
 	a.scaleOut.exhausted[pool] = pause
 }
 
-// noteAvailable ends the pause of a pool in which there is capacity again.
-func (a *Autoscaler) noteAvailable(pool scaling.CapacityPool) { delete(a.scaleOut.exhausted, pool) }
+// markAvailable ends the pause in requests to a capacity pool that has capacity again.
+func (a *Autoscaler) markAvailable(pool scaling.CapacityPool) { delete(a.scaleOut.exhausted, pool) }
--- a/internal/leader/autoscaler/cordon.go
+++ b/internal/leader/autoscaler/cordon.go
@@ -15,41 +15,44 @@
 )
 
 const (
-	// cordonInterval is from one search for surplus machines to the next.
+	// cordonInterval is the time between two searches for surplus machines, and the time that a machine has
+	// to be cordoned before it is drained.
 	cordonInterval = 3 * clock.Second
-	// minCordonTrials is how many machines a search tries at least to do without. Each trial costs a
-	// plan.
-	minCordonTrials = 4
-	// machinesPerTrial bounds the trials of a small deployment.
-	machinesPerTrial = 8
-	// maxCordonTime is what the trials of one search may cost, by Builder.PlanningCost.
+	// minCordonEvaluations is the least number of evaluations that a search may make. Each evaluation makes
+	// a plan without one or more machines.
+	minCordonEvaluations = 4
+	// machinesPerEvaluation bounds the number of evaluations in a small deployment.
+	machinesPerEvaluation = 8
+	// maxCordonTime bounds the total cost of the evaluations of one search, as estimated by
+	// Builder.PlanningCost.
 	maxCordonTime = 12 * clock.Millisecond
-	// minRunBeforeMove is how long a task has to have run before it is moved, so that its start counts.
+	// minRunBeforeMove is how long a task must have run before it may be moved, so that the cost of its
+	// start isn't wasted.
 	minRunBeforeMove = 32 * clock.Second
-	// moveCostS is what moving a task costs, in seconds, beyond saving it: a task that ends sooner
-	// isn't moved.
+	// moveCostS is the cost of moving a task, in seconds, beyond the time for saving its progress. A task
+	// that ends sooner isn't worth moving.
 	moveCostS = 60
 )
 
-// stopReasonSurplus says in logs why tasks are stopped that are moved off a surplus machine.
+// stopReasonSurplus is the logged reason for stopping tasks that are moved off a surplus machine.
 const stopReasonSurplus = "surplus"
 
-// cordonState is what the searches for surplus machines remember, across terms.
+// cordonState is the state that searches for surplus machines keep across terms.
 type cordonState struct {
 	searchedAt clock.Micros
-	// batch is how many machines the next trial is for: see scaling.Cordon.
+	// batch is how many machines the next evaluation removes at once: see scaling.Cordon.
 	batch int
 }
 
 // cordonSearch is one search for surplus machines.
 type cordonSearch struct {
-	// snapshot is without the machines that were found to be surplus.
-	snapshot   planner.Snapshot
-	trialsLeft int
+	// snapshot lacks the machines that this search has found to be surplus.
+	snapshot        planner.Snapshot
+	evaluationsLeft int
 }
 
-// Uncordon makes up to limit cordoned machines usable again that unmet demand needs after all, the
-// cheapest first. It reports whether there was any such machine.
+// Uncordon uncordons up to limit machines that unmet demand needs, the cheapest first. It reports whether
+// the demand needs any cordoned machine.
 func (a *Autoscaler) Uncordon(demand []planner.UnmetDemand, limit int) bool {
 	view := a.CloudView()
 	needed := a.neededCordoned(view, demand)
@@ -62,7 +65,8 @@
 	return len(needed) > 0
 }
 
-// neededCordoned returns the cordoned machines that unmet demand needs.
+// neededCordoned returns the cordoned machines that unmet demand needs. All machines of a capacity pool get
+// the same decision.
 func (a *Autoscaler) neededCordoned(view *scaling.CloudView,
 	demand []planner.UnmetDemand) []*machinetable.Machine {
 	poolNeeded := map[scaling.CapacityPool]bool{}
@@ -82,7 +86,7 @@
 	return needed
 }
 
-// CordonPeriodically searches for surplus machines once in cordonInterval.
+// CordonPeriodically searches for surplus machines once per cordonInterval.
 func (a *Autoscaler) CordonPeriodically() {
 	if a.Now() > a.cordons.searchedAt+cordonInterval {
 		a.cordons.searchedAt = a.Now()
@@ -90,31 +94,32 @@
 	}
 }
 
-// searchSurplus drains machines that have been cordoned for a while, and cordons others.
+// searchSurplus drains machines that have been cordoned for longer than cordonInterval, and then cordons
+// further surplus machines.
 func (a *Autoscaler) searchSurplus() {
 	if len(a.catalogue.Types) == 0 {
 		return
 	}
-	search := &cordonSearch{trialsLeft: a.cordonTrials()}
+	search := &cordonSearch{evaluationsLeft: a.cordonEvaluations()}
 	search.snapshot = a.snapshots.Snapshot()
 	a.drainCordoned(search)
 	a.cordonSurplus(search)
 }
 
-// cordonTrials returns how many trials a search may make: more in a large deployment, as long as
-// plans are cheap.
-func (a *Autoscaler) cordonTrials() int {
+// cordonEvaluations returns how many evaluations a search may make. The number grows with the deployment as
+// long as plans are cheap.
+func (a *Autoscaler) cordonEvaluations() int {
 	affordable := int(maxCordonTime / max(a.snapshots.PlanningCost(), 1))
-	return max(minCordonTrials, min(len(a.machines.Ordered)/machinesPerTrial, affordable))
+	return max(minCordonEvaluations, min(len(a.machines.Ordered)/machinesPerEvaluation, affordable))
 }
 
-// drainCordoned moves the tasks off cordoned machines if there is room for them elsewhere.
+// drainCordoned moves tasks off cordoned machines if the other machines have capacity for them.
 func (a *Autoscaler) drainCordoned(search *cordonSearch) {
 	for _, m := range a.machines.Ordered {
-		if search.trialsLeft == 0 || !a.drainable(m) {
+		if search.evaluationsLeft == 0 || !a.drainable(m) {
 			continue
 		}
-		search.trialsLeft--
+		search.evaluationsLeft--
 		if rest, ok := scaling.FitsWithout(search.snapshot, m.Name); ok {
 			search.snapshot = rest
 			a.moveTasksOff(m)
@@ -122,12 +127,13 @@
 	}
 }
 
-// drainable reports whether a machine has been cordoned for a while and its tasks can be moved.
+// drainable reports whether a machine has been cordoned for longer than cordonInterval and moving its tasks
+// is possible and worth its cost.
 func (a *Autoscaler) drainable(m *machinetable.Machine) bool {
 	return m.Cordoned && !m.Releasing && a.Now() > m.CordonedAt+cordonInterval && a.worthMoving(m)
 }
 
-// moveTasksOff stops all tasks of a machine, so that they start elsewhere.
+// moveTasksOff stops all tasks of a machine, so that the scheduler places them on other machines.
 func (a *Autoscaler) moveTasksOff(m *machinetable.Machine) {
 	slog.Info("draining surplus machine", "machine", m.Name, "type", m.Type, "zone", m.Zone, "spot", m.Spot)
 	for id, tasks := range ordered.ByKey(m.Placements) {
@@ -139,9 +145,10 @@
 	}
 }
 
-// cordonSurplus cordons the machines that everything else has room without.
+// cordonSurplus cordons machines without which the others still have capacity for all running and pending
+// work.
 func (a *Autoscaler) cordonSurplus(search *cordonSearch) {
-	names, nextBatch := scaling.Cordon(search.snapshot, search.trialsLeft, a.cordons.batch)
+	names, nextBatch := scaling.Cordon(search.snapshot, search.evaluationsLeft, a.cordons.batch)
 	a.cordons.batch = nextBatch
 	for _, name := range names {
 		m := a.machines.ByName[name]
@@ -151,8 +158,8 @@
 	}
 }
 
-// worthMoving reports whether all tasks of a machine can be moved, and some of them would run on for
-// longer than the move takes.
+// worthMoving reports whether all tasks of a machine can be moved, and at least one of them has more time
+// left to run than the move takes.
 func (a *Autoscaler) worthMoving(m *machinetable.Machine) bool {
 	worth := false
 	for id, tasks := range m.Placements {
@@ -171,23 +178,23 @@
 	return worth
 }
 
-// jobMovable reports whether tasks of a job can be stopped without losing their progress. A gang is
-// moved as a whole, and once only: it runs on many machines, each of which may be surplus.
+// jobMovable reports whether the tasks of a job can be stopped without losing their progress. A gang moves as
+// a whole, and only once, because it runs on many machines and each of them may turn out to be surplus.
 func (a *Autoscaler) jobMovable(j *jobtable.Job) bool {
 	if j.Over() || j.Spec.CheckpointS == 0 {
 		return false
 	}
-	ofSeveral := j.Spec.Gang() && j.Spec.Tasks > 1
-	return !ofSeveral || !j.MovedOffSurplus && a.gangRuns(j)
+	multiTaskGang := j.Spec.Gang() && j.Spec.Tasks > 1
+	return !multiTaskGang || !j.MovedOffSurplus && a.gangRuns(j)
 }
 
-// taskMovable reports whether a task has run for long enough and isn't being stopped already.
+// taskMovable reports whether a task has run for at least minRunBeforeMove and isn't being stopped already.
 func (a *Autoscaler) taskMovable(m *machinetable.Machine, j *jobtable.Job,
 	placement jobrecord.Placement) bool {
 	return a.ranFor(m, j, placement) >= minRunBeforeMove && j.Stops[placement.Task].Reason == ""
 }
 
-// gangRuns reports whether all tasks of a gang have run for long enough to be moved.
+// gangRuns reports whether all tasks of a gang have run for at least minRunBeforeMove.
 func (a *Autoscaler) gangRuns(j *jobtable.Job) bool {
 	for _, placement := range j.Placements {
 		m := a.machines.ByName[placement.Machine]
@@ -198,7 +205,7 @@
 	return len(j.Placements) == j.Spec.Tasks
 }
 
-// ranFor returns for how long the attempt of a placement has been seen running on its machine.
+// ranFor returns how long the heartbeats of a machine have reported the attempt of a placement as running.
 func (a *Autoscaler) ranFor(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement) clock.Micros {
 	return a.machines.RanFor(m, j.AttemptOf(p))
 }
--- a/internal/leader/autoscaler/machinelist.go
+++ b/internal/leader/autoscaler/machinelist.go
@@ -11,29 +11,31 @@
 )
 
 const (
-	// listInterval is from one read of the cloud's list of machines to the next.
+	// listInterval is the time between two reads of the cloud's list of machines.
 	listInterval = 4 * clock.Second
-	// unheardTimeout is given to machines that ran tasks before this term to be listed or heard of.
-	unheardTimeout = 9 * clock.Second
-	// A machine has to be missing from a list that was begun listLagFactor times the list's lag and
-	// listLagMargin after its first listing: an older list may lack it though it is there.
+	// unregisteredTimeout is how long after the start of a term a machine with placements from earlier terms
+	// may be neither in the cloud's list nor have sent a heartbeat.
+	unregisteredTimeout = 9 * clock.Second
+	// The autoscaler ignores that a machine is missing from a listing unless the listing began more than
+	// listLagFactor times the list's lag plus listLagMargin after the machine was first listed. An earlier
+	// listing may lack a machine that exists.
 	listLagFactor = 2
 	listLagMargin = clock.Second
 )
 
-// listState is what a term knows of its reads of the cloud's list.
+// listState is the state of reading the cloud's list within a term.
 type listState struct {
 	inFlight bool
 	begunAt  clock.Micros
 }
 
-// listing is one read of the list, page by page.
+// listing is one read of the whole list, page by page.
 type listing struct {
 	names   map[protocol.MachineName]bool
 	begunAt clock.Micros
 }
 
-// listPeriodically reads the cloud's list once in listInterval.
+// listPeriodically reads the cloud's list once per listInterval.
 func (a *Autoscaler) listPeriodically() {
 	if a.list.inFlight || a.Now() <= a.list.begunAt+listInterval {
 		return
@@ -42,16 +44,17 @@
 	a.readPage(&listing{names: map[protocol.MachineName]bool{}, begunAt: a.Now()}, "")
 }
 
-// readPage reads the machines whose names come after from, "" for the first page.
+// readPage requests the page of machines whose names follow from; an empty from requests the first page.
 func (a *Autoscaler) readPage(l *listing, from protocol.MachineName) {
 	a.Cloud.List(from, term.Guarded2(a.State, func(page protocol.MachineList, err error) {
-		a.pageRead(l, page, err)
+		a.handlePage(l, page, err)
 	}))
 }
 
-// pageRead notes the machines of a page, and asks for the next page or finishes the listing. A read
-// without a response says nothing against the cloud: the next one is due soon anyway.
-func (a *Autoscaler) pageRead(l *listing, page protocol.MachineList, err error) {
+// handlePage records the machines of a page, and requests the next page or finishes the listing. A read
+// without a response ends the listing but doesn't start a backoff, because the next listing is due soon
+// anyway.
+func (a *Autoscaler) handlePage(l *listing, page protocol.MachineList, err error) {
 	if err != nil {
 		a.list.inFlight = false
 		if !errors.Is(err, cloudclient.ErrNoResponse) {
@@ -61,7 +64,7 @@
 	}
 	for _, machine := range page.Machines {
 		l.names[machine.Name] = true
-		a.noteListed(machine)
+		a.recordListed(machine)
 	}
 	if page.More && len(page.Machines) > 0 {
 		a.readPage(l, page.Machines[len(page.Machines)-1].Name)
@@ -72,11 +75,11 @@
 	a.steps.Wake()
 }
 
-// noteListed takes over what the cloud says of a machine. What its worker says counts more, as soon
-// as it is heard of.
-func (a *Autoscaler) noteListed(listed protocol.ListedMachine) {
+// recordListed updates a machine from its entry in the cloud's list. Once the machine's worker has sent a
+// heartbeat, the type, zone, spot flag and address that the worker reports take precedence.
+func (a *Autoscaler) recordListed(listed protocol.ListedMachine) {
 	if a.machines.WasReleased(listed.Name) {
-		return // the list lags behind
+		return // the list lags behind the release
 	}
 	unknown := a.machines.ByName[listed.Name] == nil
 	m := a.machines.GetOrAdd(listed.Name)
@@ -91,12 +94,12 @@
 		m.Type, m.Zone, m.Spot, m.ViewStale = listed.Type, listed.Zone, listed.Spot, true
 		m.Address = listed.Address
 	}
-	a.noteCloudStatus(m, listed.Status)
+	a.updateCloudStatus(m, listed.Status)
 }
 
-// noteCloudStatus notes whether a machine boots or is up. One that came up without having been heard
-// of began to boot no longer ago than a boot takes.
-func (a *Autoscaler) noteCloudStatus(m *machinetable.Machine, status string) {
+// updateCloudStatus records whether the cloud reports a machine as booting or running. If a machine is
+// running and hasn't sent a heartbeat yet, its boot counts as begun no earlier than one boot time ago.
+func (a *Autoscaler) updateCloudStatus(m *machinetable.Machine, status string) {
 	if m.CloudStatus == status {
 		return
 	}
@@ -107,18 +110,18 @@
 	}
 }
 
-// releaseMissing releases machines that the list lacks though it should have them: it is the release
-// that proves them gone.
+// releaseMissing marks machines for release that a listing should contain but lacks. Only the confirmed
+// release proves that such a machine is gone.
 func (a *Autoscaler) releaseMissing(l *listing) {
 	lag := listLagFactor*clock.FromSeconds(a.Settings.Deployment.Cloud.ListLagS) + listLagMargin
 	for _, m := range a.machines.Ordered {
 		if m.Listed && !l.names[m.Name] && l.begunAt > m.ListedAt+lag && !a.machines.HeardRecently(m) {
 			a.machines.ScheduleRelease(m, releaseUnlisted)
 		}
-		// It ran tasks before this term and has had time to report since: if it is alive at all,
-		// neither the cloud nor this node can see it.
-		if !m.Listed && !m.Seen && len(m.Placements) > 0 && l.begunAt > a.BegunAt+unheardTimeout {
-			a.machines.ScheduleRelease(m, releaseUnheard)
+		// The machine has placements from an earlier term and has had time to send a heartbeat. If it is
+		// alive at all, neither the cloud nor this controller can see it.
+		if !m.Listed && !m.Seen && len(m.Placements) > 0 && l.begunAt > a.BegunAt+unregisteredTimeout {
+			a.machines.ScheduleRelease(m, releaseUnregistered)
 		}
 	}
 }
--- a/internal/leader/autoscaler/scalein.go
+++ b/internal/leader/autoscaler/scalein.go
@@ -13,18 +13,18 @@
 	"postpoint/internal/scaling"
 )
 
-// Why the autoscaler releases machines, as logged.
+// The logged reasons for which the autoscaler releases machines.
 const (
-	releaseIdle     = "idle"
-	releaseUnlisted = "no longer listed"
-	releaseUnheard  = "neither listed nor heard of"
+	releaseIdle         = "idle"
+	releaseUnlisted     = "no longer listed"
+	releaseUnregistered = "neither listed nor heard of"
 )
 
-// recentClassWindow is for how long after its last job a class counts as one that will have more: its
-// idle machines are kept for about as long as a boot takes.
+// recentClassWindow is how long after its last job a class is expected to submit more. Idle machines that
+// such a class could use are kept for about as long as a boot takes.
 const recentClassWindow = 5 * 60 * clock.Second
 
-// releaseIdleMachines releases machines that have been idle for longer than they are worth keeping.
+// releaseIdleMachines marks machines for release that have been idle for longer than their idle timeout.
 func (a *Autoscaler) releaseIdleMachines() {
 	now := a.Now()
 	view := a.CloudView()
@@ -44,7 +44,8 @@
 	}
 }
 
-// neededByRecentClass reports whether a class of jobs that was submitted lately could use a machine.
+// neededByRecentClass reports whether a machine could run jobs of a class that had a job within
+// recentClassWindow.
 func (a *Autoscaler) neededByRecentClass(m *machinetable.Machine) bool {
 	for _, class := range a.objectives.Classes {
 		if a.Now()-class.LastAt < recentClassWindow &&
@@ -56,14 +57,14 @@
 	return false
 }
 
-// SendReleases scales in the machines that are marked for it. Once the cloud has confirmed that, the
-// machines are gone with all that ran on them: it is the proof that their placements have ended.
+// SendReleases sends a scale-in request for machines that are marked for release. The cloud's confirmation
+// proves that the machines are gone, and therefore that their placements have ended.
 func (a *Autoscaler) SendReleases() {
 	leads := a.Leads()
 	if a.scaleInInFlight || !leads && !a.MayRespond() {
 		return
 	}
-	// Machines with cancelled tasks wait neither for others nor for the end of a backoff.
+	// Machines with overdue cancelled tasks go first, even during a backoff.
 	names := a.appendReleasing(nil, overdueMachines)
 	if leads && a.Now() >= a.BackoffUntil {
 		names = a.appendReleasing(names, otherMachines)
@@ -73,20 +74,21 @@
 	}
 	a.scaleInInFlight = true
 	a.Cloud.ScaleIn(names, a.ActsUntil(), term.Guarded(a.State, func(err error) {
-		a.scaleInDone(names, err)
+		a.handleScaleIn(names, err)
 	}))
 }
 
-// releaseUrgency says which of the machines that are marked for a scale-in are meant.
+// releaseUrgency distinguishes machines that hold overdue cancelled tasks from other machines to release.
 type releaseUrgency bool
 
 const (
-	// overdueMachines hold tasks of cancelled jobs that don't end.
+	// overdueMachines hold tasks of cancelled jobs that haven't ended in time.
 	overdueMachines releaseUrgency = true
 	otherMachines   releaseUrgency = false
 )
 
-// appendReleasing appends marked machines of one urgency, up to what one request takes.
+// appendReleasing appends the machines marked for release that have the given urgency, up to the limit of one
+// request.
 func (a *Autoscaler) appendReleasing(
 	names []protocol.MachineName, urgency releaseUrgency,
 ) []protocol.MachineName {
@@ -98,9 +100,9 @@
 	return names
 }
 
-// scaleInDone handles the outcome of a scale-in. After a failure the machines stay marked, so that
-// the request is repeated.
-func (a *Autoscaler) scaleInDone(names []protocol.MachineName, err error) {
+// handleScaleIn handles the outcome of a scale-in request. After a failure the machines stay marked for
+// release, so that a later call of SendReleases retries them.
+func (a *Autoscaler) handleScaleIn(names []protocol.MachineName, err error) {
 	a.scaleInInFlight = false
 	if err != nil {
 		slog.Debug("scale-in failed", "machines", names, "error", err)
@@ -115,7 +117,7 @@
 	a.steps.Wake()
 }
 
-// forgetMachine removes a machine that is proven gone, and releases its placements.
+// forgetMachine releases the placements of a machine that is proven gone, and removes the machine.
 func (a *Autoscaler) forgetMachine(m *machinetable.Machine) {
 	for id, tasks := range ordered.ByKey(m.Placements) {
 		for _, placement := range ordered.ByKey(tasks) {
@@ -125,5 +127,5 @@
 		}
 	}
 	a.machines.Remove(m)
-	a.noteAvailable(m.Kind())
+	a.markAvailable(m.Kind())
 }
--- a/internal/leader/autoscaler/scaleout.go
+++ b/internal/leader/autoscaler/scaleout.go
@@ -17,27 +17,29 @@
 )
 
 const (
-	// scaleOutShare of the cloud's limit of requests leaves room for scale-ins and lists.
+	// scaleOutShare is the share of the cloud's request rate that scale-outs may use. The rest is left for
+	// scale-ins and listings.
 	scaleOutShare = 0.5
-	// maxScaleOutAttempts bounds how often a request without a response is sent, and
-	// scaleOutRetryDelay is the pause between attempts.
+	// maxScaleOutAttempts bounds how often the autoscaler sends a request that gets no response, and
+	// scaleOutRetryDelay is the pause between two attempts.
 	maxScaleOutAttempts = 4
 	scaleOutRetryDelay  = clock.Second
 )
 
-// scaleOutState is what a term knows of its requests for machines.
+// scaleOutState is the state of scale-out requests within a term.
 type scaleOutState struct {
-	// requests counts those of the term: their idempotency keys are made of it.
+	// requests counts the requests of the term. The idempotency keys contain this count.
 	requests int
-	// inFlight counts those whose outcome is unknown yet.
+	// inFlight counts the requests whose outcome isn't known yet.
 	inFlight int
-	// exhausted are the pools that have run out of machines.
+	// exhausted holds the capacity pools that have run out of machines, with the pause in requests to each.
+	// An entry stays after its pause has ended, so that the next refusal doubles the pause.
 	exhausted map[scaling.CapacityPool]capacityPause
 	limiter   *rate.Limiter
 }
 
-// newScaleOutState returns the state at the beginning of a term, for a cloud that takes so many
-// requests a second.
+// newScaleOutState returns the state at the beginning of a term, for a cloud that accepts the given rate of
+// requests.
 func newScaleOutState(requestsPerSecond float64) scaleOutState {
 	return scaleOutState{
 		exhausted: map[scaling.CapacityPool]capacityPause{},
@@ -46,15 +48,15 @@
 	}
 }
 
-// scaleOutRequest is a request for machines of one pool.
+// scaleOutRequest is a request for machines of one capacity pool.
 type scaleOutRequest struct {
 	protocol.ScaleOutRequest
 	pool    scaling.CapacityPool
 	attempt int
 }
 
-// ScaleOut requests machines for unmet demand. It decides nothing as long as a request is in flight:
-// the machines that it brings aren't part of the demand's snapshot yet.
+// ScaleOut requests machines for unmet demand. It requests nothing while a request is in flight, because the
+// snapshot behind the demand doesn't contain the machines of that request yet.
 func (a *Autoscaler) ScaleOut(demand []planner.UnmetDemand) {
 	now := time.UnixMicro(int64(a.Now()))
 	if !a.mayScaleOut(now) || len(demand) == 0 {
@@ -75,8 +77,8 @@
 		a.scaleOut.limiter.TokensAt(now) >= 1
 }
 
-// requestMachines sends a new request. Its idempotency key contains the epoch, so that no other node
-// and no later leader ever uses the same one.
+// requestMachines sends a new request. Its idempotency key contains the epoch, so that no other controller
+// and no later term ever uses the same key.
 func (a *Autoscaler) requestMachines(pool scaling.CapacityPool, count int) {
 	a.scaleOut.requests++
 	a.scaleOut.inFlight++
@@ -93,21 +95,22 @@
 	})
 }
 
+// sendScaleOut sends one attempt of a request.
 func (a *Autoscaler) sendScaleOut(request scaleOutRequest) {
 	a.Cloud.ScaleOut(request.ScaleOutRequest, a.Term.ValidUntil, term.Guarded2(a.State,
-		func(machines []protocol.MachineName, err error) { a.scaleOutDone(request, machines, err) }))
+		func(machines []protocol.MachineName, err error) { a.handleScaleOut(request, machines, err) }))
 }
 
-// scaleOutDone handles the outcome of a request. One without a response may have been carried out:
-// only the same request is safe then.
-func (a *Autoscaler) scaleOutDone(request scaleOutRequest, machines []protocol.MachineName, err error) {
+// handleScaleOut handles the outcome of a request. The cloud may have executed a request that got no
+// response, so only the same request with the same idempotency key is safe to send again.
+func (a *Autoscaler) handleScaleOut(request scaleOutRequest, machines []protocol.MachineName, err error) {
 	pool := request.pool
 	switch {
 	case err == nil:
 		a.addStarting(request, machines)
 	case errors.Is(err, cloudclient.ErrNoCapacity):
 		slog.Debug("no capacity", "type", pool.Type, "zone", pool.Zone, "spot", pool.Spot)
-		a.noteExhausted(pool)
+		a.markExhausted(pool)
 	case errors.Is(err, cloudclient.ErrNoResponse) && request.attempt < maxScaleOutAttempts:
 		request.attempt++
 		a.AfterInTerm(scaleOutRetryDelay, func() { a.sendScaleOut(request) })
@@ -121,8 +124,8 @@
 	a.steps.Wake()
 }
 
-// addStarting adds the machines that a request has brought. Fewer than requested mean that the pool
-// has no more.
+// addStarting adds the machines that a request returned. A response with fewer machines than requested means
+// that the capacity pool has run out.
 func (a *Autoscaler) addStarting(request scaleOutRequest, names []protocol.MachineName) {
 	pool := request.pool
 	slog.Info("scaled out", "type", pool.Type, "zone", pool.Zone, "spot", pool.Spot,
@@ -134,8 +137,8 @@
 			m.CloudStatus = protocol.MachineStarting
 		}
 	}
-	a.noteAvailable(pool)
+	a.markAvailable(pool)
 	if len(names) < request.Count {
-		a.noteExhausted(pool)
+		a.markExhausted(pool)
 	}
 }
