--- a/internal/leader/zonetracker/displaced.go
+++ b/internal/leader/zonetracker/displaced.go
@@ -10,11 +10,11 @@
 	"postpoint/internal/zonerecovery"
 )
 
-// maxClearanceWait is how long displaced work waits for its clearance at most.
+// maxClearanceWait is the longest time that a displaced job waits for clearance to start.
 const maxClearanceWait = 60 * clock.Second
 
-// PlacementLost marks a job as displaced whose task loses its placement to the loss of a zone: its pending
-// tasks wait for their clearance.
+// PlacementLost marks a job as displaced if one of its tasks has lost a placement on a machine of a lost or
+// returning zone. The pending tasks of a displaced job wait for clearance to start.
 func (t *Tracker) PlacementLost(j *jobtable.Job, machineName protocol.MachineName) {
 	if t.Options == nil || j.Over() {
 		return
@@ -27,39 +27,41 @@
 	t.jobs.NoteHeadChange(j)
 }
 
-// EndDisplacement ends a job's displacement: the tasks that it had lost have placements again, or are done.
+// EndDisplacement ends a job's displacement. All tasks that had lost their placements have new ones or are
+// done.
 func (t *Tracker) EndDisplacement(j *jobtable.Job) {
 	j.DisplacedFrom = ""
 	t.jobs.NoteHeadChange(j)
 }
 
-// AwaitsClearance reports whether a job's tasks mustn't start yet.
+// AwaitsClearance reports whether a job is displaced and its tasks aren't cleared to start yet.
 func (t *Tracker) AwaitsClearance(j *jobtable.Job) bool {
 	return t.Options != nil && j.DisplacedFrom != "" && !j.ClearedToStart
 }
 
-// clearDisplaced clears displaced work to start, in the order and at the pace of the settings.
+// clearDisplaced clears displaced jobs to start, in the order and at the rate that the settings demand.
 func (t *Tracker) clearDisplaced() {
 	now := t.Now()
 	var waiting []zonerecovery.DisplacedJob
-	for _, j := range t.jobs.ByID { // SortDisplaced puts them into an order
+	for _, j := range t.jobs.ByID { // in any order: SortDisplaced sorts them
 		if j.DisplacedAt == 0 {
-			j.DisplacedAt = now // under an earlier leader, if at all
+			j.DisplacedAt = now // if the job is displaced, that happened under an earlier leader
 		}
 		if t.checkDisplaced(j, now) {
 			waiting = append(waiting, t.DescribeDisplaced(j))
 		}
 	}
 	zonerecovery.SortDisplaced(waiting, t.Options.Order)
-	for _, id := range t.pace.Release(waiting, now, t.Options.TasksPerS) {
+	for _, id := range t.pacer.Release(waiting, now, t.Options.TasksPerS) {
 		j := t.jobs.ByID[id]
 		j.ClearedToStart = true
 		slog.Debug("displaced job cleared to start", "job", id, "zone", j.DisplacedFrom)
 	}
 }
 
-// checkDisplaced ends a job's displacement if nothing of it is left and clears it to start if it needn't wait
-// any longer. It reports whether the job has to wait for its turn.
+// checkDisplaced ends a job's displacement once the job has no pending tasks, and clears the job to start if
+// it needn't wait any longer. waits reports whether the job still waits for clearance in the configured
+// order.
 func (t *Tracker) checkDisplaced(j *jobtable.Job, now clock.Micros) (waits bool) {
 	if j.DisplacedFrom == "" || j.Over() {
 		return false
@@ -81,7 +83,8 @@
 	return true
 }
 
-// DescribeDisplaced describes a displaced job for the order in which work is cleared to start.
+// DescribeDisplaced returns the properties of a displaced job that decide in which order jobs are cleared to
+// start.
 func (t *Tracker) DescribeDisplaced(j *jobtable.Job) zonerecovery.DisplacedJob {
 	urgency := t.objectives.Urgency(j)
 	pending := j.PendingCount()
@@ -96,7 +99,7 @@
 	}
 }
 
-// displacedKind returns the kind of work that a displaced job counts as.
+// displacedKind returns the kind of work by which a displaced job is ordered.
 func displacedKind(j *jobtable.Job, tier planner.Tier, slackS float64) zonerecovery.Kind {
 	switch {
 	case j.Spec.Service():
--- a/internal/leader/zonetracker/evidence.go
+++ b/internal/leader/zonetracker/evidence.go
@@ -9,44 +9,45 @@
 	"postpoint/internal/zonerecovery"
 )
 
-// unansweredHeartbeat is a machine's heartbeat to a node that doesn't lead.
-type unansweredHeartbeat struct {
+// misdirectedHeartbeat is a machine's heartbeat to a controller that isn't the leader.
+type misdirectedHeartbeat struct {
 	zone string
 	at   clock.Micros
 }
 
 const (
-	// unansweredHeartbeatTime is how long a heartbeat to a node that doesn't lead counts.
-	unansweredHeartbeatTime = 8 * clock.Second
-	// askInterval is from one question to the other controllers to the next, while a zone isn't healthy.
-	askInterval = 2 * clock.Second
-	// probeInterval is from one probe of silent machines to the next, while a zone isn't healthy.
+	// misdirectedLifetime is how long a heartbeat to a controller that isn't the leader counts as evidence.
+	misdirectedLifetime = 8 * clock.Second
+	// queryInterval is the time between two queries to the other controllers while a zone isn't healthy.
+	queryInterval = 2 * clock.Second
+	// probeInterval is the time between two probes of silent machines while a zone isn't healthy.
 	probeInterval = 2 * clock.Second
-	// probesPerZone is how many machines of a zone are probed at a time.
+	// probesPerZone is how many machines of a zone the tracker probes at once.
 	probesPerZone = 2
-	// unlistedTime is how long a machine must be missing from the cloud's list to count as gone, beyond the
-	// list's delay.
-	unlistedTime = 60 * clock.Second
+	// unlistedTimeout is how long a machine must be missing from the cloud's list, beyond the list's delay,
+	// to count as gone.
+	unlistedTimeout = 60 * clock.Second
 )
 
-// NoteMisdirectedHeartbeat notes from which zone a heartbeat reached this node while it didn't lead.
+// NoteMisdirectedHeartbeat records the zone of a machine whose heartbeat reached this controller while it
+// wasn't the leader.
 func (t *Tracker) NoteMisdirectedHeartbeat(machine protocol.MachineName, zone string) {
 	if t.Options == nil {
 		return
 	}
-	if len(t.unanswered) > machinetable.MaxAddresses {
-		clear(t.unanswered)
+	if len(t.misdirected) > machinetable.MaxAddresses {
+		clear(t.misdirected)
 	}
-	t.unanswered[machine] = unansweredHeartbeat{zone, t.Now()}
+	t.misdirected[machine] = misdirectedHeartbeat{zone, t.Now()}
 }
 
-// HeardByZone counts, by zone, the machines whose heartbeats have reached this node lately while it didn't
-// lead.
+// HeardByZone counts, by zone, the machines whose heartbeats have recently reached this controller while it
+// wasn't the leader.
 func (t *Tracker) HeardByZone() map[string]int {
 	counts := map[string]int{}
-	for name, heartbeat := range t.unanswered {
-		if t.Now() > heartbeat.at+unansweredHeartbeatTime {
-			delete(t.unanswered, name)
+	for name, heartbeat := range t.misdirected {
+		if t.Now() > heartbeat.at+misdirectedLifetime {
+			delete(t.misdirected, name)
 			continue
 		}
 		counts[heartbeat.zone]++
@@ -54,8 +55,8 @@
 	return counts
 }
 
-// gatherEvidence counts anew what is known of each zone, and returns how many machines of all zones are
-// heard.
+// gatherEvidence recomputes the evidence of each zone. It returns how many machines of all zones are expected
+// to send heartbeats, and how many of them do.
 func (t *Tracker) gatherEvidence() machinetable.HeardCount {
 	for _, z := range t.Zones {
 		z.Evidence = zonerecovery.Evidence{}
@@ -70,11 +71,11 @@
 	return total
 }
 
-// countMachines adds the machines to their zones' evidence.
+// countMachines adds the machines to the evidence of their zones, and returns the total.
 func (t *Tracker) countMachines() machinetable.HeardCount {
 	var total machinetable.HeardCount
 	for _, m := range t.machines.Ordered {
-		if !t.expected(m) {
+		if !t.expectsHeartbeats(m) {
 			continue
 		}
 		e := &t.getOrAdd(m.Zone).Evidence
@@ -84,29 +85,29 @@
 		case !t.machines.HeartbeatMissed(m):
 			e.Heard++
 			total.Heard++
-		case t.goneByCloud(m):
+		case t.goneFromCloud(m):
 			e.Gone++
 		}
 	}
 	return total
 }
 
-// expected reports whether a machine of a known zone should be sending heartbeats.
-func (t *Tracker) expected(m *machinetable.Machine) bool {
+// expectsHeartbeats reports whether a machine belongs to a known zone and should be sending heartbeats.
+func (t *Tracker) expectsHeartbeats(m *machinetable.Machine) bool {
 	if m.Zone == "" || m.Releasing {
 		return false
 	}
 	return m.Seen || len(m.Placements) > 0 || t.machines.BootOverdue(m)
 }
 
-// goneByCloud reports whether the cloud lists a machine as failed or no longer lists it.
-func (t *Tracker) goneByCloud(m *machinetable.Machine) bool {
-	missing := m.Listed && m.CloudStatus == "" && t.Now() > m.ListedAt+unlistedTime
+// goneFromCloud reports whether the cloud lists a machine as failed or no longer lists it.
+func (t *Tracker) goneFromCloud(m *machinetable.Machine) bool {
+	missing := m.Listed && m.CloudStatus == "" && t.Now() > m.ListedAt+unlistedTimeout
 	return m.CloudStatus == protocol.MachineFailed || missing
 }
 
-// countReport adds what a controller has reported to the evidence: that it is reached, and which machines it
-// hears.
+// countReport adds a controller's report to the evidence. The report shows that the leader reaches that
+// controller, and which machines that controller receives heartbeats from.
 func (t *Tracker) countReport(report *admission.ZoneReports) {
 	for _, p := range t.Settings.Peers {
 		if p.Node == report.Node {
@@ -123,8 +124,8 @@
 	}
 }
 
-// OthersHearNothing reports whether other controllers respond and hear no machine either: resigning
-// wouldn't help.
+// OthersHearNothing reports whether other controllers respond and receive heartbeats from no machine either.
+// In that case it doesn't help if the leader resigns.
 func (t *Tracker) OthersHearNothing() bool {
 	others := 0
 	for _, report := range t.reports {
@@ -139,22 +140,23 @@
 	return others > 0
 }
 
-// askAboutZones asks the other controllers which machines they hear, while some zone isn't healthy or goes
-// silent.
-func (t *Tracker) askAboutZones() {
+// queryZoneReports asks the other controllers which machines send them heartbeats. It does so while some zone
+// isn't healthy or most machines of some zone are silent.
+func (t *Tracker) queryZoneReports() {
 	if !t.AnyCordoned() && !t.anySilent() {
 		t.reports = nil
 		return
 	}
-	if t.asking || t.Now() < t.askedAt+askInterval {
+	if t.queryInFlight || t.Now() < t.queriedAt+queryInterval {
 		return
 	}
-	t.asking, t.askedAt = true, t.Now()
-	t.ask(term.Guarded(t.State, t.handleReports))
+	t.queryInFlight, t.queriedAt = true, t.Now()
+	t.queryControllers(term.Guarded(t.State, t.handleReports))
 }
 
+// handleReports replaces the reports by those of the latest query.
 func (t *Tracker) handleReports(reports []admission.ZoneReports) {
-	t.asking, t.reports = false, reports
+	t.queryInFlight, t.reports = false, reports
 }
 
 // anySilent reports whether most machines of some zone are silent.
@@ -167,8 +169,8 @@
 	return false
 }
 
-// probeZones sends empty commands to a few silent machines of zones that aren't healthy. A response counts
-// like a heartbeat.
+// probeZones sends empty commands to a few silent machines of each cordoned zone. A response counts like a
+// heartbeat.
 func (t *Tracker) probeZones() {
 	if t.Now() < t.probedAt+probeInterval || !t.AnyCordoned() {
 		return
@@ -189,7 +191,8 @@
 	}
 }
 
-// mayProbe reports whether a machine is silent and could respond to a command.
+// mayProbe reports whether a machine is silent, could respond to a command and wasn't probed within the last
+// probeInterval.
 func (t *Tracker) mayProbe(m *machinetable.Machine) bool {
 	if m.Releasing || m.CommandInFlight || m.Address == "" {
 		return false
--- a/internal/leader/zonetracker/tracker.go
+++ b/internal/leader/zonetracker/tracker.go
@@ -1,8 +1,9 @@
-// Package zonetracker follows the zones and carries out recoveries from the loss of one. The loss of a zone
-// is one event: the tracker gathers the evidence for it, stores each zone's phase for the next leader, and
-// lets displaced work start elsewhere in order and at a pace. When a zone counts as lost and as returned,
-// and in which order its work starts, is decided by package zonerecovery, which has no side effects. No
-// placement is released on account of a lost zone: each needs proof of its own.
+// Package zonetracker tracks the health of zones and recovers from the loss of a zone. It treats the loss of
+// a zone as one event: the tracker gathers the evidence, stores each zone's phase for the next leader, and
+// clears displaced jobs to start in other zones, in a configured order and at a limited rate. Package
+// zonerecovery, which has no side effects, decides when a zone counts as lost or returned, and in which order
+// its jobs start. The loss of a zone alone releases no placement: each release needs its own proof that the
+// task has ended.
 package zonetracker
 
 import (
@@ -22,8 +23,8 @@
 	"postpoint/internal/zonerecovery"
 )
 
-// Tracker follows the zones and carries out recoveries from the loss of one. Its options are nil if that is
-// switched off.
+// Tracker tracks the health of zones and recovers from the loss of a zone. Its options are nil if zone
+// recovery is disabled.
 type Tracker struct {
 	*term.State
 	Store      kvstore.Store
@@ -38,22 +39,23 @@
 
 	Options *zonerecovery.Settings
 	Zones   map[string]*Zone
-	pace    zonerecovery.Pacer
-	// saving reports that a zone's record is being written or read.
+	pacer   zonerecovery.Pacer
+	// saving reports that a read or write of a zone's record is in flight.
 	saving bool
-	// ask asks all controllers which zones' machines send them heartbeats.
-	ask      func(done func([]admission.ZoneReports))
-	asking   bool
-	askedAt  clock.Micros
-	reports  []admission.ZoneReports // of the last response
-	probedAt clock.Micros
-	// unanswered are the last heartbeats of machines that reached this node while it didn't lead.
-	unanswered map[protocol.MachineName]unansweredHeartbeat
-	// someHealthy reports that some zone with machine types is healthy, as of the last Advance.
+	// queryControllers asks all controllers from how many machines of each zone they receive heartbeats.
+	queryControllers func(done func([]admission.ZoneReports))
+	queryInFlight    bool
+	queriedAt        clock.Micros
+	reports          []admission.ZoneReports // of the last query
+	probedAt         clock.Micros
+	// misdirected holds each machine's last heartbeat that reached this controller while it wasn't the
+	// leader.
+	misdirected map[protocol.MachineName]misdirectedHeartbeat
+	// someHealthy reports that the last Advance found a healthy zone among those with machine types.
 	someHealthy bool
 }
 
-// New returns a tracker that is switched off until it is enabled.
+// New returns a tracker for which zone recovery is disabled until Enable is called.
 func New(term *term.State, store kvstore.Store, jobs *jobtable.Table, machines *machinetable.Table,
 	catalogue *machinetable.Catalogue, objectives *objectives.Tracker, reader *recordstore.Reader,
 	writer *recordstore.Writer, commands *reconciler.CommandSender, steps *term.StepTimer) *Tracker {
@@ -71,54 +73,59 @@
 	}
 }
 
-// Enable switches zone recovery on. ask asks all controllers which zones' machines send them heartbeats.
-func (t *Tracker) Enable(options *zonerecovery.Settings, ask func(done func([]admission.ZoneReports))) {
-	t.Options, t.ask = options, ask
-	t.unanswered = map[protocol.MachineName]unansweredHeartbeat{}
+// Enable enables zone recovery. queryControllers asks all controllers from how many machines of each zone
+// they receive heartbeats.
+func (t *Tracker) Enable(
+	options *zonerecovery.Settings, queryControllers func(done func([]admission.ZoneReports)),
+) {
+	t.Options, t.queryControllers = options, queryControllers
+	t.misdirected = map[protocol.MachineName]misdirectedHeartbeat{}
 }
 
-// Begin drops what was known in earlier terms.
+// Begin drops the state of earlier terms.
 func (t *Tracker) Begin() {
-	t.Zones, t.pace = map[string]*Zone{}, zonerecovery.Pacer{}
-	t.saving, t.asking, t.reports = false, false, nil
+	t.Zones, t.pacer = map[string]*Zone{}, zonerecovery.Pacer{}
+	t.saving, t.queryInFlight, t.reports = false, false, nil
 }
 
-// Zone is a zone with its evidence and what is known of its stored record.
+// Zone is a zone with the evidence on its health and the known state of its stored record.
 type Zone struct {
 	*zonerecovery.Zone
 	Evidence zonerecovery.Evidence
-	// RecordVersion is that of the record's key, 0 if there is none.
+	// RecordVersion is the version of the record's key, 0 if there is no record.
 	RecordVersion protocol.Revision
 	record        storedRecord
 }
 
-// RecoveryLogInterval is from one log line on a recovery to the next.
+// RecoveryLogInterval is the time between two log lines on the state of zone recoveries.
 const RecoveryLogInterval = 15 * clock.Second
 
-// Advance follows the zones and carries recoveries on, twice a second. It reports whether it did: not as
-// long after an election as workers take to find a new leader.
+// Advance updates the zones' phases and advances the recoveries. The leader calls it on each tick, twice a
+// second. Advance reports whether it did anything: after an election it does nothing until workers have had
+// time to find the new leader.
 func (t *Tracker) Advance() bool {
 	if t.Options == nil || t.Now() <= t.BegunAt+machinetable.TakeoverTime {
 		return false
 	}
 	total := t.gatherEvidence()
 	for name, z := range ordered.ByKey(t.Zones) {
-		if z.Observe(t.Now(), z.Evidence, deafElsewhere(total, z), t.Options) {
+		if z.Observe(t.Now(), z.Evidence, mostSilentElsewhere(total, z), t.Options) {
 			logPhase(name, z)
 			t.replan()
 		}
 	}
 	t.someHealthy = t.anyHealthy()
-	t.askAboutZones()
+	t.queryZoneReports()
 	t.probeZones()
 	t.clearDisplaced()
 	t.SaveZones()
 	return true
 }
 
-// deafElsewhere reports whether most machines of the other zones are silent as well: then it is this
-// controller that hears nothing, and the zone isn't judged.
-func deafElsewhere(total machinetable.HeardCount, z *Zone) bool {
+// mostSilentElsewhere reports whether most machines of the other zones are silent too, or the other zones
+// have no machines. In that case this controller may be the one that is cut off, and a missing heartbeat is
+// no evidence against the zone.
+func mostSilentElsewhere(total machinetable.HeardCount, z *Zone) bool {
 	rest := machinetable.HeardCount{
 		Heard:    total.Heard - z.Evidence.Heard,
 		Expected: total.Expected - z.Evidence.Machines,
@@ -126,6 +133,7 @@
 	return rest.Expected == 0 || !rest.Most()
 }
 
+// logPhase logs a change of a zone's phase with the evidence for it.
 func logPhase(name string, z *Zone) {
 	slog.Info("zone phase changed", "zone", name, "phase", z.Phase, "losses", z.Losses, "diagnosis",
 		z.Diagnosis,
@@ -133,13 +141,13 @@
 		"controllers_reached", z.Evidence.ControllersReached, "flaps", z.Flaps)
 }
 
-// replan has the next plan take the zones' phases into account.
+// replan makes the next plan take the zones' new phases into account, and schedules a step.
 func (t *Tracker) replan() {
 	t.machines.MarkViewsStale()
 	t.steps.Wake()
 }
 
-// getOrAdd returns a zone, which is healthy when it is first seen.
+// getOrAdd returns the zone of the given name. A new zone starts out healthy.
 func (t *Tracker) getOrAdd(name string) *Zone {
 	z := t.Zones[name]
 	if z == nil {
@@ -149,7 +157,8 @@
 	return z
 }
 
-// IsCordoned reports whether no machines are started in a zone. If no zone is healthy all of them are tried.
+// IsCordoned reports whether the autoscaler must not start machines in a zone. If no zone is healthy, no zone
+// counts as cordoned.
 func (t *Tracker) IsCordoned(name string) bool {
 	if t.Options == nil {
 		return false
@@ -158,14 +167,14 @@
 	return z != nil && z.IsCordoned() && t.someHealthy
 }
 
-// IsLost reports whether nothing is placed on a zone's machines.
+// IsLost reports whether a zone is lost, so that the scheduler must not place tasks on its machines.
 func (t *Tracker) IsLost(name string) bool {
 	z := t.Zones[name]
 	return z != nil && z.Phase == zonerecovery.Lost
 }
 
-// IsReturning reports whether a zone hasn't been back for long enough while another is healthy: only what
-// depends on it is placed there.
+// IsReturning reports whether a zone is returning while another zone is healthy. The scheduler places only
+// tasks that depend on a returning zone there.
 func (t *Tracker) IsReturning(name string) bool {
 	z := t.Zones[name]
 	return z != nil && z.Phase == zonerecovery.Returning && t.someHealthy
--- a/internal/leader/zonetracker/zonestore.go
+++ b/internal/leader/zonetracker/zonestore.go
@@ -13,28 +13,28 @@
 	"postpoint/internal/zonerecovery"
 )
 
-// recordPhase is how a zone's record relates to the store.
+// recordPhase describes what the leader knows of a zone's record in the store.
 type recordPhase int
 
 const (
-	// recordUnsaved means that no phase is known to be stored: there is no record, or it was read only to
-	// find out its version.
+	// recordUnsaved means that the leader knows of no stored phase. There is no record, or the leader has
+	// read it only to learn its version.
 	recordUnsaved recordPhase = iota
-	// recordSaved means that the record has the phase that is noted as stored.
+	// recordSaved means that the store holds the phase in storedRecord.zone.
 	recordSaved
-	// recordOutcomeUnknown means that a change of the record may have been carried out or not: it has to be
-	// read before anything else is written.
+	// recordOutcomeUnknown means that the store may or may not have executed a write of the record. The
+	// leader has to read the record before it writes it again.
 	recordOutcomeUnknown
 )
 
-// storedRecord is what is known of a zone's record in the store, apart from its version.
+// storedRecord is the known state of a zone's record in the store, apart from its version.
 type storedRecord struct {
 	phase recordPhase
-	zone  zonerecovery.Phase // what a saved record says
+	zone  zonerecovery.Phase // the zone's phase in a saved record
 }
 
-// due reports whether the zone's phase has to be written. Suspicion isn't stored, and health only in place of
-// another phase.
+// due reports whether the zone's phase has to be written. The suspect phase is never stored, and the healthy
+// phase only replaces another stored phase.
 func (z *Zone) due() bool {
 	switch {
 	case z.Phase == zonerecovery.Suspect:
@@ -45,7 +45,8 @@
 	return z.ShouldPersist()
 }
 
-// LoadZones reads the recoveries that an earlier leader was in the middle of.
+// LoadZones reads the zones' records, so that this leader resumes the recoveries of earlier leaders, and then
+// calls done.
 func (t *Tracker) LoadZones(done func()) {
 	if t.Options == nil {
 		done()
@@ -54,11 +55,12 @@
 	t.reader.LoadAll(zonerecovery.Prefix, t.adoptRecord, done)
 }
 
-// adoptRecord takes over a zone's recovery from its record.
+// adoptRecord restores a zone from its record. If the zone is known already, only the record's version is
+// updated.
 func (t *Tracker) adoptRecord(item protocol.Item) {
 	name := item.Key[len(zonerecovery.Prefix):]
 	if known := t.Zones[name]; known != nil {
-		known.RecordVersion = item.Version // read again within a term
+		known.RecordVersion = item.Version // the leader reads all records again within a term
 		return
 	}
 	z, err := zonerecovery.Decode(name, item.Value, t.timeOfDayOffset())
@@ -76,7 +78,7 @@
 // timeOfDayOffset returns how far the time of day is ahead of this node's monotonic clock.
 func (t *Tracker) timeOfDayOffset() clock.Micros { return t.Mailbox.TimeOfDay() - t.Now() }
 
-// SaveZones stores the zones' phases for the next leader, one change at a time.
+// SaveZones stores the zones' phases for the next leader, one zone at a time.
 func (t *Tracker) SaveZones() {
 	if t.saving || t.writer.Paused() {
 		return
@@ -105,7 +107,8 @@
 	txn.Commit(t.Store, term.Guarded(t.State, handle))
 }
 
-// handleSaved handles the outcome of writing a zone's phase.
+// handleSaved handles the outcome of writing a zone's phase. After an unknown outcome the record is read
+// before the next write.
 func (t *Tracker) handleSaved(z *Zone, phase zonerecovery.Phase, r kvstore.Result[protocol.Revision]) {
 	t.saving = false
 	switch {
@@ -121,15 +124,15 @@
 	}
 }
 
-// readZone finds out what became of a change whose outcome is unknown.
+// readZone reads a zone's record to learn its version after a write whose outcome is unknown.
 func (t *Tracker) readZone(name string, z *Zone) {
 	t.saving = true
 	handle := func(r kvstore.Result[protocol.Item]) { t.handleRead(z, r) }
 	t.Store.Get(zonerecovery.Key(name), term.Guarded(t.State, handle))
 }
 
-// handleRead notes the version of a record that was read. Whatever it says, the zone's phase is written at
-// that version. If the read fails it is tried again.
+// handleRead updates the version of a zone's record. Whatever phase the record contains, the leader then
+// writes the zone's present phase at that version. After a failed read, the next SaveZones retries it.
 func (t *Tracker) handleRead(z *Zone, r kvstore.Result[protocol.Item]) {
 	t.saving = false
 	if r.Err == nil || errors.Is(r.Err, kvstore.ErrNotFound) {
