--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -149,7 +149,7 @@
 		if o := c.overview(i); o != nil && o.Leads {
 			n := 0
 			for _, other := range o.Cells {
-				n += other.LentTasks
+				n += other.DelegatedTasks
 			}
 			return n
 		}
--- a/internal/leader/cells_offers_test.go
+++ b/internal/leader/cells_offers_test.go
@@ -46,7 +46,7 @@
 		}}
 		offer := delegation.Offer{Number: 7, Spec: good, Tasks: taskSet(0)}
 		change(l, &offer)
-		l.host.TakeOffer(l.cells.ByCell["beta"], offer)
+		l.host.HandleOffer(l.cells.ByCell["beta"], offer)
 		store.answer(committedAt(8))
 		j := l.jobs.ByID[jobrecord.HostedJobID("beta", "job-1", 7)]
 		if j == nil || j.Final() != (reason != "") || !strings.Contains(j.Cause, reason) {
@@ -54,7 +54,7 @@
 				reason, j)
 			continue
 		}
-		l.host.TakeOffer(l.cells.ByCell["beta"], offer)
+		l.host.HandleOffer(l.cells.ByCell["beta"], offer)
 		if len(store.txns) != 1 {
 			t.Errorf("reason %q: got %d transactions after a second offer, want 1", reason, len(store.txns))
 		}
--- a/internal/leader/federation/celllinks.go
+++ b/internal/leader/federation/celllinks.go
@@ -1,10 +1,12 @@
-// Package federation runs work across cells. Origin delegates this cell's own jobs to other cells, Host
-// runs the jobs that others have delegated to this one, and Links holds what both know of the other cells.
+// Package federation runs jobs across cells. Origin delegates this cell's own jobs to other cells, Host
+// runs the jobs that other cells have delegated to this one, and Links holds the state of the other cells
+// that both use.
 //
-// A leader is the origin for the jobs of its own cell's users and the host for those of other cells. As
-// host it sends heartbeats to the leaders of the origin cells, as workers send theirs to it; as origin it
-// responds to them: docs/cells.md. Permissions and messages are those of package delegation, and which work
-// goes to which cell is planned by a package of its own; neither has side effects.
+// The leader of a cell has both roles: it is the origin for its own users' jobs and the host for hosted jobs.
+// As host it sends heartbeats to the leaders of the origin cells, as workers send heartbeats to the leader of
+// their cell. As origin it responds to such heartbeats: see docs/cells.md. Package delegation defines the
+// permissions and messages, and package offload plans which work goes to which cell. Neither of these
+// packages has side effects.
 package federation
 
 import (
@@ -15,27 +17,27 @@
 	"postpoint/internal/protocol"
 )
 
-// Links owns what is known of the other cells. Its directory is nil if cells are switched off.
+// Links owns the state of the other cells. Its directory is nil if federation is disabled.
 type Links struct {
 	*term.State
 	Directory *cells.Directory
 	exchange  Exchanger
 
-	ByCell map[string]*Link // by the cells' names
+	ByCell map[string]*Link // by cell name
 }
 
-// NewLinks returns links that are switched off until they are connected.
+// NewLinks returns links for which federation is disabled until Connect is called.
 func NewLinks(term *term.State) *Links { return &Links{State: term} }
 
-// Connect switches cells on.
+// Connect enables federation with the cells of a directory. The exchange carries heartbeats to them.
 func (l *Links) Connect(directory *cells.Directory, exchange Exchanger) {
 	l.Directory, l.exchange = directory, exchange
 }
 
-// Enabled reports whether cells are switched on and all of this cell's controllers support them.
+// Enabled reports whether federation is enabled and all of this cell's controllers support it.
 func (l *Links) Enabled() bool { return l.Directory != nil && l.Format.Cells }
 
-// Begin drops what was known in earlier terms.
+// Begin drops the state of earlier terms.
 func (l *Links) Begin() {
 	l.ByCell = map[string]*Link{}
 	if l.Directory == nil {
@@ -46,20 +48,20 @@
 	}
 }
 
-// drained reports whether a cell has to give back even running tasks: one of the two cells is draining, or
-// the directory no longer lists it.
-func (l *Links) drained(host string) bool {
+// draining reports whether a host cell has to give back even running tasks, because this cell or the host is
+// being drained or the directory no longer lists the host.
+func (l *Links) draining(host string) bool {
 	c := l.Directory.Cell(host)
 	return c == nil || c.Draining || l.Directory.Own.Draining
 }
 
-// Link is what this leader knows of one other cell, which may be both a host of this cell's jobs and the
+// Link is the state of one other cell. That cell may be a host of this cell's jobs and at the same time the
 // origin of jobs that this cell runs.
 type Link struct {
 	cell string
-	// outgoing are the heartbeats that this cell, as host, sends to the other one as origin.
+	// outgoing schedules the heartbeats that this cell, as host, sends to the other cell as origin.
 	outgoing heartbeatStream
-	// host is what the other cell, as host, has told in its heartbeats.
+	// host is the status that the other cell, as host, has sent in its heartbeats.
 	host hostStatus
 }
 
@@ -69,66 +71,66 @@
 	nextAt   clock.Micros
 	// sequence counts the heartbeats of this term.
 	sequence int64
-	// failures counts those without a usable response since the last one that had one.
+	// failures counts the heartbeats since the last usable response.
 	failures int
-	// leader is the address of the controller that responded last, or was named as the leader. Without one,
-	// attempt chooses among the cell's controllers.
+	// leader is the address of the controller that processed the last heartbeat, or that another controller
+	// named as the leader. If it is empty, attempt selects one of the cell's controllers.
 	leader      string
 	attempt     int
 	respondedAt clock.Micros
 }
 
-// hostStatus is the newest word of a host cell on itself.
+// hostStatus is the newest status that a host cell has sent of itself.
 type hostStatus struct {
 	load   delegation.Load
-	loadAt clock.Micros // 0 if it hasn't sent a heartbeat in this term
-	// epoch and sequence are those of the newest heartbeat.
+	loadAt clock.Micros // 0 if the cell hasn't sent a heartbeat in this term
+	// epoch and sequence identify the newest heartbeat.
 	epoch    protocol.Epoch
 	sequence int64
 }
 
-// loadLifetime is how long a host cell's load counts.
+// loadLifetime is how long the load that a host cell has sent counts as current.
 const loadLifetime = 6 * clock.Second
 
-// update notes a heartbeat unless a newer one has come before it.
-func (s *hostStatus) update(r *delegation.Heartbeat, now clock.Micros) {
-	if r.Epoch < s.epoch || r.Epoch == s.epoch && r.Sequence <= s.sequence {
+// update records the load of a heartbeat, unless a newer heartbeat arrived earlier.
+func (s *hostStatus) update(heartbeat *delegation.Heartbeat, now clock.Micros) {
+	if heartbeat.Epoch < s.epoch || heartbeat.Epoch == s.epoch && heartbeat.Sequence <= s.sequence {
 		return
 	}
-	s.epoch, s.sequence = r.Epoch, r.Sequence
-	s.load, s.loadAt = r.Load, now
+	s.epoch, s.sequence = heartbeat.Epoch, heartbeat.Sequence
+	s.load, s.loadAt = heartbeat.Load, now
 }
 
 // known reports whether the cell has sent a heartbeat in this term.
 func (s *hostStatus) known() bool { return s.loadAt != 0 }
 
-// outdated reports whether the load no longer counts.
+// outdated reports whether the load is older than loadLifetime.
 func (s *hostStatus) outdated(now clock.Micros) bool { return now > s.loadAt+loadLifetime }
 
-// Reachable reports whether the cell responds to this one's heartbeats, as far as it is sent any, and
-// sends its own, if it has sent any in this term.
+// Reachable reports whether heartbeats pass in both directions. A direction in which no heartbeat was sent in
+// this term counts as working.
 func (l *Link) Reachable(now clock.Micros) bool {
 	return !l.outgoing.circuitOpen() && (!l.host.known() || !l.host.outdated(now))
 }
 
-// OwnWait returns how long the cell's own work has been waiting for room, by its last heartbeat.
+// OwnWait returns how long the cell's own jobs have been waiting for capacity, according to its last
+// heartbeat.
 func (l *Link) OwnWait() clock.Micros { return l.host.load.OwnWait }
 
-// CellOverview is what operators are shown of another cell.
+// CellOverview describes another cell for operators.
 type CellOverview struct {
 	Cell string `json:"cell"`
-	// Reachable reports whether the cell responds to this one's heartbeats and sends its own, if it does
-	// either.
+	// Reachable reports whether heartbeats between the two cells pass: see Link.Reachable.
 	Reachable bool `json:"reachable"`
-	// LentTasks counts this cell's tasks that the other one has, Borrowed the other one's tasks that this
-	// cell has.
-	LentTasks     int `json:"lent_tasks"`
-	BorrowedTasks int `json:"borrowed_tasks"`
-	// Recalled counts delegations that this cell has asked back.
+	// DelegatedTasks counts this cell's tasks that are delegated to the other cell. HostedTasks counts the
+	// other cell's tasks that this cell hosts.
+	DelegatedTasks int `json:"lent_tasks"`
+	HostedTasks    int `json:"borrowed_tasks"`
+	// Recalled counts the delegations that this cell has recalled.
 	Recalled int `json:"recalled"`
-	// OldestUnansweredS is the time since the last status of the delegation that the cell has been silent
-	// about for longest.
-	OldestUnansweredS float64 `json:"oldest_unanswered_s"`
-	// OwnWaitS is how long the cell's own work has been waiting for room, by its last heartbeat.
+	// OldestStatusAgeS is the age of the oldest among the last statuses of all delegations to the cell.
+	OldestStatusAgeS float64 `json:"oldest_unanswered_s"`
+	// OwnWaitS is how long the cell's own jobs have been waiting for capacity, according to its last
+	// heartbeat.
 	OwnWaitS float64 `json:"short_s,omitempty"`
 }
--- a/internal/leader/federation/delegationstore.go
+++ b/internal/leader/federation/delegationstore.go
@@ -15,7 +15,7 @@
 	"postpoint/internal/protocol"
 )
 
-// LoadDelegations reads the records of what other cells run.
+// LoadDelegations reads the records of all delegations, and then calls done.
 func (o *Origin) LoadDelegations(done func()) {
 	if !o.Format.Cells {
 		done()
@@ -24,40 +24,42 @@
 	o.reader.LoadAll(delegation.Prefix, o.adoptRecord, done)
 }
 
-// adoptRecord takes over a delegation of an earlier leader.
+// adoptRecord restores a delegation from its record. If the delegation is known already, only the record's
+// version is updated.
 func (o *Origin) adoptRecord(item protocol.Item) {
 	r, err := delegation.DecodeRecord(item.Key, item.Value)
 	if err != nil {
-		// Nothing is known of what runs elsewhere: nothing may be released on its account.
+		// A malformed record doesn't say which tasks the host cell runs. While there is one, no placement
+		// with another cell may be released for lack of a delegation.
 		slog.Error("delegation record malformed", "key", item.Key, "error", err)
 		o.HasMalformed = true
 		return
 	}
 	if del := o.Delegations[r.Number]; del != nil {
-		del.record.noteReloaded(item.Version)
+		del.record.markReloaded(item.Version)
 		return
 	}
 	proofTime := cells.ProofTime(o.Settings.Deployment.Workers)
 	del := &trackedDelegation{Delegation: delegation.Restore(r, o.BegunAt, proofTime)}
-	del.record.noteStored(item.Version, r.State)
+	del.record.markStored(item.Version, r.State)
 	o.Delegations[r.Number] = del
 }
 
-// recordStep is what has to be done next about a delegation's record.
+// recordStep is the next operation on a delegation's record.
 type recordStep int
 
 const (
 	stepNone recordStep = iota
-	// stepRead reads it, after a change whose outcome is unknown.
+	// stepRead reads the record, after a write whose outcome is unknown.
 	stepRead
-	// stepForget drops the delegation, whose record was never stored.
+	// stepForget drops a delegation whose record was never stored.
 	stepForget
 	stepCreate
 	stepUpdate
 	stepDelete
 )
 
-// nextStep returns what has to be done about a delegation's record.
+// nextStep returns the next operation on a delegation's record.
 func (o *Origin) nextStep(del *trackedDelegation) recordStep {
 	switch del.record.phase {
 	case recordOutcomeUnknown:
@@ -74,8 +76,8 @@
 	return stepNone
 }
 
-// firstStep returns what has to be done about a record that was never stored, so that the delegation wasn't
-// offered either.
+// firstStep returns the next operation on a record that was never stored. Its delegation was never offered
+// either.
 func (o *Origin) firstStep(del *trackedDelegation) recordStep {
 	if del.IsOver() || del.State == delegation.Recalled {
 		if o.placementsReleased(del) {
@@ -89,15 +91,15 @@
 	return stepNone
 }
 
-// recordWrite is a change of a delegation's record that has been sent.
+// recordWrite is a write to a delegation's record that is part of a transaction.
 type recordWrite struct {
 	del   *trackedDelegation
 	step  recordStep
-	state delegation.State // what it writes
+	state delegation.State // the state to be written
 }
 
-// SaveDelegations writes the changed records of delegations, and removes those of delegations that are over
-// once their jobs' records say so.
+// SaveDelegations writes the changed records of delegations in one transaction. It deletes the record of a
+// delegation that is over once its job's stored record holds none of the delegation's placements.
 func (o *Origin) SaveDelegations() {
 	if o.saving || o.writer.Paused() {
 		return
@@ -106,17 +108,17 @@
 	if len(writes) == 0 {
 		return
 	}
-	t := o.NewTransaction()
+	txn := o.NewTransaction()
 	for _, write := range writes {
-		o.addWrite(t, write)
+		o.addWrite(txn, write)
 	}
 	o.saving = true
 	handle := func(r kvstore.Result[protocol.Revision]) { o.handleSaved(writes, r) }
-	t.Commit(o.Store, term.Guarded(o.State, handle))
+	txn.Commit(o.Store, term.Guarded(o.State, handle))
 }
 
-// dueWrites returns the writes for the next transaction, and does what has to be done about the other
-// records.
+// dueWrites returns the writes for the next transaction. It also starts the reads that are due, and drops the
+// delegations whose records were never stored and aren't needed.
 func (o *Origin) dueWrites() []recordWrite {
 	_, limit := o.writer.Limits()
 	var writes []recordWrite
@@ -137,27 +139,29 @@
 }
 
 // addWrite adds a write to a transaction.
-func (o *Origin) addWrite(t *election.Transaction, write recordWrite) {
+func (o *Origin) addWrite(txn *election.Transaction, write recordWrite) {
 	del := write.del
 	key := delegation.Key(del.Number)
-	t.Require(key, del.record.version)
+	txn.Require(key, del.record.version)
 	switch write.step {
 	case stepDelete:
-		t.Delete(key)
+		txn.Delete(key)
 		return
 	case stepCreate:
-		// Carried out late, once the placements are released, it would bring the record back.
-		t.Require(o.placementVersion(del))
+		// Without this condition, a delayed create could restore the record after the release of the
+		// placements.
+		txn.Require(o.placementVersion(del))
 	}
-	t.Put(key, del.Encode())
+	txn.Put(key, del.Encode())
 }
 
-// handleSaved handles the outcome of a transaction.
+// handleSaved handles the outcome of a transaction. A record whose write conflicted, or whose outcome is
+// unknown, is read before the next write.
 func (o *Origin) handleSaved(writes []recordWrite, r kvstore.Result[protocol.Revision]) {
 	o.saving = false
 	switch {
 	case r.Err == nil:
-		o.noteWritten(writes, r.Value)
+		o.markWritten(writes, r.Value)
 	case errors.Is(r.Err, election.ErrNotLeader):
 		o.Deposed(o.Term.Epoch + 1)
 	case kvstore.NotExecuted(r.Err):
@@ -176,19 +180,20 @@
 	}
 }
 
-// noteWritten notes what a transaction has written.
-func (o *Origin) noteWritten(writes []recordWrite, revision protocol.Revision) {
+// markWritten updates the delegations whose records a committed transaction has written or deleted.
+func (o *Origin) markWritten(writes []recordWrite, revision protocol.Revision) {
 	for _, write := range writes {
 		if write.step == stepDelete {
 			delete(o.Delegations, write.del.Number)
 			continue
 		}
-		write.del.record.noteStored(revision, write.state)
+		write.del.record.markStored(revision, write.state)
 		write.del.Offerable = true
 	}
 }
 
-// placementVersion returns the key and version of the stored value that holds the delegation's placements.
+// placementVersion returns the key and version of the stored value that holds the delegation's placements:
+// the job's record or, if that is sharded, one of its shards.
 func (o *Origin) placementVersion(del *trackedDelegation) (key string, version protocol.Revision) {
 	j := o.jobs.ByID[del.Job]
 	if j.ShardSize == 0 || j.Sharding() {
@@ -198,13 +203,13 @@
 	return jobrecord.ShardKey(j.Spec.ID, j.ShardOf(task)), j.ShardValue(task).Version
 }
 
-// placementsStored reports whether its job's stored record has all placements of a delegation.
+// placementsStored reports whether the stored record of a delegation's job holds all of its placements.
 func (o *Origin) placementsStored(del *trackedDelegation) bool {
 	j := o.jobs.ByID[del.Job]
 	return j != nil && !j.ReadPending() && del.holdsAllAsStored(j)
 }
 
-// placementsReleased reports whether its job's stored record has none of a delegation's placements.
+// placementsReleased reports whether the stored record of a delegation's job holds none of its placements.
 func (o *Origin) placementsReleased(del *trackedDelegation) bool {
 	j := o.jobs.ByID[del.Job]
 	if j == nil {
@@ -213,27 +218,27 @@
 	return del.holdsNoneAsStored(j)
 }
 
-// readRecord finds out what became of a change whose outcome is unknown. If it is carried out later still, it
-// conflicts with whatever is written at the version that was read.
+// readRecord reads a record to learn the outcome of a write. If that write is still on its way, it and the
+// next write require the same version, so that the store executes at most one of them.
 func (o *Origin) readRecord(del *trackedDelegation) {
 	o.saving = true
 	handle := func(r kvstore.Result[protocol.Item]) { o.handleRead(del, r) }
 	o.Store.Get(delegation.Key(del.Number), term.Guarded(o.State, handle))
 }
 
-// handleRead handles a record that was read. If the read fails it is tried again.
+// handleRead updates a delegation from its record. After a failed read, the next SaveDelegations retries it.
 func (o *Origin) handleRead(del *trackedDelegation, r kvstore.Result[protocol.Item]) {
 	o.saving = false
 	switch {
 	case errors.Is(r.Err, kvstore.ErrNotFound):
 		if del.record.version != 0 {
-			delete(o.Delegations, del.Number) // the removal was carried out
+			delete(o.Delegations, del.Number) // the store executed the deletion
 		}
 		del.record.phase = recordAbsent
 	case r.Err == nil:
 		record, err := delegation.DecodeRecord(delegation.Key(del.Number), r.Value.Value)
 		if err == nil {
-			del.record.noteStored(r.Value.Version, record.State)
+			del.record.markStored(r.Value.Version, record.State)
 			del.Offerable = true
 		}
 	}
--- a/internal/leader/federation/heartbeats.go
+++ b/internal/leader/federation/heartbeats.go
@@ -15,26 +15,29 @@
 	"postpoint/internal/scaling"
 )
 
-// Exchanger carries a heartbeat to a controller of another cell. ok reports whether a response came.
+// Exchanger sends a heartbeat to a controller of another cell. It calls done with the response; ok is false
+// if there is none.
 type Exchanger interface {
-	Exchange(address string, r delegation.Heartbeat, done func(a delegation.HeartbeatResponse, ok bool))
+	Exchange(address string, heartbeat delegation.Heartbeat,
+		done func(response delegation.HeartbeatResponse, ok bool))
 }
 
-// ExchangeTimeout is how long cells wait for each other's responses.
+// ExchangeTimeout is how long a cell waits for another cell's response.
 const ExchangeTimeout = clock.Second
 
 const (
-	// busyInterval is from one heartbeat to the next for origin cells whose jobs this cell runs.
+	// busyInterval is the interval of heartbeats to origin cells whose jobs this cell hosts.
 	busyInterval = clock.Second
-	// idleInterval is that for other cells.
+	// idleInterval is the interval of heartbeats to other cells.
 	idleInterval = 2 * clock.Second
-	// coalesceDelay lets events that happen at about the same time share a heartbeat.
+	// coalesceDelay lets events that happen at about the same time share one heartbeat.
 	coalesceDelay = 100 * clock.Millisecond
-	// circuitFailures in a row are the most after which a cell counts as reachable.
+	// circuitFailures is the largest number of consecutive failures after which a cell still counts as
+	// reachable.
 	circuitFailures = 5
 )
 
-// The pauses after failed exchanges double up to a limit, with jitter.
+// The backoff after failed exchanges doubles up to a limit, and has jitter.
 const (
 	firstBackoff = 500 * clock.Millisecond
 	maxBackoff   = 15 * clock.Second
@@ -42,13 +45,14 @@
 	jitterShare  = 0.25
 )
 
-// circuitOpen reports whether the cell has failed so often that it is tried only now and then.
+// circuitOpen reports whether more than circuitFailures consecutive heartbeats have failed. The cell then
+// counts as unreachable, and heartbeats to it are sent at long intervals only.
 func (s *heartbeatStream) circuitOpen() bool { return s.failures > circuitFailures }
 
 // due reports whether the next heartbeat is to be sent.
 func (s *heartbeatStream) due(now clock.Micros) bool { return !s.inFlight && now >= s.nextAt }
 
-// address returns the controller that gets the next heartbeat.
+// address returns the address of the controller to which the next heartbeat goes.
 func (s *heartbeatStream) address(origin *cells.Cell) string {
 	if s.leader != "" {
 		return s.leader
@@ -56,17 +60,17 @@
 	return origin.Controllers[s.attempt%len(origin.Controllers)].Address
 }
 
-// sentHeartbeat is a heartbeat that waits for its response.
+// sentHeartbeat is a heartbeat whose response is outstanding.
 type sentHeartbeat struct {
 	link    *Link
 	origin  *cells.Cell
 	address string
 	sentAt  clock.Micros
-	jobs    []*jobtable.Job // all that the origin cell has delegated
+	jobs    []*jobtable.Job // all jobs that the origin cell has delegated
 }
 
-// SendHeartbeats sends the heartbeats that are due. It needs no lease: a leader that may still respond to
-// workers may also ask what it may keep.
+// SendHeartbeats sends the heartbeats that are due. It doesn't need a leader's lease: a leader that may still
+// respond to its workers may also renew its permissions for hosted jobs.
 func (h *Host) SendHeartbeats() {
 	if !h.cells.Enabled() || !h.Loaded || !h.Leads() && !h.MayRespond() {
 		return
@@ -98,13 +102,14 @@
 	}
 	link.outgoing.inFlight = true
 	link.outgoing.sequence++
-	handle := func(a delegation.HeartbeatResponse, ok bool) { h.handleResponse(&sent, a, ok) }
+	handle := func(response delegation.HeartbeatResponse, ok bool) { h.handleResponse(&sent, response, ok) }
 	h.cells.exchange.Exchange(sent.address, h.heartbeat(link, jobs), term.Guarded2(h.State, handle))
 }
 
-// heartbeat returns what the origin cell of the given jobs is told.
+// heartbeat returns the next heartbeat to the origin cell of the given jobs. It contains the status of as
+// many jobs as a heartbeat may list.
 func (h *Host) heartbeat(link *Link, jobs []*jobtable.Job) delegation.Heartbeat {
-	r := delegation.Heartbeat{
+	heartbeat := delegation.Heartbeat{
 		Host:      h.cells.Directory.Own.Name,
 		Origin:    link.cell,
 		Epoch:     h.Term.Epoch,
@@ -113,19 +118,20 @@
 		Load:      h.ownLoad(),
 	}
 	for _, j := range jobs {
-		if s, known := h.StatusOf(j); known && len(r.Statuses) < delegation.MaxStatuses {
-			r.Statuses = append(r.Statuses, s)
+		if status, known := h.StatusOf(j); known && len(heartbeat.Statuses) < delegation.MaxStatuses {
+			heartbeat.Statuses = append(heartbeat.Statuses, status)
 		}
 	}
-	return r
+	return heartbeat
 }
 
-// handleResponse handles the response to a heartbeat, or that none came.
-func (h *Host) handleResponse(sent *sentHeartbeat, a delegation.HeartbeatResponse, ok bool) {
+// handleResponse handles the outcome of a heartbeat. It applies the directives and offers of the response, or
+// retries if there is no response or the controller isn't the leader.
+func (h *Host) handleResponse(sent *sentHeartbeat, response delegation.HeartbeatResponse, ok bool) {
 	stream := &sent.link.outgoing
 	stream.inFlight = false
-	if !ok || a.Result != delegation.Processed {
-		h.handleFailure(sent, a, ok)
+	if !ok || response.Result != delegation.Processed {
+		h.handleFailure(sent, response, ok)
 		return
 	}
 	if stream.circuitOpen() {
@@ -136,21 +142,22 @@
 	if len(sent.jobs) > 0 {
 		stream.nextAt = sent.sentAt + busyInterval
 	}
-	h.applyDirectives(sent.jobs, a.Directives, sent.sentAt)
-	for _, offer := range a.Offers {
-		h.TakeOffer(sent.link, offer)
+	h.applyDirectives(sent.jobs, response.Directives, sent.sentAt)
+	for _, offer := range response.Offers {
+		h.HandleOffer(sent.link, offer)
 	}
 	h.CheckHostedJobs()
 	h.steps.Wake()
 }
 
-// handleFailure goes on with another controller of the cell, after a pause if all have been tried.
-func (h *Host) handleFailure(sent *sentHeartbeat, a delegation.HeartbeatResponse, ok bool) {
+// handleFailure schedules the next heartbeat for the leader that the response names or, if it names none, for
+// the next controller of the cell. The backoff grows once each controller has failed.
+func (h *Host) handleFailure(sent *sentHeartbeat, response delegation.HeartbeatResponse, ok bool) {
 	stream := &sent.link.outgoing
 	stream.leader = ""
 	stream.attempt++
-	if ok && a.Leader != sent.address && sent.origin.HasAddress(a.Leader) {
-		stream.leader = a.Leader
+	if ok && response.Leader != sent.address && sent.origin.HasAddress(response.Leader) {
+		stream.leader = response.Leader
 	}
 	stream.failures++
 	if stream.failures == circuitFailures+1 {
@@ -160,14 +167,16 @@
 	stream.nextAt = h.Now() + h.backoff(stream.failures-len(sent.origin.Controllers))
 }
 
-// backoff returns the pause after as many failures beyond one of each controller.
+// backoff returns the pause before the next heartbeat. failures counts the failures beyond the first one of
+// each controller.
 func (h *Host) backoff(failures int) clock.Micros {
 	pause := firstBackoff << min(max(failures, 0), maxDoublings)
-	spread := 1 - jitterShare + 2*jitterShare*h.Random.Float64()
-	return min(clock.Micros(float64(pause)*spread), maxBackoff)
+	jitter := 1 - jitterShare + 2*jitterShare*h.Random.Float64()
+	return min(clock.Micros(float64(pause)*jitter), maxBackoff)
 }
 
-// reportSoon has a cell told of changes of its jobs, unless it doesn't respond anyway.
+// reportSoon schedules an early heartbeat that reports changes of hosted jobs to their origin cell. It does
+// nothing if the cell is unreachable.
 func (h *Host) reportSoon(origin string) {
 	link := h.cells.ByCell[origin]
 	if link == nil || link.outgoing.circuitOpen() {
@@ -179,14 +188,14 @@
 	}
 }
 
-// StatusOf returns what its origin cell is told of a hosted job. known is false while its record has to be
-// read, since only what is stored may be told.
-func (h *Host) StatusOf(j *jobtable.Job) (s delegation.Status, known bool) {
+// StatusOf returns the status of a hosted job for its origin cell. known is false while the job's record has
+// to be read, because the host may report completed tasks only from the stored record.
+func (h *Host) StatusOf(j *jobtable.Job) (status delegation.Status, known bool) {
 	_, originID, number, ok := jobrecord.ParseHostedJobID(j.Spec.ID)
 	if !ok || j.ReadPending() {
-		return s, false
+		return status, false
 	}
-	s = delegation.Status{
+	status = delegation.Status{
 		Number: number,
 		Job:    originID,
 		Closed: closedAsStored(j),
@@ -194,27 +203,28 @@
 		Reason: j.Cause,
 	}
 	for task, p := range ordered.ByKey(j.Placements) {
-		s.Held.Add(task)
+		status.Held.Add(task)
 		if h.isRunning(j, p) {
-			s.Running++
+			status.Running++
 		}
 	}
-	s.Waiting = max(0, j.PendingCount()) // a gang whose tasks are done may still be held
-	return s, true
+	// The count of pending tasks may be negative: the completed tasks of a gang may still have placements.
+	status.Waiting = max(0, j.PendingCount())
+	return status, true
 }
 
-// closedAsStored reports whether the stored record says that a hosted job starts nothing more.
+// closedAsStored reports whether a hosted job is closed, or final, according to its stored record.
 func closedAsStored(j *jobtable.Job) bool {
 	return j.Hosted.Closed && j.StoredCount >= j.ClosedAtChange || j.Final() && j.IsStored()
 }
 
-// isRunning reports whether a placement's machine has told that the task runs.
+// isRunning reports whether a placement's machine has reported the task as running.
 func (h *Host) isRunning(j *jobtable.Job, p jobrecord.Placement) bool {
 	m := h.machines.ByName[p.Machine]
 	return m != nil && m.RunningSince[j.AttemptOf(p)] != 0
 }
 
-// ownLoad returns how much this cell could take, for other cells to choose by.
+// ownLoad returns the capacity that this cell has for hosted jobs. Other cells choose a host by it.
 func (h *Host) ownLoad() delegation.Load {
 	limit, _ := h.writer.Limits()
 	return delegation.Load{
@@ -225,7 +235,8 @@
 	}
 }
 
-// quotaLeft returns how much more hosted jobs may use.
+// quotaLeft returns how much of the quota for hosted jobs is left. It is zero while this cell is being
+// drained or hosted jobs wait for capacity.
 func (h *Host) quotaLeft() planner.Resources {
 	own := h.cells.Directory.Own
 	if own.Draining || h.hostedDemandWait() > 0 {
@@ -234,7 +245,7 @@
 	return own.HostedQuota.Minus(h.jobs.HostedAmounts())
 }
 
-// typeLoads returns what is free of each machine type beyond the reserve for own work.
+// typeLoads returns the free capacity of each machine type beyond the reserve for own jobs.
 func (h *Host) typeLoads() []delegation.TypeLoad {
 	free := map[string]planner.Resources{}
 	for i := range h.snapshots.LastMachines {
@@ -255,7 +266,7 @@
 	return loads
 }
 
-// beyondReserve returns what is left of free amounts after a reserve, nowhere below zero.
+// beyondReserve returns the free resources less a reserve. No amount is negative.
 func beyondReserve(free, reserve planner.Resources) planner.Resources {
 	left := free.Minus(reserve)
 	return planner.Resources{
@@ -265,35 +276,37 @@
 	}
 }
 
-// outOfCapacity reports whether the cloud has refused a machine type in all of its zones lately, at either
-// price.
+// outOfCapacity reports whether the cloud has recently refused a machine type in all of its zones. Per zone,
+// a refusal of either spot or on-demand machines is enough.
 func outOfCapacity(t protocol.MachineType, refused map[scaling.CapacityPool]bool) bool {
 	for _, zone := range t.Zones {
-		regular := scaling.CapacityPool{Type: t.Name, Zone: zone}
+		onDemand := scaling.CapacityPool{Type: t.Name, Zone: zone}
 		spot := scaling.CapacityPool{Type: t.Name, Zone: zone, Spot: true}
-		if !refused[regular] && !refused[spot] {
+		if !refused[onDemand] && !refused[spot] {
 			return false
 		}
 	}
 	return true
 }
 
-// ownDemandWait returns how long this cell's own work has been waiting for machines that don't come, 0 if
-// none has for as long as ShortageTime.
+// ownDemandWait returns the longest time for which one of this cell's own jobs has had unmet demand, or 0 if
+// that is less than ShortageTime.
 func (h *Host) ownDemandWait() clock.Micros {
 	return h.longestWait(func(j *jobtable.Job) bool { return j.Hosted == nil })
 }
 
-// hostedDemandWait is ownDemandWait for hosted jobs.
+// hostedDemandWait is like ownDemandWait, but for hosted jobs.
 func (h *Host) hostedDemandWait() clock.Micros {
 	return h.longestWait(func(j *jobtable.Job) bool { return j.Hosted != nil })
 }
 
-func (h *Host) longestWait(counts func(*jobtable.Job) bool) clock.Micros {
+// longestWait returns the longest time for which one of the selected jobs has had unmet demand, or 0 if that
+// is less than ShortageTime.
+func (h *Host) longestWait(selected func(*jobtable.Job) bool) clock.Micros {
 	now := h.Now()
 	longest := clock.Micros(0)
 	for _, j := range h.jobs.ByID {
-		if counts(j) && !j.Over() && j.HasUnmetDemand(now) {
+		if selected(j) && !j.Over() && j.HasUnmetDemand(now) {
 			longest = max(longest, now-j.UnmetSince)
 		}
 	}
@@ -303,6 +316,6 @@
 	return longest
 }
 
-// ShortageTime is how long work waits at least before there is a shortage of machines: a plan or two and a
-// response of the cloud take as long.
+// ShortageTime is how long a job must have unmet demand before that counts as a shortage of machines. A plan
+// or two and a response of the cloud take about as long.
 const ShortageTime = 5 * clock.Second
--- a/internal/leader/federation/host.go
+++ b/internal/leader/federation/host.go
@@ -19,9 +19,9 @@
 	"postpoint/internal/protocol"
 )
 
-// Host runs jobs that other cells have delegated to this one. A hosted job has a record like any other, under
-// an id of its own, and is scheduled like any other, after all of this cell's own work. What may be done with
-// it follows from its origin cell's permission, which has to be renewed like a lease.
+// Host runs jobs that other cells have delegated to this one. A hosted job has its own id and its own record.
+// The scheduler treats it like any other job, but ranks it after all of this cell's own jobs. The origin
+// cell's permission decides whether its tasks may start and stay; the host renews it like a lease.
 type Host struct {
 	*term.State
 	Store      kvstore.Store
@@ -38,7 +38,7 @@
 	steps      *term.StepTimer
 }
 
-// NewHost returns the component that runs other cells' jobs.
+// NewHost returns the component that runs the jobs of other cells.
 func NewHost(term *term.State, store kvstore.Store, jobs *jobtable.Table, machines *machinetable.Table,
 	catalogue *machinetable.Catalogue, reader *recordstore.Reader, writer *recordstore.Writer,
 	reconciler *reconciler.Reconciler, commands *reconciler.CommandSender, autoscaler *autoscaler.Autoscaler,
@@ -61,19 +61,22 @@
 }
 
 const (
-	// ownShortageTime is how long this cell's own work waits before unstarted hosted tasks are given back.
+	// ownShortageTime is how long this cell's own jobs may wait for capacity before the host returns pending
+	// hosted tasks to their origin cells.
 	ownShortageTime = 20 * clock.Second
-	// giveBackTime is how long hosted tasks wait for room before they are given back.
-	giveBackTime = 120 * clock.Second
+	// maxHostedWait is how long hosted tasks may wait for capacity before the host returns them to their
+	// origin cells.
+	maxHostedWait = 120 * clock.Second
 )
 
-// The reasons for which hosted tasks are stopped.
+// The reasons for which the host stops hosted tasks.
 const (
 	stopRecalled = "recalled"
 	stopClosed   = "closed"
 )
 
-// NoteHostedStored follows what is stored of a job. If it is a hosted one, its origin cell is told soon.
+// NoteHostedStored is called after a write of a job's record. If the job is hosted, it updates the stored set
+// of completed tasks and reports the job to its origin cell soon.
 func (h *Host) NoteHostedStored(j *jobtable.Job) {
 	if j.Hosted == nil {
 		return
@@ -84,7 +87,8 @@
 	h.reportSoon(j.Hosted.OriginCell)
 }
 
-// applyDirectives applies what the origin cell has said of the jobs that it was told of.
+// applyDirectives applies the directives of an origin cell's response to the jobs that the cell had delegated
+// when the heartbeat was sent.
 func (h *Host) applyDirectives(jobs []*jobtable.Job, directives []delegation.Directive, sentAt clock.Micros) {
 	byNumber := map[int64]delegation.Directive{}
 	for _, directive := range directives {
@@ -102,7 +106,7 @@
 	}
 }
 
-// CheckHostedJobs applies their permissions to all hosted jobs.
+// CheckHostedJobs calls CheckHostedJob for all hosted jobs.
 func (h *Host) CheckHostedJobs() {
 	if h.Term.Epoch == 0 || !h.Loaded {
 		return
@@ -114,9 +118,9 @@
 	}
 }
 
-// CheckHostedJob applies a hosted job's permission to what is left of it: what its origin wants back is
-// stopped, a job that may start nothing more is closed, and the record of one that is over for both cells
-// is removed.
+// CheckHostedJob applies a hosted job's permission. It stops the tasks that the origin cell recalls, closes a
+// job that may start no more tasks, makes a closed job without placements final, and deletes the record of a
+// final job that the origin cell no longer needs.
 func (h *Host) CheckHostedJob(j *jobtable.Job) {
 	j.Permission.CheckExpiry(h.Now())
 	if j.Final() && h.originNeedsNothing(j) {
@@ -142,21 +146,21 @@
 	}
 }
 
-// originNeedsNothing reports whether a hosted job's origin cell needs nothing of it any more. A cell that
-// isn't in the directory will never say so.
+// originNeedsNothing reports whether the origin cell of a hosted job no longer needs its record. A cell that
+// the directory doesn't list can never confirm that, so its jobs count as no longer needed.
 func (h *Host) originNeedsNothing(j *jobtable.Job) bool {
 	return j.Permission.Forgotten || h.cells.Directory == nil ||
 		h.cells.Directory.Cell(j.Hosted.OriginCell) == nil
 }
 
-// stopAll stops a job's tasks, with their progress saved.
+// stopAll stops all tasks of a job and saves their progress.
 func (h *Host) stopAll(j *jobtable.Job) {
 	for task := range ordered.ByKey(j.Placements) {
 		h.commands.Stop(j, task, stopRecalled, "")
 	}
 }
 
-// close has a hosted job start nothing more.
+// close closes a hosted job: none of its tasks may start any more.
 func (h *Host) close(j *jobtable.Job, reason string) {
 	slog.Info("hosted job closed", "job", j.Spec.ID, "reason", reason)
 	j.Hosted.Closed = true
@@ -165,8 +169,8 @@
 	j.ClosedAtChange = j.ChangeCount
 }
 
-// stopUnstarted releases the placements of tasks that their machines haven't told of: they would never be
-// started.
+// stopUnstarted stops tasks that their machines haven't reported, and reconciles these machines, because such
+// tasks will never start.
 func (h *Host) stopUnstarted(j *jobtable.Job) {
 	for task, p := range ordered.ByKey(j.Placements) {
 		m := h.machines.ByName[p.Machine]
@@ -180,17 +184,17 @@
 	}
 }
 
-// The reasons for which hosted jobs are closed. They are stored in the job's record and told to its origin
-// cell.
+// The reasons for which the host closes hosted jobs. The host stores the reason in the job's record and sends
+// it to the origin cell.
 const (
 	closedPermissionEnded = "its home no longer permits it"
 	closedRecalled        = "its home wants it back"
 	closedDraining        = "the cell is being drained"
 	closedShortage        = "the cell is short itself"
-	closedNoRoom          = "no room"
+	closedNoCapacity      = "no room"
 )
 
-// closeReason returns why a hosted job is to start nothing more, "" if it goes on.
+// closeReason returns why a hosted job may start no more tasks, or "" if it may continue.
 func (h *Host) closeReason(j *jobtable.Job) string {
 	now := h.Now()
 	switch {
@@ -204,34 +208,35 @@
 		return ""
 	case h.ownDemandWait() > ownShortageTime:
 		return closedShortage
-	case now > j.UnmetSince+giveBackTime:
-		return closedNoRoom
+	case now > j.UnmetSince+maxHostedWait:
+		return closedNoCapacity
 	}
 	return ""
 }
 
-// removeRecord deletes the record of a hosted job that is over for both cells.
+// removeRecord deletes the record of a hosted job that neither cell needs any more.
 func (h *Host) removeRecord(j *jobtable.Job) {
 	if j.InFlight || j.Loading() || len(j.Placements) > 0 || !h.Leads() {
 		return
 	}
 	key := jobrecord.Key(j.Spec.ID)
-	t := h.NewTransaction()
-	t.Require(key, j.Version)
-	t.Delete(key)
+	txn := h.NewTransaction()
+	txn.Require(key, j.Version)
+	txn.Delete(key)
 	j.InFlight = true
 	handle := func(r kvstore.Result[protocol.Revision]) { h.handleRemoval(j, r) }
-	t.Commit(h.Store, term.Guarded(h.State, handle))
+	txn.Commit(h.Store, term.Guarded(h.State, handle))
 }
 
-// handleRemoval handles the outcome of a record's removal. Unless it was decided it is tried again.
+// handleRemoval handles the outcome of deleting a record. Unless the store committed the deletion or reported
+// a conflict, the next check retries it.
 func (h *Host) handleRemoval(j *jobtable.Job, r kvstore.Result[protocol.Revision]) {
 	j.InFlight = false
 	switch {
 	case r.Err == nil:
 		h.jobs.Forget(j)
-	case errors.Is(r.Err, kvstore.ErrConflict): // that of a deposed leader, too
-		// An earlier copy of the removal was carried out, or a change whose outcome was unknown.
+	case errors.Is(r.Err, kvstore.ErrConflict): // includes the conflict that a deposed leader gets
+		// The store has executed an earlier attempt of the deletion, or a write whose outcome was unknown.
 		j.NoteRecordEvent(jobtable.EventRecordConflict)
 	}
 }
--- a/internal/leader/federation/numbers.go
+++ b/internal/leader/federation/numbers.go
@@ -9,14 +9,14 @@
 	"postpoint/internal/protocol"
 )
 
-// NumberBlock is the numbers of delegations that this term may use. They are reserved in the store before
-// they are used, so that no other leader ever uses them.
+// NumberBlock is a range of delegation numbers that this term may use. The leader reserves the range in the
+// store before it uses any number, so that no other leader ever uses the same numbers.
 type NumberBlock struct {
 	Next, End int64
 	reserving bool
 }
 
-// empty reports whether there is no number left.
+// empty reports whether no number is left.
 func (b *NumberBlock) empty() bool { return b.Next >= b.End }
 
 // take returns the next number.
@@ -27,37 +27,37 @@
 }
 
 const (
-	// numberBlockSize is how many numbers a leader reserves at a time.
+	// numberBlockSize is how many numbers a leader reserves at once.
 	numberBlockSize = 1000
-	// firstNumber is the first one that is ever reserved.
+	// firstNumber is the first number that any leader ever reserves.
 	firstNumber = 1
 )
 
-// ReserveNumbers reserves a block of numbers once the last one is used up.
+// ReserveNumbers reserves a block of numbers if the present block is used up.
 func (o *Origin) ReserveNumbers() {
 	if o.Numbers.reserving || !o.Numbers.empty() {
 		return
 	}
 	o.Numbers.reserving = true
-	o.Store.Get(delegation.NumbersKey, term.Guarded(o.State, o.reserveFrom))
+	o.Store.Get(delegation.NumbersKey, term.Guarded(o.State, o.reserveNextBlock))
 }
 
-// reserveFrom reserves the block after what the store has as reserved.
-func (o *Origin) reserveFrom(r kvstore.Result[protocol.Item]) {
+// reserveNextBlock reserves the block that follows all numbers that the store lists as reserved.
+func (o *Origin) reserveNextBlock(r kvstore.Result[protocol.Item]) {
 	first, known := firstFreeNumber(r)
 	if !known {
 		o.Numbers.reserving = false
 		return
 	}
-	t := o.NewTransaction()
-	t.Require(delegation.NumbersKey, r.Value.Version)
-	t.Put(delegation.NumbersKey, protocol.Encode(first+numberBlockSize))
+	txn := o.NewTransaction()
+	txn.Require(delegation.NumbersKey, r.Value.Version)
+	txn.Put(delegation.NumbersKey, protocol.Encode(first+numberBlockSize))
 	handle := func(r kvstore.Result[protocol.Revision]) { o.handleReservation(first, r) }
-	t.Commit(o.Store, term.Guarded(o.State, handle))
+	txn.Commit(o.Store, term.Guarded(o.State, handle))
 }
 
-// firstFreeNumber returns the first number that no leader has reserved. known is false if the store didn't
-// say.
+// firstFreeNumber returns the first number that no leader has reserved. known is false if the read failed or
+// the stored value is malformed.
 func firstFreeNumber(r kvstore.Result[protocol.Item]) (first int64, known bool) {
 	switch {
 	case r.Err == nil:
@@ -69,7 +69,7 @@
 	return 0, false
 }
 
-// handleReservation takes the block if it was reserved.
+// handleReservation starts to use the block if its reservation was committed.
 func (o *Origin) handleReservation(first int64, r kvstore.Result[protocol.Revision]) {
 	o.Numbers.reserving = false
 	if r.Err == nil {
--- a/internal/leader/federation/offers.go
+++ b/internal/leader/federation/offers.go
@@ -14,10 +14,10 @@
 	"postpoint/internal/scaling"
 )
 
-// TakeOffer records whether this cell accepts what another offers. It permits nothing yet: the next
-// heartbeat tells the origin cell of the record, and its response may permit the start. A refusal is
-// recorded as well, so that the same number is never accepted later.
-func (h *Host) TakeOffer(link *Link, offer delegation.Offer) {
+// HandleOffer stores whether this cell accepts an offer of another cell. An accepted offer doesn't permit any
+// start yet: the next heartbeat reports the record to the origin cell, whose response may grant the
+// permission. A refusal is stored as well, so that this cell never accepts the same number later.
+func (h *Host) HandleOffer(link *Link, offer delegation.Offer) {
 	id := jobrecord.HostedJobID(link.cell, offer.Spec.ID, offer.Number)
 	if h.jobs.ByID[id] != nil || !h.Leads() {
 		return
@@ -32,7 +32,7 @@
 	h.storeHosted(link.cell, record)
 }
 
-// hostedRecord returns the record of an offered job. Tasks that aren't offered count as done.
+// hostedRecord returns the record of an offered job. It marks tasks that the offer doesn't include as done.
 func hostedRecord(
 	origin string, id protocol.JobID, offer *delegation.Offer, now clock.Micros,
 ) *jobrecord.Record {
@@ -46,8 +46,8 @@
 	return record
 }
 
-// hostedSpec returns a delegated job as this cell runs it. Its class and team are those of another cell:
-// none of this one's objectives and limits apply to them.
+// hostedSpec returns the specification under which this cell runs a delegated job. The names of its class and
+// team get the origin cell as a prefix, so that none of this cell's objectives and limits apply to them.
 func hostedSpec(origin string, id protocol.JobID, spec protocol.JobSpec) protocol.JobSpec {
 	spec.ID = id
 	spec.Class = origin + "." + spec.Class
@@ -55,15 +55,16 @@
 	return spec
 }
 
-// storeHosted creates the record of an offered job. If that fails, watching the records shows it all the
-// same, or the job is offered again.
+// storeHosted creates the record of an offered job. After an error the host doesn't retry: if the store
+// executed the transaction, the watch of the records delivers the record; otherwise the origin offers the job
+// again.
 func (h *Host) storeHosted(origin string, record *jobrecord.Record) {
 	key := jobrecord.Key(record.Spec.ID)
 	value := record.Encode()
-	t := h.NewTransaction()
-	t.Require(key, 0)
-	t.Put(key, value)
-	t.Commit(h.Store, term.Guarded(h.State, func(r kvstore.Result[protocol.Revision]) {
+	txn := h.NewTransaction()
+	txn.Require(key, 0)
+	txn.Put(key, value)
+	txn.Commit(h.Store, term.Guarded(h.State, func(r kvstore.Result[protocol.Revision]) {
 		if r.Err == nil {
 			h.reader.Adopt(key, value, r.Value)
 			h.reportSoon(origin)
@@ -71,7 +72,8 @@
 	}))
 }
 
-// The reasons for which offers are refused. They are stored in the job's record and told to its origin cell.
+// The reasons for which the host refuses offers. The host stores the reason in the job's record and sends it
+// to the origin cell.
 const (
 	refusedDraining   = "the cell is being drained"
 	refusedNoRule     = "no rule lets this cell take work from there"
@@ -85,7 +87,7 @@
 	refusedTooMany    = "too many delegations"
 )
 
-// refusalReason returns why this cell doesn't accept an offer, "" if it does.
+// refusalReason returns why this cell refuses an offer, or "" if it accepts the offer.
 func (h *Host) refusalReason(origin string, record *jobrecord.Record, offer *delegation.Offer) string {
 	spec := &record.Spec
 	switch {
@@ -105,7 +107,7 @@
 		return refusedQuota
 	case h.ownDemandWait() > 0 || h.hostedDemandWait() > 0:
 		return refusedShortage
-	case !h.recordHasRoom(record, offer.Tasks.Len()):
+	case !h.fitsInRecord(record, offer.Tasks.Len()):
 		return refusedRecordSize
 	case len(h.jobs.HostedByOrigin()[origin]) >= delegation.MaxPerHost:
 		return refusedTooMany
@@ -113,7 +115,8 @@
 	return ""
 }
 
-// validTasks reports whether a delegation may consist of the tasks: gangs go as a whole.
+// validTasks reports whether a delegation may consist of the given tasks. The tasks of a gang are only
+// delegated all together.
 func validTasks(spec *protocol.JobSpec, tasks *jobrecord.TaskSet) bool {
 	n := tasks.Len()
 	if n == 0 || n > delegation.MaxTasks || tasks.Max() >= spec.Tasks {
@@ -122,23 +125,24 @@
 	return !spec.Gang() || n >= spec.Tasks
 }
 
-// withinHostedQuota reports whether hosted jobs may use as much more as n tasks need. Memory isn't bounded.
+// withinHostedQuota reports whether the quota for hosted jobs has enough left for n more tasks. The quota
+// doesn't bound memory.
 func (h *Host) withinHostedQuota(spec *protocol.JobSpec, n int) bool {
 	used := h.jobs.HostedAmounts().Plus(planner.TaskResources(spec).Times(float64(n)))
 	quota := h.cells.Directory.Own.HostedQuota
 	return used.Cpus <= quota.Cpus && used.Gpus <= quota.Gpus
 }
 
-// recordHasRoom reports whether a job's record has room for the placement of some task, and for those of all
-// n tasks if they have to start together.
-func (h *Host) recordHasRoom(record *jobrecord.Record, n int) bool {
+// fitsInRecord reports whether a job's record can hold the placement of at least one task, or the placements
+// of all n tasks if the job is a gang.
+func (h *Host) fitsInRecord(record *jobrecord.Record, n int) bool {
 	limit, _ := h.writer.Limits()
-	room := record.StartCapacity(limit)
-	return room != 0 && (!record.Spec.Gang() || room >= n)
+	capacity := record.StartCapacity(limit)
+	return capacity != 0 && (!record.Spec.Gang() || capacity >= n)
 }
 
-// hostedTasksWithin returns how many tasks of an ordinary job have room in a hosted job's record of limit
-// bytes.
+// hostedTasksWithin returns how many tasks of an ordinary job fit into the record of a hosted job if the
+// record may have at most limit bytes.
 func hostedTasksWithin(limit int) int {
 	ordinary := protocol.JobSpec{
 		ID:    jobrecord.HostedJobID("cell", "job-000000", math.MaxInt32),
--- a/internal/leader/federation/offload.go
+++ b/internal/leader/federation/offload.go
@@ -15,17 +15,18 @@
 )
 
 const (
-	// offloadInterval is from one decision to the next.
+	// offloadInterval is the time between two decisions about offloading.
 	offloadInterval = 2 * clock.Second
-	// MaxReturns is how often work of one job may come back unfinished: after that it stays.
+	// MaxReturns is how often other cells may return unfinished tasks of a job. After that the job stays in
+	// this cell.
 	MaxReturns = 3
-	// MinStayTime is how long work that came back stays at least.
+	// MinStayTime is the least time for which a job stays in this cell after another cell returned its tasks.
 	MinStayTime = 60 * clock.Second
-	// unschedulableWaitS is the expected wait for work that no machine of this cell could ever run.
+	// unschedulableWaitS is the assumed wait, in seconds, of jobs that fit on no machine of this cell.
 	unschedulableWaitS = 600
 )
 
-// compareQueued orders jobs about as the planner does.
+// compareQueued orders jobs approximately as the planner does.
 func compareQueued(a, b *jobtable.Job) int {
 	return cmp.Or(
 		cmp.Compare(a.Rank(), b.Rank()),
@@ -34,7 +35,7 @@
 	)
 }
 
-// offload delegates work that can't start here in time.
+// offload delegates tasks that can't start in this cell in time.
 func (o *Origin) offload() {
 	if !o.cells.Enabled() || o.Now() < o.nextOffloadAt || o.cells.Directory.Own.Draining {
 		return
@@ -44,50 +45,51 @@
 	if len(hosts) == 0 {
 		return
 	}
-	work := o.offloadableWork()
-	if len(work) == 0 {
+	candidates := o.offloadCandidates()
+	if len(candidates) == 0 {
 		return
 	}
 	if o.Numbers.empty() {
 		o.ReserveNumbers()
 		return
 	}
-	for _, choice := range offload.Plan(work, hosts) {
-		o.delegateTo(choice)
+	for _, assignment := range offload.Plan(candidates, hosts) {
+		o.delegateAssigned(assignment)
 	}
 }
 
-// candidateHosts returns the cells that can be asked, with their loads less what they were offered since.
+// candidateHosts returns the cells that may get further delegations. Their quotas are reduced by the tasks of
+// delegations that they haven't accepted yet.
 func (o *Origin) candidateHosts() []offload.Host {
 	now := o.Now()
 	var hosts []offload.Host
 	for name, link := range ordered.ByKey(o.cells.ByCell) {
-		if !link.host.known() || link.host.outdated(now) || o.cells.drained(name) {
+		if !link.host.known() || link.host.outdated(now) || o.cells.draining(name) {
 			continue
 		}
 		if o.delegationsTo(name) < delegation.MaxPerHost {
 			load := link.host.load
-			load.QuotaLeft = o.roomLeft(name, load.QuotaLeft)
+			load.QuotaLeft = o.remainingQuota(name, load.QuotaLeft)
 			hosts = append(hosts, offload.Host{Name: name, Load: load})
 		}
 	}
 	return hosts
 }
 
-// roomLeft returns what is left of a host's quota after the delegations that it hasn't accepted yet.
-func (o *Origin) roomLeft(host string, room planner.Resources) planner.Resources {
+// remainingQuota returns what is left of a host's quota after the delegations that it hasn't accepted yet.
+func (o *Origin) remainingQuota(host string, quota planner.Resources) planner.Resources {
 	for _, del := range o.Delegations {
 		if del.Host != host || del.State != delegation.Offered {
 			continue
 		}
 		if j := o.jobs.ByID[del.Job]; j != nil {
-			room = room.Minus(planner.TaskResources(&j.Spec).Times(float64(del.Tasks.Len())))
+			quota = quota.Minus(planner.TaskResources(&j.Spec).Times(float64(del.Tasks.Len())))
 		}
 	}
-	return room
+	return quota
 }
 
-// delegationsTo counts the delegations that a host has.
+// delegationsTo counts the delegations to a host.
 func (o *Origin) delegationsTo(host string) int {
 	n := 0
 	for _, del := range o.Delegations {
@@ -98,8 +100,9 @@
 	return n
 }
 
-// offloadableWork returns the work that has waited for long enough, the most urgent first.
-func (o *Origin) offloadableWork() []offload.Candidate {
+// offloadCandidates returns the jobs whose tasks have waited long enough to be offloaded, the most urgent job
+// first.
+func (o *Origin) offloadCandidates() []offload.Candidate {
 	var waiting []*jobtable.Job
 	for _, j := range o.jobs.ByID {
 		if o.OffloadableTasks(j).Count > 0 {
@@ -108,11 +111,11 @@
 	}
 	slices.SortFunc(waiting, compareQueued)
 	waits := o.expectedWaits()
-	var work []offload.Candidate
+	var candidates []offload.Candidate
 	for _, j := range waiting {
 		rule, _ := o.cells.Directory.OffloadRule(j.Spec.Class, j.Spec.Team)
 		tasks := o.OffloadableTasks(j)
-		work = append(work, offload.Candidate{
+		candidates = append(candidates, offload.Candidate{
 			Job:          j.Spec.ID,
 			Spec:         &j.Spec,
 			Tasks:        tasks.Count,
@@ -121,18 +124,18 @@
 			Hosts:        rule.To,
 		})
 	}
-	return work
+	return candidates
 }
 
-// Offloadable is how many tasks of a job may go to another cell now.
+// Offloadable says how many tasks of a job may be delegated now.
 type Offloadable struct {
 	Count int
-	// AllOrNothing reports that the tasks only go together: those of gangs, and of jobs whose tasks' zones
-	// depend on each other.
+	// AllOrNothing reports that the tasks may only be delegated together. This holds for gangs and for jobs
+	// whose tasks' zones depend on each other.
 	AllOrNothing bool
 }
 
-// OffloadableTasks returns how many tasks of a job may go to another cell now.
+// OffloadableTasks returns how many tasks of a job may be delegated now.
 func (o *Origin) OffloadableTasks(j *jobtable.Job) Offloadable {
 	if !o.mayOffload(j) {
 		return Offloadable{}
@@ -147,8 +150,8 @@
 	return Offloadable{Count: min(j.UnmetTasks, pending)}
 }
 
-// mayOffload reports whether a job's tasks have waited for as long as its rule demands and nothing else keeps
-// them here.
+// mayOffload reports whether a job has waited as long as its offload rule requires, and no other condition
+// keeps its tasks in this cell.
 func (o *Origin) mayOffload(j *jobtable.Job) bool {
 	now := o.Now()
 	switch {
@@ -165,8 +168,8 @@
 	return found && now >= j.UnmetSince+max(rule.MinWait, ShortageTime)
 }
 
-// expectedWaits returns how long, in seconds, jobs are expected to wait for room here: for what is queued
-// before them and half of what runs.
+// expectedWaits estimates, in seconds, how long each open job waits for capacity in this cell: the time for
+// the jobs that are queued before it, for half of its own pending tasks and for half of all running tasks.
 func (o *Origin) expectedWaits() map[protocol.JobID]float64 {
 	capacity := o.capacity()
 	queue := slices.SortedFunc(maps.Values(o.jobs.ByID), compareQueued)
@@ -190,7 +193,7 @@
 	return waits
 }
 
-// capacity returns the resources of all of this cell's machines.
+// capacity returns the total resources of this cell's machines.
 func (o *Origin) capacity() planner.Resources {
 	var sum planner.Resources
 	for i := range o.snapshots.LastMachines {
@@ -199,12 +202,13 @@
 	return sum
 }
 
-// clusterSeconds returns for how long n tasks of a job would keep the whole capacity busy.
+// clusterSeconds returns how long n tasks of a job would occupy the whole capacity, in seconds.
 func clusterSeconds(j *jobtable.Job, n int, capacity planner.Resources) float64 {
 	return j.Spec.EstimateS * planner.TaskResources(&j.Spec).Times(float64(n)).DominantShare(capacity)
 }
 
-// fitsAnyMachine reports whether a task would fit on some machine, booting ones included, if that were empty.
+// fitsAnyMachine reports whether a task of a job fits on some empty machine of this cell, including booting
+// machines.
 func (o *Origin) fitsAnyMachine(j *jobtable.Job) bool {
 	for i := range o.snapshots.LastMachines {
 		m := &o.snapshots.LastMachines[i]
@@ -216,24 +220,25 @@
 	return false
 }
 
-// delegateTo carries out a choice: the job's last pending tasks go, as many to a delegation as the host's
-// records have room for.
-func (o *Origin) delegateTo(choice offload.Assignment) {
-	j := o.jobs.ByID[choice.Job]
-	tasks := min(choice.Tasks, o.jobs.TasksWithinQuota(j))
-	perDelegation := min(delegation.MaxTasks, max(1, o.cells.ByCell[choice.Host].host.load.MaxTasks))
+// delegateAssigned delegates the last pending tasks of a job to the assigned host. It makes as many
+// delegations as needed for the tasks to fit into the host's records.
+func (o *Origin) delegateAssigned(assignment offload.Assignment) {
+	j := o.jobs.ByID[assignment.Job]
+	tasks := min(assignment.Tasks, o.jobs.TasksWithinQuota(j))
+	perDelegation := min(delegation.MaxTasks, max(1, o.cells.ByCell[assignment.Host].host.load.MaxTasks))
 	if o.OffloadableTasks(j).AllOrNothing {
-		if tasks < choice.Tasks {
+		if tasks < assignment.Tasks {
 			return
 		}
-		perDelegation = choice.Tasks
+		perDelegation = assignment.Tasks
 	}
-	for left := tasks; left > 0 && o.mayDelegateTo(choice.Host); left -= perDelegation {
-		o.Delegate(j, choice.Host, j.LastPending(min(perDelegation, left)))
+	for left := tasks; left > 0 && o.mayDelegateTo(assignment.Host); left -= perDelegation {
+		o.Delegate(j, assignment.Host, j.LastPending(min(perDelegation, left)))
 	}
 }
 
-// mayDelegateTo reports whether there is a number left and the host has fewer delegations than it may have.
+// mayDelegateTo reports whether a delegation number is left and the host has fewer than the maximum number of
+// delegations.
 func (o *Origin) mayDelegateTo(host string) bool {
 	return !o.Numbers.empty() && o.delegationsTo(host) < delegation.MaxPerHost
 }
--- a/internal/leader/federation/origin.go
+++ b/internal/leader/federation/origin.go
@@ -30,16 +30,16 @@
 	cells      *Links
 	steps      *term.StepTimer
 
-	// Delegations are the tasks of this cell's jobs that other cells run, by number.
+	// Delegations holds the delegations of this cell's jobs to other cells, by number.
 	Delegations map[int64]*trackedDelegation
-	// HasMalformed reports that a delegation's record can't be decoded.
+	// HasMalformed reports that the record of some delegation can't be decoded.
 	HasMalformed  bool
 	Numbers       NumberBlock
-	saving        bool // records of delegations are being written or read
+	saving        bool // a read or write of delegations' records is in flight
 	nextOffloadAt clock.Micros
 }
 
-// NewOrigin returns the component that delegates own jobs.
+// NewOrigin returns the component that delegates this cell's own jobs.
 func NewOrigin(term *term.State, store kvstore.Store, jobs *jobtable.Table,
 	catalogue *machinetable.Catalogue, reader *recordstore.Reader, writer *recordstore.Writer,
 	autoscaler *autoscaler.Autoscaler, snapshots *snapshots.Builder, links *Links,
@@ -58,7 +58,7 @@
 	}
 }
 
-// Begin drops what was known in earlier terms.
+// Begin drops the state of earlier terms.
 func (o *Origin) Begin() {
 	o.Delegations = map[int64]*trackedDelegation{}
 	o.HasMalformed = false
@@ -66,19 +66,19 @@
 	o.saving = false
 }
 
-// lostAfter is how long a host may be silent until it counts as lost, once it has no permission any more.
-const lostAfter = 8 * clock.Second
+// hostSilenceTimeout is how long a host may send no status of a delegation, once no permission is left,
+// before the origin ends the delegation.
+const hostSilenceTimeout = 8 * clock.Second
 
-// MatchDelegations releases the placements of all jobs with other cells that no delegation accounts for: it
-// was never offered, or is over.
+// MatchDelegations calls MatchDelegation for all jobs.
 func (o *Origin) MatchDelegations() {
 	for _, j := range ordered.ByKey(o.jobs.ByID) {
 		o.MatchDelegation(j)
 	}
 }
 
-// MatchDelegation releases a job's placements with other cells that no delegation accounts for, as long as
-// all delegations are known.
+// MatchDelegation releases a job's placements with other cells that belong to no delegation: their delegation
+// was never offered or is over. It does nothing while some delegations may be unknown.
 func (o *Origin) MatchDelegation(j *jobtable.Job) {
 	if o.reader.Loading || j.ShardsUnread() || o.HasMalformed {
 		return
@@ -93,8 +93,8 @@
 	}
 }
 
-// Delegate gives tasks of a job to another cell. The placements are stored first, then the delegation's
-// record, and only then it is offered.
+// Delegate delegates tasks of a job to another cell. The leader first stores the placements, then the
+// delegation's record, and only then offers the delegation to the host.
 func (o *Origin) Delegate(j *jobtable.Job, host string, tasks []int) {
 	number := o.Numbers.take()
 	r := delegation.Record{
@@ -122,7 +122,8 @@
 		r.Tasks.String())
 }
 
-// Manage offloads and recalls work and carries delegations on, twice a second.
+// Manage offloads and recalls tasks, ends delegations that have expired and saves the delegations' records.
+// The leader calls it on each tick, twice a second.
 func (o *Origin) Manage() {
 	if len(o.Delegations) == 0 && !o.cells.Enabled() {
 		return
@@ -137,8 +138,7 @@
 	o.SaveDelegations()
 }
 
-// checkDelegation recalls a delegation that is of no use any more, and ends one whose host can't run any of
-// it any more.
+// checkDelegation recalls a delegation that this cell no longer needs, and ends a delegation that may expire.
 func (o *Origin) checkDelegation(del *trackedDelegation) {
 	j := o.jobs.ByID[del.Job]
 	if j == nil || j.Over() || o.placementsLost(j, del) {
@@ -153,11 +153,12 @@
 	o.releaseFreed(del, freed)
 }
 
-// mayExpire reports whether a delegation that its host is silent about, or that was recalled, can be ended
-// without the host's word: no permission can be left.
+// mayExpire reports whether the origin may end a delegation without a final status from its host. The
+// delegation has to be recalled or its host silent, and no task of it can still run or start under any
+// permission.
 func (o *Origin) mayExpire(j *jobtable.Job, del *trackedDelegation) bool {
 	now := o.Now()
-	silent := now > max(del.LastStatusAt, o.BegunAt)+lostAfter
+	silent := now > max(del.LastStatusAt, o.BegunAt)+hostSilenceTimeout
 	switch {
 	case del.IsOver() || !del.IsClear(now):
 		return false
@@ -167,12 +168,14 @@
 	return j == nil || !j.ReadPending()
 }
 
-// placementsLost reports whether some of a delegation's placements didn't get into its job's record.
+// placementsLost reports whether some of a delegation's placements are missing from its job while the job's
+// record is neither being read nor written.
 func (o *Origin) placementsLost(j *jobtable.Job, del *trackedDelegation) bool {
 	return !j.ReadPending() && !j.InFlight && !del.holdsAll(j)
 }
 
-// releaseFreed releases the placements of tasks that are no longer the host's.
+// releaseFreed releases the placements of tasks that no longer belong to a delegation, and marks completed
+// tasks as done.
 func (o *Origin) releaseFreed(del *trackedDelegation, freed delegation.FreedTasks) {
 	j := o.jobs.ByID[del.Job]
 	if j == nil {
@@ -192,14 +195,14 @@
 		}
 	}
 	if returned && !j.Over() {
-		o.noteReturned(j, del)
+		o.recordReturn(j, del)
 	}
 	o.jobs.CompleteIfDone(j)
 }
 
-// noteReturned notes that a host has given tasks back unfinished. Refusals don't count as returns, and each
-// delegation counts once.
-func (o *Origin) noteReturned(j *jobtable.Job, del *trackedDelegation) {
+// recordReturn records that a host has returned unfinished tasks of a job. It counts each delegation at most
+// once, and doesn't count refusals.
+func (o *Origin) recordReturn(j *jobtable.Job, del *trackedDelegation) {
 	j.GivenBackAt = o.Now()
 	if del.State != delegation.Refused && !del.returnCounted {
 		del.returnCounted = true
--- a/internal/leader/federation/recall.go
+++ b/internal/leader/federation/recall.go
@@ -12,29 +12,29 @@
 	"postpoint/internal/protocol"
 )
 
-// recallDelay is how long none of this cell's own work must have waited for room before waiting work is
-// recalled from other cells: less than idle machines are kept.
+// recallDelay is how long this cell's own jobs must have had no unmet demand before the leader recalls
+// pending tasks from other cells. It is shorter than the time for which idle machines are kept.
 const recallDelay = 4 * clock.Second
 
-// recall asks waiting work back from other cells while there is room here, and everything from cells that
-// are drained.
+// recall recalls delegations with pending tasks while this cell has free capacity, and all delegations to
+// draining cells.
 func (o *Origin) recall() {
 	if len(o.Delegations) == 0 {
 		return
 	}
-	roomHere := o.Now() > max(o.lastUnmetDemand(), o.BegunAt)+recallDelay
+	noShortage := o.Now() > max(o.lastUnmetDemand(), o.BegunAt)+recallDelay
 	for _, del := range ordered.ByKey(o.Delegations) {
 		j := o.jobs.ByID[del.Job]
 		if j == nil {
 			continue
 		}
-		if o.cells.drained(del.Host) || roomHere && o.waitsInVain(j, del) {
+		if o.cells.draining(del.Host) || noShortage && o.couldStartHere(j, del) {
 			del.Recall()
 		}
 	}
 }
 
-// lastUnmetDemand returns when a plan last wanted machines for own work.
+// lastUnmetDemand returns when a plan last had unmet demand of this cell's own jobs.
 func (o *Origin) lastUnmetDemand() clock.Micros {
 	last := clock.Micros(0)
 	for _, j := range o.jobs.ByID {
@@ -45,27 +45,28 @@
 	return last
 }
 
-// waitsInVain reports whether tasks of an accepted delegation wait at the host though there is room here.
-func (o *Origin) waitsInVain(j *jobtable.Job, del *trackedDelegation) bool {
-	waiting := del.LastStatus.Waiting
-	return del.State == delegation.Accepted && waiting > 0 && o.fitsHere(j, waiting)
+// couldStartHere reports whether tasks of an accepted delegation are pending at the host although this cell
+// has capacity for them.
+func (o *Origin) couldStartHere(j *jobtable.Job, del *trackedDelegation) bool {
+	pending := del.LastStatus.Waiting
+	return del.State == delegation.Accepted && pending > 0 && o.hasCapacityFor(j, pending)
 }
 
-// fitsHere reports whether n tasks of a job would find room here: half of them on the machines that are up,
-// or one where the cloud may have more machines for them.
-func (o *Origin) fitsHere(j *jobtable.Job, n int) bool {
-	fit := o.freeSlots(j)
-	if 2*fit >= n {
+// hasCapacityFor reports whether this cell has capacity for n tasks of a job. At least half of them must fit
+// on ready machines, or at least one if the cloud may have further machines for the job.
+func (o *Origin) hasCapacityFor(j *jobtable.Job, n int) bool {
+	slots := o.freeSlots(j)
+	if 2*slots >= n {
 		return true
 	}
 	refused := o.autoscaler.CloudView().OutOfCapacity
 	available := func(t protocol.MachineType) bool {
 		return machinetable.TypeFits(t, &j.Spec) && !outOfCapacity(t, refused)
 	}
-	return fit > 0 && slices.ContainsFunc(o.catalogue.Types, available)
+	return slots > 0 && slices.ContainsFunc(o.catalogue.Types, available)
 }
 
-// freeSlots counts how many tasks of a job fit on the machines that are up.
+// freeSlots counts how many further tasks of a job fit on ready machines.
 func (o *Origin) freeSlots(j *jobtable.Job) int {
 	slots := 0
 	for i := range o.snapshots.LastMachines {
--- a/internal/leader/federation/responses.go
+++ b/internal/leader/federation/responses.go
@@ -8,75 +8,82 @@
 )
 
 const (
-	// offerBytes is what most offers take without their tasks.
+	// offerBytes is the encoded size that most offers don't exceed, without their task sets.
 	offerBytes = 600
-	// maxOfferBytes leaves room for the rest of a response.
+	// maxOfferBytes bounds the total size of the offers in a response, to leave space for the rest.
 	maxOfferBytes = 24 << 10
 )
 
-// HandleHeartbeat handles a host's heartbeat, and returns what the host may go on with and what else it may
-// take. A node whose lease has expired changes nothing, and offers nothing.
-func (o *Origin) HandleHeartbeat(r *delegation.Heartbeat) delegation.HeartbeatResponse {
+// HandleHeartbeat handles a host's heartbeat. It responds with directives for the delegations that the host
+// has reported and with offers of others. A controller whose lease has expired changes no delegation and
+// offers none.
+func (o *Origin) HandleHeartbeat(heartbeat *delegation.Heartbeat) delegation.HeartbeatResponse {
 	leads := o.Leads()
-	o.cells.ByCell[r.Host].host.update(r, o.Now())
-	a := delegation.HeartbeatResponse{Result: delegation.Processed}
+	o.cells.ByCell[heartbeat.Host].host.update(heartbeat, o.Now())
+	response := delegation.HeartbeatResponse{Result: delegation.Processed}
 	reported := map[int64]bool{}
-	for _, s := range r.Statuses {
-		reported[s.Number] = true
-		if directive, ok := o.directiveFor(r, s, leads); ok {
-			a.Directives = append(a.Directives, directive)
+	for _, status := range heartbeat.Statuses {
+		reported[status.Number] = true
+		if directive, ok := o.directiveFor(heartbeat, status, leads); ok {
+			response.Directives = append(response.Directives, directive)
 		}
 	}
 	if leads {
-		a.Offers = o.OffersTo(r.Host, reported)
+		response.Offers = o.OffersTo(heartbeat.Host, reported)
 		o.steps.Wake()
 	}
-	return a
+	return response
 }
 
-// directiveFor applies a host's status of one delegation and returns what the host is to do with it. ok is
-// false if there is nothing to say yet.
-func (o *Origin) directiveFor(r *delegation.Heartbeat, s delegation.Status,
-	leads bool) (d delegation.Directive, ok bool) {
-	d.Number = s.Number
-	del := o.Delegations[s.Number]
-	if del == nil || del.Host != r.Host || del.Job != s.Job {
-		// Only a leader that knows all delegations can say that there is none.
-		d.Action = delegation.Forget
-		return d, leads && !o.HasMalformed
+// directiveFor applies a host's status of one delegation and returns the directive for that delegation. ok is
+// false if the origin can't give a directive yet.
+func (o *Origin) directiveFor(heartbeat *delegation.Heartbeat, status delegation.Status,
+	leads bool) (directive delegation.Directive, ok bool) {
+	directive.Number = status.Number
+	del := o.Delegations[status.Number]
+	if del == nil || del.Host != heartbeat.Host || del.Job != status.Job {
+		// Only a leader that knows all delegations may conclude that this one doesn't exist.
+		directive.Action = delegation.Forget
+		return directive, leads && !o.HasMalformed
 	}
 	j := o.jobs.ByID[del.Job]
 	if leads && (j == nil || !j.ReadPending()) {
-		o.releaseFreed(del, del.ApplyStatus(s, o.Now()))
+		o.releaseFreed(del, del.ApplyStatus(status, o.Now()))
 	}
 	switch {
 	case o.jobs.Malformed[del.Job]:
-		return d, false
+		return directive, false
 	case j == nil || j.Over():
-		d.Action = delegation.Cancel
-		return d, true
+		directive.Action = delegation.Cancel
+		return directive, true
 	case del.IsOver():
-		return d, false // until the records say so, too
+		return directive, false // the host may forget it once the stored records show its end
 	}
-	return o.permit(del, r.ClearTime)
+	return o.permit(del, heartbeat.ClearTime)
 }
 
-// permit gives a host a permission for a delegation. It lasts from the time up to which all cancellations and
-// elections are known, as workers' leases do. ok is false if that was too long ago.
-func (o *Origin) permit(del *trackedDelegation, clearTime clock.Micros) (d delegation.Directive, ok bool) {
+// permit grants a host a permission for a delegation. Like a worker's lease, the permission is counted from
+// the time up to which the leader knows all cancellations and elections. ok is false if a permission counted
+// from that time would have expired already.
+func (o *Origin) permit(
+	del *trackedDelegation, clearTime clock.Micros,
+) (directive delegation.Directive, ok bool) {
 	known := min(o.KnownUntil(), o.SoleLeaderUntil())
 	workers := o.Settings.Deployment.Workers
 	length := known + cells.MaxPermission(workers, clearTime) - o.Now()
 	if length <= 0 {
-		return d, false
+		return directive, false
+	}
+	directive = delegation.Directive{
+		Number:        del.Number,
+		Action:        del.NextAction(o.cells.draining(del.Host)),
+		PermissionFor: length,
 	}
-	d = delegation.Directive{Number: del.Number, Action: del.NextAction(o.cells.drained(del.Host)),
-		PermissionFor: length}
 	del.NotePermission(known, cells.ProofTime(workers))
-	return d, true
+	return directive, true
 }
 
-// OffersTo returns the delegations to a host that it hasn't reported yet, as many as fit into a response.
+// OffersTo returns offers of the delegations that a host hasn't reported yet, as many as fit into a response.
 func (o *Origin) OffersTo(host string, reported map[int64]bool) []delegation.Offer {
 	var offers []delegation.Offer
 	size := 0
@@ -93,13 +100,13 @@
 }
 
 // offerable reports whether a delegation may be offered: its record and its placements are stored, and its
-// job goes on.
+// job isn't over.
 func (o *Origin) offerable(del *trackedDelegation) bool {
 	j := o.jobs.ByID[del.Job]
 	return del.State == delegation.Offered && del.Offerable && j != nil && !j.Over()
 }
 
-// offerOf returns the offer of a delegation whose job is known.
+// offerOf returns the offer of a delegation whose job is in the job table.
 func (o *Origin) offerOf(del *trackedDelegation) delegation.Offer {
 	j := o.jobs.ByID[del.Job]
 	return delegation.Offer{
--- a/internal/leader/federation/trackeddelegation.go
+++ b/internal/leader/federation/trackeddelegation.go
@@ -7,65 +7,66 @@
 	"postpoint/internal/protocol"
 )
 
-// trackedDelegation is a delegation of this cell's own work, with what is known of its stored record.
+// trackedDelegation is a delegation of this cell's own tasks, with the known state of its stored record.
 type trackedDelegation struct {
 	*delegation.Delegation
 	record storedRecord
-	// returnCounted reports whether its return is among those that its job's record counts.
+	// returnCounted reports whether the return count of its job includes this delegation.
 	returnCounted bool
 }
 
-// recordPhase is how a delegation's record relates to the store.
+// recordPhase describes what the leader knows of a delegation's record in the store.
 type recordPhase int
 
 const (
 	// recordAbsent means that the record was never stored.
 	recordAbsent recordPhase = iota
-	// recordStored means that the store has it at the known version.
+	// recordStored means that the store holds the record at the known version.
 	recordStored
-	// recordOutcomeUnknown means that a change of the record may have been carried out or not: it has to be
-	// read before anything else is written.
+	// recordOutcomeUnknown means that the store may or may not have executed a write of the record. The
+	// leader has to read the record before it writes it again.
 	recordOutcomeUnknown
 )
 
-// storedRecord is what is known of a delegation's record in the store.
+// storedRecord is the known state of a delegation's record in the store.
 type storedRecord struct {
 	phase   recordPhase
-	version protocol.Revision // of its key, 0 if it isn't stored
-	state   delegation.State  // what the record says
+	version protocol.Revision // version of the key, 0 if the record isn't stored
+	state   delegation.State  // state in the stored record
 }
 
-// noteStored notes the record as it was written or read.
-func (r *storedRecord) noteStored(version protocol.Revision, state delegation.State) {
+// markStored updates the version and state after a write or read of the record.
+func (r *storedRecord) markStored(version protocol.Revision, state delegation.State) {
 	*r = storedRecord{phase: recordStored, version: version, state: state}
 }
 
-// noteReloaded notes the version at which the records were read once more within a term. What the record
-// says then may be older than what this leader knows, and is written again.
-func (r *storedRecord) noteReloaded(version protocol.Revision) {
+// markReloaded updates the version after the leader has read all records again within a term. It ignores the
+// state in the record, which may be older than the leader's own; in that case the leader writes its own
+// state.
+func (r *storedRecord) markReloaded(version protocol.Revision) {
 	r.version = version
 	if r.phase == recordAbsent {
 		r.phase = recordStored
 	}
 }
 
-// holds reports whether a placement is one of the delegation's outstanding tasks.
+// holds reports whether a placement of a job belongs to one of the delegation's outstanding tasks.
 func (d *trackedDelegation) holds(j *jobtable.Job, p jobrecord.Placement) bool {
 	return d.ownsPlacement(p) && d.Job == j.Spec.ID && d.Outstanding.Contains(p.Task)
 }
 
-// ownsPlacement reports whether a placement of its job is with the delegation's host on its account.
+// ownsPlacement reports whether a placement names this delegation and its host.
 func (d *trackedDelegation) ownsPlacement(p jobrecord.Placement) bool {
 	return p.HostCell() == d.Host && p.Incarnation == d.Number
 }
 
-// placement returns a task's placement with the delegation's host, if it has one.
+// placement returns a task's placement that belongs to this delegation, if there is one.
 func (d *trackedDelegation) placement(j *jobtable.Job, task int) (jobrecord.Placement, bool) {
 	p, placed := j.Placements[task]
 	return p, placed && d.ownsPlacement(p)
 }
 
-// holdsAll reports whether all outstanding tasks are placed with the delegation's host.
+// holdsAll reports whether all outstanding tasks have placements that belong to this delegation.
 func (d *trackedDelegation) holdsAll(j *jobtable.Job) bool {
 	for task := range d.Outstanding.All() {
 		if _, held := d.placement(j, task); !held {
@@ -75,7 +76,7 @@
 	return true
 }
 
-// holdsAllAsStored reports whether the stored record of its job says so.
+// holdsAllAsStored reports whether all of these placements are also in the stored record of its job.
 func (d *trackedDelegation) holdsAllAsStored(j *jobtable.Job) bool {
 	for task := range d.Outstanding.All() {
 		if p, held := d.placement(j, task); !held || !j.Committed(p) {
@@ -85,8 +86,8 @@
 	return true
 }
 
-// holdsNoneAsStored reports whether by the stored record of its job none of the delegation's tasks, not even
-// one that was freed already, is placed with its host.
+// holdsNoneAsStored reports whether the stored record of its job holds no placement of any of the
+// delegation's tasks with another cell. This includes tasks that no longer belong to the delegation.
 func (d *trackedDelegation) holdsNoneAsStored(j *jobtable.Job) bool {
 	for task := range d.Tasks.All() {
 		p, placed := j.Placements[task]
--- a/internal/leader/golden_test.go
+++ b/internal/leader/golden_test.go
@@ -173,7 +173,7 @@
 			Image:    "i",
 		}
 		offer := delegation.Offer{Number: 7, Spec: spec, Tasks: tasks, JobAge: 90 * clock.Second}
-		d.host.TakeOffer(d.cells.ByCell["beta"], offer)
+		d.host.HandleOffer(d.cells.ByCell["beta"], offer)
 		goldentest.Equal(t, c.name, onlyTxn(t, store), c.want)
 	}
 }
@@ -245,13 +245,13 @@
 		TightLimits:    true,
 		Cell:           "alpha",
 		Cells: []federation.CellOverview{{
-			Cell:              "beta",
-			Reachable:         true,
-			LentTasks:         3,
-			BorrowedTasks:     4,
-			Recalled:          1,
-			OldestUnansweredS: 2.5,
-			OwnWaitS:          7.5,
+			Cell:             "beta",
+			Reachable:        true,
+			DelegatedTasks:   3,
+			HostedTasks:      4,
+			Recalled:         1,
+			OldestStatusAgeS: 2.5,
+			OwnWaitS:         7.5,
 		}},
 		Zones: []overview.ZoneOverview{{
 			Zone:               "somes",
--- a/internal/leader/overview/overview.go
+++ b/internal/leader/overview/overview.go
@@ -1,5 +1,5 @@
-// Package overview reads the leader's components for operators: the overview that is served as JSON, and the
-// periodic log lines. It changes nothing.
+// Package overview reports the state of the leader's components to operators: in an overview that is served
+// as JSON, and in periodic log lines. It changes no state of these components.
 package overview
 
 import (
@@ -21,7 +21,7 @@
 	"postpoint/internal/scaling"
 )
 
-// Reader reads the other components for operators.
+// Reader reads the state of the leader's other components.
 type Reader struct {
 	*term.State
 	jobs       *jobtable.Table
@@ -57,7 +57,8 @@
 	}
 }
 
-// Overview is what an operator on call wants to see first. Only the leader knows jobs and machines.
+// Overview is the summary that an operator on call needs first. Only the leader's overview lists jobs and
+// machines.
 type Overview struct {
 	Node     string          `json:"node"`
 	Leader   string          `json:"leader"`
@@ -67,30 +68,31 @@
 	Classes  []ClassOverview `json:"classes,omitempty"`
 	Machines []PoolOverview  `json:"machines,omitempty"`
 	Failing  []FailingJob    `json:"failing,omitempty"`
-	// PresentFormats reports that all controllers read services and sharded records, Missing lists those that
-	// don't as far as is known.
+	// PresentFormats reports that all controllers can read services and sharded records. Missing lists the
+	// controllers that aren't known to support them.
 	PresentFormats bool     `json:"present_formats"`
 	Missing        []string `json:"missing,omitempty"`
-	// TightLimits reports that the key-value store refuses what its first limits allow.
+	// TightLimits reports that the key-value store rejected writes within its original limits, so that the
+	// leader now uses smaller limits.
 	TightLimits bool `json:"tight_limits,omitempty"`
-	// Cell is this node's own, Cells are the others, if cells are switched on.
+	// Cell is the name of this controller's cell and Cells lists the others, if federation is enabled.
 	Cell  string                    `json:"cell,omitempty"`
 	Cells []federation.CellOverview `json:"cells,omitempty"`
-	// Zones are listed if zone recovery is switched on.
+	// Zones lists all zones if zone recovery is enabled.
 	Zones []ZoneOverview `json:"zones,omitempty"`
 }
 
-// ClassOverview counts the open jobs of a class.
+// ClassOverview counts the jobs of a class that aren't final, and the tasks of the class.
 type ClassOverview struct {
 	Class        string `json:"class"`
 	Jobs         int    `json:"jobs"`
 	PendingTasks int    `json:"pending_tasks"`
 	PlacedTasks  int    `json:"placed_tasks"`
-	// Restarting are replicas of services that ended soon after their starts and wait for the next.
+	// Restarting counts replicas of services that ended soon after their start and wait for their next start.
 	Restarting int `json:"restarting,omitempty"`
 }
 
-// PoolOverview counts the machines of one type and zone at one kind of price.
+// PoolOverview counts the machines of one capacity pool.
 type PoolOverview struct {
 	Type     string `json:"type"`
 	Zone     string `json:"zone"`
@@ -99,20 +101,20 @@
 	Booting  int    `json:"booting"`
 	Idle     int    `json:"idle"`
 	Silent   int    `json:"silent"`
-	// NoCapacity reports that the cloud has refused such machines lately.
+	// NoCapacity reports that the cloud has recently refused machines of this capacity pool.
 	NoCapacity bool `json:"no_capacity"`
 }
 
-// FailingJob is an open job whose last start failed.
+// FailingJob is a job that isn't final and whose last start failed.
 type FailingJob struct {
 	Job   protocol.JobID `json:"job"`
 	Cause string         `json:"cause"`
 }
 
-// maxFailing is how many failing jobs are listed.
+// maxFailing bounds the number of listed failing jobs.
 const maxFailing = 20
 
-// Build returns the present overview.
+// Build returns an overview of the present state.
 func (r *Reader) Build() Overview {
 	overview := Overview{
 		Node:           r.Settings.Node,
@@ -121,7 +123,7 @@
 		Epoch:          r.Term.Epoch,
 		Plans:          r.scheduler.Plans,
 		Classes:        r.classes(),
-		Machines:       r.machineKinds(),
+		Machines:       r.pools(),
 		Failing:        r.failingJobs(),
 		PresentFormats: r.Format.Services,
 		Missing:        r.Format.Missing,
@@ -155,7 +157,7 @@
 	return classes
 }
 
-// failingJobs lists the first open jobs whose last start failed.
+// failingJobs lists the first jobs, by id, that aren't final and whose last start failed.
 func (r *Reader) failingJobs() []FailingJob {
 	var failing []FailingJob
 	for _, j := range ordered.ByKey(r.jobs.ByID) {
@@ -166,57 +168,57 @@
 	return failing
 }
 
-// machineKinds counts machines by type, zone and kind of price.
-func (r *Reader) machineKinds() []PoolOverview {
+// pools counts machines by capacity pool.
+func (r *Reader) pools() []PoolOverview {
 	byName := map[string]*PoolOverview{}
 	refused := r.autoscaler.CloudView().OutOfCapacity
 	for _, m := range r.machines.Ordered {
-		name := kindName(m.Kind())
-		k := byName[name]
-		if k == nil {
-			k = &PoolOverview{Type: m.Type, Zone: m.Zone, Spot: m.Spot, NoCapacity: refused[m.Kind()]}
-			byName[name] = k
+		name := poolName(m.Kind())
+		pool := byName[name]
+		if pool == nil {
+			pool = &PoolOverview{Type: m.Type, Zone: m.Zone, Spot: m.Spot, NoCapacity: refused[m.Kind()]}
+			byName[name] = pool
 		}
-		r.countMachine(k, m)
+		r.countMachine(pool, m)
 	}
-	var kinds []PoolOverview
-	for _, k := range ordered.ByKey(byName) {
-		kinds = append(kinds, *k)
+	var pools []PoolOverview
+	for _, pool := range ordered.ByKey(byName) {
+		pools = append(pools, *pool)
 	}
-	return kinds
+	return pools
 }
 
-// kindName orders kinds of machines by type, zone and price.
-func kindName(k scaling.CapacityPool) string {
-	name := k.Type + " " + k.Zone
-	if k.Spot {
+// poolName returns a name of a capacity pool that sorts pools by type, zone, and on-demand before spot.
+func poolName(pool scaling.CapacityPool) string {
+	name := pool.Type + " " + pool.Zone
+	if pool.Spot {
 		name += " spot"
 	}
 	return name
 }
 
-// countMachine adds a machine to its kind.
-func (r *Reader) countMachine(k *PoolOverview, m *machinetable.Machine) {
-	k.Machines++
+// countMachine adds a machine to the counts of its capacity pool.
+func (r *Reader) countMachine(pool *PoolOverview, m *machinetable.Machine) {
+	pool.Machines++
 	switch {
 	case !m.Seen && m.CloudStatus == protocol.MachineStarting:
-		k.Booting++
+		pool.Booting++
 	case !r.machines.HeardRecently(m):
-		k.Silent++
+		pool.Silent++
 	case len(m.Placements) == 0:
-		k.Idle++
+		pool.Idle++
 	}
 }
 
-// cellsOverview describes the other cells. It is empty on nodes that don't lead.
+// cellsOverview describes the other cells. It is empty on controllers that aren't the leader.
 func (r *Reader) cellsOverview() []federation.CellOverview {
 	var all []federation.CellOverview
 	for name, link := range ordered.ByKey(r.cells.ByCell) {
 		cell := federation.CellOverview{
-			Cell:          name,
-			Reachable:     link.Reachable(r.Now()),
-			BorrowedTasks: r.borrowedTasks(name),
-			OwnWaitS:      link.OwnWait().Seconds(),
+			Cell:        name,
+			Reachable:   link.Reachable(r.Now()),
+			HostedTasks: r.hostedTasks(name),
+			OwnWaitS:    link.OwnWait().Seconds(),
 		}
 		r.countDelegations(&cell)
 		all = append(all, cell)
@@ -224,22 +226,22 @@
 	return all
 }
 
-// countDelegations adds this cell's delegations to another cell.
+// countDelegations adds the counts of this cell's delegations to another cell's overview.
 func (r *Reader) countDelegations(cell *federation.CellOverview) {
 	for _, del := range r.origin.Delegations {
 		if del.Host != cell.Cell {
 			continue
 		}
-		cell.LentTasks += del.Outstanding.Len()
-		cell.OldestUnansweredS = max(cell.OldestUnansweredS, (r.Now() - del.LastStatusAt).Seconds())
+		cell.DelegatedTasks += del.Outstanding.Len()
+		cell.OldestStatusAgeS = max(cell.OldestStatusAgeS, (r.Now() - del.LastStatusAt).Seconds())
 		if del.State == delegation.Recalled {
 			cell.Recalled++
 		}
 	}
 }
 
-// borrowedTasks counts the tasks of another cell's jobs that this cell has.
-func (r *Reader) borrowedTasks(origin string) int {
+// hostedTasks counts the placed and pending tasks of hosted jobs from an origin cell.
+func (r *Reader) hostedTasks(origin string) int {
 	tasks := 0
 	for _, j := range r.jobs.ByID {
 		if j.Hosted != nil && j.Hosted.OriginCell == origin && !j.Final() {
@@ -249,10 +251,10 @@
 	return tasks
 }
 
-// stateLogInterval is from one log line on the leader's state to the next.
+// stateLogInterval is the time between two log lines on the leader's state.
 const stateLogInterval = 15 * clock.Second
 
-// LogState logs now and then what is queued and where.
+// LogState logs the numbers of jobs, tasks and machines once per stateLogInterval.
 func (r *Reader) LogState() {
 	if r.Now() < r.loggedAt+stateLogInterval {
 		return
--- a/internal/leader/overview/zoneoverview.go
+++ b/internal/leader/overview/zoneoverview.go
@@ -11,7 +11,7 @@
 	"postpoint/internal/zonerecovery"
 )
 
-// ZoneOverview is a zone as the leader sees it.
+// ZoneOverview is the state of a zone as far as the leader knows it.
 type ZoneOverview struct {
 	Zone               string                 `json:"zone"`
 	Phase              zonerecovery.Phase     `json:"phase"`
@@ -24,14 +24,15 @@
 	Controllers        int                    `json:"controllers,omitempty"`
 	ControllersReached int                    `json:"controllers_reached,omitempty"`
 	HeardElsewhere     int                    `json:"heard_elsewhere,omitempty"`
-	// HeldTasks are tasks there that aren't proven gone, Displaced those that have to start elsewhere.
+	// HeldTasks counts the tasks on silent machines of the zone, which aren't proven to have ended.
+	// DisplacedTasks counts the pending tasks of jobs that are displaced from the zone.
 	HeldTasks      int `json:"held_tasks,omitempty"`
 	DisplacedTasks int `json:"displaced_tasks,omitempty"`
-	// Waiting are the first of the jobs that have displaced tasks, with what they wait for.
+	// Waiting lists the first of the displaced jobs, with what they wait for.
 	Waiting []WaitingJob `json:"waiting,omitempty"`
 }
 
-// WaitingJob is a displaced job and why it doesn't run.
+// WaitingJob is a displaced job with the reason why its pending tasks don't run.
 type WaitingJob struct {
 	Job    protocol.JobID    `json:"job"`
 	Kind   zonerecovery.Kind `json:"kind"`
@@ -39,10 +40,10 @@
 	Reason string            `json:"why"`
 }
 
-// maxWaiting is how many displaced jobs of a zone are listed.
+// maxWaiting bounds the number of listed displaced jobs of a zone.
 const maxWaiting = 20
 
-// zonesOverview describes all zones. It is empty unless zone recovery is switched on.
+// zonesOverview describes all zones. It is empty unless zone recovery is enabled.
 func (r *Reader) zonesOverview() []ZoneOverview {
 	if r.zones.Options == nil {
 		return nil
@@ -70,13 +71,14 @@
 		HeardElsewhere:     z.Evidence.HeardElsewhere,
 		HeldTasks:          r.heldTasks(name),
 	}
-	displaced := r.displacedWork(name)
-	for _, w := range displaced {
-		overview.DisplacedTasks += w.PendingTasks
+	displaced := r.displacedJobs(name)
+	for _, job := range displaced {
+		overview.DisplacedTasks += job.PendingTasks
 	}
-	for _, w := range displaced[:min(len(displaced), maxWaiting)] {
-		reason := r.waitReason(r.jobs.ByID[w.Job])
-		overview.Waiting = append(overview.Waiting, WaitingJob{w.Job, w.Kind, w.PendingTasks, string(reason)})
+	for _, job := range displaced[:min(len(displaced), maxWaiting)] {
+		reason := r.waitReason(r.jobs.ByID[job.Job])
+		overview.Waiting = append(overview.Waiting,
+			WaitingJob{job.Job, job.Kind, job.PendingTasks, string(reason)})
 	}
 	return overview
 }
@@ -95,8 +97,9 @@
 	return held
 }
 
-// displacedWork returns the jobs with displaced tasks of a zone, in the order in which they are to start.
-func (r *Reader) displacedWork(zone string) []zonerecovery.DisplacedJob {
+// displacedJobs returns the jobs that are displaced from a zone and have pending tasks, in the order in which
+// the zone tracker clears them to start.
+func (r *Reader) displacedJobs(zone string) []zonerecovery.DisplacedJob {
 	var displaced []zonerecovery.DisplacedJob
 	for _, j := range r.jobs.ByID {
 		if j.DisplacedFrom == zone && !j.Over() && j.PendingCount() > 0 {
@@ -107,7 +110,7 @@
 	return displaced
 }
 
-// waitReason is what a displaced job waits for, as the overview says it.
+// waitReason is the text by which the overview says what a displaced job waits for.
 type waitReason string
 
 const (
@@ -121,7 +124,7 @@
 	waitsForBoot      waitReason = "machines that boot, or an image"
 )
 
-// waitReason returns what a displaced job waits for.
+// waitReason returns the first known reason why the pending tasks of a displaced job don't run.
 func (r *Reader) waitReason(j *jobtable.Job) waitReason {
 	spec := &j.Spec
 	switch {
@@ -143,7 +146,8 @@
 	return waitsForBoot
 }
 
-// spreadAllowsZone reports whether some zone that isn't avoided would take a task of a job that is spread.
+// spreadAllowsZone reports whether the spread rule of a job allows another task in some zone that isn't
+// cordoned.
 func (r *Reader) spreadAllowsZone(j *jobtable.Job) bool {
 	zones := r.jobs.ZonesOf(j)
 	for _, t := range r.catalogue.Types {
@@ -156,7 +160,7 @@
 	return false
 }
 
-// LogRecovery logs now and then how the recoveries stand.
+// LogRecovery logs the state of all zones that aren't healthy once per zonetracker.RecoveryLogInterval.
 func (r *Reader) LogRecovery() {
 	if r.Now() < r.recoveryLoggedAt+zonetracker.RecoveryLogInterval || !r.zones.AnyCordoned() {
 		return
@@ -169,10 +173,11 @@
 	}
 }
 
+// logRecovery logs the state of one zone.
 func logRecovery(zone *ZoneOverview) {
 	tasksByReason := map[string]int{}
-	for _, w := range zone.Waiting {
-		tasksByReason[w.Reason] += w.Tasks
+	for _, job := range zone.Waiting {
+		tasksByReason[job.Reason] += job.Tasks
 	}
 	slog.Info("zone recovery state", "zone", zone.Zone, "phase", zone.Phase, "losses", zone.Losses,
 		"diagnosis", zone.Diagnosis, "machines", zone.Machines, "heard", zone.Heard, "held_tasks",
