--- a/internal/planner/assign.go
+++ b/internal/planner/assign.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// assignPending assigns the pending tasks of a job that fit, and returns how many should
-// run now and how many were assigned.
-func (p *planning) assignPending(job *Job) (wanted, assigned int) {
+// assignPending assigns the pending tasks of a job that fit. It returns the demand, which is how
+// many tasks should run now, and how many it assigned.
+func (p *planning) assignPending(job *Job) (demand, assigned int) {
 	if job.Spec.Gang() {
 		return p.assignGang(job)
 	}
 	return p.assignTasks(job, p.candidates(job, readyOrBooting))
 }
 
-// assignWhereCached assigns pending tasks to machines that have the job's image. What it
-// has assigned is no longer pending.
+// assignWhereCached assigns pending tasks to machines that have the job's image cached, and removes
+// them from the pending tasks.
 func (p *planning) assignWhereCached(job *Job) {
 	candidates := slices.DeleteFunc(p.candidates(job, readyNow), func(machine *Machine) bool {
 		return machine.ImageWaitS(job.Spec) > 0
@@ -25,15 +25,15 @@
 	job.Pending = job.Pending[assigned:]
 }
 
-// assignTasks assigns pending tasks, in their order, to the cheapest of the candidates
-// until one of them finds no room or the team's quota is used up. It returns how many
-// should run now and how many were assigned.
-func (p *planning) assignTasks(job *Job, candidates []*Machine) (wanted, assigned int) {
+// assignTasks assigns pending tasks, in their order, to the cheapest of the candidates until no
+// candidate has free capacity or the team's quota is used up. It returns how many tasks should run
+// now and how many it assigned. Tasks beyond the quota count as neither.
+func (p *planning) assignTasks(job *Job, candidates []*Machine) (demand, assigned int) {
 	team := p.teams[job.Spec.Team]
 	request := TaskResources(job.Spec)
 	zones := job.TasksByZone()
 	machines := newMachineHeap(job, candidates)
-	job.unshareRunning()
+	job.clipRunning()
 	tasks := job.Pending[:min(len(job.Pending), job.MaxStarts)]
 	for i, task := range tasks {
 		if !team.withinLimit(request, 1) {
@@ -41,7 +41,8 @@
 		}
 		machine := machines.cheapest(zones)
 		if machine == nil {
-			// Neither the quota nor the room changes for the tasks after it.
+			// The remaining tasks are alike: neither the quota nor the free capacity changes for
+			// them.
 			return len(tasks), i
 		}
 		zones[machine.Zone]++
@@ -51,16 +52,16 @@
 	return len(tasks), len(tasks)
 }
 
-// assignGang assigns all tasks of a gang or none, and returns how many should run now
-// and how many were assigned.
-func (p *planning) assignGang(job *Job) (wanted, assigned int) {
+// assignGang assigns all tasks of a gang or none. It returns how many should run now and how many
+// it assigned.
+func (p *planning) assignGang(job *Job) (demand, assigned int) {
 	n := len(job.Pending)
 	team := p.teams[job.Spec.Team]
 	if n > job.MaxStarts || !team.withinLimit(TaskResources(job.Spec), n) {
 		return 0, 0
 	}
-	// Machines that are up come first: a gang of which a part waits for a machine to
-	// boot can't start earlier than that part.
+	// Ready machines come first: a gang that waits for a machine to boot can't start before its
+	// last task can.
 	machines := p.fitGang(job, n, readyNow)
 	if machines == nil {
 		machines = p.fitGang(job, n, readyOrBooting)
@@ -68,18 +69,19 @@
 	if machines == nil {
 		return n, 0
 	}
-	job.unshareRunning()
+	job.clipRunning()
 	for i, machine := range machines {
 		p.assign(job, job.Pending[i], machine, team)
 	}
 	return n, n
 }
 
-// unshareRunning has appending to the running tasks copy them, since the snapshot that
-// they come from stays as it is.
-func (j *Job) unshareRunning() { j.Running = slices.Clip(j.Running) }
+// clipRunning makes the next append to Running copy the array, since the job shares it with the
+// snapshot, which must not change.
+func (j *Job) clipRunning() { j.Running = slices.Clip(j.Running) }
 
-// assign adds a placement to the plan and takes the resources for it.
+// assign adds a placement to the plan and subtracts the task's resources from the machine and the
+// team's quota.
 func (p *planning) assign(job *Job, task int, machine *Machine, team *Team) {
 	request := TaskResources(job.Spec)
 	machine.Free = machine.Free.Minus(request)
@@ -93,7 +95,7 @@
 	if job.zoneConstrained() {
 		job.Running = append(job.Running, RunningTask{Task: task, Machine: machine.Name, Zone: machine.Zone})
 	} else {
-		job.startedUnlisted++
+		job.unlistedPlacements++
 	}
 	p.plan.Placements = append(p.plan.Placements, Placement{job.ID, task, machine.Name, machine.Booting})
 }
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -17,9 +17,9 @@
 	}
 }
 
-// grownSnapshot has the size of a grown deployment: hundreds of machines, most of them
-// full, and jobs that wait.
-func grownSnapshot() Snapshot {
+// largeSnapshot has the size of a large deployment: 650 machines, most of them full, and 100
+// pending jobs.
+func largeSnapshot() Snapshot {
 	s := Snapshot{Machines: machinesWith(650, 16, 16)}
 	for i := range s.Machines {
 		s.Machines[i].Name = protocol.MachineName(fmt.Sprintf("m-%06d", i))
@@ -38,7 +38,7 @@
 }
 
 func BenchmarkMakeGrown(b *testing.B) {
-	s := grownSnapshot()
+	s := largeSnapshot()
 	for b.Loop() {
 		MakePlan(s)
 	}
--- a/internal/planner/build_test.go
+++ b/internal/planner/build_test.go
@@ -7,8 +7,7 @@
 	"postpoint/internal/protocol"
 )
 
-// arrayJob returns an array that may preempt, of which the given tasks run and the rest
-// are pending.
+// arrayJob returns an array that may preempt. The given tasks run, and the rest are pending.
 func arrayJob(id protocol.JobID, rank, tasks int, cpus float64, running ...RunningTask) Job {
 	j := Job{ID: id, Rank: rank, MaxStarts: 100, MayPreempt: true, Running: running,
 		Spec: &protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Tasks: tasks, Cpus: cpus}}
@@ -25,7 +24,7 @@
 	return j
 }
 
-// machinesWith returns n machines of the given size, named m0 and so on.
+// machinesWith returns n machines with the given total and free processors, named m0, m1 and so on.
 func machinesWith(n int, cpus, free float64) []Machine {
 	var machines []Machine
 	for i := range n {
@@ -35,7 +34,7 @@
 	return machines
 }
 
-// machinesByName points into the given machines.
+// machinesByName maps names to pointers into the given machines.
 func machinesByName(machines []Machine) map[protocol.MachineName]*Machine {
 	byName := make(map[protocol.MachineName]*Machine, len(machines))
 	for i := range machines {
@@ -53,11 +52,11 @@
 	return zones
 }
 
-// hasUnmetGang reports whether a gang of several tasks is among the unmet demand: then
-// room that is free may be kept for it.
-func hasUnmetGang(wants []UnmetDemand) bool {
-	return slices.ContainsFunc(wants, func(w UnmetDemand) bool { return isRealGang(w.Job) })
+// hasUnmetGang reports whether a gang of several tasks is among the unmet demand. If so, the plan
+// may reserve free capacity for it.
+func hasUnmetGang(unmet []UnmetDemand) bool {
+	return slices.ContainsFunc(unmet, func(demand UnmetDemand) bool { return isMultiTaskGang(demand.Job) })
 }
 
-// isRealGang reports whether a job is a gang of more than one task.
-func isRealGang(j *Job) bool { return j.Spec.Gang() && j.Spec.Tasks > 1 }
+// isMultiTaskGang reports whether a job is a gang of more than one task.
+func isMultiTaskGang(j *Job) bool { return j.Spec.Gang() && j.Spec.Tasks > 1 }
--- a/internal/planner/constraints.go
+++ b/internal/planner/constraints.go
@@ -6,16 +6,16 @@
 	"postpoint/internal/protocol"
 )
 
-// MachineAllowed reports whether a job may use machines of a type in a zone, regardless of
-// where its other tasks are.
+// MachineAllowed reports whether a job may use machines of a type in a zone, spot or on-demand,
+// regardless of where its other tasks are.
 func MachineAllowed(s *protocol.JobSpec, typ, zone string, spot bool) bool {
 	return (len(s.Types) == 0 || slices.Contains(s.Types, typ)) &&
 		(s.Zone == "" || s.Zone == zone) && (s.Spot || !spot)
 }
 
-// ZoneAllowed reports whether one more task of a job may go to a zone, given how many
-// of its tasks may be in which zones already, those of earlier attempts included. A
-// task whose zone isn't known is counted under "" and may be in any.
+// ZoneAllowed reports whether one more task of a job may go to a zone. zones counts the job's tasks
+// that may be in each zone already, tasks of earlier attempts included. It counts a task whose zone
+// is unknown under "", since the task may be in any zone.
 func ZoneAllowed(s *protocol.JobSpec, zones map[string]int, zone string) bool {
 	if s.OneZone {
 		for z, n := range zones {
@@ -27,21 +27,21 @@
 	return !s.Spread || zones[zone]+zones[""]+1 <= (s.Tasks+1)/2
 }
 
-// MayNeedZone reports whether the tasks of a job may have no other zone to go to.
+// MayNeedZone reports whether tasks of a job may have no zone to go to except this one.
 func MayNeedZone(s *protocol.JobSpec, zone string) bool { return s.Zone == zone || s.Spread }
 
-// readiness selects machines by whether a task assigned to them starts at once.
+// readiness selects machines by whether they can start a task now or only after booting.
 type readiness int
 
 const (
-	// readyNow selects machines that are up.
+	// readyNow selects ready machines only.
 	readyNow readiness = iota
-	// readyOrBooting selects machines that boot as well.
+	// readyOrBooting selects booting machines as well.
 	readyOrBooting
 )
 
-// candidates returns the machines with room for one task of the job, regardless of
-// where its other tasks are.
+// candidates returns the machines with free capacity for one task of the job, regardless of where
+// its other tasks are.
 func (p *planning) candidates(job *Job, ready readiness) []*Machine {
 	var machines []*Machine
 	request := TaskResources(job.Spec)
@@ -54,8 +54,8 @@
 	return machines
 }
 
-// accepts reports whether the job's tasks may be assigned to the machine if it has
-// room for them.
+// accepts reports whether the planner may assign the job's tasks to the machine, apart from free
+// capacity.
 func (j *Job) accepts(machine *Machine) bool {
 	if machine.HeartbeatLate && j.Spec.Service() {
 		return false
@@ -66,8 +66,8 @@
 	return j.mayUse(machine)
 }
 
-// mayUse reports whether the job's tasks may be on the machine at all, whatever its
-// present state.
+// mayUse reports whether the job's tasks may run on the machine at all, regardless of its current
+// state.
 func (j *Job) mayUse(machine *Machine) bool {
 	return MachineAllowed(j.Spec, machine.Type, machine.Zone, machine.Spot) &&
 		!j.AvoidedMachines[machine.Name]
--- a/internal/planner/cost.go
+++ b/internal/planner/cost.go
@@ -1,43 +1,43 @@
 package planner
 
 const (
-	// spotLoss is the fraction of its estimated run that a task without checkpoints
-	// is expected to lose on a spot machine, because the cloud may take it back.
-	spotLoss = 0.1
+	// spotLossFraction is the fraction of its estimated run time that a task without checkpoints is
+	// expected to lose on a spot machine, because the cloud may reclaim the machine.
+	spotLossFraction = 0.1
 
-	// bootRiskS is added to the time that a machine is expected to go on booting, in
-	// seconds, because some take longer than they should.
-	bootRiskS = 10
+	// bootMarginS is added to the time that a machine is still expected to boot, in seconds,
+	// because some machines take longer than expected.
+	bootMarginS = 10
 
-	// pinningWeight is what a machine's hourly price counts in seconds for the first
-	// replica on it, which keeps the whole machine from being returned.
-	pinningWeight = 3
+	// firstReplicaPriceWeight converts a machine's hourly price to seconds of cost for the first
+	// service replica on it: that replica keeps the autoscaler from releasing the whole machine.
+	firstReplicaPriceWeight = 3
 
-	// replicaCrowdingS is what each replica that a machine has counts for the next,
-	// in seconds, because all of them are lost together.
-	replicaCrowdingS = 1
+	// replicaColocationS is the cost, in seconds, that each replica on a machine adds for the next
+	// one, because a failure of the machine stops all of them.
+	replicaColocationS = 1
 
-	// priceWeight is what an hour's price of a machine counts in seconds for the share
-	// of the machine that a task takes.
+	// priceWeight converts a machine's hourly price to seconds of cost for the share of the machine
+	// that a task takes.
 	priceWeight = 10
 
-	// fragmentationS is what leaving a whole machine unused next to the task counts,
-	// in seconds. Full machines leave others idle, and idle ones can be returned.
+	// fragmentationS is the cost, in seconds, of leaving a whole machine unused next to the task.
+	// Full machines leave others idle, and the autoscaler can release idle machines.
 	fragmentationS = 5
 )
 
-// placementCost returns the expected loss, in seconds, of running a task of the job
-// on the machine: the lower, the better the machine suits. The terms are added in a
-// fixed order, so that equal inputs always give equal bits.
+// placementCost returns the expected loss, in seconds, of running a task of the job on the machine:
+// the lower, the better the machine suits. It adds the terms in a fixed order, so that equal inputs
+// always give identical bits.
 func placementCost(job *Job, machine *Machine) float64 {
 	cost := machine.ImageWaitS(job.Spec)
 	if machine.Booting {
-		cost += machine.BootRemainingS + bootRiskS
+		cost += machine.BootRemainingS + bootMarginS
 	}
 	request := TaskResources(job.Spec)
 	cost += machine.Slowdown * job.Spec.EstimateS
 	if machine.Spot && job.Spec.CheckpointS == 0 {
-		cost += spotLoss * job.Spec.EstimateS
+		cost += spotLossFraction * job.Spec.EstimateS
 	}
 	if job.Spec.Service() {
 		cost += replicaCost(machine)
@@ -47,11 +47,11 @@
 	return cost
 }
 
-// replicaCost returns what a service replica adds to the cost of a machine: the first
-// keeps the whole machine from being returned, others would be lost together.
+// replicaCost returns what a service replica adds to the cost of a machine. The first replica keeps
+// the autoscaler from releasing the machine; a failure of the machine stops the others at once.
 func replicaCost(machine *Machine) float64 {
 	if machine.Replicas == 0 {
-		return pinningWeight * machine.HourlyPrice
+		return firstReplicaPriceWeight * machine.HourlyPrice
 	}
-	return replicaCrowdingS * float64(machine.Replicas)
+	return replicaColocationS * float64(machine.Replicas)
 }
--- a/internal/planner/doc.go
+++ b/internal/planner/doc.go
@@ -1,22 +1,22 @@
-// Package planner decides which pending tasks start on which machines, and which
-// running tasks are preempted for them.
+// Package planner decides which pending tasks start on which machines, and which running tasks it
+// preempts for them.
 //
-// The package is a pure function from a Snapshot to a Plan. It does no I/O, reads
-// no clock and keeps nothing between calls. The same snapshot always yields the same
-// plan: machines are visited in the order of their names, every sort ends with an
-// identifier, and floating-point sums are formed in a fixed order.
+// The package is a pure function from a Snapshot to a Plan. It does no I/O, reads no clock and
+// keeps no state between calls. The same snapshot always yields the same plan: the planner visits
+// machines in the order of their names, every sort ends with an identifier, and floating-point sums
+// have a fixed order.
 //
-// It owns the order of the queue, bin packing, the placement of gangs, the check of
-// team quotas, and the choice of preemption victims. It doesn't own what the snapshot
-// says (ranks, objectives and guarantees are computed by the caller), carrying out
-// the plan, or the number of machines: demand that found no room is returned to the
-// caller, whose autoscaler decides what to rent for it.
+// The planner orders the queue, packs tasks onto machines (bin packing), places gangs, enforces
+// team quotas and chooses preemption victims. The caller computes what the snapshot contains
+// (ranks, objectives and guarantees), carries out the plan and controls the number of machines: the
+// plan returns the unmet demand, from which the caller's autoscaler decides how to scale out.
 //
-// The leader calls the package at every scheduling step. The autoscaler calls it to
-// find out which machines could be removed. The offload planner and the simulation
-// use its resource arithmetic and its placement constraints.
+// The leader calls the package at every scheduling step. The autoscaler calls it to find machines
+// that it could release. The offload planner and the simulation use its resource arithmetic and its
+// placement constraints.
 //
-// Preemption follows N&SPAA, the mechanism without advance notice that shrinks before
-// it preempts, of "Hybrid Workload Scheduling on HPC Systems" (Fan, Lan, Rich, Allcock
-// and Papka). docs/design.md says what was kept of the paper and what was changed.
+// Preemption follows N&SPAA of "Hybrid Workload Scheduling on HPC Systems" (Fan, Lan, Rich, Allcock
+// and Papka): the mechanism that gives no advance notice and shrinks malleable jobs before it
+// preempts whole ones. docs/design.md says where the planner follows the paper and where it
+// differs.
 package planner
--- a/internal/planner/draw_test.go
+++ b/internal/planner/draw_test.go
@@ -8,10 +8,10 @@
 	"postpoint/internal/protocol"
 )
 
-// limitedCpus is the limit of the team "limited"; the team "open" has none.
+// limitedCpus is the processor limit of the team "limited". The team "open" has no limit.
 const limitedCpus = 12
 
-// drawSnapshot draws machines and jobs of which some run already.
+// drawSnapshot draws machines and jobs. Some of the jobs run already.
 func drawSnapshot(t *rapid.T) Snapshot {
 	s := Snapshot{Teams: map[string]Team{
 		"limited": {Limit: Resources{Cpus: limitedCpus}, Guarantee: Resources{Cpus: 6}},
@@ -49,13 +49,13 @@
 	tasks := rapid.IntRange(1, 5).Draw(t, "tasks")
 	return &protocol.JobSpec{ID: id, Team: rapid.SampledFrom([]string{"limited", "open"}).Draw(t, "team"),
 		Shape: rapid.SampledFrom(shapes).Draw(t, "shape"), Tasks: tasks,
-		Cpus: float64(rapid.IntRange(1, 5).Draw(t, "each")), MemoryGB: 1,
-		Spot:    rapid.Bool().Draw(t, "mayspot"),
-		OneZone: rapid.IntRange(0, 3).Draw(t, "one") == 0,
+		Cpus: float64(rapid.IntRange(1, 5).Draw(t, "cpus of a task")), MemoryGB: 1,
+		Spot:    rapid.Bool().Draw(t, "spot allowed"),
+		OneZone: rapid.IntRange(0, 3).Draw(t, "one zone") == 0,
 		Spread:  rapid.IntRange(0, 3).Draw(t, "spread") == 0}
 }
 
-// runSomewhere has a task run on the first machine that may hold it, and reports whether
+// runSomewhere starts a task on the first machine that it fits and may use, and reports whether
 // there is one.
 func runSomewhere(t *rapid.T, s *Snapshot, j *Job, task int) bool {
 	request, zones := TaskResources(j.Spec), countZones(j.Running)
@@ -76,8 +76,8 @@
 	return false
 }
 
-// drawQueue draws a snapshot in which everything that orders the queue and the machines
-// differs, and nothing may preempt.
+// drawQueue draws a snapshot whose jobs and machines differ in everything that affects their order.
+// No job may preempt.
 func drawQueue(t *rapid.T) Snapshot {
 	s := drawSnapshot(t)
 	images := []string{"x", "y", "z"}
@@ -87,8 +87,8 @@
 		m.FetchSPerGB = 2
 		m.CachedImages = rapid.SliceOfNDistinct(rapid.SampledFrom(images), 0, 2, rapid.ID[string]).Draw(t,
 			"images")
-		if rapid.IntRange(0, 3).Draw(t, "boots") == 0 && m.Free == m.Capacity {
-			m.Booting, m.BootRemainingS = true, float64(rapid.IntRange(0, 30).Draw(t, "boot"))
+		if rapid.IntRange(0, 3).Draw(t, "booting") == 0 && m.Free == m.Capacity {
+			m.Booting, m.BootRemainingS = true, float64(rapid.IntRange(0, 30).Draw(t, "boot remaining"))
 		}
 	}
 	for i := range s.Jobs {
@@ -100,9 +100,9 @@
 		j.MayPreempt, j.Rank = false, rapid.IntRange(0, 1).Draw(t, "rank")
 		j.Tier = Tier(rapid.IntRange(0, 2).Draw(t, "tier"))
 		j.SlackS = float64(rapid.IntRange(-50, 100).Draw(t, "slack"))
-		j.WithinGuarantee = rapid.IntRange(0, 4).Draw(t, "within") == 0
-		j.MaxStarts = rapid.IntRange(1, 6).Draw(t, "limit")
-		j.ScaleOutOverdue = rapid.Bool().Draw(t, "unmet")
+		j.WithinGuarantee = rapid.IntRange(0, 4).Draw(t, "within guarantee") == 0
+		j.MaxStarts = rapid.IntRange(1, 6).Draw(t, "max starts")
+		j.ScaleOutOverdue = rapid.Bool().Draw(t, "scale-out overdue")
 	}
 	return s
 }
--- a/internal/planner/gang.go
+++ b/internal/planner/gang.go
@@ -4,21 +4,21 @@
 	"slices"
 )
 
-// fitGang returns machines for n tasks at once, one for each, at the lowest total cost
-// of the zones that are possible. It returns nil if there is no room for all of them.
+// fitGang returns a machine for each of n tasks, or nil if not all of them fit. If the job needs
+// one zone, it chooses the zone with the lowest total cost.
 func (p *planning) fitGang(job *Job, n int, ready readiness) []*Machine {
 	candidates := p.candidates(job, ready)
-	room := 0
+	capacity := 0
 	for _, machine := range candidates {
-		room += TaskResources(job.Spec).CopiesIn(machine.Free)
+		capacity += TaskResources(job.Spec).CopiesIn(machine.Free)
 	}
-	if room < n {
+	if capacity < n {
 		return nil
 	}
 	var best []*Machine
 	bestCost := 0.0
 	for _, group := range p.zoneGroups(job, candidates) {
-		machines, cost := p.fitMost(job, n, group)
+		machines, cost := p.fitUpTo(job, n, group)
 		if len(machines) == n && (best == nil || cost < bestCost) {
 			best, bestCost = machines, cost
 		}
@@ -26,8 +26,8 @@
 	return best
 }
 
-// zoneGroups splits machines into the groups over which the job's tasks may be spread:
-// one group of all, or one for each zone.
+// zoneGroups splits machines into the groups within which all of the job's tasks must stay: one
+// group of all machines, or one per zone.
 func (p *planning) zoneGroups(job *Job, machines []*Machine) [][]*Machine {
 	if !job.Spec.OneZone {
 		return [][]*Machine{machines}
@@ -40,9 +40,9 @@
 	return groups
 }
 
-// fitMost returns machines for as many of n tasks as there is room for, one for each
-// task, and their total cost. It leaves the machines as they are.
-func (p *planning) fitMost(job *Job, n int, candidates []*Machine) (machines []*Machine, cost float64) {
+// fitUpTo returns a machine for each of up to n tasks, as many as fit, and their total cost. It
+// leaves the machines unchanged.
+func (p *planning) fitUpTo(job *Job, n int, candidates []*Machine) (machines []*Machine, cost float64) {
 	available := newMachineHeap(job, candidates)
 	zones := job.TasksByZone()
 	request := TaskResources(job.Spec)
@@ -59,21 +59,21 @@
 		machines = append(machines, machine)
 		available.updateCheapest()
 	}
-	// Backwards, since a machine may hold several tasks. Adding the requests back
-	// would leave other bits.
+	// Restore in reverse order, since a machine may hold several tasks. Adding the requests back
+	// would not restore the exact bits.
 	for i, machine := range slices.Backward(machines) {
 		machine.Free = freeBefore[i]
 	}
 	return machines, cost
 }
 
-// reserveForGang keeps what room there is for the first gang in the queue that is to
-// start and lacks some, and returns for how many of its n tasks. As resources become
-// free one by one, smaller jobs behind it would take each of them, and a large gang
-// would never find enough at once.
+// reserveForGang reserves the free capacity for the first gang in the queue that should start now
+// (TierStartInTime) and doesn't fit, and returns for how many of its n tasks it did. Without the
+// reservation, smaller jobs behind the gang would take each resource as it becomes free, and a
+// large gang would never find enough at once.
 //
-// Nothing is kept for a gang that the present machines can't hold and for which none
-// have come: that would be kept for ever.
+// It reserves nothing for a gang that the present machines can't hold and for which none have come:
+// such a reservation would never end.
 func (p *planning) reserveForGang(job *Job, n int) int {
 	if p.gangReserved || !job.Spec.Gang() || job.Tier != TierStartInTime {
 		return 0
@@ -82,28 +82,28 @@
 		return 0
 	}
 	p.gangReserved = true
-	var most []*Machine
+	var largest []*Machine
 	for _, group := range p.zoneGroups(job, p.candidates(job, readyNow)) {
-		// Not all n fit, or they would have been assigned.
-		machines, _ := p.fitMost(job, n-1, group)
-		if len(machines) > len(most) {
-			most = machines
+		// Not all n fit, or assignGang would have assigned them.
+		machines, _ := p.fitUpTo(job, n-1, group)
+		if len(machines) > len(largest) {
+			largest = machines
 		}
 	}
-	p.hold(job, most)
-	return len(most)
+	p.reserveOnMachines(job, largest)
+	return len(largest)
 }
 
-// hold takes the resources of one task of the job on each of the machines, for the rest
-// of the plan.
-func (p *planning) hold(job *Job, machines []*Machine) {
+// reserveOnMachines subtracts the resources of one task of the job on each of the machines, for the
+// rest of the plan.
+func (p *planning) reserveOnMachines(job *Job, machines []*Machine) {
 	for _, machine := range machines {
 		machine.Free = machine.Free.Minus(TaskResources(job.Spec))
 	}
 }
 
-// fitsWhenEmpty reports whether n tasks would fit on the present machines, those that
-// boot included, if nothing else ran there.
+// fitsWhenEmpty reports whether n tasks would fit on the present machines, booting ones included,
+// if nothing else ran there.
 func (p *planning) fitsWhenEmpty(job *Job, n int) bool {
 	var usable []*Machine
 	for i := range p.machines {
@@ -112,11 +112,11 @@
 		}
 	}
 	for _, group := range p.zoneGroups(job, usable) {
-		room := 0
+		capacity := 0
 		for _, machine := range group {
-			room += TaskResources(job.Spec).CopiesIn(machine.Capacity)
+			capacity += TaskResources(job.Spec).CopiesIn(machine.Capacity)
 		}
-		if room >= n {
+		if capacity >= n {
 			return true
 		}
 	}
--- a/internal/planner/job.go
+++ b/internal/planner/job.go
@@ -11,84 +11,85 @@
 	Task    int
 	Machine protocol.MachineName
 	Zone    string
-	// Stopping tasks have been told to stop and still hold their resources.
+	// Stopping reports whether the task was told to stop. It holds its resources until it ends.
 	Stopping bool
-	// OverheadS is the paper's preemption overhead: how many seconds of work are lost
-	// if the task is stopped now.
+	// OverheadS is the paper's preemption overhead: how many seconds of work are lost if the task
+	// stops now.
 	OverheadS float64
-	// OverQuota reports whether the task's team runs it beyond its guarantee.
+	// OverQuota reports whether the task runs beyond its team's guarantee.
 	OverQuota bool
 }
 
-// Job is a job that isn't over.
+// Job is a job that has not ended.
 type Job struct {
 	ID   protocol.JobID
 	Spec *protocol.JobSpec
 	// Rank is the job's priority class. 0 is the highest.
 	Rank int
-	// SubmittedAt orders jobs that are otherwise alike. Preempted jobs keep it.
+	// SubmittedAt breaks ties between jobs that are otherwise equal. A preempted job keeps it.
 	SubmittedAt int64
-	// Lender reports whether the job is one of the paper's lenders: it was preempted for
-	// a job that has ended, and resumes before others of its rank.
+	// Lender reports whether the job is a lender in the paper's sense: it was preempted for a job
+	// that has ended since, and gets capacity back before other jobs of its rank.
 	Lender bool
-	// Pending are the tasks to start, in this order. A gang starts whole or not at
-	// all.
+	// Pending are the tasks to start, in this order. A gang starts whole or not at all.
 	Pending []int
-	// MaxStarts is how many tasks may be started in this plan, so that the job's record
-	// keeps within the size of a value.
+	// MaxStarts is how many tasks this plan may start at most. It keeps the job's record within the
+	// size limit of a value in the key-value store.
 	MaxStarts int
 	Running   []RunningTask
-	// OtherTasksByZone counts tasks, by zone, that aren't among those running and still
-	// restrict where others may go, such as those of earlier attempts.
+	// OtherTasksByZone counts, by zone, the tasks that aren't in Running and still restrict where
+	// other tasks may go, such as tasks of earlier attempts.
 	OtherTasksByZone map[string]int
-	// BackingOff reports whether the job waits after failures: it starts nothing and preempts
-	// nothing.
+	// BackingOff reports whether the job is backing off after failures. Until the backoff ends, it
+	// starts nothing and preempts nothing.
 	BackingOff bool
-	// MayPreempt allows the job to have others preempted.
+	// MayPreempt allows the planner to preempt other jobs for this one.
 	MayPreempt bool
-	// WithinGuarantee reports whether the job, counted together with the team's earlier jobs, fits
-	// into its team's guarantee, so that it needn't wait for other teams.
+	// WithinGuarantee reports whether the job, counted together with its team's earlier jobs, fits
+	// into the team's guarantee. Such a job needn't wait for other teams.
 	WithinGuarantee bool
-	// HasStartObjective reports whether the job's class has an objective for its start.
+	// HasStartObjective reports whether the job's class has a service-level objective for the
+	// start.
 	HasStartObjective bool
 	// StartSlackS is how many seconds are left to start the job within its objective.
 	StartSlackS float64
-	// Tier tells which of the job's objectives can still be met.
+	// Tier tells which of the job's objectives the job can still meet.
 	Tier Tier
-	// SlackS is how many seconds the job can wait before its tasks must run for it to
-	// end within its objective.
+	// SlackS is how many seconds the job can wait before its tasks must run for it to end within
+	// its objective.
 	SlackS float64
 	// AvoidedMachines are the machines on which the job failed.
 	AvoidedMachines map[protocol.MachineName]bool
-	// ScaleOutOverdue reports whether machines have been wanted for the job for long
-	// and haven't come.
+	// ScaleOutOverdue reports whether the job has had unmet demand for a long time and no machines
+	// have come for it.
 	ScaleOutOverdue bool
-	// startedUnlisted counts the tasks that the plan has started and not added to
-	// Running, because their machines make no difference to the rest of the plan.
-	startedUnlisted int
+	// unlistedPlacements counts the tasks that the plan places without adding them to Running,
+	// because their machines make no difference to the rest of the plan.
+	unlistedPlacements int
 }
 
-// Tier tells which of a job's service-level objectives can still be met. Jobs of one
-// rank are served in the order of their tiers.
+// Tier tells which of its service-level objectives a job can still meet. The queue orders jobs of
+// one rank by tier.
 type Tier int
 
 const (
-	// TierStartInTime is the tier of jobs that meet the objective for their start if
-	// they start now.
+	// TierStartInTime is the tier of jobs that meet the objective for their start if they start
+	// now.
 	TierStartInTime Tier = iota
-	// TierEndInTime is the tier of jobs that can meet the objective for their end. The
-	// one with the least slack goes first.
+	// TierEndInTime is the tier of jobs that can meet the objective for their end. The queue orders
+	// them by slack, the least first.
 	TierEndInTime
-	// TierTooLate is the tier of jobs that can't meet any objective. They let others go
-	// first until they have waited so long that the caller raises them again.
+	// TierTooLate is the tier of jobs that can't meet any objective. Other jobs go first until such
+	// a job has waited so long that the caller raises its tier.
 	TierTooLate
 )
 
-// zoneConstrained reports whether the zone of one task restricts those of the others.
+// zoneConstrained reports whether the zone of one task restricts the zones of the job's other
+// tasks.
 func (j *Job) zoneConstrained() bool { return j.Spec.OneZone || j.Spec.Spread }
 
-// TasksByZone counts the job's tasks by zone. It is empty if zones don't matter to the
-// job. The caller may change it.
+// TasksByZone counts the job's tasks by zone. The map is empty if the job has no zone constraint.
+// The caller may modify it.
 func (j *Job) TasksByZone() map[string]int {
 	zones := map[string]int{}
 	if !j.zoneConstrained() {
--- a/internal/planner/machine.go
+++ b/internal/planner/machine.go
@@ -6,13 +6,13 @@
 	"postpoint/internal/protocol"
 )
 
-// Machine is a machine that tasks can be assigned to. Machines that boot take part
-// too: tasks assigned to them start later, and nothing more is rented for them.
+// Machine is a machine to which the planner can assign tasks. Booting machines take part too: tasks
+// assigned to them start later, and the autoscaler adds no other machines for them.
 type Machine struct {
 	Name protocol.MachineName
 	Type string
 	Zone string
-	// Spot machines are preemptible: the cloud may take them back.
+	// Spot machines are preemptible: the cloud may reclaim them.
 	Spot    bool
 	Booting bool
 	// Capacity is the capacity of the machine without any task.
@@ -25,23 +25,24 @@
 	FetchSPerGB float64
 	// CachedImages are the images in the machine's cache.
 	CachedImages []string
-	// PullingImages are the images being fetched. They share the machine's rate, so that
-	// all of them are there at the same time.
+	// PullingImages are the images that the machine is fetching. They share its bandwidth, so that
+	// all of them are complete at the same time.
 	PullingImages []string
-	// PullRemainingS is how many seconds fetching all images being fetched takes.
+	// PullRemainingS is how many more seconds the machine takes to fetch all of PullingImages.
 	PullRemainingS float64
-	// BootRemainingS is how many seconds a booting machine is expected to go on booting.
+	// BootRemainingS is how many more seconds a booting machine is expected to take to boot.
 	BootRemainingS float64
-	// Replicas counts the service replicas on the machine. They don't end by
-	// themselves, so that the machine can't be returned.
+	// Replicas counts the service replicas on the machine. Replicas don't end by themselves, so
+	// that the autoscaler can't release the machine.
 	Replicas int
-	// HeartbeatLate machines have missed a heartbeat. Services keep off them.
+	// HeartbeatLate reports whether the machine has missed a heartbeat. The planner assigns no
+	// services to it.
 	HeartbeatLate bool
-	// ZoneAtRisk machines are in a zone that was lost and may be lost again. Only
-	// tasks that may have no other zone are assigned to them.
+	// ZoneAtRisk reports whether the machine's zone was lost and may be lost again. The planner
+	// assigns a task to the machine only if the task may have no other zone.
 	ZoneAtRisk bool
-	// Slowdown is by what fraction tasks ran longer here than elsewhere, 0 if they
-	// didn't.
+	// Slowdown is the fraction by which tasks ran longer on this machine than on others, 0 if they
+	// ran no longer.
 	Slowdown float64
 }
 
@@ -56,8 +57,8 @@
 	return m.PullRemainingS + s.ImageGB*m.FetchSPerGB
 }
 
-// StartPull records that the machine fetches the image for a task assigned to it. It
-// leaves the array of the images being fetched as it is, since snapshots share it.
+// StartPull records that the machine fetches the image for a task assigned to it. It copies
+// PullingImages before it appends, since snapshots share the underlying array.
 func (m *Machine) StartPull(s *protocol.JobSpec) {
 	if !slices.Contains(m.CachedImages, s.Image) && !slices.Contains(m.PullingImages, s.Image) {
 		m.PullingImages = append(slices.Clip(m.PullingImages), s.Image)
--- a/internal/planner/machineheap.go
+++ b/internal/planner/machineheap.go
@@ -2,8 +2,8 @@
 
 import "container/heap"
 
-// machineHeap orders machines by the cost of a task of one job. The tasks of a job are
-// alike, so that they are assigned one after another without computing the cost of
+// machineHeap orders machines by the cost of placing one more task of one job on them. A job's
+// tasks are alike, so that the planner assigns them one after another without computing the cost of
 // every machine for each of them.
 type machineHeap struct {
 	job     *Job
@@ -14,11 +14,12 @@
 type heapEntry struct {
 	machine *Machine
 	cost    float64
-	// position among the machines given breaks ties between equal costs.
+	// position is the index of the machine in the input. It breaks ties between equal costs.
 	position int
 }
 
-// newMachineHeap returns a heap of machines that all have room for a task of the job.
+// newMachineHeap returns a heap of machines, each of which must have free capacity for a task of
+// the job.
 func newMachineHeap(job *Job, machines []*Machine) *machineHeap {
 	h := &machineHeap{job, make([]heapEntry, len(machines))}
 	for i, m := range machines {
@@ -28,9 +29,9 @@
 	return h
 }
 
-// cheapest returns the machine with the lowest cost in a zone that the job's tasks
-// allow, or nil. Machines in other zones are dropped: as tasks are only added, a zone
-// that they exclude stays excluded.
+// cheapest returns the machine with the lowest cost in a zone that the job's constraints allow, or
+// nil. It drops machines in other zones from the heap: tasks are only added, so that an excluded
+// zone stays excluded.
 func (h *machineHeap) cheapest(zones map[string]int) *Machine {
 	for len(h.entries) > 0 {
 		if m := h.entries[0].machine; ZoneAllowed(h.job.Spec, zones, m.Zone) {
@@ -41,10 +42,11 @@
 	return nil
 }
 
-// cheapestCost returns the cost of the machine that cheapest has returned.
+// cheapestCost returns the cost of the machine that cheapest last returned.
 func (h *machineHeap) cheapestCost() float64 { return h.entries[0].cost }
 
-// updateCheapest restores the order after a task was assigned to the cheapest machine.
+// updateCheapest restores the heap order after the planner has assigned a task to the cheapest
+// machine.
 func (h *machineHeap) updateCheapest() {
 	first := &h.entries[0]
 	if !TaskResources(h.job.Spec).FitsIn(first.machine.Free) {
@@ -55,22 +57,22 @@
 	heap.Fix(h, 0)
 }
 
-// Len is part of heap.Interface.
+// Len implements heap.Interface.
 func (h *machineHeap) Len() int { return len(h.entries) }
 
-// Less is part of heap.Interface.
+// Less implements heap.Interface.
 func (h *machineHeap) Less(i, k int) bool {
 	a, b := &h.entries[i], &h.entries[k]
 	return a.cost < b.cost || a.cost == b.cost && a.position < b.position
 }
 
-// Swap is part of heap.Interface.
+// Swap implements heap.Interface.
 func (h *machineHeap) Swap(i, k int) { h.entries[i], h.entries[k] = h.entries[k], h.entries[i] }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (h *machineHeap) Push(x any) { h.entries = append(h.entries, x.(heapEntry)) }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (h *machineHeap) Pop() any {
 	last := h.entries[len(h.entries)-1]
 	h.entries = h.entries[:len(h.entries)-1]
--- a/internal/planner/main_test.go
+++ b/internal/planner/main_test.go
@@ -6,5 +6,5 @@
 	"postpoint/internal/rapidtest"
 )
 
-// TestMain fixes what rapid draws: the verdict is the same every time.
+// TestMain fixes the seed of rapid, so that the result is the same every time.
 func TestMain(m *testing.M) { rapidtest.Main(m, 3000) }
--- a/internal/planner/model_test.go
+++ b/internal/planner/model_test.go
@@ -10,26 +10,26 @@
 	"postpoint/internal/protocol"
 )
 
-// modelRoom is a plain model of how many more tasks of a job fit: its tasks are alike, so
-// that it is a count by machine, bounded by what the job allows in each zone.
-func modelRoom(j *Job, machines []Machine) int {
+// modelCapacity is a simple model of how many more tasks of a job fit. The tasks are alike, so that
+// it counts them per machine and bounds the sums by what the job allows in each zone.
+func modelCapacity(j *Job, machines []Machine) int {
 	byZone := map[string]int{}
 	for _, m := range machines {
 		if !m.Booting && MachineAllowed(j.Spec, m.Type, m.Zone, m.Spot) && !j.AvoidedMachines[m.Name] {
-			byZone[m.Zone] += modelCount(j, m.Free)
+			byZone[m.Zone] += modelCopies(j, m.Free)
 		}
 	}
-	held := countZones(j.Running)
+	runningByZone := countZones(j.Running)
 	total := 0
 	for zone, n := range byZone {
 		if j.Spec.Spread {
-			n = max(0, min(n, (j.Spec.Tasks+1)/2-held[zone]))
+			n = max(0, min(n, (j.Spec.Tasks+1)/2-runningByZone[zone]))
 		}
 		if !j.Spec.OneZone {
 			total += n
 			continue
 		}
-		elsewhere := len(j.Running) - held[zone]
+		elsewhere := len(j.Running) - runningByZone[zone]
 		if elsewhere == 0 {
 			total = max(total, n)
 		}
@@ -37,8 +37,8 @@
 	return total
 }
 
-// modelCount counts, one by one, the tasks of a job that fit into free resources.
-func modelCount(j *Job, free Resources) int {
+// modelCopies counts, one by one, the tasks of a job that fit into free resources.
+func modelCopies(j *Job, free Resources) int {
 	n := 0
 	for ; TaskResources(j.Spec).FitsIn(free); n++ {
 		free = free.Minus(TaskResources(j.Spec))
@@ -46,13 +46,13 @@
 	return n
 }
 
-// checkedPlan is a plan with the state that its placements lead to.
+// checkedPlan is a plan with the state that results from its placements.
 type checkedPlan struct {
 	Plan
 	before Snapshot
-	// jobs are those of the snapshot by ID; jobsAfter have what was placed running.
+	// jobs are the jobs of the snapshot by ID. In jobsAfter, the placed tasks run too.
 	jobs, jobsAfter map[protocol.JobID]*Job
-	// machinesAfter have less free by what was placed.
+	// machinesAfter are the machines without the capacity that the placements take.
 	machinesAfter []Machine
 	placed        map[protocol.JobID]int // tasks by job
 }
@@ -75,7 +75,7 @@
 			t.Fatalf("%s is placed on %s, which it may not use", p.Job, p.Machine)
 		}
 		m.Free = m.Free.Minus(TaskResources(j.Spec))
-		if m.Free.Cpus < -roundingSlack {
+		if m.Free.Cpus < -roundingTolerance {
 			t.Fatalf("%s has %v processors free, want at least 0", m.Name, m.Free.Cpus)
 		}
 		c.placed[p.Job]++
@@ -84,14 +84,14 @@
 	return c
 }
 
-// missing is how many tasks of a job neither ran before nor were placed.
+// missing returns how many tasks of a job neither ran before nor were placed.
 func (c *checkedPlan) missing(job protocol.JobID) int {
 	before := c.jobs[job]
 	return len(before.Running) + len(before.Pending) - len(c.jobsAfter[job].Running)
 }
 
-// Every plan is valid, leaves nothing out that fits, and preempts only what the rules
-// allow, only if it suffices, and nothing that isn't needed.
+// Every plan is valid, places everything that fits, and preempts only what the rules allow, only if
+// that suffices, and only what is needed.
 func TestPlanAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSnapshot(t)
@@ -100,8 +100,8 @@
 		c.checkZones(t)
 		c.checkGangsAreWhole(t)
 		c.checkUnmetDemandDoesNotFit(t)
-		winners := c.checkRanksOfPreempted(t)
-		c.checkPreemptionsAreNeeded(t, winners)
+		victimsByPreemptor := c.checkRanksOfPreempted(t)
+		c.checkPreemptionsAreNeeded(t, victimsByPreemptor)
 		c.checkNothingElseToPreempt(t)
 	})
 }
@@ -115,12 +115,12 @@
 			used += spec.Cpus
 		}
 	}
-	if used > limitedCpus+roundingSlack && used > before {
+	if used > limitedCpus+roundingTolerance && used > before {
 		t.Fatalf("the team uses %v processors, want at most %v", used, limitedCpus)
 	}
 }
 
-// checkZones checks that jobs keep to one zone, or spread, as they ask for.
+// checkZones checks that jobs stay in one zone or spread over zones if they ask for it.
 func (c *checkedPlan) checkZones(t *rapid.T) {
 	for id, j := range c.jobsAfter {
 		zones := countZones(j.Running)
@@ -135,7 +135,7 @@
 	}
 }
 
-// checkGangsAreWhole checks that gangs are placed whole or not at all.
+// checkGangsAreWhole checks that the plan places all tasks of a gang or none.
 func (c *checkedPlan) checkGangsAreWhole(t *rapid.T) {
 	for id, j := range c.jobs {
 		if j.Spec.Gang() && c.placed[id] != 0 && c.placed[id] != len(j.Pending) {
@@ -145,106 +145,109 @@
 	}
 }
 
-// checkUnmetDemandDoesNotFit checks that what is left without room really has none.
+// checkUnmetDemandDoesNotFit checks that there is no free capacity for the unmet demand.
 func (c *checkedPlan) checkUnmetDemandDoesNotFit(t *rapid.T) {
-	for _, w := range c.UnmetDemand {
-		if len(c.Preemptions) > 0 || isRealGang(w.Job) {
-			return // what is free may be held for who is making room, or a gang
+	for _, demand := range c.UnmetDemand {
+		if len(c.Preemptions) > 0 || isMultiTaskGang(demand.Job) {
+			return // free capacity may be reserved for the preemptor or a gang
 		}
-		j := c.jobsAfter[w.Job.ID]
-		room := modelRoom(j, c.machinesAfter)
-		if !j.Spec.Gang() && room > 0 || j.Spec.Gang() && room >= w.Tasks {
-			t.Fatalf("%s has unmet demand for %d tasks though %d fit", j.ID, w.Tasks, room)
+		j := c.jobsAfter[demand.Job.ID]
+		fitting := modelCapacity(j, c.machinesAfter)
+		if !j.Spec.Gang() && fitting > 0 || j.Spec.Gang() && fitting >= demand.Tasks {
+			t.Fatalf("%s has unmet demand for %d tasks though %d fit", j.ID, demand.Tasks, fitting)
 		}
 	}
 }
 
-// preempted are preempted tasks by the job that they belong to.
+// preempted is a set of preempted tasks by job.
 type preempted map[protocol.JobID]map[int]bool
 
-// checkRanksOfPreempted checks that only lower work yields, and returns the preempted
-// tasks by the job that they yield to.
+// checkRanksOfPreempted checks that all victims are of a lower rank than their preemptor, and
+// returns the victims by preemptor.
 func (c *checkedPlan) checkRanksOfPreempted(t *rapid.T) map[protocol.JobID]preempted {
-	winners := map[protocol.JobID]preempted{}
-	for _, stop := range c.Preemptions {
-		if c.jobs[stop.Job].Rank <= c.jobs[stop.Preemptor].Rank {
-			t.Fatalf("%s of rank %d is preempted for %s of rank %d, want only lower work to yield",
-				stop.Job, c.jobs[stop.Job].Rank, stop.Preemptor, c.jobs[stop.Preemptor].Rank)
+	victimsByPreemptor := map[protocol.JobID]preempted{}
+	for _, preemption := range c.Preemptions {
+		if c.jobs[preemption.Job].Rank <= c.jobs[preemption.Preemptor].Rank {
+			t.Fatalf("%s of rank %d is preempted for %s of rank %d, want victims of lower ranks only",
+				preemption.Job, c.jobs[preemption.Job].Rank,
+				preemption.Preemptor, c.jobs[preemption.Preemptor].Rank)
 		}
-		if winners[stop.Preemptor] == nil {
-			winners[stop.Preemptor] = preempted{}
+		if victimsByPreemptor[preemption.Preemptor] == nil {
+			victimsByPreemptor[preemption.Preemptor] = preempted{}
 		}
-		if winners[stop.Preemptor][stop.Job] == nil {
-			winners[stop.Preemptor][stop.Job] = map[int]bool{}
+		if victimsByPreemptor[preemption.Preemptor][preemption.Job] == nil {
+			victimsByPreemptor[preemption.Preemptor][preemption.Job] = map[int]bool{}
 		}
-		winners[stop.Preemptor][stop.Job][stop.Task] = true
+		victimsByPreemptor[preemption.Preemptor][preemption.Job][preemption.Task] = true
 	}
-	return winners
+	return victimsByPreemptor
 }
 
-// everyTask stands for all tasks of a job in machinesWithout.
+// everyTask means all tasks of the kept job in machinesWithout.
 const everyTask = -1
 
-// machinesWithout returns the machines once the preempted tasks have left, save for one
-// task, or every task, of the job that is kept.
+// machinesWithout returns the machines after the preempted tasks have stopped, except for one task
+// of keptJob, or all of its tasks, which still run.
 func (c *checkedPlan) machinesWithout(tasks preempted, keptJob protocol.JobID, keptTask int) []Machine {
 	machines := slices.Clone(c.machinesAfter)
 	byName := machinesByName(machines)
-	for loser, stopped := range tasks {
-		for _, r := range c.jobs[loser].Running {
-			kept := loser == keptJob && (keptTask == everyTask || r.Task == keptTask)
+	for owner, stopped := range tasks {
+		for _, r := range c.jobs[owner].Running {
+			kept := owner == keptJob && (keptTask == everyTask || r.Task == keptTask)
 			if m := byName[r.Machine]; stopped[r.Task] && !kept {
-				m.Free = m.Free.Plus(TaskResources(c.jobs[loser].Spec))
+				m.Free = m.Free.Plus(TaskResources(c.jobs[owner].Spec))
 			}
 		}
 	}
 	return machines
 }
 
-// checkPreemptionsAreNeeded checks that what is preempted makes enough room, and that
-// nothing of it could be kept.
-func (c *checkedPlan) checkPreemptionsAreNeeded(t *rapid.T, winners map[protocol.JobID]preempted) {
-	if len(winners) != 1 {
-		return // each alone may not suffice, or not be needed
+// checkPreemptionsAreNeeded checks that the preemptions free enough capacity, and that each of them
+// is needed.
+func (c *checkedPlan) checkPreemptionsAreNeeded(t *rapid.T, victimsByPreemptor map[protocol.JobID]preempted) {
+	if len(victimsByPreemptor) != 1 {
+		return // of several preemptors' victims, each may not suffice alone or not be needed
 	}
-	for winner, losers := range winners {
-		j, missing := c.jobsAfter[winner], c.missing(winner)
-		if room := modelRoom(j, c.machinesWithout(losers, "", everyTask)); room < missing {
-			t.Fatalf("preempting for %s makes room for %d tasks, want %d", winner, room, missing)
+	for preemptor, victims := range victimsByPreemptor {
+		j, missing := c.jobsAfter[preemptor], c.missing(preemptor)
+		if fitting := modelCapacity(j, c.machinesWithout(victims, "", everyTask)); fitting < missing {
+			t.Fatalf("preempting for %s frees capacity for %d tasks, want %d", preemptor, fitting, missing)
 		}
 		if hasUnmetGang(c.UnmetDemand) {
-			continue // what is free may be kept for a gang before the winner
+			continue // free capacity may be reserved for a gang before the preemptor
 		}
-		for loser, tasks := range losers {
-			for _, kept := range c.possiblyKept(loser, tasks) {
-				if room := modelRoom(j, c.machinesWithout(losers, loser, kept)); room >= missing {
-					t.Fatalf("%s/%d is preempted for %s, which has room for %d tasks without that and needs %d",
-						loser, kept, winner, room, missing)
+		for owner, tasks := range victims {
+			for _, kept := range c.possiblyKept(owner, tasks) {
+				if fitting := modelCapacity(j, c.machinesWithout(victims, owner, kept)); fitting >= missing {
+					t.Fatalf("%s/%d is preempted for %s, but without that %d tasks fit and %d must",
+						owner, kept, preemptor, fitting, missing)
 				}
 			}
 		}
 	}
 }
 
-// possiblyKept returns which of the preempted tasks of a job could have been kept without
-// the others: any of a shrunk array, only all of a job that is preempted as a whole.
-func (c *checkedPlan) possiblyKept(loser protocol.JobID, tasks map[int]bool) []int {
-	if c.jobs[loser].Spec.Gang() || len(tasks) == len(c.jobs[loser].Running) {
+// possiblyKept returns which of the preempted tasks of a job the plan could have kept
+// independently: each task of a shrunk array, but only all tasks of a job that it preempted as a
+// whole.
+func (c *checkedPlan) possiblyKept(owner protocol.JobID, tasks map[int]bool) []int {
+	if c.jobs[owner].Spec.Gang() || len(tasks) == len(c.jobs[owner].Running) {
 		return []int{everyTask}
 	}
 	return slices.Sorted(maps.Keys(tasks))
 }
 
-// checkNothingElseToPreempt checks that, if nothing is preempted, preempting all lower
-// work wouldn't have helped the first job with unmet demand.
+// checkNothingElseToPreempt checks that, if the plan preempts nothing, preempting all jobs of lower
+// ranks wouldn't have sufficed for any job with unmet demand, up to and including the first gang of
+// several tasks.
 func (c *checkedPlan) checkNothingElseToPreempt(t *rapid.T) {
 	if len(c.Preemptions) > 0 {
 		return
 	}
-	for _, w := range c.UnmetDemand {
-		j := c.jobsAfter[w.Job.ID]
+	for _, demand := range c.UnmetDemand {
+		j := c.jobsAfter[demand.Job.ID]
 		if j.Spec.Team == "limited" {
-			continue // its limit may be what it waits for
+			continue // the limit may keep the job pending
 		}
 		lower := preempted{}
 		for id, v := range c.jobs {
@@ -252,12 +255,12 @@
 				lower[id] = allTasks(v.Running)
 			}
 		}
-		if len(lower) > 0 && modelRoom(j, c.machinesWithout(lower, "", everyTask)) >= c.missing(j.ID) {
-			t.Fatalf("%s has unmet demand for %d tasks, lower work could make room, and nothing is preempted",
-				j.ID, w.Tasks)
+		if len(lower) > 0 && modelCapacity(j, c.machinesWithout(lower, "", everyTask)) >= c.missing(j.ID) {
+			t.Fatalf("%s has unmet demand for %d tasks and preempts nothing, though that would suffice",
+				j.ID, demand.Tasks)
 		}
-		if isRealGang(j) {
-			return // what is free is kept for it
+		if isMultiTaskGang(j) {
+			return // free capacity is reserved for the gang
 		}
 	}
 }
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -2,13 +2,13 @@
 
 import "postpoint/internal/protocol"
 
-// Plan is what is to be done now, in the order in which it was decided.
+// Plan lists the decisions of one scheduling step, in the order in which the planner made them.
 type Plan struct {
 	// Placements are the tasks to start.
 	Placements []Placement
 	// Preemptions are the tasks to preempt.
 	Preemptions []Preemption
-	// UnmetDemand lists what found no room, in the order of the queue.
+	// UnmetDemand lists the demand for which there is no free capacity, in the order of the queue.
 	UnmetDemand []UnmetDemand
 }
 
@@ -17,19 +17,20 @@
 	Job     protocol.JobID
 	Task    int
 	Machine protocol.MachineName
-	// MachineBooting reports whether the machine still boots, so that the task starts later.
+	// MachineBooting reports whether the machine is still booting, so that the task starts later.
 	MachineBooting bool
 }
 
-// Preemption has a running task stopped for another job.
+// Preemption stops a running task to free its capacity for another job.
 type Preemption struct {
 	Job  protocol.JobID
 	Task int
-	// Preemptor is the job that gets the room.
+	// Preemptor is the job that gets the capacity.
 	Preemptor protocol.JobID
 }
 
-// UnmetDemand counts the tasks of a job that should run now and found no room.
+// UnmetDemand counts the tasks of a job that should run now and for which there is no free
+// capacity.
 type UnmetDemand struct {
 	Job   *Job
 	Tasks int
--- a/internal/planner/planning.go
+++ b/internal/planner/planning.go
@@ -12,29 +12,28 @@
 type planning struct {
 	machines []Machine // sorted by name
 	byName   map[protocol.MachineName]*Machine
-	zones    []string // in the order in which they appear among the machines
+	zones    []string // in the order of their first machines
 	teams    map[string]*Team
 	plan     Plan
 
-	// lowestRank is the lowest rank (the highest number) of which anything runs, and
-	// anyOverQuota reports whether some team runs more than its guarantee. A job for which
-	// neither leaves a victim is spared the search for one.
+	// lowestRank is the lowest rank (the highest number) with a running task, and anyOverQuota
+	// reports whether any team runs more than its guarantee. If neither allows a victim for a job,
+	// the planner skips the search for one.
 	lowestRank   int
 	anyOverQuota bool
 
-	// stopping are the tasks that have been told to stop in earlier plans.
+	// stopping are the tasks that were told to stop before this plan.
 	stopping []victim
-	// preempting reports whether room is being made for some job. No more is made until
-	// then, or one shortage would preempt again and again.
+	// preempting reports whether victims are stopping for some job. The planner preempts no more
+	// until they have stopped: otherwise it would preempt again and again for one shortage.
 	preempting bool
-	// gangReserved reports whether room is reserved for a gang, which is done for the
-	// first in the queue only.
+	// gangReserved reports whether this plan has reserved capacity for a gang. Only the first one
+	// in the queue gets a reservation.
 	gangReserved bool
 }
 
-// machineBuffer is the memory of a plan's copy of the machines. Plans are made several
-// times a second, and allocating copies of hundreds of machines was a fifth of all that
-// a leader allocated.
+// machineBuffer is the memory for a plan's copy of the machines. The leader makes several plans a
+// second, and without reuse the copies of hundreds of machines were a fifth of all its allocations.
 type machineBuffer struct {
 	machines []Machine
 	byName   map[protocol.MachineName]*Machine
@@ -44,21 +43,21 @@
 	return &machineBuffer{byName: map[protocol.MachineName]*Machine{}}
 }}
 
-// MakePlan plans for the snapshot, which it leaves unchanged.
+// MakePlan returns the plan for a snapshot. It doesn't modify the snapshot.
 func MakePlan(s Snapshot) Plan {
 	buffer := machineBuffers.Get().(*machineBuffer)
 	defer machineBuffers.Put(buffer)
 	p := newPlanning(s, buffer)
 	jobs := slices.Clone(s.Jobs)
 	slices.SortFunc(jobs, p.compareJobs)
-	p.surveyRunning(jobs)
+	p.collectRunning(jobs)
 	for sameRank := range ranks(jobs) {
 		p.planRank(sameRank, jobs)
 	}
 	return p.plan
 }
 
-// newPlanning copies of the snapshot what planning changes.
+// newPlanning copies the parts of the snapshot that planning modifies.
 func newPlanning(s Snapshot, buffer *machineBuffer) *planning {
 	buffer.machines = append(buffer.machines[:0], s.Machines...)
 	clear(buffer.byName)
@@ -81,9 +80,9 @@
 	return p
 }
 
-// surveyRunning looks once at everything that runs, so that a job that nothing has to
-// yield to costs nothing.
-func (p *planning) surveyRunning(jobs []Job) {
+// collectRunning goes once through all running tasks. It collects those that are stopping, and
+// records what lets the planner skip the search for victims.
+func (p *planning) collectRunning(jobs []Job) {
 	for i := range jobs {
 		job := &jobs[i]
 		for _, r := range job.Running {
@@ -99,9 +98,9 @@
 	}
 }
 
-// planRank plans for the jobs of one rank. Jobs that can wait first take only machines
-// that have their image, and leave those where they would wait for it to jobs that have
-// it there.
+// planRank plans for the jobs of one rank. Jobs that can wait for their image first take only
+// machines that have it, and leave the machines without it to jobs whose image is there. Their
+// remaining tasks come after all other jobs of the rank.
 func (p *planning) planRank(sameRank, all []Job) {
 	for job := range startable(sameRank) {
 		if job.canWaitForImage() {
@@ -117,28 +116,28 @@
 	}
 }
 
-// planJob assigns what it can of a job, has room made for the rest if the job may
-// preempt, and records as unmet demand what got neither.
+// planJob assigns those tasks of a job that fit. For the others, it preempts if the job may, or
+// else records unmet demand, less the tasks for which it reserves capacity.
 func (p *planning) planJob(job *Job, all []Job) {
-	wanted, assigned := p.assignPending(job)
-	missing := wanted - assigned
-	if missing == 0 {
+	demand, assigned := p.assignPending(job)
+	unmet := demand - assigned
+	if unmet == 0 {
 		return
 	}
-	if job.MayPreempt && p.makeRoom(job, all, missing) {
+	if job.MayPreempt && p.preemptOrReserve(job, all, unmet) {
 		return
 	}
-	reserved := p.reserveForGang(job, wanted)
-	p.plan.UnmetDemand = append(p.plan.UnmetDemand, UnmetDemand{job, missing - reserved})
+	reserved := p.reserveForGang(job, demand)
+	p.plan.UnmetDemand = append(p.plan.UnmetDemand, UnmetDemand{job, unmet - reserved})
 }
 
-// makeRoom preempts for n tasks of the job, unless room is being made already: then it
-// only reserves for the job what that will leave. It reports whether the job will have
-// room.
-func (p *planning) makeRoom(job *Job, all []Job, n int) bool {
+// preemptOrReserve preempts for n tasks of the job. If victims are stopping already, it preempts
+// none, and only reserves for the job the capacity that they will leave. It reports whether the job
+// will have enough capacity.
+func (p *planning) preemptOrReserve(job *Job, all []Job, n int) bool {
 	if !p.preempting {
 		p.preempting = p.preempt(job, all, n)
 		return p.preempting
 	}
-	return p.reserveRoom(job, n, p.stopping)
+	return p.reserveCapacity(job, n, p.stopping)
 }
--- a/internal/planner/preempt.go
+++ b/internal/planner/preempt.go
@@ -5,22 +5,22 @@
 	"slices"
 )
 
-// victim is a running task that can be preempted.
+// victim is a running task that the planner can preempt.
 type victim struct {
 	job *Job
 	run RunningTask
 }
 
-// preempt has lower work stopped to make room for n more tasks of the job, and holds
-// that room for it. As in the paper's N&SPAA, arrays are shrunk if that suffices, else
-// whole jobs are preempted if that does, else nothing is. It reports whether there will
-// be room.
+// preempt chooses victims that free capacity for n more tasks of the job, and reserves that
+// capacity for it. As in the paper's N&SPAA, it shrinks arrays if that suffices, else it preempts
+// whole jobs if that suffices, and else it preempts nothing. It reports whether the job will have
+// enough capacity.
 //
-// Unlike in the paper, room isn't judged by the sum of what would be freed: machines are
-// shared here, and freed pieces that are scattered can add up without holding a single
-// task. The tasks are placed on the machines as they would be.
+// The paper sums up the resources that preemption would free. That isn't enough here, where tasks
+// share machines: freed pieces on several machines can add up without holding a single task.
+// preempt therefore places the tasks on the machines as a plan would.
 func (p *planning) preempt(job *Job, jobs []Job, n int) bool {
-	if !p.anythingYieldsTo(job) {
+	if !p.mayHaveVictims(job) {
 		return false
 	}
 	victims := p.shrinkArrays(job, jobs, n)
@@ -33,42 +33,43 @@
 	for _, v := range victims {
 		p.plan.Preemptions = append(p.plan.Preemptions, Preemption{v.job.ID, v.run.Task, job.ID})
 	}
-	p.reserveRoom(job, n, victims)
+	p.reserveCapacity(job, n, victims)
 	return true
 }
 
-// anythingYieldsTo reports whether some running task may have to yield to the job: see
-// yields.
-func (p *planning) anythingYieldsTo(job *Job) bool {
+// mayHaveVictims reports whether the job may preempt any running task at all, by the rules of
+// canBePreempted.
+func (p *planning) mayHaveVictims(job *Job) bool {
 	return p.lowestRank > job.Rank || p.anyOverQuota && job.WithinGuarantee
 }
 
-// yields reports whether a running task of one job may be preempted for another: work of a
-// lower rank, or, if the other is within its team's guarantee, work of its own rank that
-// another team runs over quota. Work of a higher rank goes before it in the queue and would
-// take the room back at once.
-func yields(owner *Job, run RunningTask, job *Job) bool {
-	if owner.ID == job.ID || run.Stopping {
+// canBePreempted reports whether a running task of one job may be preempted for another. Victims
+// are tasks of a lower rank. If the preemptor is within its team's guarantee, they are also tasks
+// of its own rank that another team runs over quota. Tasks of a higher rank are no victims: their
+// job precedes the preemptor in the queue and would take the capacity back at once.
+func canBePreempted(owner *Job, run RunningTask, preemptor *Job) bool {
+	if owner.ID == preemptor.ID || run.Stopping {
 		return false
 	}
-	if owner.Rank > job.Rank {
+	if owner.Rank > preemptor.Rank {
 		return true
 	}
-	return run.OverQuota && owner.Rank == job.Rank && owner.Spec.Team != job.Spec.Team && job.WithinGuarantee
+	return run.OverQuota && owner.Rank == preemptor.Rank &&
+		owner.Spec.Team != preemptor.Spec.Team && preemptor.WithinGuarantee
 }
 
-// reserveRoom holds the machines that n tasks of the job will have once the victims have
-// left, so that the jobs after it don't take that room piece by piece and have it made
-// again and again. It reports whether there will be room for all n.
-func (p *planning) reserveRoom(job *Job, n int, victims []victim) bool {
+// reserveCapacity reserves the machines that n tasks of the job will have once the victims have
+// stopped. Otherwise the jobs after it would take that capacity piece by piece, and the job would
+// preempt again and again. It reports whether all n tasks will fit.
+func (p *planning) reserveCapacity(job *Job, n int, victims []victim) bool {
 	p.release(victims)
 	machines := p.fitGang(job, n, readyNow)
-	p.unrelease(victims)
-	p.hold(job, machines)
+	p.undoRelease(victims)
+	p.reserveOnMachines(job, machines)
 	return machines != nil
 }
 
-// release gives the resources of the victims back to their machines.
+// release adds the resources of the victims to the free capacity of their machines.
 func (p *planning) release(victims []victim) {
 	for _, v := range victims {
 		if machine := p.byName[v.run.Machine]; machine != nil {
@@ -77,8 +78,8 @@
 	}
 }
 
-// unrelease undoes release, save for rounding.
-func (p *planning) unrelease(victims []victim) {
+// undoRelease undoes release, except for rounding.
+func (p *planning) undoRelease(victims []victim) {
 	for _, v := range victims {
 		if machine := p.byName[v.run.Machine]; machine != nil {
 			machine.Free = machine.Free.Minus(TaskResources(v.job.Spec))
@@ -86,38 +87,39 @@
 	}
 }
 
-// preemptable is a job that can be preempted as a whole.
-type preemptable struct {
+// preemptableJob is a job that the planner can preempt as a whole.
+type preemptableJob struct {
 	tasks []victim
-	// overhead is the job's preemption overhead: the highest of its tasks.
+	// overhead is the job's preemption overhead: the highest overhead of its tasks.
 	overhead float64
 }
 
-// preemptWhole chooses victims among whole jobs, in ascending order of preemption
-// overhead as in the paper's PAA. It returns nil if they don't suffice.
+// preemptWhole chooses victims among whole jobs, in ascending order of preemption overhead as in
+// the paper's PAA. It returns nil if preempting all of them doesn't suffice.
 func (p *planning) preemptWhole(job *Job, jobs []Job, n int) []victim {
 	candidates := preemptableJobs(job, jobs)
-	units := make([][]victim, len(candidates))
+	groups := make([][]victim, len(candidates))
 	for i := range candidates {
-		units[i] = candidates[i].tasks
+		groups[i] = candidates[i].tasks
 	}
-	return p.chooseVictims(job, n, units)
+	return p.chooseVictims(job, n, groups)
 }
 
-// preemptableJobs returns what can be preempted for the job, the least overhead first.
-func preemptableJobs(job *Job, jobs []Job) []preemptable {
-	var candidates []preemptable
+// preemptableJobs returns the jobs that can be preempted for the preemptor, the least overhead
+// first.
+func preemptableJobs(preemptor *Job, jobs []Job) []preemptableJob {
+	var candidates []preemptableJob
 	for i := range jobs {
-		lower := &jobs[i]
-		c := newPreemptable(lower, job)
-		// A gang of which only a part yields would be broken for less room than it
-		// loses.
-		brokenGang := lower.Spec.Gang() && len(c.tasks) < len(lower.Running)
+		owner := &jobs[i]
+		c := newPreemptableJob(owner, preemptor)
+		// Preempting only a part of a gang breaks the whole gang: it loses more than the preemptor
+		// gains.
+		brokenGang := owner.Spec.Gang() && len(c.tasks) < len(owner.Running)
 		if len(c.tasks) > 0 && !brokenGang {
 			candidates = append(candidates, c)
 		}
 	}
-	slices.SortStableFunc(candidates, func(x, y preemptable) int {
+	slices.SortStableFunc(candidates, func(x, y preemptableJob) int {
 		return cmp.Or(
 			cmp.Compare(x.overhead, y.overhead),
 			cmp.Compare(x.tasks[0].job.ID, y.tasks[0].job.ID))
@@ -125,12 +127,12 @@
 	return candidates
 }
 
-// newPreemptable returns the tasks of a lower job that yield to the job.
-func newPreemptable(lower, job *Job) preemptable {
-	var c preemptable
-	for _, r := range lower.Running {
-		if yields(lower, r, job) {
-			c.tasks = append(c.tasks, victim{lower, r})
+// newPreemptableJob returns the tasks of the owner that can be preempted for the preemptor.
+func newPreemptableJob(owner, preemptor *Job) preemptableJob {
+	var c preemptableJob
+	for _, r := range owner.Running {
+		if canBePreempted(owner, r, preemptor) {
+			c.tasks = append(c.tasks, victim{owner, r})
 			c.overhead = max(c.overhead, r.OverheadS)
 		}
 	}
--- a/internal/planner/preempt_test.go
+++ b/internal/planner/preempt_test.go
@@ -6,7 +6,7 @@
 	"postpoint/internal/protocol"
 )
 
-// runningOn returns running tasks of one machine with the given overheads.
+// runningOn returns one running task on the machine for each of the given overheads.
 func runningOn(machine protocol.MachineName, overheads ...float64) []RunningTask {
 	var running []RunningTask
 	for i, overhead := range overheads {
@@ -15,15 +15,15 @@
 	return running
 }
 
-// Arrays shrink before anything is preempted whole, evenly, youngest first.
+// The planner shrinks arrays before it preempts whole jobs: evenly, and the youngest tasks first.
 func TestArraysShrinkEvenlyYoungestFirst(t *testing.T) {
 	urgent := arrayJob("job-u", 1, 1, 4)
 	a := arrayJob("job-a", 2, 4, 1, runningOn("m0", 40, 30, 20, 10)...)
 	b := arrayJob("job-b", 2, 4, 1, runningOn("m0", 8, 7, 6, 5)...)
 	plan := MakePlan(Snapshot{Jobs: []Job{urgent, a, b}, Machines: machinesWith(1, 8, 0)})
 	preempted := map[protocol.JobID][]int{}
-	for _, s := range plan.Preemptions {
-		preempted[s.Job] = append(preempted[s.Job], s.Task)
+	for _, preemption := range plan.Preemptions {
+		preempted[preemption.Job] = append(preempted[preemption.Job], preemption.Task)
 	}
 	if len(preempted["job-a"]) != 2 || len(preempted["job-b"]) != 2 {
 		t.Fatalf("preempted tasks %v, want two of each array", preempted)
@@ -37,9 +37,9 @@
 	}
 }
 
-// Freed pieces on several machines can add up to enough without holding the task: then
-// nothing is preempted for it.
-func TestScatteredRoomPreemptsNothing(t *testing.T) {
+// Freed capacity can be enough in total and still hold no task, if it is scattered over machines.
+// The planner then preempts nothing.
+func TestScatteredCapacityPreemptsNothing(t *testing.T) {
 	urgent := arrayJob("job-u", 1, 1, 6)
 	lower := arrayJob("job-l", 2, 4, 2,
 		RunningTask{Task: 0, Machine: "m0"}, RunningTask{Task: 1, Machine: "m1"},
@@ -50,19 +50,18 @@
 	}
 }
 
-// While tasks are stopping, no more are preempted: the room is on its way.
+// While tasks are stopping, the planner preempts no more: their capacity becomes free soon.
 func TestNothingIsPreemptedWhileTasksStop(t *testing.T) {
 	lower := arrayJob("job-l", 2, 2, 4,
 		RunningTask{Task: 0, Machine: "m0", Stopping: true}, RunningTask{Task: 1, Machine: "m1"})
 	plan := MakePlan(Snapshot{Jobs: []Job{arrayJob("job-u", 1, 1, 4), lower},
 		Machines: machinesWith(2, 4, 0)})
 	if len(plan.Preemptions) != 0 {
-		t.Fatalf("preempted %v, want nothing while room is being made", plan.Preemptions)
+		t.Fatalf("preempted %v, want nothing while another task stops", plan.Preemptions)
 	}
 }
 
-// A job that fails everywhere has lost the right to preempt: it would return and preempt
-// for ever.
+// A job that fails everywhere may not preempt: it would start, fail and preempt again and again.
 func TestFailingJobPreemptsNothing(t *testing.T) {
 	lower := arrayJob("job-l", 2, 2, 4, RunningTask{Task: 0, Machine: "m0"},
 		RunningTask{Task: 1, Machine: "m1"})
@@ -74,19 +73,19 @@
 	}
 }
 
-// More work than room: while what was preempted for an urgent gang leaves, lower work
-// doesn't take the room that is free already.
-func TestRoomBeingMadeIsReserved(t *testing.T) {
+// There is more demand than capacity. While the victims of an urgent gang stop, the planner
+// reserves the capacity that is free already, so that jobs of lower ranks don't take it.
+func TestCapacityOfStoppingTasksIsReserved(t *testing.T) {
 	urgent := gangJob("job-u", 1, 2, 4)
 	urgent.Tier = TierEndInTime
-	leaving := arrayJob("job-l", 3, 1, 4, RunningTask{Task: 0, Machine: "m0", Stopping: true})
+	stopping := arrayJob("job-l", 3, 1, 4, RunningTask{Task: 0, Machine: "m0", Stopping: true})
 	lower := arrayJob("job-w", 3, 1, 4)
-	plan := MakePlan(Snapshot{Jobs: []Job{urgent, leaving, lower}, Machines: machinesWith(1, 8, 4)})
+	plan := MakePlan(Snapshot{Jobs: []Job{urgent, stopping, lower}, Machines: machinesWith(1, 8, 4)})
 	if len(plan.Placements) != 0 || len(plan.Preemptions) != 0 {
-		t.Fatalf("placed %v, preempted %v, want neither while a task leaves", plan.Placements,
+		t.Fatalf("placed %v, preempted %v, want neither while a task stops", plan.Placements,
 			plan.Preemptions)
 	}
-	// Nothing leaves for it any more, and what is free doesn't hold it.
+	// No task is stopping any more, and the free capacity doesn't hold the gang.
 	plan = MakePlan(Snapshot{Jobs: []Job{urgent, lower}, Machines: machinesWith(1, 8, 4)})
 	if len(plan.Placements) != 1 || plan.Placements[0].Job != "job-w" {
 		t.Fatalf("placed %v, want the lower job, since the urgent one doesn't fit", plan.Placements)
--- a/internal/planner/queue.go
+++ b/internal/planner/queue.go
@@ -5,12 +5,12 @@
 	"iter"
 )
 
-// imageWaitSlackS is the slack, in seconds, from which a job can wait for machines
-// that have its image: more than fetching an image takes in most cases.
+// imageWaitSlackS is the slack, in seconds, above which a job can wait for machines that have its
+// image. Fetching an image takes less than this in most cases.
 const imageWaitSlackS = 30
 
-// compareJobs orders the queue: rank, then jobs within their team's guarantee, then
-// lenders, then the objectives that can still be met, then the time of submission,
+// compareJobs orders the queue: by rank, then jobs within their team's guarantee first, then
+// lenders first, then by the objectives that jobs can still meet, then by the time of submission,
 // which preempted jobs keep. The paper leaves this order to the site.
 func (p *planning) compareJobs(a, b Job) int {
 	return cmp.Or(
@@ -34,9 +34,9 @@
 	return 1
 }
 
-// compareWithinTier orders jobs that can meet an objective by the time left for it.
-// Jobs that can't any more only count for when all work is done, so that the team
-// whose limit holds it back longest goes first.
+// compareWithinTier orders jobs that can still meet an objective by the time left for it. For jobs
+// that can't, only the time at which all work ends matters: jobs of the team with the longest
+// backlog under its limit go first.
 func (p *planning) compareWithinTier(a, b Job) int {
 	if a.Tier == TierStartInTime && b.Tier == TierStartInTime {
 		return cmp.Compare(a.StartSlackS, b.StartSlackS)
@@ -53,7 +53,7 @@
 	return 0
 }
 
-// ranks yields the jobs of each rank in turn. The jobs have to be sorted.
+// ranks yields the jobs of each rank in turn. The caller must have sorted the jobs.
 func ranks(jobs []Job) iter.Seq[[]Job] {
 	return func(yield func([]Job) bool) {
 		for start := 0; start < len(jobs); {
@@ -69,7 +69,7 @@
 	}
 }
 
-// startable yields the jobs that have tasks to start and don't back off.
+// startable yields the jobs that have pending tasks and aren't backing off.
 func startable(jobs []Job) iter.Seq[*Job] {
 	return func(yield func(*Job) bool) {
 		for i := range jobs {
--- a/internal/planner/queue_test.go
+++ b/internal/planner/queue_test.go
@@ -7,7 +7,8 @@
 	"postpoint/internal/protocol"
 )
 
-// Jobs compete for one machine after the other in the order of the queue.
+// The queue order decides which jobs get capacity: for every number of free machines, exactly the
+// first jobs of the queue are placed.
 func TestQueueOrder(t *testing.T) {
 	withTeam := func(j Job, team string) Job {
 		j.Spec.Team = team
@@ -41,7 +42,7 @@
 		}
 		for i, j := range order {
 			if placed[j.ID] != (i < free) {
-				t.Errorf("with room for %d jobs, %q is placed: %v, want %v", free, j.ID, placed[j.ID],
+				t.Errorf("with capacity for %d jobs, %q is placed: %v, want %v", free, j.ID, placed[j.ID],
 					i < free)
 			}
 		}
--- a/internal/planner/quota_test.go
+++ b/internal/planner/quota_test.go
@@ -4,9 +4,9 @@
 	"testing"
 )
 
-// Work that a team is owed its guarantee for makes work over quota of its own rank yield,
-// and leaves that of higher ranks alone: that goes before it in the queue, would take the
-// room back at once and be preempted again, hundreds of times.
+// A job within its team's guarantee preempts tasks over quota of its own rank, but none of higher
+// ranks: a job of a higher rank precedes it in the queue, would take the capacity back at once and
+// be preempted again, hundreds of times.
 func TestGuaranteePreemptsOverQuotaOfOwnRankOnly(t *testing.T) {
 	for _, test := range []struct {
 		name        string
--- a/internal/planner/reference_test.go
+++ b/internal/planner/reference_test.go
@@ -7,14 +7,14 @@
 	"pgregory.net/rapid"
 )
 
-// reference places jobs in the plainest way: every machine is looked at for every task,
-// without heaps, counts ahead or early ends.
+// reference places jobs in the simplest way: it examines every machine for every task, without
+// heaps, counting in advance or early exits.
 type reference struct {
 	*planning
 }
 
-// referencePlacements returns the placements that Make should choose for a snapshot in
-// which nothing may preempt.
+// referencePlacements returns the placements that MakePlan should choose for a snapshot in which no
+// job may preempt.
 func referencePlacements(s Snapshot) []Placement {
 	r := reference{&planning{machines: slices.Clone(s.Machines), teams: map[string]*Team{}}}
 	for name, t := range s.Teams {
@@ -40,13 +40,13 @@
 // machineFilter selects machines.
 type machineFilter func(*Machine) bool
 
-func isUp(m *Machine) bool     { return !m.Booting }
+func isReady(m *Machine) bool  { return !m.Booting }
 func anyMachine(*Machine) bool { return true }
 
-// anyZone stands for a group of machines of all zones.
+// anyZone selects the machines of all zones.
 const anyZone = ""
 
-// best returns the first machine of the lowest cost that one more task may go to.
+// best returns the first machine of the lowest cost to which one more task may go.
 func (r reference) best(j *Job, zones map[string]int, zone string, selects machineFilter) *Machine {
 	var best *Machine
 	for i := range r.machines {
@@ -63,7 +63,7 @@
 	return best
 }
 
-// zoneChoices returns the zones that all tasks may be in.
+// zoneChoices returns the zones among which a gang chooses one for all its tasks, or anyZone.
 func (r reference) zoneChoices(j *Job) []string {
 	if !j.Spec.OneZone {
 		return []string{anyZone}
@@ -77,19 +77,19 @@
 	return zones
 }
 
-// trial is what placing tasks in a zone leads to.
+// trial is the result of placing tasks in a zone.
 type trial struct {
-	places []*Machine
+	chosen []*Machine
 	cost   float64
-	after  []Machine // the state of all machines with those tasks
+	after  []Machine // all machines with those tasks
 }
 
-// tryZone places up to n tasks in a zone. It leaves the machines as they are.
+// tryZone places up to n tasks in a zone and returns the result. It restores the machines.
 func (r reference) tryZone(j *Job, n int, zone string, selects machineFilter) trial {
 	before := slices.Clone(r.machines)
 	zones := j.TasksByZone()
 	var result trial
-	for len(result.places) < n {
+	for len(result.chosen) < n {
 		m := r.best(j, zones, zone, selects)
 		if m == nil {
 			break
@@ -97,7 +97,7 @@
 		result.cost += placementCost(j, m)
 		m.Free = m.Free.Minus(TaskResources(j.Spec))
 		zones[m.Zone]++
-		result.places = append(result.places, m)
+		result.chosen = append(result.chosen, m)
 	}
 	result.after = slices.Clone(r.machines)
 	copy(r.machines, before)
@@ -110,22 +110,21 @@
 	lowest := 0.0
 	for _, zone := range r.zoneChoices(j) {
 		result := r.tryZone(j, len(j.Pending), zone, selects)
-		if len(result.places) == len(j.Pending) && (cheapest == nil || result.cost < lowest) {
-			cheapest, lowest = result.places, result.cost
+		if len(result.chosen) == len(j.Pending) && (cheapest == nil || result.cost < lowest) {
+			cheapest, lowest = result.chosen, result.cost
 		}
 	}
 	return cheapest
 }
 
-// fitsEmptyMachines starts the gang on the same machines, all of them empty, one task
-// after the other.
+// fitsEmptyMachines reports whether the gang would fit on the same machines if they were empty.
 func (r reference) fitsEmptyMachines(j *Job) bool {
 	for _, zone := range r.zoneChoices(j) {
 		n := 0
 		for _, m := range r.machines {
 			inZone := zone == anyZone || m.Zone == zone
 			if inZone && MachineAllowed(j.Spec, m.Type, m.Zone, m.Spot) && !j.AvoidedMachines[m.Name] {
-				n += modelCount(j, m.Capacity)
+				n += modelCopies(j, m.Capacity)
 			}
 		}
 		if n >= len(j.Pending) {
@@ -135,16 +134,16 @@
 	return false
 }
 
-// reserve keeps room for the first gang that is to start and lacks some.
+// reserve reserves capacity for the first gang that should start now and doesn't fit.
 func (r reference) reserve(j *Job) {
 	if r.gangReserved || j.Tier != TierStartInTime || j.ScaleOutOverdue && !r.fitsEmptyMachines(j) {
 		return
 	}
 	r.gangReserved = true
-	most, machines := 0, r.machines
+	mostTasks, machines := 0, r.machines
 	for _, zone := range r.zoneChoices(j) {
-		if result := r.tryZone(j, len(j.Pending)-1, zone, isUp); len(result.places) > most {
-			most, machines = len(result.places), result.after
+		if result := r.tryZone(j, len(j.Pending)-1, zone, isReady); len(result.chosen) > mostTasks {
+			mostTasks, machines = len(result.chosen), result.after
 		}
 	}
 	copy(r.machines, machines)
@@ -155,19 +154,20 @@
 		len(j.Pending)) {
 		return
 	}
-	places := r.fitWhole(j, isUp)
-	if places == nil {
-		places = r.fitWhole(j, anyMachine)
+	chosen := r.fitWhole(j, isReady)
+	if chosen == nil {
+		chosen = r.fitWhole(j, anyMachine)
 	}
-	if places == nil {
+	if chosen == nil {
 		r.reserve(j)
 	}
-	for i, m := range places {
+	for i, m := range chosen {
 		r.assign(j, j.Pending[i], m, r.teams[j.Spec.Team])
 	}
 }
 
-// place assigns what it can of a job, or only what finds its image.
+// place assigns those tasks of a job that fit, or only those that fit on machines with its image
+// cached.
 func (r reference) place(j *Job, cachedOnly bool) {
 	if j.Spec.Gang() {
 		r.placeGang(j)
@@ -175,7 +175,7 @@
 	}
 	selects := anyMachine
 	if cachedOnly {
-		selects = func(m *Machine) bool { return isUp(m) && m.ImageWaitS(j.Spec) == 0 }
+		selects = func(m *Machine) bool { return isReady(m) && m.ImageWaitS(j.Spec) == 0 }
 	}
 	for len(j.Pending) > 0 && j.MaxStarts > 0 && r.teams[j.Spec.Team].withinLimit(TaskResources(j.Spec), 1) {
 		m := r.best(j, j.TasksByZone(), anyZone, selects)
@@ -187,13 +187,14 @@
 	}
 }
 
-// What makes many machines and many alike tasks fast changes no placement.
+// The optimizations for many machines and many similar tasks (heaps, counting in advance, early
+// exits) change no placement.
 func TestPlacementsMatchReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawQueue(t)
 		got, want := MakePlan(s).Placements, referencePlacements(s)
 		if !slices.Equal(got, want) {
-			t.Fatalf("placed %v, want %v as without short cuts", got, want)
+			t.Fatalf("placed %v, want the placements %v of the reference", got, want)
 		}
 	})
 }
--- a/internal/planner/resources.go
+++ b/internal/planner/resources.go
@@ -4,29 +4,28 @@
 	"postpoint/internal/protocol"
 )
 
-// Resources is a vector of resources: what a task requests, or what a machine or a
-// team has.
+// Resources is a vector of resources: what a task requests, or the capacity of a machine or a team.
 type Resources struct{ Cpus, Gpus, MemoryGB float64 }
 
-// UnlimitedMemoryGB stands for memory that isn't limited.
+// UnlimitedMemoryGB is an amount that no request reaches. It means unlimited memory.
 const UnlimitedMemoryGB = 1e9
 
-// roundingSlack is the excess up to which amounts still fit. Requests are decimal
-// fractions, whose sums in binary are off by far less than this, and no real request
-// is as small.
-const roundingSlack = 1e-6
+// roundingTolerance is the excess up to which amounts still fit. Requests are decimal fractions,
+// and the rounding errors of their binary sums are far smaller than this. No real request is as
+// small.
+const roundingTolerance = 1e-6
 
-// mostCopies bounds CopiesIn for requests of nothing. It is more than any job has tasks.
-const mostCopies = 1 << 20
+// maxCopies bounds the result of CopiesIn for empty requests. No job has as many tasks.
+const maxCopies = 1 << 20
 
-// TaskResources returns what one task of a job requests.
+// TaskResources returns the resources that one task of a job requests.
 func TaskResources(s *protocol.JobSpec) Resources { return Resources{s.Cpus, s.Gpus, s.MemoryGB} }
 
-// FitsIn reports whether a fits into the free amounts in.
+// FitsIn reports whether a fits into the free capacity in.
 func (a Resources) FitsIn(in Resources) bool {
-	return a.Cpus <= in.Cpus+roundingSlack &&
-		a.Gpus <= in.Gpus+roundingSlack &&
-		a.MemoryGB <= in.MemoryGB+roundingSlack
+	return a.Cpus <= in.Cpus+roundingTolerance &&
+		a.Gpus <= in.Gpus+roundingTolerance &&
+		a.MemoryGB <= in.MemoryGB+roundingTolerance
 }
 
 // Plus returns the sum of a and b.
@@ -34,7 +33,7 @@
 	return Resources{a.Cpus + b.Cpus, a.Gpus + b.Gpus, a.MemoryGB + b.MemoryGB}
 }
 
-// Minus returns a less b, which may be negative.
+// Minus returns a less b. Amounts may become negative.
 func (a Resources) Minus(b Resources) Resources {
 	return Resources{a.Cpus - b.Cpus, a.Gpus - b.Gpus, a.MemoryGB - b.MemoryGB}
 }
@@ -44,8 +43,8 @@
 	return Resources{k * a.Cpus, k * a.Gpus, k * a.MemoryGB}
 }
 
-// DominantShare returns the dominant share of a: its largest fraction of the whole in any
-// single resource.
+// DominantShare returns the dominant share of a: the largest fraction of the whole that it takes of
+// any single resource.
 func (a Resources) DominantShare(whole Resources) float64 {
 	return max(0,
 		fraction(a.Cpus, whole.Cpus),
@@ -61,19 +60,19 @@
 	return 0
 }
 
-// CopiesIn returns how many copies of a fit into the given room.
-func (a Resources) CopiesIn(room Resources) int {
-	n := mostCopies
-	n = min(n, copies(a.Cpus, room.Cpus))
-	n = min(n, copies(a.Gpus, room.Gpus))
-	n = min(n, copies(a.MemoryGB, room.MemoryGB))
+// CopiesIn returns how many copies of a fit into the given capacity.
+func (a Resources) CopiesIn(capacity Resources) int {
+	n := maxCopies
+	n = min(n, copies(a.Cpus, capacity.Cpus))
+	n = min(n, copies(a.Gpus, capacity.Gpus))
+	n = min(n, copies(a.MemoryGB, capacity.MemoryGB))
 	return max(n, 0)
 }
 
-// copies returns how many requests of one resource fit into the room for it.
-func copies(request, room float64) int {
+// copies returns how many requests of one resource fit into the capacity of that resource.
+func copies(request, capacity float64) int {
 	if request > 0 {
-		return int((room + roundingSlack) / request)
+		return int((capacity + roundingTolerance) / request)
 	}
-	return mostCopies
+	return maxCopies
 }
--- a/internal/planner/shrink.go
+++ b/internal/planner/shrink.go
@@ -6,51 +6,51 @@
 )
 
 const (
-	// minArrayShare is the fraction of its full size below which an array isn't
-	// shrunk: the paper's default minimum size.
-	minArrayShare = 0.2
+	// minArrayFraction is the fraction of its full size below which the planner doesn't shrink an
+	// array: the paper's default minimum size.
+	minArrayFraction = 0.2
 
-	// roundUp, added before truncation, rounds the minimum size up. It is less than 1
-	// by more than the rounding error of the product.
-	roundUp = 0.999
+	// roundUpOffset, added before truncation, rounds the minimum size up. The difference to 1 is
+	// larger than the rounding error of the product.
+	roundUpOffset = 0.999
 )
 
-// shrinkable is an array that can give up tasks.
-type shrinkable struct {
+// shrinkableArray is an array that can give up tasks.
+type shrinkableArray struct {
 	job *Job
-	// tasks may be preempted, those with the least overhead first.
+	// tasks can be preempted, those with the least overhead first.
 	tasks []RunningTask
-	// surplus is how many of them the array can give up.
+	// surplus is how many of the tasks the array can give up.
 	surplus int
 }
 
-// shrinkArrays chooses victims among the tasks of lower arrays, as evenly as possible
-// and the youngest of each array first, as in the paper's SPAA: gangs are its rigid jobs,
-// arrays its malleable ones. It returns nil if they don't suffice.
+// shrinkArrays chooses victims among the tasks of arrays, as evenly as possible and the youngest of
+// each array first, as in the paper's SPAA: gangs are the paper's rigid jobs, arrays its malleable
+// ones. It returns nil if preempting all of them doesn't suffice.
 func (p *planning) shrinkArrays(job *Job, jobs []Job, n int) []victim {
-	victims := takeInTurn(shrinkableArrays(job, jobs))
-	units := make([][]victim, len(victims))
+	victims := interleave(shrinkableArrays(job, jobs))
+	groups := make([][]victim, len(victims))
 	for i := range victims {
-		units[i] = victims[i : i+1]
+		groups[i] = victims[i : i+1]
 	}
-	return p.chooseVictims(job, n, units)
+	return p.chooseVictims(job, n, groups)
 }
 
-// shrinkableArrays returns the arrays that can give up tasks for the job, the one that
-// was submitted last first. Services aren't shrunk: what a stopped replica would have served
-// is lost.
-func shrinkableArrays(job *Job, jobs []Job) []shrinkable {
-	var arrays []shrinkable
+// shrinkableArrays returns the arrays that can give up tasks for the preemptor, the last submitted
+// first. The planner doesn't shrink services: the requests that a stopped replica would have served
+// are lost.
+func shrinkableArrays(preemptor *Job, jobs []Job) []shrinkableArray {
+	var arrays []shrinkableArray
 	for i := range jobs {
-		lower := &jobs[i]
-		if lower.Spec.Gang() || lower.Spec.Service() {
+		owner := &jobs[i]
+		if owner.Spec.Gang() || owner.Spec.Service() {
 			continue
 		}
-		if a := newShrinkable(lower, job); a.surplus > 0 {
+		if a := newShrinkableArray(owner, preemptor); a.surplus > 0 {
 			arrays = append(arrays, a)
 		}
 	}
-	slices.SortStableFunc(arrays, func(x, y shrinkable) int {
+	slices.SortStableFunc(arrays, func(x, y shrinkableArray) int {
 		return cmp.Or(
 			cmp.Compare(y.job.SubmittedAt, x.job.SubmittedAt),
 			cmp.Compare(x.job.ID, y.job.ID))
@@ -58,29 +58,28 @@
 	return arrays
 }
 
-// newShrinkable returns what a lower array can give up for the job.
-func newShrinkable(lower, job *Job) shrinkable {
-	a := shrinkable{job: lower}
-	for _, r := range lower.Running {
-		if yields(lower, r, job) {
+// newShrinkableArray returns which tasks the owner can give up for the preemptor.
+func newShrinkableArray(owner, preemptor *Job) shrinkableArray {
+	a := shrinkableArray{job: owner}
+	for _, r := range owner.Running {
+		if canBePreempted(owner, r, preemptor) {
 			a.tasks = append(a.tasks, r)
 		}
 	}
-	a.surplus = min(len(a.tasks), len(lower.Running)+lower.startedUnlisted-minSize(lower))
+	a.surplus = min(len(a.tasks), len(owner.Running)+owner.unlistedPlacements-minArraySize(owner))
 	if a.surplus > 0 {
 		slices.SortStableFunc(a.tasks, func(x, y RunningTask) int {
-			return cmp.Compare(x.OverheadS,
-				y.OverheadS)
+			return cmp.Compare(x.OverheadS, y.OverheadS)
 		})
 	}
 	return a
 }
 
-// minSize returns how many tasks of an array are left to it.
-func minSize(job *Job) int { return int(float64(job.Spec.Tasks)*minArrayShare + roundUp) }
+// minArraySize returns how many tasks of an array shrinking leaves at least.
+func minArraySize(job *Job) int { return int(float64(job.Spec.Tasks)*minArrayFraction + roundUpOffset) }
 
-// takeInTurn returns what the arrays can give up, one task of each array in turn.
-func takeInTurn(arrays []shrinkable) []victim {
+// interleave returns the surplus tasks of the arrays, one task of each array in turn.
+func interleave(arrays []shrinkableArray) []victim {
 	var victims []victim
 	for round := 0; ; round++ {
 		before := len(victims)
--- a/internal/planner/snapshot.go
+++ b/internal/planner/snapshot.go
@@ -1,9 +1,9 @@
 package planner
 
-// Snapshot is everything that a plan depends on.
+// Snapshot is all input of a plan.
 type Snapshot struct {
 	Jobs     []Job
 	Machines []Machine
-	// Teams are the quotas by team name. Teams that aren't here have none.
+	// Teams are the quotas by team name. A team that is missing here has no quota.
 	Teams map[string]Team
 }
