--- a/internal/scaling/cordon.go
+++ b/internal/scaling/cordon.go
@@ -9,29 +9,28 @@
 )
 
 const (
-	// minIdleShare is how much of a machine has to be free for it to be considered for
-	// cordoning. Fuller machines are used well enough, and each look costs a plan.
-	minIdleShare = 0.4
+	// minFreeFraction is the fraction of a machine that must be free for Cordon to consider it.
+	// Fuller machines are used well enough, and each evaluation costs a plan.
+	minFreeFraction = 0.4
 
-	// uncordonFillScale scales the fill that urgent demand needs to have a machine
-	// rented down to what it needs to keep one that is up: that one is there at once,
-	// without a boot.
+	// uncordonFillScale scales the fill that urgent demand needs to add a machine down to the fill
+	// that it needs to keep a cordoned one: that machine is ready at once, without a boot.
 	uncordonFillScale = 0.5
 )
 
-// Cordon returns the names of machines that are surplus, the costliest first: without
-// them everything that runs and waits would still have room, their own tasks included.
-// Cordoned machines take no new tasks, so that they empty and can be returned. The caller
-// uncordons those that are needed after all.
+// Cordon returns the names of surplus machines, those with the most expensive free part first.
+// Machines are surplus if all running and pending tasks, including the tasks on these machines,
+// would fit without them. Cordoned machines take no new tasks, so that they empty and the caller
+// can release them. The caller uncordons those that it needs after all.
 //
-// Each look makes one plan, for as many machines at once as batch says. The batch doubles
-// after a look that finds them surplus and halves after one that doesn't: at the end of a
-// day hundreds are, in the middle of it hardly one. Cordon makes at most as many looks as
-// given, and returns the batch to begin with next time.
-func Cordon(snapshot planner.Snapshot, looks, batch int) (names []protocol.MachineName, nextBatch int) {
+// Each evaluation makes one plan, for a batch of machines at once. The batch doubles after an
+// evaluation that finds all of its machines surplus, and halves after one that doesn't: at the end
+// of a day hundreds of machines are surplus, in the middle of it hardly any. Cordon makes at most
+// the given number of evaluations, and returns the batch with which the next call should begin.
+func Cordon(snapshot planner.Snapshot, evaluations, batch int) (names []protocol.MachineName, nextBatch int) {
 	candidates := surplusCandidates(snapshot.Machines)
 	batch = max(batch, 1)
-	for ; looks > 0 && len(candidates) > 0; looks-- {
+	for ; evaluations > 0 && len(candidates) > 0; evaluations-- {
 		batch = min(batch, len(candidates))
 		next := candidates[:batch]
 		remaining, ok := FitsWithout(snapshot, next...)
@@ -48,18 +47,18 @@
 	return names, batch
 }
 
-// surplusCandidates returns the names of the machines that are free enough to be
-// considered, ordered by what their free part costs, the costliest first.
+// surplusCandidates returns the names of the machines that are free enough to consider, ordered by
+// the price of their free part, the most expensive first.
 func surplusCandidates(machines []planner.Machine) []protocol.MachineName {
 	var candidates []planner.Machine
 	for _, m := range machines {
-		if !m.Booting && m.Replicas == 0 && idleShare(m) > minIdleShare {
+		if !m.Booting && m.Replicas == 0 && freeFraction(m) > minFreeFraction {
 			candidates = append(candidates, m)
 		}
 	}
 	slices.SortFunc(candidates, func(a, b planner.Machine) int {
 		return cmp.Or(
-			cmp.Compare(b.HourlyPrice*idleShare(b), a.HourlyPrice*idleShare(a)),
+			cmp.Compare(b.HourlyPrice*freeFraction(b), a.HourlyPrice*freeFraction(a)),
 			cmp.Compare(a.Name, b.Name))
 	})
 	names := make([]protocol.MachineName, len(candidates))
@@ -69,21 +68,21 @@
 	return names
 }
 
-// idleShare returns the part of a machine that is free, by its most used resource.
-func idleShare(m planner.Machine) float64 {
+// freeFraction returns the fraction of a machine that is free, by its most used resource.
+func freeFraction(m planner.Machine) float64 {
 	return 1 - m.Capacity.Minus(m.Free).DominantShare(m.Capacity)
 }
 
-// FitsWithout reports whether everything that runs and waits would have room without some
-// machines, their own tasks included, and returns the snapshot without them.
+// FitsWithout reports whether all running and pending tasks would fit without some machines,
+// including the tasks on these machines, and returns the snapshot without them.
 func FitsWithout(snapshot planner.Snapshot, machines ...protocol.MachineName) (planner.Snapshot, bool) {
 	remaining := withoutMachines(snapshot, machines)
 	return remaining, len(planner.MakePlan(remaining).UnmetDemand) == 0
 }
 
-// withoutMachines returns the snapshot without some machines and without those that boot,
-// which may not come. Tasks of removed machines are pending. Nothing preempts, so that
-// room has to be there, and nothing backs off, since it needs room again later.
+// withoutMachines returns the snapshot without some machines and without booting ones, which may
+// never become ready. Tasks of removed machines become pending. No job preempts, so that the tasks
+// have to fit as they are, and no job backs off, since each will need capacity again later.
 func withoutMachines(snapshot planner.Snapshot, machines []protocol.MachineName) planner.Snapshot {
 	removed := make(map[protocol.MachineName]bool, len(machines))
 	for _, name := range machines {
@@ -101,8 +100,8 @@
 	return snapshot
 }
 
-// moveToPending makes the tasks of a job that run on removed machines pending. It leaves
-// the arrays that the job shares with others as they are.
+// moveToPending makes the tasks of a job that run on removed machines pending. It copies the slices
+// that the job shares with the original snapshot.
 func moveToPending(job *planner.Job, removed map[protocol.MachineName]bool) {
 	var moved []int
 	for _, r := range job.Running {
@@ -120,12 +119,14 @@
 	})
 }
 
-// Uncordon reports whether cordoned machines of a pool are needed after all: if one of the
-// pool would be rented for the unmet demand, or half of what that takes, since they are up.
-func (m *CloudView) Uncordon(pool CapacityPool, unmet []planner.UnmetDemand) bool {
-	urgent := m.newUrgentDemand(unmet)
+// Uncordon reports whether unmet demand needs the cordoned machines of a pool after all: if
+// scale-out would add a machine of the pool for it, or if the demand fills half of what scale-out
+// requires, since cordoned machines are ready already.
+func (view *CloudView) Uncordon(pool CapacityPool, unmet []planner.UnmetDemand) bool {
+	urgent := view.newUrgentDemand(unmet)
 	return slices.ContainsFunc(unmet, func(demand planner.UnmetDemand) bool {
-		return m.tasksPerMachine(pool, demand.Job.Spec) > 0 &&
-			(m.FairlyPriced(pool, demand.Job) || m.worthPremium(pool, demand.Job, urgent, uncordonFillScale))
+		return view.tasksPerMachine(pool, demand.Job.Spec) > 0 &&
+			(view.FairlyPriced(pool, demand.Job) ||
+				view.paysPremium(pool, demand.Job, urgent, uncordonFillScale))
 	})
 }
--- a/internal/scaling/cordon_test.go
+++ b/internal/scaling/cordon_test.go
@@ -11,7 +11,7 @@
 	"postpoint/internal/protocol"
 )
 
-// cordonSnapshot returns 40 machines of which some are used in part, and a job that waits.
+// cordonSnapshot returns 40 machines, some of them partly used, and a job with pending tasks.
 func cordonSnapshot(r *rand.Rand) planner.Snapshot {
 	s := planner.Snapshot{}
 	spec := &protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 1000, Cpus: 2}
@@ -31,25 +31,25 @@
 			running.Running = append(running.Running, task)
 		}
 	}
-	waiting := planner.Job{ID: "job-2", MaxStarts: 50,
+	pending := planner.Job{ID: "job-2", MaxStarts: 50,
 		Spec: &protocol.JobSpec{ID: "job-2", Shape: protocol.ShapeArray, Tasks: 50, Cpus: 2}}
 	for t := range r.IntN(50) {
-		waiting.Pending = append(waiting.Pending, t)
+		pending.Pending = append(pending.Pending, t)
 	}
-	s.Jobs = []planner.Job{running, waiting}
+	s.Jobs = []planner.Job{running, pending}
 	return s
 }
 
-// cordonOneByOne returns the surplus machines that looking at one after the other finds.
+// cordonOneByOne returns the surplus machines, evaluated one after the other.
 func cordonOneByOne(s planner.Snapshot) []protocol.MachineName {
 	var candidates []planner.Machine
 	for _, m := range s.Machines {
-		if idleShare(m) > minIdleShare {
+		if freeFraction(m) > minFreeFraction {
 			candidates = append(candidates, m)
 		}
 	}
 	slices.SortStableFunc(candidates, func(a, b planner.Machine) int {
-		return cmp.Compare(b.HourlyPrice*idleShare(b), a.HourlyPrice*idleShare(a))
+		return cmp.Compare(b.HourlyPrice*freeFraction(b), a.HourlyPrice*freeFraction(a))
 	})
 	var surplus []protocol.MachineName
 	for _, m := range candidates {
@@ -60,22 +60,24 @@
 	return surplus
 }
 
-// However many are looked at together, what is cordoned can be removed together, the
-// costliest first, and with looks enough it is what looking one by one finds.
-func TestCordonMatchesLookingOneByOne(t *testing.T) {
+// Whatever the batch, the cordoned machines are surplus together, those with the most expensive
+// free part come first, and with enough evaluations they are the ones that evaluating one by one
+// finds.
+func TestCordonMatchesEvaluatingOneByOne(t *testing.T) {
 	for seed := range uint64(50) {
 		s := cordonSnapshot(rand.New(rand.NewPCG(seed, 1)))
 		want := cordonOneByOne(s)
 		for _, batch := range []int{1, 7, 100} {
 			if names, _ := Cordon(s, 1000, batch); !slices.Equal(names, want) {
-				t.Fatalf("seed %d, batch %d: cordoned %v, want %v as one by one", seed, batch, names, want)
+				t.Fatalf("seed %d, batch %d: cordoned %v, want %v as evaluated one by one",
+					seed, batch, names, want)
 			}
 		}
 	}
 }
 
-// With few looks, less is found, and nothing that can't be removed together.
-func TestCordonInFewLooksIsSurplusTogether(t *testing.T) {
+// With few evaluations, Cordon finds fewer machines, but only machines that are surplus together.
+func TestCordonInFewEvaluationsIsSurplusTogether(t *testing.T) {
 	for seed := range uint64(50) {
 		s := cordonSnapshot(rand.New(rand.NewPCG(seed, 1)))
 		names, nextBatch := Cordon(s, 3, 4)
@@ -88,9 +90,9 @@
 	}
 }
 
-// At the end of a day, when nothing waits, a few looks cordon most machines: one by one
-// they took minutes in which all of them were paid for.
-func TestCordonFindsManyInFewLooks(t *testing.T) {
+// At the end of a day, when nothing is pending, a few evaluations cordon most machines. Evaluating
+// them one by one took minutes, in which the cluster paid for all of them.
+func TestCordonFindsManyInFewEvaluations(t *testing.T) {
 	s := cordonSnapshot(rand.New(rand.NewPCG(1, 1)))
 	s.Jobs[1].Pending = nil
 	names, nextBatch := Cordon(s, 5, 1)
--- a/internal/scaling/doc.go
+++ b/internal/scaling/doc.go
@@ -1,16 +1,16 @@
-// Package scaling decides which machines to rent (scale out), which to cordon so that they
-// empty and can be returned (scale in), and how long idle ones are kept.
+// Package scaling decides which machines to add (scale out), which machines to cordon so that they
+// empty and the cluster can release them (scale in), and how long to keep idle ones.
 //
-// The package is pure: its decisions depend on their arguments only, and it does no I/O
-// and reads no clock. The same arguments always yield the same decisions.
+// The package is pure: its decisions depend only on their arguments, and it does no I/O and reads
+// no clock. The same arguments always yield the same decisions.
 //
-// It owns prices and what is paid for whom: which capacity pools are fair for a job, and
-// when a job's service-level objective is worth more. It doesn't own the placement of
-// tasks (package planner), the requests to the cloud, their rate and their retries, or
-// the memory of pools that are out of capacity; the leader does these.
+// It defines prices and what the cluster pays for which job: which capacity pools have a fair price
+// for a job, and when a job's service-level objective justifies a premium. Package planner places
+// the tasks. The leader sends the requests to the cloud, limits their rate, retries them and
+// remembers which pools are out of capacity.
 //
-// The leader calls the package after each plan with the demand that found no room, and
-// every few seconds to look for machines to cordon. Admission asks it whether a job fits
-// any machine type at all. The paper that the planner follows has a fixed set of nodes, so
-// that nothing here is taken from it; see the section on machines in docs/design.md.
+// The leader calls the package after each plan with the unmet demand, and every few seconds to find
+// machines to cordon. Admission asks it whether a job fits any machine type at all. The paper that
+// the planner follows assumes a fixed set of nodes, so that nothing here comes from it; see the
+// section on machines in docs/design.md.
 package scaling
--- a/internal/scaling/draw_test.go
+++ b/internal/scaling/draw_test.go
@@ -8,10 +8,10 @@
 	"postpoint/internal/protocol"
 )
 
-// drawMarket draws a market of four types in two zones, some pools of which have run out
-// of capacity, those of the larger types more often.
-func drawMarket(r *rand.Rand) *CloudView {
-	m := &CloudView{Types: map[string]protocol.MachineType{}, OutOfCapacity: map[CapacityPool]bool{}}
+// drawCloudView draws a cloud with four machine types in two zones. Some pools are out of capacity,
+// those of the larger types more often.
+func drawCloudView(r *rand.Rand) *CloudView {
+	view := &CloudView{Types: map[string]protocol.MachineType{}, OutOfCapacity: map[CapacityPool]bool{}}
 	for i, t := range []protocol.MachineType{
 		{Name: "small", Cpus: 8, MemoryGB: 16, Price: 0.3, SpotPrice: 0.1, BootS: 30, FetchGBPerS: 0.6},
 		{Name: "middle", Cpus: 16, MemoryGB: 64, Price: 0.7, SpotPrice: 0.2, BootS: 30, FetchGBPerS: 0.5},
@@ -21,17 +21,17 @@
 			FetchGBPerS: 0.25},
 	} {
 		t.Zones = []string{"a", "b"}
-		m.Types[t.Name] = t
+		view.Types[t.Name] = t
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
-				m.OutOfCapacity[CapacityPool{t.Name, zone, spot}] = r.IntN(4) < i
+				view.OutOfCapacity[CapacityPool{t.Name, zone, spot}] = r.IntN(4) < i
 			}
 		}
 	}
-	return m
+	return view
 }
 
-// drawUnmetDemand draws jobs of all urgencies that found no room.
+// drawUnmetDemand draws unmet demand of jobs of all urgencies.
 func drawUnmetDemand(r *rand.Rand, jobs, mostTasks int) []planner.UnmetDemand {
 	unmet := make([]planner.UnmetDemand, jobs)
 	for i := range unmet {
--- a/internal/scaling/price.go
+++ b/internal/scaling/price.go
@@ -5,41 +5,41 @@
 	"postpoint/internal/protocol"
 )
 
-// Multiples are those of the cheapest price for a task in the catalogue. These values are
-// ours; docs/design.md lists them.
+// All multiples refer to the lowest price in the catalog for a task of the job. docs/design.md
+// lists the values.
 const (
-	// fairMultiple is the highest multiple paid for any job.
+	// fairMultiple is the highest multiple that scale-out pays for any job.
 	fairMultiple = 1.7
 
-	// negligibleShare is the share of the price of the dearest machine up to which a
-	// machine costs next to nothing, and is fair for any job.
-	negligibleShare = 0.05
+	// negligiblePriceFraction is the fraction of the price of the most expensive machine up to
+	// which the cost of a machine is negligible, and its price is fair for any job.
+	negligiblePriceFraction = 0.05
 
-	// partlyFilledMultiple is the highest multiple paid if urgent demand fills minFill
-	// of a machine, filledMultiple if it fills minFullFill: nobody pays for a whole
-	// machine of a dear pool for the sake of a small part of it.
+	// partlyFilledMultiple is the highest multiple that scale-out pays if urgent demand fills
+	// minPartialFill of a machine, and filledMultiple if it fills minFullFill. Scale-out doesn't
+	// pay for a whole machine of an expensive pool for the sake of a small part of it.
 	partlyFilledMultiple = 8
 	filledMultiple       = 20
-	minFill              = 0.5
+	minPartialFill       = 0.5
 	minFullFill          = 0.9
 
-	// fillTolerance is how much less than that is enough. It covers the rounding
-	// errors that add up as placed tasks are subtracted.
+	// fillTolerance is how far below these fills urgent demand may stay. It covers the rounding
+	// errors that add up while urgentDemand subtracts placed tasks.
 	fillTolerance = 1e-9
 )
 
 const (
-	// urgencyWindowS is how many seconds of slack, beyond the time until a machine
-	// rented now is ready, make a job urgent. Jobs with more can wait for a cheaper one.
+	// urgencyWindowS is how many seconds of slack, beyond the time until a machine added now is
+	// ready, still make a job urgent. Jobs with more slack can wait for a cheaper machine.
 	urgencyWindowS = 20
 
-	// patienceS is for how many seconds a job that misses its objective in any case
-	// waits for a cheaper machine.
-	patienceS = 60
+	// lateJobWaitS is how many seconds a job that misses its objective in any case waits for a
+	// cheaper machine before it becomes urgent.
+	lateJobWaitS = 60
 
-	// anyPriceS is how many seconds late a job is when any price is paid for it: far
-	// beyond the wait for a cheaper machine that may still come.
-	anyPriceS = 300
+	// anyPriceLatenessS is how many seconds late a job is when scale-out starts to pay any price
+	// for it. It is far longer than the wait for a cheaper machine that may still come.
+	anyPriceLatenessS = 300
 )
 
 // HourlyPrice returns the price of a machine of the type for an hour.
@@ -51,74 +51,74 @@
 }
 
 // HourlyPrice returns the price of a machine of the pool for an hour.
-func (m *CloudView) HourlyPrice(pool CapacityPool) float64 {
-	return HourlyPrice(m.Types[pool.Type], pool.Spot)
+func (view *CloudView) HourlyPrice(pool CapacityPool) float64 {
+	return HourlyPrice(view.Types[pool.Type], pool.Spot)
 }
 
-// FairlyPriced reports whether a task of the job costs not much more in the pool than where it is
-// cheapest. From other pools machines are rented only for jobs that can't wait.
-func (m *CloudView) FairlyPriced(pool CapacityPool, job *planner.Job) bool {
-	return m.priceMultiple(pool, job) <= fairMultiple ||
-		m.HourlyPrice(pool) <= negligibleShare*m.highestPrice()
+// FairlyPriced reports whether a task of the job costs not much more in the pool than in the
+// cheapest pool. Scale-out uses pools with other prices only for jobs that can't wait.
+func (view *CloudView) FairlyPriced(pool CapacityPool, job *planner.Job) bool {
+	return view.priceMultiple(pool, job) <= fairMultiple ||
+		view.HourlyPrice(pool) <= negligiblePriceFraction*view.highestPrice()
 }
 
-// highestPrice returns the price of the dearest machine type.
-func (m *CloudView) highestPrice() float64 {
+// highestPrice returns the price of the most expensive machine type.
+func (view *CloudView) highestPrice() float64 {
 	price := 0.0
-	for _, t := range m.Types {
+	for _, t := range view.Types {
 		price = max(price, t.Price)
 	}
 	return price
 }
 
-// priceMultiple returns what a task of the job costs in the pool, as a multiple of where
-// it is cheapest.
-func (m *CloudView) priceMultiple(pool CapacityPool, job *planner.Job) float64 {
-	return m.HourlyPrice(pool) / float64(m.tasksPerMachine(pool, job.Spec)) / m.lowestTaskPrice(job.Spec)
+// priceMultiple returns what a task of the job costs in the pool, as a multiple of the cost in the
+// cheapest pool.
+func (view *CloudView) priceMultiple(pool CapacityPool, job *planner.Job) float64 {
+	return view.HourlyPrice(pool) / float64(view.tasksPerMachine(pool, job.Spec)) /
+		view.lowestTaskPrice(job.Spec)
 }
 
-// lowestTaskPrice returns the lowest price for a task on a machine that such tasks fill,
-// whether or not such a machine can be had at present.
-func (m *CloudView) lowestTaskPrice(spec *protocol.JobSpec) float64 {
-	if known, ok := m.lowestPrices[spec]; ok {
+// lowestTaskPrice returns the lowest price for a task on a machine that such tasks fill, whether or
+// not that machine's pool has capacity at present.
+func (view *CloudView) lowestTaskPrice(spec *protocol.JobSpec) float64 {
+	if known, ok := view.lowestPrices[spec]; ok {
 		return known
 	}
 	lowest := 0.0
-	for pool, tasks := range m.usablePools(spec) {
-		if price := m.HourlyPrice(pool) / float64(tasks); lowest == 0 || price < lowest {
+	for pool, tasks := range view.usablePools(spec) {
+		if price := view.HourlyPrice(pool) / float64(tasks); lowest == 0 || price < lowest {
 			lowest = price
 		}
 	}
-	if m.lowestPrices == nil {
-		m.lowestPrices = map[*protocol.JobSpec]float64{}
+	if view.lowestPrices == nil {
+		view.lowestPrices = map[*protocol.JobSpec]float64{}
 	}
-	m.lowestPrices[spec] = lowest
+	view.lowestPrices[spec] = lowest
 	return lowest
 }
 
-// worthPremium reports whether a price that isn't fair is paid for a job, given the
-// urgent demand of all jobs. The fill asked of that demand is scaled by fillScale.
-func (m *CloudView) worthPremium(
+// paysPremium reports whether scale-out pays a price that isn't fair for a job, given the urgent
+// demand of all jobs. fillScale scales the part of a machine that this demand must fill.
+func (view *CloudView) paysPremium(
 	pool CapacityPool, job *planner.Job, urgent *urgentDemand, fillScale float64,
 ) bool {
 	if paysAnyPrice(job) {
 		return true
 	}
-	multiple := m.priceMultiple(pool, job)
-	if multiple > filledMultiple || !isUrgent(job, m.Types[pool.Type]) {
+	multiple := view.priceMultiple(pool, job)
+	if multiple > filledMultiple || !isUrgent(job, view.Types[pool.Type]) {
 		return false
 	}
-	fill := minFill
+	fill := minPartialFill
 	if multiple > partlyFilledMultiple {
 		fill = minFullFill
 	}
 	return urgent.machinesFilled(pool) >= fill*fillScale-fillTolerance
 }
 
-// isUrgent reports whether a job would miss its objective by waiting much longer than a
-// machine of the type takes to be ready, and can still meet it with one. Jobs that miss
-// it in any case wait for a cheaper machine, but not for ever. Jobs with an objective for
-// their start are always urgent.
+// isUrgent reports whether a job would miss its objective by waiting much longer than a machine of
+// the type takes to be ready, and can still meet it with one. Jobs that miss it in any case wait a
+// limited time for a cheaper machine. Jobs with an objective for their start are always urgent.
 func isUrgent(job *planner.Job, t protocol.MachineType) bool {
 	readyS := t.BootS
 	if t.FetchGBPerS > 0 {
@@ -126,8 +126,8 @@
 	}
 	return job.HasStartObjective ||
 		job.SlackS >= readyS && job.SlackS < readyS+urgencyWindowS ||
-		job.SlackS < -patienceS
+		job.SlackS < -lateJobWaitS
 }
 
-// paysAnyPrice reports whether a job has waited so long that any price is paid for it.
-func paysAnyPrice(job *planner.Job) bool { return job.SlackS < -anyPriceS }
+// paysAnyPrice reports whether a job is so late that scale-out pays any price for it.
+func paysAnyPrice(job *planner.Job) bool { return job.SlackS < -anyPriceLatenessS }
--- a/internal/scaling/price_test.go
+++ b/internal/scaling/price_test.go
@@ -7,82 +7,84 @@
 	"postpoint/internal/protocol"
 )
 
-// twoTypes returns a market with a cheap type and a dear one of the same size, whose price
-// is between the fair multiple and the one paid for half a machine.
+// twoTypes returns a cloud with a cheap and an expensive type of the same size. The price of the
+// expensive type is between the fair multiple and the multiple for a half-filled machine.
 func twoTypes() *CloudView {
 	zones := []string{"a"}
 	return &CloudView{Types: map[string]protocol.MachineType{
-		"cheap": {Name: "cheap", Cpus: 10, Price: 1, SpotPrice: 1, Zones: zones},
-		"dear":  {Name: "dear", Cpus: 10, Price: 4, SpotPrice: 4, Zones: zones},
+		"cheap":     {Name: "cheap", Cpus: 10, Price: 1, SpotPrice: 1, Zones: zones},
+		"expensive": {Name: "expensive", Cpus: 10, Price: 4, SpotPrice: 4, Zones: zones},
 	}}
 }
 
-// singleTasks returns unmet demand for tasks of one processor each.
+// singleTasks returns the unmet demand of one job for tasks of one processor each.
 func singleTasks(tasks int, job planner.Job) []planner.UnmetDemand {
 	job.Spec = &protocol.JobSpec{ID: "job-1", Tasks: tasks, Cpus: 1}
 	return []planner.UnmetDemand{{Job: &job, Tasks: tasks}}
 }
 
-// A cordoned machine of a dear pool is needed by half the urgent demand that has one rented;
-// one of a fair pool is needed by any demand.
+// Half the urgent demand that makes scale-out add a machine of an expensive pool suffices to
+// uncordon one. Any demand suffices to uncordon a machine of a fairly priced pool.
 func TestUncordonNeedsHalfTheDemandOfScaleOut(t *testing.T) {
 	urgent, patient := planner.Job{HasStartObjective: true}, planner.Job{SlackS: 1000}
-	cheap, dear := CapacityPool{Type: "cheap", Zone: "a"}, CapacityPool{Type: "dear", Zone: "a"}
+	cheap, expensive := CapacityPool{Type: "cheap", Zone: "a"}, CapacityPool{Type: "expensive", Zone: "a"}
 	for _, test := range []struct {
 		name     string
 		pool     CapacityPool
 		unmet    []planner.UnmetDemand
 		uncordon bool
-		rented   int
+		added    int
 	}{
-		{"fair pool, patient job", cheap, singleTasks(1, patient), true, 1},
-		{"dear pool, patient job", dear, singleTasks(10, patient), false, 0},
-		{"dear pool, a fifth of a machine", dear, singleTasks(2, urgent), false, 0},
-		{"dear pool, three tenths of a machine", dear, singleTasks(3, urgent), true, 0},
-		{"dear pool, half a machine", dear, singleTasks(5, urgent), true, 1},
+		{"cheap pool, patient job", cheap, singleTasks(1, patient), true, 1},
+		{"expensive pool, patient job", expensive, singleTasks(10, patient), false, 0},
+		{"expensive pool, a fifth of a machine", expensive, singleTasks(2, urgent), false, 0},
+		{"expensive pool, three tenths of a machine", expensive, singleTasks(3, urgent), true, 0},
+		{"expensive pool, half a machine", expensive, singleTasks(5, urgent), true, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			m := twoTypes()
-			if got := m.Uncordon(test.pool, test.unmet); got != test.uncordon {
+			view := twoTypes()
+			if got := view.Uncordon(test.pool, test.unmet); got != test.uncordon {
 				t.Errorf("uncordoned: %v, want %v", got, test.uncordon)
 			}
-			m = twoTypes()
-			m.OutOfCapacity = map[CapacityPool]bool{}
-			for _, other := range allPools(m.Types) {
-				m.OutOfCapacity[other] = other != test.pool
+			view = twoTypes()
+			view.OutOfCapacity = map[CapacityPool]bool{}
+			for _, other := range allPools(view.Types) {
+				view.OutOfCapacity[other] = other != test.pool
 			}
-			rented := 0
-			for _, decision := range m.ScaleOut(test.unmet) {
-				rented += decision.Count
+			added := 0
+			for _, decision := range view.ScaleOut(test.unmet) {
+				added += decision.Count
 			}
-			if rented != test.rented {
-				t.Errorf("rented %d machines, want %d", rented, test.rented)
+			if added != test.added {
+				t.Errorf("added %d machines, want %d", added, test.added)
 			}
 		})
 	}
 }
 
-// Prices of other pools than the cheapest are fair up to a multiple, or if they are next to
-// nothing.
+// Prices above the lowest are fair up to a multiple of it, or if they are negligible beside the
+// most expensive machine.
 func TestFairPrices(t *testing.T) {
-	m := twoTypes()
+	view := twoTypes()
 	job := singleTasks(1, planner.Job{})[0].Job
-	if !m.FairlyPriced(CapacityPool{Type: "cheap", Zone: "a"}, job) {
-		t.Error("the cheapest pool isn't fair, want it fair")
+	if !view.FairlyPriced(CapacityPool{Type: "cheap", Zone: "a"}, job) {
+		t.Error("the price of the cheapest pool isn't fair, want it to be")
 	}
-	dear := CapacityPool{Type: "dear", Zone: "a"}
-	if m.FairlyPriced(dear, job) {
-		t.Error("a pool of four times the cheapest price is fair, want it not to be")
+	expensive := CapacityPool{Type: "expensive", Zone: "a"}
+	if view.FairlyPriced(expensive, job) {
+		t.Error("four times the lowest price is fair, want it not to be")
 	}
-	m = twoTypes()
-	m.Types["dearest"] = protocol.MachineType{Name: "dearest", Cpus: 1, Price: 80, Zones: []string{"a"}}
-	if !m.FairlyPriced(dear, job) {
-		t.Error("a pool of a twentieth of the dearest price isn't fair, want it fair")
+	view = twoTypes()
+	view.Types["most expensive"] = protocol.MachineType{
+		Name: "most expensive", Cpus: 1, Price: 80, Zones: []string{"a"},
+	}
+	if !view.FairlyPriced(expensive, job) {
+		t.Error("a twentieth of the highest price isn't fair, want it to be")
 	}
 }
 
-// A job fits a machine type if its task fits the empty machine and one of its zones is
-// allowed.
+// A job fits a machine type if its task fits the empty machine and the job may use one of the
+// type's zones.
 func TestFitsAnyType(t *testing.T) {
 	types := []protocol.MachineType{
 		{Name: "small", Cpus: 2, Zones: []string{"a"}},
--- a/internal/scaling/scaleout.go
+++ b/internal/scaling/scaleout.go
@@ -7,54 +7,55 @@
 	"postpoint/internal/planner"
 )
 
-// maxMachinesPerDecision bounds the work of one decision. It is a quarter of the largest
-// deployment that is provided for; what is wanted beyond it is decided next time.
+// maxMachinesPerDecision bounds the work of one decision. It is a quarter of the largest supported
+// deployment. The next decision covers the remaining demand.
 const maxMachinesPerDecision = 1000
 
-// ScaleOutDecision is a number of machines to rent from one pool.
+// ScaleOutDecision is a number of machines to add from one pool.
 type ScaleOutDecision struct {
 	Pool  CapacityPool
 	Count int
 }
 
-// ScaleOut chooses machines for unmet demand, for each job the pool that is cheapest for what
-// a machine would hold of it. The order of the demand is that of the queue.
-func (m *CloudView) ScaleOut(unmet []planner.UnmetDemand) []ScaleOutDecision {
-	s := m.newScaleOut(unmet)
+// ScaleOut chooses machines for unmet demand. For each job it chooses the pool with the lowest
+// price per task that a machine would hold of the job. The order of the demand is that of the
+// queue.
+func (view *CloudView) ScaleOut(unmet []planner.UnmetDemand) []ScaleOutDecision {
+	s := view.newScaleOut(unmet)
 	for i := range s.unmet {
 		if demand := &s.unmet[i]; !demand.Job.BackingOff {
 			s.addMachinesFor(demand)
 		}
 	}
-	return m.countByPool(s.machines)
+	return view.countByPool(s.machines)
 }
 
-// scaleOut is the state of one decision.
+// scaleOut is the state of one ScaleOut call.
 type scaleOut struct {
 	cloud *CloudView
-	// unmet is what is still unmet. It is also what urgent is computed from.
+	// unmet is the demand that is still unmet. urgent refers to the same slice.
 	unmet    []planner.UnmetDemand
 	urgent   *urgentDemand
 	machines []*newMachine
 }
 
-// newMachine is a machine to rent.
+// newMachine is a machine to add.
 type newMachine struct {
 	pool CapacityPool
 	free planner.Resources
 }
 
-func (m *CloudView) newScaleOut(unmet []planner.UnmetDemand) *scaleOut {
+func (view *CloudView) newScaleOut(unmet []planner.UnmetDemand) *scaleOut {
 	unmet = slices.Clone(unmet)
-	return &scaleOut{cloud: m, unmet: unmet, urgent: m.newUrgentDemand(unmet)}
+	return &scaleOut{cloud: view, unmet: unmet, urgent: view.newUrgentDemand(unmet)}
 }
 
-// addMachinesFor places the unmet tasks of a job on machines chosen before, and adds
-// machines for those that find no room there.
+// addMachinesFor places the unmet tasks of a job on machines that this call added before, and adds
+// machines for those that don't fit there.
 func (s *scaleOut) addMachinesFor(demand *planner.UnmetDemand) {
 	request := planner.TaskResources(demand.Job.Spec)
 	zones := demand.Job.TasksByZone()
-	// Machines before this index have no room for a task of this job, and get none.
+	// Machines before this index have no free capacity for a task of this job, and gain none.
 	at := 0
 	for demand.Tasks > 0 {
 		for at < len(s.machines) && !s.machines[at].takes(demand.Job, request, zones) {
@@ -69,7 +70,7 @@
 		demand.Tasks--
 		s.urgent.taskPlaced()
 	}
-	s.urgent.settle(demand.Job)
+	s.urgent.subtractPlaced(demand.Job)
 }
 
 // takes reports whether one more task of a job may go to the machine.
@@ -79,8 +80,8 @@
 		planner.ZoneAllowed(job.Spec, zones, n.pool.Zone)
 }
 
-// addMachine adds a machine for the unmet tasks of a job, and reports whether there is
-// one that may be rented for them.
+// addMachine adds a machine for the unmet tasks of a job, and reports whether it found a pool for
+// them.
 func (s *scaleOut) addMachine(demand *planner.UnmetDemand, zones map[string]int) bool {
 	if len(s.machines) == maxMachinesPerDecision {
 		return false
@@ -92,12 +93,12 @@
 	return found
 }
 
-// choosePool returns the pool with the lowest price for each of the tasks that a machine
+// choosePool returns the usable pool with the lowest price for each of the tasks that a machine
 // would hold.
 func (s *scaleOut) choosePool(
 	demand *planner.UnmetDemand, zones map[string]int,
 ) (best CapacityPool, found bool) {
-	s.urgent.settle(demand.Job)
+	s.urgent.subtractPlaced(demand.Job)
 	lowest := 0.0
 	for pool, fits := range s.cloud.usablePools(demand.Job.Spec) {
 		if !s.cloud.available(pool, demand.Job, zones) || !s.acceptsPrice(pool, demand.Job) {
@@ -111,25 +112,26 @@
 	return best, found
 }
 
-// available reports whether a machine of the pool is to be had, in a zone that the job's
-// next task may go to.
-func (m *CloudView) available(pool CapacityPool, job *planner.Job, zones map[string]int) bool {
-	if m.OutOfCapacity[pool] {
+// available reports whether ScaleOut may add a machine of the pool for the job's next task: the
+// pool isn't known to be out of capacity, the job's constraints allow its zone, and the zone isn't
+// at risk or the job may need it.
+func (view *CloudView) available(pool CapacityPool, job *planner.Job, zones map[string]int) bool {
+	if view.OutOfCapacity[pool] {
 		return false
 	}
-	if m.ZonesAtRisk[pool.Zone] && !planner.MayNeedZone(job.Spec, pool.Zone) {
+	if view.ZonesAtRisk[pool.Zone] && !planner.MayNeedZone(job.Spec, pool.Zone) {
 		return false
 	}
 	return planner.ZoneAllowed(job.Spec, zones, pool.Zone)
 }
 
-// acceptsPrice reports whether the pool's price is paid for the job.
+// acceptsPrice reports whether scale-out pays the pool's price for the job.
 func (s *scaleOut) acceptsPrice(pool CapacityPool, job *planner.Job) bool {
-	return s.cloud.FairlyPriced(pool, job) || s.cloud.worthPremium(pool, job, s.urgent, 1)
+	return s.cloud.FairlyPriced(pool, job) || s.cloud.paysPremium(pool, job, s.urgent, 1)
 }
 
 // countByPool counts machines by pool, the cheapest pools first.
-func (m *CloudView) countByPool(machines []*newMachine) []ScaleOutDecision {
+func (view *CloudView) countByPool(machines []*newMachine) []ScaleOutDecision {
 	counts := map[CapacityPool]int{}
 	for _, n := range machines {
 		counts[n.pool]++
@@ -140,7 +142,7 @@
 	}
 	slices.SortFunc(decisions, func(a, b ScaleOutDecision) int {
 		return cmp.Or(
-			cmp.Compare(m.HourlyPrice(a.Pool), m.HourlyPrice(b.Pool)),
+			cmp.Compare(view.HourlyPrice(a.Pool), view.HourlyPrice(b.Pool)),
 			cmp.Compare(a.Pool.Type, b.Pool.Type),
 			cmp.Compare(a.Pool.Zone, b.Pool.Zone))
 	})
--- a/internal/scaling/scaleout_test.go
+++ b/internal/scaling/scaleout_test.go
@@ -10,111 +10,114 @@
 	"postpoint/internal/planner"
 )
 
-// referenceScaleOut decides task by task, and looks at everything again for each machine.
-func referenceScaleOut(m *CloudView, unmet []planner.UnmetDemand) []ScaleOutDecision {
+// referenceScaleOut decides task by task, and computes everything anew for each machine.
+func referenceScaleOut(view *CloudView, unmet []planner.UnmetDemand) []ScaleOutDecision {
 	unmet = slices.Clone(unmet)
 	var machines []newMachine
 	for i := range unmet {
-		w := &unmet[i]
-		request, zones := planner.TaskResources(w.Job.Spec), map[string]int{}
-		for _, r := range w.Job.Running {
+		demand := &unmet[i]
+		request, zones := planner.TaskResources(demand.Job.Spec), map[string]int{}
+		for _, r := range demand.Job.Running {
 			zones[r.Zone]++
 		}
-		for w.Tasks > 0 && !w.Job.BackingOff {
+		for demand.Tasks > 0 && !demand.Job.BackingOff {
 			at := slices.IndexFunc(machines, func(n newMachine) bool {
-				return n.takes(w.Job, request,
-					zones)
+				return n.takes(demand.Job, request, zones)
 			})
 			if at < 0 {
-				k, ok := referencePool(m, w, zones, unmet)
+				pool, ok := referencePool(view, demand, zones, unmet)
 				if !ok || len(machines) == maxMachinesPerDecision {
 					break
 				}
-				at, machines = len(machines), append(machines, newMachine{k, Capacity(m.Types[k.Type])})
+				at, machines = len(machines), append(machines,
+					newMachine{pool, Capacity(view.Types[pool.Type])})
 			}
 			machines[at].free = machines[at].free.Minus(request)
 			zones[machines[at].pool.Zone]++
-			w.Tasks--
+			demand.Tasks--
 		}
 	}
-	return referenceCounts(m, machines)
+	return referenceCounts(view, machines)
 }
 
 // referenceCounts counts machines by pool, the cheapest pools first.
-func referenceCounts(m *CloudView, machines []newMachine) []ScaleOutDecision {
+func referenceCounts(view *CloudView, machines []newMachine) []ScaleOutDecision {
 	counts := map[CapacityPool]int{}
 	for _, n := range machines {
 		counts[n.pool]++
 	}
 	var decisions []ScaleOutDecision
-	for _, k := range slices.SortedFunc(maps.Keys(counts), func(a, b CapacityPool) int {
+	for _, pool := range slices.SortedFunc(maps.Keys(counts), func(a, b CapacityPool) int {
 		return cmp.Or(
-			cmp.Compare(m.HourlyPrice(a), m.HourlyPrice(b)),
+			cmp.Compare(view.HourlyPrice(a), view.HourlyPrice(b)),
 			cmp.Compare(a.Type, b.Type),
 			cmp.Compare(a.Zone, b.Zone))
 	}) {
-		decisions = append(decisions, ScaleOutDecision{k, counts[k]})
+		decisions = append(decisions, ScaleOutDecision{pool, counts[pool]})
 	}
 	return decisions
 }
 
-// referencePool chooses the cheapest pool for the tasks that a machine would hold.
+// referencePool chooses the pool with the lowest price for each of the tasks that a machine would
+// hold.
 func referencePool(
-	m *CloudView, w *planner.UnmetDemand, zones map[string]int, unmet []planner.UnmetDemand,
+	view *CloudView, demand *planner.UnmetDemand, zones map[string]int, unmet []planner.UnmetDemand,
 ) (CapacityPool, bool) {
 	var best CapacityPool
 	bestCost, found := 0.0, false
-	for k, fits := range m.usablePools(w.Job.Spec) {
-		if m.OutOfCapacity[k] || !planner.ZoneAllowed(w.Job.Spec, zones, k.Zone) {
+	for pool, fits := range view.usablePools(demand.Job.Spec) {
+		if view.OutOfCapacity[pool] || !planner.ZoneAllowed(demand.Job.Spec, zones, pool.Zone) {
 			continue
 		}
-		if !m.FairlyPriced(k, w.Job) && !referencePremium(m, k, w.Job, unmet) {
+		if !view.FairlyPriced(pool, demand.Job) && !referencePremium(view, pool, demand.Job, unmet) {
 			continue
 		}
-		if cost := m.HourlyPrice(k) / float64(min(fits, w.Tasks)); !found || cost < bestCost {
-			best, bestCost, found = k, cost, true
+		if cost := view.HourlyPrice(pool) / float64(min(fits, demand.Tasks)); !found || cost < bestCost {
+			best, bestCost, found = pool, cost, true
 		}
 	}
 	return best, found
 }
 
-// referencePremium sums the urgent demand anew for each question.
-func referencePremium(m *CloudView, k CapacityPool, j *planner.Job, unmet []planner.UnmetDemand) bool {
-	if j.SlackS < -anyPriceS {
+// referencePremium is paysPremium, but sums up the urgent demand on each call.
+func referencePremium(view *CloudView, pool CapacityPool, j *planner.Job, unmet []planner.UnmetDemand) bool {
+	if j.SlackS < -anyPriceLatenessS {
 		return true
 	}
-	multiple, machineType := m.priceMultiple(k, j), m.Types[k.Type]
+	multiple, machineType := view.priceMultiple(pool, j), view.Types[pool.Type]
 	if multiple > filledMultiple || !isUrgent(j, machineType) {
 		return false
 	}
 	filled := 0.0
-	for _, w := range unmet {
-		if m.tasksPerMachine(k, w.Job.Spec) > 0 && m.priceMultiple(k, w.Job) <= filledMultiple &&
-			isUrgent(w.Job, machineType) {
-			filled += float64(w.Tasks) * planner.TaskResources(w.Job.Spec).DominantShare(Capacity(machineType))
+	for _, demand := range unmet {
+		if view.tasksPerMachine(pool, demand.Job.Spec) > 0 &&
+			view.priceMultiple(pool, demand.Job) <= filledMultiple &&
+			isUrgent(demand.Job, machineType) {
+			filled += float64(demand.Tasks) *
+				planner.TaskResources(demand.Job.Spec).DominantShare(Capacity(machineType))
 		}
 	}
-	return filled >= minFill && multiple <= partlyFilledMultiple || filled >= minFullFill
+	return filled >= minPartialFill && multiple <= partlyFilledMultiple || filled >= minFullFill
 }
 
-// What makes decisions for much unmet demand fast changes none of them.
+// The optimizations for much unmet demand (caches, running sums) change no decision.
 func TestScaleOutMatchesReference(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 2))
-		m, unmet := drawMarket(r), drawUnmetDemand(r, 1+r.IntN(12), 40)
-		if got, want := m.ScaleOut(unmet), referenceScaleOut(m, unmet); !slices.Equal(got, want) {
-			t.Fatalf("seed %d: rented %v, want %v as decided one by one", seed, got, want)
+		view, unmet := drawCloudView(r), drawUnmetDemand(r, 1+r.IntN(12), 40)
+		if got, want := view.ScaleOut(unmet), referenceScaleOut(view, unmet); !slices.Equal(got, want) {
+			t.Fatalf("seed %d: added %v, want %v as the reference decides", seed, got, want)
 		}
 	}
 }
 
-// A large deployment whose capacity is taken and in which 150 jobs wait.
+// A large deployment in which many pools are out of capacity and 150 jobs have unmet demand.
 func BenchmarkRent(b *testing.B) {
 	r := rand.New(rand.NewPCG(1, 3))
-	m, unmet := drawMarket(r), drawUnmetDemand(r, 150, 150)
+	view, unmet := drawCloudView(r), drawUnmetDemand(r, 150, 150)
 	b.ReportAllocs()
 	for b.Loop() {
-		m.lowestPrices, m.pools = nil, nil
-		m.ScaleOut(unmet)
+		view.lowestPrices, view.pools = nil, nil
+		view.ScaleOut(unmet)
 	}
 }
--- a/internal/scaling/urgentdemand.go
+++ b/internal/scaling/urgentdemand.go
@@ -2,22 +2,22 @@
 
 import "postpoint/internal/planner"
 
-// urgentDemand is how much of the machines of each pool the urgent tasks among all unmet
-// demand would fill. The sum over all of them is formed once for each pool and then
-// follows what is placed: forming it anew for each machine to rent took a leader with
-// much unmet demand half a second at a time.
+// urgentDemand computes how many machines of each pool the urgent tasks of the unmet demand would
+// fill. It computes the sum over all tasks once for each pool and then subtracts what ScaleOut
+// places: with much unmet demand, recomputing the sum for each added machine took a leader half a
+// second at a time.
 type urgentDemand struct {
 	cloud *CloudView
 	unmet []planner.UnmetDemand
-	// filled has the results of machinesFilled.
+	// filled caches the results of machinesFilled.
 	filled map[CapacityPool]float64
-	// placed counts tasks of the job being placed that filled doesn't reflect yet: see
-	// settle.
+	// placed counts the tasks of the job being placed that filled doesn't reflect yet: see
+	// subtractPlaced.
 	placed int
 }
 
-func (m *CloudView) newUrgentDemand(unmet []planner.UnmetDemand) *urgentDemand {
-	return &urgentDemand{cloud: m, unmet: unmet, filled: map[CapacityPool]float64{}}
+func (view *CloudView) newUrgentDemand(unmet []planner.UnmetDemand) *urgentDemand {
+	return &urgentDemand{cloud: view, unmet: unmet, filled: map[CapacityPool]float64{}}
 }
 
 // machinesFilled returns how many machines of a pool the urgent tasks would fill.
@@ -32,22 +32,22 @@
 	return sum
 }
 
-// taskShare returns what share of a machine of the pool one task of a job takes, 0 if the
-// job isn't urgent or no price that high is paid for it.
+// taskShare returns the fraction of a machine of the pool that one task of a job takes, or 0 if the
+// job isn't urgent or the price is above the highest multiple.
 func (d *urgentDemand) taskShare(pool CapacityPool, job *planner.Job) float64 {
-	m := d.cloud
-	if m.tasksPerMachine(pool, job.Spec) == 0 || m.priceMultiple(pool, job) > filledMultiple ||
-		!isUrgent(job, m.Types[pool.Type]) {
+	view := d.cloud
+	if view.tasksPerMachine(pool, job.Spec) == 0 || view.priceMultiple(pool, job) > filledMultiple ||
+		!isUrgent(job, view.Types[pool.Type]) {
 		return 0
 	}
-	return planner.TaskResources(job.Spec).DominantShare(Capacity(m.Types[pool.Type]))
+	return planner.TaskResources(job.Spec).DominantShare(Capacity(view.Types[pool.Type]))
 }
 
-// taskPlaced notes that one more task of the job being placed isn't unmet any more.
+// taskPlaced records that one more task of the job being placed is no longer unmet.
 func (d *urgentDemand) taskPlaced() { d.placed++ }
 
-// settle subtracts the tasks of a job that were placed since the last call.
-func (d *urgentDemand) settle(job *planner.Job) {
+// subtractPlaced subtracts the tasks of a job that were placed since the last call.
+func (d *urgentDemand) subtractPlaced(job *planner.Job) {
 	if d.placed == 0 {
 		return
 	}
