--- a/internal/offload/greedy.go
+++ b/internal/offload/greedy.go
@@ -7,70 +7,71 @@
 	"postpoint/internal/planner"
 )
 
-// remainder is what an allocation leaves.
+// remainder is the capacity and the tasks that an allocation leaves.
 type remainder struct {
 	pools []planner.Resources
 	hosts []planner.Resources
-	tasks []int // of each job
+	tasks []int // pending tasks of each candidate
 }
 
-// remainderAfter returns what an allocation leaves.
+// remainderAfter returns the remainder of an allocation.
 func (p *problem) remainderAfter(a allocation) remainder {
 	var r remainder
 	for _, pool := range p.pools {
-		r.pools = append(r.pools, pool.room)
+		r.pools = append(r.pools, pool.capacity)
 	}
 	for _, host := range p.hosts {
-		room := host.Load.QuotaLeft
-		room.MemoryGB = planner.UnlimitedMemoryGB
-		r.hosts = append(r.hosts, room)
+		quota := host.Load.QuotaLeft
+		quota.MemoryGB = planner.UnlimitedMemoryGB
+		r.hosts = append(r.hosts, quota)
 	}
-	for _, w := range p.work {
-		r.tasks = append(r.tasks, w.Tasks)
+	for _, c := range p.candidates {
+		r.tasks = append(r.tasks, c.Tasks)
 	}
 	for i, n := range a {
-		p.take(&r, i, n)
+		p.allocate(&r, i, n)
 	}
 	return r
 }
 
-// take has n more tasks take option i.
-func (p *problem) take(r *remainder, i, n int) {
+// allocate subtracts n more tasks of option i from the remainder.
+func (p *problem) allocate(r *remainder, i, n int) {
 	o := p.options[i]
 	host := p.pools[o.pool].host
-	needs := planner.TaskResources(p.work[o.work].Spec).Times(float64(n))
-	r.pools[o.pool] = r.pools[o.pool].Minus(needs)
-	r.hosts[host] = r.hosts[host].Minus(needs)
-	r.tasks[o.work] -= n
+	request := planner.TaskResources(p.candidates[o.candidate].Spec).Times(float64(n))
+	r.pools[o.pool] = r.pools[o.pool].Minus(request)
+	r.hosts[host] = r.hosts[host].Minus(request)
+	r.tasks[o.candidate] -= n
 }
 
-// fits returns how many more tasks can take option i.
+// fits returns how many more tasks option i can take.
 func (p *problem) fits(r *remainder, i int) int {
 	o := p.options[i]
-	w := &p.work[o.work]
-	needs := planner.TaskResources(w.Spec)
-	inPool := needs.CopiesIn(r.pools[o.pool])
-	inHost := needs.CopiesIn(r.hosts[p.pools[o.pool].host])
-	n := max(0, min(r.tasks[o.work], inPool, inHost))
-	if w.AllOrNothing && n < w.Tasks {
+	c := &p.candidates[o.candidate]
+	request := planner.TaskResources(c.Spec)
+	inPool := request.CopiesIn(r.pools[o.pool])
+	inHost := request.CopiesIn(r.hosts[p.pools[o.pool].host])
+	n := max(0, min(r.tasks[o.candidate], inPool, inHost))
+	if c.AllOrNothing && n < c.Tasks {
 		return 0
 	}
 	return n
 }
 
-// addGreedily adds to an allocation what still fits, the options with the largest gains first.
+// addGreedily adds to an allocation the tasks that still fit, the options with the largest gains
+// first.
 func (p *problem) addGreedily(a allocation) allocation {
 	r := p.remainderAfter(a)
 	for _, i := range p.optionsByGain() {
 		if n := p.fits(&r, i); n > 0 {
-			p.take(&r, i, n)
+			p.allocate(&r, i, n)
 			a[i] += n
 		}
 	}
 	return a
 }
 
-// optionsByGain returns the indexes of all options, the largest gains first.
+// optionsByGain returns the indexes of all options in descending order of gain.
 func (p *problem) optionsByGain() []int {
 	order := make([]int, len(p.options))
 	for i := range order {
--- a/internal/offload/plan.go
+++ b/internal/offload/plan.go
@@ -1,14 +1,15 @@
-// Package offload decides which waiting jobs are offloaded to which other cell. It owns that decision,
-// which is a function from what waits and what the cells say of themselves to a plan. It doesn't
-// own who may offload what (internal/cells), nor the transfer itself (internal/delegation): the origin
-// cell's leader (internal/leader) gathers the input and carries the plan out. The package is pure.
+// Package offload decides which pending jobs the origin cell offloads to which other cells. The
+// decision is a pure function from the pending jobs and the load that the other cells publish to a
+// plan. Package cells decides who may offload what, and package delegation does the transfer; the
+// origin cell's leader collects the input and carries out the plan.
 //
-// The decision is an assignment problem. Each job's tasks may go to one of several pools of capacity:
-// a cell's free room on machines that are up, or machines that the cell would rent, of which the
-// second half counts as less sure, so that work is spread over cells. A task in a pool gains what it
-// would wait longer in its origin cell, and takes its amounts of the pool's and of the host cell's
-// room. The gain is maximised by a linear program, rounded down to whole tasks and whole gangs and
-// filled up greedily; the greedy plan alone is the fallback.
+// The decision is an assignment problem. Each job's tasks may go to one of several pools of
+// capacity: a cell's free capacity on ready machines, or machines that the cell would add. The
+// second half of the latter counts as less certain, so that the work spreads over cells. The gain
+// of a task in a pool is the time that it would wait longer in its origin cell. The task takes its
+// resources from the pool and from the host cell's quota. A linear program maximizes the total
+// gain. Plan rounds its solution down to whole tasks and whole gangs, and fills the remaining
+// capacity greedily. The greedy plan alone is the fallback.
 package offload
 
 import (
@@ -18,19 +19,19 @@
 	"postpoint/internal/protocol"
 )
 
-// Candidate is one job whose tasks wait and may be offloaded.
+// Candidate is a job with pending tasks that may be offloaded.
 type Candidate struct {
 	Job   protocol.JobID
 	Spec  *protocol.JobSpec
 	Tasks int
-	// AllOrNothing jobs go to one cell with all of their tasks or not at all.
+	// AllOrNothing reports whether one cell must host all tasks of the job or none.
 	AllOrNothing bool
-	// OriginWaitS is how long, in seconds, it is expected to wait in its origin cell.
+	// OriginWaitS is how many seconds the job is expected to wait in its origin cell.
 	OriginWaitS float64
 	Hosts       []string // cells that may host it
 }
 
-// Host is another cell that may host jobs.
+// Host is another cell that may host jobs, with the load that it published.
 type Host struct {
 	Name string
 	Load delegation.Load
@@ -44,36 +45,42 @@
 }
 
 const (
-	// maxWork and maxHosts bound one decision, which takes the leader's time: see BenchmarkPlan.
-	maxWork  = 6
-	maxHosts = 4
+	// maxCandidates and maxHosts bound the size of one decision, which takes time from the leader:
+	// see BenchmarkPlan.
+	maxCandidates = 6
+	maxHosts      = 4
 )
 
-// Plan decides what is offloaded. Work is given in the order of its importance, of which only the
-// first few jobs that gain by going anywhere are looked at; the rest waits for the next decision.
-func Plan(work []Candidate, hosts []Host) []Assignment {
-	p := newProblem(work, hosts[:min(len(hosts), maxHosts)])
+// Plan decides which tasks to offload. The candidates are in the order of their importance. The
+// decision covers only the first maxCandidates jobs that gain by going anywhere, and the first
+// maxHosts hosts; the other jobs wait for the next decision.
+func Plan(candidates []Candidate, hosts []Host) []Assignment {
+	p := newProblem(candidates, hosts[:min(len(hosts), maxHosts)])
 	if len(p.options) == 0 {
 		return nil
 	}
-	best := p.addGreedily(p.empty())
+	best := p.addGreedily(p.emptyAllocation())
 	if relaxed, err := p.solveRelaxed(); err == nil {
 		if rounded := p.addGreedily(p.round(relaxed)); p.gain(rounded) > p.gain(best) {
 			best = rounded
 		}
 	}
-	return p.choices(best)
+	return p.assignments(best)
 }
 
-// choices adds up the pools of each cell.
-func (p *problem) choices(a allocation) []Assignment {
+// assignments returns the assignments of an allocation, summed over the pools of each host cell.
+func (p *problem) assignments(a allocation) []Assignment {
 	var all []Assignment
 	for i, n := range a {
 		if n == 0 {
 			continue
 		}
 		o := p.options[i]
-		c := Assignment{Job: p.work[o.work].Job, Host: p.hosts[p.pools[o.pool].host].Name, Tasks: n}
+		c := Assignment{
+			Job:   p.candidates[o.candidate].Job,
+			Host:  p.hosts[p.pools[o.pool].host].Name,
+			Tasks: n,
+		}
 		at := slices.IndexFunc(all, func(x Assignment) bool { return x.Job == c.Job && x.Host == c.Host })
 		if at < 0 {
 			all = append(all, c)
--- a/internal/offload/problem.go
+++ b/internal/offload/problem.go
@@ -10,122 +10,128 @@
 )
 
 const (
-	// transferS is what passing work to another cell takes at most, in seconds: the host's next
-	// heartbeat, a record there, and the heartbeat by which it is permitted to start.
+	// transferS is the longest that offloading a job takes, in seconds: the host cell's next
+	// heartbeat, a record there, and the heartbeat that grants the permission to start.
 	transferS = 3
-	// returnS likewise for coming back.
+	// returnS is the longest that the return of a job takes, in seconds.
 	returnS = 3
-	// marginS is what offloading has to gain beyond its costs, in seconds: estimates are often wrong
-	// by half, and work that goes for nothing comes back for nothing.
-	marginS = 10
-	// bootTimes allows for machines that boot longer than usual.
-	bootTimes = 1.5
-	// unsureS is what the second half of a cell's room for rented machines counts less, in seconds.
-	unsureS = 20
+	// gainMarginS is what offloading must gain beyond its costs, in seconds. Estimates are often
+	// wrong by half, and a job that is offloaded in vain also returns in vain.
+	gainMarginS = 10
+	// bootTimeFactor allows for machines that boot longer than usual.
+	bootTimeFactor = 1.5
+	// uncertainPenaltyS is subtracted from the gain of tasks in the second half of the capacity
+	// that a cell would add, in seconds.
+	uncertainPenaltyS = 20
 )
 
 // problem is the assignment problem of one decision.
 type problem struct {
-	work    []Candidate // that may go somewhere
-	hosts   []Host
-	pools   []pool
-	options []option
+	candidates []Candidate // jobs that gain by going anywhere
+	hosts      []Host
+	pools      []pool
+	options    []option
 }
 
-// pool is capacity of one host cell.
+// pool is a pool of capacity of one host cell.
 type pool struct {
-	host int // its index
-	up   bool
-	room planner.Resources
-	// delayS is what it counts less, in seconds.
-	delayS float64
+	host     int  // index of the host cell in the problem
+	ready    bool // whether its machines are ready; if not, the cell would have to add them
+	capacity planner.Resources
+	// penaltyS is subtracted from the gain of tasks in this pool, in seconds.
+	penaltyS float64
 }
 
-// option is to have tasks of one job run in one pool. work and pool are indexes.
+// option is the choice to run tasks of one job in one pool. candidate and pool are indexes into the
+// problem.
 type option struct {
-	work, pool int
-	gainS      float64 // of each task
+	candidate, pool int
+	gainS           float64 // of each task
 }
 
-// allocation is how many tasks take each option.
+// allocation is the number of tasks for each option.
 type allocation []int
 
-func (p *problem) empty() allocation { return make(allocation, len(p.options)) }
+func (p *problem) emptyAllocation() allocation { return make(allocation, len(p.options)) }
 
-func newProblem(work []Candidate, hosts []Host) *problem {
+// newProblem returns the problem for the first maxCandidates jobs that gain in at least one pool.
+func newProblem(candidates []Candidate, hosts []Host) *problem {
 	p := &problem{hosts: hosts}
 	for host := range hosts {
 		p.pools = append(p.pools, poolsOf(host, &hosts[host].Load)...)
 	}
-	for i := range work {
-		if len(p.work) == maxWork {
+	for i := range candidates {
+		if len(p.candidates) == maxCandidates {
 			break
 		}
-		if options := p.optionsOf(&work[i]); len(options) > 0 {
+		if options := p.optionsOf(&candidates[i]); len(options) > 0 {
 			p.options = append(p.options, options...)
-			p.work = append(p.work, work[i])
+			p.candidates = append(p.candidates, candidates[i])
 		}
 	}
 	return p
 }
 
-// poolsOf divides what a host cell has into what is up and two halves of what it would rent.
+// poolsOf divides the capacity of a host cell into three pools: its ready machines, and two halves
+// of the quota up to which it would add machines.
 func poolsOf(host int, load *delegation.Load) []pool {
 	free := planner.Resources{}
 	for _, t := range load.Types {
 		free = free.Plus(t.Free)
 	}
 	half := load.QuotaLeft.Times(0.5)
-	half.MemoryGB = planner.UnlimitedMemoryGB // operators bound what others use by processors only
+	half.MemoryGB = planner.UnlimitedMemoryGB // operators limit only the processors that other cells use
 	return []pool{
-		{host: host, up: true, room: free},
-		{host: host, room: half},
-		{host: host, room: half, delayS: unsureS},
+		{host: host, ready: true, capacity: free},
+		{host: host, capacity: half},
+		{host: host, capacity: half, penaltyS: uncertainPenaltyS},
 	}
 }
 
-// optionsOf returns the pools in which a job gains, as the next job of the problem.
-func (p *problem) optionsOf(w *Candidate) []option {
+// optionsOf returns the options with a gain for a job that becomes the next candidate of the
+// problem.
+func (p *problem) optionsOf(c *Candidate) []option {
 	var options []option
 	for i := range p.pools {
-		if gainS, ok := p.gainIn(w, &p.pools[i]); ok {
-			options = append(options, option{work: len(p.work), pool: i, gainS: gainS})
+		if gainS, ok := p.gainIn(c, &p.pools[i]); ok {
+			options = append(options, option{candidate: len(p.candidates), pool: i, gainS: gainS})
 		}
 	}
 	return options
 }
 
-// gainIn returns what each task of a job gains in a pool, in seconds. The result is false if it may
+// gainIn returns what each task of a job gains in a pool, in seconds. ok is false if the job may
 // not go there or gains too little.
-func (p *problem) gainIn(w *Candidate, in *pool) (gainS float64, ok bool) {
+func (p *problem) gainIn(c *Candidate, in *pool) (gainS float64, ok bool) {
 	host := &p.hosts[in.host]
-	if !slices.Contains(w.Hosts, host.Name) || host.Load.OwnWait > 0 {
+	if !slices.Contains(c.Hosts, host.Name) || host.Load.OwnWait > 0 {
 		return 0, false
 	}
 	startS := math.Inf(1)
 	for i := range host.Load.Types {
-		if s, ok := startDelayS(w.Spec, &host.Load.Types[i], in.up); ok {
+		if s, ok := startDelayS(c.Spec, &host.Load.Types[i], in.ready); ok {
 			startS = min(startS, s)
 		}
 	}
-	gainS = w.OriginWaitS - startS - in.delayS - transferS - returnS - marginS
+	gainS = c.OriginWaitS - startS - in.penaltyS - transferS - returnS - gainMarginS
 	return gainS, gainS > 0
 }
 
-// startDelayS returns after how many seconds a machine of a type can start a task: one that is up, or
-// one that is rented for it. The result is false if the task may not use the type or doesn't fit.
-func startDelayS(spec *protocol.JobSpec, t *delegation.TypeLoad, up bool) (delayS float64, ok bool) {
-	needs := planner.TaskResources(spec)
+// startDelayS returns how many seconds a machine of the type takes to start a task: a ready
+// machine, or one that the cell adds for the task. ok is false if the task may not use the type or
+// doesn't fit.
+func startDelayS(spec *protocol.JobSpec, t *delegation.TypeLoad, ready bool) (delayS float64, ok bool) {
+	request := planner.TaskResources(spec)
 	whole := planner.Resources{Cpus: t.Type.Cpus, Gpus: t.Type.Gpus, MemoryGB: t.Type.MemoryGB}
 	allowedIn := func(zone string) bool { return planner.MachineAllowed(spec, t.Type.Name, zone, false) }
-	if !needs.FitsIn(whole) || !slices.ContainsFunc(t.Type.Zones, allowedIn) {
+	if !request.FitsIn(whole) || !slices.ContainsFunc(t.Type.Zones, allowedIn) {
 		return 0, false
 	}
-	if up && !needs.FitsIn(t.Free) || !up && t.SoldOut {
+	if ready && !request.FitsIn(t.Free) || !ready && t.SoldOut {
 		return 0, false
 	}
-	if !up {
-		delayS += bootTimes * t.Type.BootS
+	if !ready {
+		delayS += bootTimeFactor * t.Type.BootS
 	}
 	if t.Type.FetchGBPerS > 0 {
 		delayS += spec.ImageGB / t.Type.FetchGBPerS
@@ -133,7 +139,7 @@
 	return delayS, true
 }
 
-// gain returns what an allocation gains in all, in seconds of tasks.
+// gain returns the total gain of an allocation, in task seconds.
 func (p *problem) gain(a allocation) float64 {
 	sum := 0.0
 	for i, n := range a {
--- a/internal/offload/relax.go
+++ b/internal/offload/relax.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// tolerance is the solver's; whole numbers of tasks are far apart.
-	tolerance = 1e-9
-	// roundTolerance lets a number of tasks that the solver has just missed count as whole.
+	// solverTolerance is far below the difference between whole numbers of tasks.
+	solverTolerance = 1e-9
+	// roundTolerance makes a number of tasks that the solver just missed count as whole.
 	roundTolerance = 1e-6
 )
 
-// relaxedAllocation is how many tasks, or parts of tasks, take each option.
+// relaxedAllocation is the number of tasks, possibly fractional, for each option.
 type relaxedAllocation []float64
 
-// solveRelaxed solves the problem with parts of tasks allowed.
+// solveRelaxed solves the relaxed problem, which allows fractions of tasks.
 func (p *problem) solveRelaxed() (relaxedAllocation, error) {
 	rows := p.constraints()
 	n := len(p.options)
-	// The solver wants equations: each row gets a variable for what it leaves unused.
+	// The solver expects equations: each row gets a slack variable for what it leaves unused.
 	costs := make([]float64, n+len(rows))
 	for i, o := range p.options {
 		costs[i] = -o.gainS
@@ -31,20 +31,20 @@
 	a := mat.NewDense(len(rows), len(costs), nil)
 	b := make([]float64, len(rows))
 	for k, row := range rows {
-		for i, x := range row.takes {
+		for i, x := range row.coefficients {
 			a.Set(k, i, x)
 		}
 		a.Set(k, n+k, 1)
-		b[k] = row.most
+		b[k] = row.bound
 	}
-	_, x, err := lp.Simplex(costs, a, b, tolerance, p.initialBasis(len(rows)))
+	_, x, err := lp.Simplex(costs, a, b, solverTolerance, p.initialBasis(len(rows)))
 	if err != nil {
 		return nil, err
 	}
 	return x[:n], nil
 }
 
-// initialBasis returns the solver's first basis: nothing is allocated, all rows are unused.
+// initialBasis returns the solver's initial basis, the slack variables: nothing is allocated yet.
 func (p *problem) initialBasis(rows int) []int {
 	basis := make([]int, rows)
 	for k := range basis {
@@ -53,13 +53,13 @@
 	return basis
 }
 
-// constraint bounds what all options take of one thing.
+// constraint bounds the sum of one quantity over all options.
 type constraint struct {
-	takes []float64 // by each task of each option
-	most  float64
+	coefficients []float64 // for each task of each option
+	bound        float64
 }
 
-// constraints returns the bounds by tasks, pools and host cells.
+// constraints returns the bounds by pending tasks, pools and host cells.
 func (p *problem) constraints() []constraint {
 	var rows []constraint
 	rows = p.appendTaskConstraints(rows)
@@ -67,18 +67,18 @@
 	return p.appendHostConstraints(rows)
 }
 
-// amount is one of the amounts that tasks need.
-type amount func(planner.Resources) float64
+// dimension selects one of the resources that tasks request.
+type dimension func(planner.Resources) float64
 
 func cpus(a planner.Resources) float64     { return a.Cpus }
 func gpus(a planner.Resources) float64     { return a.Gpus }
 func memoryGB(a planner.Resources) float64 { return a.MemoryGB }
 
-// appendTaskConstraints bounds the tasks of each job by those that wait.
+// appendTaskConstraints bounds the tasks of each job by the number of its pending tasks.
 func (p *problem) appendTaskConstraints(rows []constraint) []constraint {
-	for w := range p.work {
-		rows = p.appendConstraint(rows, float64(p.work[w].Tasks), func(o option) float64 {
-			if o.work == w {
+	for index := range p.candidates {
+		rows = p.appendConstraint(rows, float64(p.candidates[index].Tasks), func(o option) float64 {
+			if o.candidate == index {
 				return 1
 			}
 			return 0
@@ -87,61 +87,64 @@
 	return rows
 }
 
-// appendPoolConstraints bounds what tasks need by the room of each pool.
+// appendPoolConstraints bounds the requested resources by the capacity of each pool.
 func (p *problem) appendPoolConstraints(rows []constraint) []constraint {
-	for _, of := range []amount{cpus, gpus, memoryGB} {
+	for _, resource := range []dimension{cpus, gpus, memoryGB} {
 		for i := range p.pools {
-			rows = p.appendConstraint(rows, of(p.pools[i].room), func(o option) float64 {
+			rows = p.appendConstraint(rows, resource(p.pools[i].capacity), func(o option) float64 {
 				if o.pool != i {
 					return 0
 				}
-				return of(planner.TaskResources(p.work[o.work].Spec))
+				return resource(planner.TaskResources(p.candidates[o.candidate].Spec))
 			})
 		}
 	}
 	return rows
 }
 
-// appendHostConstraints bounds what tasks need by each host cell's quota; memory isn't bounded.
+// appendHostConstraints bounds the requested resources by each host cell's quota, which has no
+// memory limit.
 func (p *problem) appendHostConstraints(rows []constraint) []constraint {
-	for _, of := range []amount{cpus, gpus} {
+	for _, resource := range []dimension{cpus, gpus} {
 		for host := range p.hosts {
-			rows = p.appendConstraint(rows, of(p.hosts[host].Load.QuotaLeft), func(o option) float64 {
+			rows = p.appendConstraint(rows, resource(p.hosts[host].Load.QuotaLeft), func(o option) float64 {
 				if p.pools[o.pool].host != host {
 					return 0
 				}
-				return of(planner.TaskResources(p.work[o.work].Spec))
+				return resource(planner.TaskResources(p.candidates[o.candidate].Spec))
 			})
 		}
 	}
 	return rows
 }
 
-// appendConstraint adds a bound, unless no option takes anything of what it bounds.
-func (p *problem) appendConstraint(rows []constraint, most float64, takes func(option) float64) []constraint {
-	c := constraint{takes: make([]float64, len(p.options)), most: max(most, 0)}
+// appendConstraint adds a constraint, unless all of its coefficients are 0.
+func (p *problem) appendConstraint(
+	rows []constraint, bound float64, coefficient func(option) float64,
+) []constraint {
+	row := constraint{coefficients: make([]float64, len(p.options)), bound: max(bound, 0)}
 	used := false
 	for i, o := range p.options {
-		c.takes[i] = takes(o)
-		used = used || c.takes[i] > 0
+		row.coefficients[i] = coefficient(o)
+		used = used || row.coefficients[i] > 0
 	}
 	if !used {
 		return rows
 	}
-	return append(rows, c)
+	return append(rows, row)
 }
 
-// round takes whole tasks, and whole gangs, of a relaxed solution.
+// round rounds a relaxed solution down to whole tasks and whole all-or-nothing jobs.
 func (p *problem) round(relaxed relaxedAllocation) allocation {
-	a := p.empty()
+	a := p.emptyAllocation()
 	r := p.remainderAfter(a)
 	for i, x := range relaxed {
 		n := int(math.Floor(x + roundTolerance))
-		if w := &p.work[p.options[i].work]; w.AllOrNothing && n < w.Tasks {
+		if c := &p.candidates[p.options[i].candidate]; c.AllOrNothing && n < c.Tasks {
 			continue
 		}
 		n = min(n, p.fits(&r, i))
-		p.take(&r, i, n)
+		p.allocate(&r, i, n)
 		a[i] = n
 	}
 	return a
