--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,20 +1,21 @@
-// Package election elects the one controller that may act. A node leads while it holds a key of
-// the key-value store under a lease that it renews; the key's version at the election is the epoch,
-// the fencing token that workers are shown and that guards every write of the leader.
+// Package election elects the leader among the controllers. A node leads while it holds a key of the
+// key-value store under a lease that it renews. The key's version at the election is the epoch, a
+// fencing token: the leader sends it to workers, and every write of the leader requires that version.
 //
-// The package owns the leader's key and its lease. It neither places work nor writes any other
-// key: it publishes the node's term, which the leader's actor acts upon, and who leads, to which
-// others are redirected. It also has the transaction that only a leader can commit.
+// The package owns the leader's key and its lease. It neither places tasks nor writes any other key.
+// It publishes this node's term, on which the leader's actor acts, and the name of the present
+// leader, to which other nodes redirect requests. It also provides the transaction that only a leader
+// can commit.
 //
 // A Candidate is in one of these states:
 //
-//	observing   reads the leader's key. Absent: campaigning. Another node's: following.
-//	following   waits for the key to change, to campaign as soon as it is gone.
-//	campaigning takes a lease, then claims the key under it. Claimed: leading. Otherwise: observing.
-//	leading     renews the lease. Expired, or a higher epoch seen: observing.
+//	observing   reads the leader's key. Absent: campaigning. Held by another node: following.
+//	following   waits for the key to change. Deleted: campaigning.
+//	campaigning requests a lease, then claims the key under it. Claimed: leading. Otherwise: observing.
+//	leading     renews the lease. Expired, or a higher epoch observed: observing.
 //
-// Failures of the key-value store lead back to observing after a pause. Each transition begins a new
-// round, and what still arrives from an earlier round is dropped.
+// After a failure of the key-value store the candidate pauses and observes again. Each transition
+// begins a new round, and the candidate drops results of earlier rounds.
 package election
 
 import (
@@ -27,58 +28,60 @@
 	"postpoint/internal/protocol"
 )
 
-// LeaderKey is the leader's key, by which every write of the leader is guarded.
+// LeaderKey is the leader's key. Every transaction of the leader requires that it is unchanged.
 const LeaderKey = "lead/controller"
 
 // Term is a period in which this node leads, as of the last successful renewal.
 type Term struct {
 	Epoch protocol.Epoch
-	// RenewedAt is when the last successful renewal was sent: the service counts the lease from
-	// later than that.
+	// RenewedAt is when this node sent the last successful renewal, at first the request for the lease.
+	// The store received it later, so the lease lasts at least TTL from RenewedAt.
 	RenewedAt clock.Micros
-	// ValidUntil is when the lease may have expired, less a margin.
+	// ValidUntil is the earliest time at which the lease can expire, less a safety margin.
 	ValidUntil clock.Micros
 }
 
-// Config is what a node stands for election with.
+// Config identifies a candidate and sets the lease's time to live.
 type Config struct {
 	Node string
 	// Incarnation distinguishes this process from earlier ones of the same node.
 	Incarnation string
-	// TTL is how long the lease outlasts its last renewal.
+	// TTL is the lease's time to live after its last renewal.
 	TTL clock.Micros
 }
 
 const (
 	// retryDelay is the pause after a failure of the key-value store.
 	retryDelay = 400 * clock.Millisecond
-	// followTime is how long one request waits for the key to change.
-	followTime = 5 * clock.Second
-	// leaderStaleTime is after what time without a look at the key its holder isn't named any more.
-	leaderStaleTime = followTime + 2*clock.Second
-	// resignTime is for how long a node that has resigned doesn't stand again.
-	resignTime = 12 * clock.Second
-	// standCheckTime is the longest pause between looks at the key meanwhile.
-	standCheckTime = clock.Second
-	// renewalsPerTTL is how many renewals are sent in the time that a lease lasts.
+	// followTimeout is how long one request waits for the key to change.
+	followTimeout = 5 * clock.Second
+	// leaderStaleAfter is the time since the last successful read of the key after which the candidate
+	// no longer announces its holder.
+	leaderStaleAfter = followTimeout + 2*clock.Second
+	// resignPause is how long a node doesn't campaign after it has resigned.
+	resignPause = 12 * clock.Second
+	// resignedPollInterval is the longest pause between reads of the key during resignPause.
+	resignedPollInterval = clock.Second
+	// renewalsPerTTL is the number of renewals that the leader sends within one TTL.
 	renewalsPerTTL = 5
-	// checkToEffect is the time from a check of the term to its effect, as part of the margin.
-	checkToEffect = 200 * clock.Millisecond
-	// driftDivisor bounds the drift of monotonic clocks to a thousandth.
-	driftDivisor = 1000
+	// maxCheckToEffect is the part of the margin for the time between a check of the term and the effect
+	// of the checked action.
+	maxCheckToEffect = 200 * clock.Millisecond
+	// clockDriftDivisor is the inverse of the assumed drift of monotonic clocks, at most a thousandth.
+	clockDriftDivisor = 1000
 )
 
 // holder is the value of the leader's key.
 type holder struct {
 	Node        string `msgpack:"node"`
 	Incarnation string `msgpack:"incarnation"`
-	// Lease is what the key is attached to: a claim that was applied late stands under a lease
-	// that nobody renews any more.
+	// Lease is the lease to which the key is attached. It tells a node that the store applied a claim
+	// of its own late, under a lease that the node no longer renews.
 	Lease protocol.LeaseID `msgpack:"lease"`
 }
 
-// Candidate is the actor by which a node takes part in elections and, once elected, keeps its
-// lease. All its state belongs to its mailbox.
+// Candidate is the actor that campaigns for a node and, once elected, renews the node's lease. Only
+// messages of its mailbox access its state.
 type Candidate struct {
 	mailbox        actor.Mailbox
 	store          kvstore.Store
@@ -86,36 +89,37 @@
 	publishTerm    func(Term)
 	announceLeader func(node string)
 
-	// term is the present term, zero unless this node leads.
+	// term is the current term, zero unless this node leads.
 	term Term
-	// lease is that of the term or of the last campaign, 0 for none.
+	// lease is the lease of the term or of the last campaign, 0 for none.
 	lease protocol.LeaseID
-	// leaseSentAt is when that lease was requested.
+	// leaseSentAt is when the candidate requested that lease.
 	leaseSentAt clock.Micros
-	// standAt is when this node may stand again after it has resigned.
-	standAt clock.Micros
-	// observedAt is when the key was last seen.
+	// campaignNotBefore is the earliest time of the next campaign after a resignation.
+	campaignNotBefore clock.Micros
+	// observedAt is when the candidate last read the key, or found it absent.
 	observedAt clock.Micros
-	// round counts the transitions.
+	// round counts the transitions between states.
 	round int
 }
 
-// New returns a candidate that does nothing yet. publishTerm and announceLeader are called from
-// its mailbox, on every change of the term and of who is known to lead ("" for nobody).
+// New returns a candidate that does nothing until Start. From its mailbox it calls publishTerm with
+// every change of the term, and announceLeader with the name of the known leader ("" for none) when
+// that may have changed.
 func New(m actor.Mailbox, s kvstore.Store, cfg Config, publishTerm func(Term),
 	announceLeader func(node string)) *Candidate {
 	return &Candidate{mailbox: m, store: s, cfg: cfg, publishTerm: publishTerm,
 		announceLeader: announceLeader}
 }
 
-// Start begins to observe the leader's key, and to stand for election if there is no leader.
+// Start begins to observe the leader's key. The candidate campaigns if there is no leader.
 func (c *Candidate) Start() { c.mailbox.Post(c.observe) }
 
-// ObserveEpoch tells the candidate of an epoch that a worker has seen. A higher one than its own
-// ends its term.
+// ObserveEpoch reports an epoch that a worker has received. If it is higher than the candidate's own,
+// the candidate steps down.
 func (c *Candidate) ObserveEpoch(epoch protocol.Epoch) {
 	c.mailbox.Post(func() {
-		if !c.leading() || epoch <= c.term.Epoch {
+		if !c.isLeader() || epoch <= c.term.Epoch {
 			return
 		}
 		slog.Info("stepping down: a higher epoch was seen", "epoch", c.term.Epoch, "seen", epoch)
@@ -124,48 +128,49 @@
 	})
 }
 
-// Resign ends the term in favor of a node that may be better placed: this one hears from no
-// worker. It doesn't stand again for resignTime.
+// Resign ends the term because no worker reaches this node, so that a node that workers can reach may
+// lead. This node doesn't campaign for resignPause.
 func (c *Candidate) Resign() { c.mailbox.Post(c.resign) }
 
+// resign steps down, delays the next campaign and deletes the leader's key.
 func (c *Candidate) resign() {
-	if !c.leading() {
+	if !c.isLeader() {
 		return
 	}
 	slog.Info("resigning: no worker reaches this node", "epoch", c.term.Epoch)
-	c.standAt = c.mailbox.Monotonic() + resignTime
+	c.campaignNotBefore = c.mailbox.Monotonic() + resignPause
 	release := protocol.Txn{
 		Conditions: []protocol.Condition{{Key: LeaderKey, Version: protocol.Revision(c.term.Epoch)}},
 		Changes:    []protocol.Change{{Delete: LeaderKey}},
 	}
 	c.stepDown()
-	// If this fails, the lease expires all the same: nobody renews it.
+	// If the commit fails, the lease still expires, because nobody renews it.
 	c.store.Commit(kvstore.PriorityElection, release,
 		func(kvstore.Result[protocol.Revision]) { c.observe() })
 }
 
-func (c *Candidate) leading() bool { return c.term.Epoch != 0 }
+func (c *Candidate) isLeader() bool { return c.term.Epoch != 0 }
 
-// stepDown ends the term at once.
+// stepDown ends the term immediately.
 func (c *Candidate) stepDown() {
 	c.term, c.lease = Term{}, 0
 	c.publishTerm(c.term)
 	c.announceLeader("")
 }
 
-// sameRound returns a function that reports whether the present round is still under way.
+// sameRound returns a function that reports whether the round is still the one at this call.
 func (c *Candidate) sameRound() func() bool {
 	round := c.round
 	return func() bool { return c.round == round }
 }
 
-// sameTerm returns a function that reports whether the present term still lasts.
+// sameTerm returns a function that reports whether the term is still the one at this call.
 func (c *Candidate) sameTerm() func() bool {
 	epoch, lease := c.term.Epoch, c.lease
 	return func() bool { return c.term.Epoch == epoch && c.lease == lease }
 }
 
-// resultInRound returns a callback that handles a result only in the present round.
+// resultInRound returns a callback that handles a result, or drops it if a new round has begun.
 func resultInRound[T any](c *Candidate, handle func(kvstore.Result[T])) func(kvstore.Result[T]) {
 	same := c.sameRound()
 	return func(r kvstore.Result[T]) {
@@ -175,26 +180,27 @@
 	}
 }
 
-// observe reads the leader's key.
+// observe begins a round and reads the leader's key.
 func (c *Candidate) observe() {
 	c.round++
-	c.store.Get(LeaderKey, resultInRound(c, c.observed))
+	c.store.Get(LeaderKey, resultInRound(c, c.handleObservation))
 }
 
-func (c *Candidate) observed(r kvstore.Result[protocol.Item]) {
+// handleObservation handles the result of a read of the leader's key.
+func (c *Candidate) handleObservation(r kvstore.Result[protocol.Item]) {
 	switch {
 	case r.Err == nil:
 		c.observedAt = c.mailbox.Monotonic()
-		c.keyFound(r.Value.Value, r.Value.Version)
+		c.handleKeyFound(r.Value.Value, r.Value.Version)
 	case errors.Is(r.Err, kvstore.ErrNotFound):
 		c.observedAt = c.mailbox.Monotonic()
-		c.keyAbsent()
+		c.handleKeyAbsent()
 	default:
-		c.observationFailed()
+		c.handleObservationFailure()
 	}
 }
 
-// observeAfter observes later, unless something else happens first.
+// observeAfter observes after a delay, unless a new round begins before.
 func (c *Candidate) observeAfter(delay clock.Micros) {
 	same := c.sameRound()
 	c.mailbox.After(delay, func() {
@@ -204,34 +210,35 @@
 	})
 }
 
-// observationFailed tries again later. A leader that hasn't been seen for a while isn't named any
-// more: workers sent there could find another in its place, or nobody.
-func (c *Candidate) observationFailed() {
-	if !c.leading() && c.mailbox.Monotonic() > c.observedAt+leaderStaleTime {
+// handleObservationFailure observes again after a pause. After leaderStaleAfter the candidate no longer
+// announces the last known leader: workers redirected to it could find that it no longer leads.
+func (c *Candidate) handleObservationFailure() {
+	if !c.isLeader() && c.mailbox.Monotonic() > c.observedAt+leaderStaleAfter {
 		c.announceLeader("")
 	}
 	c.observeAfter(retryDelay)
 }
 
-func (c *Candidate) keyAbsent() {
+// handleKeyAbsent announces that there is no leader and campaigns.
+func (c *Candidate) handleKeyAbsent() {
 	c.announceLeader("")
 	c.campaign(0)
 }
 
-// keyFound handles the key's value and version as just read or followed.
-func (c *Candidate) keyFound(raw []byte, version protocol.Revision) {
+// handleKeyFound handles a value and version of the key that a read or a watch returned.
+func (c *Candidate) handleKeyFound(raw []byte, version protocol.Revision) {
 	var h holder
 	if err := protocol.Decode(raw, &h); err != nil {
 		slog.Error("leader's key is malformed", "error", err)
 	}
 	switch {
-	case c.claimedBy(h):
-		// The response to our own claim was lost.
-		c.elected(protocol.Epoch(version))
+	case c.isOwnClaim(h):
+		// The store applied this campaign's claim, but the response was lost.
+		c.becomeLeader(protocol.Epoch(version))
 	case h.Node == c.cfg.Node:
-		// An earlier process of this node, or an earlier campaign of this one that was applied
-		// late: nobody renews its lease, so its key can be replaced at once. Whatever is still under
-		// way is guarded by the key's old version.
+		// An earlier process of this node holds the key, or an earlier campaign of this process whose
+		// claim the store applied late. Nobody renews its lease, so this node can replace the key at
+		// once. Transactions still in flight fail, because they require the key's old version.
 		c.campaign(version)
 	default:
 		c.announceLeader(h.Node)
@@ -239,17 +246,17 @@
 	}
 }
 
-// claimedBy reports whether the key is held by the last campaign of this process.
-func (c *Candidate) claimedBy(h holder) bool {
+// isOwnClaim reports whether a holder is the last campaign of this process.
+func (c *Candidate) isOwnClaim(h holder) bool {
 	return h.Node == c.cfg.Node && h.Incarnation == c.cfg.Incarnation &&
-		h.Lease == c.lease && c.lease != 0 && !c.leading()
+		h.Lease == c.lease && c.lease != 0 && !c.isLeader()
 }
 
-// campaign stands for election against the given version of the key, 0 if it doesn't exist.
+// campaign requests a lease and then claims the key, which must have the given version, 0 if absent.
 func (c *Candidate) campaign(version protocol.Revision) {
 	c.round++
-	if wait := c.standAt - c.mailbox.Monotonic(); wait > 0 {
-		c.observeAfter(min(wait, standCheckTime))
+	if wait := c.campaignNotBefore - c.mailbox.Monotonic(); wait > 0 {
+		c.observeAfter(min(wait, resignedPollInterval))
 		return
 	}
 	sent := c.mailbox.Monotonic()
@@ -263,7 +270,7 @@
 	}))
 }
 
-// claimKey replaces the given version of the key under the campaign's lease.
+// claimKey puts the key under the campaign's lease if the key still has the given version.
 func (c *Candidate) claimKey(version protocol.Revision) {
 	lease := c.lease
 	claim := protocol.Txn{
@@ -271,24 +278,25 @@
 		Changes: []protocol.Change{{Put: LeaderKey, Lease: lease,
 			Value: protocol.Encode(holder{c.cfg.Node, c.cfg.Incarnation, lease})}},
 	}
-	c.store.Commit(kvstore.PriorityElection, claim, resultInRound(c, c.claimEnded))
+	c.store.Commit(kvstore.PriorityElection, claim, resultInRound(c, c.handleClaimResult))
 }
 
-func (c *Candidate) claimEnded(r kvstore.Result[protocol.Revision]) {
+// handleClaimResult handles the result of a claim.
+func (c *Candidate) handleClaimResult(r kvstore.Result[protocol.Revision]) {
 	switch {
 	case r.Err == nil:
-		c.elected(protocol.Epoch(r.Value))
+		c.becomeLeader(protocol.Epoch(r.Value))
 	case errors.Is(r.Err, kvstore.ErrConflict):
 		c.lease = 0
 		c.observe()
 	default:
-		// The claim may stand: the key will tell.
+		// The outcome is unknown, or the store didn't execute the claim: read the key to find out.
 		c.observeAfter(retryDelay)
 	}
 }
 
-// elected begins a term.
-func (c *Candidate) elected(epoch protocol.Epoch) {
+// becomeLeader begins a term and starts the renewals.
+func (c *Candidate) becomeLeader(epoch protocol.Epoch) {
 	c.round++
 	c.term = Term{Epoch: epoch}
 	c.extendTerm(c.leaseSentAt)
@@ -297,23 +305,25 @@
 	c.renew()
 }
 
-// extendTerm counts the lease anew from when a successful request for it was sent.
+// extendTerm computes the term's end from the time at which the node sent a successful request.
 func (c *Candidate) extendTerm(sent clock.Micros) {
 	c.term.RenewedAt = sent
-	c.term.ValidUntil = sent + c.cfg.TTL - c.margin()
+	c.term.ValidUntil = sent + c.cfg.TTL - c.expiryMargin()
 	c.publishTerm(c.term)
 }
 
-// margin covers the drift of monotonic clocks and the time from a check to its effect.
-func (c *Candidate) margin() clock.Micros { return checkToEffect + c.cfg.TTL/driftDivisor }
+// expiryMargin covers the drift of monotonic clocks and the time between a check of the term and its effect.
+func (c *Candidate) expiryMargin() clock.Micros {
+	return maxCheckToEffect + c.cfg.TTL/clockDriftDivisor
+}
 
-// renew sends renewals at a steady pace, whatever became of earlier ones: one that hangs must not
-// cost the lease.
+// renew sends a renewal and schedules the next one without waiting for the response: a renewal that
+// hangs must not let the lease expire.
 func (c *Candidate) renew() {
 	sent, same := c.mailbox.Monotonic(), c.sameTerm()
 	c.store.Renew(c.lease, func(err error) {
 		if same() {
-			c.renewalEnded(sent, err)
+			c.handleRenewalResult(sent, err)
 		}
 	})
 	c.mailbox.After(c.cfg.TTL/renewalsPerTTL, func() {
@@ -323,7 +333,9 @@
 	})
 }
 
-func (c *Candidate) renewalEnded(sent clock.Micros, err error) {
+// handleRenewalResult handles the result of a renewal. Only an expired lease ends the term; after any
+// other failure the next renewal follows.
+func (c *Candidate) handleRenewalResult(sent clock.Micros, err error) {
 	switch {
 	case err == nil:
 		if sent > c.term.RenewedAt {
@@ -336,26 +348,26 @@
 	}
 }
 
-// follow waits for the key to change after a revision.
+// follow begins a round and waits for changes of the key after a revision.
 func (c *Candidate) follow(from protocol.Revision) {
 	c.round++
-	c.store.Follow(LeaderKey, from, followTime, resultInRound(c, c.followed))
+	c.store.Follow(LeaderKey, from, followTimeout, resultInRound(c, c.handleChanges))
 }
 
-// followed acts on the last change of the key, if there is one.
-func (c *Candidate) followed(r kvstore.Result[protocol.WatchResponse]) {
+// handleChanges handles the last change of the key, or follows on if there is none.
+func (c *Candidate) handleChanges(r kvstore.Result[protocol.WatchResponse]) {
 	if r.Err != nil {
-		c.observationFailed()
+		c.handleObservationFailure()
 		return
 	}
 	c.observedAt = c.mailbox.Monotonic()
 	for i := len(r.Value.Events) - 1; i >= 0; i-- {
 		switch e := r.Value.Events[i]; LeaderKey {
 		case e.Delete:
-			c.keyAbsent()
+			c.handleKeyAbsent()
 			return
 		case e.Put:
-			c.keyFound(e.Value, e.Version)
+			c.handleKeyFound(e.Value, e.Version)
 			return
 		}
 	}
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -9,7 +9,7 @@
 	"postpoint/internal/protocol"
 )
 
-// manualMailbox is a mailbox whose clock and delayed messages the test moves on.
+// manualMailbox is a mailbox that advances its clock and handles delayed messages when the test says so.
 type manualMailbox struct {
 	now     clock.Micros
 	delayed []func()
@@ -20,7 +20,7 @@
 func (m *manualMailbox) Post(message func())                  { message() }
 func (m *manualMailbox) After(_ clock.Micros, message func()) { m.delayed = append(m.delayed, message) }
 
-// advance moves the clock on and handles all delayed messages.
+// advance advances the clock and handles all delayed messages, whatever their delay.
 func (m *manualMailbox) advance(d clock.Micros) {
 	m.now += d
 	due := m.delayed
@@ -30,8 +30,8 @@
 	}
 }
 
-// pendingStore is a key-value store that grants leases at once and keeps everything else until the
-// test responds.
+// pendingStore is a fake key-value store that grants leases at once and leaves all other requests
+// pending until the test responds.
 type pendingStore struct {
 	kvstore.Store
 	leases  protocol.LeaseID
@@ -70,56 +70,60 @@
 	s.get(kvstore.Result[protocol.Item]{Err: kvstore.ErrNotFound})
 }
 
-// commitsAt responds that the transaction was applied, commitFails that it wasn't.
+// commitsAt responds that the store applied the transaction at a revision.
 func (s *pendingStore) commitsAt(r protocol.Revision) {
 	s.commit(kvstore.Result[protocol.Revision]{Value: r})
 }
+
+// commitFails responds to the transaction with an error.
 func (s *pendingStore) commitFails(err error) {
 	s.commit(kvstore.Result[protocol.Revision]{Err: err})
 }
 
-// candidacy is a started candidate with what it has published.
-type candidacy struct {
+// candidateFixture is a started candidate with the term and the leaders that it has published.
+type candidateFixture struct {
 	*Candidate
-	box    *manualMailbox
-	store  *pendingStore
-	term   Term
-	leader []string // whom it has announced
+	mailbox *manualMailbox
+	store   *pendingStore
+	term    Term
+	leader  []string // all announced leaders, in order
 }
 
-func newCandidacy() *candidacy {
-	x := &candidacy{box: &manualMailbox{now: clock.Second}, store: &pendingStore{}}
-	x.Candidate = New(x.box, x.store, Config{Node: "n", Incarnation: "this", TTL: 4 * clock.Second},
+// newCandidate returns a started candidate named n.
+func newCandidate() *candidateFixture {
+	x := &candidateFixture{mailbox: &manualMailbox{now: clock.Second}, store: &pendingStore{}}
+	x.Candidate = New(x.mailbox, x.store, Config{Node: "n", Incarnation: "this", TTL: 4 * clock.Second},
 		func(t Term) { x.term = t }, func(node string) { x.leader = append(x.leader, node) })
 	x.Start()
 	return x
 }
 
-// newElected is a candidate that leads with epoch 5.
-func newElected() *candidacy {
-	x := newCandidacy()
+// newLeader returns a candidate that leads with epoch 5.
+func newLeader() *candidateFixture {
+	x := newCandidate()
 	x.store.keyIsAbsent()
 	x.store.commitsAt(5)
 	return x
 }
 
-// expectEpoch checks the term that is published.
-func (x *candidacy) expectEpoch(t *testing.T, epoch protocol.Epoch) {
+// expectEpoch checks the epoch of the published term.
+func (x *candidateFixture) expectEpoch(t *testing.T, epoch protocol.Epoch) {
 	t.Helper()
 	if x.term.Epoch != epoch {
 		t.Fatalf("epoch %d, expected %d", x.term.Epoch, epoch)
 	}
 }
 
-// A campaign that was given up and applied late stands under a lease that nobody renews: the node
-// that finds its own name there isn't elected by it, but replaces it by a new campaign.
+// The store may apply a claim after its candidate has begun another campaign, under a lease that
+// nobody renews. A candidate that took its own name in the key for an election would lead without a
+// lease: it must replace the key by a new campaign instead.
 func TestClaimAppliedLateElectsNobody(t *testing.T) {
-	x := newCandidacy()
+	x := newCandidate()
 	store := x.store
 	for range 2 { // the responses to two claims are lost
 		store.keyIsAbsent()
 		store.commitFails(kvstore.ErrNoResponse)
-		x.box.advance(clock.Second)
+		x.mailbox.advance(clock.Second)
 	}
 	if len(store.txns) != 2 || store.leases != 2 {
 		t.Fatalf("%d campaigns under %d leases, expected 2 under 2", len(store.txns), store.leases)
@@ -132,9 +136,9 @@
 	if len(store.txns) != 3 || store.txns[2].Conditions[0].Version != 9 {
 		t.Fatalf("campaigns %+v, expected a third against version 9", store.txns)
 	}
-	// The last one is recognized although its response is lost.
+	// The candidate recognizes its last claim although the response to it is lost.
 	store.commitFails(kvstore.ErrNoResponse)
-	x.box.advance(clock.Second)
+	x.mailbox.advance(clock.Second)
 	store.keyIs(store.txns[2].Changes[0].Value, 10)
 	x.expectEpoch(t, 10)
 	if !slices.Equal(store.renewed, []protocol.LeaseID{3}) {
@@ -143,7 +147,7 @@
 }
 
 func TestElectedNodePublishesTermAndItself(t *testing.T) {
-	x := newElected()
+	x := newLeader()
 	want := Term{Epoch: 5, RenewedAt: clock.Second, ValidUntil: 5*clock.Second - 204*clock.Millisecond}
 	if x.term != want {
 		t.Errorf("term %+v, expected %+v", x.term, want)
@@ -154,10 +158,10 @@
 }
 
 func TestRenewalExtendsTermFromWhenItWasSent(t *testing.T) {
-	x := newElected()
-	x.box.advance(800 * clock.Millisecond)
-	sent := x.box.now
-	x.box.now += 300 * clock.Millisecond
+	x := newLeader()
+	x.mailbox.advance(800 * clock.Millisecond)
+	sent := x.mailbox.now
+	x.mailbox.now += 300 * clock.Millisecond
 	x.store.renew(nil)
 	if x.term.RenewedAt != sent {
 		t.Errorf("renewed at %v, expected %v", x.term.RenewedAt, sent)
@@ -165,7 +169,7 @@
 }
 
 func TestFailedRenewalKeepsTermUntilLeaseExpires(t *testing.T) {
-	x := newElected()
+	x := newLeader()
 	for _, err := range []error{kvstore.ErrNoResponse, kvstore.ErrUnavailable, kvstore.ErrThrottled,
 		kvstore.ErrUnexpectedStatus} {
 		x.store.renew(err)
@@ -179,7 +183,7 @@
 }
 
 func TestOnlyHigherEpochDeposes(t *testing.T) {
-	x := newElected()
+	x := newLeader()
 	x.ObserveEpoch(5)
 	x.expectEpoch(t, 5)
 	x.ObserveEpoch(6)
@@ -187,7 +191,7 @@
 }
 
 func TestNodeThatResignedDoesNotStandForAWhile(t *testing.T) {
-	x := newElected()
+	x := newLeader()
 	x.Resign()
 	x.expectEpoch(t, 0)
 	release := x.store.txns[1]
@@ -198,12 +202,12 @@
 	}
 	x.store.commitsAt(6)
 	x.store.keyIsAbsent()
-	x.box.advance(11 * clock.Second)
+	x.mailbox.advance(11 * clock.Second)
 	x.store.keyIsAbsent()
 	if n := len(x.store.txns); n != 2 {
 		t.Fatalf("%d transactions 11 s after it resigned, expected no claim yet", n)
 	}
-	x.box.advance(clock.Second)
+	x.mailbox.advance(clock.Second)
 	x.store.keyIsAbsent()
 	if n := len(x.store.txns); n != 3 {
 		t.Fatalf("%d transactions 12 s after it resigned, expected a claim", n)
@@ -211,7 +215,7 @@
 }
 
 func TestFollowerCampaignsOnceKeyIsGone(t *testing.T) {
-	x := newCandidacy()
+	x := newCandidate()
 	other := protocol.Encode(holder{Node: "m", Incarnation: "other", Lease: 1})
 	x.store.keyIs(other, 3)
 	if !slices.Equal(x.leader, []string{"m"}) {
@@ -229,15 +233,15 @@
 }
 
 func TestLeaderUnseenForAWhileIsNotNamed(t *testing.T) {
-	x := newCandidacy()
+	x := newCandidate()
 	x.store.keyIs(protocol.Encode(holder{Node: "m", Incarnation: "other", Lease: 1}), 3)
 	x.store.follow(kvstore.Result[protocol.WatchResponse]{Err: kvstore.ErrUnavailable})
-	x.box.advance(7 * clock.Second)
+	x.mailbox.advance(7 * clock.Second)
 	x.store.get(kvstore.Result[protocol.Item]{Err: kvstore.ErrNoResponse})
 	if !slices.Equal(x.leader, []string{"m"}) {
 		t.Fatalf("announced %q after 7 s, expected still m", x.leader)
 	}
-	x.box.advance(1)
+	x.mailbox.advance(1)
 	x.store.get(kvstore.Result[protocol.Item]{Err: kvstore.ErrNoResponse})
 	if !slices.Equal(x.leader, []string{"m", ""}) {
 		t.Fatalf("announced %q after more than 7 s, expected nobody in the end", x.leader)
@@ -245,7 +249,7 @@
 }
 
 func TestResponsesOfEarlierRoundsAreDropped(t *testing.T) {
-	x := newCandidacy()
+	x := newCandidate()
 	early := x.store.get
 	x.store.keyIsAbsent()
 	x.store.commitsAt(5)
--- a/internal/election/transaction.go
+++ b/internal/election/transaction.go
@@ -9,16 +9,16 @@
 	"postpoint/internal/protocol"
 )
 
-// ErrNotLeader is a transaction that failed because the leader's key has changed hands: the node
-// has been deposed. It comes as a *NotLeaderError.
+// ErrNotLeader means that a transaction failed because the leader's key has changed: the node is no
+// longer the leader. Transaction.Commit returns it as a *NotLeaderError.
 var ErrNotLeader = errors.New("not the leader any more")
 
-// NotLeaderError is the conflict of a deposed leader's transaction.
+// NotLeaderError is the conflict of a transaction whose leader was deposed.
 type NotLeaderError struct {
-	// Epoch is that of the deposed leader.
+	// Epoch is the epoch of the deposed leader.
 	Epoch protocol.Epoch
-	// Conflict has all keys that failed. kvstore.ErrConflict matches the error as well, so that
-	// callers for whom it is a conflict like others needn't tell it apart.
+	// Conflict has all keys whose condition failed. kvstore.ErrConflict matches the error as well, for
+	// callers that handle all conflicts alike.
 	Conflict *kvstore.ConflictError
 }
 
@@ -30,36 +30,36 @@
 // Unwrap makes both ErrNotLeader and the conflict visible to errors.Is and errors.As.
 func (e *NotLeaderError) Unwrap() []error { return []error{ErrNotLeader, e.Conflict} }
 
-// Transaction is a transaction in the making that applies only while the leader of its epoch holds
-// the leader's key: a deposed leader changes nothing.
+// Transaction builds a transaction that the store applies only while the leader of its epoch holds
+// the leader's key, so that a deposed leader changes nothing.
 type Transaction struct {
 	epoch protocol.Epoch
 	txn   protocol.Txn
 }
 
-// NewTransaction returns a transaction of an epoch's leader without changes.
+// NewTransaction returns a transaction of the leader of an epoch, without changes yet.
 func NewTransaction(epoch protocol.Epoch) *Transaction {
 	t := &Transaction{epoch: epoch}
 	t.Require(LeaderKey, protocol.Revision(epoch))
 	return t
 }
 
-// Require adds the condition that a key has the given version, 0 if it must not exist.
+// Require adds the condition that a key has the given version, 0 if the key must not exist.
 func (t *Transaction) Require(key string, version protocol.Revision) {
 	t.txn.Conditions = append(t.txn.Conditions, protocol.Condition{Key: key, Version: version})
 }
 
-// RequireOnce adds a condition unless the transaction has it already.
+// RequireOnce adds the same condition as Require, unless the transaction has it already.
 func (t *Transaction) RequireOnce(key string, version protocol.Revision) {
 	if !slices.Contains(t.txn.Conditions, protocol.Condition{Key: key, Version: version}) {
 		t.Require(key, version)
 	}
 }
 
-// Put adds the change of a key's value. The caller adds the condition.
+// Put adds a write of a key's value. The caller adds the condition.
 func (t *Transaction) Put(key string, value []byte) { t.Add(protocol.Change{Put: key, Value: value}) }
 
-// Delete adds the removal of a key. The caller adds the condition.
+// Delete adds the deletion of a key. The caller adds the condition.
 func (t *Transaction) Delete(key string) { t.Add(protocol.Change{Delete: key}) }
 
 // Add adds a change. The caller adds the condition.
@@ -71,8 +71,8 @@
 // Changes returns the changes in the order in which they were added.
 func (t *Transaction) Changes() []protocol.Change { return t.txn.Changes }
 
-// Commit applies the transaction. If the leader's key is among those that failed, the error is a
-// *NotLeaderError.
+// Commit sends the transaction to the store. If the condition on the leader's key failed, the error
+// is a *NotLeaderError.
 func (t *Transaction) Commit(store kvstore.Store,
 	done func(kvstore.Result[protocol.Revision])) {
 	store.Commit(kvstore.PriorityLeader, t.txn, func(r kvstore.Result[protocol.Revision]) {
@@ -81,7 +81,7 @@
 	})
 }
 
-// classify tells the loss of leadership apart from other conflicts.
+// classify turns a conflict on the leader's key into a *NotLeaderError.
 func (t *Transaction) classify(err error) error {
 	conflict, ok := errors.AsType[*kvstore.ConflictError](err)
 	if !ok || !slices.Contains(conflict.Keys, LeaderKey) {
