--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -18,6 +18,7 @@
 	"postpoint/internal/transport"
 )
 
+// Timeouts of requests, and limits of responses in bytes and of pages in keys.
 const (
 	readTimeout  = 800 * clock.Millisecond
 	callTimeout  = 1500 * clock.Millisecond
@@ -28,50 +29,50 @@
 	pageSize      = 500
 )
 
-// Connections of each pool.
+// The number of connections in each pool.
 const (
 	callConnections     = 16
 	electionConnections = 4
 	followConnections   = 4
 )
 
-// This process's parts of the limits, which all controllers share. Most requests come from
-// whichever node leads, so each may take far more than a third, and the service itself refuses
-// what is too much.
+// This process's shares of the store's rate limits, which apply to all controllers together. The
+// leader sends most requests and any controller may lead, so each may use far more than a third. The
+// store itself refuses requests beyond its limits.
 const (
 	requestShare = 0.7
 	readShare    = 0.55
 	changeShare  = 0.8
-	// leaderChangeShare leaves a fifth for what users accept and cancel.
+	// leaderChangeShare leaves about a fifth of changeShare for users' submissions and cancellations.
 	leaderChangeShare = 0.65
 )
 
-// How long requests wait for the rate limit.
+// The longest waits of requests for the rate limits.
 const (
-	readPatience   = 300 * time.Millisecond
-	leaderPatience = 400 * time.Millisecond
-	userPatience   = time.Second
+	maxReadWait   = 300 * time.Millisecond
+	maxLeaderWait = 400 * time.Millisecond
+	maxUserWait   = time.Second
 )
 
-// failuresPerLogLine is how many failed requests there are for each that is logged.
+// failuresPerLogLine is the number of failed requests per logged one.
 const failuresPerLogLine = 50
 
-// Client talks to the service and keeps to this process's part of its limits. There is one for
-// each process.
+// Client sends requests to the store and keeps to this process's share of its rate limits. Each process
+// has one.
 type Client struct {
 	base     string
 	calls    *transport.Client
-	election *transport.Client // so that renewals never queue behind the rest
+	election *transport.Client // separate, so that renewals never queue behind other requests
 	follows  *transport.Client
 	requests *rate.Limiter
 	changes  *rate.Limiter
-	// What has a lower priority passes a narrower limit first, so that it can't use up what is
-	// left for higher ones.
+	// Requests of a lower priority pass a stricter limit first, so that they can't use up the share
+	// of higher priorities.
 	reads, leaderChanges *rate.Limiter
 	failures             atomic.Int64
 }
 
-// New returns the process's client of the service at an address.
+// New returns the process's client of the store at an address.
 func New(addr string, s settings.KVStore) *Client {
 	return &Client{
 		base:          "http://" + addr,
@@ -85,34 +86,34 @@
 	}
 }
 
-// limiter allows a share of a limit, in bursts of up to a second's worth.
+// limiter returns a limiter for a share of a rate, with bursts of up to one second of that rate.
 func limiter(perSecond, share float64) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(perSecond*share), max(1, int(perSecond*share)))
 }
 
-// For returns the store whose results arrive in the given mailbox.
-func (c *Client) For(m actor.Mailbox) Store { return &bound{c, m} }
+// For returns a Store that posts its results to the given mailbox.
+func (c *Client) For(m actor.Mailbox) Store { return &actorStore{c, m} }
 
-// bound is the store of one actor.
-type bound struct {
+// actorStore is the Store of one actor.
+type actorStore struct {
 	*Client
 	mailbox actor.Mailbox
 }
 
-// exchange makes one request and waits for its response.
-type exchange func() (transport.Response, error)
+// roundTrip sends one request and waits for its response.
+type roundTrip func() (transport.Response, error)
 
-// send runs one exchange off the actor, and posts its outcome to the actor.
-func send[W, T any](b *bound, op Operation, call exchange, result func(W) T, done func(Result[T])) {
+// send performs a round trip in a goroutine of its own and posts the result to the actor's mailbox.
+func send[W, T any](s *actorStore, op Operation, call roundTrip, result func(W) T, done func(Result[T])) {
 	go func() {
 		r := decode(op, call, result)
-		b.noteFailure(r.Err)
-		b.mailbox.Post(func() { done(r) })
+		s.countFailure(r.Err)
+		s.mailbox.Post(func() { done(r) })
 	}()
 }
 
-// decode turns a response of wire type W into a result.
-func decode[W, T any](op Operation, call exchange, result func(W) T) Result[T] {
+// decode performs a round trip and turns its response, of wire type W, into a result.
+func decode[W, T any](op Operation, call roundTrip, result func(W) T) Result[T] {
 	response, err := call()
 	if err != nil {
 		return Result[T]{Err: transport.NoResponse(err)}
@@ -124,20 +125,22 @@
 	}
 	r := Result[T]{Value: result(message)}
 	if malformed != nil && response.Status < http.StatusMultipleChoices {
-		// Garbage after a change says nothing about the change.
+		// The status means success, but a response that can't be decoded doesn't prove that the store
+		// executed the request.
 		r.Err = transport.NoResponse(malformed)
 		return r
 	}
 	details, _ := any(message).(protocol.TxnResponse)
-	r.Err = Failure(op, response.Status, details)
+	r.Err = ResponseError(op, response.Status, details)
 	return r
 }
 
-func unchanged[T any](message T) T { return message }
+// identity is the result function of operations that return the response itself.
+func identity[T any](message T) T { return message }
 
-// noteFailure logs now and then that the service doesn't serve.
-func (c *Client) noteFailure(err error) {
-	if !Unserved(err) {
+// countFailure counts requests that the store didn't serve and logs one in failuresPerLogLine.
+func (c *Client) countFailure(err error) {
+	if !NotServed(err) {
 		return
 	}
 	if n := c.failures.Add(1); n%failuresPerLogLine == 1 {
@@ -145,15 +148,16 @@
 	}
 }
 
-// admit waits for the rate limit to allow n units, but not for longer than patience.
-func (c *Client) admit(l *rate.Limiter, n int, patience time.Duration) error {
+// admit waits until the limiter allows n units. It fails at once if that takes longer than
+// maxWait.
+func (c *Client) admit(l *rate.Limiter, n int, maxWait time.Duration) error {
 	now := time.Now()
 	r := l.ReserveN(now, min(n, l.Burst()))
 	if !r.OK() {
 		return throttled(0)
 	}
 	wait := r.DelayFrom(now)
-	if wait > patience {
+	if wait > maxWait {
 		r.CancelAt(now)
 		return throttled(wait)
 	}
@@ -161,37 +165,38 @@
 	return nil
 }
 
-// throttled returns the error of a request that this process's own limit refused. It has the
-// service's status for that, since it means the same.
+// throttled returns the error of a request that this process's own limit refused. It has the status
+// with which the store refuses requests beyond its limits, because callers handle both alike.
 func throttled(wait time.Duration) error {
 	return &transport.Error{Kind: ErrThrottled, Status: http.StatusTooManyRequests,
 		RetryAfter: clock.Micros(wait.Microseconds())}
 }
 
-// admitRead waits for the limits of reads.
+// admitRead waits for the limits of one read.
 func (c *Client) admitRead() error {
-	if err := c.admit(c.reads, 1, readPatience); err != nil {
+	if err := c.admit(c.reads, 1, maxReadWait); err != nil {
 		return err
 	}
-	return c.admit(c.requests, 1, readPatience)
+	return c.admit(c.requests, 1, maxReadWait)
 }
 
 // admitCommit waits for the limits of a transaction with n changes.
 func (c *Client) admitCommit(priority Priority, n int) error {
-	patience := userPatience
+	maxWait := maxUserWait
 	if priority == PriorityLeader {
-		patience = leaderPatience
-		if err := c.admit(c.leaderChanges, n, patience); err != nil {
+		maxWait = maxLeaderWait
+		if err := c.admit(c.leaderChanges, n, maxWait); err != nil {
 			return err
 		}
 	}
-	if err := c.admit(c.changes, n, patience); err != nil {
+	if err := c.admit(c.changes, n, maxWait); err != nil {
 		return err
 	}
-	return c.admit(c.requests, 1, patience)
+	return c.admit(c.requests, 1, maxWait)
 }
 
-func (c *Client) read(path string, timeout clock.Micros) exchange {
+// read returns the round trip of a read, which waits for the limits of reads first.
+func (c *Client) read(path string, timeout clock.Micros) roundTrip {
 	return func() (transport.Response, error) {
 		if err := c.admitRead(); err != nil {
 			return transport.Response{}, err
@@ -200,7 +205,7 @@
 	}
 }
 
-// do makes a request of an ordinary size.
+// do sends a request whose response has at most responseLimit bytes.
 func (c *Client) do(pool *transport.Client, method, path string, body []byte,
 	timeout clock.Micros) (transport.Response, error) {
 	return pool.Do(transport.Deadline{}, transport.Request{
@@ -208,38 +213,38 @@
 }
 
 // Get implements Store.
-func (b *bound) Get(key string, done func(Result[protocol.Item])) {
-	send(b, OpGet, b.read("/kv/"+key, readTimeout), unchanged, done)
+func (s *actorStore) Get(key string, done func(Result[protocol.Item])) {
+	send(s, OpGet, s.read("/kv/"+key, readTimeout), identity, done)
 }
 
 // List implements Store.
-func (b *bound) List(prefix, from string, done func(Result[protocol.ItemList])) {
+func (s *actorStore) List(prefix, from string, done func(Result[protocol.ItemList])) {
 	q := url.Values{"Prefix": {prefix}, "Limit": {strconv.Itoa(pageSize)}}
 	if from != "" {
 		q.Set("From", from)
 	}
-	send(b, OpList, b.read("/kv?"+q.Encode(), callTimeout), unchanged, done)
+	send(s, OpList, s.read("/kv?"+q.Encode(), callTimeout), identity, done)
 }
 
 // Commit implements Store.
-func (b *bound) Commit(priority Priority, t protocol.Txn, done func(Result[protocol.Revision])) {
+func (s *actorStore) Commit(priority Priority, t protocol.Txn, done func(Result[protocol.Revision])) {
 	body := protocol.Encode(t)
 	commit := func() (transport.Response, error) {
-		pool := b.election
+		pool := s.election
 		if priority != PriorityElection {
-			if err := b.admitCommit(priority, len(t.Changes)); err != nil {
+			if err := s.admitCommit(priority, len(t.Changes)); err != nil {
 				return transport.Response{}, err
 			}
-			pool = b.calls
+			pool = s.calls
 		}
-		return b.do(pool, http.MethodPost, "/multi", body, callTimeout)
+		return s.do(pool, http.MethodPost, "/multi", body, callTimeout)
 	}
-	revision := func(a protocol.TxnResponse) protocol.Revision { return a.Revision }
-	send(b, OpCommit, commit, revision, done)
+	revision := func(r protocol.TxnResponse) protocol.Revision { return r.Revision }
+	send(s, OpCommit, commit, revision, done)
 }
 
 // Follow implements Store.
-func (b *bound) Follow(prefix string, from protocol.Revision, wait clock.Micros,
+func (s *actorStore) Follow(prefix string, from protocol.Revision, wait clock.Micros,
 	done func(Result[protocol.WatchResponse])) {
 	q := url.Values{
 		"Prefix":  {prefix},
@@ -247,26 +252,26 @@
 		"BlockMs": {fmt.Sprint(int64(wait / clock.Millisecond))},
 	}
 	follow := func() (transport.Response, error) {
-		return b.follows.Do(transport.Deadline{}, transport.Request{
-			Method: http.MethodGet, URL: b.base + "/follow?" + q.Encode(),
+		return s.follows.Do(transport.Deadline{}, transport.Request{
+			Method: http.MethodGet, URL: s.base + "/follow?" + q.Encode(),
 			Timeout: wait + callTimeout, ResponseLimit: followLimit})
 	}
-	send(b, OpFollow, follow, unchanged, done)
+	send(s, OpFollow, follow, identity, done)
 }
 
 // Grant implements Store.
-func (b *bound) Grant(ttl clock.Micros, done func(Result[protocol.LeaseID])) {
+func (s *actorStore) Grant(ttl clock.Micros, done func(Result[protocol.LeaseID])) {
 	body := protocol.Encode(protocol.LeaseRequest{TTLMs: int64(ttl / clock.Millisecond)})
 	grant := func() (transport.Response, error) {
-		return b.do(b.election, http.MethodPost, "/leases", body, renewTimeout)
+		return s.do(s.election, http.MethodPost, "/leases", body, renewTimeout)
 	}
-	send(b, OpGrant, grant, func(a protocol.LeaseResponse) protocol.LeaseID { return a.Lease }, done)
+	send(s, OpGrant, grant, func(r protocol.LeaseResponse) protocol.LeaseID { return r.Lease }, done)
 }
 
 // Renew implements Store.
-func (b *bound) Renew(lease protocol.LeaseID, done func(err error)) {
+func (s *actorStore) Renew(lease protocol.LeaseID, done func(err error)) {
 	renew := func() (transport.Response, error) {
-		return b.do(b.election, http.MethodPost, fmt.Sprintf("/leases/%d/touch", lease), nil, renewTimeout)
+		return s.do(s.election, http.MethodPost, fmt.Sprintf("/leases/%d/touch", lease), nil, renewTimeout)
 	}
-	send(b, OpRenew, renew, unchanged, func(r Result[protocol.LeaseResponse]) { done(r.Err) })
+	send(s, OpRenew, renew, identity, func(r Result[protocol.LeaseResponse]) { done(r.Err) })
 }
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -15,10 +15,11 @@
 	"postpoint/internal/transport"
 )
 
-// ampleLimits never throttle a test.
+// ampleLimits are rate limits that no test reaches.
 var ampleLimits = settings.KVStore{Rps: 1e6, WriteRps: 1e6, ValueKb: 8, TxnOps: 12}
 
-// newServedStore returns a store of a service that responds to every request as the test says.
+// newServedStore returns the client of a server that responds to every request with the given status and
+// body, and a mailbox for its results.
 func newServedStore(t *testing.T, limits settings.KVStore, status int,
 	body []byte) (*Client, actortest.Instant) {
 	t.Helper()
@@ -27,11 +28,11 @@
 		_, _ = w.Write(body)
 	}))
 	t.Cleanup(server.Close)
-	box := actortest.Instant{Now: clock.Second, Messages: make(chan func())}
-	return New(strings.TrimPrefix(server.URL, "http://"), limits), box
+	mailbox := actortest.Instant{Now: clock.Second, Messages: make(chan func())}
+	return New(strings.TrimPrefix(server.URL, "http://"), limits), mailbox
 }
 
-// requests has one request of each operation; each returns the outcome.
+// requests has one request of each operation. Each passes its error to done.
 var requests = map[string]func(Store, func(error)){
 	"get":  func(s Store, done func(error)) { s.Get("a/b", errOnly[protocol.Item](done)) },
 	"list": func(s Store, done func(error)) { s.List("a/", "", errOnly[protocol.ItemList](done)) },
@@ -45,9 +46,10 @@
 	"renew": func(s Store, done func(error)) { s.Renew(7, done) },
 }
 
+// errOnly returns a callback that passes on only the error of a result.
 func errOnly[T any](done func(error)) func(Result[T]) { return func(r Result[T]) { done(r.Err) } }
 
-// responseStatus returns the status of the response that an outcome stands for, 0 for no response.
+// responseStatus returns the status of the response that led to an error, 0 for no response.
 func responseStatus(err error) int {
 	if err == nil {
 		return http.StatusOK
@@ -62,7 +64,7 @@
 }
 
 func TestStatusMapsToErrorByOperation(t *testing.T) {
-	// By status; operations that aren't listed get the error of "".
+	// By status and operation. Operations that aren't listed get the error of "".
 	want := map[int]map[string]error{
 		200: {"": nil},
 		201: {"": ErrUnexpectedStatus},
@@ -77,15 +79,15 @@
 		504: {"": ErrServerFailure},
 	}
 	for status, errs := range want {
-		client, box := newServedStore(t, ampleLimits, status, nil)
+		client, mailbox := newServedStore(t, ampleLimits, status, nil)
 		for operation, request := range requests {
 			wanted, ok := errs[operation]
 			if !ok {
 				wanted = errs[""]
 			}
 			var got error
-			request(client.For(box), func(err error) { got = err })
-			(<-box.Messages)()
+			request(client.For(mailbox), func(err error) { got = err })
+			(<-mailbox.Messages)()
 			if !errors.Is(got, wanted) {
 				t.Errorf("%s with status %d: %v, expected %v", operation, status, got, wanted)
 			}
@@ -98,11 +100,11 @@
 }
 
 func TestGarbageAfterSuccessLeavesOutcomeUnknown(t *testing.T) {
-	client, box := newServedStore(t, ampleLimits, http.StatusOK, []byte{0xc1})
+	client, mailbox := newServedStore(t, ampleLimits, http.StatusOK, []byte{0xc1})
 	for operation, request := range requests {
 		var got error
-		request(client.For(box), func(err error) { got = err })
-		(<-box.Messages)()
+		request(client.For(mailbox), func(err error) { got = err })
+		(<-mailbox.Messages)()
 		if !errors.Is(got, ErrNoResponse) || !OutcomeUnknown(got) || responseStatus(got) != 0 {
 			t.Errorf("%s: %v with status %d, expected an unknown outcome", operation, got,
 				responseStatus(got))
@@ -111,24 +113,24 @@
 }
 
 func TestGarbageAfterFailureKeepsStatus(t *testing.T) {
-	client, box := newServedStore(t, ampleLimits, http.StatusConflict, []byte("<html>"))
+	client, mailbox := newServedStore(t, ampleLimits, http.StatusConflict, []byte("<html>"))
 	var got error
 	done := errOnly[protocol.Revision](func(err error) { got = err })
-	client.For(box).Commit(PriorityUser, protocol.Txn{}, done)
-	(<-box.Messages)()
+	client.For(mailbox).Commit(PriorityUser, protocol.Txn{}, done)
+	(<-mailbox.Messages)()
 	if !errors.Is(got, ErrConflict) || len(Failed(got)) > 0 {
 		t.Errorf("%v, expected a conflict without keys", got)
 	}
 }
 
 func TestNoConnectionLeavesOutcomeUnknown(t *testing.T) {
-	box := actortest.Instant{Now: clock.Second, Messages: make(chan func())}
+	mailbox := actortest.Instant{Now: clock.Second, Messages: make(chan func())}
 	server := httptest.NewServer(nil)
 	server.Close() // nobody listens there any more
 	client := New(strings.TrimPrefix(server.URL, "http://"), ampleLimits)
 	var got error
-	client.For(box).Renew(7, func(err error) { got = err })
-	(<-box.Messages)()
+	client.For(mailbox).Renew(7, func(err error) { got = err })
+	(<-mailbox.Messages)()
 	if !OutcomeUnknown(got) || NotExecuted(got) {
 		t.Errorf("%v, expected an unknown outcome", got)
 	}
@@ -136,10 +138,11 @@
 
 func TestCommitReportsRevisionConflictAndReason(t *testing.T) {
 	commit := func(status int, body protocol.TxnResponse) Result[protocol.Revision] {
-		client, box := newServedStore(t, ampleLimits, status, protocol.Encode(body))
+		client, mailbox := newServedStore(t, ampleLimits, status, protocol.Encode(body))
 		var got Result[protocol.Revision]
-		client.For(box).Commit(PriorityLeader, protocol.Txn{}, func(r Result[protocol.Revision]) { got = r })
-		(<-box.Messages)()
+		client.For(mailbox).Commit(PriorityLeader, protocol.Txn{},
+			func(r Result[protocol.Revision]) { got = r })
+		(<-mailbox.Messages)()
 		if responseStatus(got.Err) != status || got.Value != body.Revision ||
 			Reason(got.Err) != body.Error ||
 			!slices.Equal(Failed(got.Err), body.Failed) {
@@ -169,8 +172,8 @@
 	}
 }
 
-// A leader that writes as much as it may leaves changes for users, and readers leave requests for
-// both.
+// A leader that writes up to its limit must leave changes for users, and reads up to their limit must
+// leave requests for both.
 func TestHigherPrioritiesKeepTheirShareOfLimits(t *testing.T) {
 	c := New("127.0.0.1:1", settings.KVStore{Rps: 100, WriteRps: 40, ValueKb: 8, TxnOps: 12})
 	for c.admit(c.leaderChanges, 1, 0) == nil && c.admit(c.changes, 1, 0) == nil {
@@ -186,12 +189,12 @@
 }
 
 func TestOwnLimitThrottlesWithTimeToRetry(t *testing.T) {
-	client, box := newServedStore(t, settings.KVStore{Rps: 0.2, WriteRps: 0.2}, http.StatusOK, nil)
-	store := client.For(box)
+	client, mailbox := newServedStore(t, settings.KVStore{Rps: 0.2, WriteRps: 0.2}, http.StatusOK, nil)
+	store := client.For(mailbox)
 	var got error
 	for range 2 { // the first takes the whole burst
 		store.Get("a", errOnly[protocol.Item](func(err error) { got = err }))
-		(<-box.Messages)()
+		(<-mailbox.Messages)()
 	}
 	failure, ok := errors.AsType[*transport.Error](got)
 	if !ok || failure.Kind != ErrThrottled || failure.RetryAfter <= 0 || !NotExecuted(got) {
--- a/internal/kvstore/errors.go
+++ b/internal/kvstore/errors.go
@@ -10,37 +10,37 @@
 	"postpoint/internal/transport"
 )
 
-// The errors of requests, told apart with errors.Is.
+// The errors of requests. Callers distinguish them with errors.Is.
 var (
-	// ErrConflict is a transaction whose guards don't all hold, as a *ConflictError. It was not
-	// carried out.
+	// ErrConflict means that a condition of a transaction failed and that the store didn't execute it.
+	// Requests return it as a *ConflictError.
 	ErrConflict = errors.New("conflict")
-	// ErrNotFound is a read of a key that doesn't exist.
+	// ErrNotFound means that the key to read doesn't exist.
 	ErrNotFound = errors.New("key not found")
-	// ErrLeaseNotFound is a lease that has expired or never was.
+	// ErrLeaseNotFound means that a lease has expired or never existed.
 	ErrLeaseNotFound = errors.New("lease not found or expired")
-	// ErrCompacted is a revision too old to follow changes from: the keys have to be read again.
+	// ErrCompacted means that the store no longer keeps the changes after a revision: the caller has to
+	// read the keys again.
 	ErrCompacted = errors.New("history compacted")
-	// ErrInvalid is a request that the service takes for malformed or too large; Reason has its
-	// explanation.
+	// ErrInvalid means that the store rejected a request as malformed or too large. Reason returns the
+	// store's explanation.
 	ErrInvalid = transport.ErrInvalid
-	// ErrThrottled is a request beyond this process's or the service's rate limit.
+	// ErrThrottled means that a request exceeded a rate limit of this process or of the store.
 	ErrThrottled = transport.ErrThrottled
-	// ErrUnavailable is a request that the service declined during an outage.
+	// ErrUnavailable means that the store declined a request during an outage.
 	ErrUnavailable = transport.ErrUnavailable
-	// ErrNoResponse is a request without a usable response, undecodable ones included.
+	// ErrNoResponse means that a request got no response, or a successful one that can't be decoded.
 	ErrNoResponse = transport.ErrNoResponse
-	// ErrServerFailure is a response of 500 and above, other than the service's word that it is
-	// unavailable.
+	// ErrServerFailure is a status of 500 and above other than the one for ErrUnavailable.
 	ErrServerFailure = transport.ErrServerFailure
-	// ErrUnexpectedStatus is a response whose status has no meaning for the operation.
+	// ErrUnexpectedStatus is a status that the protocol doesn't define for the operation.
 	ErrUnexpectedStatus = transport.ErrUnexpectedStatus
 )
 
-// Operation is a kind of request.
+// Operation is the type of a request.
 type Operation int
 
-// The kinds of requests.
+// The types of requests.
 const (
 	OpGet Operation = iota
 	OpList
@@ -50,19 +50,19 @@
 	OpRenew
 )
 
-// kinds says what the service's statuses mean for each operation. Nothing else in the program
-// knows these numbers.
-var kinds = map[Operation]transport.StatusKinds{
-	OpGet:    withCommonKinds(transport.StatusKinds{http.StatusNotFound: ErrNotFound}),
-	OpList:   withCommonKinds(nil),
-	OpCommit: withCommonKinds(transport.StatusKinds{http.StatusConflict: ErrConflict}),
-	OpFollow: withCommonKinds(transport.StatusKinds{http.StatusGone: ErrCompacted}),
-	OpGrant:  withCommonKinds(nil),
-	OpRenew:  withCommonKinds(transport.StatusKinds{http.StatusNotFound: ErrLeaseNotFound}),
+// statusErrors maps the store's HTTP statuses to errors for each operation. It is the only place in the
+// program that interprets them.
+var statusErrors = map[Operation]transport.StatusKinds{
+	OpGet:    withCommonErrors(transport.StatusKinds{http.StatusNotFound: ErrNotFound}),
+	OpList:   withCommonErrors(nil),
+	OpCommit: withCommonErrors(transport.StatusKinds{http.StatusConflict: ErrConflict}),
+	OpFollow: withCommonErrors(transport.StatusKinds{http.StatusGone: ErrCompacted}),
+	OpGrant:  withCommonErrors(nil),
+	OpRenew:  withCommonErrors(transport.StatusKinds{http.StatusNotFound: ErrLeaseNotFound}),
 }
 
-// withCommonKinds adds what holds for all operations.
-func withCommonKinds(own transport.StatusKinds) transport.StatusKinds {
+// withCommonErrors adds the statuses that mean the same for all operations.
+func withCommonErrors(own transport.StatusKinds) transport.StatusKinds {
 	all := transport.StatusKinds{
 		http.StatusBadRequest:         ErrInvalid,
 		http.StatusTooManyRequests:    ErrThrottled,
@@ -74,13 +74,13 @@
 	return all
 }
 
-// ConflictError is a transaction whose guards didn't all hold.
+// ConflictError reports a transaction whose conditions didn't all hold.
 type ConflictError struct {
-	// Keys are those whose version isn't the expected one.
+	// Keys are the keys whose version isn't the required one.
 	Keys []string
-	// Revision is that of the store when it compared.
+	// Revision is the store's revision when it checked the conditions.
 	Revision protocol.Revision
-	// Reason is the service's own explanation, if it gave one.
+	// Reason is the store's explanation, if it gave one.
 	Reason string
 }
 
@@ -92,7 +92,7 @@
 // Is makes ErrConflict match.
 func (e *ConflictError) Is(target error) bool { return target == ErrConflict }
 
-// Failed returns the keys of a conflict, nil for any other outcome.
+// Failed returns the keys whose condition failed, nil if err isn't a conflict.
 func Failed(err error) []string {
 	if conflict, ok := errors.AsType[*ConflictError](err); ok {
 		return conflict.Keys
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// Reason returns the service's own explanation of a failure, "" if it gave none.
+// Reason returns the store's explanation of a failure, "" if it gave none.
 func Reason(err error) string {
 	if conflict, ok := errors.AsType[*ConflictError](err); ok {
 		return conflict.Reason
@@ -108,30 +108,30 @@
 	return transport.Reason(err)
 }
 
-// NotExecuted reports whether the service or this process's rate limit turned the request away:
-// it was not carried out, and the same request may be sent again after a pause.
+// NotExecuted reports whether the store or this process's rate limit refused the request before
+// executing it. The caller may retry the same request after a pause.
 func NotExecuted(err error) bool {
 	return errors.Is(err, ErrThrottled) || errors.Is(err, ErrUnavailable)
 }
 
-// OutcomeUnknown reports whether the request may have been carried out, or may be carried out
-// later: only reading can show what became of it.
+// OutcomeUnknown reports whether the store may have executed the request, or may still execute it
+// later. Only a read of the keys shows the outcome.
 func OutcomeUnknown(err error) bool {
 	return errors.Is(err, ErrNoResponse) || errors.Is(err, ErrServerFailure)
 }
 
-// Unserved reports whether an error says that the service isn't serving this node's requests, as
-// against a response to the request. It covers requests that this process's rate limit refused.
-func Unserved(err error) bool { return NotExecuted(err) || OutcomeUnknown(err) }
+// NotServed reports whether the store didn't serve the request, rather than answer it with a result or
+// a rejection. It includes requests that this process's rate limit refused.
+func NotServed(err error) bool { return NotExecuted(err) || OutcomeUnknown(err) }
 
-// noSuchLease is the service's explanation of a transaction that attaches a key to an expired
-// lease.
+// noSuchLease is the store's explanation when it rejects a transaction that attaches a key to an
+// expired lease.
 const noSuchLease = "no such lease"
 
-// Failure returns the error that a response's status stands for, nil for success. details is what
-// a transaction's response says; other operations have none.
-func Failure(op Operation, status int, details protocol.TxnResponse) error {
-	err := kinds[op].Failure(status)
+// ResponseError returns the error for a response's status, nil for success. details is the response to a
+// transaction, and zero for other operations.
+func ResponseError(op Operation, status int, details protocol.TxnResponse) error {
+	err := statusErrors[op].Failure(status)
 	switch {
 	case err == nil:
 		return nil
--- a/internal/kvstore/errors_test.go
+++ b/internal/kvstore/errors_test.go
@@ -15,10 +15,11 @@
 	if status == 0 {
 		return transport.NoResponse(io.ErrUnexpectedEOF)
 	}
-	return Failure(op, status, protocol.TxnResponse{})
+	return ResponseError(op, status, protocol.TxnResponse{})
 }
 
-// Whatever callers need to tell apart among the responses they can tell apart by the errors.
+// Every status and every operation yields an error from which callers can derive what they need to know
+// about the response: each predicate on the error equals a predicate on the status.
 func TestErrorsTellApartEveryStatus(t *testing.T) {
 	type test struct {
 		name   string
@@ -31,7 +32,7 @@
 	tests := []test{
 		{"success", func(s int) bool { return s == http.StatusOK },
 			func(err error) bool { return err == nil }},
-		{"refused", func(s int) bool { return s == http.StatusBadRequest }, is(ErrInvalid)},
+		{"invalid", func(s int) bool { return s == http.StatusBadRequest }, is(ErrInvalid)},
 		{"throttled", func(s int) bool { return s == http.StatusTooManyRequests }, is(ErrThrottled)},
 		{"no response", func(s int) bool { return s == 0 }, is(ErrNoResponse)},
 		{"not executed", func(s int) bool {
@@ -40,11 +41,11 @@
 		{"outcome unknown", func(s int) bool {
 			return s == 0 || s >= http.StatusInternalServerError && s != http.StatusServiceUnavailable
 		}, OutcomeUnknown},
-		{"answered for good", func(s int) bool { return s != 0 && s < http.StatusInternalServerError },
+		{"outcome known", func(s int) bool { return s != 0 && s < http.StatusInternalServerError },
 			func(err error) bool { return !OutcomeUnknown(err) && !errors.Is(err, ErrUnavailable) }},
-		{"unserved", func(s int) bool {
+		{"not served", func(s int) bool {
 			return s == 0 || s == http.StatusTooManyRequests || s >= http.StatusInternalServerError
-		}, Unserved},
+		}, NotServed},
 	}
 	ofOperation := map[Operation]test{
 		OpGet:    {"not found", func(s int) bool { return s == http.StatusNotFound }, is(ErrNotFound)},
--- a/internal/kvstore/golden_test.go
+++ b/internal/kvstore/golden_test.go
@@ -14,46 +14,47 @@
 	"postpoint/internal/settings"
 )
 
-// ask makes one request, and compares it and what is read from the answer.
-func ask[T any](t *testing.T, name, answer string, want T, recorded string,
+// requireRequest makes one request and requires that its bytes are the recorded ones and that the client
+// decodes the response as want.
+func requireRequest[T any](t *testing.T, name, response string, want T, recorded string,
 	call func(s Store, done func(Result[T]))) {
 	t.Helper()
-	address, requests := goldentest.Serve(t, http.StatusOK, answer)
-	box := actortest.Instant{Messages: make(chan func(), 1)}
+	address, requests := goldentest.Serve(t, http.StatusOK, response)
+	mailbox := actortest.Instant{Messages: make(chan func(), 1)}
 	got := Result[T]{Err: errors.New("no response")}
-	call(New(address, settings.KVStore{Rps: 100, WriteRps: 100}).For(box), func(r Result[T]) { got = r })
+	call(New(address, settings.KVStore{Rps: 100, WriteRps: 100}).For(mailbox), func(r Result[T]) { got = r })
 	goldentest.Equal(t, name, <-requests, recorded)
-	(<-box.Messages)()
+	(<-mailbox.Messages)()
 	if d := cmp.Diff(Result[T]{Value: want}, got); d != "" {
 		t.Errorf("%s: %s", name, d)
 	}
 }
 
-// Every request to the key-value store is the recorded one, and its answer is read.
+// Every request to the key-value store has the recorded bytes, and the client decodes its response.
 func TestGoldenRequests(t *testing.T) {
 	item := protocol.Item{Key: "jobs/job-1", Value: []byte{0xc3}, Version: 9}
 	const itemBytes = "\x83\xa4Path\xaajobs/job-1\xa4Data\xc3\xa5Stamp\x09"
 	list := protocol.ItemList{Items: []protocol.Item{item}, More: true, Revision: 300}
 	const listBytes = "\x83\xa5Items\x91" + itemBytes + "\xa7HasNext\xc3\xa6Ledger\xcd\x01\x2c"
-	ask(t, "get", itemBytes, item, "GET /kv/jobs/job-1\nUser-Agent: Go-http-client/1.1\n\n",
+	requireRequest(t, "get", itemBytes, item, "GET /kv/jobs/job-1\nUser-Agent: Go-http-client/1.1\n\n",
 		func(s Store, done func(Result[protocol.Item])) { s.Get("jobs/job-1", done) })
-	ask(t, "list", listBytes, list,
+	requireRequest(t, "list", listBytes, list,
 		"GET /kv?Limit=500&Prefix=jobs%2F\nUser-Agent: Go-http-client/1.1\n\n",
 		func(s Store, done func(Result[protocol.ItemList])) { s.List("jobs/", "", done) })
-	ask(t, "next page", listBytes, list,
+	requireRequest(t, "next page", listBytes, list,
 		"GET /kv?From=jobs%2Fjob-1&Limit=500&Prefix=jobs%2F\nUser-Agent: Go-http-client/1.1\n\n",
 		func(s Store, done func(Result[protocol.ItemList])) { s.List("jobs/", "jobs/job-1", done) })
-	ask(t, "follow", "\x82\xa6Ledger\xcd\x01\x2c\xa3Log\x91\x81\xa6Delete\xa1a",
+	requireRequest(t, "follow", "\x82\xa6Ledger\xcd\x01\x2c\xa3Log\x91\x81\xa6Delete\xa1a",
 		protocol.WatchResponse{Revision: 300, Events: []protocol.Event{{Delete: "a"}}},
 		"GET /follow?BlockMs=2500&From=299&Prefix=jobs%2F\nUser-Agent: Go-http-client/1.1\n\n",
 		func(s Store, done func(Result[protocol.WatchResponse])) {
 			s.Follow("jobs/", 299, 2500*clock.Millisecond, done)
 		})
-	ask(t, "grant", "\x81\xa6Permit\x05", protocol.LeaseID(5),
+	requireRequest(t, "grant", "\x81\xa6Permit\x05", protocol.LeaseID(5),
 		"POST /leases\nContent-Length: 10\nContent-Type: application/msgpack\n"+
 			"User-Agent: Go-http-client/1.1\n\n\x81\xa5TtlMs\xcd\x0f\xa0",
 		func(s Store, done func(Result[protocol.LeaseID])) { s.Grant(4*clock.Second, done) })
-	ask(t, "renew", "\x81\xa6Permit\x05", struct{}{},
+	requireRequest(t, "renew", "\x81\xa6Permit\x05", struct{}{},
 		"POST /leases/5/touch\nContent-Length: 0\nUser-Agent: Go-http-client/1.1\n\n",
 		func(s Store, done func(Result[struct{}])) {
 			s.Renew(5, func(err error) { done(Result[struct{}]{Err: err}) })
@@ -62,11 +63,11 @@
 		Conditions: []protocol.Condition{{Key: "a", Version: 9}},
 		Changes:    []protocol.Change{{Put: "a", Value: []byte{0xc3}}},
 	}
-	for _, use := range []Priority{PriorityElection, PriorityUser, PriorityLeader} {
-		ask(t, "commit", "\x81\xa6Ledger\xcd\x01\x2c", protocol.Revision(300),
+	for _, priority := range []Priority{PriorityElection, PriorityUser, PriorityLeader} {
+		requireRequest(t, "commit", "\x81\xa6Ledger\xcd\x01\x2c", protocol.Revision(300),
 			"POST /multi\nContent-Length: 47\nContent-Type: application/msgpack\n"+
 				"User-Agent: Go-http-client/1.1\n\n\x82\xa6Guards\x91\x82\xa4Path\xa1a\xa5Stamp\x09\xa6Wr"+
 				"ites\x91\x82\xa5Write\xa1a\xa4Data\xc3",
-			func(s Store, done func(Result[protocol.Revision])) { s.Commit(use, txn, done) })
+			func(s Store, done func(Result[protocol.Revision])) { s.Commit(priority, txn, done) })
 	}
 }
--- a/internal/kvstore/store.go
+++ b/internal/kvstore/store.go
@@ -1,7 +1,7 @@
-// Package kvstore is the client of the key-value store, a consensus-backed key-value store with
-// leases. It keeps to this process's part of the service's rate limits and turns responses into
-// typed results, which reach the asking actor as messages. It retries nothing, and knows nothing
-// of what the keys mean.
+// Package kvstore is the client of the key-value store, a consensus-backed external service with
+// leases. It keeps to this process's share of the store's rate limits and turns responses into typed
+// results, which it posts to the mailbox of the requesting actor. It retries nothing and doesn't
+// interpret keys or values.
 package kvstore
 
 import (
@@ -9,33 +9,33 @@
 	"postpoint/internal/protocol"
 )
 
-// Result is the outcome of one request. Value counts only if Err is nil; errors.go lists the
-// errors.
+// Result is the outcome of one request. Value is valid only if Err is nil. errors.go lists the errors.
 type Result[T any] struct {
 	Value T
 	Err   error
 }
 
-// Store is the store as one actor sees it: all callbacks run in the actor's mailbox.
+// Store is one actor's access to the key-value store. All callbacks run in the actor's mailbox.
 type Store interface {
 	// Get reads one key.
 	Get(key string, done func(Result[protocol.Item]))
-	// List reads a page of the keys with a prefix that come after from, in key order.
+	// List reads a page of the keys that have a prefix and come after from, in key order.
 	List(prefix, from string, done func(Result[protocol.ItemList]))
-	// Commit applies a transaction if all its guards hold, and returns its revision. Otherwise the
-	// error is a ConflictError.
+	// Commit applies a transaction if all its conditions hold, and returns its revision. Otherwise the
+	// error is a *ConflictError.
 	Commit(priority Priority, t protocol.Txn, done func(Result[protocol.Revision]))
-	// Follow waits for changes of keys with a prefix after a revision, at most for the given time.
+	// Follow returns the changes of keys with a prefix after a revision. If there are none yet, it waits
+	// for them, at most for the given time.
 	Follow(prefix string, from protocol.Revision, wait clock.Micros,
 		done func(Result[protocol.WatchResponse]))
 	// Grant creates a lease.
 	Grant(ttl clock.Micros, done func(Result[protocol.LeaseID]))
-	// Renew prolongs a lease by its whole time to live.
+	// Renew makes a lease last its whole time to live from now on.
 	Renew(lease protocol.LeaseID, done func(err error))
 }
 
-// Priority is the priority of a transaction in this process's rate limit: the election's requests
-// never wait, users' changes come before the leader's, and those before reads.
+// Priority is the priority of a transaction in this process's rate limits. The election's requests
+// never wait, users' changes come before the leader's, and the leader's before reads.
 type Priority int
 
 // The priorities, the highest first.
@@ -45,9 +45,9 @@
 	PriorityLeader
 )
 
-// WalkPages reads all keys with a prefix after from, page by page, until page returns false. done
-// gets the error that ended the walk, nil after the last page, and the key after which reading has
-// to go on; it isn't called if page ended the walk.
+// WalkPages reads all keys with a prefix after from and calls page with each page, until page returns
+// false. At the end it calls done: with a nil error after the last page, otherwise with the error of a
+// read and the key after which the caller can resume. It doesn't call done if page returned false.
 func WalkPages(s Store, prefix, from string, page func(protocol.ItemList) (more bool),
 	done func(err error, from string)) {
 	s.List(prefix, from, func(r Result[protocol.ItemList]) {
--- a/internal/kvstore/storetest/service.go
+++ b/internal/kvstore/storetest/service.go
@@ -1,5 +1,5 @@
-// Package storetest lets stand-ins of the key-value store respond as the store itself does, with
-// statuses and bodies. Only tests and the simulation use it.
+// Package storetest adapts fakes of the key-value store, which respond with statuses and bodies as the
+// real store does, to kvstore.Store. Only tests and the simulation use it.
 package storetest
 
 import (
@@ -9,28 +9,28 @@
 	"postpoint/internal/transport"
 )
 
-// Reply is a response's status and body. Status 0 means that none came: the request may have been
-// carried out, or may still be, later.
+// Reply is a response's HTTP status and body. Status 0 means that no response came: the store may have
+// executed the request, or may still execute it later.
 type Reply[T any] struct {
 	Status int
 	Value  T
 }
 
-// Service is a stand-in of the key-value store as one client sees it.
+// Service is a fake of the key-value store as one client sees it.
 type Service interface {
 	Get(key string, done func(Reply[protocol.Item]))
 	List(prefix, from string, done func(Reply[protocol.ItemList]))
-	Commit(use kvstore.Priority, t protocol.Txn, done func(Reply[protocol.TxnResponse]))
-	Follow(prefix string, from protocol.Revision, block clock.Micros,
+	Commit(priority kvstore.Priority, t protocol.Txn, done func(Reply[protocol.TxnResponse]))
+	Follow(prefix string, from protocol.Revision, wait clock.Micros,
 		done func(Reply[protocol.WatchResponse]))
 	Grant(ttl clock.Micros, done func(Reply[protocol.LeaseResponse]))
 	Renew(lease protocol.LeaseID, done func(Reply[protocol.LeaseResponse]))
 }
 
-// Client returns the store whose results are what the service responds.
+// Client returns a store that passes requests to the service and turns its replies into results.
 func Client(s Service) kvstore.Store { return client{s} }
 
-// client turns statuses into errors.
+// client is the kvstore.Store of a Service.
 type client struct{ service Service }
 
 // Get implements kvstore.Store.
@@ -76,14 +76,16 @@
 	c.service.Renew(lease, func(r Reply[protocol.LeaseResponse]) { done(errorOf(kvstore.OpRenew, r)) })
 }
 
+// result returns the result of a reply whose value the store returns as it is.
 func result[T any](op kvstore.Operation, r Reply[T]) kvstore.Result[T] {
 	return kvstore.Result[T]{Value: r.Value, Err: errorOf(op, r)}
 }
 
+// errorOf returns the error for a reply's status, nil for success.
 func errorOf[T any](op kvstore.Operation, r Reply[T]) error {
 	details, _ := any(r.Value).(protocol.TxnResponse)
 	if r.Status == 0 {
 		return &transport.Error{Kind: kvstore.ErrNoResponse, Reason: details.Error}
 	}
-	return kvstore.Failure(op, r.Status, details)
+	return kvstore.ResponseError(op, r.Status, details)
 }
--- a/internal/kvstore/storetest/service_test.go
+++ b/internal/kvstore/storetest/service_test.go
@@ -16,13 +16,13 @@
 )
 
 var (
-	item     = protocol.Item{Key: "a", Version: 9}
-	list     = protocol.ItemList{Items: []protocol.Item{item}, Revision: 300}
-	followed = protocol.WatchResponse{Revision: 300}
-	answer   = protocol.TxnResponse{Revision: 300, Failed: []string{"a"}, Error: "trouble"}
+	item        = protocol.Item{Key: "a", Version: 9}
+	list        = protocol.ItemList{Items: []protocol.Item{item}, Revision: 300}
+	followed    = protocol.WatchResponse{Revision: 300}
+	txnResponse = protocol.TxnResponse{Revision: 300, Failed: []string{"a"}, Error: "trouble"}
 )
 
-// fixedStore responds to every request with one status and the values above.
+// fixedStore is a Service that responds to every request with one status and the values above.
 type fixedStore struct{ status int }
 
 func (s fixedStore) Get(_ string, done func(Reply[protocol.Item])) {
@@ -34,7 +34,7 @@
 }
 
 func (s fixedStore) Commit(_ kvstore.Priority, _ protocol.Txn, done func(Reply[protocol.TxnResponse])) {
-	done(Reply[protocol.TxnResponse]{s.status, answer})
+	done(Reply[protocol.TxnResponse]{s.status, txnResponse})
 }
 
 func (s fixedStore) Follow(
@@ -57,12 +57,12 @@
 	err   error
 }
 
-// note returns a callback that keeps a result.
-func note[T any](o *outcome) func(kvstore.Result[T]) {
+// storeIn returns a callback that stores a result in o.
+func storeIn[T any](o *outcome) func(kvstore.Result[T]) {
 	return func(r kvstore.Result[T]) { *o = outcome{r.Value, r.Err} }
 }
 
-// request is one request of an operation and the value that it returns.
+// request sends one request of an operation and has the value that the request returns.
 type request struct {
 	send func(kvstore.Store, *outcome)
 	want any
@@ -70,26 +70,26 @@
 
 var requests = map[kvstore.Operation]request{
 	kvstore.OpGet: {func(s kvstore.Store, o *outcome) {
-		s.Get("a", note[protocol.Item](o))
+		s.Get("a", storeIn[protocol.Item](o))
 	}, item},
 	kvstore.OpList: {func(s kvstore.Store, o *outcome) {
-		s.List("", "", note[protocol.ItemList](o))
+		s.List("", "", storeIn[protocol.ItemList](o))
 	}, list},
 	kvstore.OpCommit: {func(s kvstore.Store, o *outcome) {
-		s.Commit(kvstore.PriorityUser, protocol.Txn{}, note[protocol.Revision](o))
+		s.Commit(kvstore.PriorityUser, protocol.Txn{}, storeIn[protocol.Revision](o))
 	}, protocol.Revision(300)},
 	kvstore.OpFollow: {func(s kvstore.Store, o *outcome) {
-		s.Follow("", 1, 0, note[protocol.WatchResponse](o))
+		s.Follow("", 1, 0, storeIn[protocol.WatchResponse](o))
 	}, followed},
 	kvstore.OpGrant: {func(s kvstore.Store, o *outcome) {
-		s.Grant(clock.Second, note[protocol.LeaseID](o))
+		s.Grant(clock.Second, storeIn[protocol.LeaseID](o))
 	}, protocol.LeaseID(5)},
 	kvstore.OpRenew: {func(s kvstore.Store, o *outcome) {
 		s.Renew(7, func(err error) { o.err = err })
 	}, nil},
 }
 
-// statusOf returns the status that an error stands for.
+// statusOf returns the status of the response that led to an error.
 func statusOf(t *testing.T, err error) int {
 	t.Helper()
 	if err == nil {
@@ -122,9 +122,9 @@
 			}
 			details := protocol.TxnResponse{}
 			if op == kvstore.OpCommit {
-				details = answer
+				details = txnResponse
 			}
-			if want := kvstore.Failure(op, status, details); status != 0 &&
+			if want := kvstore.ResponseError(op, status, details); status != 0 &&
 				!reflect.DeepEqual(got.err, want) {
 				t.Errorf("operation %d, status %d: %#v, expected %#v", op, status, got.err, want)
 			}
@@ -136,12 +136,12 @@
 	for status := range 1000 {
 		var got outcome
 		requests[kvstore.OpCommit].send(Client(fixedStore{status}), &got)
-		if status != http.StatusOK && kvstore.Reason(got.err) != answer.Error {
-			t.Errorf("status %d: reason %q, expected %q", status, kvstore.Reason(got.err), answer.Error)
+		if status != http.StatusOK && kvstore.Reason(got.err) != txnResponse.Error {
+			t.Errorf("status %d: reason %q, expected %q", status, kvstore.Reason(got.err), txnResponse.Error)
 		}
 		var failed []string
 		if status == http.StatusConflict {
-			failed = answer.Failed
+			failed = txnResponse.Failed
 		}
 		if keys := kvstore.Failed(got.err); !slices.Equal(keys, failed) {
 			t.Errorf("status %d: failed keys %q, expected %q", status, keys, failed)
