--- a/internal/admission/runnable.go
+++ b/internal/admission/runnable.go
@@ -35,7 +35,7 @@
 	}
 	// The store may tighten its limits at any time.
 	limits := dep.KVStore.Tightest()
-	if !jobrecord.Recordable(spec, limits.ValueBytes(), limits.TxnOps) {
+	if !jobrecord.FitsStore(spec, limits.ValueBytes(), limits.TxnOps) {
 		return errRecordTooLarge
 	}
 	return nil
--- a/internal/jobrecord/capacity_test.go
+++ b/internal/jobrecord/capacity_test.go
@@ -6,8 +6,8 @@
 	"postpoint/internal/protocol"
 )
 
-// However a very large job goes on, its record stays within the smallest value size: Room stops
-// its starts in time, even if every other task is done and every running one is alone on a machine.
+// A record that outgrew the store's limit could no longer be written. StartCapacity must stop a very
+// large job in time, even if every other task is done and every running one has a machine of its own.
 func TestRecordStaysWithinLimit(t *testing.T) {
 	const limit = 8 << 10
 	record := New(protocol.JobSpec{ID: "job-000001", Class: "c", Team: "t", Shape: protocol.ShapeArray,
@@ -36,7 +36,7 @@
 		}
 		checkSize()
 	}
-	// What runs ends in the end, and the rest can start.
+	// Once the running tasks have ended, the rest can start.
 	for task := range record.Placements {
 		delete(record.Placements, task)
 		record.Done.Add(task)
@@ -46,8 +46,8 @@
 	}
 }
 
-// The widest arrays of a grown deployment needn't run in waves for their record's sake, and it
-// stays within the limit as their tasks end one by one.
+// The size of the record must not prevent the widest arrays of a large deployment from running all
+// their tasks at once, and the record stays within the limit while the tasks end.
 func TestWideArraysRunAtOnce(t *testing.T) {
 	record := wideArray()
 	if len(record.Placements) != record.Spec.Tasks {
--- a/internal/jobrecord/codec.go
+++ b/internal/jobrecord/codec.go
@@ -6,8 +6,7 @@
 	"postpoint/internal/protocol"
 )
 
-// Encode returns the value to store at the job's key: the whole record, or the head of a
-// sharded one.
+// Encode returns the value to store at the job's key: the whole record, or the head of a sharded one.
 func (r *Record) Encode() []byte {
 	stored := storedRecord{
 		Spec:        r.Spec,
@@ -29,11 +28,11 @@
 	return protocol.Encode(stored)
 }
 
-// Decode reads the value at a job's key, for callers that don't know the key. Its error is a
-// *MalformedError.
+// Decode decodes the value at a job's key for callers that don't have the key. Its error is a
+// *MalformedError without a key.
 func Decode(value []byte) (*Record, error) { return DecodeAt("", value) }
 
-// DecodeAt reads the value at a job's key. Its error is a *MalformedError with that key.
+// DecodeAt decodes the value at a job's key. Its error is a *MalformedError with that key.
 func DecodeAt(key string, value []byte) (*Record, error) {
 	record, err := decode(value)
 	if err != nil {
@@ -42,6 +41,7 @@
 	return record, nil
 }
 
+// decode decodes a whole record or a head. Its errors don't name the key.
 func decode(value []byte) (*Record, error) {
 	var stored storedRecord
 	if err := protocol.Decode(value, &stored); err != nil {
@@ -64,8 +64,9 @@
 		ReturnCount:   stored.Returned,
 		DisplacedFrom: stored.Displaced,
 	}
+	// Controllers of format 1 classify services as arrays and record exited replicas as done.
 	if !record.Spec.Service() {
-		record.Done = done // controllers that take services for arrays record ends of their tasks
+		record.Done = done
 	}
 	for _, text := range stored.Placed {
 		if record.applyMarker(text) {
--- a/internal/jobrecord/codec_test.go
+++ b/internal/jobrecord/codec_test.go
@@ -11,6 +11,7 @@
 	"postpoint/internal/protocol"
 )
 
+// drawRecord draws an array's record with pending, running and done tasks.
 func drawRecord(t *rapid.T) *Record {
 	tasks := rapid.IntRange(1, 300).Draw(t, "tasks")
 	record := New(protocol.JobSpec{ID: "job-1", Class: "c", Team: "t", Shape: protocol.ShapeArray,
@@ -33,15 +34,15 @@
 	return record
 }
 
-// A record comes back from its stored form as it was.
+// Encoding and decoding a record must not change it.
 func TestRecordIsDecodedAsItWasEncoded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		record := drawRecord(t)
-		again, err := Decode(record.Encode())
+		decoded, err := Decode(record.Encode())
 		if err != nil {
-			t.Fatalf("decode what was encoded: %v, want no error", err)
+			t.Fatalf("decode an encoded record: %v, want no error", err)
 		}
-		if d := cmp.Diff(record, again, allFields); d != "" {
+		if d := cmp.Diff(record, decoded, allFields); d != "" {
 			t.Fatalf("decoded record differs (-want +got):\n%s", d)
 		}
 		pending := record.Pending(1000)
@@ -51,7 +52,7 @@
 	})
 }
 
-// Errors about stored values name the key and can be told from others.
+// An operator must be able to find a malformed value: the errors name its key and match ErrMalformed.
 func TestMalformedValuesNameTheirKey(t *testing.T) {
 	record := New(arraySpec(200), 1)
 	record.ShardSize = 50
--- a/internal/jobrecord/delegation.go
+++ b/internal/jobrecord/delegation.go
@@ -7,14 +7,14 @@
 	"postpoint/internal/protocol"
 )
 
-// DelegatedTo returns what a placement has in place of a machine for a task that the given cell
-// runs. The placement's Incarnation is then the number of the delegation. Names of machines have no
-// spaces, so that it can't be taken for one.
+// DelegatedTo returns the value of Placement.Machine for a task that the given host cell runs. The
+// placement's Incarnation is then the number of the delegation. The value has a space, which names of
+// machines don't have, so it equals none of them.
 func DelegatedTo(cell string) protocol.MachineName {
 	return protocol.MachineName(cellMarker + " " + cell)
 }
 
-// HostCell returns the cell that runs the placement's task, or "" if it is this one.
+// HostCell returns the cell that runs the placement's task, or "" if this cell does.
 func (p Placement) HostCell() string {
 	cell, delegated := strings.CutPrefix(string(p.Machine), cellMarker+" ")
 	if !delegated {
@@ -23,9 +23,10 @@
 	return cell
 }
 
-// splitMachine returns the machine or the cell of a placement's words. The first of the remaining
-// words stands for it, so that what follows has the same index either way: a machine takes one
-// word, and every placement then has an even number of them; a cell takes two.
+// splitMachine returns the machine, or the DelegatedTo value, of a stored placement that has been split
+// into words. A machine takes one word and a cell two, the marker and its name. rest begins with the
+// machine's or the cell's name, so that the words after it have the same index either way. A placement
+// on a machine has an even number of words, and so one with a cell has an odd number.
 func splitMachine(words []string) (machine protocol.MachineName, rest []string) {
 	switch {
 	case len(words) == 0:
@@ -36,24 +37,24 @@
 	return protocol.MachineName(words[0]), words
 }
 
-// HostedJob says to which cell and delegation a hosted job belongs.
+// HostedJob identifies the origin cell and the delegation of a hosted job.
 type HostedJob struct {
-	OriginCell string // the origin cell
-	Delegation int64  // of the delegation
-	// Closed hosted jobs start no further tasks.
+	OriginCell string
+	Delegation int64 // number of the delegation, which the origin cell assigns
+	// Closed means that no further task of the job may start here.
 	Closed bool
 }
 
-// encode returns the text that follows the marker: "cell delegation" or "cell delegation closed".
-func (g *HostedJob) encode() string {
-	text := g.OriginCell + " " + strconv.FormatInt(g.Delegation, 10)
-	if g.Closed {
+// encode returns the text after hostedMarker: "cell delegation" or "cell delegation closed".
+func (h *HostedJob) encode() string {
+	text := h.OriginCell + " " + strconv.FormatInt(h.Delegation, 10)
+	if h.Closed {
 		text += " " + closedMarker
 	}
 	return text
 }
 
-// parseHostedJob reads what encode wrote, or returns nil.
+// parseHostedJob parses what encode returns. It returns nil for any other text.
 func parseHostedJob(text string) *HostedJob {
 	words := strings.Fields(text)
 	closed := len(words) == 3 && words[2] == closedMarker
@@ -67,13 +68,13 @@
 	return &HostedJob{OriginCell: words[0], Delegation: number, Closed: closed}
 }
 
-// HostedJobID returns the id under which a host cell keeps a hosted job and its workers run it. It has
-// dots, which no id that a user may choose has, so that the two can't clash.
+// HostedJobID returns the id under which a host cell stores a hosted job and its workers run it. It has
+// dots, which ids of users' own jobs can't have, so the two never collide.
 func HostedJobID(cell string, job protocol.JobID, delegation int64) protocol.JobID {
 	return protocol.JobID(cell + "." + string(job) + "." + strconv.FormatInt(delegation, 10))
 }
 
-// ParseHostedJobID splits an id that HostedJobID made.
+// ParseHostedJobID splits an id that HostedJobID returned; ok reports whether the id is one.
 func ParseHostedJobID(id protocol.JobID) (cell string, job protocol.JobID, delegation int64, ok bool) {
 	cell, rest, hasCell := strings.Cut(string(id), ".")
 	originID, number, hasNumber := strings.Cut(rest, ".")
--- a/internal/jobrecord/doc.go
+++ b/internal/jobrecord/doc.go
@@ -1,10 +1,10 @@
-// Package jobrecord defines the durable record of a job: what the key-value store keeps of it, under
-// which keys and in which format, and the same record in memory.
+// Package jobrecord defines the durable record of a job: its keys and format in the key-value store,
+// and its form in memory.
 //
-// It owns the keys, the stored formats (format.go says which exist and what marks them) and the
-// estimates of how large a record may become. It doesn't call the store, takes no decisions about
-// jobs and doesn't validate submissions.
+// It owns the keys, the stored formats (format.go lists them and their markers) and the estimates of
+// how large a record can become. It doesn't call the store, makes no scheduling decisions and doesn't
+// validate submissions.
 //
-// Package admission creates records, cancels jobs and shows their state. Package leader
-// writes everything else. Package delegation uses TaskSet only.
+// Package admission creates records, cancels jobs and returns their status. Package leader makes all
+// other changes. Package delegation uses only TaskSet.
 package jobrecord
--- a/internal/jobrecord/errors.go
+++ b/internal/jobrecord/errors.go
@@ -2,12 +2,12 @@
 
 import "errors"
 
-// ErrMalformed matches every error of this package about a stored value that can't be read.
+// ErrMalformed matches every error of this package about a stored value that can't be decoded.
 var ErrMalformed = errors.New("malformed job record")
 
-// MalformedError reports a stored value that can't be read. It matches ErrMalformed and its cause.
+// MalformedError reports a stored value that can't be decoded. It matches ErrMalformed and its cause.
 type MalformedError struct {
-	Key   string // empty if the caller named none
+	Key   string // empty if unknown
 	Cause error
 }
 
@@ -25,7 +25,7 @@
 // Unwrap returns the cause.
 func (e *MalformedError) Unwrap() error { return e.Cause }
 
-// Causes of a MalformedError, besides those of package protocol.
+// Causes of a MalformedError, in addition to the decoding errors of package protocol.
 var (
 	errInvalidRanges    = errors.New("not a list of increasing task ranges")
 	errInvalidPlacement = errors.New("not a placement")
--- a/internal/jobrecord/format.go
+++ b/internal/jobrecord/format.go
@@ -9,10 +9,11 @@
 
 // Stored formats
 //
-// A record has no version number. What a controller can't handle stands among the placements, where
-// every controller expects "machine incarnation attempt tasks": one that doesn't know a marker
-// takes the record for malformed and leaves its job alone. The numbers are those of package
-// rollout, which says when all controllers read a format; only then may it be written.
+// A record has no version number. A record with a feature of a later format has a marker among its
+// placements, where every controller expects "machine incarnation attempt tasks": a controller that
+// doesn't know the marker rejects the record as malformed and doesn't act on its job. The format
+// numbers are those of package rollout, which reports when all controllers read a format; a controller
+// may write the format only from then on.
 //
 //	format  adds                  marker among the placements     constant
 //	1       arrays and gangs      none
@@ -21,21 +22,22 @@
 //	3       jobs of other cells   "guest <cell> <delegation>"     hostedMarker
 //	        tasks in other cells  "cell <cell>" for the machine   cellMarker
 //
-// The optional fields truncated, returned and displaced came without a format of their own:
-// controllers that don't know them ignore them.
+// The optional fields truncated, returned and displaced belong to no format: controllers that don't
+// know them ignore them.
 //
-// Stored field names don't follow the terms of the code, because stored records outlive it:
-// "try" is an attempt, "shift" an incarnation, "parts" are shards, a "guest" is a hosted job.
+// Stored names differ from the terms of the code, because the code's terms changed while stored
+// records remain: "try" is an attempt, "shift" an incarnation, "parts" are shards, a "guest" is a
+// hosted job.
 const (
 	serviceMarker = "service"
 	shardsMarker  = "parts"  // followed by the number of tasks in a shard
 	hostedMarker  = "guest"  // followed by what HostedJob.encode returns
-	closedMarker  = "closed" // last in a closed hosted job's marker
+	closedMarker  = "closed" // last word of a closed hosted job's marker
 	cellMarker    = "cell"   // followed by the name of a cell
 )
 
 // storedRecord is the value at a job's key: a whole record or the head of a sharded one. Sets and
-// placements are texts because the store counts sizes as JSON, and texts are short in it.
+// placements are strings because the store measures sizes as JSON, in which strings are compact.
 type storedRecord struct {
 	Spec        protocol.JobSpec `msgpack:"spec"`
 	Status      string           `msgpack:"status,omitempty"`
@@ -59,11 +61,12 @@
 	// Incarnation and Attempt are those of every placement that names none of its own.
 	Incarnation int64            `msgpack:"shift,omitempty"`
 	Attempt     protocol.Attempt `msgpack:"try,omitempty"`
-	// Placed has "machine tasks" or "machine tasks incarnation attempt", separated by semicolons.
+	// Placed has placements, separated by semicolons: "machine tasks" with the incarnation and attempt
+	// above, or "machine tasks incarnation attempt".
 	Placed string `msgpack:"placed,omitempty"`
 }
 
-// markers returns the markers that stand before the record's placements.
+// markers returns the record's markers, which Encode writes before the placements.
 func (r *Record) markers() []string {
 	var markers []string
 	if r.Hosted != nil {
@@ -78,7 +81,7 @@
 	return markers
 }
 
-// applyMarker notes what a marker says; ok reports whether the text is a valid one.
+// applyMarker sets the fields that a marker stands for; ok reports whether the text is a valid marker.
 func (r *Record) applyMarker(text string) (ok bool) {
 	if text == serviceMarker {
 		r.Marked = true
--- a/internal/jobrecord/format_test.go
+++ b/internal/jobrecord/format_test.go
@@ -13,12 +13,12 @@
 
 var due = 90.0 // seconds
 
-// format1Records are values that the first version in production stored.
+// format1Records are values that the first version in production, which wrote format 1, stored.
 var format1Records = map[string]struct {
 	hex  string
 	want Record
 }{
-	"an array with ends and placements": {`
+	"an array with done tasks and placements": {`
 		87a473706563de0013a3556964aa6a6f622d303030303031a44c616e65a765787472617365a44465736ba86576616c756172
 		65a55368617065a56261746368a452616e6ba66e6f726d616ca44c65677309a55663707573cb3ff8000000000000a4477075
 		73cb0000000000000000a54d656d4762cb4000000000000000a642756e646c65a5696d672d31a650756c6c4762cb3ff00000
@@ -54,8 +54,8 @@
 		Status: "aborted", SubmittedAt: 1764668400000000, CancelledAt: 1764668460000000, NextAttempt: 2,
 		Placements: map[int]Placement{0: {0, 1, "m-000003", 1}, 1: {1, 1, "m-000004", 1}},
 	}},
-	// That version records the end of a replica as the end of a task, which it isn't.
-	"a service taken for an array": {`
+	// That version recorded an exited replica as a done task, which decoding must ignore.
+	"a service classified as an array": {`
 		85a473706563de0013a3556964aa6a6f622d303030303033a44c616e65a6706f7274616ca44465736ba86576616c75617265
 		a55368617065a66461656d6f6ea452616e6ba470726f64a44c65677302a55663707573cb3ff0000000000000a447707573cb
 		0000000000000000a54d656d4762cb3ff999999999999aa642756e646c65a5696d672d33a650756c6c4762cb400000000000
@@ -70,8 +70,9 @@
 	}},
 }
 
-// Records as controllers of format 1 wrote them, byte for byte: an array with scattered ends and
-// placements on two machines, a cancelled gang, and a service that they took for an array.
+// After an upgrade this version must decode what controllers of format 1 stored, and encode it to the
+// same bytes, so that such controllers can still read it. The values are an array with done tasks and
+// placements on two machines, a cancelled gang, and a service that they classified as an array.
 func TestRecordsOfFormat1AreReadAndWrittenBack(t *testing.T) {
 	for name, stored := range format1Records {
 		value, err := hex.DecodeString(strings.Join(strings.Fields(stored.hex), ""))
@@ -83,17 +84,17 @@
 			t.Fatalf("%s: %v, want no error", name, err)
 		}
 		if d := cmp.Diff(&stored.want, record, allFields); d != "" {
-			t.Fatalf("%s: read record differs (-want +got):\n%s", name, d)
+			t.Fatalf("%s: decoded record differs (-want +got):\n%s", name, d)
 		}
 		if !record.Spec.Service() && !bytes.Equal(record.Encode(), value) {
-			t.Errorf("%s: written back as %x, want %x", name, record.Encode(), value)
+			t.Errorf("%s: encoded again as %x, want %x", name, record.Encode(), value)
 		}
 	}
 }
 
-// Controllers that know neither services nor sharded records refuse both as malformed, instead of
-// taking a service for an array or running tasks for pending: they read four fields in a
-// placement and nothing else.
+// Controllers of format 1 would classify a service as an array, and the running tasks of a sharded
+// record as pending. They must reject both as malformed: they accept only placements of four fields,
+// so the marker must have another number of fields.
 func TestMarkedRecordsAreRefusedByReadersOfFormat1(t *testing.T) {
 	service := New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeService, Tasks: 3}, 1)
 	service.Marked = true
@@ -107,12 +108,12 @@
 			t.Fatal(err)
 		}
 		if len(stored.Placed) == 0 || len(strings.Fields(stored.Placed[0])) == 4 {
-			t.Errorf("%s: placements %q, want the first to have other than four fields",
+			t.Errorf("%s: placements %q, want the first not to have four fields",
 				record.Spec.Shape, stored.Placed)
 		}
-		if again := reassembled(t, record); !again.Marked || again.ShardSize != record.ShardSize {
-			t.Errorf("%s: read as %+v, want it marked, with %d tasks in a shard",
-				record.Spec.Shape, again, record.ShardSize)
+		if decoded := reassembled(t, record); !decoded.Marked || decoded.ShardSize != record.ShardSize {
+			t.Errorf("%s: decoded as %+v, want it marked, with %d tasks per shard",
+				record.Spec.Shape, decoded, record.ShardSize)
 		}
 	}
 }
--- a/internal/jobrecord/golden_test.go
+++ b/internal/jobrecord/golden_test.go
@@ -10,11 +10,12 @@
 	"postpoint/internal/protocol/protocoltest"
 )
 
-// smallSpec has hardly any.
+// smallSpec returns a job with only the fields that every test sets.
 func smallSpec(shape string, tasks int) protocol.JobSpec {
 	return protocol.JobSpec{ID: "job-1", Shape: shape, Tasks: tasks}
 }
 
+// goldenRanges returns the set with the given spans.
 func goldenRanges(spans ...span) TaskSet {
 	r := TaskSet{spans: spans}
 	for _, s := range spans {
@@ -23,8 +24,8 @@
 	return r
 }
 
-// goldenPlaces are on machines and with another cell.
-func goldenPlaces() map[int]Placement {
+// goldenPlacements returns placements on two machines and one in another cell.
+func goldenPlacements() map[int]Placement {
 	return map[int]Placement{
 		5:  {Task: 5, Attempt: 2, Machine: "m-000001", Incarnation: 3},
 		6:  {Task: 6, Attempt: 2, Machine: "m-000001", Incarnation: 3},
@@ -35,12 +36,13 @@
 	}
 }
 
+// goldenRecord is a record with its recorded values.
 type goldenRecord struct {
 	name string
 	job  Record
 	head string
-	// parts are those of a divided record.
-	parts []string
+	// shards has the values of a sharded record's shards.
+	shards []string
 }
 
 var goldenRecords = []goldenRecord{
@@ -61,7 +63,7 @@
 			"\x00\x06D\xf4\xe1 \xdc\x00\xa3try\x01",
 	},
 	{
-		name: "a whole record with all that it may have",
+		name: "a whole record with every field that it can have",
 		job: Record{
 			Spec:          protocoltest.WholeJobSpec(),
 			Status:        protocol.StatusCancelled,
@@ -69,7 +71,7 @@
 			CancelledAt:   1764668460000000,
 			Done:          goldenRanges(span{0, 3}, span{7, 7}),
 			NextAttempt:   5,
-			Placements:    goldenPlaces(),
+			Placements:    goldenPlacements(),
 			Lenders:       []protocol.JobID{"job-000001", "job-000002"},
 			Cause:         "error on m-000001",
 			Hosted:        &HostedJob{OriginCell: "gamma", Delegation: 9, Closed: true},
@@ -160,7 +162,7 @@
 			"\x00\x06D\xf4\xe1 \xdc\x00\xa3try\x02\xa6placed\x92\xa7service\xaem-000005 1 1 1",
 	},
 	{
-		name: "a guest",
+		name: "a hosted job",
 		job: Record{
 			Spec:        smallSpec(protocol.ShapeGang, 2),
 			SubmittedAt: 1764668400000000,
@@ -178,7 +180,7 @@
 			"000005 1 1 1",
 	},
 	{
-		name: "a guest that is a marked service",
+		name: "a hosted job that is a marked service",
 		job: Record{
 			Spec:        smallSpec(protocol.ShapeService, 2),
 			SubmittedAt: 1764668400000000,
@@ -196,13 +198,13 @@
 			"\x00\x06D\xf4\xe1 \xdc\x00\xa3try\x02\xa6placed\x92\xadguest gamma 9\xa7service",
 	},
 	{
-		name: "a divided record",
+		name: "a sharded record",
 		job: Record{
 			Spec:          protocoltest.WholeJobSpec(),
 			SubmittedAt:   1764668400000000,
 			Done:          goldenRanges(span{0, 3}, span{7, 7}),
 			NextAttempt:   5,
-			Placements:    goldenPlaces(),
+			Placements:    goldenPlacements(),
 			Lenders:       []protocol.JobID{"job-000001"},
 			Cause:         "error on m-000001",
 			ShardSize:     5,
@@ -219,13 +221,13 @@
 			"\xcb@\x8c \x00\x00\x00\x00\x00\xa2at\xcf\x00\x06D\xf4\xe1 \xdc\x00\xa3try\x05\xa6placed" +
 			"\x91\xa7parts 5\xa7lenders\x91\xaajob-000001\xa5cause\xb1error on m-000001\xa8returned" +
 			"\x01\xa9displaced\xa1b",
-		parts: []string{"\x82\xa4done\xa20f\xa4next\x05",
+		shards: []string{"\x82\xa4done\xa20f\xa4next\x05",
 			"\x85\xa4done\xa204\xa4next\x05\xa5shift\x03\xa3try\x02\xa6placed\xbdm-000001 0-1,3;m-000" +
 				"001 4 3 1",
 			"\x84\xa4next\x05\xa5shift\x07\xa3try\x04\xa6placed\xbecell beta 0;m-000002 1 70000 1"},
 	},
 	{
-		name: "a divided service of a guest",
+		name: "a hosted sharded service",
 		job: Record{
 			Spec:        smallSpec(protocol.ShapeService, 3),
 			SubmittedAt: 1764668400000000,
@@ -243,17 +245,17 @@
 			"\x00\x00\x00\x00\x00\xa6FlushS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4DueS\xc0\xa2at\xcf" +
 			"\x00\x06D\xf4\xe1 \xdc\x00\xa3try\x02\xa6placed\x93\xadguest gamma 9\xa7service\xa7parts" +
 			" 2",
-		parts: []string{"\x81\xa4next\x02",
+		shards: []string{"\x81\xa4next\x02",
 			"\x84\xa4next\x02\xa5shift\x01\xa3try\x01\xa6placed\xaam-000005 0"},
 	},
 }
 
-// Each kind of record is stored as the recorded bytes, and read from them.
+// Each kind of record is encoded as the recorded bytes, and decoded from them.
 func TestGoldenRecords(t *testing.T) {
 	for _, record := range goldenRecords {
 		goldentest.Equal(t, record.name, record.job.Encode(), record.head)
-		if record.job.ShardCount() != len(record.parts) {
-			t.Errorf("%s: %d parts", record.name, record.job.ShardCount())
+		if record.job.ShardCount() != len(record.shards) {
+			t.Errorf("%s: %d shards", record.name, record.job.ShardCount())
 			continue
 		}
 		job, err := Decode([]byte(record.head))
@@ -261,24 +263,25 @@
 			t.Errorf("%s: %v", record.name, err)
 			continue
 		}
-		for i, part := range record.parts {
-			goldentest.Equal(t, record.name, record.job.EncodeShard(i), part)
-			if err := job.ApplyShard(i, []byte(part)); err != nil {
-				t.Errorf("%s: part %d: %v", record.name, i, err)
+		for i, shard := range record.shards {
+			goldentest.Equal(t, record.name, record.job.EncodeShard(i), shard)
+			if err := job.ApplyShard(i, []byte(shard)); err != nil {
+				t.Errorf("%s: shard %d: %v", record.name, i, err)
 			}
 		}
 		if d := cmp.Diff(&record.job, job, cmp.AllowUnexported(TaskSet{}, span{})); d != "" {
-			t.Errorf("%s: read with a difference: %s", record.name, d)
+			t.Errorf("%s: decoded record differs: %s", record.name, d)
 		}
 	}
 }
 
-// The stored forms have all of their fields in the records above, and each its name in a tag.
+// Every field of the stored forms has its name in a tag, so that renaming the field doesn't change the
+// stored format.
 func TestRecordsHaveTags(t *testing.T) {
 	goldentest.RequireTags(t, "msgpack", storedRecord{}, storedShard{})
 }
 
-// The stored forms with every field set at once, which no job has.
+// The stored forms with every field set are encoded as the recorded bytes. No real record sets them all.
 func TestGoldenStoredForms(t *testing.T) {
 	whole := storedRecord{
 		Spec:        protocoltest.WholeJobSpec(),
@@ -306,53 +309,54 @@
 		"ers\x91\xaajob-000001\xa5cause\xb1error on m-000001\xa9truncated\xc3\xa8returned\x02\xa9disp" +
 		"laced\xa1b"
 	protocoltest.RequireGolden(t, "record", whole, wholeBytes)
-	part := storedShard{
+	shard := storedShard{
 		Done:        "8f00",
 		NextAttempt: 5,
 		Incarnation: 3,
 		Attempt:     2,
 		Placed:      "m-000001 0-2,4;m-000002 3 1 4",
 	}
-	const partBytes = "" +
+	const shardBytes = "" +
 		"\x85\xa4done\xa48f00\xa4next\x05\xa5shift\x03\xa3try\x02\xa6placed\xbdm-000001 0-2,4;m-00000" +
 		"2 3 1 4"
-	protocoltest.RequireGolden(t, "part", part, partBytes)
+	protocoltest.RequireGolden(t, "shard", shard, shardBytes)
 }
 
-// Where records and parts stand, and what stands in them in place of machines.
+// The keys of records and shards, the markers, and the values in place of machine names are the
+// recorded ones.
 func TestGoldenKeys(t *testing.T) {
 	for _, c := range []struct{ name, got, want string }{
 		{"prefix of records", Prefix, "jobs/"},
 		{"key of a record", Key("job-000412"), "jobs/job-000412"},
-		{"prefix of parts", ShardsPrefix, "parts/"},
-		{"prefix of a job's parts", JobShardsPrefix("job-000412"), "parts/job-000412/"},
-		{"key of a part", ShardKey("job-000412", 12), "parts/job-000412/12"},
-		{"a delegated place", string(DelegatedTo("beta")), "cell beta"},
-		{"id of a guest", string(HostedJobID("alpha", "job-1", 7)), "alpha.job-1.7"},
+		{"prefix of shards", ShardsPrefix, "parts/"},
+		{"prefix of a job's shards", JobShardsPrefix("job-000412"), "parts/job-000412/"},
+		{"key of a shard", ShardKey("job-000412", 12), "parts/job-000412/12"},
+		{"a delegated placement", string(DelegatedTo("beta")), "cell beta"},
+		{"id of a hosted job", string(HostedJobID("alpha", "job-1", 7)), "alpha.job-1.7"},
 		{"marker of a service", serviceMarker, "service"},
-		{"marker of a divided record", shardsMarker, "parts"},
-		{"marker of a guest", hostedMarker, "guest"},
-		{"a guest", (&HostedJob{OriginCell: "beta", Delegation: 7}).encode(), "beta 7"},
-		{"a closed guest", (&HostedJob{OriginCell: "beta", Delegation: 7, Closed: true}).encode(),
+		{"marker of a sharded record", shardsMarker, "parts"},
+		{"marker of a hosted job", hostedMarker, "guest"},
+		{"a hosted job", (&HostedJob{OriginCell: "beta", Delegation: 7}).encode(), "beta 7"},
+		{"a closed hosted job", (&HostedJob{OriginCell: "beta", Delegation: 7, Closed: true}).encode(),
 			"beta 7 closed"},
-		{"the host of a place", Placement{Machine: "cell beta"}.HostCell(), "beta"},
-		{"the host of a place here", Placement{Machine: "m-000001"}.HostCell(), ""},
+		{"the host cell of a placement", Placement{Machine: "cell beta"}.HostCell(), "beta"},
+		{"the host cell of a placement in this cell", Placement{Machine: "m-000001"}.HostCell(), ""},
 	} {
 		goldentest.Equal(t, c.name, []byte(c.got), c.want)
 	}
-	if job, part, ok := ParseShardKey("parts/job-000412/12"); job != "job-000412" || part != 12 || !ok {
-		t.Errorf("a part's key is read as %q %d %v", job, part, ok)
+	if job, shard, ok := ParseShardKey("parts/job-000412/12"); job != "job-000412" || shard != 12 || !ok {
+		t.Errorf("a shard's key is parsed as %q %d %v", job, shard, ok)
 	}
-	home, job, number, ok := ParseHostedJobID("alpha.job-1.7")
-	if home != "alpha" || job != "job-1" || number != 7 || !ok {
-		t.Errorf("a guest's id is read as %q %q %d %v", home, job, number, ok)
+	cell, job, number, ok := ParseHostedJobID("alpha.job-1.7")
+	if cell != "alpha" || job != "job-1" || number != 7 || !ok {
+		t.Errorf("a hosted job's id is parsed as %q %q %d %v", cell, job, number, ok)
 	}
 	if _, _, _, ok := ParseHostedJobID("job-000412"); ok {
-		t.Error("a job of this cell is taken for a guest")
+		t.Error("a job of this cell is classified as a hosted job")
 	}
 }
 
-// Sets of tasks as they are stored.
+// Task sets are encoded as the recorded text and parsed from it, and malformed texts are rejected.
 func TestGoldenRanges(t *testing.T) {
 	for text, r := range map[string]TaskSet{
 		"":             {},
@@ -360,7 +364,7 @@
 		"0-5,7,9-10":   goldenRanges(span{0, 5}, span{7, 7}, span{9, 10}),
 		"3,1073741824": goldenRanges(span{3, 3}, span{1 << 30, 1 << 30}),
 	} {
-		goldentest.Equal(t, "ranges", []byte(r.String()), text)
+		goldentest.Equal(t, "task set", []byte(r.String()), text)
 		got, err := ParseTaskSet(text)
 		if d := cmp.Diff(r, got, cmp.AllowUnexported(TaskSet{}, span{})); err != nil || d != "" {
 			t.Errorf("%q: %v %s", text, err, d)
@@ -368,13 +372,13 @@
 	}
 	for _, text := range []string{"0-", "-1", "1,2", "2-1", "a", "0-1073741825", "1,,3"} {
 		if _, err := ParseTaskSet(text); err == nil {
-			t.Errorf("%q is taken", text)
+			t.Errorf("%q is accepted", text)
 		}
 	}
 }
 
-// What earlier versions wrote, and this one doesn't, is read all the same: records without the
-// fields that came later, and placements in an order and with spaces of their own.
+// This version decodes values that it doesn't write itself: records without the optional fields, and
+// placements in any order. It rejects malformed placements and markers.
 func TestGoldenRecordsOfOtherForms(t *testing.T) {
 	type stored struct {
 		Spec   map[string]any `msgpack:"spec"`
@@ -418,12 +422,12 @@
 	for _, placed := range []string{"m-1 1 2", "parts 0", "parts 100001", "parts x", "guest beta",
 		"guest beta x", "guest beta 7 open", "", "m-1 1 2 3 4", "services"} {
 		if job, err := Decode(protocol.Encode(stored{spec, []string{placed}})); err == nil {
-			t.Errorf("%q is read as %+v", placed, job)
+			t.Errorf("%q is decoded as %+v", placed, job)
 		}
 	}
 }
 
-// The answer to users.
+// The status that users receive has the expected fields for each state of a job.
 func TestGoldenUserStatus(t *testing.T) {
 	for _, c := range []struct {
 		job  Record
--- a/internal/jobrecord/helpers_test.go
+++ b/internal/jobrecord/helpers_test.go
@@ -12,19 +12,19 @@
 	"postpoint/internal/rapidtest"
 )
 
-// TestMain fixes what rapid draws: the verdict is the same every time.
+// TestMain fixes rapid's seed and number of checks, so that every run draws the same values.
 func TestMain(m *testing.M) { rapidtest.Main(m, 100) }
 
-// allFields compares sets by what they hold.
+// allFields makes cmp compare the unexported fields of task sets.
 var allFields = cmp.AllowUnexported(TaskSet{}, span{})
 
-// failer is what the helpers need of *testing.T and *rapid.T.
+// failer has the methods of *testing.T and *rapid.T that the helpers use.
 type failer interface {
 	Helper()
 	Fatal(args ...any)
 }
 
-// jsonSize returns the size of a stored value as the store counts it.
+// jsonSize returns the size of a stored value as the store measures it.
 func jsonSize(t failer, value []byte) int {
 	t.Helper()
 	var content any
@@ -38,22 +38,22 @@
 	return len(text)
 }
 
-// reassembled returns a record as a reader of all its values sees it.
+// reassembled encodes a record and all its shards and returns the record decoded from them.
 func reassembled(t failer, record *Record) *Record {
 	t.Helper()
-	again, err := Decode(record.Encode())
+	decoded, err := Decode(record.Encode())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for shard := range record.ShardCount() {
-		if err := again.ApplyShard(shard, record.EncodeShard(shard)); err != nil {
+		if err := decoded.ApplyShard(shard, record.EncodeShard(shard)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return again
+	return decoded
 }
 
-// arraySpec returns the description of an array.
+// arraySpec returns the specification of an array.
 func arraySpec(tasks int) protocol.JobSpec {
 	return protocol.JobSpec{ID: "job-000001", Class: "extrase", Team: "evaluare",
 		Shape: protocol.ShapeArray, Priority: "normal", Tasks: tasks}
@@ -61,12 +61,12 @@
 
 const wideLimit = 32 << 10 // bytes of a value
 
-// wideArray returns an array of 2,000 tasks all of which run, eight on a machine.
+// wideArray returns the record of an array whose 2,000 tasks all run, eight on each machine.
 func wideArray() *Record {
 	record := New(arraySpec(2000), 1)
 	for range 6 {
 		for _, task := range record.Pending(record.StartCapacity(wideLimit)) {
-			// As plans deal them out: neighbours on different machines.
+			// Like the planner, place consecutive tasks on different machines.
 			machine := protocol.MachineName(fmt.Sprintf("m-%06d", task%250))
 			record.Placements[task] = Placement{Task: task, Attempt: 1, Machine: machine, Incarnation: 1}
 		}
--- a/internal/jobrecord/keys.go
+++ b/internal/jobrecord/keys.go
@@ -11,7 +11,7 @@
 const Prefix = "jobs/"
 
 // ShardsPrefix is the prefix of the keys of all shards. Controllers that don't know sharded records
-// neither read nor write there.
+// neither read nor write keys with this prefix.
 const ShardsPrefix = "parts/"
 
 // Key returns the key of a job's record.
@@ -25,7 +25,7 @@
 	return JobShardsPrefix(job) + strconv.Itoa(shard)
 }
 
-// ParseShardKey splits the key of a shard; ok reports whether the key is one.
+// ParseShardKey splits the key of a shard; ok reports whether the key is that of a shard.
 func ParseShardKey(key string) (job protocol.JobID, shard int, ok bool) {
 	rest, hasPrefix := strings.CutPrefix(key, ShardsPrefix)
 	id, number, found := strings.Cut(rest, "/")
--- a/internal/jobrecord/record.go
+++ b/internal/jobrecord/record.go
@@ -6,56 +6,57 @@
 	"postpoint/internal/protocol"
 )
 
-// Record is the record of a job.
+// Record is the durable state of a job.
 type Record struct {
 	Spec        protocol.JobSpec
 	Status      string  // empty, StatusDone or StatusCancelled; the latter two are final
-	SubmittedAt int64   // time of day in microseconds, by the accepting node
-	CancelledAt int64   // likewise, by the cancelling node before its user is told
+	SubmittedAt int64   // time of day in microseconds, by the clock of the accepting node
+	CancelledAt int64   // likewise, by the cancelling node's clock before it responds to the user
 	Done        TaskSet // completed tasks
 	NextAttempt protocol.Attempt
 	Placements  map[int]Placement // by task
-	Lenders     []protocol.JobID  // jobs that were preempted for this one and are owed their resources
-	Cause       string            // why the last failed start failed
-	// ShardSize is the number of tasks in a shard, 0 if the record isn't sharded.
+	Lenders     []protocol.JobID  // jobs preempted for this one, which get capacity back first
+	Cause       string            // error of the last failed start
+	// ShardSize is the number of tasks per shard, 0 if the record isn't sharded.
 	ShardSize int
-	// Marked records are refused as malformed by controllers that know neither services nor
-	// sharded records: they would take a service for an array, and a sharded record's running
-	// tasks for pending. Records are marked only once no such controller runs any more.
+	// Marked means that the stored record has a marker of format 2, so that controllers that know
+	// neither services nor sharded records reject it as malformed. Without the marker they would
+	// classify a service as an array, and the running tasks of a sharded record as pending. Callers set
+	// it only once no such controller runs any more.
 	Marked bool
-	// Truncated reports that the placements of a cancelled job were left out, because the
-	// record had become too large for the store.
+	// Truncated means that the stored record of a cancelled job lacks the placements, because it had
+	// become too large for the store.
 	Truncated bool
-	// Hosted is set for a hosted job, one that belongs to another cell.
+	// Hosted is set for a hosted job, which this cell runs for its origin cell.
 	Hosted *HostedJob
-	// ReturnCount counts how often other cells have given tasks of the job back unfinished.
+	// ReturnCount counts how often other cells have returned tasks of the job unfinished.
 	ReturnCount int
-	// DisplacedFrom is the lost zone from which tasks of the job were displaced that haven't started
-	// elsewhere, empty if there are none.
+	// DisplacedFrom is the lost zone from which tasks of the job were displaced, empty once all of them
+	// have started elsewhere.
 	DisplacedFrom string
 }
 
-// maxLenders bounds the growth of a record whose job needs preemption again and again. It is
-// part of the size estimates: a record with more would outgrow them.
+// maxLenders limits the size of a record whose job needs preemption repeatedly. The size estimates
+// depend on it: a record with more lenders could exceed them.
 const maxLenders = 8
 
-// New returns the record of a job that has just been accepted.
+// New returns the record of a newly accepted job.
 func New(spec protocol.JobSpec, submittedAt int64) *Record {
 	return &Record{Spec: spec, SubmittedAt: submittedAt, NextAttempt: 1, Placements: map[int]Placement{}}
 }
 
-// Final reports whether the job is done or cancelled, so that none of its tasks may start.
+// Final reports whether the job is done or cancelled. No task of a final record may start.
 func (r *Record) Final() bool { return r.Status != "" }
 
-// complete notes that a task is done. Tasks of a service never are.
+// complete marks a task as done. It ignores tasks of a service, which are never done.
 func (r *Record) complete(task int) {
 	if !r.Spec.Service() {
 		r.Done.Add(task)
 	}
 }
 
-// AddLender adds a job that was preempted for this one and reports whether the record has changed.
-// The first maxLenders are kept.
+// AddLender adds a job that was preempted for this one and reports whether the record has changed. It
+// keeps the first maxLenders only.
 func (r *Record) AddLender(lender protocol.JobID) bool {
 	if slices.Contains(r.Lenders, lender) || len(r.Lenders) >= maxLenders {
 		return false
@@ -79,11 +80,12 @@
 // PendingCount returns the number of tasks that are neither done nor placed.
 func (r *Record) PendingCount() int { return r.Spec.Tasks - r.Done.Len() - len(r.Placements) }
 
-// UserStatus returns the state of the job as its user sees it.
+// UserStatus returns the job's status for users.
 func (r *Record) UserStatus() protocol.JobStatus {
 	status := protocol.JobStatus{ID: r.Spec.ID, Status: r.Status, Done: r.Done.Len(), Cause: r.Cause}
 	if r.Status == protocol.StatusDone && r.ShardSize > 0 {
-		status.Done = r.Spec.Tasks // its shards are being deleted
+		// The leader is deleting the shards, which have the done tasks.
+		status.Done = r.Spec.Tasks
 	}
 	if r.Final() {
 		return status
--- a/internal/jobrecord/shards.go
+++ b/internal/jobrecord/shards.go
@@ -10,12 +10,12 @@
 	"postpoint/internal/protocol"
 )
 
-// A sharded record keeps what belongs to single tasks in shards, values of their own, each for
-// ShardSize consecutive tasks. The head, at the job's key, keeps the rest. The tasks of a shard that
-// doesn't exist are pending.
+// A sharded record keeps the state of its tasks in shards, separate values for ShardSize consecutive
+// tasks each. The head, at the job's key, keeps the rest. The tasks of a shard that doesn't exist are
+// pending.
 
-// maxShardTasks bounds what a malformed shard or marker can make a reader allocate. No job has
-// more tasks.
+// maxShardTasks limits the memory that a malformed shard or marker can make a reader allocate. No job
+// has more tasks.
 const maxShardTasks = 100_000
 
 // ShardCount returns the number of shards, 0 for a record that isn't sharded.
@@ -29,7 +29,7 @@
 // ShardOf returns the shard of a task.
 func (r *Record) ShardOf(task int) int { return task / r.ShardSize }
 
-// shardTasks returns the first task of a shard and the first after it.
+// shardTasks returns the range of a shard's tasks: the first one, and the one after the last.
 func (r *Record) shardTasks(shard int) (first, end int) {
 	return shard * r.ShardSize, min((shard+1)*r.ShardSize, r.Spec.Tasks)
 }
@@ -38,7 +38,7 @@
 func (r *Record) EncodeShard(shard int) []byte {
 	first, end := r.shardTasks(shard)
 	groups := map[placementGroup]*TaskSet{}
-	counts := map[start]int{}
+	counts := map[attemptID]int{}
 	for task := first; task < end; task++ {
 		placement, placed := r.Placements[task]
 		if !placed {
@@ -49,7 +49,7 @@
 			groups[group] = &TaskSet{}
 		}
 		groups[group].Add(task - first)
-		counts[group.start]++
+		counts[group.attemptID]++
 	}
 	common := mostCommon(counts)
 	return protocol.Encode(storedShard{
@@ -61,16 +61,17 @@
 	})
 }
 
-// encodeShardPlacements writes a start only where it differs from the most common one.
-func encodeShardPlacements(groups map[placementGroup]*TaskSet, common start) string {
+// encodeShardPlacements returns the placements of a shard as text. It includes a group's incarnation and
+// attempt only if they differ from the most common ones.
+func encodeShardPlacements(groups map[placementGroup]*TaskSet, common attemptID) string {
 	texts := make([]string, 0, len(groups))
 	var text []byte
 	for group, tasks := range groups {
 		text = append(text[:0], group.machine...)
 		text = append(text, ' ')
 		text = tasks.appendTo(text)
-		if group.start != common {
-			text = group.start.appendTo(text)
+		if group.attemptID != common {
+			text = group.attemptID.appendTo(text)
 		}
 		texts = append(texts, string(text))
 	}
@@ -78,24 +79,25 @@
 	return strings.Join(texts, ";")
 }
 
-// mostCommon returns the start with the highest count, of several the smallest.
-func mostCommon(counts map[start]int) start {
-	var best start
-	most := 0
-	for s, count := range counts {
-		if count > most || count == most && s.compare(best) < 0 {
-			best, most = s, count
+// mostCommon returns the attemptID with the highest count. If several have it, it returns the smallest.
+func mostCommon(counts map[attemptID]int) attemptID {
+	var best attemptID
+	maxCount := 0
+	for id, count := range counts {
+		if count > maxCount || count == maxCount && id.compare(best) < 0 {
+			best, maxCount = id, count
 		}
 	}
 	return best
 }
 
-// compare orders starts by incarnation and attempt.
-func (s start) compare(other start) int {
-	return cmp.Or(cmp.Compare(s.incarnation, other.incarnation), cmp.Compare(s.attempt, other.attempt))
+// compare orders by incarnation and attempt.
+func (id attemptID) compare(other attemptID) int {
+	return cmp.Or(cmp.Compare(id.incarnation, other.incarnation), cmp.Compare(id.attempt, other.attempt))
 }
 
-// doneBitmap returns the completed tasks from first to end, empty if there are none.
+// doneBitmap returns the completed tasks from first to end, end excluded, as a hexadecimal bitmap. It is
+// empty if there are none.
 func (r *Record) doneBitmap(first, end int) string {
 	bits := make([]byte, bitmapBytes(end-first))
 	found := false
@@ -109,11 +111,11 @@
 	return hex.EncodeToString(bits)
 }
 
-// bitmapBytes returns how many bytes a bitmap of so many tasks has.
+// bitmapBytes returns the number of bytes of a bitmap.
 func bitmapBytes(tasks int) int { return (tasks + 7) / 8 }
 
-// ApplyShard adds what the value at a shard's key says. A malformed value changes nothing; its error
-// is a *MalformedError with the shard's key.
+// ApplyShard adds the tasks' state in the value at a shard's key to the record. If the value is
+// malformed, the record doesn't change and the error is a *MalformedError with the shard's key.
 func (r *Record) ApplyShard(shard int, value []byte) error {
 	if err := r.applyShard(shard, value); err != nil {
 		return &MalformedError{Key: ShardKey(r.Spec.ID, shard), Cause: err}
@@ -121,6 +123,7 @@
 	return nil
 }
 
+// applyShard is ApplyShard with errors that don't name the key.
 func (r *Record) applyShard(shard int, value []byte) error {
 	if shard >= r.ShardCount() {
 		return errNoSuchShard
@@ -152,7 +155,7 @@
 	return nil
 }
 
-// placements returns the placements of a shard, their tasks numbered from its first one.
+// placements returns the placements of a shard. Their tasks are numbered from the shard's first one.
 func (s *storedShard) placements() ([]Placement, error) {
 	if s.Placed == "" {
 		return nil, nil
@@ -173,17 +176,17 @@
 	return placements, nil
 }
 
-// parsePlacements reads "machine tasks" or "machine tasks incarnation attempt".
+// parsePlacements parses "machine tasks" or "machine tasks incarnation attempt".
 func (s *storedShard) parsePlacements(text string) (Placement, TaskSet, error) {
 	const taskRanges, incarnation, attempt = 1, 2, 3
-	const countWithoutStart, countWithStart = 2, 4
+	const countWithoutAttempt, countWithAttempt = 2, 4
 	machine, words := splitMachine(strings.Fields(text))
-	from := start{s.Incarnation, s.Attempt}
+	id := attemptID{s.Incarnation, s.Attempt}
 	switch len(words) {
-	case countWithoutStart:
-	case countWithStart:
+	case countWithoutAttempt:
+	case countWithAttempt:
 		var err error
-		if from, err = parseStart(words[incarnation], words[attempt]); err != nil {
+		if id, err = parseAttemptID(words[incarnation], words[attempt]); err != nil {
 			return Placement{}, TaskSet{}, err
 		}
 	default:
@@ -196,5 +199,5 @@
 	if tasks.Max() >= maxShardTasks {
 		return Placement{}, TaskSet{}, errInvalidPlacement
 	}
-	return Placement{Machine: machine, Incarnation: from.incarnation, Attempt: from.attempt}, tasks, nil
+	return Placement{Machine: machine, Incarnation: id.incarnation, Attempt: id.attempt}, tasks, nil
 }
--- a/internal/jobrecord/shards_test.go
+++ b/internal/jobrecord/shards_test.go
@@ -10,15 +10,15 @@
 	"postpoint/internal/protocol"
 )
 
-// The tightest limits of a store that are known of.
+// The lowest limits of any known deployment of the store.
 const (
 	tightValueBytes = 2 << 10
 	tightTxnOps     = 4
 )
 
-// However the tasks of a sharded record start, end, fail and start again, on whatever machines:
-// every value stays within the tightest limit, all values together say what the record does,
-// and there is always room for more in the end.
+// A shard that outgrew the store's limit could no longer be written. However the tasks of a sharded
+// record start, end, fail and start again, on whatever machines, every value stays within the tightest
+// limit, the values together decode to the record, and a task can start once none is placed.
 func TestShardedRecordsStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := arraySpec(rapid.SampledFrom([]int{30, 150, 700}).Draw(t, "tasks"))
@@ -33,7 +33,7 @@
 			checkValueSizes(t, record, step)
 		}
 		if d := cmp.Diff(record, reassembled(t, record), allFields); d != "" {
-			t.Fatalf("read from its values the record differs (-want +got):\n%s", d)
+			t.Fatalf("the record decoded from its values differs (-want +got):\n%s", d)
 		}
 		clear(record.Placements)
 		if record.PendingCount() > 0 && len(record.Startable(tightValueBytes, 1)) == 0 {
@@ -42,7 +42,7 @@
 	})
 }
 
-// startTasks places what may start on machines that rapid draws.
+// startTasks places all tasks that may start, on machines that rapid draws.
 func startTasks(t *rapid.T, record *Record) {
 	for _, task := range record.Startable(tightValueBytes, 400) {
 		record.Placements[task] = Placement{
@@ -54,7 +54,7 @@
 	}
 }
 
-// endTasks completes a part of the placed tasks and fails another.
+// endTasks completes some of the placed tasks and fails others.
 func endTasks(t *rapid.T, record *Record, step int) {
 	done := rapid.IntRange(0, 3).Draw(t, "done")
 	for task, placement := range record.Placements {
@@ -69,6 +69,7 @@
 	}
 }
 
+// checkValueSizes checks that the head and every shard are within the tightest limit.
 func checkValueSizes(t *rapid.T, record *Record, step int) {
 	t.Helper()
 	for shard := range record.ShardCount() {
@@ -81,8 +82,9 @@
 	}
 }
 
-// The widest array of the deployments runs all at once, a gang as large as a transaction has room
-// for too; a larger gang is refused.
+// The store's limits must not prevent the widest array of the deployments from running all its tasks
+// at once. A gang can start only in one transaction, so the largest gang whose shards fit one is
+// accepted and a larger one is refused.
 func TestShardedRecordsHoldTheLargestJobs(t *testing.T) {
 	array := arraySpec(2000)
 	record := New(array, 1)
@@ -98,10 +100,10 @@
 	}
 	gang := array
 	gang.Shape, gang.Tasks = protocol.ShapeGang, tightTxnOps*ShardSizeWithin(tightValueBytes)
-	if !Recordable(&gang, tightValueBytes, tightTxnOps) {
+	if !FitsStore(&gang, tightValueBytes, tightTxnOps) {
 		t.Fatalf("a gang of %d tasks is refused, want it accepted", gang.Tasks)
 	}
-	if gang.Tasks++; Recordable(&gang, tightValueBytes, tightTxnOps) {
+	if gang.Tasks++; FitsStore(&gang, tightValueBytes, tightTxnOps) {
 		t.Fatalf("a gang of %d tasks is accepted, want it refused", gang.Tasks)
 	}
 	for tasks := 1; tasks <= 16; tasks++ {
@@ -111,7 +113,7 @@
 	}
 }
 
-func FuzzApplyPart(f *testing.F) {
+func FuzzApplyShard(f *testing.F) {
 	sharded := func() *Record {
 		record := New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 200}, 1)
 		record.ShardSize = 50
--- a/internal/jobrecord/taskset.go
+++ b/internal/jobrecord/taskset.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// maxTask bounds the numbers that a set may hold, far above the tasks of any job.
+// maxTask is the highest number that a parsed set may have, far above the tasks of any job.
 const maxTask = 1 << 30
 
-// TaskSet is a set of task numbers, kept as sorted ranges that neither touch nor overlap, so that a
-// job of very many tasks has a short record. The zero value is the empty set.
+// TaskSet is a set of task numbers. It holds sorted ranges that are neither adjacent nor overlapping,
+// so that the record of a job with very many tasks is small. The zero value is the empty set.
 type TaskSet struct {
 	spans []span
 	count int
@@ -22,88 +22,88 @@
 type span struct{ lo, hi int }
 
 // find returns the index of the first span whose end is at least n.
-func (r *TaskSet) find(n int) int {
-	return sort.Search(len(r.spans), func(i int) bool { return r.spans[i].hi >= n })
+func (set *TaskSet) find(n int) int {
+	return sort.Search(len(set.spans), func(i int) bool { return set.spans[i].hi >= n })
 }
 
 // Contains reports whether n is in the set.
-func (r *TaskSet) Contains(n int) bool {
-	i := r.find(n)
-	return i < len(r.spans) && r.spans[i].lo <= n
+func (set *TaskSet) Contains(n int) bool {
+	i := set.find(n)
+	return i < len(set.spans) && set.spans[i].lo <= n
 }
 
 // Clone returns a copy that changes independently.
-func (r *TaskSet) Clone() TaskSet { return TaskSet{slices.Clone(r.spans), r.count} }
+func (set *TaskSet) Clone() TaskSet { return TaskSet{slices.Clone(set.spans), set.count} }
 
 // Len returns how many numbers are in the set.
-func (r *TaskSet) Len() int { return r.count }
+func (set *TaskSet) Len() int { return set.count }
 
 // Add adds n to the set.
-func (r *TaskSet) Add(n int) {
-	if last := len(r.spans) - 1; last < 0 || n > r.spans[last].hi {
-		r.appendNumber(n) // the usual case: numbers come in increasing order
+func (set *TaskSet) Add(n int) {
+	if last := len(set.spans) - 1; last < 0 || n > set.spans[last].hi {
+		set.appendNumber(n) // the usual case: callers add numbers in increasing order
 		return
 	}
-	i := r.find(n)
-	if i < len(r.spans) && r.spans[i].lo <= n {
+	i := set.find(n)
+	if i < len(set.spans) && set.spans[i].lo <= n {
 		return
 	}
-	r.count++
-	left := i > 0 && r.spans[i-1].hi == n-1
-	right := i < len(r.spans) && r.spans[i].lo == n+1
+	set.count++
+	extendsPrevious := i > 0 && set.spans[i-1].hi == n-1
+	extendsNext := i < len(set.spans) && set.spans[i].lo == n+1
 	switch {
-	case left && right:
-		r.spans[i-1].hi = r.spans[i].hi
-		r.spans = slices.Delete(r.spans, i, i+1)
-	case left:
-		r.spans[i-1].hi = n
-	case right:
-		r.spans[i].lo = n
+	case extendsPrevious && extendsNext:
+		set.spans[i-1].hi = set.spans[i].hi
+		set.spans = slices.Delete(set.spans, i, i+1)
+	case extendsPrevious:
+		set.spans[i-1].hi = n
+	case extendsNext:
+		set.spans[i].lo = n
 	default:
-		r.spans = slices.Insert(r.spans, i, span{n, n})
+		set.spans = slices.Insert(set.spans, i, span{n, n})
 	}
 }
 
-// appendNumber adds a number above all others.
-func (r *TaskSet) appendNumber(n int) {
-	r.count++
-	if last := len(r.spans) - 1; last >= 0 && r.spans[last].hi == n-1 {
-		r.spans[last].hi = n
+// appendNumber adds a number greater than all others.
+func (set *TaskSet) appendNumber(n int) {
+	set.count++
+	if last := len(set.spans) - 1; last >= 0 && set.spans[last].hi == n-1 {
+		set.spans[last].hi = n
 		return
 	}
-	r.spans = append(r.spans, span{n, n})
+	set.spans = append(set.spans, span{n, n})
 }
 
-// NextMissing returns the smallest number from n on that is not in the set.
-func (r *TaskSet) NextMissing(n int) int {
-	i := r.find(n)
-	if i < len(r.spans) && r.spans[i].lo <= n {
-		return r.spans[i].hi + 1
+// NextMissing returns the smallest number not below n that isn't in the set.
+func (set *TaskSet) NextMissing(n int) int {
+	i := set.find(n)
+	if i < len(set.spans) && set.spans[i].lo <= n {
+		return set.spans[i].hi + 1
 	}
 	return n
 }
 
-// NextPresent returns the smallest number from n on that is in the set, or maxTask if there is none.
-func (r *TaskSet) NextPresent(n int) int {
-	i := r.find(n)
-	if i == len(r.spans) {
+// NextPresent returns the smallest number not below n that is in the set, or maxTask if there is none.
+func (set *TaskSet) NextPresent(n int) int {
+	i := set.find(n)
+	if i == len(set.spans) {
 		return maxTask
 	}
-	return max(n, r.spans[i].lo)
+	return max(n, set.spans[i].lo)
 }
 
 // Max returns the largest number in the set, or -1 if it is empty.
-func (r *TaskSet) Max() int {
-	if len(r.spans) == 0 {
+func (set *TaskSet) Max() int {
+	if len(set.spans) == 0 {
 		return -1
 	}
-	return r.spans[len(r.spans)-1].hi
+	return set.spans[len(set.spans)-1].hi
 }
 
 // All iterates over the numbers of the set in increasing order.
-func (r *TaskSet) All() iter.Seq[int] {
+func (set *TaskSet) All() iter.Seq[int] {
 	return func(yield func(int) bool) {
-		for n := r.NextPresent(0); n <= r.Max(); n = r.NextPresent(n + 1) {
+		for n := set.NextPresent(0); n <= set.Max(); n = set.NextPresent(n + 1) {
 			if !yield(n) {
 				return
 			}
@@ -112,14 +112,14 @@
 }
 
 // String returns the set as text: single numbers and ranges in increasing order, as in "0-5,7".
-func (r *TaskSet) String() string {
-	var buffer [64]byte // enough for most sets, so that they need no other
-	return string(r.appendTo(buffer[:0]))
+func (set *TaskSet) String() string {
+	var buffer [64]byte // long enough for most sets, which then need no allocation for the buffer
+	return string(set.appendTo(buffer[:0]))
 }
 
-// appendTo appends what String returns.
-func (r *TaskSet) appendTo(text []byte) []byte {
-	for i, s := range r.spans {
+// appendTo appends the text that String returns.
+func (set *TaskSet) appendTo(text []byte) []byte {
+	for i, s := range set.spans {
 		if i > 0 {
 			text = append(text, ',')
 		}
@@ -132,13 +132,13 @@
 	return text
 }
 
-// ParseTaskSet reads what String wrote.
+// ParseTaskSet parses what String returns.
 func ParseTaskSet(text string) (TaskSet, error) {
-	var r TaskSet
+	var set TaskSet
 	if text == "" {
-		return r, nil
+		return set, nil
 	}
-	last := -2 // so that 0 comes after it with a gap
+	last := -2 // 0 isn't adjacent to it, so that the first range may begin with 0
 	for part := range strings.SplitSeq(text, ",") {
 		s, err := parseSpan(part)
 		if err != nil {
@@ -147,14 +147,14 @@
 		if s.lo <= last+1 {
 			return TaskSet{}, errInvalidRanges
 		}
-		r.spans = append(r.spans, s)
-		r.count += s.hi - s.lo + 1
+		set.spans = append(set.spans, s)
+		set.count += s.hi - s.lo + 1
 		last = s.hi
 	}
-	return r, nil
+	return set, nil
 }
 
-// parseSpan reads a number or a range such as "3-5".
+// parseSpan parses a number or a range such as "3-5".
 func parseSpan(text string) (span, error) {
 	from, to, isRange := strings.Cut(text, "-")
 	lo, err := strconv.Atoi(from)
--- a/internal/jobrecord/taskset_test.go
+++ b/internal/jobrecord/taskset_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// Ranges behave like a plain set of numbers, in whatever order they are added, also after they
-// were written and read.
+// A TaskSet has the same elements as a plain set, in whatever order they are added, and also after it
+// has been encoded and parsed.
 func TestRangesBehaveLikeASetOfNumbers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var added TaskSet
@@ -18,7 +18,7 @@
 		}
 		parsed, err := ParseTaskSet(added.String())
 		if err != nil {
-			t.Fatalf("ParseRanges(%q): %v, want no error", added.String(), err)
+			t.Fatalf("ParseTaskSet(%q): %v, want no error", added.String(), err)
 		}
 		for _, ranges := range []*TaskSet{&added, &parsed} {
 			compareWithSet(t, ranges, set)
@@ -26,6 +26,7 @@
 	})
 }
 
+// compareWithSet checks a TaskSet against the plain set of the same elements.
 func compareWithSet(t *rapid.T, ranges *TaskSet, set map[int]bool) {
 	if ranges.Len() != len(set) {
 		t.Fatalf("%s has length %d, want %d", ranges, ranges.Len(), len(set))
@@ -36,7 +37,7 @@
 			missing++
 		}
 		if ranges.Contains(n) != set[n] || ranges.NextMissing(n) != missing {
-			t.Fatalf("%s: Has(%d) = %v, NextMissing(%d) = %d, want %v and %d",
+			t.Fatalf("%s: Contains(%d) = %v, NextMissing(%d) = %d, want %v and %d",
 				ranges, n, ranges.Contains(n), n, ranges.NextMissing(n), set[n], missing)
 		}
 	}
@@ -51,10 +52,10 @@
 		if err != nil {
 			return
 		}
-		again, err := ParseTaskSet(r.String())
-		if err != nil || again.Len() != r.Len() {
-			t.Fatalf("%q was written as %q, which has %d numbers (%v), want %d",
-				text, r.String(), again.Len(), err, r.Len())
+		decoded, err := ParseTaskSet(r.String())
+		if err != nil || decoded.Len() != r.Len() {
+			t.Fatalf("%q was encoded as %q, which has %d numbers (%v), want %d",
+				text, r.String(), decoded.Len(), err, r.Len())
 		}
 	})
 }
