--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -10,8 +10,8 @@
 	"postpoint/internal/protocol"
 )
 
-// The keys and values that controllers publish, by the format that they read, are the recorded
-// ones, in their order.
+// The keys and values that controllers of each format publish are the recorded ones, in the recorded
+// order.
 func TestGoldenPublishedFormats(t *testing.T) {
 	for format, want := range map[Format]map[string]string{
 		FormatServices: {
@@ -43,7 +43,7 @@
 	}
 }
 
-// Formats that others published are read from the recorded bytes.
+// A controller decodes the formats that others published from the recorded bytes.
 func TestGoldenFormatsAreRead(t *testing.T) {
 	if FormatServices != 2 || FormatCells != 3 {
 		t.Errorf("formats %d and %d", FormatServices, FormatCells)
@@ -52,7 +52,7 @@
 	for value, want := range map[string]Format{"\x81\xa6format\x02": 2, "\x81\xa6format\x03": 3} {
 		var p publishedFormat
 		if err := protocol.Decode([]byte(value), &p); err != nil || p.Format != want {
-			t.Errorf("%q is read as %d, %v", value, p.Format, err)
+			t.Errorf("%q is decoded as %d, %v", value, p.Format, err)
 		}
 	}
 }
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,13 +1,13 @@
-// Package rollout finds out when every controller of the deployment runs a version that reads the
-// present formats of what is stored, so that versions that don't can serve side by side with this
-// one until then.
+// Package rollout determines when every controller of the deployment runs a version that reads the
+// latest stored format. Until then, controllers of earlier versions can run side by side with this one.
 //
-// Each controller publishes the format that it reads under a key of its own. Once all controllers
-// of the settings have, any of them opens the gate: a key that says what all of them read, and is
-// only ever raised. Until a controller has seen a format there it writes none of it.
+// Each controller publishes the format that it reads under a key of its own. Once all controllers in
+// the settings have published theirs, any of them raises the gate: a key with the format that all of
+// them read. The gate is never lowered. A controller writes a format only after it has read that format
+// or a later one from the gate.
 //
-// The package owns these keys only. What a format contains is up to the actors that are told of
-// its status; the election waits until this node's format is published.
+// The package owns only these keys. The actors that receive its status decide what to write in which
+// format. This node takes part in elections only once its format is published.
 package rollout
 
 import (
@@ -22,16 +22,16 @@
 	"postpoint/internal/protocol"
 )
 
-// Format is a version of the formats of what is stored; each contains the earlier ones. The first
-// had neither services nor sharded records, and nothing published it.
+// Format is the version of the stored format; each version contains the earlier ones. Version 1 had
+// neither services nor sharded records, and no controller publishes it.
 type Format int
 
-// The formats that are published.
+// The formats that controllers publish.
 const (
-	// FormatServices has services and sharded records.
+	// FormatServices adds services and sharded records.
 	FormatServices Format = 2
-	// FormatCells has jobs of other cells and tasks that other cells run as well. Controllers
-	// publish it only if their operators have switched cells on.
+	// FormatCells adds jobs of other cells and tasks that other cells run. Controllers publish it only
+	// if their operator has enabled cells.
 	FormatCells Format = 3
 )
 
@@ -40,41 +40,43 @@
 	gateKey    = prefix + "gate"
 	nodePrefix = prefix + "node/"
 
-	pollTime   = clock.Second
-	retryDelay = 400 * clock.Millisecond
-	// missingLogTime is from one log line on missing controllers to the next.
-	missingLogTime = 60 * clock.Second
+	pollInterval = clock.Second
+	retryDelay   = 400 * clock.Millisecond
+	// missingLogInterval is the time between log lines about missing controllers.
+	missingLogInterval = 60 * clock.Second
 )
 
-// Status is how far the rollout has come.
+// Status is the progress of the rollout.
 type Status struct {
 	// Services reports whether all controllers read FormatServices.
 	Services bool
 	// Cells reports whether all controllers read FormatCells.
 	Cells bool
-	// Missing are the controllers that haven't published the format of this one.
+	// Missing are the controllers that haven't published this controller's format, while the gate is
+	// below it.
 	Missing []string
 }
 
+// equal reports whether two statuses are the same.
 func (s Status) equal(o Status) bool {
 	return s.Services == o.Services && s.Cells == o.Cells && slices.Equal(s.Missing, o.Missing)
 }
 
-// publishedFormat is the value of both kinds of keys.
+// publishedFormat is the value of a node's key and of the gate.
 type publishedFormat struct {
 	Format Format `msgpack:"format"`
 }
 
-// Rollout is the actor.
+// Rollout is the actor that publishes this node's format and raises the gate.
 type Rollout struct {
 	mailbox actor.Mailbox
 	store   kvstore.Store
 	node    string
 	nodes   []string
 	format  Format
-	// onPublished is called once, when this node's format is published.
+	// onPublished is called once, when the node's format is published.
 	onPublished func()
-	// onStatus is called with every change of the status.
+	// onStatus is called on every change of the status.
 	onStatus func(Status)
 
 	published       bool
@@ -82,20 +84,20 @@
 	missingLoggedAt clock.Micros
 }
 
-// New returns the actor for one of the named nodes, which reads the given format. onPublished is
-// called once, when that format is published, and onStatus with every change of the status, both
-// from the mailbox.
+// New returns the actor of the given node, one of nodes, which reads the given format. From its mailbox
+// the actor calls onPublished once, when that format is published, and onStatus on every change of the
+// status.
 func New(m actor.Mailbox, s kvstore.Store, node string, nodes []string, format Format,
 	onPublished func(), onStatus func(Status)) *Rollout {
 	return &Rollout{mailbox: m, store: s, node: node, nodes: nodes, format: format,
 		onPublished: onPublished, onStatus: onStatus}
 }
 
-// Start begins to publish and to watch for the others.
+// Start begins to publish this node's format and to poll those of the others.
 func (r *Rollout) Start() { r.mailbox.Post(r.poll) }
 
-// poll reads all keys and takes the next step. Polling ends when the gate is open for all that
-// this node reads.
+// poll reads all keys and takes the next step. Polling ends when the gate has reached this node's
+// format.
 func (r *Rollout) poll() {
 	r.store.List(prefix, "", func(result kvstore.Result[protocol.ItemList]) {
 		if result.Err != nil {
@@ -106,15 +108,16 @@
 	})
 }
 
+// pollAfter polls after a delay.
 func (r *Rollout) pollAfter(delay clock.Micros) { r.mailbox.After(delay, r.poll) }
 
-// view is what the keys say.
+// view holds the formats and versions of all keys as of one read.
 type view struct {
 	formats  map[string]Format // by key
 	versions map[string]protocol.Revision
 }
 
-// decodeView takes a malformed value for one that isn't published.
+// decodeView returns the view of the keys. It treats a malformed value as unpublished.
 func decodeView(items []protocol.Item) view {
 	v := view{formats: map[string]Format{}, versions: map[string]protocol.Revision{}}
 	for _, item := range items {
@@ -128,11 +131,11 @@
 	return v
 }
 
-// gate returns the format that is known to be read by all.
+// gate returns the format of the gate, which all controllers read.
 func (v view) gate() Format { return v.formats[gateKey] }
 
-// common returns the format that all nodes have published, at most this one's.
-func (r *Rollout) common(v view) Format {
+// commonFormat returns the latest format that all nodes have published, at most this node's.
+func (r *Rollout) commonFormat(v view) Format {
 	common := r.format
 	for _, node := range r.nodes {
 		common = min(common, v.formats[nodePrefix+node])
@@ -140,7 +143,7 @@
 	return common
 }
 
-// missing returns the nodes for which the gate isn't open yet.
+// missing returns the nodes that haven't published this node's format, none once the gate has reached it.
 func (r *Rollout) missing(v view) []string {
 	if v.gate() >= r.format {
 		return nil
@@ -154,36 +157,36 @@
 	return missing
 }
 
-// advance takes the next step: publish this node's format, open the gate, or wait.
+// advance takes the next step: publish this node's format, raise the gate, or wait.
 func (r *Rollout) advance(v view) {
-	r.noteStatus(Status{Services: v.gate() >= FormatServices, Cells: v.gate() >= FormatCells,
+	r.updateStatus(Status{Services: v.gate() >= FormatServices, Cells: v.gate() >= FormatCells,
 		Missing: r.missing(v)})
 	ownKey := nodePrefix + r.node
-	common := r.common(v)
+	common := r.commonFormat(v)
 	switch {
 	case v.gate() >= r.format:
-		r.notePublished()
+		r.reportPublished()
 	case v.formats[ownKey] < r.format:
 		r.put(ownKey, r.format, v)
 	case common >= FormatServices && common > v.gate():
-		r.notePublished()
+		r.reportPublished()
 		r.put(gateKey, common, v)
 	default:
-		r.notePublished()
-		r.pollAfter(pollTime)
+		r.reportPublished()
+		r.pollAfter(pollInterval)
 	}
 }
 
-// notePublished reports once that this node has published its format.
-func (r *Rollout) notePublished() {
+// reportPublished calls onPublished the first time.
+func (r *Rollout) reportPublished() {
 	if !r.published {
 		r.published = true
 		r.onPublished()
 	}
 }
 
-// noteStatus reports a changed status.
-func (r *Rollout) noteStatus(s Status) {
+// updateStatus logs and publishes a changed status, and logs missing controllers.
+func (r *Rollout) updateStatus(s Status) {
 	if !s.equal(r.status) {
 		if s.Services && !r.status.Services {
 			slog.Info("all controllers read services and sharded records", "format", FormatServices)
@@ -197,11 +200,11 @@
 	r.logMissing(s)
 }
 
-// logMissing tells an operator now and then who is missing. The first time it is silent: an
-// upgrade takes a while.
+// logMissing logs the missing controllers, once per missingLogInterval. It skips the first time, because
+// an upgrade of all controllers takes a while.
 func (r *Rollout) logMissing(s Status) {
 	now := r.mailbox.Monotonic()
-	if len(s.Missing) == 0 || now <= r.missingLoggedAt+missingLogTime {
+	if len(s.Missing) == 0 || now <= r.missingLoggedAt+missingLogInterval {
 		return
 	}
 	if r.missingLoggedAt != 0 {
@@ -215,7 +218,7 @@
 	r.missingLoggedAt = now
 }
 
-// put writes one key and polls again, whatever became of it.
+// put writes one key and polls again, whatever the outcome.
 func (r *Rollout) put(key string, format Format, v view) {
 	t := protocol.Txn{
 		Conditions: []protocol.Condition{{Key: key, Version: v.versions[key]}},
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -10,7 +10,7 @@
 	"postpoint/internal/protocol"
 )
 
-// memoryStore is a key-value store that responds at once, or is unavailable.
+// memoryStore is a fake key-value store that responds at once, with ErrUnavailable while it is down.
 type memoryStore struct {
 	kvstore.Store
 	values map[string][]byte
@@ -48,13 +48,14 @@
 	done(kvstore.Result[protocol.Revision]{})
 }
 
-// controller is one controller's rollout, which polls when the test says so.
+// controller is one controller's rollout, which polls only when the test calls poll.
 type controller struct {
 	rollout   *Rollout
 	published bool
 	status    Status
 }
 
+// newController returns the rollout of a controller that reads FormatServices.
 func newController(store kvstore.Store, name string, all ...string) *controller {
 	c := &controller{}
 	c.rollout = New(&actortest.Still{}, store, name, all, FormatServices,
@@ -62,10 +63,12 @@
 	return c
 }
 
+// poll reads the keys and takes the next steps.
 func (c *controller) poll() { c.rollout.poll() }
 
-// The gate opens once every node of the settings has published its format, not before, whoever is
-// down by then, and stays open. A node publishes what it reads before anything else.
+// If the gate opened too early, a controller of an earlier version would read records that it doesn't
+// know. The gate opens only once every node in the settings has published its format, and it stays open
+// whichever nodes are down by then. A node publishes its own format before it writes any other key.
 func TestGateOpensOnceAllHavePublished(t *testing.T) {
 	all := []string{"a", "b", "c"}
 	store := &memoryStore{values: map[string][]byte{}}
@@ -74,12 +77,12 @@
 	b.poll()
 	a.poll()
 	if !a.published || a.status.Services || !slices.Equal(a.status.Missing, []string{"c"}) {
-		t.Fatalf("published %v, status %+v; expected a closed gate for want of c", a.published, a.status)
+		t.Fatalf("published %v, status %+v; expected a closed gate with c missing", a.published, a.status)
 	}
 	if store.puts[0] != "rollout/node/a" {
 		t.Fatalf("first put %s, expected a's own key", store.puts[0])
 	}
-	// Node a is down from now on, which closes nothing.
+	// Node a is down from now on, and the gate stays open.
 	c := newController(store, "c", all...)
 	c.poll()
 	b.poll()
@@ -97,8 +100,9 @@
 	}
 }
 
-// While the key-value store is unavailable, a node hasn't published and nothing is open; a malformed
-// value counts as unpublished.
+// A controller must not open the gate because it can't read the keys: while the key-value store is
+// unavailable, it has published nothing and the gate is closed, and a malformed value counts as
+// unpublished.
 func TestGateStaysClosedWithoutEvidence(t *testing.T) {
 	store := &memoryStore{values: map[string][]byte{"rollout/node/b": {0xc1}}, down: true}
 	a := newController(store, "a", "a", "b")
@@ -109,6 +113,6 @@
 	store.down = false
 	a.poll()
 	if !a.published || a.status.Services || !slices.Equal(a.status.Missing, []string{"b"}) {
-		t.Fatalf("published %v, status %+v; expected a closed gate for want of b", a.published, a.status)
+		t.Fatalf("published %v, status %+v; expected a closed gate with b missing", a.published, a.status)
 	}
 }
