--- a/internal/election/golden_test.go
+++ b/internal/election/golden_test.go
@@ -11,7 +11,7 @@
 
 const goldenHolder = "\x83\xa4node\xa8worker-0\xabincarnation\xa4this\xa5lease\x01"
 
-// The leader's key is stored as the recorded bytes, and is decoded from them.
+// The value of the leader's key encodes to the recorded bytes and decodes from them.
 func TestGoldenHolder(t *testing.T) {
 	h := holder{Node: "worker-0", Incarnation: "this", Lease: 1}
 	goldentest.RequireTags(t, "msgpack", h)
--- a/internal/election/transaction.go
+++ b/internal/election/transaction.go
@@ -68,7 +68,7 @@
 // Len returns the number of changes.
 func (t *Transaction) Len() int { return len(t.txn.Changes) }
 
-// Changes returns the changes in the order in which they were added.
+// Changes returns the changes in the order of the calls that added them.
 func (t *Transaction) Changes() []protocol.Change { return t.txn.Changes }
 
 // Commit sends the transaction to the store. If the condition on the leader's key failed, the error
--- a/internal/jobrecord/format.go
+++ b/internal/jobrecord/format.go
@@ -53,7 +53,7 @@
 	Displaced   string           `msgpack:"displaced,omitempty"`
 }
 
-// storedShard is the value at a shard's key. Tasks are numbered from the shard's first one.
+// storedShard is the value at a shard's key. Task numbers count from the shard's first task.
 type storedShard struct {
 	// Done is a bitmap in hexadecimal digits, the lowest task in the lowest bit of the first byte.
 	Done        string           `msgpack:"done,omitempty"`
--- a/internal/jobrecord/golden_test.go
+++ b/internal/jobrecord/golden_test.go
@@ -250,7 +250,7 @@
 	},
 }
 
-// Each kind of record is encoded as the recorded bytes, and decoded from them.
+// Each kind of record encodes to the recorded bytes and decodes from them.
 func TestGoldenRecords(t *testing.T) {
 	for _, record := range goldenRecords {
 		goldentest.Equal(t, record.name, record.job.Encode(), record.head)
@@ -281,7 +281,7 @@
 	goldentest.RequireTags(t, "msgpack", storedRecord{}, storedShard{})
 }
 
-// The stored forms with every field set are encoded as the recorded bytes. No real record sets them all.
+// The stored forms with every field set encode to the recorded bytes. No real record sets them all.
 func TestGoldenStoredForms(t *testing.T) {
 	whole := storedRecord{
 		Spec:        protocoltest.WholeJobSpec(),
@@ -356,7 +356,7 @@
 	}
 }
 
-// Task sets are encoded as the recorded text and parsed from it, and malformed texts are rejected.
+// Task sets encode to the recorded text and parse from it. ParseTaskSet rejects malformed texts.
 func TestGoldenRanges(t *testing.T) {
 	for text, r := range map[string]TaskSet{
 		"":             {},
--- a/internal/jobrecord/shards.go
+++ b/internal/jobrecord/shards.go
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// placements returns the placements of a shard. Their tasks are numbered from the shard's first one.
+// placements returns the placements of a shard. Their task numbers count from the shard's first task.
 func (s *storedShard) placements() ([]Placement, error) {
 	if s.Placed == "" {
 		return nil, nil
--- a/internal/jobrecord/shards_test.go
+++ b/internal/jobrecord/shards_test.go
@@ -16,9 +16,10 @@
 	tightTxnOps     = 4
 )
 
-// A shard that outgrew the store's limit could no longer be written. However the tasks of a sharded
-// record start, end, fail and start again, on whatever machines, every value stays within the tightest
-// limit, the values together decode to the record, and a task can start once none is placed.
+// The store rejects a value that exceeds its limit, so that the leader could no longer write the record.
+// However the tasks of a sharded record start, end, fail and start again, on whatever machines, every
+// value stays within the tightest limit, the values together decode to the record, and a task can start
+// once none is placed.
 func TestShardedRecordsStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := arraySpec(rapid.SampledFrom([]int{30, 150, 700}).Draw(t, "tasks"))
@@ -83,8 +84,8 @@
 }
 
 // The store's limits must not prevent the widest array of the deployments from running all its tasks
-// at once. A gang can start only in one transaction, so the largest gang whose shards fit one is
-// accepted and a larger one is refused.
+// at once. A gang can start only in one transaction, so FitsStore accepts the largest gang whose shards
+// fit one and refuses a larger gang.
 func TestShardedRecordsHoldTheLargestJobs(t *testing.T) {
 	array := arraySpec(2000)
 	record := New(array, 1)
--- a/internal/jobrecord/taskset_test.go
+++ b/internal/jobrecord/taskset_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// A TaskSet has the same elements as a plain set, in whatever order they are added, and also after it
-// has been encoded and parsed.
+// A TaskSet has the same elements as a plain set, whatever the order of the calls to Add, and also after
+// a round trip through String and ParseTaskSet.
 func TestRangesBehaveLikeASetOfNumbers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var added TaskSet
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -7,7 +7,7 @@
 // or a later one from the gate.
 //
 // The package owns only these keys. The actors that receive its status decide what to write in which
-// format. This node takes part in elections only once its format is published.
+// format. This node takes part in elections only once it has published its format.
 package rollout
 
 import (
@@ -74,9 +74,9 @@
 	node    string
 	nodes   []string
 	format  Format
-	// onPublished is called once, when the node's format is published.
+	// onPublished runs once, when this node has published its format.
 	onPublished func()
-	// onStatus is called on every change of the status.
+	// onStatus runs on every change of the status.
 	onStatus func(Status)
 
 	published       bool
@@ -85,7 +85,7 @@
 }
 
 // New returns the actor of the given node, one of nodes, which reads the given format. From its mailbox
-// the actor calls onPublished once, when that format is published, and onStatus on every change of the
+// the actor calls onPublished once, when it has published that format, and onStatus on every change of the
 // status.
 func New(m actor.Mailbox, s kvstore.Store, node string, nodes []string, format Format,
 	onPublished func(), onStatus func(Status)) *Rollout {
