--- a/internal/admission/golden_test.go
+++ b/internal/admission/golden_test.go
@@ -67,7 +67,7 @@
 	running.Cause = "error on m-2"
 	store.values["jobs/job-1"] = running.Encode()
 	divided := jobrecord.New(protocol.JobSpec{ID: "job-2", Shape: protocol.ShapeArray, Tasks: 3}, 1)
-	divided.ShardSize, divided.Marked = 2, true
+	divided.ShardSize, divided.FormatMarked = 2, true
 	divided.Placements[2] = jobrecord.Placement{Task: 2, Attempt: 1, Machine: "m-1", Incarnation: 1}
 	store.values["jobs/job-2"] = divided.Encode()
 	store.values["parts/job-2/1"] = divided.EncodeShard(1)
--- a/internal/admission/submission.go
+++ b/internal/admission/submission.go
@@ -57,7 +57,7 @@
 	record := jobrecord.New(c.spec, int64(c.in.mailbox.TimeOfDay()))
 	if c.in.formatOpen {
 		limits := c.in.set.Deployment.KVStore.Tightest()
-		record.Marked = c.spec.Service()
+		record.FormatMarked = c.spec.Service()
 		record.ShardSize = jobrecord.ShardSizeFor(&c.spec, limits.ValueBytes())
 	}
 	return record
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -351,7 +351,7 @@
 // follow begins a round and waits for changes of the key after a revision.
 func (c *Candidate) follow(from protocol.Revision) {
 	c.round++
-	c.store.Follow(LeaderKey, from, followTimeout, resultInRound(c, c.handleChanges))
+	c.store.Watch(LeaderKey, from, followTimeout, resultInRound(c, c.handleChanges))
 }
 
 // handleChanges handles the last change of the key, or follows on if there is none.
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -55,7 +55,7 @@
 func (s *pendingStore) Renew(lease protocol.LeaseID, done func(error)) {
 	s.renewed, s.renew = append(s.renewed, lease), done
 }
-func (s *pendingStore) Follow(_ string, _ protocol.Revision, _ clock.Micros,
+func (s *pendingStore) Watch(_ string, _ protocol.Revision, _ clock.Micros,
 	done func(kvstore.Result[protocol.WatchResponse])) {
 	s.follow = done
 }
--- a/internal/election/transaction_test.go
+++ b/internal/election/transaction_test.go
@@ -57,8 +57,8 @@
 			t.Errorf("%v became %v, expected lost leadership %v and a conflict %v", c.err, got, c.notLeader,
 				c.conflict)
 		}
-		if !slices.Equal(kvstore.Failed(got), kvstore.Failed(c.err)) {
-			t.Errorf("failed keys %v, expected %v", kvstore.Failed(got), kvstore.Failed(c.err))
+		if !slices.Equal(kvstore.ConflictKeys(got), kvstore.ConflictKeys(c.err)) {
+			t.Errorf("failed keys %v, expected %v", kvstore.ConflictKeys(got), kvstore.ConflictKeys(c.err))
 		}
 		if !c.notLeader && !errors.Is(got, c.err) {
 			t.Errorf("%v became %v, expected it unchanged", c.err, got)
--- a/internal/jobrecord/format.go
+++ b/internal/jobrecord/format.go
@@ -72,7 +72,7 @@
 	if r.Hosted != nil {
 		markers = append(markers, hostedMarker+" "+r.Hosted.encode())
 	}
-	if r.Marked && r.Spec.Service() {
+	if r.FormatMarked && r.Spec.Service() {
 		markers = append(markers, serviceMarker)
 	}
 	if r.ShardSize > 0 && !r.Truncated {
@@ -84,7 +84,7 @@
 // applyMarker sets the fields that a marker stands for; ok reports whether the text is a valid marker.
 func (r *Record) applyMarker(text string) (ok bool) {
 	if text == serviceMarker {
-		r.Marked = true
+		r.FormatMarked = true
 		return true
 	}
 	if hosted, isHosted := strings.CutPrefix(text, hostedMarker+" "); isHosted {
@@ -96,6 +96,6 @@
 	if !isSharded || err != nil || n < 1 || n > maxShardTasks {
 		return false
 	}
-	r.ShardSize, r.Marked = n, true
+	r.ShardSize, r.FormatMarked = n, true
 	return true
 }
--- a/internal/jobrecord/format_test.go
+++ b/internal/jobrecord/format_test.go
@@ -97,9 +97,9 @@
 // so the marker must have another number of fields.
 func TestMarkedRecordsAreRefusedByReadersOfFormat1(t *testing.T) {
 	service := New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeService, Tasks: 3}, 1)
-	service.Marked = true
+	service.FormatMarked = true
 	sharded := New(protocol.JobSpec{ID: "job-2", Shape: protocol.ShapeArray, Tasks: 3000}, 1)
-	sharded.ShardSize, sharded.Marked = 100, true
+	sharded.ShardSize, sharded.FormatMarked = 100, true
 	for _, record := range []*Record{service, sharded} {
 		var stored struct {
 			Placed []string `msgpack:"placed"`
@@ -111,7 +111,7 @@
 			t.Errorf("%s: placements %q, want the first not to have four fields",
 				record.Spec.Shape, stored.Placed)
 		}
-		if decoded := reassembled(t, record); !decoded.Marked || decoded.ShardSize != record.ShardSize {
+		if decoded := reassembled(t, record); !decoded.FormatMarked || decoded.ShardSize != record.ShardSize {
 			t.Errorf("%s: decoded as %+v, want it marked, with %d tasks per shard",
 				record.Spec.Shape, decoded, record.ShardSize)
 		}
--- a/internal/jobrecord/golden_test.go
+++ b/internal/jobrecord/golden_test.go
@@ -147,11 +147,11 @@
 	{
 		name: "a service",
 		job: Record{
-			Spec:        smallSpec(protocol.ShapeService, 3),
-			SubmittedAt: 1764668400000000,
-			NextAttempt: 2,
-			Placements:  map[int]Placement{1: {Task: 1, Attempt: 1, Machine: "m-000005", Incarnation: 1}},
-			Marked:      true,
+			Spec:         smallSpec(protocol.ShapeService, 3),
+			SubmittedAt:  1764668400000000,
+			NextAttempt:  2,
+			Placements:   map[int]Placement{1: {Task: 1, Attempt: 1, Machine: "m-000005", Incarnation: 1}},
+			FormatMarked: true,
 		},
 		head: "\x84\xa4spec\xde\x00\x13\xa3Uid\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa6daemon\xa4R" +
 			"ank\xa0\xa4Legs\x03\xa5Vcpus\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00\x00\x00" +
@@ -182,12 +182,12 @@
 	{
 		name: "a hosted job that is a marked service",
 		job: Record{
-			Spec:        smallSpec(protocol.ShapeService, 2),
-			SubmittedAt: 1764668400000000,
-			NextAttempt: 2,
-			Placements:  map[int]Placement{},
-			Marked:      true,
-			Hosted:      &HostedJob{OriginCell: "gamma", Delegation: 9},
+			Spec:         smallSpec(protocol.ShapeService, 2),
+			SubmittedAt:  1764668400000000,
+			NextAttempt:  2,
+			Placements:   map[int]Placement{},
+			FormatMarked: true,
+			Hosted:       &HostedJob{OriginCell: "gamma", Delegation: 9},
 		},
 		head: "\x84\xa4spec\xde\x00\x13\xa3Uid\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa6daemon\xa4R" +
 			"ank\xa0\xa4Legs\x02\xa5Vcpus\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00\x00\x00" +
@@ -208,7 +208,7 @@
 			Lenders:       []protocol.JobID{"job-000001"},
 			Cause:         "error on m-000001",
 			ShardSize:     5,
-			Marked:        true,
+			FormatMarked:  true,
 			ReturnCount:   1,
 			DisplacedFrom: "b",
 		},
@@ -229,13 +229,13 @@
 	{
 		name: "a hosted sharded service",
 		job: Record{
-			Spec:        smallSpec(protocol.ShapeService, 3),
-			SubmittedAt: 1764668400000000,
-			NextAttempt: 2,
-			Placements:  map[int]Placement{2: {Task: 2, Attempt: 1, Machine: "m-000005", Incarnation: 1}},
-			ShardSize:   2,
-			Marked:      true,
-			Hosted:      &HostedJob{OriginCell: "gamma", Delegation: 9},
+			Spec:         smallSpec(protocol.ShapeService, 3),
+			SubmittedAt:  1764668400000000,
+			NextAttempt:  2,
+			Placements:   map[int]Placement{2: {Task: 2, Attempt: 1, Machine: "m-000005", Incarnation: 1}},
+			ShardSize:    2,
+			FormatMarked: true,
+			Hosted:       &HostedJob{OriginCell: "gamma", Delegation: 9},
 		},
 		head: "\x84\xa4spec\xde\x00\x13\xa3Uid\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa6daemon\xa4R" +
 			"ank\xa0\xa4Legs\x03\xa5Vcpus\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00\x00\x00" +
@@ -398,12 +398,12 @@
 		{[]string{"cell beta 7 2 1"}, Record{Placements: map[int]Placement{
 			1: {Task: 1, Attempt: 2, Machine: "cell beta", Incarnation: 7},
 		}}},
-		{[]string{"service"}, Record{Marked: true}},
-		{[]string{"parts 3"}, Record{Marked: true, ShardSize: 3}},
+		{[]string{"service"}, Record{FormatMarked: true}},
+		{[]string{"parts 3"}, Record{FormatMarked: true, ShardSize: 3}},
 		{[]string{"guest beta 7"}, Record{Hosted: &HostedJob{OriginCell: "beta", Delegation: 7}}},
 		{
 			[]string{"guest beta 7 closed", "service"},
-			Record{Hosted: &HostedJob{OriginCell: "beta", Delegation: 7, Closed: true}, Marked: true},
+			Record{Hosted: &HostedJob{OriginCell: "beta", Delegation: 7, Closed: true}, FormatMarked: true},
 		},
 	} {
 		c.want.Spec = smallSpec(protocol.ShapeArray, 5)
--- a/internal/jobrecord/record.go
+++ b/internal/jobrecord/record.go
@@ -19,11 +19,11 @@
 	Cause       string            // error of the last failed start
 	// ShardSize is the number of tasks per shard, 0 if the record isn't sharded.
 	ShardSize int
-	// Marked means that the stored record has a marker of format 2, so that controllers that know
+	// FormatMarked means that the stored record has a marker of format 2, so that controllers that know
 	// neither services nor sharded records reject it as malformed. Without the marker they would
 	// classify a service as an array, and the running tasks of a sharded record as pending. Callers set
 	// it only once no such controller runs any more.
-	Marked bool
+	FormatMarked bool
 	// Truncated means that the stored record of a cancelled job lacks the placements, because it had
 	// become too large for the store.
 	Truncated bool
--- a/internal/jobrecord/shards_test.go
+++ b/internal/jobrecord/shards_test.go
@@ -25,7 +25,7 @@
 		spec := arraySpec(rapid.SampledFrom([]int{30, 150, 700}).Draw(t, "tasks"))
 		record := New(spec, 42)
 		record.ShardSize = ShardSizeFor(&spec, tightValueBytes)
-		record.Marked = true
+		record.FormatMarked = true
 		steps := rapid.IntRange(1, 8).Draw(t, "steps")
 		for step := range steps {
 			startTasks(t, record)
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -25,7 +25,7 @@
 	renewTimeout = 900 * clock.Millisecond
 
 	responseLimit = 4 << 20
-	followLimit   = 64 << 20
+	watchLimit    = 64 << 20
 	pageSize      = 500
 )
 
@@ -33,7 +33,7 @@
 const (
 	callConnections     = 16
 	electionConnections = 4
-	followConnections   = 4
+	watchConnections    = 4
 )
 
 // This process's shares of the store's rate limits, which apply to all controllers together. The
@@ -63,7 +63,7 @@
 	base     string
 	calls    *transport.Client
 	election *transport.Client // separate, so that renewals never queue behind other requests
-	follows  *transport.Client
+	watches  *transport.Client
 	requests *rate.Limiter
 	changes  *rate.Limiter
 	// Requests of a lower priority pass a stricter limit first, so that they can't use up the share
@@ -78,7 +78,7 @@
 		base:          "http://" + addr,
 		calls:         transport.New(callConnections),
 		election:      transport.New(electionConnections),
-		follows:       transport.New(followConnections),
+		watches:       transport.New(watchConnections),
 		requests:      limiter(s.Rps, requestShare),
 		reads:         limiter(s.Rps, readShare),
 		changes:       limiter(s.WriteRps, changeShare),
@@ -243,20 +243,20 @@
 	send(s, OpCommit, commit, revision, done)
 }
 
-// Follow implements Store.
-func (s *actorStore) Follow(prefix string, from protocol.Revision, wait clock.Micros,
+// Watch implements Store.
+func (s *actorStore) Watch(prefix string, from protocol.Revision, wait clock.Micros,
 	done func(Result[protocol.WatchResponse])) {
 	q := url.Values{
 		"Prefix":  {prefix},
 		"From":    {fmt.Sprint(int64(from))},
 		"BlockMs": {fmt.Sprint(int64(wait / clock.Millisecond))},
 	}
-	follow := func() (transport.Response, error) {
-		return s.follows.Do(transport.Deadline{}, transport.Request{
+	watch := func() (transport.Response, error) {
+		return s.watches.Do(transport.Deadline{}, transport.Request{
 			Method: http.MethodGet, URL: s.base + "/follow?" + q.Encode(),
-			Timeout: wait + callTimeout, ResponseLimit: followLimit})
+			Timeout: wait + callTimeout, ResponseLimit: watchLimit})
 	}
-	send(s, OpFollow, follow, identity, done)
+	send(s, OpWatch, watch, identity, done)
 }
 
 // Grant implements Store.
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -40,7 +40,7 @@
 		s.Commit(PriorityUser, protocol.Txn{}, errOnly[protocol.Revision](done))
 	},
 	"follow": func(s Store, done func(error)) {
-		s.Follow("a/", 1, 0, errOnly[protocol.WatchResponse](done))
+		s.Watch("a/", 1, 0, errOnly[protocol.WatchResponse](done))
 	},
 	"grant": func(s Store, done func(error)) { s.Grant(clock.Second, errOnly[protocol.LeaseID](done)) },
 	"renew": func(s Store, done func(error)) { s.Renew(7, done) },
@@ -118,7 +118,7 @@
 	done := errOnly[protocol.Revision](func(err error) { got = err })
 	client.For(mailbox).Commit(PriorityUser, protocol.Txn{}, done)
 	(<-mailbox.Messages)()
-	if !errors.Is(got, ErrConflict) || len(Failed(got)) > 0 {
+	if !errors.Is(got, ErrConflict) || len(ConflictKeys(got)) > 0 {
 		t.Errorf("%v, expected a conflict without keys", got)
 	}
 }
@@ -145,7 +145,7 @@
 		(<-mailbox.Messages)()
 		if responseStatus(got.Err) != status || got.Value != body.Revision ||
 			Reason(got.Err) != body.Error ||
-			!slices.Equal(Failed(got.Err), body.Failed) {
+			!slices.Equal(ConflictKeys(got.Err), body.Failed) {
 			t.Errorf("result %+v, expected status %d with %+v", got, status, body)
 		}
 		return got
@@ -155,7 +155,7 @@
 	}
 	err := commit(409, protocol.TxnResponse{Revision: 431, Failed: []string{"a", "b"}}).Err
 	conflict, ok := errors.AsType[*ConflictError](err)
-	if !ok || conflict.Revision != 431 || !slices.Equal(Failed(err), []string{"a", "b"}) {
+	if !ok || conflict.Revision != 431 || !slices.Equal(ConflictKeys(err), []string{"a", "b"}) {
 		t.Errorf("%v, expected a conflict of a and b at revision 431", err)
 	}
 	err = commit(400, protocol.TxnResponse{Error: "value too large"}).Err
--- a/internal/kvstore/errors.go
+++ b/internal/kvstore/errors.go
@@ -45,7 +45,7 @@
 	OpGet Operation = iota
 	OpList
 	OpCommit
-	OpFollow
+	OpWatch
 	OpGrant
 	OpRenew
 )
@@ -56,7 +56,7 @@
 	OpGet:    withCommonErrors(transport.StatusKinds{http.StatusNotFound: ErrNotFound}),
 	OpList:   withCommonErrors(nil),
 	OpCommit: withCommonErrors(transport.StatusKinds{http.StatusConflict: ErrConflict}),
-	OpFollow: withCommonErrors(transport.StatusKinds{http.StatusGone: ErrCompacted}),
+	OpWatch:  withCommonErrors(transport.StatusKinds{http.StatusGone: ErrCompacted}),
 	OpGrant:  withCommonErrors(nil),
 	OpRenew:  withCommonErrors(transport.StatusKinds{http.StatusNotFound: ErrLeaseNotFound}),
 }
@@ -92,8 +92,8 @@
 // Is makes ErrConflict match.
 func (e *ConflictError) Is(target error) bool { return target == ErrConflict }
 
-// Failed returns the keys whose condition failed, nil if err isn't a conflict.
-func Failed(err error) []string {
+// ConflictKeys returns the keys whose condition failed, nil if err isn't a conflict.
+func ConflictKeys(err error) []string {
 	if conflict, ok := errors.AsType[*ConflictError](err); ok {
 		return conflict.Keys
 	}
--- a/internal/kvstore/errors_test.go
+++ b/internal/kvstore/errors_test.go
@@ -50,7 +50,7 @@
 	ofOperation := map[Operation]test{
 		OpGet:    {"not found", func(s int) bool { return s == http.StatusNotFound }, is(ErrNotFound)},
 		OpCommit: {"conflict", func(s int) bool { return s == http.StatusConflict }, is(ErrConflict)},
-		OpFollow: {"compacted", func(s int) bool { return s == http.StatusGone }, is(ErrCompacted)},
+		OpWatch:  {"compacted", func(s int) bool { return s == http.StatusGone }, is(ErrCompacted)},
 		OpRenew: {"lease not found", func(s int) bool { return s == http.StatusNotFound },
 			is(ErrLeaseNotFound)},
 	}
--- a/internal/kvstore/golden_test.go
+++ b/internal/kvstore/golden_test.go
@@ -48,7 +48,7 @@
 		protocol.WatchResponse{Revision: 300, Events: []protocol.Event{{Delete: "a"}}},
 		"GET /follow?BlockMs=2500&From=299&Prefix=jobs%2F\nUser-Agent: Go-http-client/1.1\n\n",
 		func(s Store, done func(Result[protocol.WatchResponse])) {
-			s.Follow("jobs/", 299, 2500*clock.Millisecond, done)
+			s.Watch("jobs/", 299, 2500*clock.Millisecond, done)
 		})
 	requireRequest(t, "grant", "\x81\xa6Permit\x05", protocol.LeaseID(5),
 		"POST /leases\nContent-Length: 10\nContent-Type: application/msgpack\n"+
--- a/internal/kvstore/store.go
+++ b/internal/kvstore/store.go
@@ -24,9 +24,9 @@
 	// Commit applies a transaction if all its conditions hold, and returns its revision. Otherwise the
 	// error is a *ConflictError.
 	Commit(priority Priority, t protocol.Txn, done func(Result[protocol.Revision]))
-	// Follow returns the changes of keys with a prefix after a revision. If there are none yet, it waits
+	// Watch returns the changes of keys with a prefix after a revision. If there are none yet, it waits
 	// for them, at most for the given time.
-	Follow(prefix string, from protocol.Revision, wait clock.Micros,
+	Watch(prefix string, from protocol.Revision, wait clock.Micros,
 		done func(Result[protocol.WatchResponse]))
 	// Grant creates a lease.
 	Grant(ttl clock.Micros, done func(Result[protocol.LeaseID]))
--- a/internal/kvstore/storetest/service.go
+++ b/internal/kvstore/storetest/service.go
@@ -21,7 +21,7 @@
 	Get(key string, done func(Reply[protocol.Item]))
 	List(prefix, from string, done func(Reply[protocol.ItemList]))
 	Commit(priority kvstore.Priority, t protocol.Txn, done func(Reply[protocol.TxnResponse]))
-	Follow(prefix string, from protocol.Revision, wait clock.Micros,
+	Watch(prefix string, from protocol.Revision, wait clock.Micros,
 		done func(Reply[protocol.WatchResponse]))
 	Grant(ttl clock.Micros, done func(Reply[protocol.LeaseResponse]))
 	Renew(lease protocol.LeaseID, done func(Reply[protocol.LeaseResponse]))
@@ -54,11 +54,11 @@
 	})
 }
 
-// Follow implements kvstore.Store.
-func (c client) Follow(prefix string, from protocol.Revision, wait clock.Micros,
+// Watch implements kvstore.Store.
+func (c client) Watch(prefix string, from protocol.Revision, wait clock.Micros,
 	done func(kvstore.Result[protocol.WatchResponse])) {
-	c.service.Follow(prefix, from, wait,
-		func(r Reply[protocol.WatchResponse]) { done(result(kvstore.OpFollow, r)) })
+	c.service.Watch(prefix, from, wait,
+		func(r Reply[protocol.WatchResponse]) { done(result(kvstore.OpWatch, r)) })
 }
 
 // Grant implements kvstore.Store.
--- a/internal/kvstore/storetest/service_test.go
+++ b/internal/kvstore/storetest/service_test.go
@@ -18,7 +18,7 @@
 var (
 	item        = protocol.Item{Key: "a", Version: 9}
 	list        = protocol.ItemList{Items: []protocol.Item{item}, Revision: 300}
-	followed    = protocol.WatchResponse{Revision: 300}
+	watched     = protocol.WatchResponse{Revision: 300}
 	txnResponse = protocol.TxnResponse{Revision: 300, Failed: []string{"a"}, Error: "trouble"}
 )
 
@@ -37,10 +37,10 @@
 	done(Reply[protocol.TxnResponse]{s.status, txnResponse})
 }
 
-func (s fixedStore) Follow(
+func (s fixedStore) Watch(
 	_ string, _ protocol.Revision, _ clock.Micros, done func(Reply[protocol.WatchResponse]),
 ) {
-	done(Reply[protocol.WatchResponse]{s.status, followed})
+	done(Reply[protocol.WatchResponse]{s.status, watched})
 }
 
 func (s fixedStore) Grant(_ clock.Micros, done func(Reply[protocol.LeaseResponse])) {
@@ -78,9 +78,9 @@
 	kvstore.OpCommit: {func(s kvstore.Store, o *outcome) {
 		s.Commit(kvstore.PriorityUser, protocol.Txn{}, storeIn[protocol.Revision](o))
 	}, protocol.Revision(300)},
-	kvstore.OpFollow: {func(s kvstore.Store, o *outcome) {
-		s.Follow("", 1, 0, storeIn[protocol.WatchResponse](o))
-	}, followed},
+	kvstore.OpWatch: {func(s kvstore.Store, o *outcome) {
+		s.Watch("", 1, 0, storeIn[protocol.WatchResponse](o))
+	}, watched},
 	kvstore.OpGrant: {func(s kvstore.Store, o *outcome) {
 		s.Grant(clock.Second, storeIn[protocol.LeaseID](o))
 	}, protocol.LeaseID(5)},
@@ -143,7 +143,7 @@
 		if status == http.StatusConflict {
 			failed = txnResponse.Failed
 		}
-		if keys := kvstore.Failed(got.err); !slices.Equal(keys, failed) {
+		if keys := kvstore.ConflictKeys(got.err); !slices.Equal(keys, failed) {
 			t.Errorf("status %d: failed keys %q, expected %q", status, keys, failed)
 		}
 	}
--- a/internal/leader/autoscaler/autoscaler.go
+++ b/internal/leader/autoscaler/autoscaler.go
@@ -67,9 +67,10 @@
 	a.scaleInInFlight = false
 }
 
-// Manage reads the cloud's list of machines when that is due, marks idle machines for release and sends
-// the pending scale-in requests. It does nothing during a backoff or before the machine types are known.
-func (a *Autoscaler) Manage() {
+// ListAndScaleIn reads the cloud's list of machines when that is due, marks idle machines for release and
+// sends the pending scale-in requests. It does nothing during a backoff or before the machine types are
+// known.
+func (a *Autoscaler) ListAndScaleIn() {
 	if a.Now() < a.BackoffUntil || len(a.catalogue.Types) == 0 {
 		return
 	}
--- a/internal/leader/autoscaler/cloudview.go
+++ b/internal/leader/autoscaler/cloudview.go
@@ -27,7 +27,7 @@
 			view.OutOfCapacity[pool] = true
 		}
 	}
-	if a.zones.AnyCordoned() {
+	if a.zones.AnyUnhealthy() {
 		a.excludeCordonedZones(view)
 	}
 	return view
--- a/internal/leader/autoscaler/cordon.go
+++ b/internal/leader/autoscaler/cordon.go
@@ -40,7 +40,7 @@
 // cordonState is the state that searches for surplus machines keep across terms.
 type cordonState struct {
 	searchedAt clock.Micros
-	// batch is how many machines the next evaluation removes at once: see scaling.Cordon.
+	// batch is how many machines the next evaluation removes at once: see scaling.SurplusMachines.
 	batch int
 }
 
@@ -57,7 +57,7 @@
 	view := a.CloudView()
 	needed := a.neededCordoned(view, demand)
 	slices.SortStableFunc(needed, func(x, y *machinetable.Machine) int {
-		return cmp.Compare(view.HourlyPrice(x.Kind()), view.HourlyPrice(y.Kind()))
+		return cmp.Compare(view.HourlyPrice(x.CapacityPool()), view.HourlyPrice(y.CapacityPool()))
 	})
 	for _, m := range needed[:min(limit, len(needed))] {
 		m.Uncordon()
@@ -75,9 +75,9 @@
 		if !m.Cordoned || m.Releasing {
 			continue
 		}
-		pool := m.Kind()
+		pool := m.CapacityPool()
 		if _, known := poolNeeded[pool]; !known {
-			poolNeeded[pool] = view.Uncordon(pool, demand)
+			poolNeeded[pool] = view.NeedsUncordon(pool, demand)
 		}
 		if poolNeeded[pool] {
 			needed = append(needed, m)
@@ -148,7 +148,7 @@
 // cordonSurplus cordons machines without which the others still have capacity for all running and pending
 // work.
 func (a *Autoscaler) cordonSurplus(search *cordonSearch) {
-	names, nextBatch := scaling.Cordon(search.snapshot, search.evaluationsLeft, a.cordons.batch)
+	names, nextBatch := scaling.SurplusMachines(search.snapshot, search.evaluationsLeft, a.cordons.batch)
 	a.cordons.batch = nextBatch
 	for _, name := range names {
 		m := a.machines.ByName[name]
@@ -181,7 +181,7 @@
 // jobMovable reports whether the tasks of a job can be stopped without losing their progress. A gang moves as
 // a whole, and only once, because it runs on many machines and each of them may turn out to be surplus.
 func (a *Autoscaler) jobMovable(j *jobtable.Job) bool {
-	if j.Over() || j.Spec.CheckpointS == 0 {
+	if j.MustNotRun() || j.Spec.CheckpointS == 0 {
 		return false
 	}
 	multiTaskGang := j.Spec.Gang() && j.Spec.Tasks > 1
--- a/internal/leader/autoscaler/machinelist.go
+++ b/internal/leader/autoscaler/machinelist.go
@@ -90,7 +90,7 @@
 	if unknown {
 		m.FirstSeen -= clock.FromSeconds(listed.AgeS)
 	}
-	if !m.Seen {
+	if !m.HeartbeatReceived {
 		m.Type, m.Zone, m.Spot, m.ViewStale = listed.Type, listed.Zone, listed.Spot, true
 		m.Address = listed.Address
 	}
@@ -104,7 +104,7 @@
 		return
 	}
 	m.CloudStatus = status
-	if status == protocol.MachineRunning && !m.Seen {
+	if status == protocol.MachineRunning && !m.HeartbeatReceived {
 		boot := a.machines.BootTime(m)
 		m.FirstSeen = max(m.FirstSeen, a.Now()-boot)
 	}
@@ -115,12 +115,13 @@
 func (a *Autoscaler) releaseMissing(l *listing) {
 	lag := listLagFactor*clock.FromSeconds(a.Settings.Deployment.Cloud.ListLagS) + listLagMargin
 	for _, m := range a.machines.Ordered {
-		if m.Listed && !l.names[m.Name] && l.begunAt > m.ListedAt+lag && !a.machines.HeardRecently(m) {
+		if m.Listed && !l.names[m.Name] && l.begunAt > m.ListedAt+lag && !a.machines.HeartbeatRecent(m) {
 			a.machines.ScheduleRelease(m, releaseUnlisted)
 		}
 		// The machine has placements from an earlier term and has had time to send a heartbeat. If it is
 		// alive at all, neither the cloud nor this controller can see it.
-		if !m.Listed && !m.Seen && len(m.Placements) > 0 && l.begunAt > a.BegunAt+unregisteredTimeout {
+		if !m.Listed && !m.HeartbeatReceived && len(m.Placements) > 0 &&
+			l.begunAt > a.BegunAt+unregisteredTimeout {
 			a.machines.ScheduleRelease(m, releaseUnregistered)
 		}
 	}
--- a/internal/leader/autoscaler/scalein.go
+++ b/internal/leader/autoscaler/scalein.go
@@ -29,11 +29,11 @@
 	now := a.Now()
 	view := a.CloudView()
 	for _, m := range a.machines.Ordered {
-		if !m.Seen || m.Releasing || len(m.Placements) > 0 || m.RunsTasks() {
+		if !m.HeartbeatReceived || m.Releasing || len(m.Placements) > 0 || m.RunsTasks() {
 			continue
 		}
 		idle := scaling.IdleMachine{
-			Pool:     m.Kind(),
+			Pool:     m.CapacityPool(),
 			IdleFor:  now - max(m.IdleSince, m.ReservedAt),
 			Needed:   a.neededByRecentClass(m),
 			Cordoned: m.Cordoned,
@@ -127,5 +127,5 @@
 		}
 	}
 	a.machines.Remove(m)
-	a.markAvailable(m.Kind())
+	a.markAvailable(m.CapacityPool())
 }
--- a/internal/leader/cancellations_test.go
+++ b/internal/leader/cancellations_test.go
@@ -21,7 +21,7 @@
 		d.jobs.NoteCancelled(j, box.Now)
 		heartbeat := func(counter int64, tasks ...protocol.TaskStatus) (status int,
 			commands []protocol.Command) {
-			d.state.Term.RenewedAt, d.state.FreshAt = box.Now, box.Now
+			d.state.Term.RenewedAt, d.state.RecordsKnownUntil = box.Now, box.Now
 			if d.state.Term.ValidUntil = box.Now; leads {
 				d.state.Term.ValidUntil += clock.Second
 			}
@@ -58,7 +58,7 @@
 	d, j, _, box := leaderWithOneTask(t)
 	d.state.Settings.Deployment.ClockErrorMs = 250
 	j.Status, j.CancelledAt = protocol.StatusCancelled, int64(box.Now-110*clock.Second)
-	d.reader.Adopt(jobrecord.Key("job-1"), j.Encode(), 6)
+	d.reader.Apply(jobrecord.Key("job-1"), j.Encode(), 6)
 	if !j.Cancelled || j.CancelConfirmedAt != -10*clock.Second-500*clock.Millisecond {
 		t.Fatalf("cancelled %v at %.3f s, want true at -10.5 s", j.Cancelled, j.CancelConfirmedAt.Seconds())
 	}
@@ -68,7 +68,7 @@
 	}
 	// A new leader lets machines speak first, as long as there is time.
 	j.CancelConfirmedAt = box.Now - 16*clock.Second // lease_s + 4 s
-	if at := d.cancellations.ReleaseAt(j); at != box.Now+jobtable.AnnounceTime {
+	if at := d.cancellations.ReleaseAt(j); at != box.Now+jobtable.FirstHeartbeatWait {
 		t.Fatalf("the machine is released %.3f s after the election, want 4 s", (at - box.Now).Seconds())
 	}
 	j.CancelConfirmedAt -= 4 * clock.Second
--- a/internal/leader/cells_delegating_test.go
+++ b/internal/leader/cells_delegating_test.go
@@ -161,7 +161,7 @@
 			j.UnmetSince = l.state.Now() - federation.ShortageTime + 1
 		}, 0},
 		"came back": {func(l *Leader, j *jobtable.Job) {
-			j.GivenBackAt = l.state.Now() - federation.MinStayTime + 1
+			j.ReturnedAt = l.state.Now() - federation.MinStayTime + 1
 		}, 0},
 		"came back too often": {func(_ *Leader, j *jobtable.Job) { j.ReturnCount = federation.MaxReturns },
 			0},
@@ -179,7 +179,7 @@
 	} {
 		l, _, box := cellLeader(t)
 		spec := protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 4, Cpus: 1}
-		l.reader.Adopt(jobrecord.Key("job-1"), jobrecord.New(spec, 1).Encode(), 5)
+		l.reader.Apply(jobrecord.Key("job-1"), jobrecord.New(spec, 1).Encode(), 5)
 		j := l.jobs.ByID["job-1"]
 		j.UnmetSince, j.UnmetAt, j.UnmetTasks = box.Now-10*clock.Second, box.Now, 2
 		c.change(l, j)
--- a/internal/leader/cells_helpers_test.go
+++ b/internal/leader/cells_helpers_test.go
@@ -63,7 +63,7 @@
 	content.Hosted = &jobrecord.HostedJob{OriginCell: "beta", Delegation: 7}
 	content.NextAttempt = 2
 	content.Placements[0] = jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1}
-	l.reader.Adopt(jobrecord.Key(id), content.Encode(), 5)
+	l.reader.Apply(jobrecord.Key(id), content.Encode(), 5)
 	j := l.jobs.ByID[id]
 	permission := delegation.Directive{Number: 7, Action: delegation.Continue,
 		PermissionFor: 10 * clock.Second}
@@ -87,7 +87,7 @@
 func sendHeartbeat(l *Leader, box *actortest.Still, counter int64,
 	tasks ...protocol.TaskStatus) (status int, commands []protocol.Command) {
 	l.state.Term.RenewedAt, l.state.Term.ValidUntil = box.Now, box.Now+4*clock.Second
-	l.state.FreshAt = box.Now
+	l.state.RecordsKnownUntil = box.Now
 	l.Heartbeat(workerHeartbeat(1, counter, tasks...), func(s int, body any) {
 		status = s
 		if response, ok := body.(protocol.HeartbeatResponse); ok {
@@ -102,7 +102,7 @@
 	t.Helper()
 	l, store, box := cellLeader(t)
 	content := jobrecord.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 2, Cpus: 1}, 1)
-	l.reader.Adopt(jobrecord.Key("job-1"), content.Encode(), 5)
+	l.reader.Apply(jobrecord.Key("job-1"), content.Encode(), 5)
 	j := l.jobs.ByID["job-1"]
 	l.origin.Numbers = federation.NumberBlock{Next: 7, End: 1000}
 	l.origin.Delegate(j, "beta", []int{0, 1})
--- a/internal/leader/cells_hosting_test.go
+++ b/internal/leader/cells_hosting_test.go
@@ -48,7 +48,7 @@
 	if status, _ := sendHeartbeat(l, box, 1, task); status != http.StatusServiceUnavailable {
 		t.Fatalf("got %d before the origin cell has responded, want 503", status)
 	}
-	box.Now += jobtable.AnnounceTime
+	box.Now += jobtable.FirstHeartbeatWait
 	if status, commands := sendHeartbeat(l, box, 2, task); status != http.StatusOK || !onlyStops(commands) {
 		t.Fatalf("got %d with %v after the time to ask, want 200 with a stop", status, commands)
 	}
@@ -58,7 +58,7 @@
 // heartbeats, whoever leads.
 func TestHungMachinesWithHostedTasksAreReleasedInTime(t *testing.T) {
 	l, j, _, _ := hostingLeader(t)
-	clearTime := cells.ClearTime(l.state.Settings.Deployment.Workers.Lease()) - reconciler.ReleaseDuration
+	clearTime := cells.ClearTime(l.state.Settings.Deployment.Workers.Lease()) - reconciler.MaxReleaseTime
 	latest := j.Permission.ExpiresAt() + clearTime
 	if at := l.cancellations.ReleaseAt(j); at > latest {
 		t.Errorf("released at %.1f s, want %.1f s at the latest", at.Seconds(), latest.Seconds())
@@ -71,7 +71,7 @@
 			latest.Seconds())
 	}
 	j.Hosted.Closed = true // by its predecessor, long ago perhaps
-	want := l.state.BegunAt + jobtable.AnnounceTime
+	want := l.state.BegunAt + jobtable.FirstHeartbeatWait
 	if at := l.cancellations.ReleaseAt(j); at != want {
 		t.Errorf("closed before the election: released at %.1f s, want %.1f s", at.Seconds(), want.Seconds())
 	}
--- a/internal/leader/cells_permissions_test.go
+++ b/internal/leader/cells_permissions_test.go
@@ -71,7 +71,7 @@
 	l.origin.Numbers = federation.NumberBlock{Next: 1, End: 1000}
 	r := benchmarkReport(l)
 	for b.Loop() {
-		l.state.FreshAt, l.state.Term.RenewedAt, l.state.Term.ValidUntil = box.Now, box.Now,
+		l.state.RecordsKnownUntil, l.state.Term.RenewedAt, l.state.Term.ValidUntil = box.Now, box.Now,
 			box.Now+clock.Second
 		decoded, err := delegation.DecodeHeartbeat(r.Encode())
 		if err != nil {
@@ -101,7 +101,7 @@
 		number := l.origin.Numbers.Next
 		id := protocol.JobID(fmt.Sprintf("job-%d", number))
 		spec := protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Tasks: tasksPerJob, Cpus: 1}
-		l.reader.Adopt(jobrecord.Key(id), jobrecord.New(spec, 1).Encode(), 5)
+		l.reader.Apply(jobrecord.Key(id), jobrecord.New(spec, 1).Encode(), 5)
 		r.Statuses = append(r.Statuses, delegation.Status{Number: number, Job: id, Held: taskSet(tasks...)})
 		l.origin.Delegate(l.jobs.ByID[id], "beta", tasks)
 	}
--- a/internal/leader/commands_test.go
+++ b/internal/leader/commands_test.go
@@ -130,7 +130,7 @@
 				t.Errorf("%s: %d forgotten after %v s, want none yet", c.name, n, waited.Seconds())
 			}
 			box.Now += clock.Second
-			d.state.FreshAt, d.state.Term.ValidUntil = box.Now, box.Now+clock.Second
+			d.state.RecordsKnownUntil, d.state.Term.ValidUntil = box.Now, box.Now+clock.Second
 		}
 		if n := heartbeat(); n != c.forgotten {
 			t.Errorf("%s: %d forgotten, want %d", c.name, n, c.forgotten)
@@ -174,7 +174,7 @@
 		d.reconciler.Observe(m, workerHeartbeat(1, 1))
 		d.steps.TickedAt = box.Now
 		box.Now += term.TickInterval + late
-		d.state.FreshAt, d.state.Term.ValidUntil = box.Now, box.Now+4*clock.Second
+		d.state.RecordsKnownUntil, d.state.Term.ValidUntil = box.Now, box.Now+4*clock.Second
 		d.state.Term.Epoch = 0 // the tick only looks at the clock
 		d.tick()
 		d.state.Term.Epoch = 7
--- a/internal/leader/commitoutcome_test.go
+++ b/internal/leader/commitoutcome_test.go
@@ -19,7 +19,7 @@
 	store := &fakeStore{}
 	useStore(l, store)
 	content := jobrecord.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 2}, 1)
-	l.reader.Adopt(jobrecord.Key("job-1"), content.Encode(), 5)
+	l.reader.Apply(jobrecord.Key("job-1"), content.Encode(), 5)
 	j := l.jobs.ByID["job-1"]
 	l.jobs.AddPlacement(j, jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1})
 	l.writer.Commit()
@@ -67,9 +67,9 @@
 			}, resultOf(response))
 		}
 		used, wantUsed := l.snapshots.Snapshot().Teams[""].Used, float64(c.taken)*j.Spec.Cpus
-		if j.PlacementsTaken() != c.taken || used.Cpus != wantUsed {
+		if j.CountedPlacements() != c.taken || used.Cpus != wantUsed {
 			t.Errorf("%s: %d placements count and %v are used, want %d and %v processors", name,
-				j.PlacementsTaken(),
+				j.CountedPlacements(),
 				used, c.taken, wantUsed)
 		}
 	}
@@ -80,7 +80,7 @@
 func TestUnknownLimitsAreLearned(t *testing.T) {
 	l, store := tightLeader(true)
 	for _, id := range []protocol.JobID{"job-1", "job-2", "job-3"} {
-		l.reader.Adopt(jobrecord.Key(id), jobrecord.New(arraySpec(id, 1), 1).Encode(), 5)
+		l.reader.Apply(jobrecord.Key(id), jobrecord.New(arraySpec(id, 1), 1).Encode(), 5)
 		l.jobs.AddPlacement(l.jobs.ByID[id], jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1",
 			Incarnation: 1})
 	}
--- a/internal/leader/cordon_test.go
+++ b/internal/leader/cordon_test.go
@@ -21,15 +21,15 @@
 	const cordoned, maxPlans = 300, 12
 	for i := range cordoned {
 		m := d.machines.GetOrAdd(protocol.MachineName(fmt.Sprintf("m-%03d", i)))
-		m.Type, m.Zone, m.Seen, m.AcknowledgedEpoch = "t", "a", true, 7
-		m.HeardAt, m.RespondedAt, m.Cordoned = box.Now, box.Now, true
+		m.Type, m.Zone, m.HeartbeatReceived, m.AcknowledgedEpoch = "t", "a", true, 7
+		m.HeartbeatAt, m.RespondedAt, m.Cordoned = box.Now, box.Now, true
 	}
 	content := jobrecord.New(protocol.JobSpec{
 		ID: "job-1", Team: "x", Shape: protocol.ShapeArray, Tasks: cordoned, Cpus: 8, MemoryGB: 1,
 		EstimateS: 60,
 	}, 1)
 	d.state.Settings.Deployment.KVStore.ValueKb = 64
-	d.reader.Adopt(jobrecord.Key("job-1"), content.Encode(), 5)
+	d.reader.Apply(jobrecord.Key("job-1"), content.Encode(), 5)
 	d.autoscaler.BackoffUntil = box.Now + clock.Second
 	d.scheduler.Schedule()
 	if placed := len(d.jobs.ByID["job-1"].Placements); placed != cordoned || d.scheduler.Plans > maxPlans {
--- a/internal/leader/federation/delegationstore.go
+++ b/internal/leader/federation/delegationstore.go
@@ -21,12 +21,12 @@
 		done()
 		return
 	}
-	o.reader.LoadAll(delegation.Prefix, o.adoptRecord, done)
+	o.reader.LoadAll(delegation.Prefix, o.restoreDelegation, done)
 }
 
-// adoptRecord restores a delegation from its record. If the delegation is known already, only the record's
-// version is updated.
-func (o *Origin) adoptRecord(item protocol.Item) {
+// restoreDelegation restores a delegation from its record. If the delegation is known already, only the
+// record's version is updated.
+func (o *Origin) restoreDelegation(item protocol.Item) {
 	r, err := delegation.DecodeRecord(item.Key, item.Value)
 	if err != nil {
 		// A malformed record doesn't say which tasks the host cell runs. While there is one, no placement
@@ -168,7 +168,7 @@
 		o.writer.Pause()
 	case errors.Is(r.Err, kvstore.ErrConflict):
 		for _, write := range writes {
-			if slices.Contains(kvstore.Failed(r.Err), delegation.Key(write.del.Number)) {
+			if slices.Contains(kvstore.ConflictKeys(r.Err), delegation.Key(write.del.Number)) {
 				write.del.record.phase = recordOutcomeUnknown
 			}
 		}
--- a/internal/leader/federation/heartbeats.go
+++ b/internal/leader/federation/heartbeats.go
@@ -242,7 +242,7 @@
 	if own.Draining || h.hostedDemandWait() > 0 {
 		return planner.Resources{}
 	}
-	return own.HostedQuota.Minus(h.jobs.HostedAmounts())
+	return own.HostedQuota.Minus(h.jobs.HostedResources())
 }
 
 // typeLoads returns the free capacity of each machine type beyond the reserve for own jobs.
@@ -306,7 +306,7 @@
 	now := h.Now()
 	longest := clock.Micros(0)
 	for _, j := range h.jobs.ByID {
-		if selected(j) && !j.Over() && j.HasUnmetDemand(now) {
+		if selected(j) && !j.MustNotRun() && j.HasUnmetDemand(now) {
 			longest = max(longest, now-j.UnmetSince)
 		}
 	}
--- a/internal/leader/federation/host.go
+++ b/internal/leader/federation/host.go
@@ -75,9 +75,9 @@
 	stopClosed   = "closed"
 )
 
-// NoteHostedStored is called after a write of a job's record. If the job is hosted, it updates the stored set
-// of completed tasks and reports the job to its origin cell soon.
-func (h *Host) NoteHostedStored(j *jobtable.Job) {
+// HandleRecordStored is called after a write of a job's record. If the job is hosted, it updates the stored
+// set of completed tasks and reports the job to its origin cell soon.
+func (h *Host) HandleRecordStored(j *jobtable.Job) {
 	if j.Hosted == nil {
 		return
 	}
--- a/internal/leader/federation/offers.go
+++ b/internal/leader/federation/offers.go
@@ -66,7 +66,7 @@
 	txn.Put(key, value)
 	txn.Commit(h.Store, term.Guarded(h.State, func(r kvstore.Result[protocol.Revision]) {
 		if r.Err == nil {
-			h.reader.Adopt(key, value, r.Value)
+			h.reader.Apply(key, value, r.Value)
 			h.reportSoon(origin)
 		}
 	}))
@@ -128,7 +128,7 @@
 // withinHostedQuota reports whether the quota for hosted jobs has enough left for n more tasks. The quota
 // doesn't bound memory.
 func (h *Host) withinHostedQuota(spec *protocol.JobSpec, n int) bool {
-	used := h.jobs.HostedAmounts().Plus(planner.TaskResources(spec).Times(float64(n)))
+	used := h.jobs.HostedResources().Plus(planner.TaskResources(spec).Times(float64(n)))
 	quota := h.cells.Directory.Own.HostedQuota
 	return used.Cpus <= quota.Cpus && used.Gpus <= quota.Gpus
 }
--- a/internal/leader/federation/offload.go
+++ b/internal/leader/federation/offload.go
@@ -155,13 +155,13 @@
 func (o *Origin) mayOffload(j *jobtable.Job) bool {
 	now := o.Now()
 	switch {
-	case j.Over() || j.Hosted != nil || j.Spec.Service():
+	case j.MustNotRun() || j.Hosted != nil || j.Spec.Service():
 		return false
 	case j.ReadPending() || j.ShardsUnread() || j.Sharding():
 		return false
 	case !j.HasUnmetDemand(now) || now < j.NotBefore:
 		return false
-	case j.ReturnCount >= MaxReturns || j.GivenBackAt != 0 && now < j.GivenBackAt+MinStayTime:
+	case j.ReturnCount >= MaxReturns || j.ReturnedAt != 0 && now < j.ReturnedAt+MinStayTime:
 		return false
 	}
 	rule, found := o.cells.Directory.OffloadRule(j.Spec.Class, j.Spec.Team)
@@ -180,7 +180,7 @@
 	waits := make(map[protocol.JobID]float64, len(queue))
 	ahead := running / 2
 	for _, j := range queue {
-		if j.Over() {
+		if j.MustNotRun() {
 			continue
 		}
 		own := clusterSeconds(j, j.PendingCount(), capacity)
--- a/internal/leader/federation/origin.go
+++ b/internal/leader/federation/origin.go
@@ -70,16 +70,16 @@
 // before the origin ends the delegation.
 const hostSilenceTimeout = 8 * clock.Second
 
-// MatchDelegations calls MatchDelegation for all jobs.
-func (o *Origin) MatchDelegations() {
+// ReleaseOrphanedPlacements calls ReleaseOrphanedPlacementsOf for all jobs.
+func (o *Origin) ReleaseOrphanedPlacements() {
 	for _, j := range ordered.ByKey(o.jobs.ByID) {
-		o.MatchDelegation(j)
+		o.ReleaseOrphanedPlacementsOf(j)
 	}
 }
 
-// MatchDelegation releases a job's placements with other cells that belong to no delegation: their delegation
-// was never offered or is over. It does nothing while some delegations may be unknown.
-func (o *Origin) MatchDelegation(j *jobtable.Job) {
+// ReleaseOrphanedPlacementsOf releases a job's placements with other cells that belong to no delegation:
+// their delegation was never offered or is over. It does nothing while some delegations may be unknown.
+func (o *Origin) ReleaseOrphanedPlacementsOf(j *jobtable.Job) {
 	if o.reader.Loading || j.ShardsUnread() || o.HasMalformed {
 		return
 	}
@@ -122,9 +122,9 @@
 		r.Tasks.String())
 }
 
-// Manage offloads and recalls tasks, ends delegations that have expired and saves the delegations' records.
-// The leader calls it on each tick, twice a second.
-func (o *Origin) Manage() {
+// ManageDelegations offloads and recalls tasks, ends delegations that have expired and saves the
+// delegations' records. The leader calls it on each tick, twice a second.
+func (o *Origin) ManageDelegations() {
 	if len(o.Delegations) == 0 && !o.cells.Enabled() {
 		return
 	}
@@ -141,7 +141,7 @@
 // checkDelegation recalls a delegation that this cell no longer needs, and ends a delegation that may expire.
 func (o *Origin) checkDelegation(del *trackedDelegation) {
 	j := o.jobs.ByID[del.Job]
-	if j == nil || j.Over() || o.placementsLost(j, del) {
+	if j == nil || j.MustNotRun() || o.placementsLost(j, del) {
 		del.Recall()
 	}
 	if !o.mayExpire(j, del) {
@@ -194,7 +194,7 @@
 			returned = true
 		}
 	}
-	if returned && !j.Over() {
+	if returned && !j.MustNotRun() {
 		o.recordReturn(j, del)
 	}
 	o.jobs.CompleteIfDone(j)
@@ -203,7 +203,7 @@
 // recordReturn records that a host has returned unfinished tasks of a job. It counts each delegation at most
 // once, and doesn't count refusals.
 func (o *Origin) recordReturn(j *jobtable.Job, del *trackedDelegation) {
-	j.GivenBackAt = o.Now()
+	j.ReturnedAt = o.Now()
 	if del.State != delegation.Refused && !del.returnCounted {
 		del.returnCounted = true
 		j.ReturnCount++
--- a/internal/leader/federation/recall.go
+++ b/internal/leader/federation/recall.go
@@ -38,7 +38,7 @@
 func (o *Origin) lastUnmetDemand() clock.Micros {
 	last := clock.Micros(0)
 	for _, j := range o.jobs.ByID {
-		if j.Hosted == nil && !j.Over() {
+		if j.Hosted == nil && !j.MustNotRun() {
 			last = max(last, j.UnmetAt)
 		}
 	}
--- a/internal/leader/federation/responses.go
+++ b/internal/leader/federation/responses.go
@@ -53,7 +53,7 @@
 	switch {
 	case o.jobs.Malformed[del.Job]:
 		return directive, false
-	case j == nil || j.Over():
+	case j == nil || j.MustNotRun():
 		directive.Action = delegation.Cancel
 		return directive, true
 	case del.IsOver():
@@ -68,7 +68,7 @@
 func (o *Origin) permit(
 	del *trackedDelegation, clearTime clock.Micros,
 ) (directive delegation.Directive, ok bool) {
-	known := min(o.KnownUntil(), o.SoleLeaderUntil())
+	known := min(o.CancellationsKnownUntil(), o.SoleLeaderUntil())
 	workers := o.Settings.Deployment.Workers
 	length := known + cells.MaxPermission(workers, clearTime) - o.Now()
 	if length <= 0 {
@@ -103,7 +103,7 @@
 // job isn't over.
 func (o *Origin) offerable(del *trackedDelegation) bool {
 	j := o.jobs.ByID[del.Job]
-	return del.State == delegation.Offered && del.Offerable && j != nil && !j.Over()
+	return del.State == delegation.Offered && del.Offerable && j != nil && !j.MustNotRun()
 }
 
 // offerOf returns the offer of a delegation whose job is in the job table.
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -53,7 +53,7 @@
 		got := 0
 		d.Heartbeat(workerHeartbeat(1, counter), func(status int, _ any) { got = status })
 		q.Now += wait
-		d.state.FreshAt, d.state.Term.ValidUntil = q.Now, q.Now+4*clock.Second
+		d.state.RecordsKnownUntil, d.state.Term.ValidUntil = q.Now, q.Now+4*clock.Second
 		for _, message := range q.waiting {
 			message()
 		}
@@ -78,12 +78,12 @@
 	d, box := newLeader()
 	for _, now := range []clock.Micros{clock.Second, 100 * clock.Second} {
 		box.Now = now
-		d.state.BegunAt, d.state.FreshAt, d.state.Loaded = now, 0, false
+		d.state.BegunAt, d.state.RecordsKnownUntil, d.state.Loaded = now, 0, false
 		d.state.Term.RenewedAt, d.state.Term.ValidUntil = now, now+4*clock.Second
 		if d.state.MayRespond() || d.state.Leads() {
 			t.Fatalf("at %.0f s it keeps tasks alive without records", now.Seconds())
 		}
-		d.state.FreshAt, d.state.Loaded = now, true
+		d.state.RecordsKnownUntil, d.state.Loaded = now, true
 		if !d.state.MayRespond() || !d.state.Leads() {
 			t.Fatalf("at %.0f s it doesn't keep them with records", now.Seconds())
 		}
@@ -100,7 +100,7 @@
 	l.respond = func() { done(storetest.Reply[protocol.ItemList]{Status: 200}) }
 }
 
-func (l *emptyStore) Follow(
+func (l *emptyStore) Watch(
 	string, protocol.Revision, clock.Micros, func(storetest.Reply[protocol.WatchResponse]),
 ) {
 }
@@ -113,7 +113,7 @@
 		d, _ := newLeader()
 		store := &emptyStore{}
 		useStore(d, store)
-		d.state.Loaded, d.state.FreshAt, d.heartbeats.Deferring = false, 0, true
+		d.state.Loaded, d.state.RecordsKnownUntil, d.heartbeats.Deferring = false, 0, true
 		d.reader.Load()
 		status := 0
 		d.Heartbeat(workerHeartbeat(1, 1), func(s int, _ any) { status = s })
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -29,7 +29,7 @@
 	d.machines.ByName = map[protocol.MachineName]*machinetable.Machine{}
 	d.machines.Released = map[protocol.MachineName]clock.Micros{}
 	d.state.Random = term.NewRandom(7)
-	d.state.Loaded, d.state.FreshAt, d.steps.Pending = true, box.Now, true
+	d.state.Loaded, d.state.RecordsKnownUntil, d.steps.Pending = true, box.Now, true
 	return d, box
 }
 
@@ -51,7 +51,7 @@
 	content := jobrecord.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 1}, 1)
 	content.NextAttempt = 2
 	content.Placements[0] = jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1}
-	d.reader.Adopt(jobrecord.Key("job-1"), content.Encode(), 5)
+	d.reader.Apply(jobrecord.Key("job-1"), content.Encode(), 5)
 	return d, d.jobs.ByID["job-1"], d.machines.ByName["m-1"], box
 }
 
@@ -94,7 +94,7 @@
 			Status:  protocol.TaskRunning,
 		})
 	}
-	d.reader.Adopt(jobrecord.Key("job-1"), content.Encode(), 5)
+	d.reader.Apply(jobrecord.Key("job-1"), content.Encode(), 5)
 	for range 2 {
 		r.Counter++
 		d.Heartbeat(r, func(int, any) {})
--- a/internal/leader/jobtable/job.go
+++ b/internal/leader/jobtable/job.go
@@ -18,8 +18,8 @@
 	// Shards track the other values of a sharded record.
 	Shards []*StoredValue
 	RecordState
-	// FollowedEvent is a change of the record that the watch delivered during a read or write.
-	FollowedEvent *protocol.Event
+	// DeferredEvent is a change of the record that the watch delivered during a read or write.
+	DeferredEvent *protocol.Event
 
 	// ProposedAt holds, for each placement, the ChangeCount of its value when the leader proposed
 	// it: the placement is in the record once StoredCount has reached that number.
@@ -29,8 +29,8 @@
 	RunningView  []planner.RunningTask
 	RunningSince []clock.Micros
 	RunningStale bool
-	// TasksElsewhere counts the tasks that other cells run, cached with RunningView.
-	TasksElsewhere int
+	// DelegatedTasks counts the tasks that other cells run, cached with RunningView.
+	DelegatedTasks int
 	// BrokenAttempt is the latest attempt of a gang that can no longer be completed.
 	BrokenAttempt protocol.Attempt
 	StartFailures int
@@ -66,8 +66,8 @@
 	// start again.
 	DisplacedAt    clock.Micros
 	ClearedToStart bool
-	// GivenBackAt is when another cell last returned unfinished tasks of the job.
-	GivenBackAt clock.Micros
+	// ReturnedAt is when another cell last returned unfinished tasks of the job.
+	ReturnedAt clock.Micros
 }
 
 // StopRequest asks the leader to stop a placed task.
@@ -109,8 +109,8 @@
 	return j.UnmetAt != 0 && now <= j.UnmetAt+unmetDemandGap
 }
 
-// Over reports whether no task of the job may start or keep running.
-func (j *Job) Over() bool { return j.Final() || j.MustEnd() }
+// MustNotRun reports whether no task of the job may start or keep running.
+func (j *Job) MustNotRun() bool { return j.Final() || j.MustEnd() }
 
 // MustEnd reports whether the remaining tasks of the job must end within the time limit for
 // cancellations: the job was cancelled, or its origin cell no longer permits it.
--- a/internal/leader/jobtable/jobtable.go
+++ b/internal/leader/jobtable/jobtable.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// ForgetIfOver drops a job that is final, has no placements, and is stored in this state.
-func (t *Table) ForgetIfOver(j *Job) {
+// ForgetIfFinal drops a job that is final, has no placements, and is stored in this state.
+func (t *Table) ForgetIfFinal(j *Job) {
 	if j.Final() && len(j.Placements) == 0 && j.allStored() && !j.HasStrayShards() && j.Permission == nil {
 		t.Forget(j)
 	}
@@ -150,7 +150,7 @@
 	free := planner.Resources{Cpus: team.CpusMax, Gpus: team.GpusMax, MemoryGB: planner.UnlimitedMemoryGB}
 	for _, other := range t.ByID {
 		if other.Spec.Team == j.Spec.Team {
-			free = free.Minus(planner.TaskResources(&other.Spec).Times(float64(other.PlacementsTaken())))
+			free = free.Minus(planner.TaskResources(&other.Spec).Times(float64(other.CountedPlacements())))
 		}
 	}
 	if team.CpusMax == 0 { // no limit
@@ -162,8 +162,8 @@
 	return planner.TaskResources(&j.Spec).CopiesIn(free)
 }
 
-// ZonesOf counts a job's placements by zone, those in unknown zones under "".
-func (t *Table) ZonesOf(j *Job) map[string]int {
+// PlacementsByZone counts a job's placements by zone, those in unknown zones under "".
+func (t *Table) PlacementsByZone(j *Job) map[string]int {
 	zones := map[string]int{}
 	for _, p := range j.Placements {
 		zone := ""
@@ -177,7 +177,7 @@
 
 // AbandonSharding keeps the undivided record, which has been the valid one throughout.
 func (t *Table) AbandonSharding(j *Job) {
-	j.ShardSize, j.Marked = 0, j.Spec.Service()
+	j.ShardSize, j.FormatMarked = 0, j.Spec.Service()
 	t.DropShards(j)
 }
 
@@ -222,8 +222,8 @@
 	return hosted
 }
 
-// HostedAmounts returns the resources that all hosted jobs may use at the same time.
-func (t *Table) HostedAmounts() planner.Resources {
+// HostedResources returns the resources that all hosted jobs may use at the same time.
+func (t *Table) HostedResources() planner.Resources {
 	var used planner.Resources
 	for _, j := range t.ByID {
 		if j.Hosted == nil || j.Final() {
@@ -253,13 +253,13 @@
 // AwaitPermission makes a hosted job wait for the permission of its origin cell. A permission that
 // an earlier leader received doesn't count: each leader has to request its own.
 func (t *Table) AwaitPermission(j *Job) {
-	j.Permission = delegation.NewPermission(t.Now() + AnnounceTime)
+	j.Permission = delegation.NewPermission(t.Now() + FirstHeartbeatWait)
 }
 
 const (
 	// unmetDemandGap is longer than the time between two plans: demand counts as met if no plan
 	// reported it as unmet for so long.
 	unmetDemandGap = 10 * clock.Second
-	// AnnounceTime is the time that machines have to send their first heartbeats of a term.
-	AnnounceTime = 4 * clock.Second
+	// FirstHeartbeatWait is the time that machines have to send their first heartbeats of a term.
+	FirstHeartbeatWait = 4 * clock.Second
 )
--- a/internal/leader/jobtable/recordstate.go
+++ b/internal/leader/jobtable/recordstate.go
@@ -79,8 +79,8 @@
 	// EventShardsDropped means that the leader dropped the shards of an undivided record from
 	// memory. Those that are stored are now stray.
 	EventShardsDropped
-	// EventHeadFollowed means that the watch of the records delivered a newer head.
-	EventHeadFollowed
+	// EventNewerHead means that the watch of the records delivered a newer head.
+	EventNewerHead
 	// EventRecordConflict means that a write of the record or head failed because another request
 	// had changed it.
 	EventRecordConflict
@@ -104,7 +104,7 @@
 	EventShardsLoaded:      "shards loaded",
 	EventShardingStarted:   "sharding started",
 	EventShardsDropped:     "shards dropped",
-	EventHeadFollowed:      "head followed",
+	EventNewerHead:         "head followed",
 	EventRecordConflict:    "record conflict",
 	EventShardConflict:     "shard conflict",
 	EventHeadStored:        "head stored",
@@ -131,7 +131,7 @@
 	{PhaseCurrent, EventHeadLoaded}:      PhaseShardsUnread,
 	{PhaseCurrent, EventShardingStarted}: PhaseSharding,
 	{PhaseCurrent, EventShardsDropped}:   PhaseCurrent,
-	{PhaseCurrent, EventHeadFollowed}:    PhaseReloadDue,
+	{PhaseCurrent, EventNewerHead}:       PhaseReloadDue,
 	{PhaseCurrent, EventRecordConflict}:  PhaseReloadDue,
 	{PhaseCurrent, EventShardConflict}:   PhaseFenceDue,
 	{PhaseCurrent, EventHeadStored}:      PhaseCurrent,
@@ -139,7 +139,7 @@
 	// A rejected shard of a record that is being sharded needs no fence: the undivided record is
 	// still valid.
 	{PhaseSharding, EventShardsDropped}:  PhaseCurrent,
-	{PhaseSharding, EventHeadFollowed}:   PhaseShardingReloadDue,
+	{PhaseSharding, EventNewerHead}:      PhaseShardingReloadDue,
 	{PhaseSharding, EventRecordConflict}: PhaseShardingReloadDue,
 	{PhaseSharding, EventShardConflict}:  PhaseShardingReloadDue,
 	{PhaseSharding, EventHeadStored}:     PhaseCurrent,
@@ -149,7 +149,7 @@
 	{PhaseReloadDue, EventRecordLoaded}:   PhaseCurrent,
 	{PhaseReloadDue, EventHeadLoaded}:     PhaseShardsUnread,
 	{PhaseReloadDue, EventShardsDropped}:  PhaseReloadDue,
-	{PhaseReloadDue, EventHeadFollowed}:   PhaseReloadDue,
+	{PhaseReloadDue, EventNewerHead}:      PhaseReloadDue,
 	{PhaseReloadDue, EventRecordConflict}: PhaseReloadDue,
 	{PhaseReloadDue, EventShardConflict}:  PhaseFenceDue,
 	{PhaseReloadDue, EventHeadStored}:     PhaseReloadDue,
@@ -159,14 +159,14 @@
 	{PhaseFenceDue, EventRecordLoaded}:   PhaseCurrent,
 	{PhaseFenceDue, EventHeadLoaded}:     PhaseShardsUnread,
 	{PhaseFenceDue, EventShardsDropped}:  PhaseFenceDue,
-	{PhaseFenceDue, EventHeadFollowed}:   PhaseFenceDue,
+	{PhaseFenceDue, EventNewerHead}:      PhaseFenceDue,
 	{PhaseFenceDue, EventRecordConflict}: PhaseReloadDue,
 	{PhaseFenceDue, EventShardConflict}:  PhaseFenceDue,
 	{PhaseFenceDue, EventHeadStored}:     PhaseReloadDue,
 
 	{PhaseShardingReloadDue, EventHeadLoaded}:     PhaseShardsUnread,
 	{PhaseShardingReloadDue, EventShardsDropped}:  PhaseReloadDue,
-	{PhaseShardingReloadDue, EventHeadFollowed}:   PhaseShardingReloadDue,
+	{PhaseShardingReloadDue, EventNewerHead}:      PhaseShardingReloadDue,
 	{PhaseShardingReloadDue, EventRecordConflict}: PhaseShardingReloadDue,
 	{PhaseShardingReloadDue, EventShardConflict}:  PhaseShardingReloadDue,
 	{PhaseShardingReloadDue, EventHeadStored}:     PhaseReloadDue,
--- a/internal/leader/jobtable/recordstate_test.go
+++ b/internal/leader/jobtable/recordstate_test.go
@@ -25,7 +25,7 @@
 		c.sharding = true
 	case EventShardsDropped:
 		c.sharding = false
-	case EventHeadFollowed:
+	case EventNewerHead:
 		c.mustReload = true
 	case EventRecordConflict:
 		c.mustReload, c.mustFence = true, false
@@ -45,7 +45,7 @@
 	PhaseSharding: {EventRecordLoaded, EventHeadLoaded, EventShardsLoaded, EventShardingStarted},
 	// The leader writes nothing, and sends no other read, before it has loaded the shards.
 	PhaseShardsUnread: {EventRecordLoaded, EventHeadLoaded, EventShardingStarted, EventShardsDropped,
-		EventHeadFollowed, EventRecordConflict, EventShardConflict, EventHeadStored},
+		EventNewerHead, EventRecordConflict, EventShardConflict, EventHeadStored},
 	PhaseReloadDue:         {EventShardsLoaded, EventShardingStarted},
 	PhaseFenceDue:          {EventShardsLoaded, EventShardingStarted},
 	PhaseShardingReloadDue: {EventRecordLoaded, EventShardsLoaded, EventShardingStarted},
--- a/internal/leader/jobtable/replicas.go
+++ b/internal/leader/jobtable/replicas.go
@@ -10,15 +10,15 @@
 }
 
 const (
-	// GoodRunTime is how long a replica has to run before its earlier failures no longer count.
-	GoodRunTime = 30 * clock.Second
+	// RestartDelayResetTime is how long a replica has to run before its earlier failures no longer count.
+	RestartDelayResetTime = 30 * clock.Second
 	// FirstRestartPause is the delay after the second consecutive short run: the first restart is
 	// immediate, and each further short run doubles the delay.
 	FirstRestartPause = clock.Second
 	// MaxRestartPause is the upper bound of the delay.
 	MaxRestartPause = 30 * clock.Second
-	// MaxRestartDoubled is the maximum number of times that the delay doubles.
-	MaxRestartDoubled = 5
+	// MaxRestartDoublings is the maximum number of times that the delay doubles.
+	MaxRestartDoublings = 5
 	// RestartJitter is the fraction of the delay by which the actual delay may differ either way.
 	RestartJitter = 0.25
 )
--- a/internal/leader/jobtable/storedvalue.go
+++ b/internal/leader/jobtable/storedvalue.go
@@ -30,8 +30,8 @@
 	// was in flight or had an unknown outcome. If the store executes this write late, it restores
 	// them, so they count as taken until that is impossible.
 	UnconfirmedReleases []jobrecord.Placement
-	// RefusedBytes is the size at which the store rejected the value as too large, 0 if it didn't.
-	RefusedBytes int
+	// RejectedBytes is the size at which the store rejected the value as too large, 0 if it didn't.
+	RejectedBytes int
 }
 
 // NoteChange notes a change of the content.
@@ -74,8 +74,8 @@
 	})
 }
 
-// PlacementsTaken returns how many placements of the job count against its team's quota.
-func (j *Job) PlacementsTaken() int { return len(j.Placements) + len(j.unconfirmedReleases()) }
+// CountedPlacements returns how many placements of the job count against its team's quota.
+func (j *Job) CountedPlacements() int { return len(j.Placements) + len(j.unconfirmedReleases()) }
 
 // valueOf returns the value that holds a task's state. While a record is being sharded, this is
 // still the undivided record.
--- a/internal/leader/lifecycle.go
+++ b/internal/leader/lifecycle.go
@@ -88,8 +88,8 @@
 // the key-value store.
 func (l *Leader) tickInTerm() {
 	l.host.CheckHostedJobs()
-	l.cancellations.EndCancelled()
-	l.cancellations.SeekAttestation()
+	l.cancellations.EndCancelledTasks()
+	l.cancellations.RequestAttestations()
 	l.host.SendHeartbeats()
 }
 
@@ -97,14 +97,14 @@
 func (l *Leader) tickAsLeader() {
 	l.health.ExpireLeases()
 	l.health.DrainRecalled()
-	l.health.ReplaceSilent()
+	l.health.ReleaseSilentWithReplicas()
 	l.health.AnnounceEpoch()
 	if l.zones.Advance() {
 		l.overview.LogRecovery()
 	}
-	l.autoscaler.Manage()
+	l.autoscaler.ListAndScaleIn()
 	l.catalogue.Share()
-	l.origin.Manage()
+	l.origin.ManageDelegations()
 	l.autoscaler.CordonPeriodically()
 	l.overview.LogState()
 	l.resignIfIsolated()
@@ -113,7 +113,7 @@
 // resignIfIsolated gives up leadership if this node receives no worker's heartbeats and other nodes
 // may receive them.
 func (l *Leader) resignIfIsolated() {
-	if !l.machines.IsolatedFromWorkers() || l.zones.OthersHearNothing() {
+	if !l.machines.IsolatedFromWorkers() || l.zones.NoControllerReceivesHeartbeats() {
 		return
 	}
 	if l.resignedAt != 0 && l.state.Now() <= l.resignedAt+resignInterval {
--- a/internal/leader/machines_test.go
+++ b/internal/leader/machines_test.go
@@ -50,7 +50,7 @@
 	delete(d.machines.ByName, "m-1")
 	d.machines.Ordered = nil
 	j.NoteRecordEvent(jobtable.EventRecordConflict)
-	d.reader.Adopt(jobrecord.Key("job-1"), old, 6)
+	d.reader.Apply(jobrecord.Key("job-1"), old, 6)
 	if len(j.Placements) != 0 || j.NextAttempt < 2 {
 		t.Fatalf("placements %v, next attempt %d; want none and at least 2", j.Placements, j.NextAttempt)
 	}
--- a/internal/leader/machinetable/machine.go
+++ b/internal/leader/machinetable/machine.go
@@ -53,15 +53,15 @@
 	Spot                bool
 }
 
-// Kind returns the capacity pool that the machine belongs to.
-func (i *Identity) Kind() scaling.CapacityPool {
+// CapacityPool returns the capacity pool that the machine belongs to.
+func (i *Identity) CapacityPool() scaling.CapacityPool {
 	return scaling.CapacityPool{Type: i.Type, Zone: i.Zone, Spot: i.Spot}
 }
 
 // WorkerStatus is the content of the worker's last heartbeat. The reconciler changes it.
 type WorkerStatus struct {
-	// HeardAt is when the last heartbeat was received.
-	HeardAt clock.Micros
+	// HeartbeatAt is when the last heartbeat was received.
+	HeartbeatAt clock.Micros
 	// RecallAt is when the cloud reclaims the machine, 0 if it hasn't announced that.
 	RecallAt clock.Micros
 	// Tasks holds the listed tasks by attempt.
@@ -70,11 +70,11 @@
 	listedTasks []protocol.TaskStatus
 	// RunningSince is when an attempt was first seen running.
 	RunningSince map[AttemptRef]clock.Micros
-	// Steady reports that the last heartbeat listed every placed task and none of them had exited:
+	// PlacedTasksListed reports that the last heartbeat listed every placed task and none of them had exited:
 	// an identical heartbeat proves nothing new.
-	Steady bool
-	// Seen reports that a heartbeat was received in this term.
-	Seen bool
+	PlacedTasksListed bool
+	// HeartbeatReceived reports that a heartbeat was received in this term.
+	HeartbeatReceived bool
 	// ExitedTasks counts the tasks that the worker only has to be told to forget, as of the last
 	// heartbeat that changed anything. ForgetAt is the latest time for this command.
 	ExitedTasks int
@@ -186,7 +186,7 @@
 	clear(m.Deliveries)
 	clear(m.RunningSince)
 	m.LeaseExpired = false
-	m.Steady = false
+	m.PlacedTasksListed = false
 	m.Incarnation, m.IncarnationSeenAt = incarnation, now
 }
 
@@ -352,7 +352,7 @@
 // establishes that the machine has to go schedules its release.
 type ScaleInState struct {
 	// Cordoned reports that no new tasks are placed on the machine, so that it empties: see
-	// scaling.Cordon.
+	// scaling.SurplusMachines.
 	Cordoned   bool
 	CordonedAt clock.Micros
 	// ReservedAt is when capacity on the machine was last reserved.
--- a/internal/leader/machinetable/machine_test.go
+++ b/internal/leader/machinetable/machine_test.go
@@ -33,7 +33,7 @@
 	ref := AttemptRef{Job: "job-1", Task: 0, Attempt: 1}
 	used := func() *Machine {
 		m := newMachine("m-1", "", 0)
-		m.Seen, m.Incarnation, m.Steady, m.ViewStale = true, 2, true, false
+		m.HeartbeatReceived, m.Incarnation, m.PlacedTasksListed, m.ViewStale = true, 2, true, false
 		m.Tasks[ref] = protocol.TaskStatus{Task: "job-1/0", Attempt: 1, Status: protocol.TaskRunning}
 		m.RunningSince[ref] = 5
 		m.Delivery(ref).InCommand = true
@@ -43,7 +43,7 @@
 	}
 	m := used()
 	m.BeginIncarnation(4, 7)
-	if m.Incarnation != 4 || m.IncarnationSeenAt != 7 || m.Steady || m.LeaseExpired ||
+	if m.Incarnation != 4 || m.IncarnationSeenAt != 7 || m.PlacedTasksListed || m.LeaseExpired ||
 		len(m.RunningSince) > 0 ||
 		len(m.Deliveries) > 0 {
 		t.Errorf("state after a new incarnation: %+v %+v", m.IncarnationState, m.WorkerStatus)
--- a/internal/leader/machinetable/machinetable.go
+++ b/internal/leader/machinetable/machinetable.go
@@ -101,7 +101,7 @@
 
 // The reasons for which the reconciler releases machines.
 const (
-	ReleaseStartedOver        ReleaseReason = "it has started over"
+	ReleaseRestarted          ReleaseReason = "it has started over"
 	ReleaseResponsesLost      ReleaseReason = "responses don't reach it"
 	ReleaseSilent             ReleaseReason = "silent"
 	ReleaseSilentReplicas     ReleaseReason = "silent with replicas"
@@ -109,7 +109,7 @@
 	ReleaseCancelledRemaining ReleaseReason = "cancelled tasks don't end"
 	ReleaseFailed             ReleaseReason = "failed"
 	ReleaseNeverBooted        ReleaseReason = "never came up"
-	ReleaseNeverReported      ReleaseReason = "up but no heartbeat"
+	ReleaseNoHeartbeat        ReleaseReason = "up but no heartbeat"
 	ReleaseQuarantined        ReleaseReason = "quarantined"
 )
 
@@ -146,7 +146,7 @@
 		return nil
 	}
 	m := mt.GetOrAdd(p.Machine)
-	m.ViewStale, m.Steady = true, false
+	m.ViewStale, m.PlacedTasksListed = true, false
 	if m.Placements[jobID] == nil {
 		m.Placements[jobID] = map[int]jobrecord.Placement{}
 	}
@@ -172,11 +172,12 @@
 
 // NoteHeartbeat updates the machine's own state from a heartbeat.
 func (mt *Table) NoteHeartbeat(m *Machine, r *protocol.Heartbeat) {
-	m.Seen = true
+	m.HeartbeatReceived = true
 	m.Address, m.Type, m.Zone, m.Spot = r.Address, r.Type, r.Zone, r.Spot
 	m.HeartbeatNumber, m.AcknowledgedEpoch = NumberOf(r), r.Epoch
-	m.HeardAt = mt.Now()
-	if m.ResponsesLost && m.HeardAt > m.IncarnationSeenAt+mt.Settings.Deployment.Workers.Lease()+leaseMargin {
+	m.HeartbeatAt = mt.Now()
+	if m.ResponsesLost &&
+		m.HeartbeatAt > m.IncarnationSeenAt+mt.Settings.Deployment.Workers.Lease()+leaseMargin {
 		m.ResponsesLost = false // this incarnation has outlasted its first lease: responses arrive again
 	}
 	m.RecallAt = 0
@@ -190,24 +191,24 @@
 	m.noteImage(name, sizeGB, mt.catalogue.ByName[m.Type].CacheGB)
 }
 
-// HeardCount counts the machines that should send heartbeats, and those that do so on time.
-type HeardCount struct{ Heard, Expected int }
+// HeartbeatCount counts the machines that should send heartbeats, and those that do so on time.
+type HeartbeatCount struct{ OnTime, Expected int }
 
-// Most reports whether at least half of the machines send heartbeats on time.
-func (c HeardCount) Most() bool { return 2*c.Heard >= c.Expected }
+// MostOnTime reports whether at least half of the machines send heartbeats on time.
+func (c HeartbeatCount) MostOnTime() bool { return 2*c.OnTime >= c.Expected }
 
-// HeardByZone returns, by zone, the counts of the machines that have sent a heartbeat in this term
+// HeartbeatsByZone returns, by zone, the counts of the machines that have sent a heartbeat in this term
 // or have placements, except those that are being released.
-func (mt *Table) HeardByZone() map[string]HeardCount {
-	zones := map[string]HeardCount{}
+func (mt *Table) HeartbeatsByZone() map[string]HeartbeatCount {
+	zones := map[string]HeartbeatCount{}
 	for _, m := range mt.Ordered {
-		if m.Releasing || !m.Seen && len(m.Placements) == 0 {
+		if m.Releasing || !m.HeartbeatReceived && len(m.Placements) == 0 {
 			continue
 		}
 		c := zones[m.Zone]
 		c.Expected++
 		if !mt.HeartbeatMissed(m) {
-			c.Heard++
+			c.OnTime++
 		}
 		zones[m.Zone] = c
 	}
@@ -220,13 +221,13 @@
 	if mt.Now() <= mt.BegunAt+TakeoverTime {
 		return false
 	}
-	return !m.Seen ||
-		mt.Now() > m.HeardAt+mt.Settings.Deployment.Workers.HeartbeatInterval()*5/4+missedHeartbeatMargin
+	return !m.HeartbeatReceived ||
+		mt.Now() > m.HeartbeatAt+mt.Settings.Deployment.Workers.HeartbeatInterval()*5/4+missedHeartbeatMargin
 }
 
-// HeardRecently reports whether a machine has sent a heartbeat within about two intervals.
-func (mt *Table) HeardRecently(m *Machine) bool {
-	return m.Seen && mt.withinTwoHeartbeats(m.HeardAt)
+// HeartbeatRecent reports whether a machine has sent a heartbeat within about two intervals.
+func (mt *Table) HeartbeatRecent(m *Machine) bool {
+	return m.HeartbeatReceived && mt.withinTwoHeartbeats(m.HeartbeatAt)
 }
 
 // withinTwoHeartbeats reports whether an event that recurs with every heartbeat last happened no
@@ -246,7 +247,7 @@
 		if len(m.Placements) > 0 {
 			known++
 		}
-		since = max(since, m.HeardAt)
+		since = max(since, m.HeartbeatAt)
 	}
 	return known > 1 && mt.Now() > since+2*mt.Settings.Deployment.Workers.HeartbeatInterval()+clock.Second
 }
@@ -258,7 +259,7 @@
 
 // BootOverdue reports whether a machine without any heartbeat has far exceeded its usual boot time.
 func (mt *Table) BootOverdue(m *Machine) bool {
-	return !m.Seen && mt.Now() > m.FirstSeen+overdueBootFactor*mt.BootTime(m)
+	return !m.HeartbeatReceived && mt.Now() > m.FirstSeen+overdueBootFactor*mt.BootTime(m)
 }
 
 // MostReplicas returns the highest number of replicas on one machine, at most MaxLossReserve.
@@ -287,7 +288,7 @@
 // EpochAcknowledged reports whether the worker rejects all commands of earlier leaders: a task that
 // its heartbeats don't list isn't there, and no command of an earlier leader can add it.
 func (mt *Table) EpochAcknowledged(m *Machine) bool {
-	return m.Seen && !m.LeaseExpired && m.AcknowledgedEpoch == mt.Term.Epoch
+	return m.HeartbeatReceived && !m.LeaseExpired && m.AcknowledgedEpoch == mt.Term.Epoch
 }
 
 // ProvenEmptyAt returns when every lease that could keep a machine's tasks alive has expired: those
--- a/internal/leader/objectives/objectives.go
+++ b/internal/leader/objectives/objectives.go
@@ -27,8 +27,8 @@
 	// startWithinS is the time from its submission within which users expect every job to start,
 	// whatever the objectives of its class.
 	startWithinS = 240
-	// BootAllowance is the factor by which a boot may exceed its usual time.
-	BootAllowance = 1.5
+	// BootTimeFactor is the factor by which a boot may exceed its usual time.
+	BootTimeFactor = 1.5
 )
 
 // Tracker evaluates jobs against the objectives of their classes, and keeps the history of each
@@ -88,7 +88,7 @@
 		slowestBoot = max(slowestBoot, machineType.BootS)
 	}
 	objective := t.StartObjectiveS(class)
-	return objective > 0 && objective < BootAllowance*slowestBoot
+	return objective > 0 && objective < BootTimeFactor*slowestBoot
 }
 
 // DueTimes returns when a job should be done, in seconds from its submission, in ascending order.
--- a/internal/leader/overview/overview.go
+++ b/internal/leader/overview/overview.go
@@ -173,10 +173,11 @@
 	byName := map[string]*PoolOverview{}
 	refused := r.autoscaler.CloudView().OutOfCapacity
 	for _, m := range r.machines.Ordered {
-		name := poolName(m.Kind())
+		name := poolName(m.CapacityPool())
 		pool := byName[name]
 		if pool == nil {
-			pool = &PoolOverview{Type: m.Type, Zone: m.Zone, Spot: m.Spot, NoCapacity: refused[m.Kind()]}
+			pool = &PoolOverview{Type: m.Type, Zone: m.Zone, Spot: m.Spot,
+				NoCapacity: refused[m.CapacityPool()]}
 			byName[name] = pool
 		}
 		r.countMachine(pool, m)
@@ -201,9 +202,9 @@
 func (r *Reader) countMachine(pool *PoolOverview, m *machinetable.Machine) {
 	pool.Machines++
 	switch {
-	case !m.Seen && m.CloudStatus == protocol.MachineStarting:
+	case !m.HeartbeatReceived && m.CloudStatus == protocol.MachineStarting:
 		pool.Booting++
-	case !r.machines.HeardRecently(m):
+	case !r.machines.HeartbeatRecent(m):
 		pool.Silent++
 	case len(m.Placements) == 0:
 		pool.Idle++
--- a/internal/leader/overview/zoneoverview.go
+++ b/internal/leader/overview/zoneoverview.go
@@ -13,17 +13,17 @@
 
 // ZoneOverview is the state of a zone as far as the leader knows it.
 type ZoneOverview struct {
-	Zone               string                 `json:"zone"`
-	Phase              zonerecovery.Phase     `json:"phase"`
-	Losses             int64                  `json:"losses,omitempty"`
-	SinceS             float64                `json:"since_s"`
-	Diagnosis          zonerecovery.Diagnosis `json:"reading,omitempty"`
-	Flaps              int                    `json:"flaps,omitempty"`
-	Machines           int                    `json:"machines"`
-	Heard              int                    `json:"heard"`
-	Controllers        int                    `json:"controllers,omitempty"`
-	ControllersReached int                    `json:"controllers_reached,omitempty"`
-	HeardElsewhere     int                    `json:"heard_elsewhere,omitempty"`
+	Zone                string                 `json:"zone"`
+	Phase               zonerecovery.Phase     `json:"phase"`
+	Losses              int64                  `json:"losses,omitempty"`
+	SinceS              float64                `json:"since_s"`
+	Diagnosis           zonerecovery.Diagnosis `json:"reading,omitempty"`
+	Flaps               int                    `json:"flaps,omitempty"`
+	Machines            int                    `json:"machines"`
+	OnTime              int                    `json:"heard"`
+	Controllers         int                    `json:"controllers,omitempty"`
+	ControllersReached  int                    `json:"controllers_reached,omitempty"`
+	HeartbeatsElsewhere int                    `json:"heard_elsewhere,omitempty"`
 	// HeldTasks counts the tasks on silent machines of the zone, which aren't proven to have ended.
 	// DisplacedTasks counts the pending tasks of jobs that are displaced from the zone.
 	HeldTasks      int `json:"held_tasks,omitempty"`
@@ -58,18 +58,18 @@
 // zoneOverview describes one zone.
 func (r *Reader) zoneOverview(name string, z *zonetracker.Zone) ZoneOverview {
 	overview := ZoneOverview{
-		Zone:               name,
-		Phase:              z.Phase,
-		Losses:             z.Losses,
-		SinceS:             (r.Now() - z.Since).Seconds(),
-		Diagnosis:          z.Diagnosis,
-		Flaps:              z.Flaps,
-		Machines:           z.Evidence.Machines,
-		Heard:              z.Evidence.Heard,
-		Controllers:        z.Evidence.Controllers,
-		ControllersReached: z.Evidence.ControllersReached,
-		HeardElsewhere:     z.Evidence.HeardElsewhere,
-		HeldTasks:          r.heldTasks(name),
+		Zone:                name,
+		Phase:               z.Phase,
+		Losses:              z.Losses,
+		SinceS:              (r.Now() - z.Since).Seconds(),
+		Diagnosis:           z.Diagnosis,
+		Flaps:               z.Flaps,
+		Machines:            z.Evidence.Machines,
+		OnTime:              z.Evidence.Heard,
+		Controllers:         z.Evidence.Controllers,
+		ControllersReached:  z.Evidence.ControllersReached,
+		HeartbeatsElsewhere: z.Evidence.HeardElsewhere,
+		HeldTasks:           r.heldTasks(name),
 	}
 	displaced := r.displacedJobs(name)
 	for _, job := range displaced {
@@ -102,7 +102,7 @@
 func (r *Reader) displacedJobs(zone string) []zonerecovery.DisplacedJob {
 	var displaced []zonerecovery.DisplacedJob
 	for _, j := range r.jobs.ByID {
-		if j.DisplacedFrom == zone && !j.Over() && j.PendingCount() > 0 {
+		if j.DisplacedFrom == zone && !j.MustNotRun() && j.PendingCount() > 0 {
 			displaced = append(displaced, r.zones.DescribeDisplaced(j))
 		}
 	}
@@ -149,7 +149,7 @@
 // spreadAllowsZone reports whether the spread rule of a job allows another task in some zone that isn't
 // cordoned.
 func (r *Reader) spreadAllowsZone(j *jobtable.Job) bool {
-	zones := r.jobs.ZonesOf(j)
+	zones := r.jobs.PlacementsByZone(j)
 	for _, t := range r.catalogue.Types {
 		for _, zone := range t.Zones {
 			if !r.zones.IsCordoned(zone) && planner.ZoneAllowed(&j.Spec, zones, zone) {
@@ -162,7 +162,7 @@
 
 // LogRecovery logs the state of all zones that aren't healthy once per zonetracker.RecoveryLogInterval.
 func (r *Reader) LogRecovery() {
-	if r.Now() < r.recoveryLoggedAt+zonetracker.RecoveryLogInterval || !r.zones.AnyCordoned() {
+	if r.Now() < r.recoveryLoggedAt+zonetracker.RecoveryLogInterval || !r.zones.AnyUnhealthy() {
 		return
 	}
 	r.recoveryLoggedAt = r.Now()
@@ -180,7 +180,7 @@
 		tasksByReason[job.Reason] += job.Tasks
 	}
 	slog.Info("zone recovery state", "zone", zone.Zone, "phase", zone.Phase, "losses", zone.Losses,
-		"diagnosis", zone.Diagnosis, "machines", zone.Machines, "heard", zone.Heard, "held_tasks",
+		"diagnosis", zone.Diagnosis, "machines", zone.Machines, "heard", zone.OnTime, "held_tasks",
 		zone.HeldTasks,
 		"displaced_tasks", zone.DisplacedTasks, "waiting_for", tasksByReason)
 }
--- a/internal/leader/reconciler/cancellations.go
+++ b/internal/leader/reconciler/cancellations.go
@@ -18,10 +18,10 @@
 // cancellation, whichever controllers, machines and outside systems fail meanwhile. docs/rules.md
 // proves it under the same title; these are its quantities in the code:
 //
-//	T  State.KnownUntil          every cancellation that any user was told of before T is known
-//	S  State.SoleLeaderUntil     no other leader was elected before S
-//	K  Workers.RenewalWindow     cancel_s - lease_s - 1 s
-//	C  Job.CancelConfirmedAt     when the cancellation of a job was confirmed, or somewhat earlier
+//	T  State.CancellationsKnownUntil  every cancellation that any user was told of before T is known
+//	S  State.SoleLeaderUntil          no other leader was elected before S
+//	K  Workers.RenewalWindow          cancel_s - lease_s - 1 s
+//	C  Job.CancelConfirmedAt          when the cancellation of a job was confirmed, or somewhat earlier
 //
 // A worker stops all of its tasks lease_s after it sent the last heartbeat that a leader responded to.
 // These rules for the leader follow:
@@ -35,14 +35,14 @@
 //     and releases of machines that hold them (Autoscaler.SendReleases): no later leader could want
 //     anything else for them.
 //   - It releases a machine whose worker hangs, and so doesn't stop its tasks, at C + lease_s + 3 s, but
-//     no later than C + cancel_s - ReleaseDuration (Cancellations.ReleaseAt). When the lease of a silent
+//     no later than C + cancel_s - MaxReleaseTime (Cancellations.ReleaseAt). When the lease of a silent
 //     machine that holds cancelled tasks expires, it releases the machine at once
 //     (HealthMonitor.expireLease).
 //   - It treats silence as proof that a machine is empty only from Table.ProvenEmptyAt on: an earlier
 //     leader has responded until its own min(T, S) + K, which lies before the beginning of this term + K.
 //
 // While the key-value store doesn't serve this controller, attestations advance T and S: every
-// controller states which cancellations it has confirmed to users (Cancellations.SeekAttestation,
+// controller states which cancellations it has confirmed to users (Cancellations.RequestAttestations,
 // State.AttestedAt).
 
 // Cancellations ends the tasks of cancelled jobs in time, even while the key-value store doesn't serve
@@ -82,15 +82,15 @@
 }
 
 const (
-	// ReleaseDuration is how long the cloud may take to release a machine, including retries of refused
+	// MaxReleaseTime is how long the cloud may take to release a machine, including retries of refused
 	// requests.
-	ReleaseDuration = 7 * clock.Second
+	MaxReleaseTime = 7 * clock.Second
 	// releaseDelay is how long after the expiry of its lease a machine with cancelled tasks is
 	// released.
 	releaseDelay = 3 * clock.Second
 	// attestAfter is the age of the records beyond which the leader asks for attestations. It is longer
 	// than the watch of the records takes to confirm them.
-	attestAfter = 2*term.FollowInterval + clock.Second
+	attestAfter = 2*term.WatchTimeout + clock.Second
 	// attestMargin makes the window of an attestation overlap with the time whose cancellations are
 	// known.
 	attestMargin = 100 * clock.Millisecond
@@ -99,12 +99,12 @@
 // Begin forgets a request for attestations that was sent in an earlier term.
 func (cn *Cancellations) Begin() { cn.attesting = false }
 
-// EndCancelled stops cancelled tasks by direct commands and releases the machines that don't execute
+// EndCancelledTasks stops cancelled tasks by direct commands and releases the machines that don't execute
 // them, both with and without the leader's lease: neither can harm a later leader.
-func (cn *Cancellations) EndCancelled() {
+func (cn *Cancellations) EndCancelledTasks() {
 	now := cn.Now()
 	for _, j := range ordered.ByKey(cn.jobs.ByID) {
-		if j.Over() {
+		if j.MustNotRun() {
 			cn.endPlacements(j, now)
 		}
 	}
@@ -136,9 +136,9 @@
 		return cn.releaseHostedAt(j)
 	}
 	w := cn.Settings.Deployment.Workers
-	latest := j.CancelConfirmedAt + clock.FromSeconds(w.CancelS) - ReleaseDuration
+	latest := j.CancelConfirmedAt + clock.FromSeconds(w.CancelS) - MaxReleaseTime
 	leaseExpired := j.CancelConfirmedAt + w.Lease() + releaseDelay
-	heartbeatsDue := cn.BegunAt + jobtable.AnnounceTime
+	heartbeatsDue := cn.BegunAt + jobtable.FirstHeartbeatWait
 	return max(min(leaseExpired, latest), min(heartbeatsDue, latest))
 }
 
@@ -151,23 +151,23 @@
 	case j.Permission.ExpiresAt() > 0:
 		return j.Permission.ExpiresAt() + silence
 	case j.Hosted.Closed && j.ClosedAtChange == 0:
-		return cn.BegunAt + jobtable.AnnounceTime
+		return cn.BegunAt + jobtable.FirstHeartbeatWait
 	}
 	return cn.BegunAt + silence - machinetable.TakeoverTime
 }
 
-// SeekAttestation asks the controllers for attestations when the key-value store doesn't serve this
+// RequestAttestations asks the controllers for attestations when the key-value store doesn't serve this
 // one. During an outage of the whole store no controller can accept a cancellation or win an election.
 // If all controllers attest what they have confirmed to users since the last known state, the tasks of
 // the workers may continue for as long as the outage lasts. A controller that has started since then,
 // or doesn't respond, can't attest that.
-func (cn *Cancellations) SeekAttestation() {
+func (cn *Cancellations) RequestAttestations() {
 	askedAt := cn.Now()
-	if cn.attesting || !cn.Loaded || cn.Leads() && askedAt < cn.FreshAt+attestAfter {
+	if cn.attesting || !cn.Loaded || cn.Leads() && askedAt < cn.RecordsKnownUntil+attestAfter {
 		return
 	}
 	cn.attesting = true
-	window := askedAt - cn.KnownUntil()
+	window := askedAt - cn.CancellationsKnownUntil()
 	window += window/1000 + attestMargin // clocks drift
 	cn.attest(window, term.Guarded2(cn.State, func(attestations []admission.Attestation, ok bool) {
 		cn.noteAttestations(attestations, ok, askedAt, window)
@@ -195,5 +195,5 @@
 	if complete {
 		cn.AttestedAt = askedAt
 	}
-	cn.EndCancelled()
+	cn.EndCancelledTasks()
 }
--- a/internal/leader/reconciler/commands.go
+++ b/internal/leader/reconciler/commands.go
@@ -136,7 +136,7 @@
 		return
 	}
 	incarnation := m.Incarnation
-	if !m.Seen {
+	if !m.HeartbeatReceived {
 		incarnation = guessedIncarnation
 	}
 	if !cs.machines.EpochAcknowledged(m) {
@@ -169,7 +169,7 @@
 
 // stopRequest returns the request to stop a placed task, nil if the task isn't to be stopped.
 func (cs *CommandSender) stopRequest(j *jobtable.Job, p jobrecord.Placement) *jobtable.StopRequest {
-	if j.Over() {
+	if j.MustNotRun() {
 		return &jobtable.StopRequest{Reason: "over"}
 	}
 	if s, ok := j.Stops[p.Task]; ok {
--- a/internal/leader/reconciler/commandset.go
+++ b/internal/leader/reconciler/commandset.go
@@ -44,7 +44,7 @@
 	}
 	for id, tasks := range ordered.ByKey(m.Placements) {
 		j := cs.jobs.ByID[id]
-		if j == nil || j.Over() || j.MustReload() {
+		if j == nil || j.MustNotRun() || j.MustReload() {
 			// A task of a job that is over is never started, not even to stop it at once: while a start
 			// may still arrive, its placement stays until the worker's incarnation ends.
 			continue
@@ -179,7 +179,7 @@
 	var unassigned []machinetable.AttemptRef
 	for ref, t := range m.Tasks {
 		j := cs.jobs.ByID[ref.Job]
-		if cs.jobs.Malformed[ref.Job] || j != nil && j.Over() && t.Status != protocol.TaskExited {
+		if cs.jobs.Malformed[ref.Job] || j != nil && j.MustNotRun() && t.Status != protocol.TaskExited {
 			continue
 		}
 		if !m.Placed(ref) {
@@ -202,18 +202,19 @@
 // commands. That holds for most heartbeats, and sorting the placements only to find this out took a
 // tenth of a leader's processor time.
 func (cs *CommandSender) upToDate(m *machinetable.Machine) bool {
-	if !m.Steady {
+	if !m.PlacedTasksListed {
 		return false
 	}
 	placed := 0
 	for id, tasks := range m.Placements {
 		j := cs.jobs.ByID[id]
-		if j == nil || j.Over() || len(j.Stops) > 0 || j.Spec.Gang() && len(j.Placements) < j.Spec.Tasks {
+		if j == nil || j.MustNotRun() || len(j.Stops) > 0 ||
+			j.Spec.Gang() && len(j.Placements) < j.Spec.Tasks {
 			return false
 		}
 		placed += len(tasks)
 	}
-	// A steady machine has reported every placed task. If it reports no more tasks than that, apart
+	// The machine has reported every placed task. If it reports no more tasks than that, apart
 	// from exited ones that are to be forgotten later, these are all.
 	return placed+m.ExitedTasks == len(m.Tasks) &&
 		(m.ExitedTasks == 0 || m.ExitedTasks < ForgetBatch && cs.Now() < m.ForgetAt)
--- a/internal/leader/reconciler/exits.go
+++ b/internal/leader/reconciler/exits.go
@@ -65,7 +65,7 @@
 		j.RecordDone(p.Task)
 	}
 	rc.jobs.ReleasePlacement(j, p)
-	if j.Over() {
+	if j.MustNotRun() {
 		return
 	}
 	if j.Spec.Service() && rc.HandleReplicaExit(m, j, p, cause, runTime) {
@@ -155,7 +155,7 @@
 		return true // this leader or an earlier one stopped the replica to move it
 	}
 	r := j.Restarts[p.Task]
-	if runTime >= jobtable.GoodRunTime {
+	if runTime >= jobtable.RestartDelayResetTime {
 		r.ShortRuns = 0
 	}
 	r.ShortRuns++
@@ -175,7 +175,7 @@
 	if shortRuns <= 1 {
 		return 0
 	}
-	doublings := min(shortRuns-2, jobtable.MaxRestartDoubled)
+	doublings := min(shortRuns-2, jobtable.MaxRestartDoublings)
 	pause := min(jobtable.FirstRestartPause<<doublings, jobtable.MaxRestartPause)
 	jitter := 1 - jobtable.RestartJitter + 2*jobtable.RestartJitter*rc.Random.Float64()
 	return clock.Micros(float64(pause) * jitter)
--- a/internal/leader/reconciler/health.go
+++ b/internal/leader/reconciler/health.go
@@ -55,33 +55,33 @@
 // stopForRecall is the reason for stops on machines that the cloud recalls.
 const stopForRecall = "recall"
 
-// ReplaceSilent releases machines with replicas that have missed a heartbeat and don't respond to a
-// probe. The cloud's confirmation of a release proves that the machine is empty, long before the
+// ReleaseSilentWithReplicas releases machines with replicas that have missed a heartbeat and don't respond
+// to a probe. The cloud's confirmation of a release proves that the machine is empty, long before the
 // machine's lease expires. If half of all machines are silent, it is more likely that this controller
-// receives nothing, and ReplaceSilent releases no machine. It also keeps a machine whose replicas could
-// run nowhere else: if a whole zone is unreachable, the replicas may still serve inside it.
-func (hm *HealthMonitor) ReplaceSilent() {
-	zones := hm.machines.HeardByZone()
-	var all machinetable.HeardCount
+// receives nothing, and ReleaseSilentWithReplicas releases no machine. It also keeps a machine whose
+// replicas could run nowhere else: if a whole zone is unreachable, the replicas may still serve inside it.
+func (hm *HealthMonitor) ReleaseSilentWithReplicas() {
+	zones := hm.machines.HeartbeatsByZone()
+	var all machinetable.HeartbeatCount
 	for _, z := range zones {
-		all.Heard += z.Heard
+		all.OnTime += z.OnTime
 		all.Expected += z.Expected
 	}
-	if !all.Most() {
+	if !all.MostOnTime() {
 		return
 	}
 	now := hm.Now()
 	for _, m := range hm.machines.Ordered {
 		switch {
 		case m.Releasing || !hm.machines.HeartbeatMissed(m) || !hm.canRunElsewhere(m, zones):
-		case m.ProbedAt <= m.HeardAt || m.ProbedAt == 0:
+		case m.ProbedAt <= m.HeartbeatAt || m.ProbedAt == 0:
 			m.ProbedAt = now
 			if !m.CommandInFlight && m.Address != "" {
 				hm.commands.Probe(m)
 			}
 		case now > m.ProbedAt+ProbeTimeout:
 			slog.Info("machine with replicas is silent", "machine", m.Name, "silent_s",
-				(now - m.HeardAt).Seconds())
+				(now - m.HeartbeatAt).Seconds())
 			hm.machines.ScheduleRelease(m, machinetable.ReleaseSilentReplicas)
 		}
 	}
@@ -90,17 +90,17 @@
 // canRunElsewhere reports whether a replica on a machine could run in a zone whose machines send
 // heartbeats.
 func (hm *HealthMonitor) canRunElsewhere(m *machinetable.Machine,
-	zones map[string]machinetable.HeardCount) bool {
+	zones map[string]machinetable.HeartbeatCount) bool {
 	for id := range m.Placements {
 		j := hm.jobs.ByID[id]
-		if j == nil || j.Over() || !j.Spec.Service() {
+		if j == nil || j.MustNotRun() || !j.Spec.Service() {
 			continue
 		}
-		others := hm.jobs.ZonesOf(j)
+		others := hm.jobs.PlacementsByZone(j)
 		others[m.Zone]--
 		for zone, count := range zones {
-			if zone != "" && count.Heard > 0 && count.Most() && planner.ZoneAllowed(&j.Spec, others, zone) &&
-				(j.Spec.Zone == "" || j.Spec.Zone == zone) {
+			if zone != "" && count.OnTime > 0 && count.MostOnTime() &&
+				planner.ZoneAllowed(&j.Spec, others, zone) && (j.Spec.Zone == "" || j.Spec.Zone == zone) {
 				return true
 			}
 		}
@@ -115,14 +115,14 @@
 // machine still holds is certain only once it is gone.
 func (hm *HealthMonitor) challenge(m *machinetable.Machine) {
 	if !hm.Leads() || m.CommandInFlight || m.Releasing || m.Address == "" ||
-		hm.machines.HeardRecently(m) || hm.Now() < m.ChallengedAt+challengeInterval {
+		hm.machines.HeartbeatRecent(m) || hm.Now() < m.ChallengedAt+challengeInterval {
 		return
 	}
 	m.ChallengedAt = hm.Now()
 	lastNumber := m.HeartbeatNumber
 	hm.commands.Send(m, m.Incarnation, []protocol.Command{}, func(result CommandResult) {
 		if result.Heartbeat != nil && !machinetable.NumberOf(result.Heartbeat).After(lastNumber) {
-			hm.machines.ScheduleRelease(m, machinetable.ReleaseStartedOver)
+			hm.machines.ScheduleRelease(m, machinetable.ReleaseRestarted)
 		}
 	})
 }
@@ -135,7 +135,8 @@
 		if m.Releasing {
 			continue
 		}
-		if !m.LeaseExpired && (m.Seen || len(m.Placements) > 0) && now > hm.machines.ProvenEmptyAt(m) {
+		if !m.LeaseExpired && (m.HeartbeatReceived || len(m.Placements) > 0) &&
+			now > hm.machines.ProvenEmptyAt(m) {
 			hm.expireLease(m, now)
 		}
 		if reason := hm.releaseReason(m, now); reason != "" {
@@ -149,7 +150,7 @@
 // worker resumes or the machine is gone.
 func (hm *HealthMonitor) expireLease(m *machinetable.Machine, now clock.Micros) {
 	slog.Info("machine is silent, its lease has expired", "machine", m.Name, "jobs", len(m.Placements),
-		"silent_s", (now - m.HeardAt).Seconds())
+		"silent_s", (now - m.HeartbeatAt).Seconds())
 	m.ExpireLease()
 	for id, tasks := range ordered.ByKey(m.Placements) {
 		for _, p := range ordered.ByKey(tasks) {
@@ -169,17 +170,17 @@
 func (hm *HealthMonitor) releaseReason(m *machinetable.Machine, now clock.Micros) machinetable.ReleaseReason {
 	lease := hm.Settings.Deployment.Workers.Lease()
 	boot := hm.machines.BootTime(m)
-	starting := !m.Seen && m.CloudStatus == protocol.MachineStarting
-	running := !m.Seen && m.CloudStatus == protocol.MachineRunning
+	starting := !m.HeartbeatReceived && m.CloudStatus == protocol.MachineStarting
+	running := !m.HeartbeatReceived && m.CloudStatus == protocol.MachineRunning
 	switch {
-	case m.LeaseExpired && now > max(m.HeardAt, m.FirstSeen)+lease+silentTimeout:
+	case m.LeaseExpired && now > max(m.HeartbeatAt, m.FirstSeen)+lease+silentTimeout:
 		return machinetable.ReleaseSilent
 	case m.CloudStatus == protocol.MachineFailed:
 		return machinetable.ReleaseFailed
 	case starting && now > m.FirstSeen+bootFactor*boot+bootMargin:
 		return machinetable.ReleaseNeverBooted
 	case running && now > m.FirstSeen+max(boot, lease)+firstHeartbeatTimeout:
-		return machinetable.ReleaseNeverReported
+		return machinetable.ReleaseNoHeartbeat
 	case m.Quarantined && len(m.Placements) == 0:
 		return machinetable.ReleaseQuarantined
 	}
@@ -212,7 +213,7 @@
 // moveReplica stops a replica on a machine that the cloud recalls. It stops only one replica of a job
 // at a time, so that the others serve until its replacement has been placed.
 func (hm *HealthMonitor) moveReplica(j *jobtable.Job, tasks map[int]jobrecord.Placement) {
-	if j.Over() || len(j.Stops) > 0 || j.PendingCount() > 0 {
+	if j.MustNotRun() || len(j.Stops) > 0 || j.PendingCount() > 0 {
 		return
 	}
 	for task := range ordered.ByKey(tasks) {
@@ -235,7 +236,7 @@
 			m.CloudStatus == protocol.MachineStarting {
 			continue
 		}
-		if max(m.HeardAt, hm.BegunAt) < due && now >= m.EpochAnnouncedAt+epochAnnounceInterval {
+		if max(m.HeartbeatAt, hm.BegunAt) < due && now >= m.EpochAnnouncedAt+epochAnnounceInterval {
 			remaining--
 			hm.commands.Push(m)
 		}
--- a/internal/leader/reconciler/reconciler.go
+++ b/internal/leader/reconciler/reconciler.go
@@ -50,13 +50,13 @@
 	if r.Epoch > rc.Term.Epoch {
 		rc.Deposed(r.Epoch)
 	}
-	if !m.Seen {
+	if !m.HeartbeatReceived {
 		slog.Info("first heartbeat from machine", "machine", m.Name, "type", r.Type, "zone", r.Zone,
 			"spot", r.Spot, "tasks", len(r.Tasks))
 		m.IdleSince = rc.Now()
 	}
 	rc.noteIncarnation(m, r.Incarnation)
-	unchanged := m.Steady && r.Incarnation == m.Incarnation && r.Epoch == m.AcknowledgedEpoch &&
+	unchanged := m.PlacedTasksListed && r.Incarnation == m.Incarnation && r.Epoch == m.AcknowledgedEpoch &&
 		m.SameTasks(r.Tasks)
 	rc.machines.NoteHeartbeat(m, &r)
 	if !unchanged {
@@ -68,7 +68,7 @@
 // outdated reports whether a heartbeat proves nothing any more, however late it arrives: the worker
 // sent it before the last one, or before the machine's lease expired.
 func outdated(m *machinetable.Machine, r *protocol.Heartbeat) bool {
-	return m.Seen && !machinetable.NumberOf(r).After(m.HeartbeatNumber) ||
+	return m.HeartbeatReceived && !machinetable.NumberOf(r).After(m.HeartbeatNumber) ||
 		m.LeaseExpired && r.Incarnation <= m.Incarnation
 }
 
@@ -77,11 +77,11 @@
 func (rc *Reconciler) noteIncarnation(m *machinetable.Machine, incarnation protocol.Incarnation) {
 	switch {
 	case incarnation > m.Incarnation:
-		if m.Seen {
+		if m.HeartbeatReceived {
 			rc.noteLostIncarnation(m, incarnation)
 		}
 		m.BeginIncarnation(incarnation, rc.Now())
-	case !m.Seen:
+	case !m.HeartbeatReceived:
 		m.IncarnationSeenAt = rc.Now()
 	}
 }
@@ -115,11 +115,11 @@
 
 // Reconcile acts on what the last heartbeat of a machine proves about its placements.
 func (rc *Reconciler) Reconcile(m *machinetable.Machine) {
-	m.Steady = true
+	m.PlacedTasksListed = true
 	for id, tasks := range ordered.ByKey(m.Placements) {
 		j := rc.jobs.ByID[id]
 		if j == nil || j.MustReload() {
-			m.Steady = false
+			m.PlacedTasksListed = false
 			continue
 		}
 		for _, p := range ordered.ByKey(tasks) {
@@ -146,9 +146,9 @@
 	// neverStarted means that the task is to be stopped and never started, and that no start of it can
 	// arrive any more.
 	neverStarted
-	// startedOver means that the task was placed in a later incarnation than the worker's present one:
+	// incarnationReset means that the task was placed in a later incarnation than the worker's present one:
 	// the worker has lost its count of incarnations and numbers them from one again.
-	startedOver
+	incarnationReset
 )
 
 // evidenceFor returns what the last heartbeat of a machine proves about a placement, and the task's
@@ -161,7 +161,7 @@
 	}
 	if p.WorkerIncarnation() > m.Incarnation {
 		if rc.machines.EpochAcknowledged(m) {
-			return startedOver, protocol.TaskStatus{}
+			return incarnationReset, protocol.TaskStatus{}
 		}
 		return unproven, protocol.TaskStatus{}
 	}
@@ -194,11 +194,11 @@
 		rc.jobs.ReleasePlacement(j, p)
 	case neverStarted:
 		rc.jobs.ReleasePlacement(j, p)
-	case startedOver:
-		m.Steady = false
-		rc.machines.ScheduleRelease(m, machinetable.ReleaseStartedOver)
+	case incarnationReset:
+		m.PlacedTasksListed = false
+		rc.machines.ScheduleRelease(m, machinetable.ReleaseRestarted)
 	case unproven:
-		m.Steady = false
+		m.PlacedTasksListed = false
 	}
 }
 
--- a/internal/leader/reconciler_test.go
+++ b/internal/leader/reconciler_test.go
@@ -108,7 +108,7 @@
 		t.Fatal("it can't be used to begin with")
 	}
 	box.Now += 11 * clock.Second
-	d.state.Term.ValidUntil, d.state.FreshAt = box.Now+4*clock.Second, box.Now
+	d.state.Term.ValidUntil, d.state.RecordsKnownUntil = box.Now+4*clock.Second, box.Now
 	heartbeat(1, 2)
 	box.Now += 2 * clock.Second
 	heartbeat(2, 3) // its lease counts from a heartbeat that was responded to before
@@ -116,7 +116,7 @@
 		t.Fatalf("usable %v, releasing %v after one lost incarnation; want neither", usable(), m.Releasing)
 	}
 	box.Now += 14 * clock.Second
-	d.state.Term.RenewedAt, d.state.Term.ValidUntil, d.state.FreshAt = box.Now, box.Now+4*clock.Second,
+	d.state.Term.RenewedAt, d.state.Term.ValidUntil, d.state.RecordsKnownUntil = box.Now, box.Now+4*clock.Second,
 		box.Now
 	heartbeat(2, 4)
 	if !usable() {
--- a/internal/leader/adoption_test.go
+++ b/internal/leader/recordapply_test.go
@@ -17,9 +17,9 @@
 	l, j, m, _ := leaderWithOneTask(t)
 	old := j.Encode()
 	l.reconciler.Observe(m, exitedHeartbeat(protocol.CauseStopped))
-	l.reader.Adopt(jobrecord.Key("job-1"), j.Encode(), 6)
+	l.reader.Apply(jobrecord.Key("job-1"), j.Encode(), 6)
 	j.NoteRecordEvent(jobtable.EventRecordConflict)
-	l.reader.Adopt(jobrecord.Key("job-1"), old, 5)
+	l.reader.Apply(jobrecord.Key("job-1"), old, 5)
 	if len(j.Placements) != 0 || j.Version != 6 {
 		t.Fatalf("placed %v at version %d, want nothing placed at version 6", j.Placements, j.Version)
 	}
@@ -38,7 +38,7 @@
 	if len(l.jobs.ByID) != 0 {
 		t.Fatalf("%d jobs are known after the job's end is stored, want none", len(l.jobs.ByID))
 	}
-	l.reader.Adopt(jobrecord.Key("job-1"), old, 5)
+	l.reader.Apply(jobrecord.Key("job-1"), old, 5)
 	if len(l.jobs.ByID) != 0 {
 		t.Fatalf("an old event brought %d jobs back, want none", len(l.jobs.ByID))
 	}
@@ -56,7 +56,7 @@
 	j.InFlight = true
 	cancelled := *j.Record
 	cancelled.Status, cancelled.CancelledAt = protocol.StatusCancelled, int64(box.Now)
-	l.reader.Adopt(jobrecord.Key("job-1"), cancelled.Encode(), 6)
+	l.reader.Apply(jobrecord.Key("job-1"), cancelled.Encode(), 6)
 	commands := l.commands.CommandsFor(m, reconciler.ViaHeartbeat)
 	if len(commands) != 1 || commands[0].Verb != protocol.VerbStop {
 		t.Fatalf("commands %v, want one stop", commands)
@@ -70,13 +70,13 @@
 	cancelled := *j.Record
 	cancelled.Status, cancelled.CancelledAt = protocol.StatusCancelled, int64(box.Now)
 	cancelled.Truncated = true
-	l.reader.Adopt(jobrecord.Key("job-1"), cancelled.Encode(), 8)
+	l.reader.Apply(jobrecord.Key("job-1"), cancelled.Encode(), 8)
 	j = l.jobs.ByID["job-1"]
 	if j == nil {
 		t.Fatal("the job is forgotten, want it to be known")
 	}
-	if !j.Over() || len(j.Placements) != 1 || l.machines.ByName["m-1"].Placements["job-1"] == nil {
-		t.Fatalf("over %v, placed %v, on its machine %v, want it over, placed and on its machine", j.Over(),
+	if !j.MustNotRun() || len(j.Placements) != 1 || l.machines.ByName["m-1"].Placements["job-1"] == nil {
+		t.Fatalf("over %v, placed %v, on its machine %v, want it over, placed and on its machine", j.MustNotRun(),
 			j.Placements, l.machines.ByName["m-1"].Placements)
 	}
 }
@@ -87,11 +87,11 @@
 	l, store, j := shardedArray(t)
 	cancelled := *j.Record
 	cancelled.Status, cancelled.CancelledAt = protocol.StatusCancelled, int64(l.state.Now())
-	l.reader.Adopt(jobrecord.Key("job-1"), cancelled.Encode(), 8)
+	l.reader.Apply(jobrecord.Key("job-1"), cancelled.Encode(), 8)
 	store.answer(conflictOn(jobrecord.Key("job-1")))
-	if !j.Over() || j.Committed(j.Placements[0]) || j.MustReload() || len(j.Placements) != 1 {
+	if !j.MustNotRun() || j.Committed(j.Placements[0]) || j.MustReload() || len(j.Placements) != 1 {
 		t.Fatalf("over %v, committed %v, to be reloaded %v, placed %v, want true, false, false and one task",
-			j.Over(), j.Committed(j.Placements[0]), j.MustReload(), j.Placements)
+			j.MustNotRun(), j.Committed(j.Placements[0]), j.MustReload(), j.Placements)
 	}
 }
 
--- a/internal/leader/recordfixtures_test.go
+++ b/internal/leader/recordfixtures_test.go
@@ -123,8 +123,8 @@
 	t.Helper()
 	l, store := tightLeader(true)
 	content := jobrecord.New(arraySpec("job-1", 250), 1)
-	content.ShardSize, content.Marked = 100, true
-	l.reader.Adopt(jobrecord.Key("job-1"), content.Encode(), 5)
+	content.ShardSize, content.FormatMarked = 100, true
+	l.reader.Apply(jobrecord.Key("job-1"), content.Encode(), 5)
 	j := l.jobs.ByID["job-1"]
 	l.jobs.AddPlacement(j, jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1})
 	l.writer.Commit()
--- a/internal/leader/recordstore/adoption.go
+++ b/internal/leader/recordstore/apply.go
@@ -11,9 +11,9 @@
 	"postpoint/internal/protocol"
 )
 
-// Adopt applies a record that the reader has read or received from a watch, unless this leader already
+// Apply applies a record that the reader has read or received from a watch, unless this leader already
 // knows that version.
-func (r *Reader) Adopt(key string, raw []byte, version protocol.Revision) {
+func (r *Reader) Apply(key string, raw []byte, version protocol.Revision) {
 	id := protocol.JobID(key[len(jobrecord.Prefix):])
 	j := r.jobs.ByID[id]
 	if r.outdated(id, j, version) {
@@ -24,7 +24,7 @@
 		// Whether this event is the leader's own change becomes clear only when the response to the
 		// leader's own write, or the read of the shards, arrives. A cancellation is final in either
 		// case.
-		j.FollowedEvent = &protocol.Event{Put: key, Value: raw, Version: version}
+		j.DeferredEvent = &protocol.Event{Put: key, Value: raw, Version: version}
 		if err == nil {
 			r.noteCancelled(j, content)
 		}
@@ -34,14 +34,14 @@
 	case err != nil:
 		// The leader can't tell which tasks of this job may be running, so it leaves the job alone and
 		// logs an error.
-		slog.Error("malformed record", "job", id, "error", err)
+		slog.Error("malformed job record", "job", id, "error", err)
 		r.jobs.Malformed[id] = true
 	case j == nil:
-		r.adoptNew(id, content, version)
+		r.addJob(id, content, version)
 	case content.ShardSize > 0:
-		r.adoptSharded(j, content, version)
+		r.applySharded(j, content, version)
 	default:
-		r.adoptWhole(j, content, version)
+		r.applyWhole(j, content, version)
 	}
 }
 
@@ -55,15 +55,15 @@
 	return j != nil && (version < j.Version || version == j.Version && !j.MustReload())
 }
 
-// adoptDeferred applies the event that arrived during a read or write of the job, once neither is in
+// applyDeferred applies the event that arrived during a read or write of the job, once neither is in
 // progress.
-func (r *Reader) adoptDeferred(j *jobtable.Job) {
-	e := j.FollowedEvent
+func (r *Reader) applyDeferred(j *jobtable.Job) {
+	e := j.DeferredEvent
 	if e == nil || j.InFlight || j.Loading() {
 		return
 	}
-	j.FollowedEvent = nil
-	r.Adopt(e.Put, e.Value, e.Version)
+	j.DeferredEvent = nil
+	r.Apply(e.Put, e.Value, e.Version)
 }
 
 // noteCancelled notes the cancellation of one of this cell's own jobs if its record says so. The record
@@ -71,12 +71,12 @@
 // that.
 func (r *Reader) noteCancelled(j *jobtable.Job, content *jobrecord.Record) {
 	if content.Status == protocol.StatusCancelled && content.Hosted == nil {
-		r.jobs.NoteCancelled(j, r.ConfirmedAt(content))
+		r.jobs.NoteCancelled(j, r.CancellationConfirmedAt(content))
 	}
 }
 
-// adoptNew adds a job that isn't known yet from its record.
-func (r *Reader) adoptNew(id protocol.JobID, content *jobrecord.Record, version protocol.Revision) {
+// addJob adds a job that isn't known yet from its record.
+func (r *Reader) addJob(id protocol.JobID, content *jobrecord.Record, version protocol.Revision) {
 	// Only the shards of a sharded record show whether any task may still run.
 	shardsUnread := content.ShardSize > 0 && r.Loading
 	if content.Final() && len(content.Placements) == 0 && !shardsUnread && content.Hosted == nil {
@@ -86,7 +86,7 @@
 		r.objectives.NoteArrival(&content.Spec)
 	}
 	if r.Format.Services && content.Spec.Service() {
-		content.Marked = true // an earlier version of the software wrote it as an array
+		content.FormatMarked = true // an earlier version of the software wrote it as an array
 	}
 	j := jobtable.NewJob()
 	if content.Hosted != nil {
@@ -98,11 +98,11 @@
 	} else {
 		r.replaceContent(j, content, version)
 	}
-	r.jobs.ForgetIfOver(j)
+	r.jobs.ForgetIfFinal(j)
 }
 
-// adoptWhole applies a newer version of an undivided record to a known job.
-func (r *Reader) adoptWhole(j *jobtable.Job, content *jobrecord.Record, version protocol.Revision) {
+// applyWhole applies a newer version of an undivided record to a known job.
+func (r *Reader) applyWhole(j *jobtable.Job, content *jobrecord.Record, version protocol.Revision) {
 	if content.Truncated {
 		// A truncated record omits the tasks because it was too large for the store: those in memory
 		// stay valid.
@@ -111,19 +111,19 @@
 	r.jobs.RemoveFromMachines(j)
 	r.jobs.DropShards(j)
 	r.replaceContent(j, content, version)
-	r.jobs.ForgetIfOver(j)
+	r.jobs.ForgetIfFinal(j)
 }
 
-// adoptSharded applies a newer head to a known job. The controllers that serve users change a head only
+// applySharded applies a newer head to a known job. The controllers that serve users change a head only
 // to cancel its job. Any other change is one of this leader's own whose response was lost, and the
 // leader must read the shards as well.
-func (r *Reader) adoptSharded(j *jobtable.Job, content *jobrecord.Record, version protocol.Revision) {
+func (r *Reader) applySharded(j *jobtable.Job, content *jobrecord.Record, version protocol.Revision) {
 	cancelled := content.Status == protocol.StatusCancelled
 	if cancelled && !j.MustReload() && !j.Sharding() && content.ShardSize == j.ShardSize {
 		r.cancelSharded(j, content, version)
 		return
 	}
-	j.NoteRecordEvent(jobtable.EventHeadFollowed)
+	j.NoteRecordEvent(jobtable.EventNewerHead)
 	r.noteCancelled(j, content)
 }
 
@@ -132,13 +132,13 @@
 func (r *Reader) cancelSharded(j *jobtable.Job, content *jobrecord.Record, version protocol.Revision) {
 	j.Status, j.CancelledAt = content.Status, content.CancelledAt
 	j.StoredValue.Replace(version)
-	r.jobs.NoteCancelled(j, r.ConfirmedAt(j.Record))
+	r.jobs.NoteCancelled(j, r.CancellationConfirmedAt(j.Record))
 	for _, p := range ordered.ByKey(j.Placements) {
 		if m := r.machines.ByName[p.Machine]; m != nil {
 			r.commands.Push(m)
 		}
 	}
-	r.jobs.ForgetIfOver(j)
+	r.jobs.ForgetIfFinal(j)
 }
 
 // replaceContent replaces the state of a job and its tasks in memory by a record.
@@ -178,7 +178,7 @@
 	}
 	r.matchPlacements(j)
 	r.jobs.CompleteIfDone(j)
-	r.jobs.ForgetIfOver(j)
+	r.jobs.ForgetIfFinal(j)
 }
 
 // matchPlacements applies the placements of a record that was just loaded: it adds them to the
@@ -186,9 +186,9 @@
 // machines.
 func (r *Reader) matchPlacements(j *jobtable.Job) {
 	machines := r.addToMachines(j)
-	r.Delegations.MatchDelegation(j)
+	r.Delegations.ReleaseOrphanedPlacementsOf(j)
 	for _, m := range ordered.ByKey(machines) {
-		if !m.Seen {
+		if !m.HeartbeatReceived {
 			continue
 		}
 		r.reconciler.Reconcile(m)
--- a/internal/leader/recordstore/outcome.go
+++ b/internal/leader/recordstore/outcome.go
@@ -74,7 +74,7 @@
 		w.noteDeposed()
 		return
 	case outcomeConflict:
-		noteConflicts(w.jobs, writes, kvstore.Failed(r.Err))
+		noteConflicts(w.jobs, writes, kvstore.ConflictKeys(r.Err))
 	case outcomeRejected:
 		w.learnLimits(writes, kvstore.Reason(r.Err))
 	case outcomeNotExecuted:
@@ -88,8 +88,8 @@
 		w.noteUnexpected(writes)
 	}
 	for _, write := range writes {
-		w.reader.adoptDeferred(write.Job)
-		w.jobs.ForgetIfOver(write.Job)
+		w.reader.applyDeferred(write.Job)
+		w.jobs.ForgetIfFinal(write.Job)
 	}
 }
 
@@ -175,7 +175,7 @@
 		w.learnedTxnOps = len(writes) / 2
 	default:
 		write := &writes[0]
-		write.Value.RefusedBytes = protocol.JSONSize(write.change().Value)
+		write.Value.RejectedBytes = protocol.JSONSize(write.change().Value)
 	}
 }
 
@@ -188,7 +188,7 @@
 		write.markStored(revision)
 		if write.Shard == HeadIndex {
 			write.Job.NoteHeadStored()
-			w.Hosted.NoteHostedStored(write.Job)
+			w.Hosted.HandleRecordStored(write.Job)
 		}
 		w.collectCommitted(write, affected)
 	}
--- a/internal/leader/recordstore/reader.go
+++ b/internal/leader/recordstore/reader.go
@@ -60,8 +60,8 @@
 // DelegationRecords loads the delegations to other cells and reconciles them with the job records.
 type DelegationRecords interface {
 	LoadDelegations(done func())
-	MatchDelegations()
-	MatchDelegation(j *jobtable.Job)
+	ReleaseOrphanedPlacements()
+	ReleaseOrphanedPlacementsOf(j *jobtable.Job)
 }
 
 // ZoneRecords loads the state of zone recoveries.
@@ -81,23 +81,23 @@
 func (r *Reader) Load() {
 	r.Loading = true
 	pass := &loadPass{startedAt: r.Now()}
-	r.loadPages(jobrecord.Prefix, "", func(page protocol.ItemList) { r.adoptPage(pass, page) },
+	r.loadPages(jobrecord.Prefix, "", func(page protocol.ItemList) { r.applyPage(pass, page) },
 		func() { r.loadShards(pass) })
 }
 
-// adoptPage applies a page of job records.
-func (r *Reader) adoptPage(pass *loadPass, page protocol.ItemList) {
+// applyPage applies a page of job records.
+func (r *Reader) applyPage(pass *loadPass, page protocol.ItemList) {
 	if pass.revision == 0 {
 		pass.revision = page.Revision
 	}
 	for _, item := range page.Items {
-		r.Adopt(item.Key, item.Value, item.Version)
+		r.Apply(item.Key, item.Value, item.Version)
 	}
 }
 
 // loadShards loads the shards after the heads. Only the leader writes shards, so the load misses none.
 func (r *Reader) loadShards(pass *loadPass) {
-	r.LoadAll(jobrecord.ShardsPrefix, r.AdoptShard, func() { r.loadDelegations(pass) })
+	r.LoadAll(jobrecord.ShardsPrefix, r.ApplyShard, func() { r.loadDelegations(pass) })
 }
 
 // loadDelegations loads the delegations after the shards.
@@ -111,38 +111,38 @@
 }
 
 // LoadAll reads all keys with a prefix and retries until it succeeds.
-func (r *Reader) LoadAll(prefix string, adopt func(protocol.Item), done func()) {
+func (r *Reader) LoadAll(prefix string, apply func(protocol.Item), done func()) {
 	r.loadPages(prefix, "", func(page protocol.ItemList) {
 		for _, item := range page.Items {
-			adopt(item)
+			apply(item)
 		}
 	}, done)
 }
 
 // loadPages reads all keys with a prefix after the key from. It retries a page that can't be read after
 // a pause.
-func (r *Reader) loadPages(prefix, from string, adopt func(protocol.ItemList), done func()) {
+func (r *Reader) loadPages(prefix, from string, apply func(protocol.ItemList), done func()) {
 	sameTerm := r.SameTerm()
-	adoptInTerm := func(page protocol.ItemList) (more bool) {
+	applyInTerm := func(page protocol.ItemList) (more bool) {
 		if !sameTerm() {
 			return false
 		}
-		adopt(page)
+		apply(page)
 		return true
 	}
-	kvstore.WalkPages(r.Store, prefix, from, adoptInTerm,
+	kvstore.WalkPages(r.Store, prefix, from, applyInTerm,
 		term.Guarded2(r.State, func(err error, from string) {
 			if err != nil {
-				r.AfterInTerm(term.RetryDelay, func() { r.loadPages(prefix, from, adopt, done) })
+				r.AfterInTerm(term.RetryDelay, func() { r.loadPages(prefix, from, apply, done) })
 				return
 			}
 			done()
 		}))
 }
 
-// AdoptShard applies a shard if the job's shards are still unread. A shard without a sharded record is
+// ApplyShard applies a shard if the job's shards are still unread. A shard without a sharded record is
 // a stray shard: it was written by a leader whose term ended while it sharded the record.
-func (r *Reader) AdoptShard(item protocol.Item) {
+func (r *Reader) ApplyShard(item protocol.Item) {
 	id, shard, ok := jobrecord.ParseShardKey(item.Key)
 	j := r.jobs.ByID[id]
 	switch {
@@ -167,47 +167,47 @@
 	}
 	first := !r.Loaded
 	r.Loaded, r.Loading = true, false
-	r.Delegations.MatchDelegations()
-	r.FreshAt = pass.startedAt
+	r.Delegations.ReleaseOrphanedPlacements()
+	r.RecordsKnownUntil = pass.startedAt
 	if first {
 		r.heartbeats.HandleDeferred()
 		slog.Info("job records loaded", "epoch", r.Term.Epoch, "open_jobs", len(r.jobs.ByID),
 			"took_ms", (r.Now()-pass.startedAt)/clock.Millisecond)
 	}
 	r.steps.Wake()
-	r.follow(pass.revision)
+	r.watch(pass.revision)
 }
 
-// follow watches for the jobs that other controllers accept or cancel after a revision. The store
-// responds at least every FollowInterval, and each response shows how fresh the records are.
-func (r *Reader) follow(from protocol.Revision) {
+// watch watches for the jobs that other controllers accept or cancel after a revision. The store
+// responds at least every WatchTimeout, and each response shows how fresh the records are.
+func (r *Reader) watch(from protocol.Revision) {
 	sentAt := r.Now()
-	handle := func(reply kvstore.Result[protocol.WatchResponse]) { r.handleFollowed(from, sentAt, reply) }
-	r.Store.Follow(jobrecord.Prefix, from, term.FollowInterval, term.Guarded(r.State, handle))
+	handle := func(reply kvstore.Result[protocol.WatchResponse]) { r.handleWatched(from, sentAt, reply) }
+	r.Store.Watch(jobrecord.Prefix, from, term.WatchTimeout, term.Guarded(r.State, handle))
 }
 
-// handleFollowed applies the changes that the watch returned, and continues the watch from their
+// handleWatched applies the changes that the watch returned, and continues the watch from their
 // revision.
-func (r *Reader) handleFollowed(from protocol.Revision, sentAt clock.Micros,
+func (r *Reader) handleWatched(from protocol.Revision, sentAt clock.Micros,
 	reply kvstore.Result[protocol.WatchResponse]) {
 	switch {
 	case reply.Err == nil:
-		r.FreshAt = sentAt
-		r.adoptChanges(reply.Value)
-		r.follow(max(from, reply.Value.Revision))
+		r.RecordsKnownUntil = sentAt
+		r.applyChanges(reply.Value)
+		r.watch(max(from, reply.Value.Revision))
 	case errors.Is(reply.Err, kvstore.ErrCompacted):
 		r.Load() // the store has compacted the changes after this revision
 	default:
-		r.AfterInTerm(term.RetryDelay, func() { r.follow(from) })
+		r.AfterInTerm(term.RetryDelay, func() { r.watch(from) })
 	}
 }
 
-// adoptChanges applies the changes that a watch returned. It ignores deletions, since only this leader
+// applyChanges applies the changes that a watch returned. It ignores deletions, since only this leader
 // deletes records.
-func (r *Reader) adoptChanges(changes protocol.WatchResponse) {
+func (r *Reader) applyChanges(changes protocol.WatchResponse) {
 	for _, e := range changes.Events {
 		if e.Put != "" {
-			r.Adopt(e.Put, e.Value, e.Version)
+			r.Apply(e.Put, e.Value, e.Version)
 		}
 	}
 	if len(changes.Events) > 0 {
--- a/internal/leader/recordstore/reload.go
+++ b/internal/leader/recordstore/reload.go
@@ -45,7 +45,7 @@
 	}
 	switch {
 	case reply.Err == nil:
-		r.Adopt(jobrecord.Key(j.Spec.ID), reply.Value.Value, reply.Value.Version)
+		r.Apply(jobrecord.Key(j.Spec.ID), reply.Value.Value, reply.Value.Version)
 	case errors.Is(reply.Err, kvstore.ErrNotFound) && j.Hosted != nil:
 		r.jobs.Forget(j) // only this leader deletes a hosted job's record
 	default:
@@ -90,7 +90,7 @@
 func (r *Reader) endRead(j *jobtable.Job) {
 	j.NoteRecordEvent(jobtable.EventReadEnded)
 	if r.jobs.ByID[j.Spec.ID] == j {
-		r.adoptDeferred(j)
+		r.applyDeferred(j)
 	}
 }
 
@@ -171,5 +171,5 @@
 		r.jobs.StrayShards[item.Key] = item.Version
 	}
 	j.NoteRecordEvent(jobtable.EventStrayShardsListed)
-	r.jobs.ForgetIfOver(j)
+	r.jobs.ForgetIfFinal(j)
 }
--- a/internal/leader/recordstore/sharding.go
+++ b/internal/leader/recordstore/sharding.go
@@ -30,7 +30,7 @@
 	}
 	limit, _ := w.Limits()
 	for _, j := range ordered.ByKey(w.jobs.ByID) {
-		if j.ShardSize != 0 || j.Over() || j.Hosted != nil {
+		if j.ShardSize != 0 || j.MustNotRun() || j.Hosted != nil {
 			continue
 		}
 		if pending := j.PendingCount(); pending > 0 && j.StartCapacity(limit) < pending {
@@ -51,7 +51,7 @@
 	size := jobrecord.ShardSizeWithin(limit)
 	slog.Info("sharding a record that is too large for one value", "job", j.Spec.ID, "tasks", j.Spec.Tasks,
 		"shard_tasks", size)
-	j.ShardSize, j.Marked = size, true
+	j.ShardSize, j.FormatMarked = size, true
 	j.NoteRecordEvent(jobtable.EventShardingStarted)
 	j.MakeShards()
 	w.noteShardContents(j)
--- a/internal/leader/recordstore/units.go
+++ b/internal/leader/recordstore/units.go
@@ -65,7 +65,7 @@
 
 // markStored notes that the store committed the write at a revision.
 func (w *Write) markStored(revision protocol.Revision) {
-	w.Value.Version, w.Value.StoredCount, w.Value.RefusedBytes = revision, w.ChangeCount, 0
+	w.Value.Version, w.Value.StoredCount, w.Value.RejectedBytes = revision, w.ChangeCount, 0
 	w.Value.ResolveOutcome()
 	if w.remove {
 		w.Value.Version = 0
--- a/internal/leader/recordstore/writer.go
+++ b/internal/leader/recordstore/writer.go
@@ -69,7 +69,7 @@
 
 // HostedObserver observes committed changes of hosted jobs.
 type HostedObserver interface {
-	NoteHostedStored(j *jobtable.Job)
+	HandleRecordStored(j *jobtable.Job)
 }
 
 // txnBytes is how much of the 64 KiB limit on a transaction the writer uses. It counts sizes as JSON,
@@ -138,7 +138,7 @@
 // sharded, tooLarge starts to shard it. Until that is done the stored version stays in effect for its
 // job, and changes of other jobs are committed.
 func (w *Writer) tooLarge(write *Write, value []byte, limit int) bool {
-	refusedBytes := write.Value.RefusedBytes
+	refusedBytes := write.Value.RejectedBytes
 	if len(value) < limit/2 && refusedBytes == 0 {
 		return false
 	}
@@ -190,7 +190,7 @@
 		}
 	case outcomeConflict, outcomeDeposed:
 		// Another request has changed them, most likely an earlier copy of this one.
-		for _, key := range kvstore.Failed(r.Err) {
+		for _, key := range kvstore.ConflictKeys(r.Err) {
 			delete(w.jobs.StrayShards, key)
 		}
 	default:
--- a/internal/leader/requests.go
+++ b/internal/leader/requests.go
@@ -22,7 +22,7 @@
 // heartbeats.
 func (l *Leader) ZoneReports(reply func(admission.ZoneReports)) {
 	l.state.Mailbox.Post(func() {
-		reply(admission.ZoneReports{Node: l.state.Settings.Node, Machines: l.zones.HeardByZone()})
+		reply(admission.ZoneReports{Node: l.state.Settings.Node, Machines: l.zones.MisdirectedByZone()})
 	})
 }
 
--- a/internal/leader/reserve_test.go
+++ b/internal/leader/reserve_test.go
@@ -73,7 +73,7 @@
 func TestReplicaReserveComesAfterAllPendingJobs(t *testing.T) {
 	d, _, _ := leaderWithService(t)
 	spec := protocol.JobSpec{ID: "job-2", Shape: protocol.ShapeArray, Priority: "idle", Tasks: 3}
-	d.reader.Adopt(jobrecord.Key("job-2"), jobrecord.New(spec, 1).Encode(), 6)
+	d.reader.Apply(jobrecord.Key("job-2"), jobrecord.New(spec, 1).Encode(), 6)
 	reserves, lowest := 0, 0
 	for _, j := range d.snapshots.Snapshot().Jobs {
 		if !snapshots.IsReserve(j.ID) {
--- a/internal/leader/scaleout_test.go
+++ b/internal/leader/scaleout_test.go
@@ -114,7 +114,7 @@
 	for _, name := range []protocol.MachineName{"m-1", "m-2"} {
 		m := d.machines.ByName[name]
 		if m == nil || m.CloudStatus != protocol.MachineStarting ||
-			m.Kind() != (scaling.CapacityPool{Type: request.Type, Zone: request.Zone, Spot: request.Spot}) {
+			m.CapacityPool() != (scaling.CapacityPool{Type: request.Type, Zone: request.Zone, Spot: request.Spot}) {
 			t.Errorf("%s is %+v, want a starting machine of %+v", name, m, request)
 		}
 	}
@@ -169,14 +169,14 @@
 		t.Errorf("out of capacity: %v, want none", refused)
 	}
 	d.autoscaler.ScaleOut(unmetDemand(1))
-	d.autoscaler.Manage()
+	d.autoscaler.ListAndScaleIn()
 	if len(stub.scaleOuts) != 1 || len(stub.pages) != 0 {
 		t.Fatalf("%d scale-outs and %d lists during the pause, want 1 and 0", len(stub.scaleOuts),
 			len(stub.pages))
 	}
 	mailbox.Now += 2 * clock.Second
 	d.autoscaler.ScaleOut(unmetDemand(1))
-	d.autoscaler.Manage()
+	d.autoscaler.ListAndScaleIn()
 	if len(stub.scaleOuts) != 2 || len(stub.pages) != 1 {
 		t.Fatalf("%d scale-outs and %d lists after the pause, want 2 and 1", len(stub.scaleOuts),
 			len(stub.pages))
@@ -186,7 +186,7 @@
 func TestResponsesOfAnEarlierTermChangeNoMachines(t *testing.T) {
 	d, stub, _ := scalingLeader()
 	d.autoscaler.ScaleOut(unmetDemand(1))
-	d.autoscaler.Manage()
+	d.autoscaler.ListAndScaleIn()
 	m := d.machines.GetOrAdd("m-9")
 	d.machines.ScheduleRelease(m, "idle")
 	d.autoscaler.SendReleases()
@@ -208,7 +208,7 @@
 	d, stub, mailbox := scalingLeader()
 	lost := d.machines.GetOrAdd("m-0")
 	lost.Listed, lost.ListedAt = true, mailbox.Now-60*clock.Second
-	d.autoscaler.Manage()
+	d.autoscaler.ListAndScaleIn()
 	page := func(more bool, name protocol.MachineName) protocol.MachineList {
 		machine := protocol.ListedMachine{Name: name, Type: "t", Zone: "a", Status: protocol.MachineRunning}
 		return protocol.MachineList{More: more, Machines: []protocol.ListedMachine{machine}}
--- a/internal/leader/scheduler/demand.go
+++ b/internal/leader/scheduler/demand.go
@@ -50,7 +50,7 @@
 	awaited := map[protocol.JobID][]scaling.CapacityPool{}
 	for _, p := range placements {
 		if p.MachineBooting {
-			awaited[p.Job] = append(awaited[p.Job], s.machines.ByName[p.Machine].Kind())
+			awaited[p.Job] = append(awaited[p.Job], s.machines.ByName[p.Machine].CapacityPool())
 		}
 	}
 	return awaited
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -19,7 +19,7 @@
 		ID: "job-1", Class: "portal", Shape: protocol.ShapeService, Priority: "prod", Tasks: 3,
 	}, 1)
 	content.Placements[0] = jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1}
-	d.reader.Adopt(jobrecord.Key("job-1"), content.Encode(), 5)
+	d.reader.Apply(jobrecord.Key("job-1"), content.Encode(), 5)
 	running := protocol.TaskStatus{Task: "job-1/0", Attempt: 1, Status: protocol.TaskRunning}
 	d.reconciler.Observe(d.machines.ByName["m-1"], workerHeartbeat(1, 1, running))
 	return d, d.jobs.ByID["job-1"], d.machines.ByName["m-1"]
@@ -87,7 +87,7 @@
 	if n := j.WaitingRestarts(d.state.Now()); n != 1 {
 		t.Errorf("%d replicas wait once the first is no longer placed, want 1", n)
 	}
-	if again := end(jobtable.GoodRunTime); again != 0 {
+	if again := end(jobtable.RestartDelayResetTime); again != 0 {
 		t.Errorf("after a good run it waits %v s, want 0", again.Seconds())
 	}
 }
@@ -98,7 +98,7 @@
 	d, j, m := leaderWithService(t)
 	d.jobs.AddPlacement(j, jobrecord.Placement{Task: 1, Attempt: 1, Machine: "m-1", Incarnation: 1})
 	j.StoredCount = j.ChangeCount
-	m.Steady = false
+	m.PlacedTasksListed = false
 	d.commands.CommandsFor(m, reconciler.ViaHeartbeat)
 	ref := machinetable.AttemptRef{Job: "job-1", Task: 1, Attempt: 1}
 	delete(d.jobs.ByID, "job-1")
@@ -116,7 +116,7 @@
 		"done": "0",
 		"try":  4,
 	})
-	d.reader.Adopt(jobrecord.Key("job-1"), raw, 5)
+	d.reader.Apply(jobrecord.Key("job-1"), raw, 5)
 	j := d.jobs.ByID["job-1"]
 	if j.Done.Len() != 0 || j.PendingCount() != 2 || j.NextAttempt != 4 {
 		t.Fatalf("done %q, pending %d, next attempt %d, want nothing done, 2 and 4", j.Done.String(),
@@ -161,18 +161,18 @@
 			content.Placements[task] = jobrecord.Placement{Task: task, Attempt: 1, Machine: machine,
 				Incarnation: 1}
 		}
-		d.reader.Adopt(jobrecord.Key("job-1"), content.Encode(), 5)
+		d.reader.Apply(jobrecord.Key("job-1"), content.Encode(), 5)
 		for i := range others {
 			m := d.machines.GetOrAdd(protocol.MachineName("m-9" + string(rune('0'+i))))
-			m.Seen, m.Zone, m.HeardAt = true, "a", box.Now+machinetable.TakeoverTime
+			m.HeartbeatReceived, m.Zone, m.HeartbeatAt = true, "a", box.Now+machinetable.TakeoverTime
 		}
 		box.Now += machinetable.TakeoverTime + clock.Millisecond
-		d.health.ReplaceSilent()
+		d.health.ReleaseSilentWithReplicas()
 		if d.machines.ByName["m-1"].Releasing {
 			t.Fatal("m-1 is released before it was probed")
 		}
 		box.Now += reconciler.ProbeTimeout + clock.Millisecond
-		d.health.ReplaceSilent()
+		d.health.ReleaseSilentWithReplicas()
 		want := others > 0
 		if released := d.machines.ByName["m-1"].Releasing; released != want {
 			t.Errorf("with %d others heard of: released %v, want %v", others, released, want)
@@ -192,19 +192,19 @@
 			content.Placements[task] = jobrecord.Placement{Task: task, Attempt: 1, Machine: machine,
 				Incarnation: 1}
 		}
-		d.reader.Adopt(jobrecord.Key("job-1"), content.Encode(), 5)
+		d.reader.Apply(jobrecord.Key("job-1"), content.Encode(), 5)
 		for name, zone := range map[protocol.MachineName]string{"m-1": "a", "m-2": "a", "m-3": "b", "m-4": "b",
 			"m-5": "a"} {
 			m := d.machines.GetOrAdd(name)
-			m.Seen, m.Zone, m.HeardAt = true, zone, box.Now
+			m.HeartbeatReceived, m.Zone, m.HeartbeatAt = true, zone, box.Now
 		}
 		box.Now += 30 * clock.Second
 		for _, name := range []protocol.MachineName{"m-1", "m-2", "m-5"} {
-			d.machines.ByName[name].HeardAt = box.Now
+			d.machines.ByName[name].HeartbeatAt = box.Now
 		}
-		d.health.ReplaceSilent()
+		d.health.ReleaseSilentWithReplicas()
 		box.Now += reconciler.ProbeTimeout + clock.Millisecond
-		d.health.ReplaceSilent()
+		d.health.ReleaseSilentWithReplicas()
 		if released := d.machines.ByName["m-3"].Releasing; released == spread {
 			t.Errorf("spread %v: released %v, want %v", spread, released, !spread)
 		}
--- a/internal/leader/sharding_test.go
+++ b/internal/leader/sharding_test.go
@@ -16,7 +16,7 @@
 // beyond the limits.
 func TestLargeRecordsAreSharded(t *testing.T) {
 	l, store := tightLeader(true)
-	l.reader.Adopt(jobrecord.Key("job-1"), wideArray().Encode(), 5)
+	l.reader.Apply(jobrecord.Key("job-1"), wideArray().Encode(), 5)
 	j := l.jobs.ByID["job-1"]
 	l.jobs.ReleasePlacement(j, j.Placements[0])
 	j.ChangedAt = 0 // long enough ago
@@ -71,8 +71,8 @@
 // waits, and other jobs' changes go out without it.
 func TestNoRecordIsShardedBeforeEveryControllerReadsThem(t *testing.T) {
 	l, store := tightLeader(false)
-	l.reader.Adopt(jobrecord.Key("job-1"), wideArray().Encode(), 5)
-	l.reader.Adopt(jobrecord.Key("job-2"), jobrecord.New(arraySpec("job-2", 1), 1).Encode(), 6)
+	l.reader.Apply(jobrecord.Key("job-1"), wideArray().Encode(), 5)
+	l.reader.Apply(jobrecord.Key("job-2"), jobrecord.New(arraySpec("job-2", 1), 1).Encode(), 6)
 	j := l.jobs.ByID["job-1"]
 	l.jobs.ReleasePlacement(j, j.Placements[0])
 	j.ChangedAt = 0
@@ -131,9 +131,9 @@
 func TestStrayShardsAreRemoved(t *testing.T) {
 	l, store := tightLeader(true)
 	spec := protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 300}
-	l.reader.Adopt(jobrecord.Key("job-1"), jobrecord.New(spec, 1).Encode(), 5)
-	l.reader.AdoptShard(protocol.Item{Key: jobrecord.ShardKey("job-1", 0), Version: 4})
-	l.reader.AdoptShard(protocol.Item{Key: jobrecord.ShardKey("job-9", 2), Version: 3})
+	l.reader.Apply(jobrecord.Key("job-1"), jobrecord.New(spec, 1).Encode(), 5)
+	l.reader.ApplyShard(protocol.Item{Key: jobrecord.ShardKey("job-1", 0), Version: 4})
+	l.reader.ApplyShard(protocol.Item{Key: jobrecord.ShardKey("job-9", 2), Version: 3})
 	l.writer.ShardLargeRecords()
 	if l.jobs.ByID["job-1"].Sharding() {
 		t.Fatal("the record is sharded while stray shards are stored")
@@ -155,7 +155,7 @@
 	l, _ := tightLeader(true)
 	store := &readableStore{}
 	useStore(l, store)
-	l.reader.Adopt(jobrecord.Key("job-1"), wideArray().Encode(), 5)
+	l.reader.Apply(jobrecord.Key("job-1"), wideArray().Encode(), 5)
 	j := l.jobs.ByID["job-1"]
 	l.writer.Shard(j)
 	l.writer.Commit()
--- a/internal/leader/snapshot_test.go
+++ b/internal/leader/snapshot_test.go
@@ -22,7 +22,7 @@
 		{"jobs alike", func(*Leader) {}, 0},
 		{"two ranks", func(d *Leader) {
 			spec := protocol.JobSpec{ID: "job-2", Shape: protocol.ShapeArray, Priority: "urgent", Tasks: 1}
-			d.reader.Adopt(jobrecord.Key("job-2"), jobrecord.New(spec, 1).Encode(), 6)
+			d.reader.Apply(jobrecord.Key("job-2"), jobrecord.New(spec, 1).Encode(), 6)
 		}, 20},
 		{"a guarantee", func(d *Leader) {
 			d.state.Settings.Deployment.Teams = []settings.Team{{Name: "a", Cpus: 1}}
--- a/internal/leader/snapshots/jobs.go
+++ b/internal/leader/snapshots/jobs.go
@@ -55,7 +55,7 @@
 // plannable reports whether a snapshot contains a job: its record is known, and some of its tasks may
 // run.
 func plannable(j *jobtable.Job, now clock.Micros) bool {
-	if j.Over() || !j.ContentKnown() {
+	if j.MustNotRun() || !j.ContentKnown() {
 		return false
 	}
 	return j.Permission == nil || j.Permission.MayStart(now) || len(j.Placements) > 0
@@ -109,7 +109,7 @@
 	}
 	// A job with OneZone or Spread restricts the zones of its tasks, and those of tasks in other cells
 	// are unknown.
-	if j.TasksElsewhere > 0 && (j.Spec.OneZone || j.Spec.Spread) {
+	if j.DelegatedTasks > 0 && (j.Spec.OneZone || j.Spec.Spread) {
 		return false
 	}
 	return !j.Spec.Gang() || len(j.Placements) == 0 || b.commands.Completable(j)
@@ -179,11 +179,11 @@
 // rebuildRunning rebuilds the planner's view of a job's placements.
 func (b *Builder) rebuildRunning(j *jobtable.Job) {
 	j.RunningStale = false
-	j.RunningView, j.RunningSince, j.TasksElsewhere = j.RunningView[:0], j.RunningSince[:0], 0
+	j.RunningView, j.RunningSince, j.DelegatedTasks = j.RunningView[:0], j.RunningSince[:0], 0
 	for _, task := range slices.Sorted(maps.Keys(j.Placements)) {
 		placement := j.Placements[task]
 		if placement.HostCell() != "" {
-			j.TasksElsewhere++
+			j.DelegatedTasks++
 			continue // its preemption frees no capacity in this cell
 		}
 		running, since := b.runningTask(j, placement)
--- a/internal/leader/snapshots/machines.go
+++ b/internal/leader/snapshots/machines.go
@@ -32,7 +32,7 @@
 		b.rebuildView(m, machineType)
 	}
 	m.View.ZoneAtRisk = b.zones.IsReturning(m.Zone)
-	if !m.Seen {
+	if !m.HeartbeatReceived {
 		setBooting(m, machineType, now)
 		return m.View, m.View.Booting && len(m.Placements) == 0
 	}
@@ -47,7 +47,7 @@
 	if m.Releasing || m.Quarantined || m.RecallAt != 0 || now < m.FullUntil || b.zones.IsLost(m.Zone) {
 		return false
 	}
-	if !m.Seen {
+	if !m.HeartbeatReceived {
 		return true
 	}
 	return !m.Cordoned && !m.ResponsesLost && b.machines.EpochAcknowledged(m) && b.machines.LeaseRenewed(m)
--- a/internal/leader/snapshots/quota.go
+++ b/internal/leader/snapshots/quota.go
@@ -34,7 +34,7 @@
 func addUsage(teams map[string]planner.Team, j *jobtable.Job) {
 	team := teams[j.Spec.Team]
 	needs := planner.TaskResources(&j.Spec)
-	team.Used = team.Used.Plus(needs.Times(float64(j.PlacementsTaken())))
+	team.Used = team.Used.Plus(needs.Times(float64(j.CountedPlacements())))
 	if !j.Final() {
 		unfinished := needs.Times(float64(j.Spec.Tasks - j.Done.Len()))
 		team.BacklogS += j.Spec.EstimateS * unfinished.DominantShare(team.Limit)
--- a/internal/leader/snapshots/reserve.go
+++ b/internal/leader/snapshots/reserve.go
@@ -100,7 +100,7 @@
 	for _, name := range b.catalogue.ReplicaTypes(&history.Spec) {
 		slowestBoot = max(slowestBoot, b.catalogue.ByName[name].BootS)
 	}
-	whileBooting := math.Ceil(float64(recent) * slowestBoot * objectives.BootAllowance /
+	whileBooting := math.Ceil(float64(recent) * slowestBoot * objectives.BootTimeFactor /
 		objectives.ArrivalWindow.Seconds())
 	return max(int(whileBooting), largest) + b.machines.MostReplicas()
 }
@@ -109,7 +109,7 @@
 // the settings of zone recovery ask for it. They come after all pending jobs. While any zone isn't
 // healthy there are no such reserves, since their capacity is for that case.
 func (b *Builder) zoneReserves() []planner.Job {
-	if b.zones.Options == nil || b.zones.Options.Reserve.Share == 0 || b.zones.AnyCordoned() {
+	if b.zones.Options == nil || b.zones.Options.Reserve.Share == 0 || b.zones.AnyUnhealthy() {
 		return nil
 	}
 	reserve := b.zones.Options.Reserve
@@ -141,7 +141,8 @@
 // needsZoneReserve reports whether a job's tasks could run in another zone and are of a class that the
 // reserve covers. Without any classes the reserve covers all of them.
 func needsZoneReserve(j *jobtable.Job, classes []string) bool {
-	return !j.Over() && j.Spec.Zone == "" && (len(classes) == 0 || slices.Contains(classes, j.Spec.Class))
+	return !j.MustNotRun() && j.Spec.Zone == "" &&
+		(len(classes) == 0 || slices.Contains(classes, j.Spec.Class))
 }
 
 // reservesOutside returns reserves for tasks like those of template, spread evenly over all zones but
@@ -176,7 +177,7 @@
 	var jobs []planner.Job
 	for id, tasks := range ordered.ByKey(b.displacedTasks()) {
 		j := b.jobs.ByID[id]
-		if j == nil || j.Over() || j.Spec.Zone != "" && b.zones.IsCordoned(j.Spec.Zone) {
+		if j == nil || j.MustNotRun() || j.Spec.Zone != "" && b.zones.IsCordoned(j.Spec.Zone) {
 			continue
 		}
 		jobs = append(jobs, b.displacedReserve(j, tasks))
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -21,7 +21,7 @@
 // State is the term in which this node leads and the limits that apply to its actions: until when
 // it may send commands, until when it may respond to heartbeats, and how recent its knowledge is.
 // Every component embeds it to read it. Only its own methods, the Leader, the reader of the records
-// (Loaded, FreshAt) and attestations (AttestedAt) change it.
+// (Loaded, RecordsKnownUntil) and attestations (AttestedAt) change it.
 type State struct {
 	Mailbox  actor.Mailbox
 	Settings *settings.Settings
@@ -37,8 +37,8 @@
 	Loaded bool
 	// BegunAt is when the term began on this node.
 	BegunAt clock.Micros
-	// FreshAt is the time up to which this node knows all changes of the records.
-	FreshAt clock.Micros
+	// RecordsKnownUntil is the time up to which this node knows all changes of the records.
+	RecordsKnownUntil clock.Micros
 	// AttestedAt is the time up to which this node knows all cancellations that any node has
 	// confirmed to users, because it has asked every node.
 	AttestedAt clock.Micros
@@ -47,13 +47,13 @@
 }
 
 const (
-	// StaleAfter is the maximum time since FreshAt at which a leader may still act.
+	// StaleAfter is the maximum time since RecordsKnownUntil at which a leader may still act.
 	StaleAfter = 6 * clock.Second
 	// RetryDelay is the delay before a retry after the key-value store has rejected a request.
 	RetryDelay = 300 * clock.Millisecond
-	// FollowInterval is the time after which a watch of the records responds even if nothing has
+	// WatchTimeout is the time after which a watch of the records responds even if nothing has
 	// changed.
-	FollowInterval = 2 * clock.Second
+	WatchTimeout = 2 * clock.Second
 )
 
 // New returns the state of a node that doesn't lead. It calls deposed with higher fencing tokens.
@@ -65,7 +65,7 @@
 func (s *State) Begin() {
 	s.Loaded = false
 	s.BegunAt = s.Now()
-	s.FreshAt, s.AttestedAt = 0, 0
+	s.RecordsKnownUntil, s.AttestedAt = 0, 0
 	s.Random = NewRandom(s.Term.Epoch)
 }
 
@@ -83,7 +83,7 @@
 // have made through other nodes.
 func (s *State) Leads() bool {
 	now := s.Now()
-	return s.Term.Epoch != 0 && now < s.Term.ValidUntil && s.Loaded && now < s.FreshAt+StaleAfter
+	return s.Term.Epoch != 0 && now < s.Term.ValidUntil && s.Loaded && now < s.RecordsKnownUntil+StaleAfter
 }
 
 // AfterInTerm calls do after a delay, if the term is still the same by then.
@@ -96,33 +96,34 @@
 	})
 }
 
-// KnownUntil returns the time up to which this node knows every cancellation that was confirmed to
-// a user, from the records or from the attestations of all nodes.
-func (s *State) KnownUntil() clock.Micros { return max(s.FreshAt, s.AttestedAt) }
+// CancellationsKnownUntil returns the time up to which this node knows every cancellation that was
+// confirmed to a user, from the records or from the attestations of all nodes.
+func (s *State) CancellationsKnownUntil() clock.Micros { return max(s.RecordsKnownUntil, s.AttestedAt) }
 
 // SoleLeaderUntil returns the time up to which no other node can have been elected: this node's
 // lease was valid, or every node attested that it hadn't been elected.
 func (s *State) SoleLeaderUntil() clock.Micros { return max(s.Term.RenewedAt, s.AttestedAt) }
 
 // RespondsUntil returns the time until which this node may respond to heartbeats. A cancellation
-// that it doesn't know was confirmed after KnownUntil, and a leader that it doesn't know was
+// that it doesn't know was confirmed after CancellationsKnownUntil, and a leader that it doesn't know was
 // elected after SoleLeaderUntil. Before it has read the records it knows nothing about earlier
 // leaders, and responds to no heartbeat.
 func (s *State) RespondsUntil() clock.Micros {
 	if s.Term.Epoch == 0 || !s.Loaded {
 		return 0
 	}
-	return min(s.KnownUntil(), s.SoleLeaderUntil()) + s.Settings.Deployment.Workers.RenewalWindow()
+	return min(s.CancellationsKnownUntil(), s.SoleLeaderUntil()) +
+		s.Settings.Deployment.Workers.RenewalWindow()
 }
 
 // MayRespond reports whether this node may still respond to heartbeats. Without the lease, its
 // responses may only contain the commands that end cancelled tasks.
 func (s *State) MayRespond() bool { return s.Now() < s.RespondsUntil() }
 
-// ConfirmedAt returns the time at which a record's cancellation was confirmed, on this node's
+// CancellationConfirmedAt returns the time at which a record's cancellation was confirmed, on this node's
 // monotonic clock, or an earlier time. The wall clocks of the record's writer and of this node each
 // differ from the true time by a bounded error, which is subtracted twice.
-func (s *State) ConfirmedAt(r *jobrecord.Record) clock.Micros {
+func (s *State) CancellationConfirmedAt(r *jobrecord.Record) clock.Micros {
 	if r.CancelledAt == 0 {
 		return s.Now() // earlier versions didn't record the time
 	}
--- a/internal/leader/zonetracker/displaced.go
+++ b/internal/leader/zonetracker/displaced.go
@@ -16,7 +16,7 @@
 // PlacementLost marks a job as displaced if one of its tasks has lost a placement on a machine of a lost or
 // returning zone. The pending tasks of a displaced job wait for clearance to start.
 func (t *Tracker) PlacementLost(j *jobtable.Job, machineName protocol.MachineName) {
-	if t.Options == nil || j.Over() {
+	if t.Options == nil || j.MustNotRun() {
 		return
 	}
 	m := t.machines.ByName[machineName]
@@ -63,7 +63,7 @@
 // it needn't wait any longer. waits reports whether the job still waits for clearance in the configured
 // order.
 func (t *Tracker) checkDisplaced(j *jobtable.Job, now clock.Micros) (waits bool) {
-	if j.DisplacedFrom == "" || j.Over() {
+	if j.DisplacedFrom == "" || j.MustNotRun() {
 		return false
 	}
 	z := t.Zones[j.DisplacedFrom]
--- a/internal/leader/zonetracker/evidence.go
+++ b/internal/leader/zonetracker/evidence.go
@@ -41,9 +41,9 @@
 	t.misdirected[machine] = misdirectedHeartbeat{zone, t.Now()}
 }
 
-// HeardByZone counts, by zone, the machines whose heartbeats have recently reached this controller while it
-// wasn't the leader.
-func (t *Tracker) HeardByZone() map[string]int {
+// MisdirectedByZone counts, by zone, the machines whose heartbeats have recently reached this controller
+// while it wasn't the leader.
+func (t *Tracker) MisdirectedByZone() map[string]int {
 	counts := map[string]int{}
 	for name, heartbeat := range t.misdirected {
 		if t.Now() > heartbeat.at+misdirectedLifetime {
@@ -57,7 +57,7 @@
 
 // gatherEvidence recomputes the evidence of each zone. It returns how many machines of all zones are expected
 // to send heartbeats, and how many of them do.
-func (t *Tracker) gatherEvidence() machinetable.HeardCount {
+func (t *Tracker) gatherEvidence() machinetable.HeartbeatCount {
 	for _, z := range t.Zones {
 		z.Evidence = zonerecovery.Evidence{}
 	}
@@ -72,8 +72,8 @@
 }
 
 // countMachines adds the machines to the evidence of their zones, and returns the total.
-func (t *Tracker) countMachines() machinetable.HeardCount {
-	var total machinetable.HeardCount
+func (t *Tracker) countMachines() machinetable.HeartbeatCount {
+	var total machinetable.HeartbeatCount
 	for _, m := range t.machines.Ordered {
 		if !t.expectsHeartbeats(m) {
 			continue
@@ -84,7 +84,7 @@
 		switch {
 		case !t.machines.HeartbeatMissed(m):
 			e.Heard++
-			total.Heard++
+			total.OnTime++
 		case t.goneFromCloud(m):
 			e.Gone++
 		}
@@ -97,7 +97,7 @@
 	if m.Zone == "" || m.Releasing {
 		return false
 	}
-	return m.Seen || len(m.Placements) > 0 || t.machines.BootOverdue(m)
+	return m.HeartbeatReceived || len(m.Placements) > 0 || t.machines.BootOverdue(m)
 }
 
 // goneFromCloud reports whether the cloud lists a machine as failed or no longer lists it.
@@ -124,9 +124,9 @@
 	}
 }
 
-// OthersHearNothing reports whether other controllers respond and receive heartbeats from no machine either.
-// In that case it doesn't help if the leader resigns.
-func (t *Tracker) OthersHearNothing() bool {
+// NoControllerReceivesHeartbeats reports whether other controllers respond and receive heartbeats from no
+// machine either. In that case it doesn't help if the leader resigns.
+func (t *Tracker) NoControllerReceivesHeartbeats() bool {
 	others := 0
 	for _, report := range t.reports {
 		if report.Node == t.Settings.Node {
@@ -143,7 +143,7 @@
 // queryZoneReports asks the other controllers which machines send them heartbeats. It does so while some zone
 // isn't healthy or most machines of some zone are silent.
 func (t *Tracker) queryZoneReports() {
-	if !t.AnyCordoned() && !t.anySilent() {
+	if !t.AnyUnhealthy() && !t.anySilent() {
 		t.reports = nil
 		return
 	}
@@ -172,7 +172,7 @@
 // probeZones sends empty commands to a few silent machines of each cordoned zone. A response counts like a
 // heartbeat.
 func (t *Tracker) probeZones() {
-	if t.Now() < t.probedAt+probeInterval || !t.AnyCordoned() {
+	if t.Now() < t.probedAt+probeInterval || !t.AnyUnhealthy() {
 		return
 	}
 	t.probedAt = t.Now()
--- a/internal/leader/zonetracker/tracker.go
+++ b/internal/leader/zonetracker/tracker.go
@@ -125,12 +125,12 @@
 // mostSilentElsewhere reports whether most machines of the other zones are silent too, or the other zones
 // have no machines. In that case this controller may be the one that is cut off, and a missing heartbeat is
 // no evidence against the zone.
-func mostSilentElsewhere(total machinetable.HeardCount, z *Zone) bool {
-	rest := machinetable.HeardCount{
-		Heard:    total.Heard - z.Evidence.Heard,
+func mostSilentElsewhere(total machinetable.HeartbeatCount, z *Zone) bool {
+	rest := machinetable.HeartbeatCount{
+		OnTime:   total.OnTime - z.Evidence.Heard,
 		Expected: total.Expected - z.Evidence.Machines,
 	}
-	return rest.Expected == 0 || !rest.Most()
+	return rest.Expected == 0 || !rest.MostOnTime()
 }
 
 // logPhase logs a change of a zone's phase with the evidence for it.
@@ -192,8 +192,8 @@
 	return false
 }
 
-// AnyCordoned reports whether some zone isn't healthy.
-func (t *Tracker) AnyCordoned() bool {
+// AnyUnhealthy reports whether some zone isn't healthy.
+func (t *Tracker) AnyUnhealthy() bool {
 	for _, z := range t.Zones {
 		if z.IsCordoned() {
 			return true
--- a/internal/leader/zonetracker/zonestore.go
+++ b/internal/leader/zonetracker/zonestore.go
@@ -52,12 +52,12 @@
 		done()
 		return
 	}
-	t.reader.LoadAll(zonerecovery.Prefix, t.adoptRecord, done)
+	t.reader.LoadAll(zonerecovery.Prefix, t.restoreZone, done)
 }
 
-// adoptRecord restores a zone from its record. If the zone is known already, only the record's version is
+// restoreZone restores a zone from its record. If the zone is known already, only the record's version is
 // updated.
-func (t *Tracker) adoptRecord(item protocol.Item) {
+func (t *Tracker) restoreZone(item protocol.Item) {
 	name := item.Key[len(zonerecovery.Prefix):]
 	if known := t.Zones[name]; known != nil {
 		known.RecordVersion = item.Version // the leader reads all records again within a term
--- a/internal/scaling/cordon.go
+++ b/internal/scaling/cordon.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// minFreeFraction is the fraction of a machine that must be free for Cordon to consider it.
+	// minFreeFraction is the fraction of a machine that must be free for SurplusMachines to consider it.
 	// Fuller machines are used well enough, and each evaluation costs a plan.
 	minFreeFraction = 0.4
 
@@ -18,16 +18,18 @@
 	uncordonFillScale = 0.5
 )
 
-// Cordon returns the names of surplus machines, those with the most expensive free part first.
+// SurplusMachines returns the names of surplus machines, those with the most expensive free part first.
 // Machines are surplus if all running and pending tasks, including the tasks on these machines,
 // would fit without them. Cordoned machines take no new tasks, so that they empty and the caller
 // can release them. The caller uncordons those that it needs after all.
 //
 // Each evaluation makes one plan, for a batch of machines at once. The batch doubles after an
 // evaluation that finds all of its machines surplus, and halves after one that doesn't: at the end
-// of a day hundreds of machines are surplus, in the middle of it hardly any. Cordon makes at most
+// of a day hundreds of machines are surplus, in the middle of it hardly any. SurplusMachines makes at most
 // the given number of evaluations, and returns the batch with which the next call should begin.
-func Cordon(snapshot planner.Snapshot, evaluations, batch int) (names []protocol.MachineName, nextBatch int) {
+func SurplusMachines(
+	snapshot planner.Snapshot, evaluations, batch int,
+) (names []protocol.MachineName, nextBatch int) {
 	candidates := surplusCandidates(snapshot.Machines)
 	batch = max(batch, 1)
 	for ; evaluations > 0 && len(candidates) > 0; evaluations-- {
@@ -119,10 +121,10 @@
 	})
 }
 
-// Uncordon reports whether unmet demand needs the cordoned machines of a pool after all: if
+// NeedsUncordon reports whether unmet demand needs the cordoned machines of a pool after all: if
 // scale-out would add a machine of the pool for it, or if the demand fills half of what scale-out
 // requires, since cordoned machines are ready already.
-func (view *CloudView) Uncordon(pool CapacityPool, unmet []planner.UnmetDemand) bool {
+func (view *CloudView) NeedsUncordon(pool CapacityPool, unmet []planner.UnmetDemand) bool {
 	urgent := view.newUrgentDemand(unmet)
 	return slices.ContainsFunc(unmet, func(demand planner.UnmetDemand) bool {
 		return view.tasksPerMachine(pool, demand.Job.Spec) > 0 &&
--- a/internal/scaling/cordon_test.go
+++ b/internal/scaling/cordon_test.go
@@ -68,7 +68,7 @@
 		s := cordonSnapshot(rand.New(rand.NewPCG(seed, 1)))
 		want := cordonOneByOne(s)
 		for _, batch := range []int{1, 7, 100} {
-			if names, _ := Cordon(s, 1000, batch); !slices.Equal(names, want) {
+			if names, _ := SurplusMachines(s, 1000, batch); !slices.Equal(names, want) {
 				t.Fatalf("seed %d, batch %d: cordoned %v, want %v as evaluated one by one",
 					seed, batch, names, want)
 			}
@@ -76,11 +76,11 @@
 	}
 }
 
-// With few evaluations, Cordon finds fewer machines, but only machines that are surplus together.
+// With few evaluations, SurplusMachines finds fewer machines, but only machines that are surplus together.
 func TestCordonInFewEvaluationsIsSurplusTogether(t *testing.T) {
 	for seed := range uint64(50) {
 		s := cordonSnapshot(rand.New(rand.NewPCG(seed, 1)))
-		names, nextBatch := Cordon(s, 3, 4)
+		names, nextBatch := SurplusMachines(s, 3, 4)
 		if _, ok := FitsWithout(s, names...); !ok {
 			t.Fatalf("seed %d: cordoned %v, want machines that can be removed together", seed, names)
 		}
@@ -95,7 +95,7 @@
 func TestCordonFindsManyInFewEvaluations(t *testing.T) {
 	s := cordonSnapshot(rand.New(rand.NewPCG(1, 1)))
 	s.Jobs[1].Pending = nil
-	names, nextBatch := Cordon(s, 5, 1)
+	names, nextBatch := SurplusMachines(s, 5, 1)
 	if len(names) < 20 || nextBatch < 2 {
 		t.Fatalf("%d of %d machines cordoned, next batch %d, want at least 20 and 2",
 			len(names), len(s.Machines), nextBatch)
--- a/internal/scaling/price_test.go
+++ b/internal/scaling/price_test.go
@@ -43,7 +43,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			view := twoTypes()
-			if got := view.Uncordon(test.pool, test.unmet); got != test.uncordon {
+			if got := view.NeedsUncordon(test.pool, test.unmet); got != test.uncordon {
 				t.Errorf("uncordoned: %v, want %v", got, test.uncordon)
 			}
 			view = twoTypes()
--- a/internal/simulation/loopbackserver.go
+++ b/internal/simulation/loopbackserver.go
@@ -82,7 +82,7 @@
 		q := r.URL.Query()
 		from, _ := strconv.ParseInt(q.Get("From"), 10, 64)
 		block, _ := strconv.ParseInt(q.Get("BlockMs"), 10, 64)
-		store.Follow(q.Get("Prefix"), protocol.Revision(from), clock.Micros(block)*clock.Millisecond,
+		store.Watch(q.Get("Prefix"), protocol.Revision(from), clock.Micros(block)*clock.Millisecond,
 			reply[protocol.WatchResponse](answer))
 	}))
 	mux.Handle("POST /leases", serve(l, func(_ *http.Request, q protocol.LeaseRequest, answer answerFunc) {
--- a/internal/simulation/record.go
+++ b/internal/simulation/record.go
@@ -116,13 +116,13 @@
 	s.store.Commit(use, t, answered(s.recording, "commit", done))
 }
 
-// Follow implements storetest.Service.
-func (s *recordedStore) Follow(
+// Watch implements storetest.Service.
+func (s *recordedStore) Watch(
 	prefix string, from protocol.Revision, block clock.Micros,
 	done func(storetest.Reply[protocol.WatchResponse]),
 ) {
 	s.record("follow", prefix, from, int64(block))
-	s.store.Follow(prefix, from, block, answered(s.recording, "follow", done))
+	s.store.Watch(prefix, from, block, answered(s.recording, "follow", done))
 }
 
 // Grant implements storetest.Service.
--- a/internal/simulation/storeclient.go
+++ b/internal/simulation/storeclient.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// Follow waits for changes of keys with a prefix after a revision, for a time at most.
-func (c *storeClient) Follow(
+// Watch waits for changes of keys with a prefix after a revision, for a time at most.
+func (c *storeClient) Watch(
 	prefix string, from protocol.Revision, block clock.Micros,
 	done func(storetest.Reply[protocol.WatchResponse]),
 ) {
