--- a/internal/leader/golden_test.go
+++ b/internal/leader/golden_test.go
@@ -127,8 +127,8 @@
 			"\x00\x00\x00\x00\x00\xa4DueS\xc0\x00\x030-1\x00\x00\x00\x00\x05\xf5\xe0\xff")
 }
 
-// The record of a guest that is taken, and that of one that is refused.
-func TestGoldenGuests(t *testing.T) {
+// The record of an accepted hosted job, and that of a refused one.
+func TestGoldenHostedJobs(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		draining bool
@@ -353,11 +353,11 @@
 			`"heard_elsewhere":2}]}`)
 }
 
-// Rentals are named after the epoch and a count.
-func TestGoldenBookings(t *testing.T) {
+// The idempotency key of a scale-out request consists of the epoch and a count.
+func TestGoldenIdempotencyKeys(t *testing.T) {
 	d, _ := newLeader()
-	rented := &rentalRecorder{}
-	d.autoscaler.Cloud = cloudtest.Client(rented)
+	recorder := &scaleOutRecorder{}
+	d.autoscaler.Cloud = cloudtest.Client(recorder)
 	d.catalogue.Publish = func([]protocol.MachineType) {}
 	d.catalogue.Replace(goldenTypes())
 	d.state.Settings.Deployment.Cloud.Rps = 100
@@ -373,26 +373,26 @@
 	}
 	job := &planner.Job{ID: "job-1", Spec: spec, Pending: []int{0}, MaxStarts: 1}
 	d.autoscaler.ScaleOut([]planner.UnmetDemand{{Job: job, Tasks: 1}})
-	if len(rented.asked) != 1 {
-		t.Fatalf("%+v", rented.asked)
+	if len(recorder.requests) != 1 {
+		t.Fatalf("%+v", recorder.requests)
 	}
-	goldentest.Equal(t, "rental", protocol.Encode(rented.asked[0]),
+	goldentest.Equal(t, "rental", protocol.Encode(recorder.requests[0]),
 		"\x85\xa7Booking\xa4e7-1\xa5Fleet\xa2g8\xa4Hall\xa1a\xa7Loaners\xc3\xa7HowMany\x01")
 }
 
-// rentalRecorder is a cloud that keeps what it is asked for.
-type rentalRecorder struct {
+// scaleOutRecorder is a fake of the cloud that records scale-out requests.
+type scaleOutRecorder struct {
 	cloudtest.Service
-	asked []protocol.ScaleOutRequest
+	requests []protocol.ScaleOutRequest
 }
 
-func (r *rentalRecorder) Rent(x protocol.ScaleOutRequest, _ clock.Micros,
+func (r *scaleOutRecorder) Rent(x protocol.ScaleOutRequest, _ clock.Micros,
 	_ func(int, protocol.ScaleOutResponse)) {
-	r.asked = append(r.asked, x)
+	r.requests = append(r.requests, x)
 }
 
-// Answers to reports: orders of every verb, redirects and refusals.
-func TestGoldenHeartbeatAnswers(t *testing.T) {
+// Responses to heartbeats: commands with each verb, redirects and refusals.
+func TestGoldenHeartbeatResponses(t *testing.T) {
 	answered := func(d *Leader, r protocol.Heartbeat) (int, []byte) {
 		status, body := 0, []byte(nil)
 		d.Heartbeat(r, func(s int, b any) { status, body = s, protocol.Encode(b) })
@@ -447,8 +447,8 @@
 	}
 }
 
-// The kinds of aims that the settings name.
-func TestGoldenAims(t *testing.T) {
+// The kinds of objectives that the settings name.
+func TestGoldenObjectives(t *testing.T) {
 	d, _ := newLeader()
 	d.state.Settings.Deployment.Objectives = []settings.Objective{
 		{Kind: "wait", Class: "c", WithinS: 5},
--- a/internal/leader/machinetable/machinetable.go
+++ b/internal/leader/machinetable/machinetable.go
@@ -101,7 +101,7 @@
 
 // The reasons for which the reconciler releases machines.
 const (
-	ReleaseRestarted          ReleaseReason = "it has started over"
+	ReleaseIncarnationReset   ReleaseReason = "it has started over"
 	ReleaseResponsesLost      ReleaseReason = "responses don't reach it"
 	ReleaseSilent             ReleaseReason = "silent"
 	ReleaseSilentReplicas     ReleaseReason = "silent with replicas"
--- a/internal/leader/reconciler/health.go
+++ b/internal/leader/reconciler/health.go
@@ -122,7 +122,7 @@
 	lastNumber := m.HeartbeatNumber
 	hm.commands.Send(m, m.Incarnation, []protocol.Command{}, func(result CommandResult) {
 		if result.Heartbeat != nil && !machinetable.NumberOf(result.Heartbeat).After(lastNumber) {
-			hm.machines.ScheduleRelease(m, machinetable.ReleaseRestarted)
+			hm.machines.ScheduleRelease(m, machinetable.ReleaseIncarnationReset)
 		}
 	})
 }
--- a/internal/leader/reconciler/reconciler.go
+++ b/internal/leader/reconciler/reconciler.go
@@ -196,7 +196,7 @@
 		rc.jobs.ReleasePlacement(j, p)
 	case incarnationReset:
 		m.PlacedTasksListed = false
-		rc.machines.ScheduleRelease(m, machinetable.ReleaseRestarted)
+		rc.machines.ScheduleRelease(m, machinetable.ReleaseIncarnationReset)
 	case unproven:
 		m.PlacedTasksListed = false
 	}
--- a/internal/leader/recordapply_test.go
+++ b/internal/leader/recordapply_test.go
@@ -76,8 +76,8 @@
 		t.Fatal("the job is forgotten, want it to be known")
 	}
 	if !j.MustNotRun() || len(j.Placements) != 1 || l.machines.ByName["m-1"].Placements["job-1"] == nil {
-		t.Fatalf("over %v, placed %v, on its machine %v, want it over, placed and on its machine", j.MustNotRun(),
-			j.Placements, l.machines.ByName["m-1"].Placements)
+		t.Fatalf("must not run %v, placed %v, on its machine %v, want true, placed and on its machine",
+			j.MustNotRun(), j.Placements, l.machines.ByName["m-1"].Placements)
 	}
 }
 
@@ -90,7 +90,7 @@
 	l.reader.Apply(jobrecord.Key("job-1"), cancelled.Encode(), 8)
 	store.answer(conflictOn(jobrecord.Key("job-1")))
 	if !j.MustNotRun() || j.Committed(j.Placements[0]) || j.MustReload() || len(j.Placements) != 1 {
-		t.Fatalf("over %v, committed %v, to be reloaded %v, placed %v, want true, false, false and one task",
+		t.Fatalf("must not run %v, committed %v, reload due %v, placed %v, want true, false, false, one task",
 			j.MustNotRun(), j.Committed(j.Placements[0]), j.MustReload(), j.Placements)
 	}
 }
