--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -11,33 +11,33 @@
 	"postpoint/internal/settings"
 )
 
-// maxFinalStates bounds the memory that final states take.
+// maxFinalStates bounds the memory of the cached final states.
 const maxFinalStates = 20_000
 
-// Admission is the actor that answers requests.
+// Admission is the actor that handles the requests of users and nodes.
 type Admission struct {
 	mailbox actor.Mailbox
 	store   kvstore.Store
 	set     *settings.Settings
 	forward Forward
-	types   []protocol.MachineType // empty until the catalogue is known
-	// formatOpen reports that all controllers know services and sharded records.
+	types   []protocol.MachineType // empty until the first catalogue arrives
+	// formatOpen reports that all controllers support services and sharded records.
 	formatOpen bool
-	// memoryFull reports that new jobs have to wait.
+	// memoryFull reports that the process is too close to its memory limit to accept new jobs.
 	memoryFull func() bool
-	// finalStates may be shown from memory by job: they never change.
+	// finalStates caches the status of jobs that are final, which never changes.
 	finalStates  map[protocol.JobID]protocol.JobStatus
 	availability availability
-	// startedAt is when this process started, epoch the highest that it was elected with.
+	// startedAt is when this process started, epoch the highest epoch of its elections.
 	startedAt clock.Micros
 	epoch     protocol.Epoch
-	// cancellations are those that users were told of.
+	// cancellations are the cancellations that this node has reported to users.
 	cancellations cancellationLog
-	// zoneReports asks the part of this node that receives heartbeats.
+	// zoneReports asks the part of this node that receives heartbeats for its zone reports.
 	zoneReports func(reply func(ZoneReports))
 }
 
-// New makes the actor. It answers requests that the store doesn't serve through forward.
+// New returns the actor. While the store is unavailable, it passes requests to other nodes with forward.
 func New(m actor.Mailbox, s kvstore.Store, set *settings.Settings, forward Forward) *Admission {
 	return &Admission{
 		mailbox:       m,
@@ -52,45 +52,47 @@
 	}
 }
 
-// RefuseWhen makes new jobs wait while the process is near the limit of its memory: it would be
-// killed, and what it was doing with it. It is called before the first request, full from the actor.
-func (in *Admission) RefuseWhen(full func() bool) { in.memoryFull = full }
+// RefuseWhen makes Admission reject new jobs as retryable while full returns true: a process that
+// exceeds its memory limit is killed with all of its work in progress. The caller calls RefuseWhen
+// before the first request; the actor calls full.
+func (adm *Admission) RefuseWhen(full func() bool) { adm.memoryFull = full }
 
-// ZoneReportsFrom lets other nodes ask of which zones' machines this one receives heartbeats. It is
-// called before the first request.
-func (in *Admission) ZoneReportsFrom(ask func(reply func(ZoneReports))) { in.zoneReports = ask }
+// ZoneReportsFrom sets the function that responds to GetZoneReports. The caller calls it before the
+// first request.
+func (adm *Admission) ZoneReportsFrom(ask func(reply func(ZoneReports))) { adm.zoneReports = ask }
 
-// SetMachineTypes is called with each new catalogue.
-func (in *Admission) SetMachineTypes(types []protocol.MachineType) {
+// SetMachineTypes replaces the machine types when a new catalogue arrives.
+func (adm *Admission) SetMachineTypes(types []protocol.MachineType) {
 	types = slices.Clone(types)
-	in.mailbox.Post(func() { in.types = types })
+	adm.mailbox.Post(func() { adm.types = types })
 }
 
-// SetFormatStatus is called with the progress of the controllers' upgrade.
-func (in *Admission) SetFormatStatus(s rollout.Status) {
-	in.mailbox.Post(func() { in.formatOpen = s.Services })
+// SetFormatStatus records the progress of the upgrade of the controllers.
+func (adm *Admission) SetFormatStatus(s rollout.Status) {
+	adm.mailbox.Post(func() { adm.formatOpen = s.Services })
 }
 
-// NoteElection is called at each election of this node, before anything is done about it.
-func (in *Admission) NoteElection(epoch protocol.Epoch) {
-	in.mailbox.Post(func() { in.epoch = max(in.epoch, epoch) })
+// NoteElection records an election of this node. The caller calls it before the new leader does
+// anything.
+func (adm *Admission) NoteElection(epoch protocol.Epoch) {
+	adm.mailbox.Post(func() { adm.epoch = max(adm.epoch, epoch) })
 }
 
-// Handle answers a request. It calls reply once, from the actor.
-func (in *Admission) Handle(r Request, reply func(Response)) {
-	in.mailbox.Post(func() {
-		c := &call{in: in, request: r, reply: reply}
+// Handle handles a request. The actor calls reply exactly once.
+func (adm *Admission) Handle(r Request, reply func(Response)) {
+	adm.mailbox.Post(func() {
+		c := &call{admission: adm, request: r, reply: reply}
 		c.handle()
 	})
 }
 
-// keepFinal remembers the final state of a job.
-func (in *Admission) keepFinal(s protocol.JobStatus) {
+// cacheFinalStatus caches the final status of a job.
+func (adm *Admission) cacheFinalStatus(s protocol.JobStatus) {
 	if s.Status == protocol.StatusCancelled {
-		in.cancellations.add(s.ID, in.mailbox.Monotonic())
+		adm.cancellations.add(s.ID, adm.mailbox.Monotonic())
 	}
-	if len(in.finalStates) >= maxFinalStates {
-		clear(in.finalStates) // rare, and only costs reading again
+	if len(adm.finalStates) >= maxFinalStates {
+		clear(adm.finalStates) // rare, and costs only repeated reads
 	}
-	in.finalStates[s.ID] = s
+	adm.finalStates[s.ID] = s
 }
--- a/internal/admission/attestation.go
+++ b/internal/admission/attestation.go
@@ -8,22 +8,23 @@
 	"postpoint/internal/protocol"
 )
 
-// Attestation is what a node vouches for to a leader that the store doesn't serve: all the
-// cancellations that it has told users of lately, and that it wasn't elected itself. It says
-// nothing of the time before its process started.
+// Attestation is the statement of a node to a leader that can't reach the store. It lists all
+// cancellations that the node recently reported to users and gives the highest epoch of the node's own
+// elections, so that the leader can tell whether a later leader exists. It doesn't cover the time before
+// the node's process started.
 type Attestation struct {
-	Age       clock.Micros   // of the process
-	Epoch     protocol.Epoch // the highest that it was elected with, 0 if it never led
+	Age       clock.Micros   // time since the process started
+	Epoch     protocol.Epoch // highest epoch of its elections, 0 if it was never elected
 	Cancelled []CancelledJob
 }
 
-// CancelledJob is a job that was first told cancelled so long ago.
+// CancelledJob is a job whose cancellation a node first reported to a user the given time ago.
 type CancelledJob struct {
 	Job protocol.JobID
 	Age clock.Micros
 }
 
-// ErrAttestation is an attestation that can't be read.
+// ErrAttestation means that an attestation can't be decoded.
 var ErrAttestation = errors.New("malformed attestation")
 
 // Sizes in the binary form of an attestation, in bytes.
@@ -32,14 +33,14 @@
 	attestationHeaderBytes = 2 * microsBytes
 )
 
-// NewAttestationRequest returns the request for what a node has told users in the time back from now.
-func NewAttestationRequest(back clock.Micros) Request {
-	return Request{Kind: GetAttestation, Body: binary.BigEndian.AppendUint64(nil, uint64(back))}
+// NewAttestationRequest returns a request for an attestation of the last lookback microseconds.
+func NewAttestationRequest(lookback clock.Micros) Request {
+	return Request{Kind: GetAttestation, Body: binary.BigEndian.AppendUint64(nil, uint64(lookback))}
 }
 
-// Encode returns the binary form, big endian:
+// Encode returns the binary form. Numbers are big endian; sizes of fields are in bytes:
 //
-//	age (8), epoch (8), and for each job: length of the id (1), id, ago (8)
+//	age (8), epoch (8), and for each job: length of the ID (1), ID, age (8)
 func (a Attestation) Encode() []byte {
 	b := binary.BigEndian.AppendUint64(nil, uint64(a.Age))
 	b = binary.BigEndian.AppendUint64(b, uint64(a.Epoch))
@@ -50,7 +51,7 @@
 	return b
 }
 
-// DecodeAttestation reads the binary form. Its error is ErrAttestation.
+// DecodeAttestation decodes the binary form. Its only error is ErrAttestation.
 func DecodeAttestation(b []byte) (Attestation, error) {
 	if len(b) < attestationHeaderBytes {
 		return Attestation{}, ErrAttestation
@@ -73,6 +74,7 @@
 	return a, nil
 }
 
+// decodeCancelledJob decodes the first cancelled job of b and returns the bytes after it.
 func decodeCancelledJob(b []byte) (c CancelledJob, rest []byte, ok bool) {
 	id, rest, ok := cutName(b)
 	if !ok || len(rest) < microsBytes {
@@ -82,12 +84,13 @@
 	return c, rest[microsBytes:], c.Age >= 0
 }
 
-// DecodeAttestations reads the answers of all nodes; ok reports whether all of them vouch.
-func DecodeAttestations(answers []Response, ok bool) ([]Attestation, bool) {
+// DecodeAttestations decodes the responses of nodes. The parameter ok reports whether all nodes
+// responded; the result reports whether all of them gave an attestation.
+func DecodeAttestations(responses []Response, ok bool) ([]Attestation, bool) {
 	var all []Attestation
-	for _, answer := range answers {
-		a, err := DecodeAttestation(answer.Body)
-		if !answer.OK() || err != nil {
+	for _, response := range responses {
+		a, err := DecodeAttestation(response.Body)
+		if !response.OK() || err != nil {
 			ok = false
 			continue
 		}
@@ -96,23 +99,23 @@
 	return all, ok
 }
 
-// attest answers at once, from memory. Its order in the mailbox counts: this node doesn't vouch for
-// what it tells users, or for elections that it wins, later than this.
+// attest responds immediately from memory. The attestation covers the cancellations and elections whose
+// messages came before this one in the mailbox, and none that come later.
 func (c *call) attest() {
 	if len(c.request.Body) != microsBytes {
 		c.fail(outcomeTryLater, reasonNotRequest)
 		return
 	}
-	back := clock.Micros(binary.BigEndian.Uint64(c.request.Body))
-	if back < 0 || back > cancellationsKept {
+	lookback := clock.Micros(binary.BigEndian.Uint64(c.request.Body))
+	if lookback < 0 || lookback > cancellationRetention {
 		c.fail(outcomeTryLater, reasonTooOld)
 		return
 	}
-	now := c.in.mailbox.Monotonic()
+	now := c.admission.mailbox.Monotonic()
 	a := Attestation{
-		Age:       now - c.in.startedAt,
-		Epoch:     c.in.epoch,
-		Cancelled: c.in.cancellations.since(now-back, now),
+		Age:       now - c.admission.startedAt,
+		Epoch:     c.admission.epoch,
+		Cancelled: c.admission.cancellations.since(now-lookback, now),
 	}
 	body := a.Encode()
 	if len(body) > protocol.MaxBodyBytes {
--- a/internal/admission/attestation_test.go
+++ b/internal/admission/attestation_test.go
@@ -13,7 +13,7 @@
 	"postpoint/internal/settings"
 )
 
-// cancelledJobs is a store that holds the records of cancelled jobs.
+// cancelledJobs returns a store with the records of cancelled jobs.
 func cancelledJobs(ids ...protocol.JobID) *fakeStore {
 	store := &fakeStore{values: map[string][]byte{}, readOnly: true}
 	for _, id := range ids {
@@ -24,28 +24,29 @@
 	return store
 }
 
-// A node vouches for what it has told users since its process started, and for its own elections;
-// each cancellation counts from when it was told first, by the answer to a question as well, and
-// what is older than what is asked for is left out.
-func TestNodeVouchesForWhatItHasTold(t *testing.T) {
-	box := &actortest.Still{Now: 5 * clock.Second}
-	in := New(box, cancelledJobs("job-000001", "job-000002"), &settings.Settings{}, nil)
-	show := func(id protocol.JobID) { answerOf(t, in, Request{Kind: GetStatus, ID: id}) }
+// Guards against a new leader that misses a cancellation that another node has reported to a user. An
+// attestation covers the node's elections and the cancellations that it reported since its process
+// started. A cancellation counts from its first report, which may be the response to a status request;
+// cancellations before the requested time are left out.
+func TestAttestationListsReportedCancellations(t *testing.T) {
+	mailbox := &actortest.Still{Now: 5 * clock.Second}
+	adm := New(mailbox, cancelledJobs("job-000001", "job-000002"), &settings.Settings{}, nil)
+	getStatus := func(id protocol.JobID) { responseOf(t, adm, Request{Kind: GetStatus, ID: id}) }
 	attest := func(back clock.Micros) (Attestation, bool) {
-		all, ok := DecodeAttestations([]Response{answerOf(t, in, NewAttestationRequest(back))}, true)
+		all, ok := DecodeAttestations([]Response{responseOf(t, adm, NewAttestationRequest(back))}, true)
 		if !ok {
 			return Attestation{}, false
 		}
 		return all[0], true
 	}
-	box.Now += 10 * clock.Second
-	show("job-000001")
-	in.NoteElection(9)
-	in.NoteElection(0) // a term that ended
-	box.Now += 20 * clock.Second
-	show("job-000002")
-	box.Now += 5 * clock.Second
-	show("job-000001") // once more
+	mailbox.Now += 10 * clock.Second
+	getStatus("job-000001")
+	adm.NoteElection(9)
+	adm.NoteElection(0) // a term ended
+	mailbox.Now += 20 * clock.Second
+	getStatus("job-000002")
+	mailbox.Now += 5 * clock.Second
+	getStatus("job-000001") // a repeated report
 	got, ok := attest(30 * clock.Second)
 	want := Attestation{Age: 35 * clock.Second, Epoch: 9, Cancelled: []CancelledJob{
 		{"job-000001", 25 * clock.Second}, {"job-000002", 5 * clock.Second}}}
@@ -53,22 +54,23 @@
 		t.Fatalf("attestation, ok %v, want it as follows (-want +got):\n%s", ok, d)
 	}
 	if got, ok := attest(10 * clock.Second); !ok || len(got.Cancelled) != 1 {
-		t.Fatalf("of the last ten seconds: ok %v, %v, want one job", ok, got)
+		t.Fatalf("attestation of the last ten seconds: ok %v, %v, want one job", ok, got)
 	}
-	if _, ok := attest(cancellationsKept + 1); ok {
-		t.Fatal("it vouches for more than it keeps, want a refusal")
+	if _, ok := attest(cancellationRetention + 1); ok {
+		t.Fatal("attestation for longer than the retention, want a rejection")
 	}
 	if _, ok := attest(-1); ok {
-		t.Fatal("it vouches for the time to come, want a refusal")
+		t.Fatal("attestation for a negative time, want a rejection")
 	}
-	refused := answerOf(t, in, Request{Kind: GetAttestation, Body: []byte{1}})
-	if refused.Status != http.StatusServiceUnavailable {
-		t.Fatalf("a malformed request is answered %d, want %d", refused.Status, http.StatusServiceUnavailable)
+	rejected := responseOf(t, adm, Request{Kind: GetAttestation, Body: []byte{1}})
+	if rejected.Status != http.StatusServiceUnavailable {
+		t.Fatalf("status %d for a malformed request, want %d", rejected.Status, http.StatusServiceUnavailable)
 	}
 }
 
-// Whatever a node is sent in place of an attestation is refused or reads as what it writes again,
-// and one that doesn't vouch spoils the whole.
+// Guards against malformed attestations that a leader accepts: any bytes are either rejected or decode to
+// a value that encodes to the same bytes, and one response without an attestation makes the whole set
+// incomplete.
 func FuzzAttestations(f *testing.F) {
 	f.Add(Attestation{Age: 5, Epoch: 7, Cancelled: []CancelledJob{{"job-000412", 3}}}.Encode())
 	f.Add([]byte{1, 2, 3})
@@ -77,16 +79,16 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		a, err := DecodeAttestation(raw)
 		if err == nil && string(a.Encode()) != string(raw) {
-			t.Fatalf("%x reads as %+v, which is written as %x, want the same", raw, a, a.Encode())
+			t.Fatalf("%x decodes to %+v, which encodes to %x, want the same bytes", raw, a, a.Encode())
 		}
 		good := Response{Status: http.StatusOK, Body: Attestation{}.Encode()}
 		all, ok := DecodeAttestations([]Response{good, {Status: http.StatusOK, Body: raw}}, true)
 		if ok != (err == nil) || ok && len(all) != 2 {
 			t.Fatalf("ok %v, %v, want ok %v", ok, all, err == nil)
 		}
-		refusal := Response{Status: http.StatusServiceUnavailable, Body: good.Body}
-		if _, ok := DecodeAttestations([]Response{good, refusal}, true); ok {
-			t.Fatal("a refusal vouches, want it not to")
+		rejection := Response{Status: http.StatusServiceUnavailable, Body: good.Body}
+		if _, ok := DecodeAttestations([]Response{good, rejection}, true); ok {
+			t.Fatal("a rejection counts as an attestation, want it not to")
 		}
 	})
 }
--- a/internal/admission/availability.go
+++ b/internal/admission/availability.go
@@ -7,79 +7,81 @@
 )
 
 const (
-	// downTime is for how long the store, or the other nodes, are taken not to answer once they
-	// haven't: users needn't find out one by one. It is well below the time that they wait.
-	downTime = 1500 * clock.Millisecond
-	// probeInterval is how long ago the store may have answered for a health check not to ask it.
+	// failureBackoff is how long the store or the other nodes are considered unavailable after a failed
+	// request, so that the requests that follow don't wait for a timeout each. It is well below the
+	// time that users wait.
+	failureBackoff = 1500 * clock.Millisecond
+	// probeInterval is the age of the store's last response from which a health check probes the
+	// store.
 	probeInterval = 2 * clock.Second
-	// isolatedTime is how long neither the store nor another node may have answered for this one to
-	// be healthy, longer than a slow response of either takes.
-	isolatedTime = 6 * clock.Second
-	// catalogueTime is how long a starting node waits for the machine types before it takes
-	// requests that don't need them.
-	catalogueTime = 10 * clock.Second
-	// probeKey is no job and no key of the store.
+	// isolationTimeout is the time without a response of the store or another node after which this node
+	// is unhealthy. It is longer than a slow response of either.
+	isolationTimeout = 6 * clock.Second
+	// catalogueTimeout is how long a starting node waits for the machine types before it becomes ready
+	// for the requests that don't need them.
+	catalogueTimeout = 10 * clock.Second
+	// probeKey is neither a job ID nor a key in the store.
 	probeKey = "probe"
 )
 
-// availability notes who answers this node.
+// availability records whether the store and the other nodes respond to this node.
 type availability struct {
 	storeAnsweredAt, peerAnsweredAt clock.Micros
-	// storeDownUntil and peersDownUntil are until when they are taken not to answer.
+	// storeDownUntil and peersDownUntil are until when they are considered unavailable.
 	storeDownUntil, peersDownUntil clock.Micros
-	probing                        bool // the store or another node is being asked
+	probing                        bool // a probe of the store or of another node is in progress
 }
 
-// Ready reports whether this node can take requests: it knows the machine types or has waited long
-// enough for them, and somebody answers it. A node without the store still serves through its
-// peers, and in an outage all nodes are alike; one that is left without both only costs its
-// users time.
-func (in *Admission) Ready(reply func(bool)) {
-	in.mailbox.Post(func() {
-		now, a := in.mailbox.Monotonic(), &in.availability
+// Ready reports whether this node can handle requests: it knows the machine types or has waited long
+// enough for them, and the store or another node responds to it. A node without the store still forwards
+// requests to its peers, and in an outage of the store no node is better off. A node that can reach
+// neither only makes its users wait.
+func (adm *Admission) Ready(reply func(bool)) {
+	adm.mailbox.Post(func() {
+		now, a := adm.mailbox.Monotonic(), &adm.availability
 		if now > a.storeAnsweredAt+probeInterval || now < a.storeDownUntil {
-			in.probe()
+			adm.probe()
 		}
-		started := len(in.types) > 0 || now > catalogueTime
-		lastAnswer := max(a.storeAnsweredAt, a.peerAnsweredAt, catalogueTime)
-		reply(started && now < lastAnswer+isolatedTime)
+		started := len(adm.types) > 0 || now > catalogueTimeout
+		lastAnswer := max(a.storeAnsweredAt, a.peerAnsweredAt, catalogueTimeout)
+		reply(started && now < lastAnswer+isolationTimeout)
 	})
 }
 
-// probe asks the store, and if that doesn't answer, another node.
-func (in *Admission) probe() {
-	if in.availability.probing {
+// probe sends a request to the store, and to another node if the store doesn't respond.
+func (adm *Admission) probe() {
+	if adm.availability.probing {
 		return
 	}
-	in.availability.probing = true
-	in.store.Get(probeKey, func(r kvstore.Result[protocol.Item]) {
-		if in.noteStore(storeResultOf(r.Err)) {
-			in.availability.probing = false
+	adm.availability.probing = true
+	adm.store.Get(probeKey, func(r kvstore.Result[protocol.Item]) {
+		if adm.recordStoreResult(storeResultOf(r.Err)) {
+			adm.availability.probing = false
 			return
 		}
-		in.availability.storeDownUntil = in.mailbox.Monotonic() + probeInterval
-		in.forward(Request{Kind: GetStatus, ID: probeKey}, func(_ Response, ok bool) {
-			in.availability.probing = false
-			in.notePeers(ok)
+		adm.availability.storeDownUntil = adm.mailbox.Monotonic() + probeInterval
+		adm.forward(Request{Kind: GetStatus, ID: probeKey}, func(_ Response, ok bool) {
+			adm.availability.probing = false
+			adm.recordPeerResult(ok)
 		})
 	})
 }
 
-// noteStore notes a result of the store and returns whether it serves this node.
-func (in *Admission) noteStore(r storeResult) bool {
+// recordStoreResult records a result of the store and reports whether the store is available to this node.
+func (adm *Admission) recordStoreResult(r storeResult) bool {
 	if !r.served() {
 		return false
 	}
-	in.availability.storeAnsweredAt = in.mailbox.Monotonic()
+	adm.availability.storeAnsweredAt = adm.mailbox.Monotonic()
 	return true
 }
 
-// notePeers notes whether another node has answered.
-func (in *Admission) notePeers(answered bool) {
-	now := in.mailbox.Monotonic()
-	if answered {
-		in.availability.peerAnsweredAt = now
+// recordPeerResult records whether another node responded.
+func (adm *Admission) recordPeerResult(responded bool) {
+	now := adm.mailbox.Monotonic()
+	if responded {
+		adm.availability.peerAnsweredAt = now
 	} else {
-		in.availability.peersDownUntil = now + downTime
+		adm.availability.peersDownUntil = now + failureBackoff
 	}
 }
--- a/internal/admission/call.go
+++ b/internal/admission/call.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// maxRetries is how often a request is tried again before its user is told to: with retryDelay,
-	// within the two seconds that users wait for a status.
+	// maxRetries bounds the retries of a request before the user is told to retry. With retryDelay it
+	// stays within the two seconds that users wait for a status.
 	maxRetries = 6
-	// retryDelay is how long a request waits that was one too many for the store.
+	// retryDelay is the delay before the retry of a request that was throttled.
 	retryDelay = 150 * clock.Millisecond
 )
 
-// Reasons that users are told.
+// Reasons in the responses to users and nodes.
 const (
 	reasonNoSuchJob    = "no such job"
 	reasonStoreDown    = "the state service does not answer"
@@ -34,87 +34,92 @@
 	reasonTooOld       = "more than can be vouched for"
 )
 
-// call is one request while it is being handled.
+// call is a request that is being handled.
 type call struct {
-	in        *Admission
+	admission *Admission
 	request   Request
 	reply     func(Response)
 	retries   int
-	spec      protocol.JobSpec // of a submission
-	forwarded bool             // by this node
+	spec      protocol.JobSpec // decoded submission
+	forwarded bool             // this node has forwarded the request
 }
 
-// finish answers the request.
-func (c *call) finish(o outcome) { c.reply(o.toAnswer()) }
+// finish responds to the request.
+func (c *call) finish(o outcome) { c.reply(o.toResponse()) }
 
-// jobID returns the id that the request or its submission names.
+// jobID returns the job ID in the request or in its submission.
 func (c *call) jobID() protocol.JobID { return cmp.Or(c.request.ID, c.spec.ID) }
 
+// fail responds that the request was not carried out.
 func (c *call) fail(kind outcomeKind, reason string) { c.finish(failure(kind, reason)) }
 
-// handle starts the request, at another node if the store is taken not to serve this one.
+// handle starts the request, or forwards it to another node while the store is considered unavailable.
 func (c *call) handle() {
 	switch {
 	case c.request.Kind == GetAttestation:
 		c.attest()
 	case c.request.Kind == GetZoneReports:
-		c.in.zoneReports(func(z ZoneReports) { c.finish(outcome{kind: outcomeForNode, body: z.Encode()}) })
-	case c.in.mailbox.Monotonic() < c.in.availability.storeDownUntil:
+		c.admission.zoneReports(func(z ZoneReports) {
+			c.finish(outcome{kind: outcomeForNode, body: z.Encode()})
+		})
+	case c.admission.mailbox.Monotonic() < c.admission.availability.storeDownUntil:
 		c.forwardToPeer()
 	default:
-		c.begin()
+		c.execute()
 	}
 }
 
-// begin starts the request, or starts it again.
-func (c *call) begin() {
+// execute starts or retries a request of a user.
+func (c *call) execute() {
 	switch c.request.Kind {
 	case Submit:
 		c.submit()
 	case GetStatus:
-		c.show()
+		c.getStatus()
 	case Cancel:
 		c.cancel()
 	}
 }
 
-// retry reports whether the request may be tried once more.
-func (c *call) retry() bool {
+// countRetry counts a retry and reports whether it is allowed.
+func (c *call) countRetry() bool {
 	c.retries++
 	return c.retries <= maxRetries
 }
 
-// notServed handles every result of the store that doesn't say anything of the job.
-func (c *call) notServed(r storeResult) {
+// handleStoreFailure handles the results of the store that carry no information about the job. It retries
+// a throttled request and forwards the request to another node after any other result.
+func (c *call) handleStoreFailure(r storeResult) {
 	if r != storeBusy {
-		c.in.availability.storeDownUntil = c.in.mailbox.Monotonic() + downTime
+		c.admission.availability.storeDownUntil = c.admission.mailbox.Monotonic() + failureBackoff
 		c.forwardToPeer()
 		return
 	}
-	if !c.retry() {
+	if !c.countRetry() {
 		c.fail(outcomeTryLater, reasonTooMany)
 		return
 	}
-	c.in.mailbox.After(retryDelay, c.begin)
+	c.admission.mailbox.After(retryDelay, c.execute)
 }
 
-// readRecord reads the record of a job, nil if there is none.
+// readRecord reads the record of a job; record is nil if there is none.
 func (c *call) readRecord(id protocol.JobID, done func(record *jobrecord.Record, version protocol.Revision)) {
 	key := jobrecord.Key(id)
-	c.in.store.Get(key, func(r kvstore.Result[protocol.Item]) {
+	c.admission.store.Get(key, func(r kvstore.Result[protocol.Item]) {
 		result := storeResultOf(r.Err)
-		c.in.noteStore(result)
+		c.admission.recordStoreResult(result)
 		switch result {
 		case storeDone:
 			c.decodeRecord(key, r.Value, done)
 		case storeNotFound:
 			done(nil, 0)
 		default:
-			c.notServed(result)
+			c.handleStoreFailure(result)
 		}
 	})
 }
 
+// decodeRecord decodes the record of a job and caches its status if it is final.
 func (c *call) decodeRecord(
 	key string, item protocol.Item, done func(record *jobrecord.Record, version protocol.Revision),
 ) {
@@ -125,16 +130,16 @@
 		return
 	}
 	if record.Final() {
-		c.in.keepFinal(record.UserStatus())
+		c.admission.cacheFinalStatus(record.UserStatus())
 	}
 	done(record, item.Version)
 }
 
-// findRecord reads the record of the job that the request names, unless the answer is clear without
-// it: the job is over, or there is none.
+// findRecord reads the record of the job that the request names. It responds without calling done if
+// the final status is cached or there is no such job.
 func (c *call) findRecord(done func(record *jobrecord.Record, version protocol.Revision)) {
 	id := c.request.ID
-	if final, ok := c.in.finalStates[id]; ok {
+	if final, ok := c.admission.finalStates[id]; ok {
 		c.finish(knownJob(final))
 		return
 	}
--- a/internal/admission/cancellation_test.go
+++ b/internal/admission/cancellation_test.go
@@ -12,8 +12,8 @@
 	"postpoint/internal/settings"
 )
 
-// A job whose record was stored under wider limits can be cancelled under tight ones: its user is
-// told at once, and what is stored is final and small.
+// Guards against a job that can't be cancelled because its record was written when the store had higher
+// limits: the user gets the response at once, and the stored record is final and truncated.
 func TestLargeRecordsCanBeCancelled(t *testing.T) {
 	spec := submission()
 	spec.Shape, spec.Tasks = protocol.ShapeArray, 400
@@ -24,10 +24,10 @@
 			Incarnation: 1}
 	}
 	store := &fakeStore{values: map[string][]byte{jobrecord.Key(spec.ID): record.Encode()}, maxValue: 2 << 10}
-	in := New(&actortest.Still{Now: clock.Second}, store, &settings.Settings{}, nil)
-	got := answerOf(t, in, Request{Kind: Cancel, ID: spec.ID})
+	adm := New(&actortest.Still{Now: clock.Second}, store, &settings.Settings{}, nil)
+	got := responseOf(t, adm, Request{Kind: Cancel, ID: spec.ID})
 	if got.Status != http.StatusOK || len(store.puts) != 1 {
-		t.Fatalf("answered %d with %d puts, want %d with 1", got.Status, len(store.puts), http.StatusOK)
+		t.Fatalf("status %d with %d puts, want %d with 1", got.Status, len(store.puts), http.StatusOK)
 	}
 	stored, err := jobrecord.Decode(store.puts[0])
 	if err != nil || stored.Status != protocol.StatusCancelled || !stored.Truncated ||
--- a/internal/admission/cancellationlog.go
+++ b/internal/admission/cancellationlog.go
@@ -9,39 +9,39 @@
 	"postpoint/internal/protocol"
 )
 
-// cancellationsKept is for how long cancellations are kept for attestations. A leader that asks for
-// an older time is refused, so that it bounds how long one may go on without the store.
-const cancellationsKept = 15 * 60 * clock.Second
+// cancellationRetention is how long cancellations are kept for attestations. Admission rejects a request
+// for an attestation of a longer time, so this also bounds how long a leader may work without the store.
+const cancellationRetention = 15 * 60 * clock.Second
 
-// cancellationLog notes when users were first told that a job is cancelled.
+// cancellationLog records when this node first reported to a user that a job is cancelled.
 type cancellationLog struct {
-	toldAt    map[protocol.JobID]clock.Micros // by job
-	cleanedAt clock.Micros                    // when old ones were last dropped
+	reportedAt map[protocol.JobID]clock.Micros // time of the first report, by job
+	prunedAt   clock.Micros                    // when expired entries were last deleted
 }
 
 func newCancellationLog() cancellationLog {
-	return cancellationLog{toldAt: map[protocol.JobID]clock.Micros{}}
+	return cancellationLog{reportedAt: map[protocol.JobID]clock.Micros{}}
 }
 
-// add notes that a user is about to be told.
+// add records that this node is about to report a cancellation to a user.
 func (l *cancellationLog) add(job protocol.JobID, now clock.Micros) {
-	if _, known := l.toldAt[job]; known {
+	if _, known := l.reportedAt[job]; known {
 		return
 	}
-	if now > l.cleanedAt+cancellationsKept {
-		// Seldom enough to go through all of them.
-		l.cleanedAt = now
-		maps.DeleteFunc(l.toldAt, func(_ protocol.JobID, at clock.Micros) bool {
-			return at < now-cancellationsKept
+	if now > l.prunedAt+cancellationRetention {
+		// This runs rarely enough to scan all entries.
+		l.prunedAt = now
+		maps.DeleteFunc(l.reportedAt, func(_ protocol.JobID, at clock.Micros) bool {
+			return at < now-cancellationRetention
 		})
 	}
-	l.toldAt[job] = now
+	l.reportedAt[job] = now
 }
 
-// since returns the jobs that users were first told of from a time on, ordered by id.
+// since returns the jobs whose cancellation was first reported at the given time or later, sorted by ID.
 func (l *cancellationLog) since(from, now clock.Micros) []CancelledJob {
 	var jobs []CancelledJob
-	for job, at := range l.toldAt {
+	for job, at := range l.reportedAt {
 		if at >= from {
 			jobs = append(jobs, CancelledJob{Job: job, Age: now - at})
 		}
--- a/internal/admission/connection.go
+++ b/internal/admission/connection.go
@@ -9,20 +9,21 @@
 	"postpoint/internal/protocol"
 )
 
-// connection is one that a limitedListener has accepted. Its listener's mutex guards idle, worker
-// and closed; the rest belongs to its requests, which come one by one.
+// connection is a connection that a limitedListener has accepted. The listener's mutex guards idle,
+// worker and closed. Only the handler of the current request uses the other fields; requests on a
+// connection come one after another.
 type connection struct {
 	net.Conn
 	listener *limitedListener
-	idle     *list.Element // while it may be evicted
-	worker   bool          // it counts as kept by a worker
+	idle     *list.Element // element of the listener's idle list, nil unless it may be evicted
+	worker   bool          // counts as a connection that a worker keeps open
 	closed   bool
-	// hijacked reports that it isn't http.Server's any more: see workerConnection.
-	hijacked   bool
-	heartbeats protocol.HeartbeatDecoder
+	// hijacked reports that a workerConnection has taken it over from http.Server.
+	hijacked bool
+	decoder  protocol.HeartbeatDecoder
 }
 
-// Close gives the place of the connection back, once.
+// Close closes the connection and frees its slot in the listener, once.
 func (c *connection) Close() error {
 	c.listener.mu.Lock()
 	first := !c.closed
@@ -34,29 +35,30 @@
 	return c.Conn.Close()
 }
 
+// connectionKey is the context key of a request's connection.
 type connectionKey struct{}
 
-// withConnection lets handlers find the connection of a request.
+// withConnection returns a context from which connectionOf gets the connection.
 func withConnection(ctx context.Context, raw net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, raw)
 }
 
-// connectionOf returns the connection of a request, nil if it came by no limitedListener.
+// connectionOf returns the connection of a request, or nil if no limitedListener accepted it.
 func connectionOf(r *http.Request) *connection {
 	c, _ := r.Context().Value(connectionKey{}).(*connection)
 	return c
 }
 
-// heartbeatDecoder returns the decoder of the request's connection.
+// heartbeatDecoder returns the heartbeat decoder of the request's connection.
 func heartbeatDecoder(r *http.Request) *protocol.HeartbeatDecoder {
 	if c := connectionOf(r); c != nil {
-		return &c.heartbeats
+		return &c.decoder
 	}
 	return &protocol.HeartbeatDecoder{}
 }
 
-// keepForWorker notes that a heartbeat came by the request's connection and reports whether it may
-// stay open after the response.
+// keepForWorker marks the connection of a heartbeat as a worker's and reports whether it may stay open
+// after the response.
 func keepForWorker(r *http.Request) bool {
 	c := connectionOf(r)
 	return c == nil || c.listener.keepWorker(c)
--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -1,11 +1,11 @@
-// Package admission answers the requests of users: any node, leader or not, accepts, shows and cancels
-// jobs, straight from and to their records in the key-value store.
+// Package admission handles the requests of users. Any controller, leader or not, accepts, shows and
+// cancels jobs by reading and writing their records in the key-value store directly.
 //
-// It owns the HTTP server of a node with its connections, the admission of submissions, the record
-// of a job until the leader first changes it, and what a node vouches for to a new leader (see
-// Attestation). It doesn't schedule: heartbeats go to a LeaderHandler, and placements are none
-// of its business.
+// The package owns the HTTP server of a controller with its connections, the admission of submissions,
+// the record of a job until the leader first changes it, and the attestations that a controller gives to
+// a new leader (see Attestation). It doesn't schedule: it passes heartbeats to a LeaderHandler and makes
+// no placements.
 //
-// Package controller starts the server; package node wires the actor to the rest of a node; package
-// peer brings requests that another node has forwarded.
+// Package controller starts the server, package node wires the actor to the rest of a node, and package
+// peer delivers the requests that another node forwards.
 package admission
--- a/internal/admission/forwarding.go
+++ b/internal/admission/forwarding.go
@@ -2,10 +2,10 @@
 
 import "postpoint/internal/protocol"
 
-// forwardToPeer lets another node answer when the store doesn't serve this one: from here, an outage
-// of the whole store looks the same.
+// forwardToPeer forwards the request to another node because the store is unavailable to this one. This
+// node can't distinguish that from an outage of the whole store.
 func (c *call) forwardToPeer() {
-	if final, ok := c.in.finalStates[c.request.ID]; ok && c.request.Kind != Submit {
+	if final, ok := c.admission.finalStates[c.request.ID]; ok && c.request.Kind != Submit {
 		c.finish(knownJob(final))
 		return
 	}
@@ -14,26 +14,26 @@
 		return
 	}
 	c.forwarded = true
-	c.in.forward(c.request, func(a Response, ok bool) {
-		c.in.notePeers(ok)
+	c.admission.forward(c.request, func(response Response, ok bool) {
+		c.admission.recordPeerResult(ok)
 		if !ok {
 			c.fail(outcomeTryLater, reasonStoreDown)
 			return
 		}
-		c.finish(outcome{kind: outcomeFromPeer, answer: a})
+		c.finish(outcome{kind: outcomeFromPeer, response: response})
 	})
 }
 
-// mayForward reports whether another node may answer. Requests are forwarded once.
+// mayForward reports whether the request may be forwarded. A request is forwarded at most once.
 func (c *call) mayForward() bool {
-	alone := c.in.mailbox.Monotonic() < c.in.availability.peersDownUntil
-	return !c.request.Forwarded && !c.forwarded && !alone && !c.unknownToPeers()
+	peersDown := c.admission.mailbox.Monotonic() < c.admission.availability.peersDownUntil
+	return !c.request.Forwarded && !c.forwarded && !peersDown && !c.unknownToPeers()
 }
 
-// unknownToPeers reports whether another node may be of a version that would take the request for
-// something else: a service for an array.
+// unknownToPeers reports whether another node may run a version that misinterprets the request: versions
+// without services classify a service as an array.
 func (c *call) unknownToPeers() bool {
-	if c.request.Kind != Submit || c.in.formatOpen {
+	if c.request.Kind != Submit || c.admission.formatOpen {
 		return false
 	}
 	spec, err := protocol.DecodeSubmission(c.request.Body)
--- a/internal/admission/golden_test.go
+++ b/internal/admission/golden_test.go
@@ -23,12 +23,12 @@
 	"postpoint/internal/settings"
 )
 
-// goldenStore is a state service that has some keys and keeps transactions.
+// goldenStore is a fake key-value store with fixed values that records transactions.
 type goldenStore struct {
 	kvstore.Store
 	values map[string][]byte
 	txns   []protocol.Txn
-	err    error // of transactions that don't conflict
+	err    error // result of transactions that don't conflict
 	down   bool
 }
 
@@ -49,8 +49,8 @@
 func (s *goldenStore) Commit(_ kvstore.Priority, t protocol.Txn,
 	done func(kvstore.Result[protocol.Revision])) {
 	s.txns = append(s.txns, t)
-	for _, guard := range t.Conditions {
-		if _, exists := s.values[guard.Key]; exists != (guard.Version != 0) {
+	for _, condition := range t.Conditions {
+		if _, exists := s.values[condition.Key]; exists != (condition.Version != 0) {
 			done(kvstore.Result[protocol.Revision]{Err: kvstore.ErrConflict})
 			return
 		}
@@ -58,30 +58,30 @@
 	done(kvstore.Result[protocol.Revision]{Err: s.err, Value: 300})
 }
 
-// goldenIntake serves with a running job job-1 and a divided one job-2.
-func goldenIntake() (*Admission, *goldenStore) {
+// goldenAdmission returns an Admission and its store with a running job job-1 and a sharded one job-2.
+func goldenAdmission() (*Admission, *goldenStore) {
 	store := &goldenStore{values: map[string][]byte{}}
 	running := jobrecord.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 3}, 1)
 	running.Placements[0] = jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1}
 	running.Done.Add(1)
 	running.Cause = "error on m-2"
 	store.values["jobs/job-1"] = running.Encode()
-	divided := jobrecord.New(protocol.JobSpec{ID: "job-2", Shape: protocol.ShapeArray, Tasks: 3}, 1)
-	divided.ShardSize, divided.Marked = 2, true
-	divided.Placements[2] = jobrecord.Placement{Task: 2, Attempt: 1, Machine: "m-1", Incarnation: 1}
-	store.values["jobs/job-2"] = divided.Encode()
-	store.values["parts/job-2/1"] = divided.EncodeShard(1)
+	sharded := jobrecord.New(protocol.JobSpec{ID: "job-2", Shape: protocol.ShapeArray, Tasks: 3}, 1)
+	sharded.ShardSize, sharded.Marked = 2, true
+	sharded.Placements[2] = jobrecord.Placement{Task: 2, Attempt: 1, Machine: "m-1", Incarnation: 1}
+	store.values["jobs/job-2"] = sharded.Encode()
+	store.values["parts/job-2/1"] = sharded.EncodeShard(1)
 	set := &settings.Settings{Deployment: visionDeployment()}
-	in := New(&actortest.Still{Now: 20 * clock.Second}, store, set, noPeers)
-	in.SetMachineTypes(gpuTypes("a"))
-	in.SetFormatStatus(rollout.Status{Services: true})
-	return in, store
+	adm := New(&actortest.Still{Now: 20 * clock.Second}, store, set, noPeers)
+	adm.SetMachineTypes(gpuTypes("a"))
+	adm.SetFormatStatus(rollout.Status{Services: true})
+	return adm, store
 }
 
-// goldenHeartbeats answers as a leader does, or sends the worker elsewhere.
-type goldenHeartbeats struct{ leads bool }
+// goldenLeader responds as a leader does, or redirects the worker.
+type goldenLeader struct{ leads bool }
 
-func (b goldenHeartbeats) Heartbeat(r protocol.Heartbeat, reply func(int, any)) {
+func (b goldenLeader) Heartbeat(r protocol.Heartbeat, reply func(int, any)) {
 	if !b.leads {
 		reply(http.StatusMisdirectedRequest, protocol.Redirect{Node: "worker-1"})
 		return
@@ -91,20 +91,20 @@
 	}})
 }
 
-func (b goldenHeartbeats) Overview(reply func(any)) { reply(map[string]bool{"leads": b.leads}) }
+func (b goldenLeader) Overview(reply func(any)) { reply(map[string]bool{"leads": b.leads}) }
 
-// Every path answers with the recorded status, headers and body.
+// Every path responds with the recorded status, headers and body.
 func TestGoldenAnswers(t *testing.T) {
 	accepted := submission()
 	unknownTeam := submission()
 	unknownTeam.ID, unknownTeam.Team = "job-000413", "other"
 	repeated := submission()
 	repeated.ID = "job-1"
-	report := protocol.Encode(protocol.Heartbeat{Machine: "m-1", Address: "a:1", Incarnation: 1, Epoch: 41})
+	heartbeat := protocol.Encode(protocol.Heartbeat{Machine: "m-1", Address: "a:1", Incarnation: 1, Epoch: 41})
 	for _, c := range []struct {
 		name, method, path string
 		body               []byte
-		change             func(*Admission, *goldenStore, *goldenHeartbeats)
+		change             func(*Admission, *goldenStore, *goldenLeader)
 		want               string
 	}{
 		{"accepted", "POST", "/api/jobs", protocol.Encode(accepted), nil,
@@ -127,30 +127,30 @@
 			"422 Unprocessable Entity\nContent-Length: 20\nContent-Type: application/msgpack\n" +
 				"\n\x81\xa5error\xacunknown team"},
 		{"without machine types", "POST", "/api/jobs", protocol.Encode(accepted),
-			func(in *Admission, _ *goldenStore, _ *goldenHeartbeats) { in.types = nil },
+			func(adm *Admission, _ *goldenStore, _ *goldenLeader) { adm.types = nil },
 			"503 Service Unavailable\nContent-Length: 44\nContent-Type: application/msgpack\n" +
 				"Retry-After: 1\n\n\x81\xa5error\xd9#the machine types are not known yet"},
 		{"with a full memory", "POST", "/api/jobs", protocol.Encode(accepted),
-			func(in *Admission, _ *goldenStore, _ *goldenHeartbeats) { in.RefuseWhen(func() bool { return true }) },
+			func(adm *Admission, _ *goldenStore, _ *goldenLeader) { adm.RefuseWhen(func() bool { return true }) },
 			"503 Service Unavailable\nContent-Length: 39\nContent-Type: application/msgpack\n" +
 				"Retry-After: 1\n\n\x81\xa5error\xbfthe controller's memory is full"},
 		{"not recorded", "POST", "/api/jobs", protocol.Encode(accepted),
-			func(_ *Admission, store *goldenStore, _ *goldenHeartbeats) { store.err = kvstore.ErrInvalid },
+			func(_ *Admission, store *goldenStore, _ *goldenLeader) { store.err = kvstore.ErrInvalid },
 			"400 Bad Request\nContent-Length: 32\nContent-Type: application/msgpack\n" +
 				"\n\x81\xa5error\xb8too large to be recorded"},
-		{"no answer", "POST", "/api/jobs", protocol.Encode(accepted),
-			func(_ *Admission, store *goldenStore, _ *goldenHeartbeats) { store.err = kvstore.ErrNoResponse },
+		{"no response", "POST", "/api/jobs", protocol.Encode(accepted),
+			func(_ *Admission, store *goldenStore, _ *goldenLeader) { store.err = kvstore.ErrNoResponse },
 			"503 Service Unavailable\nContent-Length: 41\nContent-Type: application/msgpack\n" +
 				"Retry-After: 1\n\n\x81\xa5error\xd9 the state service did not answer"},
-		{"not served", "POST", "/api/jobs", protocol.Encode(accepted),
-			func(_ *Admission, store *goldenStore, _ *goldenHeartbeats) { store.err = kvstore.ErrUnavailable },
+		{"store unavailable", "POST", "/api/jobs", protocol.Encode(accepted),
+			func(_ *Admission, store *goldenStore, _ *goldenLeader) { store.err = kvstore.ErrUnavailable },
 			"503 Service Unavailable\nContent-Length: 42\nContent-Type: application/msgpack\n" +
 				"Retry-After: 1\n\n\x81\xa5error\xd9!the state service does not answer"},
 		{"shown", "GET", "/api/jobs/job-1", nil, nil,
 			"200 OK\nContent-Length: 60\nContent-Type: application/msgpack\n" +
 				"\n\x85\xa3Uid\xa5job-1\xa6Status\xa7running\xa4done\x01\xa7running\x01\xa5Cause\xace" +
 				"rror on m-2"},
-		{"shown, divided", "GET", "/api/jobs/job-2", nil, nil,
+		{"shown, sharded", "GET", "/api/jobs/job-2", nil, nil,
 			"200 OK\nContent-Length: 41\nContent-Type: application/msgpack\n" +
 				"\n\x84\xa3Uid\xa5job-2\xa6Status\xa7running\xa4done\x00\xa7running\x01"},
 		{"no such job", "GET", "/api/jobs/job-3", nil, nil,
@@ -167,25 +167,25 @@
 			"404 Not Found\nContent-Length: 19\nContent-Type: application/msgpack\n" +
 				"\n\x81\xa5error\xabno such job"},
 		{"a job that is changing", "POST", "/api/jobs/job-1/withdraw", nil,
-			func(_ *Admission, store *goldenStore, _ *goldenHeartbeats) { store.err = kvstore.ErrConflict },
+			func(_ *Admission, store *goldenStore, _ *goldenLeader) { store.err = kvstore.ErrConflict },
 			"503 Service Unavailable\nContent-Length: 27\nContent-Type: application/msgpack\n" +
 				"Retry-After: 1\n\n\x81\xa5error\xb3the job is changing"},
 		{"up", "GET", "/up", nil, nil,
 			"200 OK\nContent-Length: 0\nContent-Type: application/msgpack\n\n"},
 		{"not up", "GET", "/up", nil,
-			func(_ *Admission, store *goldenStore, _ *goldenHeartbeats) { store.down = true },
+			func(_ *Admission, store *goldenStore, _ *goldenLeader) { store.down = true },
 			"503 Service Unavailable\nContent-Length: 0\nContent-Type: application/msgpack\n\n"},
 		{"overview", "GET", "/overview", nil, nil,
 			"200 OK\nContent-Type: application/json\n\n{\n  \"leads\": true\n}\n"},
-		{"report", "POST", "/agent/beat", report, nil,
+		{"heartbeat", "POST", "/agent/beat", heartbeat, nil,
 			"200 OK\nContent-Length: 61\nContent-Type: application/msgpack\n" +
 				"\n\x82\xa5Epoch)\xa6Orders\x91\x84\xa4Verb\xa5start\xa3Leg\xa7job-1/0\xa3Try\x01\xa6" +
 				"LeaveS\xcb\x00\x00\x00\x00\x00\x00\x00\x00"},
-		{"report to another node", "POST", "/agent/beat", report,
-			func(_ *Admission, _ *goldenStore, b *goldenHeartbeats) { b.leads = false },
+		{"heartbeat to another node", "POST", "/agent/beat", heartbeat,
+			func(_ *Admission, _ *goldenStore, b *goldenLeader) { b.leads = false },
 			"421 Misdirected Request\nContent-Length: 21\nContent-Type: application/msgpack\n" +
 				"\n\x81\xaaDispatcher\xa8worker-1"},
-		{"no report", "POST", "/agent/beat", []byte{0xc0}, nil,
+		{"no heartbeat", "POST", "/agent/beat", []byte{0xc0}, nil,
 			"400 Bad Request\nContent-Length: 20\nContent-Type: application/msgpack\n" +
 				"\n\x81\xa5error\xacnot a report"},
 		{"no path", "GET", "/nowhere", nil, nil,
@@ -195,13 +195,13 @@
 			"405 Method Not Allowed\nAllow: POST\nContent-Type: text/plain; charset=utf-8\n" +
 				"X-Content-Type-Options: nosniff\n\nMethod Not Allowed\n"},
 	} {
-		in, store := goldenIntake()
-		heartbeats := goldenHeartbeats{leads: true}
+		adm, store := goldenAdmission()
+		heartbeats := goldenLeader{leads: true}
 		if c.change != nil {
-			c.change(in, store, &heartbeats)
+			c.change(adm, store, &heartbeats)
 		}
 		w := httptest.NewRecorder()
-		Handler(in, heartbeats).ServeHTTP(w, httptest.NewRequest(c.method, c.path, bytes.NewReader(c.body)))
+		Handler(adm, heartbeats).ServeHTTP(w, httptest.NewRequest(c.method, c.path, bytes.NewReader(c.body)))
 		var got bytes.Buffer
 		response := w.Result()
 		got.WriteString(response.Status + "\n")
@@ -212,9 +212,9 @@
 	}
 }
 
-// On a connection that was taken over the whole of an answer is the recorded bytes.
-func TestGoldenAnswerOfATakenOverConnection(t *testing.T) {
-	_, c := reportServer(t, 6)
+// A response on a hijacked connection has exactly the recorded bytes.
+func TestGoldenResponseOnHijackedConnection(t *testing.T) {
+	_, c := heartbeatServer(t, 6)
 	conn, err := net.Dial("tcp4", c.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -222,24 +222,24 @@
 	defer conn.Close()
 	var received bytes.Buffer
 	reader := bufio.NewReader(io.TeeReader(conn, &received))
-	report := protocol.Encode(protocol.Heartbeat{Machine: "m-1", Address: "a:1", Incarnation: 1, Counter: 2})
+	heartbeat := protocol.Encode(protocol.Heartbeat{Machine: "m-1", Address: "a:1", Incarnation: 1, Counter: 2})
 	for range 2 {
 		received.Reset()
-		answer := exchange(conn, reader, request("POST", "/agent/beat", "", report))
-		if !strings.HasPrefix(answer, "200 ") {
-			t.Fatal(answer)
+		response := exchange(conn, reader, request("POST", "/agent/beat", "", heartbeat))
+		if !strings.HasPrefix(response, "200 ") {
+			t.Fatal(response)
 		}
 	}
-	goldentest.Equal(t, "answer", received.Bytes(),
+	goldentest.Equal(t, "response", received.Bytes(),
 		"HTTP/1.1 200 OK\x0d\nContent-Length: 16\x0d\nContent-Type: application/msgpack\x0d\n"+
 			"\x0d\n\x82\xa5Epoch\x01\xa6Orders\xc0")
 }
 
-// A submission and a cancellation are written in the recorded transactions.
+// A submission and a cancellation send the recorded transactions.
 func TestGoldenTransactions(t *testing.T) {
-	in, store := goldenIntake()
-	in.Handle(Request{Kind: Submit, Body: protocol.Encode(submission())}, func(Response) {})
-	in.Handle(Request{Kind: Cancel, ID: "job-1"}, func(Response) {})
+	adm, store := goldenAdmission()
+	adm.Handle(Request{Kind: Submit, Body: protocol.Encode(submission())}, func(Response) {})
+	adm.Handle(Request{Kind: Cancel, ID: "job-1"}, func(Response) {})
 	if len(store.txns) != 2 {
 		t.Fatalf("%d transactions", len(store.txns))
 	}
@@ -264,8 +264,8 @@
 			"\xa5cause\xacerror on m-2")
 }
 
-// A service is marked, and a wide array divided, once all controllers know both; before that
-// neither is.
+// The records of services are marked and those of wide arrays are sharded once all controllers support
+// both, and not before.
 func TestGoldenSubmissionsByFormat(t *testing.T) {
 	service := submission()
 	service.Shape, service.Tasks, service.Gpus = protocol.ShapeService, 2, 0
@@ -281,9 +281,9 @@
 		{"a wide array", true, wide, []string{"parts 428"}},
 		{"a wide array before", false, wide, nil},
 	} {
-		in, store := goldenIntake()
-		in.SetFormatStatus(rollout.Status{Services: c.open})
-		in.Handle(Request{Kind: Submit, Body: protocol.Encode(c.spec)}, func(Response) {})
+		adm, store := goldenAdmission()
+		adm.SetFormatStatus(rollout.Status{Services: c.open})
+		adm.Handle(Request{Kind: Submit, Body: protocol.Encode(c.spec)}, func(Response) {})
 		if len(store.txns) != 1 {
 			t.Fatalf("%s: %d transactions", c.name, len(store.txns))
 		}
@@ -299,7 +299,7 @@
 	}
 }
 
-// Why a job can never run, as users are told.
+// The reasons why a job can never run have the recorded texts.
 func TestGoldenReasons(t *testing.T) {
 	dep := &settings.Deployment{
 		Teams:   []settings.Team{{Name: "vision", GpusMax: 4}},
@@ -323,7 +323,7 @@
 	}
 }
 
-// What nodes tell each other of zones, and the request for attestations, are the recorded bytes.
+// Zone reports, attestations and the requests for them have the recorded bytes.
 func TestGoldenNodeMessages(t *testing.T) {
 	reports := ZoneReports{Node: "worker-0", Machines: map[string]int{"b": 300, "a": 2}}
 	const recorded = "\x08worker-0\x01a\x00\x00\x00\x02\x01b\x00\x00\x01,"
@@ -343,18 +343,18 @@
 		Cancelled: []CancelledJob{{Job: "job-000412", Age: 25 * clock.Second}},
 	}
 	goldentest.RequireFieldsSet(t, "attestation", attestation)
-	const vouched = "" +
+	const recordedAttestation = "" +
 		"\x00\x00\x00\x00\x02\x16\x0e\xc0\x00\x00\x00\x00\x00\x00\x00)\x0ajob-000412\x00\x00\x00\x00" +
 		"\x01}x@"
-	goldentest.Equal(t, "attestation", attestation.Encode(), vouched)
-	again, err := DecodeAttestation([]byte(vouched))
+	goldentest.Equal(t, "attestation", attestation.Encode(), recordedAttestation)
+	again, err := DecodeAttestation([]byte(recordedAttestation))
 	if d := cmp.Diff(attestation, again); err != nil || d != "" {
 		t.Errorf("%v %s", err, d)
 	}
-	in, _ := goldenIntake()
-	var told Response
-	in.Handle(Request{Kind: GetZoneReports}, func(a Response) { told = a })
-	if told.Status != http.StatusOK || string(told.Body) != "\x00" {
-		t.Errorf("%d %q", told.Status, told.Body)
+	adm, _ := goldenAdmission()
+	var zoneResponse Response
+	adm.Handle(Request{Kind: GetZoneReports}, func(a Response) { zoneResponse = a })
+	if zoneResponse.Status != http.StatusOK || string(zoneResponse.Body) != "\x00" {
+		t.Errorf("%d %q", zoneResponse.Status, zoneResponse.Body)
 	}
 }
--- a/internal/admission/handler.go
+++ b/internal/admission/handler.go
@@ -11,24 +11,24 @@
 	"postpoint/internal/protocol"
 )
 
-// Reasons that a request is refused for before any actor sees it.
+// Reasons for rejecting a request before it reaches an actor.
 const (
 	reasonBody      = "the body is too large or incomplete"
 	reasonHeartbeat = "not a report"
 )
 
-// LeaderHandler answers workers' heartbeats, with an HTTP status and a body, and shows operators
-// the state of the whole.
+// LeaderHandler handles the heartbeats of workers, to which it replies with an HTTP status and a body,
+// and returns the overview of the cell for operators.
 type LeaderHandler interface {
 	Heartbeat(r protocol.Heartbeat, reply func(status int, body any))
 	Overview(reply func(any))
 }
 
-// Handler returns the handler of all that a node serves over HTTP.
-func Handler(in *Admission, heartbeats LeaderHandler) http.Handler {
-	h := &handler{in: in, heartbeats: heartbeats, mux: http.NewServeMux()}
+// Handler returns the handler of all HTTP requests to a node.
+func Handler(admission *Admission, leader LeaderHandler) http.Handler {
+	h := &handler{admission: admission, leader: leader, mux: http.NewServeMux()}
 	h.mux.HandleFunc(protocol.PathSubmit, h.submit)
-	h.mux.HandleFunc(protocol.PathStatus, h.show)
+	h.mux.HandleFunc(protocol.PathStatus, h.getStatus)
 	h.mux.HandleFunc(protocol.PathCancel, h.cancel)
 	h.mux.HandleFunc(protocol.PathHealth, h.health)
 	h.mux.HandleFunc(protocol.PathOverview, h.overview)
@@ -36,42 +36,46 @@
 	return h.mux
 }
 
-// handler answers each kind of request by a message to the actor concerned.
+// handler turns each request into a message to the actor that is responsible for it.
 type handler struct {
-	in         *Admission
-	heartbeats LeaderHandler
-	mux        *http.ServeMux
+	admission *Admission
+	leader    LeaderHandler
+	mux       *http.ServeMux
 }
 
+// submit handles the submission of a job.
 func (h *handler) submit(w http.ResponseWriter, r *http.Request) {
 	if body, ok := readBody(w, r); ok {
 		h.handle(w, Request{Kind: Submit, Body: body})
 	}
 }
 
-// pathJobID returns the id of the job that a request's path names.
+// pathJobID returns the job ID in the path of a request.
 func pathJobID(r *http.Request) protocol.JobID {
 	return protocol.JobID(r.PathValue(protocol.PathJobID))
 }
 
-func (h *handler) show(w http.ResponseWriter, r *http.Request) {
+// getStatus handles a request for the status of a job.
+func (h *handler) getStatus(w http.ResponseWriter, r *http.Request) {
 	h.handle(w, Request{Kind: GetStatus, ID: pathJobID(r)})
 }
 
+// cancel handles the cancellation of a job.
 func (h *handler) cancel(w http.ResponseWriter, r *http.Request) {
 	h.handle(w, Request{Kind: Cancel, ID: pathJobID(r)})
 }
 
-// handle sends a user the actor's answer.
+// handle passes a request to the actor and writes its response.
 func (h *handler) handle(w http.ResponseWriter, r Request) {
-	answered := make(chan Response, 1)
-	h.in.Handle(r, func(a Response) { answered <- a })
-	writeAnswer(w, <-answered)
+	replies := make(chan Response, 1)
+	h.admission.Handle(r, func(response Response) { replies <- response })
+	writeResponse(w, <-replies)
 }
 
+// health handles a health check.
 func (h *handler) health(w http.ResponseWriter, _ *http.Request) {
 	ready := make(chan bool, 1)
-	h.in.Ready(func(ok bool) { ready <- ok })
+	h.admission.Ready(func(ok bool) { ready <- ok })
 	status := http.StatusOK
 	if !<-ready {
 		status = http.StatusServiceUnavailable
@@ -79,23 +83,23 @@
 	write(w, status, nil)
 }
 
-// overview shows operators what this node knows, as JSON.
+// overview writes the state of the cell as this node knows it, as JSON for operators.
 func (h *handler) overview(w http.ResponseWriter, _ *http.Request) {
-	answered := make(chan any, 1)
-	h.heartbeats.Overview(func(o any) { answered <- o })
+	replies := make(chan any, 1)
+	h.leader.Overview(func(o any) { replies <- o })
 	w.Header().Set("Content-Type", "application/json")
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
-	_ = e.Encode(<-answered)
+	_ = e.Encode(<-replies)
 }
 
-// heartbeatResult is the answer of a LeaderHandler.
+// heartbeatResult is the reply of a LeaderHandler to a heartbeat.
 type heartbeatResult struct {
 	status int
 	body   any
 }
 
-// heartbeat answers a worker, and takes its connection over if that may stay open.
+// heartbeat handles a heartbeat of a worker, and hijacks its connection if that may stay open.
 func (h *handler) heartbeat(w http.ResponseWriter, r *http.Request) {
 	body, ok := readBody(w, r)
 	if !ok {
@@ -103,34 +107,35 @@
 	}
 	heartbeat, err := heartbeatDecoder(r).Decode(body)
 	if err != nil || !validHeartbeat(&heartbeat) {
-		refuse(w, reasonHeartbeat)
+		reject(w, reasonHeartbeat)
 		return
 	}
-	answered := make(chan heartbeatResult, 1)
-	h.heartbeats.Heartbeat(heartbeat, func(status int, body any) {
-		answered <- heartbeatResult{status,
+	replies := make(chan heartbeatResult, 1)
+	h.leader.Heartbeat(heartbeat, func(status int, body any) {
+		replies <- heartbeatResult{status,
 			body}
 	})
-	result := <-answered
+	result := <-replies
 	keep := keepForWorker(r)
 	if !keep {
 		w.Header().Set("Connection", "close")
 	}
 	write(w, result.status, protocol.Encode(result.body))
 	if keep {
-		hijack(w, r, h.mux, h.in.idleTimeout())
+		hijack(w, r, h.mux, h.admission.idleTimeout())
 	}
 }
 
-// validHeartbeat reports whether a heartbeat has what every later step relies on. Names of machines
-// are separated by spaces in records.
+// validHeartbeat reports whether a heartbeat has the fields that all later steps rely on. Machine names
+// must not contain spaces, because records separate names by spaces.
 func validHeartbeat(r *protocol.Heartbeat) bool {
 	validName := r.Machine != "" && len(r.Machine) <= protocol.MaxTextBytes &&
 		!strings.ContainsFunc(string(r.Machine), unicode.IsSpace)
 	return validName && r.Address != "" && r.Incarnation > 0
 }
 
-// readBody refuses what is over the limit without reading further.
+// readBody reads the body of a request. If the body is incomplete or over the limit, it stops reading and
+// rejects the request.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	var body []byte
 	var err error
@@ -141,24 +146,26 @@
 		body, err = io.ReadAll(io.LimitReader(r.Body, protocol.MaxBodyBytes+1))
 	}
 	if err != nil || len(body) > protocol.MaxBodyBytes {
-		refuse(w, reasonBody)
+		reject(w, reasonBody)
 		return nil, false
 	}
 	return body, true
 }
 
-// refuse answers what isn't a request.
-func refuse(w http.ResponseWriter, reason string) {
-	writeAnswer(w, failure(outcomeMalformed, reason).toAnswer())
+// reject rejects a malformed request.
+func reject(w http.ResponseWriter, reason string) {
+	writeResponse(w, failure(outcomeMalformed, reason).toResponse())
 }
 
-func writeAnswer(w http.ResponseWriter, a Response) {
-	if a.RetryAfterS > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(a.RetryAfterS))
+// writeResponse writes a Response to the client.
+func writeResponse(w http.ResponseWriter, response Response) {
+	if response.RetryAfterS > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(response.RetryAfterS))
 	}
-	write(w, a.Status, a.Body)
+	write(w, response.Status, response.Body)
 }
 
+// write writes a response with a MessagePack body. It ignores write errors: the client is gone then.
 func write(w http.ResponseWriter, status int, body []byte) {
 	w.Header().Set("Content-Type", "application/msgpack")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
--- a/internal/admission/handler_test.go
+++ b/internal/admission/handler_test.go
@@ -12,16 +12,16 @@
 	"postpoint/internal/settings"
 )
 
-// Over HTTP: what is malformed or too large is refused at once and harms nobody, and without the
-// store users are told when to come back.
-func TestServerRefusesWhatIsMalformedOrTooLarge(t *testing.T) {
+// Guards against malformed or too large requests that reach an actor: the server rejects them at once.
+// While the store is unavailable, responses to users have a Retry-After header.
+func TestServerRejectsMalformedAndTooLargeRequests(t *testing.T) {
 	set := &settings.Settings{}
 	set.Deployment.Teams = []settings.Team{{Name: "vision"}}
 	set.Deployment.KVStore.ValueKb = 8
-	in := New(&actortest.Still{Now: 20 * clock.Second}, &fakeStore{down: true}, set, noPeers)
-	in.SetMachineTypes(gpuTypes("a"))
+	adm := New(&actortest.Still{Now: 20 * clock.Second}, &fakeStore{down: true}, set, noPeers)
+	adm.SetMachineTypes(gpuTypes("a"))
 	heartbeats := &heartbeatRecorder{}
-	h := Handler(in, heartbeats)
+	h := Handler(adm, heartbeats)
 	for _, c := range []struct {
 		method, path string
 		body         []byte
@@ -31,10 +31,10 @@
 		{"POST", "/api/jobs", make([]byte, protocol.MaxBodyBytes+1), 400},
 		{"POST", "/api/jobs", protocol.Encode(submission()), 503},
 		{"GET", "/api/jobs/job-000412", nil, 503},
-		// Refused without a look while the store is taken to be down.
+		// Rejected before the ID is checked while the store is considered unavailable.
 		{"GET", "/api/jobs/nothing", nil, 503},
 		{"POST", "/api/jobs/job-000412/withdraw", nil, 503},
-		{"GET", "/up", nil, 503}, // neither the store nor another node answers
+		{"GET", "/up", nil, 503}, // neither the store nor another node responds
 		{"GET", "/overview", nil, 200},
 		{"POST", "/agent/beat", heartbeatBody("m-1", 0), 200},
 		{"POST", "/agent/beat", heartbeatBody("m 1", 0), 400},
@@ -49,10 +49,10 @@
 			t.Errorf("%s %s %.20q: %d, want %d", c.method, c.path, c.body, w.Code, c.status)
 		}
 		if strings.HasPrefix(c.path, "/api") && w.Code == 503 && w.Header().Get("Retry-After") == "" {
-			t.Errorf("%s %s: no time to come back, want one with status 503", c.method, c.path)
+			t.Errorf("%s %s: no Retry-After header, want one with status 503", c.method, c.path)
 		}
 	}
 	if len(heartbeats.received) != 1 {
-		t.Errorf("%d heartbeats got through, want 1", len(heartbeats.received))
+		t.Errorf("%d heartbeats reached the leader, want 1", len(heartbeats.received))
 	}
 }
--- a/internal/admission/helpers_test.go
+++ b/internal/admission/helpers_test.go
@@ -21,12 +21,12 @@
 		DeadlineS: &due}
 }
 
-// gpuTypes returns the catalogue of a deployment with one machine type.
+// gpuTypes returns a catalogue with one machine type.
 func gpuTypes(zones ...string) []protocol.MachineType {
 	return []protocol.MachineType{{Name: "g8", Cpus: 96, Gpus: 8, MemoryGB: 768, Zones: zones}}
 }
 
-// visionDeployment has one team and tight limits of the store.
+// visionDeployment returns a deployment with one team and low limits of the store.
 func visionDeployment() settings.Deployment {
 	return settings.Deployment{
 		Teams:   []settings.Team{{Name: "vision", GpusMax: 4}},
@@ -34,21 +34,21 @@
 	}
 }
 
-// fakeStore is a key-value store that answers at once. Transactions don't change its values.
+// fakeStore is a fake key-value store that responds at once. Transactions don't change its values.
 type fakeStore struct {
 	kvstore.Store
 	values   map[string][]byte
 	down     bool
-	maxValue int      // bytes of JSON, 0 for no limit
+	maxValue int      // largest value in bytes of JSON, 0 for no limit
 	puts     [][]byte // values of the transactions that were carried out
-	readOnly bool     // a transaction is a fault of the code under test
+	readOnly bool     // panic on a transaction: the code under test must not send any
 }
 
 func (s *fakeStore) Get(key string, done func(kvstore.Result[protocol.Item])) {
 	done(lookup(s.values, s.down, key, 5))
 }
 
-// lookup is a store's result for a key, whose version is given if it is found.
+// lookup returns a store's result for a key; version is the version of a key that is found.
 func lookup(
 	values map[string][]byte, down bool, key string, version protocol.Revision,
 ) kvstore.Result[protocol.Item] {
@@ -79,29 +79,29 @@
 	}
 }
 
-// noPeers forwards to nobody.
+// noPeers is a Forward without other nodes.
 func noPeers(_ Request, done func(Response, bool)) { done(Response{}, false) }
 
-// heartbeatRecorder answers heartbeats as a leader does and keeps them.
+// heartbeatRecorder responds to heartbeats as a leader does and records them.
 type heartbeatRecorder struct{ received []protocol.Heartbeat }
 
 func (h *heartbeatRecorder) Heartbeat(r protocol.Heartbeat, reply func(int, any)) {
 	h.received = append(h.received, r)
-	leaderAnswers{}.Heartbeat(r, reply)
+	fakeLeader{}.Heartbeat(r, reply)
 }
 
 func (h *heartbeatRecorder) Overview(reply func(any)) { reply(map[string]bool{"leads": true}) }
 
-// leaderAnswers answers heartbeats as a leader does and may be asked by many at once.
-type leaderAnswers struct{}
+// fakeLeader responds to heartbeats as a leader does. It is safe for concurrent use.
+type fakeLeader struct{}
 
-func (leaderAnswers) Heartbeat(_ protocol.Heartbeat, reply func(int, any)) {
+func (fakeLeader) Heartbeat(_ protocol.Heartbeat, reply func(int, any)) {
 	reply(http.StatusOK, protocol.HeartbeatResponse{Epoch: 1})
 }
 
-func (leaderAnswers) Overview(func(any)) {}
+func (fakeLeader) Overview(func(any)) {}
 
-// lockedMailbox is a mailbox whose messages run alone, at one instant.
+// lockedMailbox is a mailbox that runs messages one at a time, on a clock that stands still.
 type lockedMailbox struct {
 	*actortest.Still
 	mu *sync.Mutex
@@ -113,16 +113,16 @@
 	message()
 }
 
-// concurrentIntake is served by an empty store, knows the machine types and may be asked by many
-// at once.
-func concurrentIntake(heartbeatIntervalS float64) *Admission {
+// concurrentAdmission returns an Admission with an empty store and known machine types that is safe for
+// concurrent use.
+func concurrentAdmission(heartbeatIntervalS float64) *Admission {
 	set := &settings.Settings{}
 	set.Deployment.Workers.HeartbeatS = heartbeatIntervalS
-	box := lockedMailbox{Still: &actortest.Still{Now: 20 * clock.Second}, mu: &sync.Mutex{}}
-	in := New(box, &fakeStore{readOnly: true}, set, noPeers)
-	in.SetMachineTypes([]protocol.MachineType{{Name: "g8"}})
-	in.availability.storeAnsweredAt = in.mailbox.Monotonic()
-	return in
+	mailbox := lockedMailbox{Still: &actortest.Still{Now: 20 * clock.Second}, mu: &sync.Mutex{}}
+	adm := New(mailbox, &fakeStore{readOnly: true}, set, noPeers)
+	adm.SetMachineTypes([]protocol.MachineType{{Name: "g8"}})
+	adm.availability.storeAnsweredAt = adm.mailbox.Monotonic()
+	return adm
 }
 
 // heartbeatBody returns a valid heartbeat.
@@ -131,13 +131,13 @@
 		Counter: counter})
 }
 
-// answerOf returns the answer to a request of an actor that answers in place.
-func answerOf(t *testing.T, in *Admission, r Request) Response {
+// responseOf returns the response to a request of an actor that handles messages immediately.
+func responseOf(t *testing.T, adm *Admission, r Request) Response {
 	t.Helper()
 	var got *Response
-	in.Handle(r, func(a Response) { got = &a })
+	adm.Handle(r, func(a Response) { got = &a })
 	if got == nil {
-		t.Fatalf("request of kind %d wasn't answered at once", r.Kind)
+		t.Fatalf("no immediate response to a request of kind %d", r.Kind)
 	}
 	return *got
 }
--- a/internal/admission/listener.go
+++ b/internal/admission/listener.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// evictionLogInterval is how often an operator is told that connections are evicted.
+	// evictionLogInterval is the minimum time between two log lines about evictions.
 	evictionLogInterval = 10 * time.Second
-	// workersShare of the connections may be kept by workers between their heartbeats.
+	// workersShare is the share of the connections that workers may keep open between heartbeats.
 	workersShare = 0.75
 )
 
-// limitedListener bounds the connections that users, workers and health checks hold open. Their
-// number follows from the settings, never from the number of machines: with more workers than
-// sockets, a listener that only stops accepting leaves those in excess, and all users with them,
-// to wait until their time is over.
+// limitedListener bounds the open connections of users, workers and health checks. The limit comes from
+// the settings and doesn't depend on the number of machines. With more workers than sockets, a
+// listener that only stops accepting would leave the excess workers and all users waiting until they
+// time out.
 //
-// Workers keep theirs between heartbeats up to a share; beyond it theirs is closed with the response,
-// which costs them nothing but a new connection for the next heartbeat. So the rest is always there
-// for users and health checks, and for whoever comes next. If it is used up all the same, the
-// connection that has been idle for longest is evicted.
+// Workers keep a share of the connections open between heartbeats. Once they hold that share, the server
+// closes the connection of any other worker with the response, and that worker opens a new one for its
+// next heartbeat. The rest of the connections therefore stays available to users, health checks and
+// other workers. If all connections are in use nevertheless, the listener evicts the one that has been
+// idle for longest.
 type limitedListener struct {
 	net.Listener
 	limit, workerLimit int
@@ -33,19 +34,20 @@
 	freed       *sync.Cond
 	open        int
 	workersKept int
-	idle        list.List // idle and new connections, the longest idle first
+	idle        list.List // idle and new connections, longest idle first
 	evicted     int
-	loggedAt    time.Time // the last time that evictions were logged
+	loggedAt    time.Time // when evictions were last logged
 }
 
+// newLimitedListener limits the open connections of l.
 func newLimitedListener(l net.Listener, limit int) *limitedListener {
 	limited := &limitedListener{Listener: l, limit: limit, workerLimit: int(float64(limit) * workersShare)}
 	limited.freed = sync.NewCond(&limited.mu)
 	return limited
 }
 
-// Accept makes room first: what can't be served yet waits before it is accepted, and a load balancer
-// sees that.
+// Accept waits until a connection is free before it accepts one. Connections that can't be served yet
+// wait in the backlog, where a load balancer notices them.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	l.reserve()
 	raw, err := l.Listener.Accept()
@@ -56,8 +58,8 @@
 	return &connection{Conn: raw, listener: l}, nil
 }
 
-// reserve waits until one more connection may be open. It doesn't wait for ever, since every request
-// and every silence ends in bounded time.
+// reserve waits until one more connection may be open, and evicts an idle one if there is any. The wait
+// is bounded because every request and every idle period has a timeout.
 func (l *limitedListener) reserve() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,7 +69,7 @@
 			l.freed.Wait()
 			continue
 		}
-		l.noteEviction()
+		l.recordEviction()
 		l.mu.Unlock()
 		_ = longest.Value.(*connection).Close()
 		l.mu.Lock()
@@ -75,8 +77,8 @@
 	l.open++
 }
 
-// noteEviction counts an eviction and logs it now and then.
-func (l *limitedListener) noteEviction() {
+// recordEviction counts an eviction and logs it at most once per evictionLogInterval.
+func (l *limitedListener) recordEviction() {
 	l.evicted++
 	now := time.Now()
 	if !now.After(l.loggedAt.Add(evictionLogInterval)) {
@@ -87,7 +89,7 @@
 	l.loggedAt = now
 }
 
-// release gives the place of a connection back, nil for one that wasn't accepted.
+// release frees the slot of a connection; c is nil if the accept failed.
 func (l *limitedListener) release(c *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,7 +117,7 @@
 	}
 }
 
-// markIdle makes a connection the last to be evicted of those that may be.
+// markIdle makes a connection evictable, after all others that are.
 func (l *limitedListener) markIdle(c *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -126,13 +128,14 @@
 	}
 }
 
-// markActive protects a connection from being evicted.
+// markActive protects a connection from eviction.
 func (l *limitedListener) markActive(c *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.removeIdle(c)
 }
 
+// removeIdle removes a connection from the idle list. The caller holds the mutex.
 func (l *limitedListener) removeIdle(c *connection) {
 	if c.idle != nil {
 		l.idle.Remove(c.idle)
@@ -140,7 +143,7 @@
 	}
 }
 
-// keepWorker reports whether a worker's connection may stay open between its heartbeats.
+// keepWorker reports whether a worker's connection may stay open between heartbeats, and counts it if so.
 func (l *limitedListener) keepWorker(c *connection) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/admission/listener_test.go
+++ b/internal/admission/listener_test.go
@@ -12,9 +12,9 @@
 	"postpoint/internal/protocol"
 )
 
-// A real listener with far fewer connections than there are workers, most of them taken by callers
-// that say nothing: each worker is answered at its first try, again and again, users and health
-// checks are too, and the bound holds.
+// Guards against workers and idle clients that use up all connections. There are far more workers than
+// connections, and silent clients hold most of the connections. Each heartbeat, health check and user
+// request must get its response at the first attempt, and the limit must hold.
 func TestMoreWorkersThanConnections(t *testing.T) {
 	const limit, workers, silent, rounds = 16, 80, 40, 4
 	raw, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	l := newLimitedListener(raw, limit)
-	go func() { _ = serve(l, concurrentIntake(6), leaderAnswers{}) }()
+	go func() { _ = serve(l, concurrentAdmission(6), fakeLeader{}) }()
 	defer raw.Close()
 	for range silent {
 		if c, err := net.Dial("tcp4", raw.Addr().String()); err == nil {
@@ -36,7 +36,7 @@
 		}
 		return status, err
 	}
-	// Each worker has a connection of its own, which it keeps if it may.
+	// Each worker has its own connection and keeps it open if the server does.
 	clients := make([]*http.Client, workers)
 	for i := range clients {
 		clients[i] = &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxConnsPerHost: 1}}
@@ -44,7 +44,8 @@
 	}
 	for round := range rounds {
 		for i, client := range clients {
-			status, err := ask(client, "POST", "/agent/beat", heartbeatBody(protocol.MachineName(fmt.Sprint("m-", i)), 0))
+			status, err := ask(client, "POST", "/agent/beat",
+				heartbeatBody(protocol.MachineName(fmt.Sprint("m-", i)), 0))
 			if err != nil || status != http.StatusOK {
 				t.Fatalf("round %d, worker %d: %d (%v), want %d", round, i, status, err, http.StatusOK)
 			}
@@ -65,13 +66,13 @@
 	}
 }
 
-// askOnce sends a request without trying again and returns the status of the response.
+// askOnce sends a request without retries and returns the status of the response.
 func askOnce(client *http.Client, method, url string, body []byte) (int, error) {
 	r, err := http.NewRequest(method, url, bytes.NewReader(body))
 	if err != nil {
 		return 0, err
 	}
-	r.GetBody = nil // each try counts
+	r.GetBody = nil // otherwise net/http may retry by itself
 	response, err := client.Do(r)
 	if err != nil {
 		return 0, err
--- a/internal/admission/outcome.go
+++ b/internal/admission/outcome.go
@@ -2,31 +2,32 @@
 
 import "postpoint/internal/protocol"
 
-// outcomeKind is what became of a request.
+// outcomeKind classifies the outcome of a request.
 type outcomeKind int
 
 const (
-	outcomeAccepted    outcomeKind = iota + 1 // the job was recorded just now
-	outcomeKnown                              // the job has a record already
-	outcomeNoSuchJob                          // the job has none
-	outcomeMalformed                          // the request isn't one, whenever it is sent
-	outcomeNeverRuns                          // the job is understood and can never run
-	outcomeTryLater                           // nothing was done, and the same request may succeed later
-	outcomeUnconfirmed                        // nobody knows what was done; the same request will tell
-	outcomeForNode                            // the body is for another node
-	outcomeFromPeer                           // another node has answered
+	outcomeAccepted    outcomeKind = iota + 1 // this request created the record of the job
+	outcomeKnown                              // the job already has a record
+	outcomeNoSuchJob                          // the job has no record
+	outcomeMalformed                          // the request is malformed, and so is any retry
+	outcomeNeverRuns                          // the request is valid, but the job can never run
+	outcomeTryLater                           // not carried out; a retry may succeed
+	outcomeUnconfirmed                        // outcome unknown; a retry finds out
+	outcomeForNode                            // carried out for another node, which gets the body
+	outcomeFromPeer                           // another node responded to the forwarded request
 )
 
 // outcome is the result of a request.
 type outcome struct {
-	kind   outcomeKind
-	status protocol.JobStatus // of an accepted or known job
-	reason string             // why the request wasn't carried out
-	body   []byte             // of kind outcomeForNode
-	answer Response           // of kind outcomeFromPeer
+	kind     outcomeKind
+	status   protocol.JobStatus // status of an accepted or known job
+	reason   string             // why the request wasn't carried out
+	body     []byte             // only for outcomeForNode
+	response Response           // only for outcomeFromPeer
 }
 
-// failure is the outcome of a request that wasn't carried out.
+// failure returns the outcome of a request that wasn't carried out.
 func failure(kind outcomeKind, reason string) outcome { return outcome{kind: kind, reason: reason} }
 
+// knownJob returns the outcome of a request whose job has a record.
 func knownJob(status protocol.JobStatus) outcome { return outcome{kind: outcomeKnown, status: status} }
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -2,7 +2,7 @@
 
 import "postpoint/internal/protocol"
 
-// Kind is what a request asks for. The numbers are those that nodes send each other.
+// Kind is the operation that a request asks for. Nodes send each other its number.
 type Kind byte
 
 // Kinds of requests.
@@ -10,20 +10,20 @@
 	Submit Kind = iota + 1
 	GetStatus
 	Cancel
-	// GetAttestation is asked by a node, not by a user: see Attestation.
+	// GetAttestation asks for an Attestation. Only nodes send it.
 	GetAttestation
-	// GetZoneReports is asked by a node that leads: see ZoneReports.
+	// GetZoneReports asks for ZoneReports. Only the leader sends it.
 	GetZoneReports
 )
 
-// Request is a request of a user or a node. Forwarded requests come from another node, which the
-// store doesn't serve, and go no further.
+// Request is a request of a user or a node. A forwarded request comes from another node, which can't
+// reach the key-value store; the receiver never forwards it again.
 type Request struct {
 	Kind      Kind
-	ID        protocol.JobID // of the job, empty for a submission
+	ID        protocol.JobID // ID of the job, empty for a submission
 	Body      []byte
 	Forwarded bool
 }
 
-// Forward passes a request to other nodes; ok reports whether one answered.
-type Forward func(r Request, done func(a Response, ok bool))
+// Forward passes a request to other nodes; ok reports whether one of them responded.
+type Forward func(r Request, done func(response Response, ok bool))
--- a/internal/admission/answer.go
+++ b/internal/admission/response.go
@@ -6,24 +6,25 @@
 	"postpoint/internal/protocol"
 )
 
-// retryAfterS is when users are asked to come back, in seconds: as soon as they would by themselves.
+// retryAfterS is the delay in seconds after which users should retry, as short as their own retry delay.
 const retryAfterS = 1
 
-// Response is what a user or a node is sent: an HTTP status, when to come back, and the body.
+// Response is the response to a user or a node: an HTTP status, the delay before a retry (0 for none) and
+// the body.
 type Response struct {
 	Status      int
 	RetryAfterS int
 	Body        []byte
 }
 
-// OK reports whether the request was carried out and its body is what was asked for.
-func (a Response) OK() bool { return a.Status == http.StatusOK }
+// OK reports whether the request was carried out and the body contains its result.
+func (r Response) OK() bool { return r.Status == http.StatusOK }
 
 // ShouldRetryLater reports whether the same request may succeed later, or at another node.
-func (a Response) ShouldRetryLater() bool { return a.Status == http.StatusServiceUnavailable }
+func (r Response) ShouldRetryLater() bool { return r.Status == http.StatusServiceUnavailable }
 
-// toAnswer maps outcomes to HTTP, here and nowhere else.
-func (o outcome) toAnswer() Response {
+// toResponse returns the HTTP response for an outcome. No other code maps outcomes to HTTP.
+func (o outcome) toResponse() Response {
 	switch o.kind {
 	case outcomeAccepted:
 		return Response{Status: http.StatusCreated, Body: protocol.Encode(o.status)}
@@ -32,17 +33,17 @@
 	case outcomeForNode:
 		return Response{Status: http.StatusOK, Body: o.body}
 	case outcomeFromPeer:
-		return o.answer
+		return o.response
 	}
-	a := Response{Status: o.kind.failureStatus(),
+	r := Response{Status: o.kind.failureStatus(),
 		Body: protocol.Encode(protocol.ErrorResponse{Error: o.reason})}
-	if a.ShouldRetryLater() {
-		a.RetryAfterS = retryAfterS
+	if r.ShouldRetryLater() {
+		r.RetryAfterS = retryAfterS
 	}
-	return a
+	return r
 }
 
-// failureStatus is the HTTP status of a request that wasn't carried out.
+// failureStatus returns the HTTP status of a request that wasn't carried out.
 func (k outcomeKind) failureStatus() int {
 	switch k {
 	case outcomeNoSuchJob:
--- a/internal/admission/runnable.go
+++ b/internal/admission/runnable.go
@@ -9,7 +9,7 @@
 	"postpoint/internal/settings"
 )
 
-// Why a job can never run, as its user is told.
+// Reasons why a job can never run. Users receive the texts.
 var (
 	errUnknownTeam    = errors.New("unknown team")
 	errFitsNoType     = errors.New("a task fits no allowed machine type")
@@ -18,7 +18,7 @@
 	errRecordTooLarge = errors.New("too large to be recorded while it runs")
 )
 
-// checkRunnable returns why a job can never run, or nil if it can.
+// checkRunnable returns the reason why a job can never run, or nil if it can run.
 func checkRunnable(spec *protocol.JobSpec, dep *settings.Deployment, types []protocol.MachineType) error {
 	team, ok := dep.Team(spec.Team)
 	if !ok {
@@ -33,7 +33,7 @@
 	if runsAtOnce(spec) && spec.Spread && spec.Tasks > 1 && (spec.OneZone || spec.Zone != "") {
 		return errSpreadInZone
 	}
-	// The store may tighten its limits at any time.
+	// The store may lower its limits at any time.
 	limits := dep.KVStore.Tightest()
 	if !jobrecord.FitsStore(spec, limits.ValueBytes(), limits.TxnOps) {
 		return errRecordTooLarge
--- a/internal/admission/runnable_test.go
+++ b/internal/admission/runnable_test.go
@@ -7,8 +7,8 @@
 	"postpoint/internal/protocol"
 )
 
-// What can never run is refused with its reason.
-func TestJobsThatCanNeverRunAreRefusedWithTheirReason(t *testing.T) {
+// Guards against jobs that would wait for ever: a job that can never run is rejected with the reason.
+func TestJobsThatCanNeverRunAreRejectedWithReason(t *testing.T) {
 	dep := visionDeployment()
 	small := protocol.MachineType{Name: "c4", Cpus: 4, MemoryGB: 16, Zones: []string{"a"}}
 	types := append(gpuTypes("a", "b"), small)
@@ -26,7 +26,7 @@
 		{func(s *protocol.JobSpec) { s.Tasks, s.Shape = 5, protocol.ShapeArray }, nil},
 		{func(s *protocol.JobSpec) { s.Spread = true }, errSpreadInZone},
 		{func(s *protocol.JobSpec) { s.Shape = protocol.ShapeService }, nil},
-		// All replicas run at once, so that they count together.
+		// All replicas run at the same time, so the team's limit applies to their sum.
 		{func(s *protocol.JobSpec) { s.Tasks, s.Shape = 5, protocol.ShapeService }, errOverTeamLimit},
 		{func(s *protocol.JobSpec) { s.Cpus, s.Shape = 97, protocol.ShapeService }, errFitsNoType},
 		{func(s *protocol.JobSpec) { s.Spread, s.Shape = true, protocol.ShapeService }, errSpreadInZone},
--- a/internal/admission/server.go
+++ b/internal/admission/server.go
@@ -9,34 +9,35 @@
 const (
 	// maxHeaderBytes bounds the header of a request.
 	maxHeaderBytes = 8 << 10
-	// headerTimeout, requestTimeout and responseTimeout bound what a slow or dead peer can hold up;
-	// users wait for five seconds.
+	// headerTimeout, requestTimeout and responseTimeout bound how long a slow or dead client holds a
+	// connection; users wait for five seconds.
 	headerTimeout   = 5 * time.Second
 	requestTimeout  = 10 * time.Second
 	responseTimeout = 10 * time.Second
-	// minIdleTimeout is how long a connection may at least be idle between requests.
+	// minIdleTimeout is the lower bound of the idle timeout of a connection.
 	minIdleTimeout = 30 * time.Second
-	// heartbeatsPerIdleTimeout is how many heartbeats a worker may send in the time that its
-	// connection may be idle.
+	// heartbeatsPerIdleTimeout is the idle timeout of a connection as a multiple of the heartbeat
+	// interval.
 	heartbeatsPerIdleTimeout = 4
 )
 
-// Serve answers users, workers and health checks on one address.
-func Serve(addr string, maxConnections int, in *Admission, heartbeats LeaderHandler) error {
+// Serve serves users, workers and health checks on one address.
+func Serve(addr string, maxConnections int, admission *Admission, leader LeaderHandler) error {
 	l, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return err
 	}
-	return serve(newLimitedListener(l, maxConnections), in, heartbeats)
+	return serve(newLimitedListener(l, maxConnections), admission, leader)
 }
 
-func serve(l *limitedListener, in *Admission, heartbeats LeaderHandler) error {
+// serve serves the HTTP requests of the connections that the listener accepts.
+func serve(l *limitedListener, admission *Admission, leader LeaderHandler) error {
 	server := &http.Server{
-		Handler:           Handler(in, heartbeats),
+		Handler:           Handler(admission, leader),
 		ReadHeaderTimeout: headerTimeout,
 		ReadTimeout:       requestTimeout,
 		WriteTimeout:      responseTimeout,
-		IdleTimeout:       in.idleTimeout(),
+		IdleTimeout:       admission.idleTimeout(),
 		MaxHeaderBytes:    maxHeaderBytes,
 		ConnState:         l.connState,
 		ConnContext:       withConnection,
@@ -44,9 +45,9 @@
 	return server.Serve(l)
 }
 
-// idleTimeout returns how long a connection may be idle between requests: workers send several
-// heartbeats in it, and what a dead machine has left doesn't hold its place.
-func (in *Admission) idleTimeout() time.Duration {
-	interval := in.set.Deployment.Workers.HeartbeatInterval().Duration()
+// idleTimeout returns how long a connection may be idle between requests. A worker sends several
+// heartbeats within it, and the server closes the connections of dead machines after it.
+func (adm *Admission) idleTimeout() time.Duration {
+	interval := adm.set.Deployment.Workers.HeartbeatInterval().Duration()
 	return max(minIdleTimeout, heartbeatsPerIdleTimeout*interval)
 }
--- a/internal/admission/status.go
+++ b/internal/admission/status.go
@@ -8,30 +8,31 @@
 	"postpoint/internal/protocol"
 )
 
-// show answers with the state of a job.
-func (c *call) show() {
+// getStatus responds with the status of a job.
+func (c *call) getStatus() {
 	c.findRecord(func(record *jobrecord.Record, _ protocol.Revision) {
 		if record.ShardSize > 0 && !record.Final() {
-			c.showSharded(record)
+			c.getShardedStatus(record)
 			return
 		}
 		c.finish(knownJob(record.UserStatus()))
 	})
 }
 
-// showSharded reads the shards of a record for what users are shown of its tasks. Without them the
-// answer says what the head does.
-func (c *call) showSharded(record *jobrecord.Record) {
+// getShardedStatus reads the shards of a record to complete the status of the job. If a read fails, the
+// response contains the status as far as the head and the shards that were read show it.
+func (c *call) getShardedStatus(record *jobrecord.Record) {
 	prefix := jobrecord.JobShardsPrefix(record.Spec.ID)
-	apply := func(page protocol.ItemList) (goOn bool) {
+	apply := func(page protocol.ItemList) (more bool) {
 		applyShards(record, page.Items)
 		return true
 	}
-	kvstore.WalkPages(c.in.store, prefix, "", apply, func(error, string) {
+	kvstore.WalkPages(c.admission.store, prefix, "", apply, func(error, string) {
 		c.finish(knownJob(record.UserStatus()))
 	})
 }
 
+// applyShards merges the shards into the record and skips malformed ones.
 func applyShards(record *jobrecord.Record, items []protocol.Item) {
 	for _, item := range items {
 		_, shard, ok := jobrecord.ParseShardKey(item.Key)
--- a/internal/admission/storeresult.go
+++ b/internal/admission/storeresult.go
@@ -6,22 +6,22 @@
 	"postpoint/internal/kvstore"
 )
 
-// storeResult is what became of a request to the key-value store.
+// storeResult is the outcome of a request to the key-value store.
 type storeResult int
 
 const (
 	storeDone        storeResult = iota // carried out
 	storeNotFound                       // there is no such key
 	storeConflict                       // a condition of the transaction doesn't hold
-	storeRejected                       // the store refuses the request, whenever it comes
-	storeBusy                           // too many requests, by the store's count or this node's own
-	storeUnavailable                    // not carried out: the store doesn't serve this node
-	storeUnconfirmed                    // no response: it may have been carried out, or may still be
-	storeUnexpected                     // a response that makes no sense
+	storeRejected                       // the store rejects the request, and would reject any retry
+	storeBusy                           // throttled by the store or by this node's own rate limit
+	storeUnavailable                    // not carried out: the store is unavailable to this node
+	storeUnconfirmed                    // outcome unknown: it may have been carried out, or may still be
+	storeUnexpected                     // a response that has no meaning in the protocol
 )
 
-// storeResultOf maps the error of a request to the store. A failure of the store's server counts as
-// not carried out: if it was carried out all the same, the user's repeat finds that.
+// storeResultOf classifies the error of a request to the store. A server failure counts as not carried
+// out: if the store carried the request out nevertheless, the user's retry finds the result.
 func storeResultOf(err error) storeResult {
 	switch {
 	case err == nil:
@@ -42,8 +42,8 @@
 	return storeUnexpected
 }
 
-// served reports whether the result shows that the store serves this node. A request that was one
-// too many doesn't: that may be this node's own count.
+// served reports whether the result shows that the store is available to this node. A throttled request
+// shows nothing, because the limit may be this node's own.
 func (r storeResult) served() bool {
 	switch r {
 	case storeUnconfirmed, storeUnavailable, storeBusy:
--- a/internal/admission/submission.go
+++ b/internal/admission/submission.go
@@ -8,69 +8,69 @@
 	"postpoint/internal/protocol"
 )
 
-// submit accepts a job, unless it is known or has to be refused.
+// submit accepts a new job, responds with the status of a known one, or rejects the submission.
 func (c *call) submit() {
 	spec, err := protocol.DecodeSubmission(c.request.Body)
 	c.spec = spec
-	refusal, refused := c.in.refusal(&spec, err)
-	if !refused {
+	rejection, rejected := c.admission.rejection(&spec, err)
+	if !rejected {
 		c.create()
 		return
 	}
-	slog.Debug("submission refused", "job", spec.ID, "reason", refusal.reason)
+	slog.Debug("submission rejected", "job", spec.ID, "reason", rejection.reason)
 	if spec.ID == "" {
-		c.finish(refusal)
+		c.finish(rejection)
 		return
 	}
-	// The repeat of an accepted submission is never refused, whatever it looks like.
+	// A retry of an accepted submission is never rejected, whatever it contains.
 	c.readRecord(spec.ID, func(record *jobrecord.Record, _ protocol.Revision) {
 		if record != nil {
 			c.finish(knownJob(record.UserStatus()))
 			return
 		}
-		c.finish(refusal)
+		c.finish(rejection)
 	})
 }
 
-// refusal returns why a new job can't be accepted, given the error of its submission; refused
-// reports whether it can't.
-func (in *Admission) refusal(spec *protocol.JobSpec, invalid error) (o outcome, refused bool) {
+// rejection returns the outcome of a new job that can't be accepted; rejected is false if it can be.
+// invalid is the error from decoding the submission.
+func (adm *Admission) rejection(spec *protocol.JobSpec, invalid error) (o outcome, rejected bool) {
 	switch {
 	case invalid != nil:
 		return failure(outcomeMalformed, invalid.Error()), true
-	case len(in.types) == 0:
+	case len(adm.types) == 0:
 		return failure(outcomeTryLater, reasonNoCatalogue), true
-	case in.memoryFull():
+	case adm.memoryFull():
 		return failure(outcomeTryLater, reasonMemoryFull), true
 	}
-	if err := checkRunnable(spec, &in.set.Deployment, in.types); err != nil {
+	if err := checkRunnable(spec, &adm.set.Deployment, adm.types); err != nil {
 		return failure(outcomeNeverRuns, err.Error()), true
 	}
-	if spec.Service() && !in.formatOpen {
+	if spec.Service() && !adm.formatOpen {
 		return failure(outcomeTryLater, reasonFormatClosed), true
 	}
 	return outcome{}, false
 }
 
-// newRecord returns the record of the submitted job, in a format that all controllers know.
+// newRecord returns the record of the submitted job in a format that all controllers support.
 func (c *call) newRecord() *jobrecord.Record {
-	record := jobrecord.New(c.spec, int64(c.in.mailbox.TimeOfDay()))
-	if c.in.formatOpen {
-		limits := c.in.set.Deployment.KVStore.Tightest()
+	record := jobrecord.New(c.spec, int64(c.admission.mailbox.TimeOfDay()))
+	if c.admission.formatOpen {
+		limits := c.admission.set.Deployment.KVStore.Tightest()
 		record.Marked = c.spec.Service()
 		record.ShardSize = jobrecord.ShardSizeFor(&c.spec, limits.ValueBytes())
 	}
 	return record
 }
 
-// create writes the record, unless there is one: no job is accepted twice.
+// create writes the record unless there is one already, so that no job is accepted twice.
 func (c *call) create() {
 	key := jobrecord.Key(c.spec.ID)
 	txn := protocol.Txn{
 		Conditions: []protocol.Condition{{Key: key}},
 		Changes:    []protocol.Change{{Put: key, Value: c.newRecord().Encode()}},
 	}
-	c.in.store.Commit(kvstore.PriorityUser, txn, func(r kvstore.Result[protocol.Revision]) {
+	c.admission.store.Commit(kvstore.PriorityUser, txn, func(r kvstore.Result[protocol.Revision]) {
 		switch result := storeResultOf(r.Err); result {
 		case storeDone:
 			status := protocol.JobStatus{ID: c.spec.ID, Status: protocol.StatusPending}
@@ -80,12 +80,12 @@
 		case storeRejected:
 			c.fail(outcomeMalformed, reasonTooLarge)
 		default:
-			c.notServed(result)
+			c.handleStoreFailure(result)
 		}
 	})
 }
 
-// confirmCreated reads the record: there is one already, or it isn't known whether there is.
+// confirmCreated reads the record after a conflict or an unknown outcome, to find out whether it exists.
 func (c *call) confirmCreated() {
 	c.readRecord(c.spec.ID, func(record *jobrecord.Record, _ protocol.Revision) {
 		if record == nil {
--- a/internal/admission/submission_test.go
+++ b/internal/admission/submission_test.go
@@ -12,41 +12,42 @@
 	"postpoint/internal/settings"
 )
 
-// Until all controllers know services a submission of one is answered at once, with a time to come
-// back, and neither recorded nor passed to a peer that may take it for an array.
+// Guards against a controller of an older version that classifies a service as an array. Until all
+// controllers support services, the submission of one gets a retryable response with Retry-After at
+// once, and this node neither records it nor forwards it to a peer.
 func TestServicesWaitForTheUpgrade(t *testing.T) {
 	set := &settings.Settings{Deployment: visionDeployment()}
 	spec := submission()
 	spec.Shape = protocol.ShapeService
 	submit := Request{Kind: Submit, Body: protocol.Encode(spec)}
-	forward := func(Request, func(Response, bool)) { t.Error("passed to a peer, want it answered here") }
+	forward := func(Request, func(Response, bool)) { t.Error("forwarded to a peer, want it handled here") }
 	for _, served := range []bool{true, false} {
-		box := &actortest.Still{Now: clock.Second}
+		mailbox := &actortest.Still{Now: clock.Second}
 		store := &fakeStore{maxValue: 2 << 10}
-		in := New(box, store, set, forward)
-		in.SetMachineTypes(gpuTypes("a", "b"))
+		adm := New(mailbox, store, set, forward)
+		adm.SetMachineTypes(gpuTypes("a", "b"))
 		if !served {
-			in.availability.storeDownUntil = box.Now + clock.Second
+			adm.availability.storeDownUntil = mailbox.Now + clock.Second
 		}
-		got := answerOf(t, in, submit)
+		got := responseOf(t, adm, submit)
 		if got.Status != http.StatusServiceUnavailable || got.RetryAfterS < 1 || len(store.puts) != 0 {
-			t.Errorf("served %v: answered %d, come back after %d s, %d puts, want %d, some and none",
+			t.Errorf("served %v: status %d, retry after %d s, %d puts, want %d, a delay and no puts",
 				served, got.Status, got.RetryAfterS, len(store.puts), http.StatusServiceUnavailable)
 		}
 		if !served {
 			continue
 		}
-		in.SetFormatStatus(rollout.Status{Services: true})
-		got = answerOf(t, in, submit)
+		adm.SetFormatStatus(rollout.Status{Services: true})
+		got = responseOf(t, adm, submit)
 		if got.Status != http.StatusCreated || len(store.puts) != 1 {
-			t.Errorf("after the upgrade: answered %d with %d puts, want %d with 1",
+			t.Errorf("after the upgrade: status %d with %d puts, want %d with 1",
 				got.Status, len(store.puts), http.StatusCreated)
 		}
 	}
 }
 
-// With its memory full a node takes no new jobs and says when to come back; what is known is
-// answered as ever.
+// Guards against a node that runs out of memory: while its memory is full, it rejects new jobs with
+// Retry-After and still responds to requests for known jobs.
 func TestNewJobsWaitWhileMemoryIsFull(t *testing.T) {
 	set := &settings.Settings{}
 	set.Deployment.Teams = []settings.Team{{Name: "vision"}}
@@ -57,11 +58,11 @@
 		if known {
 			store.values = map[string][]byte{jobrecord.Key(spec.ID): jobrecord.New(spec, 1).Encode()}
 		}
-		in := New(&actortest.Still{Now: 20 * clock.Second}, store, set, nil)
-		in.SetMachineTypes(gpuTypes("a"))
-		in.RefuseWhen(func() bool { return true })
+		adm := New(&actortest.Still{Now: 20 * clock.Second}, store, set, nil)
+		adm.SetMachineTypes(gpuTypes("a"))
+		adm.RefuseWhen(func() bool { return true })
 		for _, r := range []Request{{Kind: Submit, Body: raw}, {Kind: GetStatus, ID: spec.ID}} {
-			got := answerOf(t, in, r)
+			got := responseOf(t, adm, r)
 			want := http.StatusOK
 			switch {
 			case !known && r.Kind == Submit:
@@ -70,7 +71,7 @@
 				want = http.StatusNotFound
 			}
 			if got.Status != want || (got.RetryAfterS > 0) != (want == http.StatusServiceUnavailable) {
-				t.Errorf("known %v, kind %d: answered %d, come back after %d s, want %d, and a time with %d only",
+				t.Errorf("known %v, kind %d: status %d, retry after %d s, want %d, and a delay only with %d",
 					known, r.Kind, got.Status, got.RetryAfterS, want, http.StatusServiceUnavailable)
 			}
 		}
--- a/internal/admission/workerconnection.go
+++ b/internal/admission/workerconnection.go
@@ -13,46 +13,50 @@
 	"postpoint/internal/protocol"
 )
 
-// Workers keep their connections and send a heartbeat every few seconds, which is most of what a
-// leader is asked. http.Server watches each connection in the background while a request is
-// handled, keeps two buffers and a context for it and moves its deadlines four times: about half of
-// a leader's time went there. After a worker's first heartbeat its connection is therefore hijacked
-// (http.Hijacker) and its requests are read one after another by the same package's parser, for
-// the same handler.
+// Workers keep their connections open and send a heartbeat every few seconds; most requests to a leader
+// are heartbeats. For each request, http.Server watches the connection in the background, keeps two
+// buffers and a context and sets the deadlines four times, which took about half of a leader's processor
+// time. The handler of a worker's first heartbeat therefore hijacks the connection (http.Hijacker). A
+// workerConnection then reads the requests one after another with the parser of net/http and passes them
+// to the same handler.
 
 const (
 	// maxRequestBytes is the largest request on a hijacked connection.
 	maxRequestBytes = protocol.MaxBodyBytes + maxHeaderBytes
-	// readBufferBytes is what a connection holds between requests; heartbeats of a few tasks fit.
+	// readBufferBytes is the buffer that a connection holds between requests. A heartbeat with a few
+	// tasks fits into it.
 	readBufferBytes = 2 << 10
-	// writeBufferBytes is what a connection holds while it responds.
+	// writeBufferBytes is the buffer that a connection holds while it writes a response.
 	writeBufferBytes = 2 << 10
 )
 
+// writers pools the write buffers of all connections.
 var writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, writeBufferBytes) }}
 
+// endOfHead is the empty line that ends the head of a request.
 var endOfHead = []byte("\r\n\r\n")
 
-// workerConnection is a worker's connection that was hijacked.
+// workerConnection is a hijacked connection of a worker.
 type workerConnection struct {
 	conn    *connection
 	handler http.Handler
-	// idleTimeout is how long a request may take to come, and then to be answered.
+	// idleTimeout bounds the whole time from the end of a response until the next request has arrived
+	// and been responded to.
 	idleTimeout time.Duration
-	// limited bounds what one request may have, header included.
+	// limited bounds the size of one request, header included.
 	limited  io.LimitedReader
 	reader   *bufio.Reader
 	context  context.Context
 	response bufferedResponse
-	// last is the request that head was parsed to: most heartbeats have the head of the one before,
-	// byte for byte, and only another body.
-	last *http.Request
-	head []byte
+	// lastRequest is the request that was parsed from lastHead. Most heartbeats have the same head as
+	// the previous one, byte for byte, and differ only in the body.
+	lastRequest *http.Request
+	lastHead    []byte
 }
 
-// hijack serves the requests that follow the present one on its connection. The present one must
-// have been answered in full. It leaves the connection to whoever read the request if that isn't
-// http.Server.
+// hijack takes the connection of a request over from http.Server and serves the requests that follow.
+// The response to the current request must be complete. If http.Server doesn't serve the connection,
+// hijack leaves it as it is.
 func hijack(w http.ResponseWriter, r *http.Request, handler http.Handler, idleTimeout time.Duration) {
 	conn := connectionOf(r)
 	if conn == nil || r.Close || conn.hijacked {
@@ -67,18 +71,19 @@
 		return
 	}
 	conn.hijacked = true
-	// The next request may have come since the response left.
-	early, err := buffered.Peek(buffered.Reader.Buffered())
+	// http.Server may already have read a part of the next request.
+	alreadyRead, err := buffered.Peek(buffered.Reader.Buffered())
 	if err != nil {
 		_ = raw.Close()
 		return
 	}
-	go newWorkerConnection(conn, early, handler, idleTimeout).serve()
+	go newWorkerConnection(conn, alreadyRead, handler, idleTimeout).serve()
 }
 
-// newWorkerConnection returns a connection of which some bytes have been read already.
+// newWorkerConnection returns a workerConnection; alreadyRead are the bytes that http.Server has read from
+// it.
 func newWorkerConnection(
-	conn *connection, early []byte, handler http.Handler, idleTimeout time.Duration,
+	conn *connection, alreadyRead []byte, handler http.Handler, idleTimeout time.Duration,
 ) *workerConnection {
 	c := &workerConnection{
 		conn:        conn,
@@ -88,22 +93,23 @@
 		response:    bufferedResponse{header: http.Header{}},
 	}
 	c.limited.R = conn
-	if len(early) > 0 {
-		c.limited.R = io.MultiReader(bytes.NewReader(slices.Clone(early)), conn)
+	if len(alreadyRead) > 0 {
+		c.limited.R = io.MultiReader(bytes.NewReader(slices.Clone(alreadyRead)), conn)
 	}
 	c.reader = bufio.NewReaderSize(&c.limited, readBufferBytes)
 	return c
 }
 
+// serve handles requests until the connection ends, and closes it.
 func (c *workerConnection) serve() {
 	defer c.conn.Close()
 	for c.serveNext() {
 	}
 }
 
-// serveNext reads and answers one request; it reports whether the connection goes on.
+// serveNext reads and handles one request; it reports whether the connection stays open.
 func (c *workerConnection) serveNext() bool {
-	if !c.await() {
+	if !c.awaitRequest() {
 		return false
 	}
 	request, err := c.readRequest()
@@ -121,8 +127,8 @@
 	return c.write(request) && c.response.header.Get("Connection") == ""
 }
 
-// await waits for the first byte of the next request, during which the connection may be evicted.
-func (c *workerConnection) await() bool {
+// awaitRequest waits for the first byte of the next request. The listener may evict the connection meanwhile.
+func (c *workerConnection) awaitRequest() bool {
 	c.conn.listener.markIdle(c.conn)
 	c.limited.N = maxRequestBytes
 	if c.conn.SetDeadline(time.Now().Add(c.idleTimeout)) != nil {
@@ -135,42 +141,42 @@
 	return true
 }
 
-// readRequest reads a request's head; its body is still to be read.
+// readRequest reads the head of a request. The body remains unread.
 func (c *workerConnection) readRequest() (*http.Request, error) {
 	buffered, err := c.reader.Peek(c.reader.Buffered())
 	if err != nil {
 		return nil, err
 	}
 	end := bytes.Index(buffered, endOfHead) + len(endOfHead)
-	whole := end >= len(endOfHead)
-	if whole && bytes.Equal(buffered[:end], c.head) {
+	complete := end >= len(endOfHead)
+	if complete && bytes.Equal(buffered[:end], c.lastHead) {
 		return c.reuseHead(end)
 	}
-	c.head = nil
-	if whole {
-		c.head = slices.Clone(buffered[:end])
+	c.lastHead = nil
+	if complete {
+		c.lastHead = slices.Clone(buffered[:end])
 	}
 	request, err := http.ReadRequest(c.reader)
 	if err != nil {
 		return nil, err
 	}
 	if request.ContentLength < 0 {
-		c.head = nil // a body of unknown length needs its own reader
+		c.lastHead = nil // reuseHead needs a body of known length
 	}
-	c.last = request.WithContext(c.context)
-	return c.last, nil
+	c.lastRequest = request.WithContext(c.context)
+	return c.lastRequest, nil
 }
 
-// reuseHead returns the last request with the body that follows the same head of so many bytes.
+// reuseHead returns the last request with the body that follows the same head; length is that of the head.
 func (c *workerConnection) reuseHead(length int) (*http.Request, error) {
 	if _, err := c.reader.Discard(length); err != nil {
 		return nil, err
 	}
-	c.last.Body = io.NopCloser(io.LimitReader(c.reader, c.last.ContentLength))
-	return c.last, nil
+	c.lastRequest.Body = io.NopCloser(io.LimitReader(c.reader, c.lastRequest.ContentLength))
+	return c.lastRequest, nil
 }
 
-// write sends the response; it reports whether that was possible.
+// write sends the response and reports whether that succeeded.
 func (c *workerConnection) write(request *http.Request) bool {
 	response := http.Response{
 		StatusCode:    c.response.status,
@@ -187,23 +193,24 @@
 	return response.Write(w) == nil && w.Flush() == nil
 }
 
-// bufferedResponse is an http.ResponseWriter that keeps the response.
+// bufferedResponse is an http.ResponseWriter that buffers the response.
 type bufferedResponse struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
+// reset prepares the buffer for the next response.
 func (b *bufferedResponse) reset() {
 	clear(b.header)
 	b.status = http.StatusOK
 	b.body.Reset()
 }
 
-// Header returns the header, which may be changed until the response is written.
+// Header returns the header, which the handler may change until the response is written.
 func (b *bufferedResponse) Header() http.Header { return b.header }
 
-// WriteHeader keeps the status.
+// WriteHeader sets the status.
 func (b *bufferedResponse) WriteHeader(status int) { b.status = status }
 
 // Write appends to the body.
--- a/internal/admission/workerconnection_test.go
+++ b/internal/admission/workerconnection_test.go
@@ -14,21 +14,21 @@
 	"time"
 )
 
-// reportServer serves on a real listener.
-func reportServer(t *testing.T, heartbeatIntervalS float64) (*Admission, *limitedListener) {
+// heartbeatServer starts a server on a real listener.
+func heartbeatServer(t *testing.T, heartbeatIntervalS float64) (*Admission, *limitedListener) {
 	t.Helper()
 	raw, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { raw.Close() })
-	in := concurrentIntake(heartbeatIntervalS)
+	adm := concurrentAdmission(heartbeatIntervalS)
 	l := newLimitedListener(raw, 16)
-	go func() { _ = serve(l, in, leaderAnswers{}) }()
-	return in, l
+	go func() { _ = serve(l, adm, fakeLeader{}) }()
+	return adm, l
 }
 
-// dial connects until the end of the test.
+// dial returns a connection that is closed at the end of the test.
 func dial(t *testing.T, address net.Addr) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp4", address.String())
@@ -39,8 +39,8 @@
 	return conn
 }
 
-// exchange sends a request as it stands and reads the response: its status and body, or that the
-// connection was closed without one.
+// exchange sends the bytes of a request and describes the response by its status and body, or says that
+// the connection was closed or stayed silent.
 func exchange(conn net.Conn, reader *bufio.Reader, request string) string {
 	_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
 	if _, err := io.WriteString(conn, request); err != nil {
@@ -62,22 +62,23 @@
 	return fmt.Sprintf("%d %x close=%v %s", response.StatusCode, body, response.Close, contentType)
 }
 
+// request returns the bytes of an HTTP request.
 func request(method, path, header string, body []byte) string {
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: a\r\n%sContent-Length: %d\r\n\r\n%s",
 		method, path, header, len(body), body)
 }
 
-// chunkedHeader asks for a body in chunks.
+// chunkedHeader is the head of a heartbeat request with a chunked body.
 const chunkedHeader = "POST /agent/beat HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// heartbeatRequest returns the request of a heartbeat, or of a body in its place.
+// heartbeatRequest returns a heartbeat request with the given body, which may be malformed.
 func heartbeatRequest(body []byte) string { return request("POST", "/agent/beat", "", body) }
 
-// A hijacked connection answers as the standard server would, whatever comes after the first
-// heartbeat, and what the standard server refuses costs the connection.
-func TestHijackedConnectionsAnswerAsTheStandardServerWould(t *testing.T) {
-	in, l := reportServer(t, 6)
-	plain := httptest.NewServer(Handler(in, leaderAnswers{}))
+// Guards against responses on hijacked connections that differ from those of http.Server, whatever follows
+// the first heartbeat. A request that http.Server rejects ends the connection.
+func TestHijackedConnectionsRespondLikeStandardServer(t *testing.T) {
+	adm, l := heartbeatServer(t, 6)
+	plain := httptest.NewServer(Handler(adm, fakeLeader{}))
 	defer plain.Close()
 	heartbeat := func(counter int64) string { return heartbeatRequest(heartbeatBody("m-1", counter)) }
 	up := request("GET", "/up", "", nil)
@@ -87,11 +88,11 @@
 	closing := request("POST", "/agent/beat", "Connection: close\r\n", heartbeatBody("m-1", 2))
 	no, so := heartbeatRequest([]byte("no")), heartbeatRequest([]byte("so"))
 	for name, requests := range map[string][]string{
-		"reports":   {heartbeat(2), heartbeat(3)},
-		"chunked":   {chunked, chunked},
-		"same head": {heartbeat(1), heartbeat(2), heartbeat(200), no, so},
-		"no body":   {up, up, upWithoutBody, upWithoutBody},
-		"malformed": {no, heartbeat(2)},
+		"heartbeats": {heartbeat(2), heartbeat(3)},
+		"chunked":    {chunked, chunked},
+		"same head":  {heartbeat(1), heartbeat(2), heartbeat(200), no, so},
+		"no body":    {up, up, upWithoutBody, upWithoutBody},
+		"malformed":  {no, heartbeat(2)},
 		"other requests": {up, request("GET", "/api/jobs/job-000001", "", nil),
 			request("GET", "/nowhere", "", nil)},
 		"asks to close": {closing, up},
@@ -113,9 +114,9 @@
 	}
 }
 
-// A request that comes before the connection has been hijacked isn't lost.
-func TestEarlyRequestsAreAnswered(t *testing.T) {
-	_, l := reportServer(t, 6)
+// Guards against the loss of a request that arrives before the server has hijacked the connection.
+func TestRequestsBeforeHijackAreHandled(t *testing.T) {
+	_, l := heartbeatServer(t, 6)
 	for range 50 {
 		conn := dial(t, l.Addr())
 		first := heartbeatRequest(heartbeatBody("m-1", 0))
@@ -129,9 +130,9 @@
 	}
 }
 
-// Bodies and headers without end are cut off, and so is a request that trickles in.
+// Guards against endless bodies and headers on hijacked connections: the server closes the connection.
 func TestRequestsOnHijackedConnectionsAreBounded(t *testing.T) {
-	_, l := reportServer(t, 6)
+	_, l := heartbeatServer(t, 6)
 	first := heartbeatRequest(heartbeatBody("m-1", 0))
 	chunk := "1000\r\n" + strings.Repeat("a", 4096) + "\r\n"
 	for name, next := range map[string]string{
@@ -141,19 +142,20 @@
 		conn := dial(t, l.Addr())
 		reader := bufio.NewReader(conn)
 		if got := exchange(conn, reader, first); !strings.HasPrefix(got, "200") {
-			t.Fatalf("%s: first heartbeat answered %s, want 200", name, got)
+			t.Fatalf("%s: first heartbeat got %s, want 200", name, got)
 		}
 		if got := exchange(conn, reader, next); got != "closed" && !strings.HasPrefix(got, "400") {
-			t.Errorf("%s: answered %s, want it closed or 400", name, got)
+			t.Errorf("%s: got %s, want it closed or 400", name, got)
 		}
 		if got := exchange(conn, reader, first); got != "closed" {
-			t.Errorf("%s: the connection goes on: %s, want it closed", name, got)
+			t.Errorf("%s: the connection stays open: %s, want it closed", name, got)
 		}
 	}
 }
 
-// A hijacked connection that stays silent is closed, and its place is free again.
-func TestSilentConnectionsEnd(t *testing.T) {
+// Guards against silent hijacked connections that hold their slots: the idle timeout closes them and frees
+// the slot.
+func TestSilentHijackedConnectionsAreClosed(t *testing.T) {
 	server, client := net.Pipe()
 	defer client.Close()
 	l := newLimitedListener(nil, 16)
--- a/internal/admission/zonereports.go
+++ b/internal/admission/zonereports.go
@@ -7,21 +7,21 @@
 	"postpoint/internal/ordered"
 )
 
-// ZoneReports says to the leader from which zones' machines a node receives heartbeats: machines
-// that can't reach the leader try the other nodes in turn.
+// ZoneReports tells the leader from which zones a node receives heartbeats. Machines that can't reach
+// the leader try the other nodes one after another.
 type ZoneReports struct {
 	Node string
-	// Machines counts those heard from in the last few seconds, by zone.
+	// Machines counts the machines that sent a heartbeat in the last few seconds, by zone.
 	Machines map[string]int
 }
 
-// ErrZoneReports are zone reports that can't be read.
+// ErrZoneReports means that zone reports can't be decoded.
 var ErrZoneReports = errors.New("malformed zone reports")
 
-// machinesBytes is the size of a number of machines in the binary form.
+// machinesBytes is the size of a count of machines in the binary form.
 const machinesBytes = 4
 
-// Encode returns the binary form, big endian:
+// Encode returns the binary form. Numbers are big endian; sizes of fields are in bytes:
 //
 //	length of the node's name (1), name, and for each zone: length (1), name, machines (4)
 func (z ZoneReports) Encode() []byte {
@@ -33,7 +33,7 @@
 	return b
 }
 
-// DecodeZoneReports reads the binary form. Its error is ErrZoneReports.
+// DecodeZoneReports decodes the binary form. Its only error is ErrZoneReports.
 func DecodeZoneReports(b []byte) (ZoneReports, error) {
 	z := ZoneReports{Machines: map[string]int{}}
 	node, b, ok := cutName(b)
@@ -52,12 +52,12 @@
 	return z, nil
 }
 
-// appendName appends a name behind its length of one byte.
+// appendName appends a name with a length prefix of one byte.
 func appendName(b []byte, name string) []byte {
 	return append(append(b, byte(len(name))), name...)
 }
 
-// cutName reads a name behind its length of one byte.
+// cutName decodes a name with a length prefix of one byte.
 func cutName(b []byte) (name string, rest []byte, ok bool) {
 	if len(b) < 1 || len(b) < 1+int(b[0]) {
 		return "", nil, false
@@ -66,11 +66,11 @@
 	return string(b[1:end]), b[end:], true
 }
 
-// DecodeAllZoneReports reads the answers of nodes; those that say something else are left out.
-func DecodeAllZoneReports(answers []Response) []ZoneReports {
+// DecodeAllZoneReports decodes the responses of nodes and skips failures and malformed responses.
+func DecodeAllZoneReports(responses []Response) []ZoneReports {
 	var all []ZoneReports
-	for _, answer := range answers {
-		if z, err := DecodeZoneReports(answer.Body); err == nil && answer.OK() {
+	for _, response := range responses {
+		if z, err := DecodeZoneReports(response.Body); err == nil && response.OK() {
 			all = append(all, z)
 		}
 	}
