--- a/internal/peer/cellclient.go
+++ b/internal/peer/cellclient.go
@@ -7,24 +7,24 @@
 	"postpoint/internal/delegation"
 )
 
-// maxCellAsking bounds the exchanges with other cells that are going on.
-const maxCellAsking = 8
+// maxOutgoingExchanges bounds the concurrent exchanges that this node starts with other cells.
+const maxOutgoingExchanges = 8
 
-// CellClient reports to other cells on behalf of this node.
+// CellClient sends the heartbeats of this node to other cells.
 type CellClient struct {
 	mailbox actor.Mailbox
-	slots   chan struct{} // one for each exchange that is going on
+	slots   chan struct{} // holds one element for each exchange in progress
 }
 
-// NewCellClient returns a client that answers into the given mailbox.
+// NewCellClient returns a client that posts responses to the given mailbox.
 func NewCellClient(m actor.Mailbox) *CellClient {
-	return &CellClient{m, make(chan struct{}, maxCellAsking)}
+	return &CellClient{m, make(chan struct{}, maxOutgoingExchanges)}
 }
 
-// Exchange sends a report to a controller of another cell. An answer that takes too long counts as
-// none: what it permits would have expired by the time that it is read.
+// Exchange sends a heartbeat to a controller of another cell. A response that arrives after the timeout
+// counts as missing, because the permission in it would have expired before this node uses it.
 func (x *CellClient) Exchange(
-	address string, r delegation.Heartbeat, done func(a delegation.HeartbeatResponse, answered bool),
+	address string, r delegation.Heartbeat, done func(response delegation.HeartbeatResponse, responded bool),
 ) {
 	select {
 	case x.slots <- struct{}{}:
@@ -34,14 +34,15 @@
 	}
 	go func() {
 		defer func() { <-x.slots }()
-		a, err := exchange(address, r)
+		response, err := exchange(address, r)
 		if err != nil {
 			slog.Debug("no response from other cell", "cell", r.Origin, "address", address, "error", err)
 		}
-		x.mailbox.Post(func() { done(a, err == nil) })
+		x.mailbox.Post(func() { done(response, err == nil) })
 	}()
 }
 
+// exchange sends a heartbeat and decodes the response.
 func exchange(address string, r delegation.Heartbeat) (delegation.HeartbeatResponse, error) {
 	payload, err := call(address, frame(append([]byte{kindExchange}, r.Encode()...)))
 	if err != nil {
--- a/internal/peer/cellserver.go
+++ b/internal/peer/cellserver.go
@@ -15,47 +15,49 @@
 	"postpoint/internal/delegation"
 )
 
-// Leaders of different cells exchange messages on an address of its own, so that no other cell can
-// use up the connections of a cell's own nodes.
+// Leaders of different cells exchange messages on a separate address, so that another cell can't use up
+// the connections for the nodes of this cell.
 
-// MaxCellConnections bounds the connections to other cells and those from them.
-const MaxCellConnections = maxCellServing + maxCellAsking
+// MaxCellConnections bounds the connections to and from other cells.
+const MaxCellConnections = maxIncomingExchanges + maxOutgoingExchanges
 
 const (
-	maxCellServing   = 16
-	cellServeTimeout = 2 * time.Second
-	// What other cells send costs a connection each, most of which is the work of accepting it:
-	// cellConnectionsPerS and no more, whatever comes, after a burst.
+	maxIncomingExchanges = 16
+	cellServeTimeout     = 2 * time.Second
+	// Each message of another cell takes a connection of its own, and accepting that is most of the
+	// work. cellConnectionsPerS limits the rate of accepted connections after a burst, whatever other
+	// cells send.
 	cellConnectionsPerS  = 20
 	cellConnectionsBurst = 20
-	// cellLogInterval is the time from one line in the log to the next about messages of other
-	// cells that make no sense.
+	// cellLogInterval is the minimum time between two log lines about malformed messages of other
+	// cells.
 	cellLogInterval = 10 * time.Second
 )
 
-// CellHandler answers what leaders of other cells report; ok is false if the sender is none of the
-// known cells.
+// CellHandler handles the heartbeats of leaders of other cells; ok is false if the sender is not a known
+// cell.
 type CellHandler interface {
-	Exchange(r delegation.Heartbeat, reply func(a delegation.HeartbeatResponse, ok bool))
+	Exchange(r delegation.Heartbeat, reply func(response delegation.HeartbeatResponse, ok bool))
 }
 
-// ErrUnknownCell is a message of a cell that isn't known here, or for another cell.
-var ErrUnknownCell = errors.New("message of an unknown cell or for another one")
+// ErrUnknownCell means that a message comes from an unknown cell or is for another cell.
+var ErrUnknownCell = errors.New("message from an unknown cell or for another cell")
 
-// ServeCells answers other cells. What makes no sense ends its connection only.
+// ServeCells serves other cells. A malformed message ends only its own connection.
 func ServeCells(address string, h CellHandler) error {
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
 		return err
 	}
-	return serveCells(netutil.LimitListener(l, maxCellServing), h)
+	return serveCells(netutil.LimitListener(l, maxIncomingExchanges), h)
 }
 
+// serveCells serves the connections that l accepts, at a limited rate.
 func serveCells(l net.Listener, h CellHandler) error {
-	pace := rate.NewLimiter(cellConnectionsPerS, cellConnectionsBurst)
-	logged := &rate.Sometimes{Interval: cellLogInterval}
+	limiter := rate.NewLimiter(cellConnectionsPerS, cellConnectionsBurst)
+	logLimit := &rate.Sometimes{Interval: cellLogInterval}
 	for {
-		if err := pace.Wait(context.Background()); err != nil {
+		if err := limiter.Wait(context.Background()); err != nil {
 			return err
 		}
 		c, err := l.Accept()
@@ -66,22 +68,23 @@
 			slog.Error("accepting connections of other cells failed", "error", err)
 			continue
 		}
-		go serveCellAndClose(c, h, logged)
+		go serveCellAndClose(c, h, logLimit)
 	}
 }
 
-func serveCellAndClose(c net.Conn, h CellHandler, logged *rate.Sometimes) {
+// serveCellAndClose serves and closes a connection. It logs failures at most once per cellLogInterval.
+func serveCellAndClose(c net.Conn, h CellHandler, logLimit *rate.Sometimes) {
 	defer c.Close()
 	err := serveCell(c, h)
 	if err == nil || errors.Is(err, io.EOF) {
 		return
 	}
-	logged.Do(func() {
+	logLimit.Do(func() {
 		slog.Info("closing connection of another cell", "address", c.RemoteAddr(), "error", err)
 	})
 }
 
-// serveCell answers the one message of a connection.
+// serveCell responds to the only message of a connection.
 func serveCell(c net.Conn, h CellHandler) error {
 	if err := c.SetDeadline(time.Now().Add(cellServeTimeout)); err != nil {
 		return err
@@ -91,33 +94,35 @@
 		return err
 	}
 	if len(payload) == 0 || payload[0] != kindExchange {
-		return fmt.Errorf("%w: no exchange between cells", ErrMalformed)
+		return fmt.Errorf("%w: not an exchange between cells", ErrMalformed)
 	}
-	report, err := delegation.DecodeHeartbeat(payload[1:])
+	heartbeat, err := delegation.DecodeHeartbeat(payload[1:])
 	if err != nil {
 		return err
 	}
-	answer, err := handleExchange(h, report)
+	response, err := handleExchange(h, heartbeat)
 	if err != nil {
 		return err
 	}
-	_, err = c.Write(frame(answer.Encode()))
+	_, err = c.Write(frame(response.Encode()))
 	return err
 }
 
-// exchangeResult is the answer of a CellHandler.
+// exchangeResult is the result of a CellHandler.
 type exchangeResult struct {
-	answer delegation.HeartbeatResponse
-	known  bool // the sender is a known cell
+	response delegation.HeartbeatResponse
+	known    bool // whether the sender is a known cell
 }
 
-// handleExchange waits for the answer of the handler.
-func handleExchange(h CellHandler, report delegation.Heartbeat) (delegation.HeartbeatResponse, error) {
-	answered := make(chan exchangeResult, 1)
-	h.Exchange(report, func(a delegation.HeartbeatResponse, ok bool) { answered <- exchangeResult{a, ok} })
-	result := <-answered
+// handleExchange passes a heartbeat to the handler and waits for the response.
+func handleExchange(h CellHandler, heartbeat delegation.Heartbeat) (delegation.HeartbeatResponse, error) {
+	results := make(chan exchangeResult, 1)
+	h.Exchange(heartbeat, func(response delegation.HeartbeatResponse, ok bool) {
+		results <- exchangeResult{response, ok}
+	})
+	result := <-results
 	if !result.known {
 		return delegation.HeartbeatResponse{}, ErrUnknownCell
 	}
-	return result.answer, nil
+	return result.response, nil
 }
--- a/internal/peer/cellserver_test.go
+++ b/internal/peer/cellserver_test.go
@@ -13,91 +13,94 @@
 	"postpoint/internal/delegation"
 )
 
-// alpha is the leader of a cell that knows beta.
-type alpha struct{ reports atomic.Int64 }
+// alphaLeader is a fake leader of cell alpha, which knows cell beta.
+type alphaLeader struct{ heartbeats atomic.Int64 }
 
-func (a *alpha) Exchange(r delegation.Heartbeat, reply func(delegation.HeartbeatResponse, bool)) {
-	a.reports.Add(1)
-	ruling := delegation.Directive{Number: r.Sequence, Action: delegation.Close}
-	answer := delegation.HeartbeatResponse{Result: delegation.Processed,
-		Directives: []delegation.Directive{ruling}}
-	reply(answer, r.Host == "beta" && r.Origin == "alpha")
+func (l *alphaLeader) Exchange(r delegation.Heartbeat, reply func(delegation.HeartbeatResponse, bool)) {
+	l.heartbeats.Add(1)
+	directive := delegation.Directive{Number: r.Sequence, Action: delegation.Close}
+	response := delegation.HeartbeatResponse{Result: delegation.Processed,
+		Directives: []delegation.Directive{directive}}
+	reply(response, r.Host == "beta" && r.Origin == "alpha")
 }
 
-// lineCounter counts the log lines about closed connections.
-type lineCounter struct {
+// closedConnectionCounter is a log handler that counts the lines about closed connections.
+type closedConnectionCounter struct {
 	slog.Handler
 	lines *atomic.Int64
 }
 
-func (lineCounter) Enabled(context.Context, slog.Level) bool { return true }
+func (closedConnectionCounter) Enabled(context.Context, slog.Level) bool { return true }
 
-func (c lineCounter) Handle(_ context.Context, r slog.Record) error {
+func (c closedConnectionCounter) Handle(_ context.Context, r slog.Record) error {
 	if strings.HasPrefix(r.Message, "closing connection of another cell") {
 		c.lines.Add(1)
 	}
 	return nil
 }
 
-// countLines replaces the log until the end of the test.
-func countLines(t *testing.T) *atomic.Int64 {
+// countClosedConnectionLines replaces the default logger until the end of the test and returns the count
+// of lines about closed connections.
+func countClosedConnectionLines(t *testing.T) *atomic.Int64 {
 	t.Helper()
 	lines := &atomic.Int64{}
 	before := slog.Default()
-	slog.SetDefault(slog.New(lineCounter{slog.DiscardHandler, lines}))
+	slog.SetDefault(slog.New(closedConnectionCounter{slog.DiscardHandler, lines}))
 	t.Cleanup(func() { slog.SetDefault(before) })
 	return lines
 }
 
-// Reports are answered. Garbage, messages of other kinds and cells that aren't known end their
-// connection, and a flood of them costs no more than a bounded number of connections a second, and
-// one line in the log.
-func TestServerOfCellsAnswersReportsAndBoundsTheRest(t *testing.T) {
-	lines := countLines(t)
+// Guards against other cells or strangers that overload the server for cells. It responds to heartbeats and
+// closes the connection of malformed messages, messages of other kinds and unknown cells. A flood of them
+// costs at most a bounded number of connections per second and one log line.
+func TestCellServerRespondsToHeartbeatsAndBoundsTheRest(t *testing.T) {
+	lines := countClosedConnectionLines(t)
 	l := &countingListener{Listener: listen(t)}
-	go func() { _ = serveCells(l, &alpha{}) }()
+	go func() { _ = serveCells(l, &alphaLeader{}) }()
 	address := l.Addr().String()
 
-	if a, ok := exchangeWith(address, "beta"); !ok || len(a.Directives) != 1 || a.Directives[0].Number != 9 {
-		t.Fatalf("answer %+v, ok %v, want one ruling of delegation 9", a, ok)
+	if response, ok := exchangeWith(address, "beta"); !ok || len(response.Directives) != 1 ||
+		response.Directives[0].Number != 9 {
+		t.Fatalf("response %+v, ok %v, want one directive for delegation 9", response, ok)
 	}
 	if _, ok := exchangeWith(address, "gamma"); ok {
-		t.Error("a cell that isn't known is answered, want its connection closed")
+		t.Error("an unknown cell got a response, want its connection closed")
 	}
-	for _, garbage := range [][]byte{
+	for _, malformed := range [][]byte{
 		[]byte("GET / HTTP/1.1\r\n\r\n"),
 		frame(nil),
 		frame([]byte{kindExchange, 9, 9}),
 		frame([]byte{1, 0, 0}),
 		{1, 2},
 	} {
-		if got := sendRaw(t, address, garbage); len(got) > 0 {
-			t.Errorf("%x is answered with %x, want its connection closed", garbage, got)
+		if got := sendRaw(t, address, malformed); len(got) > 0 {
+			t.Errorf("%x got the response %x, want its connection closed", malformed, got)
 		}
 	}
 	began, served := time.Now(), l.accepted.Load()
 	flood(address)
-	most := int64(cellConnectionsBurst) + int64(cellConnectionsPerS*(time.Since(began)+time.Second).Seconds())
-	if n := l.accepted.Load() - served; n > most {
-		t.Errorf("%d connections accepted, want at most %d", n, most)
+	maxAccepted := int64(cellConnectionsBurst) +
+		int64(cellConnectionsPerS*(time.Since(began)+time.Second).Seconds())
+	if n := l.accepted.Load() - served; n > maxAccepted {
+		t.Errorf("%d connections accepted, want at most %d", n, maxAccepted)
 	}
 	if n := lines.Load(); n != 1 {
 		t.Errorf("%d lines in the log, want 1", n)
 	}
 }
 
-// exchangeWith reports to alpha as the leader of a cell.
-func exchangeWith(address, host string) (a delegation.HeartbeatResponse, ok bool) {
-	box := actortest.Instant{Messages: make(chan func(), 1)}
+// exchangeWith sends a heartbeat for the host cell to alphaLeader.
+func exchangeWith(address, host string) (response delegation.HeartbeatResponse, ok bool) {
+	mailbox := actortest.Instant{Messages: make(chan func(), 1)}
 	r := delegation.Heartbeat{Host: host, Origin: "alpha", Sequence: 9}
-	NewCellClient(box).Exchange(address, r, func(answer delegation.HeartbeatResponse, answered bool) {
-		a, ok = answer, answered
+	NewCellClient(mailbox).Exchange(address, r, func(got delegation.HeartbeatResponse, responded bool) {
+		response, ok = got, responded
 	})
-	(<-box.Messages)()
-	return a, ok
+	(<-mailbox.Messages)()
+	return response, ok
 }
 
-// flood sends nonsense by many connections.
+// flood opens many connections and sends malformed bytes on each.
 func flood(address string) {
 	for range 200 {
 		if c, err := net.DialTimeout("tcp4", address, time.Second); err == nil {
@@ -120,7 +123,7 @@
 	return c, err
 }
 
-// sendRaw sends bytes and reads until the connection ends.
+// sendRaw sends bytes on a new connection and returns the response, empty if there is none.
 func sendRaw(t *testing.T, address string, raw []byte) []byte {
 	t.Helper()
 	c, err := net.Dial("tcp4", address)
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,8 +1,9 @@
-// Package peer carries messages between controllers in a binary format of its own: between the nodes
-// of one cell, for a node that the key-value store doesn't serve, users' requests, attestations and
-// zone reports; between the leaders of different cells, the exchanges of package delegation.
+// Package peer carries messages between controllers in its own binary format. Between the nodes of one
+// cell it carries attestations, zone reports and, for a node that can't reach the key-value store, the
+// requests of users. Between the leaders of different cells it carries the exchanges of package
+// delegation.
 //
-// It owns frames, their limits and the connections that carry them. It doesn't look into bodies and
-// takes no decisions: package admission answers the requests of nodes, a CellHandler those of cells.
-// Package controller starts the servers and hands the clients to package node.
+// The package owns the frames, their limits and the connections that carry them. It neither interprets
+// bodies nor takes decisions: package admission handles the requests of nodes, and a CellHandler those of
+// cells. Package controller starts the servers and passes the clients to package node.
 package peer
--- a/internal/peer/forwarder.go
+++ b/internal/peer/forwarder.go
@@ -9,36 +9,36 @@
 	"postpoint/internal/admission"
 )
 
-// MaxConnections bounds the connections to other nodes of the cell, and those from them.
+// MaxConnections bounds the connections to other nodes of the cell, and separately those from them.
 const MaxConnections = 64
 
 const (
-	// dialTimeout and callTimeout bound how long one node can take of the time that users wait.
+	// dialTimeout and callTimeout bound how much of the time that users wait one node can take.
 	dialTimeout = 300 * time.Millisecond
 	callTimeout = 900 * time.Millisecond
 )
 
-// Forwarder asks other nodes on behalf of this one.
+// Forwarder sends requests of this node to the other nodes of the cell.
 type Forwarder struct {
 	addresses []string
 	mailbox   actor.Mailbox
-	slots     chan struct{} // one for each request that is being forwarded
+	slots     chan struct{} // holds one element for each request that is being forwarded
 }
 
-// NewForwarder returns a client of the nodes at the addresses that answers into the given mailbox.
+// NewForwarder returns a client of the nodes at the addresses that posts responses to the given mailbox.
 func NewForwarder(addresses []string, m actor.Mailbox) *Forwarder {
 	return &Forwarder{addresses, m, make(chan struct{}, MaxConnections)}
 }
 
-// result is the answer of a node, if it gave one.
+// result is the response of a node, if there is one.
 type result struct {
-	answer   admission.Response
-	answered bool
+	response  admission.Response
+	responded bool
 }
 
-// Forward asks the nodes one after another for an answer other than to come back later, within the
-// time that users wait. done is told whether any has answered.
-func (f *Forwarder) Forward(r admission.Request, done func(a admission.Response, answered bool)) {
+// Forward sends a request to the nodes one after another, within the time that users wait, until one
+// responds with something else than "retry later". It passes to done whether any node responded.
+func (f *Forwarder) Forward(r admission.Request, done func(response admission.Response, responded bool)) {
 	select {
 	case f.slots <- struct{}{}:
 	default:
@@ -48,65 +48,67 @@
 	go func() {
 		defer func() { <-f.slots }()
 		last := f.askInTurn(r)
-		f.mailbox.Post(func() { done(last.answer, last.answered) })
+		f.mailbox.Post(func() { done(last.response, last.responded) })
 	}()
 }
 
-// askInTurn returns the first answer that isn't to come back later, or else the last one.
+// askInTurn returns the first response that isn't "retry later", or else the last response.
 func (f *Forwarder) askInTurn(r admission.Request) result {
 	var last result
 	for _, address := range f.addresses {
 		next := ask(address, r)
-		if !next.answered {
+		if !next.responded {
 			continue
 		}
 		last = next
-		if !next.answer.ShouldRetryLater() {
+		if !next.response.ShouldRetryLater() {
 			break
 		}
 	}
 	return last
 }
 
-// AskAll asks all nodes at once, this one included. done is told whether all have answered.
+// AskAll sends a request to all nodes concurrently, including this one. It passes to done whether all of
+// them responded.
 func (f *Forwarder) AskAll(
-	own *admission.Admission, r admission.Request, done func(answers []admission.Response, all bool),
+	own *admission.Admission, r admission.Request, done func(responses []admission.Response, all bool),
 ) {
 	nodes := len(f.addresses) + 1
 	results := make(chan result, nodes)
-	own.Handle(r, func(a admission.Response) { results <- result{a, true} })
+	own.Handle(r, func(response admission.Response) { results <- result{response, true} })
 	for _, address := range f.addresses {
 		go func() { results <- ask(address, r) }()
 	}
 	go func() {
-		var answers []admission.Response
+		var responses []admission.Response
 		for range nodes {
-			if next := <-results; next.answered {
-				answers = append(answers, next.answer)
+			if next := <-results; next.responded {
+				responses = append(responses, next.response)
 			}
 		}
-		f.mailbox.Post(func() { done(answers, len(answers) == nodes) })
+		f.mailbox.Post(func() { done(responses, len(responses) == nodes) })
 	}()
 }
 
 // ask sends a request to one node.
 func ask(address string, r admission.Request) result {
-	answer, err := askOnce(address, r)
+	response, err := askOnce(address, r)
 	if err != nil {
 		slog.Debug("no response from peer node", "address", address, "error", err)
 	}
-	return result{answer, err == nil}
+	return result{response, err == nil}
 }
 
+// askOnce sends a request to one node and decodes the response.
 func askOnce(address string, r admission.Request) (admission.Response, error) {
 	payload, err := call(address, RequestFrame(r))
 	if err != nil {
 		return admission.Response{}, err
 	}
-	return decodeAnswer(payload)
+	return decodeResponse(payload)
 }
 
-// call sends one frame on a connection of its own and returns the payload of the one that comes back.
+// call sends one frame on a new connection and returns the payload of the response frame.
 func call(address string, request []byte) ([]byte, error) {
 	c, err := net.DialTimeout("tcp4", address, dialTimeout)
 	if err != nil {
--- a/internal/peer/forwarder_test.go
+++ b/internal/peer/forwarder_test.go
@@ -21,49 +21,50 @@
 	return l
 }
 
-// serveAll answers the requests of all connections until the listener is closed.
-func serveAll(t *testing.T, l net.Listener, in *admission.Admission) {
+// serveAll serves all connections until the listener is closed.
+func serveAll(t *testing.T, l net.Listener, adm *admission.Admission) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		if err := serve(c, in); err != nil {
+		if err := serve(c, adm); err != nil {
 			t.Error(err)
 		}
 		c.Close()
 	}
 }
 
-// All nodes are asked for what they vouch for, this one included; one that can't be reached is
-// missed.
-func TestEveryoneIsAsked(t *testing.T) {
-	quiet := actortest.Instant{Now: clock.Second, Messages: make(chan func())}
+// Guards against a set of attestations that counts as complete although a node is missing. AskAll asks all
+// nodes, including this one, and reports when one is unreachable.
+func TestAskAllReportsMissingNodes(t *testing.T) {
+	instant := actortest.Instant{Now: clock.Second, Messages: make(chan func())}
 	go func() {
-		for message := range quiet.Messages {
+		for message := range instant.Messages {
 			message()
 		}
 	}()
 	l := listen(t)
-	go serveAll(t, l, admission.New(quiet, nil, &settings.Settings{}, nil))
-	gone := listen(t)
-	gone.Close()
-	for _, allThere := range []bool{true, false} {
+	go serveAll(t, l, admission.New(instant, nil, &settings.Settings{}, nil))
+	unreachable := listen(t)
+	unreachable.Close()
+	for _, allReachable := range []bool{true, false} {
 		addresses := []string{l.Addr().String()}
-		if !allThere {
-			addresses = append(addresses, gone.Addr().String())
+		if !allReachable {
+			addresses = append(addresses, unreachable.Addr().String())
 		}
-		box := actortest.Instant{Now: clock.Second, Messages: make(chan func())}
-		own := admission.New(quiet, nil, &settings.Settings{}, nil)
+		mailbox := actortest.Instant{Now: clock.Second, Messages: make(chan func())}
+		own := admission.New(instant, nil, &settings.Settings{}, nil)
 		var all []admission.Attestation
-		vouched := false
+		complete := false
 		request := admission.NewAttestationRequest(clock.Second)
-		NewForwarder(addresses, box).AskAll(own, request, func(answers []admission.Response, ok bool) {
-			all, vouched = admission.DecodeAttestations(answers, ok)
+		NewForwarder(addresses, mailbox).AskAll(own, request, func(responses []admission.Response, ok bool) {
+			all, complete = admission.DecodeAttestations(responses, ok)
 		})
-		(<-box.Messages)()
-		if len(all) != 2 || vouched != allThere {
-			t.Fatalf("all there %v: vouched %v, %v, want that vouched, by two nodes", allThere, vouched, all)
+		(<-mailbox.Messages)()
+		if len(all) != 2 || complete != allReachable {
+			t.Fatalf("all reachable %v: complete %v, %v, want the same completeness and two attestations",
+				allReachable, complete, all)
 		}
 	}
 }
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -9,26 +9,26 @@
 	"postpoint/internal/protocol"
 )
 
-// A frame is a magic number, the length of the payload, and the payload. All numbers are big endian.
+// A frame consists of a magic number, the length of the payload and the payload. Numbers are big endian.
 const (
-	// frameMagic begins each frame: "pp01", the service and the version of the format.
+	// frameMagic is "pp01": the name of the service and the version of the format.
 	frameMagic = 0x70703031
-	// frameHeaderBytes are those of the magic number and of the length.
+	// frameHeaderBytes is the size of the magic number and the length.
 	frameHeaderBytes = 8
-	// lengthOffset is where the length is in the header.
+	// lengthOffset is the offset of the length in the header.
 	lengthOffset = 4
-	// maxFrameBytes bounds a payload: the largest body with room for the fields before it.
+	// maxFrameBytes bounds a payload. It is the largest body plus the fields before it.
 	maxFrameBytes = protocol.MaxBodyBytes + 1024
 )
 
-// Errors of what comes by a connection. They are wrapped with details.
+// Errors of received frames and messages. Some are wrapped with details.
 var (
 	ErrNotFrame     = errors.New("not a frame of this protocol")
 	ErrFrameTooLong = errors.New("frame too long")
 	ErrMalformed    = errors.New("malformed message")
 )
 
-// frame returns a payload with the header before it.
+// frame prefixes a payload with the frame header.
 func frame(payload []byte) []byte {
 	b := make([]byte, 0, frameHeaderBytes+len(payload))
 	b = binary.BigEndian.AppendUint32(b, frameMagic)
@@ -36,7 +36,7 @@
 	return append(b, payload...)
 }
 
-// readFrame reads one frame and returns its payload; the length is checked before anything is kept.
+// readFrame reads one frame and returns its payload. It checks the length before it allocates memory.
 func readFrame(r io.Reader) ([]byte, error) {
 	var header [frameHeaderBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -51,7 +51,7 @@
 	}
 	payload := make([]byte, length)
 	if _, err := io.ReadFull(r, payload); err != nil {
-		return nil, fmt.Errorf("frame cut short: %w", err)
+		return nil, fmt.Errorf("truncated frame: %w", err)
 	}
 	return payload, nil
 }
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -14,7 +14,7 @@
 	"postpoint/internal/goldentest"
 )
 
-// Requests of every kind are the recorded frames, and are read from them.
+// Requests of every kind encode to the recorded frames and decode from them.
 func TestGoldenRequests(t *testing.T) {
 	for _, c := range []struct {
 		request admission.Request
@@ -48,32 +48,32 @@
 	}
 }
 
-// Answers are the recorded frames, and are read from them.
-func TestGoldenAnswers(t *testing.T) {
+// Responses encode to the recorded frames and decode from them.
+func TestGoldenResponses(t *testing.T) {
 	for _, c := range []struct {
-		answer admission.Response
-		frame  string
+		response admission.Response
+		frame    string
 	}{
 		{admission.Response{Status: 503, RetryAfterS: 300, Body: []byte("\x81\xa5error\xa1x")},
 			"pp01\x00\x00\x00\x0d\x01\xf7\x01,\x81\xa5error\xa1x"},
 		{admission.Response{Status: 201, Body: []byte{}}, "pp01\x00\x00\x00\x04\x00\xc9\x00\x00"},
 	} {
-		goldentest.Equal(t, "answer", frame(encodeAnswer(c.answer)), c.frame)
+		goldentest.Equal(t, "response", frame(encodeResponse(c.response)), c.frame)
 		payload, err := readFrame(strings.NewReader(c.frame))
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := decodeAnswer(payload)
+		got, err := decodeResponse(payload)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if d := cmp.Diff(c.answer, got); d != "" {
+		if d := cmp.Diff(c.response, got); d != "" {
 			t.Error(d)
 		}
 	}
 }
 
-// The numbers of the format.
+// The constants of the format have the recorded values.
 func TestGoldenConstants(t *testing.T) {
 	for _, c := range []struct{ constant, want int }{
 		{frameMagic, 0x70703031},
@@ -98,17 +98,17 @@
 		"\x00\x00\x00\x00\x09\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00" +
 		"\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00" +
 		"\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00"
-	goldenExchangeAnswer = "" +
+	goldenExchangeResponse = "" +
 		"pp01\x00\x00\x00\x19\x01\x01\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00\x00\x09\x02\x00\x00\x00" +
 		"\x00\x00\x00\x00\x00\x00\x00"
 )
 
-// A report of another cell comes in the recorded frame and is answered with the recorded one.
+// The server responds to the recorded heartbeat frame of another cell with the recorded frame.
 func TestGoldenExchangeIsServed(t *testing.T) {
 	here, there := net.Pipe()
 	ended := make(chan error, 1)
 	go func() {
-		ended <- serveCell(there, &alpha{})
+		ended <- serveCell(there, &alphaLeader{})
 		_ = there.Close()
 	}()
 	if _, err := here.Write([]byte(goldenExchangeRequest)); err != nil {
@@ -118,21 +118,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Equal(t, "answer", frame(payload), goldenExchangeAnswer)
+	goldentest.Equal(t, "response", frame(payload), goldenExchangeResponse)
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 }
 
-// A report to another cell leaves in the recorded frame, and its answer is read from the
-// recorded one.
-func TestGoldenExchangeIsAsked(t *testing.T) {
+// The client sends a heartbeat to another cell in the recorded frame and decodes the recorded response.
+func TestGoldenExchangeIsSent(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	asked := make(chan []byte, 1)
+	sent := make(chan []byte, 1)
 	go func() {
 		c, err := l.Accept()
 		if err != nil {
@@ -140,22 +139,22 @@
 		}
 		defer c.Close()
 		payload, _ := readFrame(c)
-		asked <- frame(payload)
-		_, _ = c.Write([]byte(goldenExchangeAnswer))
+		sent <- frame(payload)
+		_, _ = c.Write([]byte(goldenExchangeResponse))
 	}()
-	box := actortest.Instant{Messages: make(chan func(), 1)}
+	mailbox := actortest.Instant{Messages: make(chan func(), 1)}
 	var got delegation.HeartbeatResponse
-	answered := false
-	report := delegation.Heartbeat{Host: "beta", Origin: "alpha", Epoch: 41, Sequence: 9}
-	NewCellClient(box).Exchange(l.Addr().String(), report,
-		func(a delegation.HeartbeatResponse, ok bool) { got, answered = a, ok })
-	(<-box.Messages)()
-	goldentest.Equal(t, "request", <-asked, goldenExchangeRequest)
+	responded := false
+	heartbeat := delegation.Heartbeat{Host: "beta", Origin: "alpha", Epoch: 41, Sequence: 9}
+	NewCellClient(mailbox).Exchange(l.Addr().String(), heartbeat,
+		func(response delegation.HeartbeatResponse, ok bool) { got, responded = response, ok })
+	(<-mailbox.Messages)()
+	goldentest.Equal(t, "request", <-sent, goldenExchangeRequest)
 	want := delegation.HeartbeatResponse{
 		Result:     delegation.Processed,
 		Directives: []delegation.Directive{{Number: 9, Action: delegation.Close}},
 	}
-	if d := cmp.Diff(want, got); !answered || d != "" {
-		t.Errorf("answered %v: %s", answered, d)
+	if d := cmp.Diff(want, got); !responded || d != "" {
+		t.Errorf("answered %v: %s", responded, d)
 	}
 }
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -8,23 +8,23 @@
 	"postpoint/internal/protocol"
 )
 
-// Payloads of frames, with the sizes of their fields in bytes:
+// The payloads of frames have these fields, with their sizes in bytes:
 //
-//	request:          kind (1), length of the id (2), id, body
-//	answer:           HTTP status (2), seconds to retry after (2), body
-//	exchange request: kind (1), a delegation.Heartbeat
-//	exchange answer:  a delegation.HeartbeatResponse
+//	request:           kind (1), length of the ID (2), ID, body
+//	response:          HTTP status (2), delay before a retry in seconds (2), body
+//	exchange request:  kind (1), a delegation.Heartbeat
+//	exchange response: a delegation.HeartbeatResponse
 const (
-	requestHeaderBytes = 3
-	idLengthOffset     = 1
-	answerHeaderBytes  = 4
-	retryOffset        = 2
-	// kindExchange is far from the kinds of package admission, so that neither can be taken for the
-	// other.
+	requestHeaderBytes  = 3
+	idLengthOffset      = 1
+	responseHeaderBytes = 4
+	retryAfterOffset    = 2
+	// kindExchange is well apart from the values of admission.Kind, so that a server can't confuse the
+	// two.
 	kindExchange = 16
 )
 
-// The range of HTTP statuses that an answer may have.
+// The range of HTTP statuses that a response may have.
 const (
 	minStatus = 200
 	maxStatus = 599
@@ -33,9 +33,10 @@
 // RequestFrame returns the frame that carries a request to another node.
 func RequestFrame(r admission.Request) []byte { return frame(encodeRequest(r)) }
 
-// ResponseFrame returns the frame that carries the answer back.
-func ResponseFrame(a admission.Response) []byte { return frame(encodeAnswer(a)) }
+// ResponseFrame returns the frame that carries a response back.
+func ResponseFrame(response admission.Response) []byte { return frame(encodeResponse(response)) }
 
+// encodeRequest returns the payload of a request.
 func encodeRequest(r admission.Request) []byte {
 	b := []byte{byte(r.Kind)}
 	b = binary.BigEndian.AppendUint16(b, uint16(len(r.ID)))
@@ -43,7 +44,7 @@
 	return append(b, r.Body...)
 }
 
-// decodeRequest reads the request of another node.
+// decodeRequest decodes the payload of a request, which it marks as forwarded.
 func decodeRequest(b []byte) (admission.Request, error) {
 	if len(b) < requestHeaderBytes {
 		return admission.Request{}, fmt.Errorf("%w: request of %d bytes", ErrMalformed, len(b))
@@ -62,25 +63,26 @@
 	return admission.Request{Kind: kind, ID: id, Body: body, Forwarded: true}, nil
 }
 
-func encodeAnswer(a admission.Response) []byte {
+// encodeResponse returns the payload of a response.
+func encodeResponse(response admission.Response) []byte {
 	var b []byte
-	b = binary.BigEndian.AppendUint16(b, uint16(a.Status))
-	b = binary.BigEndian.AppendUint16(b, uint16(a.RetryAfterS))
-	return append(b, a.Body...)
+	b = binary.BigEndian.AppendUint16(b, uint16(response.Status))
+	b = binary.BigEndian.AppendUint16(b, uint16(response.RetryAfterS))
+	return append(b, response.Body...)
 }
 
-// decodeAnswer reads the answer of another node.
-func decodeAnswer(b []byte) (admission.Response, error) {
-	if len(b) < answerHeaderBytes {
-		return admission.Response{}, fmt.Errorf("%w: answer of %d bytes", ErrMalformed, len(b))
+// decodeResponse decodes the payload of a response.
+func decodeResponse(b []byte) (admission.Response, error) {
+	if len(b) < responseHeaderBytes {
+		return admission.Response{}, fmt.Errorf("%w: response of %d bytes", ErrMalformed, len(b))
 	}
-	a := admission.Response{
+	response := admission.Response{
 		Status:      int(binary.BigEndian.Uint16(b)),
-		RetryAfterS: int(binary.BigEndian.Uint16(b[retryOffset:])),
-		Body:        b[answerHeaderBytes:],
+		RetryAfterS: int(binary.BigEndian.Uint16(b[retryAfterOffset:])),
+		Body:        b[responseHeaderBytes:],
 	}
-	if a.Status < minStatus || a.Status > maxStatus {
-		return admission.Response{}, fmt.Errorf("%w: answer of status %d", ErrMalformed, a.Status)
+	if response.Status < minStatus || response.Status > maxStatus {
+		return admission.Response{}, fmt.Errorf("%w: response with status %d", ErrMalformed, response.Status)
 	}
-	return a, nil
+	return response, nil
 }
--- a/internal/peer/messages_test.go
+++ b/internal/peer/messages_test.go
@@ -11,7 +11,7 @@
 	"postpoint/internal/clock"
 )
 
-// mustReadRequest reads a request from its whole frame.
+// mustReadRequest decodes a request from its frame.
 func mustReadRequest(t *testing.T, raw []byte) admission.Request {
 	t.Helper()
 	payload, err := readFrame(bytes.NewReader(raw))
@@ -25,9 +25,9 @@
 	return r
 }
 
-// Frames of the version before, byte for byte: what it asks and answers is understood, and it is
-// asked and answered in the same form.
-func TestFramesOfTheVersionBefore(t *testing.T) {
+// Guards against an upgrade that breaks the exchange with controllers of the previous version: its frames
+// decode, and this version encodes the same messages to the same bytes.
+func TestFramesOfPreviousVersion(t *testing.T) {
 	second := []byte("\x00\x00\x00\x00\x00\x0fB@")
 	for raw, want := range map[string]admission.Request{
 		"pp01\x00\x00\x00\x0d\x02\x00\x0ajob-000412": {
@@ -39,10 +39,10 @@
 	} {
 		got := mustReadRequest(t, []byte(raw))
 		if d := cmp.Diff(want, got); d != "" {
-			t.Fatalf("request read with a difference (-want +got):\n%s", d)
+			t.Fatalf("request decodes with a difference (-want +got):\n%s", d)
 		}
 		if again := string(frame(encodeRequest(got))); again != raw {
-			t.Errorf("asked as %q, want %q", again, raw)
+			t.Errorf("request encodes to %q, want %q", again, raw)
 		}
 	}
 	raw := "pp01\x00\x00\x00\x07\x01\xf7\x00\x01err"
@@ -50,15 +50,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := decodeAnswer(payload)
+	got, err := decodeResponse(payload)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if d := cmp.Diff(admission.Response{Status: 503, RetryAfterS: 1, Body: []byte("err")}, got); d != "" {
-		t.Fatalf("answer read with a difference (-want +got):\n%s", d)
+		t.Fatalf("response decodes with a difference (-want +got):\n%s", d)
 	}
-	if again := string(frame(encodeAnswer(got))); again != raw {
-		t.Errorf("answered as %q, want %q", again, raw)
+	if again := string(frame(encodeResponse(got))); again != raw {
+		t.Errorf("response encodes to %q, want %q", again, raw)
 	}
 	attestation := string(second) +
 		"\x00\x00\x00\x00\x00\x00\x00\x29\x05job-7\x00\x00\x00\x00\x00\x00\x00\x02"
@@ -69,9 +69,9 @@
 	want := admission.Attestation{Age: clock.Second, Epoch: 41,
 		Cancelled: []admission.CancelledJob{{Job: "job-7", Age: 2}}}
 	if d := cmp.Diff(want, a); d != "" {
-		t.Fatalf("attestation read with a difference (-want +got):\n%s", d)
+		t.Fatalf("attestation decodes with a difference (-want +got):\n%s", d)
 	}
 	if string(a.Encode()) != attestation {
-		t.Errorf("vouched for as %q, want %q", a.Encode(), attestation)
+		t.Errorf("attestation encodes to %q, want %q", a.Encode(), attestation)
 	}
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -15,13 +15,13 @@
 const (
 	// serveTimeout bounds how long a slow or dead node holds a connection.
 	serveTimeout = 5 * time.Second
-	// acceptRetryDelay keeps a listener that fails, for example for want of file descriptors, from
-	// using up the processor.
+	// acceptRetryDelay prevents a busy loop while accept fails, for example without free file
+	// descriptors.
 	acceptRetryDelay = 100 * time.Millisecond
 )
 
-// Serve answers other nodes of the cell. A malformed frame ends its connection only.
-func Serve(address string, in *admission.Admission) error {
+// Serve serves the other nodes of the cell. A malformed frame ends only its own connection.
+func Serve(address string, adm *admission.Admission) error {
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
 		return err
@@ -37,19 +37,20 @@
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		go serveAndClose(c, in)
+		go serveAndClose(c, adm)
 	}
 }
 
-func serveAndClose(c net.Conn, in *admission.Admission) {
+// serveAndClose serves and closes a connection, and logs failures.
+func serveAndClose(c net.Conn, adm *admission.Admission) {
 	defer c.Close()
-	if err := serve(c, in); err != nil && !errors.Is(err, io.EOF) {
+	if err := serve(c, adm); err != nil && !errors.Is(err, io.EOF) {
 		slog.Info("closing connection of peer node", "address", c.RemoteAddr(), "error", err)
 	}
 }
 
-// serve answers the one request of a connection.
-func serve(c net.Conn, in *admission.Admission) error {
+// serve responds to the only request of a connection.
+func serve(c net.Conn, adm *admission.Admission) error {
 	if err := c.SetDeadline(time.Now().Add(serveTimeout)); err != nil {
 		return err
 	}
@@ -61,8 +62,8 @@
 	if err != nil {
 		return err
 	}
-	answered := make(chan admission.Response, 1)
-	in.Handle(r, func(a admission.Response) { answered <- a })
-	_, err = c.Write(ResponseFrame(<-answered))
+	responses := make(chan admission.Response, 1)
+	adm.Handle(r, func(response admission.Response) { responses <- response })
+	_, err = c.Write(ResponseFrame(<-responses))
 	return err
 }
--- a/internal/peer/server_test.go
+++ b/internal/peer/server_test.go
@@ -6,8 +6,7 @@
 	"testing"
 )
 
-// Whatever another node or something else sends, the connection is closed with a reason and nothing
-// else happens.
+// Guards against malformed frames that harm the server: it closes the connection with an error.
 func TestServerClosesConnectionsThatSendGarbage(t *testing.T) {
 	for _, raw := range [][]byte{
 		[]byte("GET / HTTP/1.1\r\n\r\n"),
