--- a/internal/transport/outcome.go
+++ b/internal/transport/outcome.go
@@ -8,37 +8,38 @@
 	"postpoint/internal/clock"
 )
 
-// The kinds of failure that the clients have in common. Callers tell them apart with errors.Is.
+// The kinds of failure that all clients share. Callers distinguish them with errors.Is.
 var (
-	// ErrNotSent is a request whose time was over before it left: it was not carried out and never
-	// will be.
+	// ErrNotSent means that the deadline passed before the client sent the request. The request was not
+	// carried out and never will be.
 	ErrNotSent = errors.New("not sent in time")
-	// ErrNoResponse is a request without a usable response: it may have been carried out, or may be
-	// carried out later.
+	// ErrNoResponse means that there is no usable response. The request may have been carried out, or
+	// may be carried out later.
 	ErrNoResponse = errors.New("no usable response")
-	// ErrThrottled is a request beyond a rate limit. It was not carried out.
+	// ErrThrottled means that the request exceeded a rate limit. It was not carried out.
 	ErrThrottled = errors.New("throttled")
-	// ErrUnavailable is a request that the service declined. It was not carried out.
+	// ErrUnavailable means that the service declined the request. It was not carried out.
 	ErrUnavailable = errors.New("service unavailable")
-	// ErrInvalid is a request that the service takes for malformed or too large.
+	// ErrInvalid means that the service rejected the request as malformed or too large.
 	ErrInvalid = errors.New("request refused as malformed or too large")
-	// ErrServerFailure is a response of 500 and above that says nothing of what was carried out.
+	// ErrServerFailure means a response with a status of 500 or above that doesn't tell whether the
+	// request was carried out.
 	ErrServerFailure = errors.New("server failure")
-	// ErrUnexpectedStatus is a response whose status has no meaning in the protocol.
+	// ErrUnexpectedStatus means that the status of the response has no meaning in the protocol.
 	ErrUnexpectedStatus = errors.New("unexpected status")
 )
 
-// Error is a request that failed, of one of the kinds above or of a client's own.
+// Error describes a failed request. Its kind is one of those above or one that a client defines.
 type Error struct {
 	// Kind is what errors.Is matches.
 	Kind error
-	// Status is the HTTP status of the response, 0 if there is none and NotSent for ErrNotSent.
+	// Status is the HTTP status of the response, 0 without a response, and NotSent for ErrNotSent.
 	Status int
-	// Reason is the service's own explanation, if it gave one.
+	// Reason is the explanation in the response, if there is one.
 	Reason string
-	// RetryAfter is the time after which the request may be sent again, 0 if unknown.
+	// RetryAfter is the delay before a retry, 0 if unknown.
 	RetryAfter clock.Micros
-	// Cause is what went wrong on the connection or in decoding, if anything.
+	// Cause is the error of the connection or of decoding the response, if any.
 	Cause error
 }
 
@@ -57,7 +58,7 @@
 	return text
 }
 
-// Unwrap makes both the kind and the cause visible to errors.Is and errors.As.
+// Unwrap returns the kind and the cause for errors.Is and errors.As.
 func (e *Error) Unwrap() []error {
 	if e.Cause == nil {
 		return []error{e.Kind}
@@ -65,11 +66,11 @@
 	return []error{e.Kind, e.Cause}
 }
 
-// StatusKinds says which kind of failure a status other than 200 stands for. What isn't listed is
-// ErrServerFailure from 500 on, and ErrUnexpectedStatus below.
+// StatusKinds maps statuses other than 200 to kinds of failure. Statuses that aren't listed map to
+// ErrServerFailure from 500 on, and to ErrUnexpectedStatus below.
 type StatusKinds map[int]error
 
-// Failure returns nil for 200 and the failure that any other status stands for.
+// Failure returns nil for 200, and the failure that the map gives for any other status.
 func (k StatusKinds) Failure(status int) *Error {
 	if status == http.StatusOK {
 		return nil
@@ -85,8 +86,8 @@
 	return &Error{Kind: kind, Status: status}
 }
 
-// NoResponse returns the error of a request without a usable response. A failure that already has
-// a kind keeps it.
+// NoResponse returns an ErrNoResponse with the given cause. A cause that is an *Error already keeps its
+// kind.
 func NoResponse(cause error) *Error {
 	if known, ok := errors.AsType[*Error](cause); ok {
 		return known
@@ -94,7 +95,7 @@
 	return &Error{Kind: ErrNoResponse, Cause: cause}
 }
 
-// Reason returns the service's own explanation of a failure, "" if it gave none.
+// Reason returns the explanation of a failure in the response, "" if there is none.
 func Reason(err error) string {
 	if failure, ok := errors.AsType[*Error](err); ok {
 		return failure.Reason
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,6 +1,6 @@
-// Package transport exchanges MessagePack over HTTP with bounds on time, size and connections, for
-// the clients of the outside systems. It also has the kinds of failure that those clients share.
-// It retries nothing: whether a request may be sent again is for its caller to judge.
+// Package transport sends and receives MessagePack over HTTP for the clients of external systems. It
+// bounds the time, the size of responses and the number of connections, and defines the kinds of failure
+// that the clients share. It never retries: the caller decides whether a retry is safe.
 package transport
 
 import (
@@ -19,50 +19,52 @@
 const (
 	contentType = "application/msgpack"
 	dialTimeout = 1500 * time.Millisecond
-	// idleTimeout is how long idle connections are kept: pools are for systems that are asked all
-	// the time.
+	// idleTimeout is how long a pool keeps an idle connection. It is long because pools serve systems
+	// that get requests all the time.
 	idleTimeout = 90 * time.Second
-	// onceBufferSize holds most responses of workers.
-	onceBufferSize = 2 << 10
+	// onceBufferBytes is the size of the read buffer of DoOnce. Most responses of workers fit.
+	onceBufferBytes = 2 << 10
 )
 
-// ErrTooLarge is a response body beyond the request's limit.
+// ErrTooLarge means that the body of a response exceeds the limit of the request.
 var ErrTooLarge = errors.New("response too large")
 
-// NotSent is the status that stands for ErrNotSent where statuses are all there is: in tests' fakes and in
-// what the simulation records.
+// NotSent is the status for ErrNotSent in test fakes and in records of the simulation, which use statuses
+// in place of errors.
 const NotSent = -1
 
 // Request is one HTTP request.
 type Request struct {
 	Method, URL string
 	Body        []byte // nil for none
-	// Timeout bounds the whole exchange.
+	// Timeout bounds the whole exchange. In DoOnce it starts again once the connection exists.
 	Timeout clock.Micros
-	// ResponseLimit bounds the response's body in bytes.
+	// ResponseLimit bounds the body of the response in bytes.
 	ResponseLimit int64
 }
 
-// Response is a response that arrived whole.
+// Response is a complete HTTP response.
 type Response struct {
 	Status int
 	Body   []byte
 }
 
-// Deadline is the instant from which a request must not leave any more. What a leader decided may
-// have waited behind other requests, or its process may have been suspended, and the next leader
-// may be at work by now. The zero value never passes.
+// Deadline is the instant from which a request must not be sent any more. A leader's request may have
+// waited behind other requests, or its process may have been suspended, and a new leader may have been
+// elected meanwhile. The zero value never passes.
 type Deadline struct {
 	Clock   clock.Clock
 	Instant clock.Micros
 }
 
+// passed reports whether the deadline has passed.
 func (d Deadline) passed() bool { return d.Clock != nil && d.Clock.Monotonic() >= d.Instant }
 
-// Client is a pool of persistent connections to one kind of outside system.
+// Client is a pool of persistent connections to one kind of external system.
 type Client struct{ http *http.Client }
 
-// New returns a client with at most that many connections, all of which are kept while idle.
+// New returns a client with at most the given number of connections per host. The pool keeps idle
+// connections.
 func New(connections int) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Client{&http.Client{
@@ -78,9 +80,9 @@
 	}}
 }
 
-// Do makes one request, which ends with its timeout, unless its deadline has passed, which is
-// ErrNotSent. Any other error means that no whole response came: the request may or may not have been
-// carried out.
+// Do sends one request and waits for the response until the timeout. If the deadline has passed, it
+// returns ErrNotSent without sending the request. Any other error means that no complete response
+// arrived: the request may or may not have been carried out.
 func (c *Client) Do(deadline Deadline, r Request) (Response, error) {
 	if deadline.passed() {
 		return Response{}, notSent()
@@ -94,8 +96,8 @@
 	if r.Body != nil {
 		req.Header.Set("Content-Type", contentType)
 	}
-	// Without this, net/http would send a request again by itself when a kept connection turns out
-	// to be closed; what may have been carried out is for the caller to judge.
+	// Without this, net/http itself retries the request when a connection of the pool turns out to be
+	// closed. The first attempt may have been carried out, so only the caller may decide on a retry.
 	req.GetBody = nil
 	resp, err := c.http.Do(req)
 	if err != nil {
@@ -104,9 +106,9 @@
 	return readResponse(resp, r.ResponseLimit)
 }
 
-// DoOnce makes one request like Client.Do, on a connection of its own. It is for systems that are
-// so many that a kept connection is hardly ever used again: a pool costs two goroutines, two
-// buffers and an entry for each.
+// DoOnce sends one request like Client.Do, but on a new connection that it closes afterwards. It is for
+// systems that are so many that a pooled connection is hardly ever reused: a pool costs two goroutines,
+// two buffers and an entry for each connection.
 func DoOnce(deadline Deadline, r Request) (Response, error) {
 	if deadline.passed() {
 		return Response{}, notSent()
@@ -122,7 +124,7 @@
 		return Response{}, err
 	}
 	defer conn.Close()
-	// It may have waited for the connection, or the process may have been suspended.
+	// Dialing takes time, and the process may have been suspended meanwhile.
 	if deadline.passed() {
 		return Response{}, notSent()
 	}
@@ -131,7 +133,7 @@
 
 // dialOnce returns a connection whose reads and writes end with the timeout.
 func dialOnce(address string, timeout time.Duration) (net.Conn, error) {
-	// Connections this short need no probes.
+	// Such short connections need no keep-alive probes.
 	dialer := net.Dialer{Deadline: time.Now().Add(min(dialTimeout, timeout)), KeepAlive: -1}
 	conn, err := dialer.Dial("tcp4", address)
 	if err != nil {
@@ -144,25 +146,26 @@
 	return conn, nil
 }
 
-// exchange sends a request in one piece and reads its response.
+// exchange sends a request with a single write and reads the response.
 func exchange(conn net.Conn, req *http.Request, limit int64) (Response, error) {
-	var whole bytes.Buffer
-	if err := req.Write(&whole); err != nil {
+	var message bytes.Buffer
+	if err := req.Write(&message); err != nil {
 		return Response{}, err
 	}
-	if _, err := conn.Write(whole.Bytes()); err != nil {
+	if _, err := conn.Write(message.Bytes()); err != nil {
 		return Response{}, err
 	}
-	resp, err := http.ReadResponse(bufio.NewReaderSize(conn, onceBufferSize), req)
+	resp, err := http.ReadResponse(bufio.NewReaderSize(conn, onceBufferBytes), req)
 	if err != nil {
 		return Response{}, err
 	}
 	return readResponse(resp, limit)
 }
 
+// notSent returns the error of a request whose deadline passed before it was sent.
 func notSent() error { return &Error{Kind: ErrNotSent, Status: NotSent} }
 
-// readResponse reads a response whole, unless it is beyond the limit.
+// readResponse reads the complete response, or returns ErrTooLarge if the body exceeds the limit.
 func readResponse(resp *http.Response, limit int64) (Response, error) {
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -12,7 +12,7 @@
 	"postpoint/internal/clock"
 )
 
-// advancingClock moves on by a second each time it is read.
+// advancingClock advances by one second each time it is read.
 type advancingClock struct{ now clock.Micros }
 
 func (c *advancingClock) Monotonic() clock.Micros {
@@ -21,8 +21,8 @@
 }
 func (c *advancingClock) TimeOfDay() clock.Micros { return c.now }
 
-// A request on a connection of its own leaves only if it is still in time once it is
-// connected, and its response is bounded.
+// Guards against a request that is sent after its deadline because dialing took too long, and against a
+// response of unlimited size.
 func TestDoOnceSendsOnlyBeforeDeadlineAndBoundsResponse(t *testing.T) {
 	var requests atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// statusOf returns the status of an outcome, 200 for success.
+// statusOf returns the status of an error, 200 for nil.
 func statusOf(t *testing.T, err error) int {
 	t.Helper()
 	if err == nil {
@@ -70,6 +70,7 @@
 	return failure.Status
 }
 
+// Guards against a pooled request that is sent after its deadline.
 func TestDoHonorsDeadline(t *testing.T) {
 	var requests atomic.Int32
 	handler := func(http.ResponseWriter, *http.Request) { requests.Add(1) }
@@ -94,6 +95,7 @@
 	}
 }
 
+// Guards against a status that is classified as the wrong kind of failure.
 func TestStatusKindsClassifyEveryStatus(t *testing.T) {
 	kinds := StatusKinds{http.StatusServiceUnavailable: ErrUnavailable, http.StatusBadRequest: ErrInvalid}
 	for status, want := range map[int]error{
@@ -112,6 +114,7 @@
 	}
 }
 
+// Guards against a failure that loses its cause, and against an ErrNotSent that turns into ErrNoResponse.
 func TestErrorMatchesKindAndCause(t *testing.T) {
 	err := error(NoResponse(context.DeadlineExceeded))
 	if !errors.Is(err, ErrNoResponse) || !errors.Is(err, context.DeadlineExceeded) || statusOf(t, err) != 0 {
@@ -120,6 +123,6 @@
 	}
 	late := NoResponse(notSent())
 	if !errors.Is(late, ErrNotSent) || errors.Is(late, ErrNoResponse) || statusOf(t, late) != NotSent {
-		t.Errorf("%v with status %d, expected it to stay unsent", late, statusOf(t, late))
+		t.Errorf("%v with status %d, expected it to stay ErrNotSent", late, statusOf(t, late))
 	}
 }
