--- a/internal/cloudclient/client.go
+++ b/internal/cloudclient/client.go
@@ -1,6 +1,6 @@
-// Package cloudclient is the client of the machine rental interface. It turns responses into typed
-// results, which reach the asking actor as messages. It retries nothing, and decides neither what
-// to rent nor when to return it.
+// Package cloudclient is the client of the cloud's machine API. It converts responses to typed results and
+// posts them to the mailbox of the calling actor. It neither retries requests nor decides which machines
+// to scale out or in.
 package cloudclient
 
 import (
@@ -20,29 +20,30 @@
 	connections   = 4
 )
 
-// The interface's own limits: machines in a page of the list, in a return, in a rental.
+// Limits of the cloud's API: machines per page of the list, per scale-in and per scale-out.
 const (
 	PageSize    = 500
 	MaxScaleIn  = 100
 	MaxScaleOut = 50
 )
 
-// API is the cloud as one actor sees it: all callbacks run in the actor's mailbox.
+// API is the cloud's API for one actor. All callbacks run in the actor's mailbox.
 //
-// The cloud knows no epochs: a late return would take machines that the next leader uses. Changes
-// therefore have an instant from which they must not leave any more, and fail with ErrNotSent then.
+// The cloud has no fencing tokens: a late scale-in of an old leader could delete machines that the new
+// leader uses. Each change therefore takes a deadline, from which the client doesn't send it any more and
+// fails with ErrNotSent.
 type API interface {
-	// Catalogue reads the machine types and their present prices.
+	// Catalogue reads the machine types and their current prices.
 	Catalogue(done func(protocol.Catalogue, error))
-	// ScaleOut rents machines. A booking that is repeated rents nothing more and returns the same
-	// machines, fewer than were asked for if there are no more.
+	// ScaleOut rents machines, possibly fewer than requested if the cloud has no more. A retry with the
+	// same idempotency key rents no more machines and returns the same ones.
 	ScaleOut(
 		r protocol.ScaleOutRequest, until clock.Micros,
 		done func(machines []protocol.MachineName, err error),
 	)
-	// ScaleIn returns machines. Once it has succeeded they are gone with everything on them.
+	// ScaleIn gives machines back. On success the machines are gone with everything on them.
 	ScaleIn(machines []protocol.MachineName, until clock.Micros, done func(error))
-	// List reads a page of the machines whose names come after from.
+	// List reads one page of the machines whose names sort after from.
 	List(from protocol.MachineName, done func(protocol.MachineList, error))
 }
 
@@ -52,34 +53,35 @@
 	calls *transport.Client
 }
 
-// New returns a client of the cloud at an address.
+// New returns a client of the cloud at the given address.
 func New(addr string) *Client { return &Client{"http://" + addr, transport.New(connections)} }
 
-// For returns the interface whose results arrive in the given mailbox.
-func (c *Client) For(m actor.Mailbox) API { return &bound{c, m} }
+// For returns an API that posts results to the given mailbox.
+func (c *Client) For(m actor.Mailbox) API { return &actorClient{c, m} }
 
-// bound is the cloud of one actor.
-type bound struct {
+// actorClient implements API for one actor.
+type actorClient struct {
 	*Client
 	mailbox actor.Mailbox
 }
 
-// read is the deadline of requests that change nothing: none.
-var read transport.Deadline
+// noDeadline is the deadline of requests that change nothing.
+var noDeadline transport.Deadline
 
-// before is the deadline of a change.
-func (b *bound) before(until clock.Micros) transport.Deadline {
-	return transport.Deadline{Clock: b.mailbox, Instant: until}
+// changeDeadline returns the deadline of a change.
+func (client *actorClient) changeDeadline(until clock.Micros) transport.Deadline {
+	return transport.Deadline{Clock: client.mailbox, Instant: until}
 }
 
-// call makes one request off the actor, decodes any response's body into value (nil for none), and
-// posts the outcome to the actor.
-func (b *bound) call(deadline transport.Deadline, method, path string, body []byte, value any,
+// call sends one request in a goroutine of its own, decodes the body of the response into value unless
+// that is nil, and posts the outcome to the actor.
+func (client *actorClient) call(deadline transport.Deadline, method, path string, body []byte, value any,
 	done func(error)) {
 	go func() {
-		// Requests end with their timeouts: the actor that asks runs as long as the process.
-		response, err := b.calls.Do(deadline, transport.Request{Method: method,
-			URL: b.base + path, Body: body, Timeout: timeout, ResponseLimit: responseLimit})
+		// The timeout ends the request; there is no cancellation, because the calling actor runs as
+		// long as the process.
+		response, err := client.calls.Do(deadline, transport.Request{Method: method,
+			URL: client.base + path, Body: body, Timeout: timeout, ResponseLimit: responseLimit})
 		if err == nil && len(response.Body) > 0 && value != nil {
 			err = protocol.Decode(response.Body, value)
 		}
@@ -88,11 +90,11 @@
 		} else {
 			err = Failure(response.Status, reason(value))
 		}
-		b.mailbox.Post(func() { done(err) })
+		client.mailbox.Post(func() { done(err) })
 	}()
 }
 
-// reason returns the cloud's own explanation, if the message has one.
+// reason returns the cloud's explanation of a failure, "" if the message has none.
 func reason(value any) string {
 	if a, ok := value.(*protocol.ScaleOutResponse); ok {
 		return a.Error
@@ -101,32 +103,32 @@
 }
 
 // Catalogue implements API.
-func (b *bound) Catalogue(done func(protocol.Catalogue, error)) {
+func (client *actorClient) Catalogue(done func(protocol.Catalogue, error)) {
 	var c protocol.Catalogue
-	b.call(read, http.MethodGet, "/catalog", nil, &c, func(err error) { done(c, err) })
+	client.call(noDeadline, http.MethodGet, "/catalog", nil, &c, func(err error) { done(c, err) })
 }
 
 // ScaleOut implements API.
-func (b *bound) ScaleOut(
+func (client *actorClient) ScaleOut(
 	r protocol.ScaleOutRequest, until clock.Micros, done func([]protocol.MachineName, error),
 ) {
 	var a protocol.ScaleOutResponse
-	b.call(b.before(until), http.MethodPost, "/hosts", protocol.Encode(r), &a,
+	client.call(client.changeDeadline(until), http.MethodPost, "/hosts", protocol.Encode(r), &a,
 		func(err error) { done(a.Machines, err) })
 }
 
 // ScaleIn implements API.
-func (b *bound) ScaleIn(machines []protocol.MachineName, until clock.Micros, done func(error)) {
+func (client *actorClient) ScaleIn(machines []protocol.MachineName, until clock.Micros, done func(error)) {
 	body := protocol.Encode(protocol.ScaleInRequest{Machines: machines})
-	b.call(b.before(until), http.MethodPost, "/hosts/release", body, nil, done)
+	client.call(client.changeDeadline(until), http.MethodPost, "/hosts/release", body, nil, done)
 }
 
 // List implements API.
-func (b *bound) List(from protocol.MachineName, done func(protocol.MachineList, error)) {
+func (client *actorClient) List(from protocol.MachineName, done func(protocol.MachineList, error)) {
 	q := url.Values{"Limit": {strconv.Itoa(PageSize)}}
 	if from != "" {
 		q.Set("From", string(from))
 	}
 	var l protocol.MachineList
-	b.call(read, http.MethodGet, "/hosts?"+q.Encode(), nil, &l, func(err error) { done(l, err) })
+	client.call(noDeadline, http.MethodGet, "/hosts?"+q.Encode(), nil, &l, func(err error) { done(l, err) })
 }
--- a/internal/cloudclient/client_test.go
+++ b/internal/cloudclient/client_test.go
@@ -14,16 +14,17 @@
 	"postpoint/internal/protocol"
 )
 
-// service is a cloud that responds to every request as the test says.
+// service is a fake cloud with one fixed response to all requests.
 type service struct {
 	client   *Client
-	box      actortest.Instant
+	mailbox  actortest.Instant
 	requests atomic.Int32
 }
 
+// newService starts a fake cloud that responds with the status and body.
 func newService(t *testing.T, status int, body []byte) *service {
 	t.Helper()
-	s := &service{box: actortest.Instant{Now: 10 * clock.Second, Messages: make(chan func())}}
+	s := &service{mailbox: actortest.Instant{Now: 10 * clock.Second, Messages: make(chan func())}}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		s.requests.Add(1)
 		w.WriteHeader(status)
@@ -34,14 +35,14 @@
 	return s
 }
 
-// results is the cloud's typed interface.
-func (s *service) results() API { return s.client.For(s.box) }
+// results returns the client's API for the mailbox of the test.
+func (s *service) results() API { return s.client.For(s.mailbox) }
 
-// await handles the message that brings an outcome.
-func (s *service) await() { (<-s.box.Messages)() }
+// await waits for the message with the outcome and runs it.
+func (s *service) await() { (<-s.mailbox.Messages)() }
 
-// What a leader decided to rent or return doesn't leave once its lease is over: the machines may be
-// in use under the next one. Lists are always read.
+// Guards against changes that an old leader sends after its lease has expired, when the new leader may use
+// the machines: the client doesn't send a change after its deadline. It always sends reads.
 func TestChangesLeaveOnlyBeforeTheirDeadline(t *testing.T) {
 	s := newService(t, http.StatusOK, protocol.Encode(map[string]any{}))
 	api := s.results()
@@ -52,14 +53,14 @@
 		err      error
 		requests int32
 	}{
-		{"a late return", func() {
+		{"a late scale-in", func() {
 			api.ScaleIn([]protocol.MachineName{"m-1"}, 10*clock.Second, func(err error) { got = err })
 		}, ErrNotSent, 0},
-		{"a late rental", func() {
+		{"a late scale-out", func() {
 			api.ScaleOut(protocol.ScaleOutRequest{IdempotencyKey: "b"}, 9*clock.Second,
 				func(_ []protocol.MachineName, err error) { got = err })
 		}, ErrNotSent, 0},
-		{"a return", func() {
+		{"a scale-in", func() {
 			api.ScaleIn([]protocol.MachineName{"m-1"}, 11*clock.Second, func(err error) { got = err })
 		}, nil, 1},
 		{"a list", func() { api.List("", func(_ protocol.MachineList, err error) { got = err }) }, nil, 2},
@@ -73,23 +74,26 @@
 	}
 }
 
-func TestRentalOutcomeIsTyped(t *testing.T) {
-	refusal := func(reason string) []byte { return protocol.Encode(protocol.ScaleOutResponse{Error: reason}) }
+// Guards against a response to a scale-out that is classified as the wrong error.
+func TestScaleOutOutcomeIsTyped(t *testing.T) {
+	rejection := func(reason string) []byte {
+		return protocol.Encode(protocol.ScaleOutResponse{Error: reason})
+	}
 	for _, c := range []struct {
-		status                   int
-		body                     []byte
-		err                      error
-		notExecuted, outcomeOpen bool
+		status                      int
+		body                        []byte
+		err                         error
+		notExecuted, outcomeUnknown bool
 	}{
 		{200, protocol.Encode(protocol.ScaleOutResponse{Machines: []protocol.MachineName{"m-1"}}), nil, false, false},
-		{503, refusal(protocol.NoCapacity), ErrNoCapacity, true, false},
-		{503, refusal("trouble"), ErrUnavailable, true, false},
+		{503, rejection(protocol.NoCapacity), ErrNoCapacity, true, false},
+		{503, rejection("trouble"), ErrUnavailable, true, false},
 		{503, nil, ErrUnavailable, true, false},
 		{503, []byte("<html>"), ErrNoResponse, false, true},
-		{429, refusal("too many"), ErrThrottled, true, false},
-		{400, refusal("malformed"), ErrInvalid, true, false},
-		{500, refusal("trouble"), ErrServerFailure, false, true},
-		{404, refusal(""), ErrUnexpectedStatus, false, false},
+		{429, rejection("too many"), ErrThrottled, true, false},
+		{400, rejection("malformed"), ErrInvalid, true, false},
+		{500, rejection("trouble"), ErrServerFailure, false, true},
+		{404, rejection(""), ErrUnexpectedStatus, false, false},
 		{200, []byte{0xc1}, ErrNoResponse, false, true},
 	} {
 		s := newService(t, c.status, c.body)
@@ -99,10 +103,10 @@
 			func(m []protocol.MachineName, e error) { machines, err = m, e })
 		s.await()
 		if !errors.Is(err, c.err) || NotExecuted(err) != c.notExecuted ||
-			OutcomeUnknown(err) != c.outcomeOpen {
+			OutcomeUnknown(err) != c.outcomeUnknown {
 			t.Errorf("status %d with %q: %v (not executed %v, unknown %v), expected %v (%v, %v)", c.status,
 				c.body, err,
-				NotExecuted(err), OutcomeUnknown(err), c.err, c.notExecuted, c.outcomeOpen)
+				NotExecuted(err), OutcomeUnknown(err), c.err, c.notExecuted, c.outcomeUnknown)
 		}
 		if c.err == nil && !slices.Equal(machines, []protocol.MachineName{"m-1"}) {
 			t.Errorf("machines %v, expected m-1", machines)
--- a/internal/cloudclient/cloudtest/service.go
+++ b/internal/cloudclient/cloudtest/service.go
@@ -1,5 +1,5 @@
-// Package cloudtest lets stand-ins of the cloud respond as the cloud itself does, with statuses and
-// bodies. Only tests and the simulation use it.
+// Package cloudtest turns fakes of the cloud, which respond with statuses and bodies, into a
+// cloudclient.API. Only tests and the simulation use it.
 package cloudtest
 
 import (
@@ -9,8 +9,8 @@
 	"postpoint/internal/transport"
 )
 
-// Service is a stand-in of the cloud as one client sees it. A status of 0 means that no response
-// came, transport.NotSent that the request never left.
+// Service is a fake cloud for one client. Status 0 means that there was no response, and
+// transport.NotSent that the request was not sent.
 type Service interface {
 	Catalogue(done func(status int, c protocol.Catalogue))
 	Rent(r protocol.ScaleOutRequest, until clock.Micros, done func(status int, a protocol.ScaleOutResponse))
@@ -18,10 +18,10 @@
 	List(from protocol.MachineName, done func(status int, l protocol.MachineList))
 }
 
-// Client returns the cloud whose results are what the service responds.
+// Client returns an API whose results are the responses of the service.
 func Client(s Service) cloudclient.API { return client{s} }
 
-// client turns statuses into errors.
+// client converts statuses to errors.
 type client struct{ service Service }
 
 // Catalogue implements cloudclient.API.
@@ -48,6 +48,7 @@
 	c.service.List(from, func(status int, l protocol.MachineList) { done(l, failure(status, "")) })
 }
 
+// failure returns the error for a status of a Service, nil for success.
 func failure(status int, reason string) error {
 	switch status {
 	case transport.NotSent:
--- a/internal/cloudclient/cloudtest/service_test.go
+++ b/internal/cloudclient/cloudtest/service_test.go
@@ -12,7 +12,8 @@
 	"postpoint/internal/transport"
 )
 
-// fixedCloud responds to every request with one status, and to rentals with a reason.
+// fixedCloud is a fake cloud that responds to every request with one status, and to scale-outs with a
+// reason.
 type fixedCloud struct {
 	status int
 	reason string
@@ -33,7 +34,7 @@
 	done(f.status, protocol.MachineList{More: true})
 }
 
-// statusOf returns the status that an error stands for.
+// statusOf returns the status of an error, 200 for nil.
 func statusOf(t *testing.T, err error) int {
 	t.Helper()
 	if err == nil {
@@ -46,6 +47,7 @@
 	return failure.Status
 }
 
+// Guards against a fake whose status becomes the wrong error, for every status.
 func TestClientReturnsErrorOfEveryStatus(t *testing.T) {
 	for status := transport.NotSent; status < 1000; status++ {
 		for _, reason := range []string{"", protocol.NoCapacity, "trouble"} {
@@ -72,18 +74,19 @@
 	}
 }
 
+// Guards against an operation that loses the status or the value of the fake.
 func TestClientReturnsStatusAndValueOfEveryOperation(t *testing.T) {
 	noOutcome := errors.New("no outcome")
 	for status := transport.NotSent; status < 1000; status++ {
 		api := Client(fixedCloud{status: status})
-		catalogueErr, releaseErr, listErr := noOutcome, noOutcome, noOutcome
+		catalogueErr, scaleInErr, listErr := noOutcome, noOutcome, noOutcome
 		var catalogue protocol.Catalogue
 		var list protocol.MachineList
 		api.Catalogue(func(c protocol.Catalogue, err error) { catalogue, catalogueErr = c, err })
-		api.ScaleIn(nil, 0, func(err error) { releaseErr = err })
+		api.ScaleIn(nil, 0, func(err error) { scaleInErr = err })
 		api.List("", func(l protocol.MachineList, err error) { list, listErr = l, err })
 		for name, err := range map[string]error{
-			"catalogue": catalogueErr, "release": releaseErr, "list": listErr,
+			"catalogue": catalogueErr, "scale-in": scaleInErr, "list": listErr,
 		} {
 			if got := statusOf(t, err); got != status {
 				t.Errorf("%s: status %d became %d", name, status, got)
--- a/internal/cloudclient/errors.go
+++ b/internal/cloudclient/errors.go
@@ -8,39 +8,41 @@
 	"postpoint/internal/transport"
 )
 
-// The errors of requests, told apart with errors.Is.
+// The errors of requests. Callers distinguish them with errors.Is.
 var (
-	// ErrNoCapacity is a rental of a type, zone and kind of which there are no machines left.
+	// ErrNoCapacity means that the cloud has no machines left in the capacity pool (machine type, zone,
+	// spot or on-demand).
 	ErrNoCapacity = errors.New("no capacity")
-	// ErrNotSent is a change whose time was over before it left.
+	// ErrNotSent means that the deadline of a change passed before the client sent it.
 	ErrNotSent = transport.ErrNotSent
-	// ErrNoResponse is a request without a usable response, undecodable ones included: a change may
-	// have been carried out, or may be carried out later. Only the same booking is safe then.
+	// ErrNoResponse means that there is no response or one that can't be decoded: a change may have been
+	// carried out, or may be carried out later. Only a retry with the same idempotency key is safe then.
 	ErrNoResponse = transport.ErrNoResponse
-	// ErrThrottled is a request beyond the cloud's rate limit.
+	// ErrThrottled means that the request exceeded the cloud's rate limit.
 	ErrThrottled = transport.ErrThrottled
-	// ErrUnavailable is a request that the cloud declined during an outage.
+	// ErrUnavailable means that the cloud rejected the request during an outage.
 	ErrUnavailable = transport.ErrUnavailable
-	// ErrInvalid is a request that the cloud takes for malformed.
+	// ErrInvalid means that the cloud rejected the request as malformed.
 	ErrInvalid = transport.ErrInvalid
-	// ErrServerFailure is a response of 500 and above, other than the cloud's word that it is
-	// unavailable.
+	// ErrServerFailure means a response with a status of 500 or above other than that of
+	// ErrUnavailable.
 	ErrServerFailure = transport.ErrServerFailure
-	// ErrUnexpectedStatus is a response whose status has no meaning.
+	// ErrUnexpectedStatus means that the status of the response has no meaning in the protocol.
 	ErrUnexpectedStatus = transport.ErrUnexpectedStatus
 )
 
-// kinds says what the cloud's statuses mean. Nothing else in the program knows these numbers.
-var kinds = transport.StatusKinds{
+// statusKinds maps the cloud's statuses to errors. No other code depends on these numbers.
+var statusKinds = transport.StatusKinds{
 	http.StatusBadRequest:         ErrInvalid,
 	http.StatusTooManyRequests:    ErrThrottled,
 	http.StatusServiceUnavailable: ErrUnavailable,
 }
 
-// Reason returns the cloud's own explanation of a failure, "" if it gave none.
+// Reason returns the cloud's explanation of a failure, "" if there is none.
 func Reason(err error) string { return transport.Reason(err) }
 
-// NotExecuted reports whether a request certainly had no effect: it never left, or was declined.
+// NotExecuted reports whether a request certainly had no effect, because the client didn't send it or the
+// cloud rejected it.
 func NotExecuted(err error) bool {
 	return errors.Is(err, ErrNotSent) || errors.Is(err, ErrNoCapacity) || errors.Is(err, ErrThrottled) ||
 		errors.Is(err, ErrUnavailable) || errors.Is(err, ErrInvalid)
@@ -51,9 +53,9 @@
 	return errors.Is(err, ErrNoResponse) || errors.Is(err, ErrServerFailure)
 }
 
-// Failure returns the error that a response's status stands for, nil for success.
+// Failure returns the error for the status of a response, nil for success.
 func Failure(status int, reason string) error {
-	err := kinds.Failure(status)
+	err := statusKinds.Failure(status)
 	if err == nil {
 		return nil
 	}
--- a/internal/cloudclient/errors_test.go
+++ b/internal/cloudclient/errors_test.go
@@ -8,6 +8,7 @@
 	"postpoint/internal/protocol"
 )
 
+// Guards against a status and reason that map to the wrong error.
 func TestFailureOfStatus(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -29,7 +30,8 @@
 	}
 }
 
-func TestRefusalNamesStatusAndReason(t *testing.T) {
+// Guards against an error text without the status or the reason of the cloud.
+func TestRejectionNamesStatusAndReason(t *testing.T) {
 	for _, c := range []struct{ reason, want string }{
 		{"", "request refused as malformed or too large (HTTP status 400)"},
 		{"no such type", "request refused as malformed or too large (HTTP status 400): no such type"},
--- a/internal/cloudclient/golden_test.go
+++ b/internal/cloudclient/golden_test.go
@@ -13,32 +13,32 @@
 	"postpoint/internal/protocol"
 )
 
-// Every request to the cloud is the recorded one, and its answer is read.
+// The client sends the recorded requests and decodes the responses.
 func TestGoldenRequests(t *testing.T) {
 	var catalogue protocol.Catalogue
-	var rented []protocol.MachineName
+	var rentedMachines []protocol.MachineName
 	var list protocol.MachineList
 	var got error
 	var api API
 	for _, c := range []struct {
-		name, answer string
-		call         func()
-		recorded     string
+		name, response string
+		call           func()
+		recorded       string
 	}{
 		{"catalogue", "\x81\xa6Fleets\x91\x81\xa3Sku\xa2g8", func() {
 			api.Catalogue(func(c protocol.Catalogue, err error) { catalogue, got = c, err })
 		}, "GET /catalog\nUser-Agent: Go-http-client/1.1\n\n"},
-		{"rental", "\x81\xa5Hosts\x91\xa3m-1", func() {
+		{"scale-out", "\x81\xa5Hosts\x91\xa3m-1", func() {
 			r := protocol.ScaleOutRequest{IdempotencyKey: "e41-2", Type: "g8", Zone: "a", Spot: true,
 				Count: 5}
 			api.ScaleOut(r, clock.Second, func(machines []protocol.MachineName, err error) {
-				rented, got = machines, err
+				rentedMachines, got = machines, err
 			})
 		},
 			"POST /hosts\nContent-Length: 49\nContent-Type: application/msgpack\n" +
 				"User-Agent: Go-http-client/1.1\n\n\x85\xa7Booking\xa5e41-2\xa5Fleet\xa2g8\xa4Hall\xa1a" +
 				"\xa7Loaners\xc3\xa7HowMany\x05"},
-		{"release", "", func() {
+		{"scale-in", "", func() {
 			api.ScaleIn([]protocol.MachineName{"m-1", "m-2"}, clock.Second, func(err error) { got = err })
 		},
 			"POST /hosts/release\nContent-Length: 16\nContent-Type: application/msgpack\n" +
@@ -50,12 +50,12 @@
 			api.List("m-1", func(_ protocol.MachineList, err error) { got = err })
 		}, "GET /hosts?From=m-1&Limit=500\nUser-Agent: Go-http-client/1.1\n\n"},
 	} {
-		address, requests := goldentest.Serve(t, http.StatusOK, c.answer)
-		box := actortest.Instant{Messages: make(chan func(), 1)}
-		api, got = New(address).For(box), errors.New("no outcome")
+		address, requests := goldentest.Serve(t, http.StatusOK, c.response)
+		mailbox := actortest.Instant{Messages: make(chan func(), 1)}
+		api, got = New(address).For(mailbox), errors.New("no outcome")
 		c.call()
 		goldentest.Equal(t, c.name, <-requests, c.recorded)
-		(<-box.Messages)()
+		(<-mailbox.Messages)()
 		if got != nil {
 			t.Errorf("%s: %v, expected success", c.name, got)
 		}
@@ -64,7 +64,7 @@
 		catalogue); d != "" {
 		t.Error(d)
 	}
-	if d := cmp.Diff([]protocol.MachineName{"m-1"}, rented); d != "" {
+	if d := cmp.Diff([]protocol.MachineName{"m-1"}, rentedMachines); d != "" {
 		t.Error(d)
 	}
 	want := protocol.MachineList{Machines: []protocol.ListedMachine{{Name: "m-1"}}, More: true}
