--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -1,6 +1,6 @@
-// Package workerclient is the client of the workers' own addresses. It turns their responses into typed
-// results, which reach the asking actor as messages. It retries nothing: workers repeat their
-// status in heartbeats, and the leader what is still due.
+// Package workerclient is the client of the workers' command API. It converts their responses to typed
+// results and posts them to the mailbox of the calling actor. It never retries: workers repeat their
+// status in heartbeats, and the leader repeats the commands that are still due.
 package workerclient
 
 import (
@@ -17,54 +17,56 @@
 	responseLimit = 1 << 20
 )
 
-// MaxConnections is how many connections the client has at the most. There are as many addresses as
-// machines, and most of them are also connected by their heartbeats.
+// MaxConnections bounds the concurrent connections of the client. There are as many addresses as machines,
+// and most machines also have an open connection for their heartbeats.
 const MaxConnections = 48
 
-// Response is the outcome of commands. Status is the worker's own status, which also comes with
-// ErrRejected; otherwise it counts only if Err is nil.
+// Response is the outcome of commands. Status is the worker's status; it is valid if Err is nil or
+// ErrRejected.
 type Response struct {
 	Status protocol.Heartbeat
 	Err    error
 }
 
-// API sends commands to workers. Callbacks run in the mailbox of the actor that asks.
+// API sends commands to workers. Callbacks run in the mailbox of the calling actor.
 type API interface {
-	// Commands sends commands to the worker at an address, unless that instant has come before they
-	// leave.
+	// Commands sends commands to the worker at an address. It fails with ErrNotSent if the deadline
+	// until passes before it can send them.
 	Commands(addr string, c protocol.CommandRequest, until clock.Micros, done func(Response))
 }
 
-// Client bounds the process's connections to workers.
+// Client limits the process's connections to workers.
 type Client struct{ slots chan struct{} }
 
-// New returns a client without connections.
+// New returns a client without open connections.
 func New() *Client { return &Client{make(chan struct{}, MaxConnections)} }
 
-// For returns the interface whose results arrive in the given mailbox.
-func (c *Client) For(m actor.Mailbox) API { return &bound{c, m} }
+// For returns an API that posts results to the given mailbox.
+func (c *Client) For(m actor.Mailbox) API { return &actorClient{c, m} }
 
-// bound is the client of one actor.
-type bound struct {
+// actorClient implements API for one actor.
+type actorClient struct {
 	*Client
 	mailbox actor.Mailbox
 }
 
 // Commands implements API.
-func (b *bound) Commands(addr string, c protocol.CommandRequest, until clock.Micros, done func(Response)) {
+func (client *actorClient) Commands(
+	addr string, c protocol.CommandRequest, until clock.Micros, done func(Response),
+) {
 	request := transport.Request{Method: http.MethodPost, URL: "http://" + addr + "/commands",
 		Body: protocol.Encode(c), Timeout: timeout, ResponseLimit: responseLimit}
 	go func() {
-		b.slots <- struct{}{}
-		defer func() { <-b.slots }()
-		r := b.exchange(request, until)
-		b.mailbox.Post(func() { done(r) })
+		client.slots <- struct{}{}
+		defer func() { <-client.slots }()
+		r := client.exchange(request, until)
+		client.mailbox.Post(func() { done(r) })
 	}()
 }
 
-// exchange makes one request and decodes its response.
-func (b *bound) exchange(request transport.Request, until clock.Micros) Response {
-	deadline := transport.Deadline{Clock: b.mailbox, Instant: until}
+// exchange sends one request and decodes the response.
+func (client *actorClient) exchange(request transport.Request, until clock.Micros) Response {
+	deadline := transport.Deadline{Clock: client.mailbox, Instant: until}
 	response, err := transport.DoOnce(deadline, request)
 	if err != nil {
 		return Response{Err: transport.NoResponse(err)}
--- a/internal/workerclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -13,12 +13,13 @@
 	"postpoint/internal/protocol"
 )
 
-// worker is a machine that responds to every request as the test says.
+// worker is a fake worker with one fixed response to all requests.
 type worker struct {
 	addr     string
 	requests atomic.Int32
 }
 
+// newWorker starts a fake worker that responds with the status and body.
 func newWorker(t *testing.T, status int, body []byte) *worker {
 	t.Helper()
 	w := &worker{}
@@ -32,18 +33,18 @@
 	return w
 }
 
-// command sends a command at the tenth second and waits for its outcome.
+// command sends a command at second 10 of the clock and waits for the outcome.
 func (w *worker) command(until clock.Micros) Response {
-	box := actortest.Instant{Now: 10 * clock.Second, Messages: make(chan func())}
+	mailbox := actortest.Instant{Now: 10 * clock.Second, Messages: make(chan func())}
 	var got Response
-	New().For(box).Commands(w.addr, protocol.CommandRequest{Epoch: 1, Incarnation: 1}, until,
+	New().For(mailbox).Commands(w.addr, protocol.CommandRequest{Epoch: 1, Incarnation: 1}, until,
 		func(r Response) { got = r })
-	(<-box.Messages)()
+	(<-mailbox.Messages)()
 	return got
 }
 
-// Commands leave only while the lease under which they were decided lasts, however long they waited
-// for others.
+// Guards against commands that are sent after the lease of their leader has expired, because they waited
+// for other requests: the client doesn't send them after the deadline.
 func TestCommandsLeaveOnlyBeforeTheirDeadline(t *testing.T) {
 	w := newWorker(t, http.StatusOK, protocol.Encode(protocol.Heartbeat{Machine: "m-1"}))
 	for _, c := range []struct {
@@ -59,6 +60,7 @@
 	}
 }
 
+// Guards against a response to commands that is classified as the wrong error.
 func TestCommandOutcomeIsTyped(t *testing.T) {
 	status := protocol.Encode(protocol.Heartbeat{Machine: "m-1", Epoch: 8, Incarnation: 2})
 	for _, c := range []struct {
--- a/internal/workerclient/errors.go
+++ b/internal/workerclient/errors.go
@@ -9,38 +9,39 @@
 	"postpoint/internal/transport"
 )
 
-// The errors of commands, told apart with errors.Is.
+// The errors of commands. Callers distinguish them with errors.Is.
 var (
-	// ErrRejected is a response that the commands' fencing token is lower than the highest that the
-	// worker has seen, or meant for another incarnation of it. It comes as a *RejectedError.
+	// ErrRejected means that the epoch of the commands is lower than the highest that the worker has
+	// seen, or that they are for another incarnation of the worker. The error is a *RejectedError.
 	ErrRejected = errors.New("commands rejected")
-	// ErrNotSent is commands whose time was over before they left.
+	// ErrNotSent means that the deadline passed before the client sent the commands.
 	ErrNotSent = transport.ErrNotSent
-	// ErrInvalid is commands that the worker takes for malformed.
+	// ErrInvalid means that the worker rejected the commands as malformed.
 	ErrInvalid = transport.ErrInvalid
-	// ErrNoResponse is commands without a usable response: they may still be carried out, however
-	// late.
+	// ErrNoResponse means that there is no usable response: the worker may have carried out the commands
+	// or may do so at any later time.
 	ErrNoResponse = transport.ErrNoResponse
-	// ErrServerFailure is a response of 500 and above, which the protocol doesn't have.
+	// ErrServerFailure means a response with a status of 500 or above, which the protocol doesn't
+	// define.
 	ErrServerFailure = transport.ErrServerFailure
-	// ErrUnexpectedStatus is any other response that the protocol doesn't have.
+	// ErrUnexpectedStatus means a response with any other status that the protocol doesn't define.
 	ErrUnexpectedStatus = transport.ErrUnexpectedStatus
 )
 
-// kinds says what workers' statuses mean. Nothing else in the program knows these numbers.
-var kinds = transport.StatusKinds{
+// statusKinds maps the workers' statuses to errors. No other code depends on these numbers.
+var statusKinds = transport.StatusKinds{
 	http.StatusConflict:   ErrRejected,
 	http.StatusBadRequest: ErrInvalid,
 }
 
-// hasStatus reports whether a response's body is the worker's status.
+// hasStatus reports whether a response with this HTTP status has the worker's status as its body.
 func hasStatus(status int) bool { return status == http.StatusOK || status == http.StatusConflict }
 
-// RejectedError is commands that the worker rejected, with what it compared them to.
+// RejectedError is the error of commands that the worker rejected, with its own epoch and incarnation.
 type RejectedError struct {
-	// Epoch is the highest fencing token that the worker has seen.
+	// Epoch is the highest epoch (fencing token) that the worker has seen.
 	Epoch protocol.Epoch
-	// Incarnation is the worker's present one.
+	// Incarnation is the current incarnation of the worker.
 	Incarnation protocol.Incarnation
 }
 
@@ -50,21 +51,21 @@
 		e.Incarnation)
 }
 
-// Is makes ErrRejected match.
+// Is reports whether target is ErrRejected.
 func (e *RejectedError) Is(target error) bool { return target == ErrRejected }
 
-// NotExecuted reports whether none of the commands was carried out, nor ever will be.
+// NotExecuted reports whether the worker certainly carried out none of the commands and never will.
 func NotExecuted(err error) bool {
 	return errors.Is(err, ErrRejected) || errors.Is(err, ErrInvalid) || errors.Is(err, ErrNotSent)
 }
 
-// OutcomeUnknown reports whether the commands may have been carried out, or may still be, however
-// late: whatever the protocol doesn't have counts as such.
+// OutcomeUnknown reports whether the worker may have carried out the commands or may do so at any later
+// time. Responses that the protocol doesn't define count as unknown outcomes.
 func OutcomeUnknown(err error) bool { return err != nil && !NotExecuted(err) }
 
-// Failure returns the error that a response's status stands for, nil for success.
+// Failure returns the error for the status of a response, nil for success.
 func Failure(status int, worker protocol.Heartbeat) error {
-	err := kinds.Failure(status)
+	err := statusKinds.Failure(status)
 	switch {
 	case err == nil:
 		return nil
--- a/internal/workerclient/golden_test.go
+++ b/internal/workerclient/golden_test.go
@@ -12,20 +12,20 @@
 	"postpoint/internal/protocol"
 )
 
-// Commands to a worker are the recorded request, and its report is read from the answer.
+// The client sends the recorded request and decodes the worker's status from the response.
 func TestGoldenRequest(t *testing.T) {
 	address, requests := goldentest.Serve(t, http.StatusConflict, "\x82\xa4Host\xa3m-1\xa5Shift\x03")
-	box := actortest.Instant{Messages: make(chan func(), 1)}
+	mailbox := actortest.Instant{Messages: make(chan func(), 1)}
 	commands := protocol.CommandRequest{Epoch: 41, Incarnation: 3, Commands: []protocol.Command{
 		{Verb: protocol.VerbStop, Task: "job-1/0", Attempt: 2, GraceS: 4},
 	}}
 	var got Response
-	New().For(box).Commands(address, commands, clock.Second, func(r Response) { got = r })
+	New().For(mailbox).Commands(address, commands, clock.Second, func(r Response) { got = r })
 	goldentest.Equal(t, "commands", <-requests,
 		"POST /commands\nConnection: close\nContent-Length: 67\nContent-Type: application/msgpack\n"+
 			"User-Agent: Go-http-client/1.1\n\n\x83\xa5Epoch)\xa5Shift\x03\xa6Orders\x91\x84\xa4Verb\xa4k"+
 			"ill\xa3Leg\xa7job-1/0\xa3Try\x02\xa6LeaveS\xcb@\x10\x00\x00\x00\x00\x00\x00")
-	(<-box.Messages)()
+	(<-mailbox.Messages)()
 	want := Response{Status: protocol.Heartbeat{Machine: "m-1", Incarnation: 3},
 		Err: &RejectedError{Incarnation: 3}}
 	if d := cmp.Diff(want, got); d != "" {
--- a/internal/workerclient/workertest/service.go
+++ b/internal/workerclient/workertest/service.go
@@ -1,5 +1,5 @@
-// Package workertest lets stand-ins of workers respond as workers do, with a status and their
-// heartbeat. Only tests and the simulation use it.
+// Package workertest turns fakes of workers, which respond with an HTTP status and a heartbeat, into a
+// workerclient.API. Only tests and the simulation use it.
 package workertest
 
 import (
@@ -9,17 +9,17 @@
 	"postpoint/internal/workerclient"
 )
 
-// Service is a stand-in of all workers as one client sees them. Status 0 means that no response came,
-// transport.NotSent that the commands never left.
+// Service is a fake of all workers for one client. Status 0 means that there was no response, and
+// transport.NotSent that the commands were not sent.
 type Service interface {
 	Commands(addr string, c protocol.CommandRequest, until clock.Micros,
 		done func(status int, r protocol.Heartbeat))
 }
 
-// Client returns the workers whose results are what the service responds.
+// Client returns an API whose results are the responses of the service.
 func Client(s Service) workerclient.API { return client{s} }
 
-// client turns statuses into errors.
+// client converts statuses to errors.
 type client struct{ service Service }
 
 // Commands implements workerclient.API.
@@ -30,6 +30,7 @@
 	})
 }
 
+// failure returns the error for a status of a Service, nil for success.
 func failure(status int, worker protocol.Heartbeat) error {
 	switch status {
 	case transport.NotSent:
--- a/internal/workerclient/workertest/service_test.go
+++ b/internal/workerclient/workertest/service_test.go
@@ -11,7 +11,7 @@
 	"postpoint/internal/workerclient"
 )
 
-// fixedWorker responds to all commands in the same way.
+// fixedWorker is a fake worker that responds to all commands with one status and heartbeat.
 type fixedWorker struct {
 	status    int
 	heartbeat protocol.Heartbeat
@@ -22,7 +22,7 @@
 	done(w.status, w.heartbeat)
 }
 
-// statusOf returns the status that an error stands for.
+// statusOf returns the HTTP status for an error, 200 for nil.
 func statusOf(t *testing.T, err error) int {
 	t.Helper()
 	if err == nil {
@@ -38,6 +38,7 @@
 	return failure.Status
 }
 
+// Guards against a fake whose status becomes the wrong error, for every status.
 func TestClientReturnsErrorOfEveryStatus(t *testing.T) {
 	for status := transport.NotSent; status < 1000; status++ {
 		workers := Client(fixedWorker{status, protocol.Heartbeat{Machine: "m-1", Epoch: 8, Incarnation: 2}})
