--- a/internal/peer/cellserver.go
+++ b/internal/peer/cellserver.go
@@ -22,8 +22,10 @@
 const MaxCellConnections = maxIncomingExchanges + maxOutgoingExchanges
 
 const (
+	// maxIncomingExchanges bounds the concurrent exchanges that other cells start with this node.
 	maxIncomingExchanges = 16
-	cellServeTimeout     = 2 * time.Second
+	// cellServeTimeout bounds how long a slow or dead cell holds a connection.
+	cellServeTimeout = 2 * time.Second
 	// Each message of another cell takes a connection of its own, and accepting that is most of the
 	// work. cellConnectionsPerS limits the rate of accepted connections after a burst, whatever other
 	// cells send.
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,6 +1,6 @@
-// Package peer carries messages between controllers in its own binary format. Between the nodes of one
-// cell it carries attestations, zone reports and, for a node that can't reach the key-value store, the
-// requests of users. Between the leaders of different cells it carries the exchanges of package
+// Package peer carries messages between nodes (controller processes) in its own binary format. Between the
+// nodes of one cell it carries users' requests, attestations and zone reports for a node that can't reach
+// the key-value store. Between the leaders of different cells it carries the exchanges of package
 // delegation.
 //
 // The package owns the frames, their limits and the connections that carry them. It neither interprets
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -155,6 +155,6 @@
 		Directives: []delegation.Directive{{Number: 9, Action: delegation.Close}},
 	}
 	if d := cmp.Diff(want, got); !responded || d != "" {
-		t.Errorf("answered %v: %s", responded, d)
+		t.Errorf("responded %v: %s", responded, d)
 	}
 }
