--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -25,7 +25,7 @@
 	formatOpen bool
 	// memoryFull reports that the process is too close to its memory limit to accept new jobs.
 	memoryFull func() bool
-	// finalStates caches the status of jobs that are final, which never changes.
+	// finalStates caches the status of final jobs, by job. Such a status never changes.
 	finalStates  map[protocol.JobID]protocol.JobStatus
 	availability availability
 	// startedAt is when this process started, epoch the highest epoch of its elections.
@@ -86,7 +86,8 @@
 	})
 }
 
-// cacheFinalStatus caches the final status of a job.
+// cacheFinalStatus caches the final status of a job. If the job is cancelled, it also logs that for
+// attestations; it must therefore run before the status is sent to a user.
 func (adm *Admission) cacheFinalStatus(s protocol.JobStatus) {
 	if s.Status == protocol.StatusCancelled {
 		adm.cancellations.add(s.ID, adm.mailbox.Monotonic())
--- a/internal/admission/attestation.go
+++ b/internal/admission/attestation.go
@@ -8,9 +8,9 @@
 	"postpoint/internal/protocol"
 )
 
-// Attestation is the statement of a node to a leader that can't reach the store. It lists all
-// cancellations that the node recently reported to users and gives the highest epoch of the node's own
-// elections, so that the leader can tell whether a later leader exists. It doesn't cover the time before
+// Attestation is what a node states to a leader that can't reach the store. It lists all cancellations
+// that the node recently reported to users and gives the highest epoch of the node's own elections, so
+// that the leader can tell whether the node has been elected after it. It doesn't cover the time before
 // the node's process started.
 type Attestation struct {
 	Age       clock.Micros   // time since the process started
@@ -24,8 +24,8 @@
 	Age clock.Micros
 }
 
-// ErrAttestation means that an attestation can't be decoded.
-var ErrAttestation = errors.New("malformed attestation")
+// ErrMalformedAttestation means that an attestation can't be decoded.
+var ErrMalformedAttestation = errors.New("malformed attestation")
 
 // Sizes in the binary form of an attestation, in bytes.
 const (
@@ -51,22 +51,22 @@
 	return b
 }
 
-// DecodeAttestation decodes the binary form. Its only error is ErrAttestation.
+// DecodeAttestation decodes the binary form. Its only error is ErrMalformedAttestation.
 func DecodeAttestation(b []byte) (Attestation, error) {
 	if len(b) < attestationHeaderBytes {
-		return Attestation{}, ErrAttestation
+		return Attestation{}, ErrMalformedAttestation
 	}
 	a := Attestation{
 		Age:   clock.Micros(binary.BigEndian.Uint64(b)),
 		Epoch: protocol.Epoch(binary.BigEndian.Uint64(b[microsBytes:])),
 	}
 	if a.Age < 0 || a.Epoch < 0 {
-		return Attestation{}, ErrAttestation
+		return Attestation{}, ErrMalformedAttestation
 	}
 	for b = b[attestationHeaderBytes:]; len(b) > 0; {
 		cancelled, rest, ok := decodeCancelledJob(b)
 		if !ok {
-			return Attestation{}, ErrAttestation
+			return Attestation{}, ErrMalformedAttestation
 		}
 		a.Cancelled = append(a.Cancelled, cancelled)
 		b = rest
--- a/internal/admission/availability.go
+++ b/internal/admission/availability.go
@@ -26,7 +26,7 @@
 
 // availability records whether the store and the other nodes respond to this node.
 type availability struct {
-	storeAnsweredAt, peerAnsweredAt clock.Micros
+	storeRespondedAt, peerRespondedAt clock.Micros
 	// storeDownUntil and peersDownUntil are until when they are considered unavailable.
 	storeDownUntil, peersDownUntil clock.Micros
 	probing                        bool // a probe of the store or of another node is in progress
@@ -39,12 +39,14 @@
 func (adm *Admission) Ready(reply func(bool)) {
 	adm.mailbox.Post(func() {
 		now, a := adm.mailbox.Monotonic(), &adm.availability
-		if now > a.storeAnsweredAt+probeInterval || now < a.storeDownUntil {
+		if now > a.storeRespondedAt+probeInterval || now < a.storeDownUntil {
 			adm.probe()
 		}
+		// The monotonic clock starts with the process: a node has until catalogueTimeout for its first
+		// response.
 		started := len(adm.types) > 0 || now > catalogueTimeout
-		lastAnswer := max(a.storeAnsweredAt, a.peerAnsweredAt, catalogueTimeout)
-		reply(started && now < lastAnswer+isolationTimeout)
+		lastResponseAt := max(a.storeRespondedAt, a.peerRespondedAt, catalogueTimeout)
+		reply(started && now < lastResponseAt+isolationTimeout)
 	})
 }
 
@@ -72,7 +74,7 @@
 	if !r.served() {
 		return false
 	}
-	adm.availability.storeAnsweredAt = adm.mailbox.Monotonic()
+	adm.availability.storeRespondedAt = adm.mailbox.Monotonic()
 	return true
 }
 
@@ -80,7 +82,7 @@
 func (adm *Admission) recordPeerResult(responded bool) {
 	now := adm.mailbox.Monotonic()
 	if responded {
-		adm.availability.peerAnsweredAt = now
+		adm.availability.peerRespondedAt = now
 	} else {
 		adm.availability.peersDownUntil = now + failureBackoff
 	}
--- a/internal/admission/cancellationlog.go
+++ b/internal/admission/cancellationlog.go
@@ -19,6 +19,7 @@
 	prunedAt   clock.Micros                    // when expired entries were last deleted
 }
 
+// newCancellationLog returns an empty log.
 func newCancellationLog() cancellationLog {
 	return cancellationLog{reportedAt: map[protocol.JobID]clock.Micros{}}
 }
--- a/internal/admission/forwarding.go
+++ b/internal/admission/forwarding.go
@@ -3,7 +3,8 @@
 import "postpoint/internal/protocol"
 
 // forwardToPeer forwards the request to another node because the store is unavailable to this one. This
-// node can't distinguish that from an outage of the whole store.
+// node can't distinguish that from an outage of the whole store. If the final status of the job is cached,
+// this node responds itself.
 func (c *call) forwardToPeer() {
 	if final, ok := c.admission.finalStates[c.request.ID]; ok && c.request.Kind != Submit {
 		c.finish(knownJob(final))
--- a/internal/admission/golden_test.go
+++ b/internal/admission/golden_test.go
@@ -94,7 +94,7 @@
 func (b goldenLeader) Overview(reply func(any)) { reply(map[string]bool{"leads": b.leads}) }
 
 // Every path responds with the recorded status, headers and body.
-func TestGoldenAnswers(t *testing.T) {
+func TestGoldenResponses(t *testing.T) {
 	accepted := submission()
 	unknownTeam := submission()
 	unknownTeam.ID, unknownTeam.Team = "job-000413", "other"
--- a/internal/admission/handler.go
+++ b/internal/admission/handler.go
@@ -112,8 +112,7 @@
 	}
 	replies := make(chan heartbeatResult, 1)
 	h.leader.Heartbeat(heartbeat, func(status int, body any) {
-		replies <- heartbeatResult{status,
-			body}
+		replies <- heartbeatResult{status, body}
 	})
 	result := <-replies
 	keep := keepForWorker(r)
--- a/internal/admission/helpers_test.go
+++ b/internal/admission/helpers_test.go
@@ -121,7 +121,7 @@
 	mailbox := lockedMailbox{Still: &actortest.Still{Now: 20 * clock.Second}, mu: &sync.Mutex{}}
 	adm := New(mailbox, &fakeStore{readOnly: true}, set, noPeers)
 	adm.SetMachineTypes([]protocol.MachineType{{Name: "g8"}})
-	adm.availability.storeAnsweredAt = adm.mailbox.Monotonic()
+	adm.availability.storeRespondedAt = adm.mailbox.Monotonic()
 	return adm
 }
 
--- a/internal/admission/listener.go
+++ b/internal/admission/listener.go
@@ -17,9 +17,8 @@
 )
 
 // limitedListener bounds the open connections of users, workers and health checks. The limit comes from
-// the settings and doesn't depend on the number of machines. With more workers than sockets, a
-// listener that only stops accepting would leave the excess workers and all users waiting until they
-// time out.
+// the settings and doesn't depend on the number of machines. With more workers than sockets, a listener
+// that only stops accepting would leave the excess workers and all users waiting until they time out.
 //
 // Workers keep a share of the connections open between heartbeats. Once they hold that share, the server
 // closes the connection of any other worker with the response, and that worker opens a new one for its
@@ -28,12 +27,12 @@
 // idle for longest.
 type limitedListener struct {
 	net.Listener
-	limit, workerLimit int
+	limit, workerLimit int // maximum of open and of workersKept
 
-	mu          sync.Mutex
-	freed       *sync.Cond
+	mu          sync.Mutex // guards the fields below
+	freed       *sync.Cond // signalled when a slot or an evictable connection becomes available
 	open        int
-	workersKept int
+	workersKept int       // open connections that workers keep between heartbeats
 	idle        list.List // idle and new connections, longest idle first
 	evicted     int
 	loggedAt    time.Time // when evictions were last logged
@@ -64,14 +63,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for l.open >= l.limit {
-		longest := l.idle.Front()
-		if longest == nil {
+		longestIdle := l.idle.Front()
+		if longestIdle == nil {
 			l.freed.Wait()
 			continue
 		}
 		l.recordEviction()
 		l.mu.Unlock()
-		_ = longest.Value.(*connection).Close()
+		_ = longestIdle.Value.(*connection).Close()
 		l.mu.Lock()
 	}
 	l.open++
--- a/internal/admission/workerconnection_test.go
+++ b/internal/admission/workerconnection_test.go
@@ -108,7 +108,7 @@
 			}
 			got, want := strings.Join(responses[0], "\n"), strings.Join(responses[1], "\n")
 			if got != want {
-				t.Errorf("hijacked connection:\n%s\nwant, as the standard server:\n%s", got, want)
+				t.Errorf("hijacked connection:\n%s\nwant the responses of http.Server:\n%s", got, want)
 			}
 		})
 	}
--- a/internal/admission/zonereports.go
+++ b/internal/admission/zonereports.go
@@ -15,8 +15,8 @@
 	Machines map[string]int
 }
 
-// ErrZoneReports means that zone reports can't be decoded.
-var ErrZoneReports = errors.New("malformed zone reports")
+// ErrMalformedZoneReports means that zone reports can't be decoded.
+var ErrMalformedZoneReports = errors.New("malformed zone reports")
 
 // machinesBytes is the size of a count of machines in the binary form.
 const machinesBytes = 4
@@ -33,18 +33,18 @@
 	return b
 }
 
-// DecodeZoneReports decodes the binary form. Its only error is ErrZoneReports.
+// DecodeZoneReports decodes the binary form. Its only error is ErrMalformedZoneReports.
 func DecodeZoneReports(b []byte) (ZoneReports, error) {
 	z := ZoneReports{Machines: map[string]int{}}
 	node, b, ok := cutName(b)
 	if !ok {
-		return z, ErrZoneReports
+		return z, ErrMalformedZoneReports
 	}
 	z.Node = node
 	for len(b) > 0 {
 		zone, rest, ok := cutName(b)
 		if !ok || len(rest) < machinesBytes {
-			return z, ErrZoneReports
+			return z, ErrMalformedZoneReports
 		}
 		z.Machines[zone] = int(binary.BigEndian.Uint32(rest))
 		b = rest[machinesBytes:]
