--- a/internal/zonerecovery/evidence.go
+++ b/internal/zonerecovery/evidence.go
@@ -1,16 +1,18 @@
 package zonerecovery
 
-// Evidence is what the leader knows of a zone at one moment.
+// Evidence is what the leader knows about a zone at one moment.
 type Evidence struct {
-	// Machines counts those that are up or should be, Heard those of them whose heartbeats arrive.
+	// Machines counts the zone's machines that should be sending heartbeats. Heard counts those whose
+	// heartbeats reach this controller.
 	Machines, Heard int
-	// ProbesAnswered counts silent machines that have answered a direct question lately.
+	// ProbesAnswered counts silent machines that have recently answered a probe.
 	ProbesAnswered int
 	// Gone counts machines that the cloud lists as failed or no longer lists.
 	Gone int
-	// Controllers counts those of the zone, ControllersReached those of them that answer this one.
+	// Controllers counts the controllers in the zone. ControllersReached counts those that respond to this
+	// controller.
 	Controllers, ControllersReached int
-	// HeardElsewhere counts machines whose heartbeats other controllers get.
+	// HeardElsewhere counts machines whose heartbeats reach other controllers.
 	HeardElsewhere int
 }
 
@@ -22,41 +24,48 @@
 	return float64(e.Machines-e.Heard) / float64(e.Machines)
 }
 
-// Diagnosis says what the matter with a zone most likely is. It is shown to people and changes no
-// decision: a task is free to run elsewhere only on proof that it has ended.
+// Diagnosis is the most likely cause of a zone's state. It is only shown to operators and influences no
+// decision: a task may start elsewhere only after proof that it has ended.
 type Diagnosis string
 
-// The diagnoses. Their texts are shown in the overview.
+// The diagnoses. The overview shows their texts.
 const (
-	AllHeard Diagnosis = "well"
-	// ControllerIsolated zones can't be judged: this controller hears nothing from anywhere.
+	// NoneSilent means that heartbeats arrive from all machines of the zone.
+	NoneSilent Diagnosis = "well"
+	// ControllerIsolated means that this controller receives no heartbeats from any zone, so it can't judge
+	// this one.
 	ControllerIsolated Diagnosis = "this controller hears nothing"
-	PartlySilent       Diagnosis = "a part of it is silent"
-	// PoweredOff zones have lost their machines, as the cloud says.
+	// PartlySilent means that heartbeats arrive from some of the machines, but not from all.
+	PartlySilent Diagnosis = "a part of it is silent"
+	// PoweredOff means that the cloud lists at least half of the silent machines as failed, or no longer
+	// lists them.
 	PoweredOff Diagnosis = "it is dark"
-	// PartitionedOrOff zones have silent controllers as well; their machines may go on inside.
+	// PartitionedOrOff means that the zone's controllers don't respond either. Behind a network partition,
+	// the machines may still be running their tasks.
 	PartitionedOrOff Diagnosis = "dark, or cut off with its workers going on inside"
-	// HeartbeatsMissing zones can be reached, but their machines' heartbeats don't arrive.
+	// HeartbeatsMissing means that a controller or a machine of the zone responds, but that no heartbeats of
+	// its machines arrive.
 	HeartbeatsMissing Diagnosis = "its machines are silent, not all of it is out of reach"
-	HeardElsewhere    Diagnosis = "other controllers hear it"
+	// HeartbeatsElsewhere means that the machines' heartbeats reach only other controllers.
+	HeartbeatsElsewhere Diagnosis = "other controllers hear it"
 )
 
-// Diagnose names what the evidence looks like. isolated says that this controller hears from no
-// other zone either.
+// Diagnose returns the diagnosis that fits the evidence. isolated tells that this controller receives no
+// heartbeats from the other zones either.
 func Diagnose(e Evidence, isolated bool) Diagnosis {
 	silent := e.Machines - e.Heard
 	switch {
 	case silent == 0:
-		return AllHeard
+		return NoneSilent
 	case isolated:
 		return ControllerIsolated
 	case e.Heard > 0:
 		return PartlySilent
 	case e.HeardElsewhere > 0:
-		return HeardElsewhere
+		return HeartbeatsElsewhere
 	case e.ControllersReached > 0 || e.ProbesAnswered > 0:
 		return HeartbeatsMissing
-	case 2*e.Gone >= silent: // at least half of them
+	case 2*e.Gone >= silent: // at least half of the silent machines
 		return PoweredOff
 	}
 	return PartitionedOrOff
--- a/internal/zonerecovery/evidence_test.go
+++ b/internal/zonerecovery/evidence_test.go
@@ -4,18 +4,18 @@
 
 func TestDiagnoseNamesMostLikelyCause(t *testing.T) {
 	for want, e := range map[Diagnosis]Evidence{
-		AllHeard:          well,
-		PartlySilent:      half,
-		PartitionedOrOff:  silent,
-		PoweredOff:        {Machines: 10, Gone: 8},
-		HeardElsewhere:    {Machines: 10, HeardElsewhere: 9},
-		HeartbeatsMissing: {Machines: 10, Controllers: 1, ControllersReached: 1},
+		NoneSilent:          noneSilent,
+		PartlySilent:        mostSilent,
+		PartitionedOrOff:    allSilent,
+		PoweredOff:          {Machines: 10, Gone: 8},
+		HeartbeatsElsewhere: {Machines: 10, HeardElsewhere: 9},
+		HeartbeatsMissing:   {Machines: 10, Controllers: 1, ControllersReached: 1},
 	} {
 		if got := Diagnose(e, false); got != want {
 			t.Errorf("%+v is diagnosed as %q, want %q", e, got, want)
 		}
 	}
-	if got := Diagnose(silent, true); got != ControllerIsolated {
+	if got := Diagnose(allSilent, true); got != ControllerIsolated {
 		t.Errorf("an isolated controller diagnoses %q, want %q", got, ControllerIsolated)
 	}
 }
--- a/internal/zonerecovery/golden_test.go
+++ b/internal/zonerecovery/golden_test.go
@@ -13,11 +13,12 @@
 	"postpoint/internal/settings"
 )
 
-// Zones are stored under the recorded keys as the recorded bytes, and read from them.
+// The stored form of a zone must stay byte for byte as recorded here, so that a leader of another version
+// reads it.
 func TestGoldenStoredZones(t *testing.T) {
 	goldentest.Equal(t, "prefix", []byte(Prefix), "recovery/")
 	goldentest.Equal(t, "key", []byte(Key("somes")), "recovery/somes")
-	const ahead = 1_764_668_400 * clock.Second
+	const clockOffset = 1_764_668_400 * clock.Second
 	for _, c := range []struct {
 		zone  Zone
 		bytes string
@@ -32,33 +33,33 @@
 		{Zone{Name: "somes", Phase: Healthy, Since: 60 * clock.Second},
 			"\x83\xa6number\x00\xa5phase\xa7healthy\xa5since\xcf\x00\x06D\xf4\xe4\xb4c\x00"},
 	} {
-		goldentest.Equal(t, string(c.zone.Phase), c.zone.Encode(ahead), c.bytes)
-		got, err := Decode("somes", []byte(c.bytes), ahead)
+		goldentest.Equal(t, string(c.zone.Phase), c.zone.Encode(clockOffset), c.bytes)
+		got, err := Decode("somes", []byte(c.bytes), clockOffset)
 		if d := cmp.Diff(&c.zone, got, cmp.AllowUnexported(Zone{})); err != nil || d != "" {
 			t.Errorf("%s: %v %s", c.zone.Phase, err, d)
 		}
 	}
-	stored := storedZone{Number: 3, Phase: string(Lost), SinceOfDay: 1764668460000000, Flaps: 2}
+	stored := storedZone{Number: 3, Phase: string(Lost), SinceTimeOfDay: 1764668460000000, Flaps: 2}
 	goldentest.RequireFieldsSet(t, "zone", stored)
 	goldentest.RequireTags(t, "msgpack", stored)
 	goldentest.Equal(t, "zone", protocol.Encode(stored),
 		"\x84\xa6number\x03\xa5phase\xa4lost\xa5since\xcf\x00\x06D\xf4\xe4\xb4c\x00\xa5flaps\x02")
 }
 
-// Words that are stored, shown to operators or written by them.
+// These texts are stored, shown to operators or written by operators, and must not change.
 func TestGoldenWords(t *testing.T) {
 	for _, c := range []struct{ word, want string }{
 		{string(Healthy), "healthy"},
 		{string(Suspect), "suspect"},
 		{string(Lost), "lost"},
 		{string(Returning), "returning"},
-		{string(AllHeard), "well"},
+		{string(NoneSilent), "well"},
 		{string(ControllerIsolated), "this controller hears nothing"},
 		{string(PartlySilent), "a part of it is silent"},
 		{string(PoweredOff), "it is dark"},
 		{string(PartitionedOrOff), "dark, or cut off with its workers going on inside"},
 		{string(HeartbeatsMissing), "its machines are silent, not all of it is out of reach"},
-		{string(HeardElsewhere), "other controllers hear it"},
+		{string(HeartbeatsElsewhere), "other controllers hear it"},
 		{string(Hold), "hold"},
 		{string(Hasten), "hasten"},
 		{string(End), "end"},
@@ -107,7 +108,8 @@
 	}
 }
 
-// The operators' file with all that it may have, both ways, the one under deploy/, and an empty one.
+// Parse must read a file with all fields, the file under deploy/ and an empty file into the expected
+// settings, and the settings must be written as the same file.
 func TestGoldenFile(t *testing.T) {
 	want := goldenSettings()
 	goldentest.RequireFieldsSet(t, "settings", want)
@@ -142,7 +144,7 @@
 	}
 }
 
-// What operators are told of a file that isn't good.
+// The error messages for invalid files are shown to operators and must not change.
 func TestGoldenFileErrors(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"suspect_share = 0.0", "suspect_share: fails the check gt 0 (is \"0\")"},
@@ -161,7 +163,7 @@
 	} {
 		_, err := Parse([]byte(c.text), goldenPlatform())
 		if err == nil {
-			t.Errorf("%q is taken", c.text)
+			t.Errorf("%q is accepted, want an error", c.text)
 			continue
 		}
 		goldentest.Equal(t, c.text, []byte(err.Error()), c.want)
--- a/internal/zonerecovery/load.go
+++ b/internal/zonerecovery/load.go
@@ -8,14 +8,14 @@
 	"postpoint/internal/settings"
 )
 
-// Load reads and checks the file at path for a controller with the given settings. The error names
-// the field at fault.
+// Load reads and validates the recovery file at path for a controller with the given settings. The error
+// names the invalid field.
 func Load(path string, set *settings.Settings) (*Settings, error) {
 	return configfile.Load(path, func(raw []byte) (*Settings, error) { return Parse(raw, set) })
 }
 
-// Parse checks the text of a recovery file. What it leaves out has the values of Defaults, unknown
-// fields are refused.
+// Parse decodes and validates the text of a recovery file. Fields that the file leaves out have the values of
+// Defaults. Parse rejects unknown fields.
 func Parse(raw []byte, set *settings.Settings) (*Settings, error) {
 	s := Defaults()
 	if err := configfile.DecodeTOML(raw, &s); err != nil {
@@ -33,7 +33,7 @@
 	return &s, nil
 }
 
-// checkOrder makes sure that the order has each kind once.
+// checkOrder rejects an order that doesn't list each kind exactly once.
 func (s *Settings) checkOrder() error {
 	kinds := DefaultOrder()
 	for i, kind := range s.Order {
@@ -52,7 +52,8 @@
 	return nil
 }
 
-// checkLossDelay makes sure that a zone can be lost before its machines are given up one by one.
+// checkLossDelay rejects a loss delay that isn't shorter than the lease of workers. With such a delay, the
+// leader would give up the machines of a zone one by one before the zone counts as lost.
 func (s *Settings) checkLossDelay(leaseS float64) error {
 	if s.LossDelayS < leaseS {
 		return nil
@@ -61,7 +62,7 @@
 		"is not under the workers' lease of %v s, after which machines are given up one by one", leaseS)
 }
 
-// checkZones refuses unknown actions and zones, and zones that are listed twice.
+// checkZones rejects unknown actions, unknown zones and zones that are listed twice.
 func (s *Settings) checkZones(deployed []string) error {
 	for i, override := range s.Zones {
 		field := fmt.Sprintf("zones[%d]", i)
--- a/internal/zonerecovery/load_test.go
+++ b/internal/zonerecovery/load_test.go
@@ -8,7 +8,7 @@
 	"postpoint/internal/settings"
 )
 
-// deploymentSettings are those of a deployment of two zones.
+// deploymentSettings returns the settings of a deployment in two zones.
 func deploymentSettings() *settings.Settings {
 	s := &settings.Settings{}
 	s.Deployment.Zones = []string{"somes", "mures"}
@@ -36,13 +36,13 @@
 	}
 }
 
-// Each fault is refused with the name of its field.
+// The error for an invalid field must name that field.
 func TestParseNamesFieldAtFault(t *testing.T) {
 	const (
-		settle      = "settle_s = 10.0"
-		milanoHolds = `{ name = "milano", action = "hold" }`
-		somesWaits  = `{ name = "somes", action = "wait" }`
-		somesEnds   = `{ name = "somes", action = "end" }`
+		settle             = "settle_s = 10.0"
+		milanoHold         = `{ name = "milano", action = "hold" }`
+		somesUnknownAction = `{ name = "somes", action = "wait" }`
+		somesEnd           = `{ name = "somes", action = "end" }`
 	)
 	faults := []configtest.Fault{
 		{Old: "verdict_s = 6.0", New: "verdict_s = 16.0", Field: "verdict_s"},
@@ -55,9 +55,9 @@
 		{Old: `"gangs", `, New: `"orchestras", `, Field: "order[2]"},
 		{Old: "share = 0.0", New: "share = 1.1", Field: "reserve.share"},
 		{Old: settle, New: "settles = 10.0", Field: "settles"},
-		{Old: settle, New: settle + "\nzones = [" + milanoHolds + "]", Field: "zones[0].name"},
-		{Old: settle, New: settle + "\nzones = [" + somesWaits + "]", Field: "zones[0].action"},
-		{Old: settle, New: settle + "\nzones = [" + somesEnds + ", " + somesEnds + "]",
+		{Old: settle, New: settle + "\nzones = [" + milanoHold + "]", Field: "zones[0].name"},
+		{Old: settle, New: settle + "\nzones = [" + somesUnknownAction + "]", Field: "zones[0].action"},
+		{Old: settle, New: settle + "\nzones = [" + somesEnd + ", " + somesEnd + "]",
 			Field: "zones[1].name"},
 	}
 	configtest.RequireRejected(t, configtest.ReadExample(t, "recovery.toml"), faults, func(raw []byte) error {
--- a/internal/zonerecovery/order.go
+++ b/internal/zonerecovery/order.go
@@ -7,28 +7,28 @@
 	"postpoint/internal/protocol"
 )
 
-// DisplacedJob is a job some of whose tasks a lost zone had, which are to start elsewhere.
+// DisplacedJob is a job with tasks that ran in a lost zone and have to start elsewhere.
 type DisplacedJob struct {
 	Job  protocol.JobID
 	Kind Kind
 	Rank int // 0 is the highest
-	// LostShare is which share of a service's replicas is gone.
+	// LostShare is the share of a service's replicas that the zone's loss took.
 	LostShare float64
-	// SlackS is how many seconds a job with a deadline can still wait.
+	// SlackS is the time in seconds that a job can still wait and meet its deadline.
 	SlackS      float64
 	SubmittedAt int64
-	// PendingTasks counts those that wait to start. A gang's start together.
+	// PendingTasks counts the tasks that wait to start. The tasks of a gang start together.
 	PendingTasks int
 }
 
-// SortDisplaced brings displaced jobs into the order in which they start, which is total: by kind, then by
-// rank, then services by the share that is lost and jobs with deadlines by their slack, then by
-// submission.
+// SortDisplaced sorts displaced jobs into the order in which they start: by kind; then by rank; then services
+// by largest lost share, and jobs with deadlines by least slack; then by time of submission and job ID. The
+// order is total.
 func SortDisplaced(jobs []DisplacedJob, order []Kind) {
 	slices.SortFunc(jobs, func(a, b DisplacedJob) int { return compare(&a, &b, order) })
 }
 
-// compare returns a negative number if a starts before b, a positive one if after it.
+// compare returns a negative number if a starts before b, and a positive one if a starts after b.
 func compare(a, b *DisplacedJob, order []Kind) int {
 	return cmp.Or(
 		cmp.Compare(slices.Index(order, a.Kind), slices.Index(order, b.Kind)),
@@ -39,7 +39,8 @@
 	)
 }
 
-// compareUrgency compares jobs of the same kind by what matters to that kind.
+// compareUrgency compares two services by their lost share, and two jobs with deadlines by their slack. The
+// more urgent job comes first. Other jobs are equal.
 func compareUrgency(a, b *DisplacedJob) int {
 	switch a.Kind {
 	case Services:
--- a/internal/zonerecovery/order_test.go
+++ b/internal/zonerecovery/order_test.go
@@ -22,7 +22,7 @@
 	}
 })
 
-// startsBefore is the written order, spelled out.
+// startsBefore states the documented order directly, one criterion after the other.
 func startsBefore(a, b DisplacedJob, order []Kind) bool {
 	if a.Kind != b.Kind {
 		return slices.Index(order, a.Kind) < slices.Index(order, b.Kind)
@@ -42,7 +42,7 @@
 	return a.Job < b.Job
 }
 
-// first returns the index of the job that no other one starts before.
+// first returns the index of the job that starts before all others.
 func first(jobs []DisplacedJob, order []Kind) int {
 	return slices.IndexFunc(jobs, func(job DisplacedJob) bool {
 		return !slices.ContainsFunc(jobs, func(other DisplacedJob) bool {
@@ -51,35 +51,36 @@
 	})
 }
 
-// The order and the pace against a plain model: always the first of the remaining jobs is released,
-// whole, and over any time no more than the pace, one second's worth and one job's excess.
+// SortDisplaced and Pacer must agree with a plain model: the released job is always the first of those that
+// remain, with all of its tasks, and the number of released tasks never exceeds what the rate allows for the
+// elapsed time, plus a burst of one second, plus the size of the largest job.
 func TestOrderAndPaceAgreeWithPlainModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		id := func(d DisplacedJob) protocol.JobID { return d.Job }
 		remaining := rapid.SliceOfNDistinct(drawDisplaced, 1, 20, id).Draw(t, "jobs")
 		order := rapid.Permutation(DefaultOrder()).Draw(t, "order")
-		tasksPerS := float64(rapid.IntRange(1, 50).Draw(t, "pace"))
-		var pace Pacer
+		tasksPerS := float64(rapid.IntRange(1, 50).Draw(t, "tasks per second"))
+		var pacer Pacer
 		released, largest := 0, 0
-		began := 10 * clock.Second
-		for now := began; len(remaining) > 0; now += clock.Second / 2 {
+		start := 10 * clock.Second
+		for now := start; len(remaining) > 0; now += clock.Second / 2 {
 			SortDisplaced(remaining, order)
-			for _, id := range pace.Release(remaining, now, tasksPerS) {
+			for _, id := range pacer.Release(remaining, now, tasksPerS) {
 				i := first(remaining, order)
 				if want := remaining[i].Job; id != want {
-					t.Fatalf("%s is released, want %s, which is first", id, want)
+					t.Fatalf("Release returned %s, want %s, the first in the order", id, want)
 				}
 				released += remaining[i].PendingTasks
 				largest = max(largest, remaining[i].PendingTasks)
 				remaining = slices.Delete(remaining, i, i+1)
 			}
-			elapsed := (now - began).Seconds()
+			elapsed := (now - start).Seconds()
 			if most := tasksPerS*(elapsed+1) + float64(largest); float64(released) > most+1e-6 {
 				t.Fatalf("%d tasks released after %.1f s at %v a second, want at most %v",
 					released, elapsed, tasksPerS, most)
 			}
 			if now > 10_000*clock.Second {
-				t.Fatalf("%d jobs are never released, want none", len(remaining))
+				t.Fatalf("%d jobs are still not released after 10000 s, want 0", len(remaining))
 			}
 		}
 	})
--- a/internal/zonerecovery/pace.go
+++ b/internal/zonerecovery/pace.go
@@ -5,16 +5,16 @@
 	"postpoint/internal/protocol"
 )
 
-// Pacer is a token bucket that paces the start of displaced tasks. It holds a second's worth of
-// tokens at most, so that a lull is followed by a burst of that size and no more.
+// Pacer is a token bucket that limits the rate at which displaced tasks start. It holds the tokens of at most
+// one second, which bounds the burst after an idle period.
 type Pacer struct {
-	tokens   float64 // one for each task; negative after a job larger than what was left
+	tokens   float64 // one per task; negative after a job that is larger than the tokens that were left
 	filledAt clock.Micros
 }
 
-// Release returns which of the sorted jobs may start now: as many as the pace allows, in their
-// order. A job that is larger than what is left starts whole once it is the first, and is paid for
-// by the pause after it.
+// Release returns the jobs that may start now: the first ones of the sorted jobs, until the tokens are used
+// up. While any token is left, the next job starts with all of its tasks, even if it needs more tokens than
+// are left. The debt delays the jobs after it.
 func (p *Pacer) Release(jobs []DisplacedJob, now clock.Micros, tasksPerS float64) []protocol.JobID {
 	p.refill(now, tasksPerS)
 	var released []protocol.JobID
@@ -28,8 +28,10 @@
 	return released
 }
 
+// refill adds the tokens for the time since the last refill, up to the capacity. The first refill fills the
+// bucket.
 func (p *Pacer) refill(now clock.Micros, tasksPerS float64) {
-	capacity := tasksPerS // of one second
+	capacity := tasksPerS // the tokens of one second
 	if p.filledAt == 0 {
 		p.tokens, p.filledAt = capacity, now
 	}
--- a/internal/zonerecovery/record.go
+++ b/internal/zonerecovery/record.go
@@ -7,22 +7,22 @@
 	"postpoint/internal/protocol"
 )
 
-// Prefix is where the zones' records stand in the key-value store.
+// Prefix is the prefix of the keys of the zones' records in the key-value store.
 const Prefix = "recovery/"
 
-// Key returns where one zone's record stands.
+// Key returns the key of a zone's record.
 func Key(zone string) string { return Prefix + zone }
 
-// storedZone is the record of a zone, for the leaders after this one.
+// storedZone is the record of a zone, which later leaders read.
 type storedZone struct {
 	Number int64  `msgpack:"number"`
 	Phase  string `msgpack:"phase"`
-	// SinceOfDay is the time of day in microseconds: steady clocks differ between nodes.
-	SinceOfDay int64 `msgpack:"since"`
-	Flaps      int   `msgpack:"flaps,omitempty"`
+	// SinceTimeOfDay is a time of day in microseconds, because monotonic clocks differ between nodes.
+	SinceTimeOfDay int64 `msgpack:"since"`
+	Flaps          int   `msgpack:"flaps,omitempty"`
 }
 
-// UnknownPhaseError is a record with a phase that this version doesn't know.
+// UnknownPhaseError reports a record with a phase that this version doesn't know.
 type UnknownPhaseError struct {
 	Zone, Phase string
 }
@@ -31,19 +31,20 @@
 	return fmt.Sprintf("the record of zone %q has the unknown phase %q", e.Zone, e.Phase)
 }
 
-// Encode returns the record to store, given how far the time of day is ahead of the steady clock.
-func (z *Zone) Encode(ofDay clock.Micros) []byte {
+// Encode returns the record to store. clockOffset is the time of day minus the time on this leader's
+// monotonic clock.
+func (z *Zone) Encode(clockOffset clock.Micros) []byte {
 	return protocol.Encode(storedZone{
-		Number:     z.Losses,
-		Phase:      string(z.Phase),
-		SinceOfDay: int64(z.Since + ofDay),
-		Flaps:      z.Flaps,
+		Number:         z.Losses,
+		Phase:          string(z.Phase),
+		SinceTimeOfDay: int64(z.Since + clockOffset),
+		Flaps:          z.Flaps,
 	})
 }
 
-// Decode reads what an earlier leader stored, given how far the time of day is ahead of this
-// leader's steady clock.
-func Decode(zone string, value []byte, ofDay clock.Micros) (*Zone, error) {
+// Decode decodes the record that an earlier leader stored for a zone. clockOffset is the time of day minus
+// the time on this leader's monotonic clock.
+func Decode(zone string, value []byte, clockOffset clock.Micros) (*Zone, error) {
 	var stored storedZone
 	if err := protocol.Decode(value, &stored); err != nil {
 		return nil, err
@@ -58,7 +59,7 @@
 		Name:   zone,
 		Phase:  phase,
 		Losses: stored.Number,
-		Since:  clock.Micros(stored.SinceOfDay) - ofDay,
+		Since:  clock.Micros(stored.SinceTimeOfDay) - clockOffset,
 		Flaps:  stored.Flaps,
 	}, nil
 }
--- a/internal/zonerecovery/settings.go
+++ b/internal/zonerecovery/settings.go
@@ -1,86 +1,87 @@
-// Package zonerecovery decides what is done about the loss of a zone: when a zone counts as lost and as
-// returned, in which order its work starts elsewhere, and at which pace. It owns the phases of a zone,
-// their record, the order of displaced jobs, the token bucket that paces them, and the operators'
-// file. It doesn't own the evidence, the key-value store or the placement of tasks: the leader
-// (internal/leader) gathers the first, writes the second and carries the decisions out. The package
+// Package zonerecovery decides how the leader handles the loss of a zone: when a zone counts as lost or as
+// returned, in which order its displaced jobs start elsewhere, and at which rate. It owns the phases of a
+// zone, their record, the order of displaced jobs, the token bucket that limits their rate, and the recovery
+// file that operators write. It doesn't own the evidence, the key-value store or the placement of tasks: the
+// leader (internal/leader) gathers the evidence, writes the store and carries out the decisions. The package
 // is pure: it reads no clock and sends nothing.
 //
-// docs/recovery-operations.md is the page for operators.
+// docs/recovery-operations.md describes zone recovery for operators.
 package zonerecovery
 
 import "postpoint/internal/clock"
 
-// Settings are the operators' file.
+// Settings are the contents of the recovery file.
 type Settings struct {
-	// SuspectShare is which share of a zone's machines has to be silent for it to become suspect.
+	// SuspectShare is the share of a zone's machines that must be silent for the zone to become suspect.
 	SuspectShare float64 `toml:"suspect_share" validate:"gt=0,lte=1"`
-	// LostShare is which share has to be silent for the zone to become lost.
+	// LostShare is the share of a zone's machines that must be silent for the zone to become lost.
 	LostShare float64 `toml:"lost_share" validate:"gt=0,lte=1,gtefield=SuspectShare"`
-	// LossDelayS is for how many seconds a zone has to be silent before it counts as lost.
+	// LossDelayS is the time in seconds that a zone must be silent before it counts as lost.
 	LossDelayS float64 `toml:"verdict_s" validate:"gt=0"`
-	// ReturnDelayS is for how many seconds it has to be well before it counts as healthy again.
+	// ReturnDelayS is the time in seconds for which nearly all machines of a returning zone must send
+	// heartbeats before it counts as healthy again.
 	ReturnDelayS float64 `toml:"settle_s" validate:"gte=0"`
-	// TasksPerS is how many of the lost zone's tasks may start elsewhere in a second.
+	// TasksPerS is the rate at which displaced tasks may start elsewhere, in tasks per second.
 	TasksPerS float64 `toml:"tasks_per_s" validate:"gt=0"`
-	// Order is the order of the kinds of work, the first of which starts first.
+	// Order lists the kinds of displaced jobs in the order in which they start.
 	Order   []Kind          `toml:"order"`
 	Reserve ReserveSettings `toml:"reserve"`
 	Zones   []ZoneOverride  `toml:"zones" validate:"dive"`
 }
 
-// ReserveSettings say how much room is kept for the loss of a zone.
+// ReserveSettings define the capacity that is reserved for the loss of a zone.
 type ReserveSettings struct {
-	// Share is the share of what runs in each zone for which other zones keep room at any time.
+	// Share is the share of each zone's running work for which other zones reserve capacity at all times.
 	Share float64 `toml:"share" validate:"gte=0,lte=1"`
-	// Classes are the classes of jobs for which it is kept; none: all.
+	// Classes lists the job classes that the reserve is for. An empty list means all classes.
 	Classes []string `toml:"classes"`
 }
 
-// ZoneOverride is what an operator orders for one zone.
+// ZoneOverride is an operator's override for one zone.
 type ZoneOverride struct {
 	Name   string `toml:"name" validate:"required"`
 	Action Action `toml:"action" validate:"required"`
 }
 
-// Action is what an operator may order for a zone.
+// Action is what an override does with a zone.
 type Action string
 
 // The actions.
 const (
-	// Hold keeps the zone's phase as it is and starts no more of its displaced work.
+	// Hold keeps the zone's phase as it is and starts no more of its displaced tasks.
 	Hold Action = "hold"
-	// Hasten counts a silent zone as lost at once and starts all of its displaced work.
+	// Hasten counts a silent zone as lost at once and starts all of its displaced tasks.
 	Hasten Action = "hasten"
-	// End counts the zone as healthy, whatever the evidence.
+	// End counts the zone as healthy, regardless of the evidence.
 	End Action = "end"
 )
 
-// Kind is a kind of work by which displaced jobs are ordered.
+// Kind is a kind of displaced job. Jobs of one kind start before those of the next.
 type Kind string
 
-// The kinds, in the order in which they start unless the file has another.
+// The kinds, in the default order.
 const (
 	Services      Kind = "services"
-	Deadlines     Kind = "deadlines" // jobs that can still end in time
+	Deadlines     Kind = "deadlines" // jobs that can still meet their deadlines
 	Gangs         Kind = "gangs"
 	Arrays        Kind = "arrays"
-	PastObjective Kind = "rest" // jobs whose service-level objectives are missed already
+	PastObjective Kind = "rest" // jobs that have already missed their service-level objectives
 )
 
-// DefaultOrder returns the order of kinds unless the file has another: what users notice first
-// comes first, what is too late anyway last.
+// DefaultOrder returns the order of kinds that applies unless the file sets another. The kinds whose loss
+// users notice first come first. Jobs that are too late in any case come last.
 func DefaultOrder() []Kind { return []Kind{Services, Deadlines, Gangs, Arrays, PastObjective} }
 
 // The settings of an empty file.
 const (
 	defaultSuspectShare = 0.5
-	// defaultLostShare tolerates a few machines of a lost zone that still report.
+	// defaultLostShare is below 1 because a few machines of a lost zone may still send heartbeats.
 	defaultLostShare = 0.9
-	// defaultLossDelayS is a little over two heartbeats of a worker at 2.5 s each, and has to be under
-	// the lease: shorter cuts heal by themselves.
+	// defaultLossDelayS is a little over two heartbeat intervals of 2.5 s each, because shorter interruptions
+	// end by themselves. It must be shorter than the lease of workers.
 	defaultLossDelayS   = 6
 	defaultReturnDelayS = 10
-	// defaultTasksPerS spreads the starts of a large zone's tasks over seconds.
+	// defaultTasksPerS spreads the starts of a large zone's tasks over several seconds.
 	defaultTasksPerS = 200
 )
 
@@ -96,7 +97,7 @@
 	}
 }
 
-// Action returns what an operator ordered for a zone, "" for nothing.
+// Action returns the action of the override for a zone, or "" if there is none.
 func (s *Settings) Action(zone string) Action {
 	for _, override := range s.Zones {
 		if override.Name == zone {
@@ -106,6 +107,8 @@
 	return ""
 }
 
+// lossDelay returns LossDelayS as a duration.
 func (s *Settings) lossDelay() clock.Micros { return clock.FromSeconds(s.LossDelayS) }
 
+// returnDelay returns ReturnDelayS as a duration.
 func (s *Settings) returnDelay() clock.Micros { return clock.FromSeconds(s.ReturnDelayS) }
--- a/internal/zonerecovery/zone.go
+++ b/internal/zonerecovery/zone.go
@@ -6,70 +6,74 @@
 	"postpoint/internal/clock"
 )
 
-// Phase is how a zone stands. Zones pass from one to another with hysteresis: a zone is lost only
-// after lasting silence, and healthy again only after a lasting return.
+// Phase is the state of a zone. Phases change with hysteresis: a zone becomes lost only after it was silent
+// for a time, and healthy again only after its machines have sent heartbeats for a time.
 type Phase string
 
 // The phases.
 const (
 	Healthy Phase = "healthy"
-	// Suspect zones get no new machines; nothing else is done about them.
+	// Suspect means that many machines of the zone are silent. The zone gets no new machines, and the leader
+	// takes no other measure.
 	Suspect Phase = "suspect"
-	// Lost zones' work is to start elsewhere, each task once it is proven to have ended.
+	// Lost means that the zone's tasks have to start elsewhere, each one after proof that it has ended.
 	Lost Phase = "lost"
-	// Returning zones are heard of again, and get nothing new until that has lasted.
+	// Returning means that heartbeats arrive again from a lost zone, or that the leader retries it. The
+	// zone gets nothing new until its heartbeats have lasted for the return delay.
 	Returning Phase = "returning"
 )
 
-// phasesByHealth are the phases, the best first.
+// phasesByHealth lists the phases from the healthiest to the worst.
 var phasesByHealth = []Phase{Healthy, Returning, Suspect, Lost}
 
-// worse reports whether a phase is worse for a zone than another.
+// worse reports whether p is less healthy than the other phase.
 func (p Phase) worse(than Phase) bool {
 	return slices.Index(phasesByHealth, p) > slices.Index(phasesByHealth, than)
 }
 
-// Zone is one zone as the leader follows it. Times are on the leader's steady clock.
+// Zone is the state of a zone that the leader tracks. Times are on the leader's monotonic clock.
 type Zone struct {
 	Name  string
 	Phase Phase
-	// Losses counts the zone's losses, over all leaders: records of displaced work carry it.
+	// Losses counts the zone's losses across all leaders. The records of displaced jobs contain the number of
+	// the loss.
 	Losses    int64
 	Since     clock.Micros // when the phase began
 	Diagnosis Diagnosis
-	// Flaps counts losses after the first. Each doubles the time that the next return has to last.
+	// Flaps counts losses after the first. Each flap doubles the return delay.
 	Flaps int
-	// wellSince is since when nearly all machines have been heard of, 0 if they aren't.
-	wellSince clock.Micros
-	// silentSince is since when more machines have been silent than usual, 0 if they aren't.
+	// respondingSince is when heartbeats began to arrive from nearly all machines, 0 if they don't arrive.
+	respondingSince clock.Micros
+	// silentSince is when more than the usual share of machines became silent, 0 if no more than that are.
 	silentSince clock.Micros
 }
 
 const (
-	// maxDoublings bounds how often flaps double the return delay: sixteen times the first is long
-	// enough to stop a zone that flaps from getting work.
+	// maxDoublings limits how often flaps double the return delay. Sixteen times the first delay is long
+	// enough to keep new tasks away from a flapping zone.
 	maxDoublings = 4
-	// maxReturnDelay bounds the return delay: good machines shouldn't stay empty for longer.
+	// maxReturnDelay limits the return delay, because working machines shouldn't stay idle for longer.
 	maxReturnDelay = 120 * clock.Second
-	// flapMemory is how long the phase before a loss has to have lasted for earlier flaps to be
-	// forgotten. That phase is nearly always a short Suspect, so that flaps hardly ever are.
-	flapMemory = 600 * clock.Second
-	// retryReachableDelay is after how long a lost zone without machines, of which a controller
-	// answers, is tried again: only a new machine can show whether it is back.
+	// flapResetTime is how long the phase before a loss must have lasted for that loss to reset the flap
+	// count. That phase is nearly always a short Suspect phase, so the flap count is hardly ever reset.
+	flapResetTime = 600 * clock.Second
+	// retryReachableDelay is the time after which the leader retries a lost zone that has no machines left
+	// but has a controller that responds. Only a new machine can show whether the zone is back.
 	retryReachableDelay = 30 * clock.Second
-	// retryUnreachableDelay is after how long a lost zone is tried again of which nothing can be
-	// heard, since no machine and no controller of it is left.
+	// retryUnreachableDelay is the time after which the leader retries a lost zone that has neither machines
+	// nor a reachable controller, so that no sign of its return can arrive.
 	retryUnreachableDelay = 60 * clock.Second
-	// usualSilentShare is which share of a zone's machines may be silent at any time without
-	// meaning anything: machines fail and boot by themselves.
+	// usualSilentShare is the share of a zone's machines that may be silent at any time without being a sign
+	// of a zone failure, because single machines fail and boot.
 	usualSilentShare = 0.25
-	// minMachines is how many machines a zone needs for its loss to be more than theirs.
+	// minMachines is the number of machines that a zone needs for their silence to be a sign of a zone
+	// failure.
 	minMachines = 2
 )
 
-// Observe takes the evidence of one moment and reports whether the phase changed. isolated says
-// that this controller hears from no other zone either: then what it doesn't hear says nothing of
-// this one.
+// Observe updates the zone from the evidence of one moment and reports whether the phase changed. isolated
+// tells that this controller receives no heartbeats from the other zones either. In that case, silence proves
+// nothing about this zone and can't make its phase worse.
 func (z *Zone) Observe(now clock.Micros, e Evidence, isolated bool, s *Settings) (changed bool) {
 	z.Diagnosis = Diagnose(e, isolated)
 	z.trackSilence(now, e)
@@ -79,7 +83,7 @@
 		z.enter(Healthy, now)
 	case action == Hold: // the phase stays
 	default:
-		next := z.next(now, e, s, action == Hasten)
+		next := z.nextPhase(now, e, s, action == Hasten)
 		if isolated && next.worse(before) {
 			next = before
 		}
@@ -88,48 +92,49 @@
 	return z.Phase != before
 }
 
-// trackSilence notes since when the zone has been well, or silent.
+// trackSilence records since when the zone has been responding, or silent.
 func (z *Zone) trackSilence(now clock.Micros, e Evidence) {
 	if e.silentShare() <= usualSilentShare {
 		z.silentSince = 0
-		if z.wellSince == 0 {
-			z.wellSince = now
+		if z.respondingSince == 0 {
+			z.respondingSince = now
 		}
 		return
 	}
-	z.wellSince = 0
+	z.respondingSince = 0
 	if z.silentSince == 0 {
 		z.silentSince = now
 	}
 }
 
-// next returns the phase that the evidence asks for.
-func (z *Zone) next(now clock.Micros, e Evidence, s *Settings, hasten bool) Phase {
+// nextPhase returns the phase that follows from the evidence.
+func (z *Zone) nextPhase(now clock.Micros, e Evidence, s *Settings, hasten bool) Phase {
 	switch z.Phase {
 	case Healthy, Suspect:
-		return z.nextOfServing(now, e, s, hasten)
+		return z.nextFromServing(now, e, s, hasten)
 	case Lost:
-		return z.nextOfLost(now, e)
+		return z.nextFromLost(now, e)
 	}
-	return z.nextOfReturning(now, e, s)
+	return z.nextFromReturning(now, e, s)
 }
 
-// nextOfServing decides for zones that haven't been lost: healthy and suspect ones.
-func (z *Zone) nextOfServing(now clock.Micros, e Evidence, s *Settings, hasten bool) Phase {
+// nextFromServing returns the next phase of a healthy or suspect zone. hasten skips the loss delay.
+func (z *Zone) nextFromServing(now clock.Micros, e Evidence, s *Settings, hasten bool) Phase {
 	silent := e.silentShare()
 	switch {
 	case !e.significant() || silent <= usualSilentShare:
 		return Healthy
 	case z.Phase == Healthy && silent < s.SuspectShare:
 		return Healthy
-	case silent >= s.LostShare && (hasten || z.silentForLong(now, s)):
+	case silent >= s.LostShare && (hasten || z.silentForLossDelay(now, s)):
 		return Lost
 	}
 	return Suspect
 }
 
-// nextOfLost waits for any sign of life, or tries the zone again if nothing is left to give one.
-func (z *Zone) nextOfLost(now clock.Micros, e Evidence) Phase {
+// nextFromLost returns Returning as soon as a heartbeat arrives from the zone. If the zone has no machines
+// left that could send one, it returns Returning after a delay, so that the leader retries the zone.
+func (z *Zone) nextFromLost(now clock.Micros, e Evidence) Phase {
 	switch {
 	case e.Heard > 0 && e.silentShare() < 1:
 		return Returning
@@ -141,31 +146,34 @@
 	return Lost
 }
 
-// nextOfReturning waits until the return has lasted, or counts the zone as lost again.
-func (z *Zone) nextOfReturning(now clock.Micros, e Evidence, s *Settings) Phase {
+// nextFromReturning returns Healthy after the return has lasted for the return delay, and Lost if the zone
+// has been silent again for the loss delay.
+func (z *Zone) nextFromReturning(now clock.Micros, e Evidence, s *Settings) Phase {
 	switch {
-	case e.significant() && e.silentShare() >= s.LostShare && z.silentForLong(now, s):
+	case e.significant() && e.silentShare() >= s.LostShare && z.silentForLossDelay(now, s):
 		return Lost
-	case z.wellSince != 0 && now >= max(z.wellSince, z.Since)+z.currentReturnDelay(s):
+	case z.respondingSince != 0 && now >= max(z.respondingSince, z.Since)+z.currentReturnDelay(s):
 		return Healthy
 	}
 	return Returning
 }
 
-// significant reports whether silence in the zone may mean more than a machine's own failure.
+// significant reports whether the silence in the zone may be a sign of more than the failure of a single
+// machine.
 func (e Evidence) significant() bool { return e.Machines >= minMachines && e.Heard < e.Machines }
 
-// silentForLong reports whether the zone has been silent for the loss delay.
-func (z *Zone) silentForLong(now clock.Micros, s *Settings) bool {
+// silentForLossDelay reports whether the zone has been silent for at least the loss delay.
+func (z *Zone) silentForLossDelay(now clock.Micros, s *Settings) bool {
 	return z.silentSince != 0 && now >= z.silentSince+s.lossDelay()
 }
 
-// currentReturnDelay returns for how long the present return has to last.
+// currentReturnDelay returns how long the current return must last. Each flap doubles the delay, up to a
+// limit.
 func (z *Zone) currentReturnDelay(s *Settings) clock.Micros {
 	return min(s.returnDelay()<<min(z.Flaps, maxDoublings), maxReturnDelay)
 }
 
-// enter begins a phase, unless it is the present one.
+// enter starts a phase, unless it is the current one.
 func (z *Zone) enter(phase Phase, now clock.Micros) {
 	if phase == z.Phase {
 		return
@@ -176,12 +184,14 @@
 	z.Phase, z.Since = phase, now
 }
 
-// countLoss counts a loss that begins now, and whether it is a flap.
+// countLoss counts a loss that starts now. The loss also counts as a flap if the zone was still returning, or
+// if the zone was lost before and the phase before this loss was short. A phase longer than flapResetTime
+// resets the flap count instead, unless it is Returning.
 func (z *Zone) countLoss(now clock.Micros) {
 	switch {
 	case z.Phase == Returning:
 		z.Flaps++
-	case now > z.Since+flapMemory:
+	case now > z.Since+flapResetTime:
 		z.Flaps = 0
 	case z.Losses > 0:
 		z.Flaps++
@@ -189,8 +199,8 @@
 	z.Losses++
 }
 
-// IsCordoned reports whether nothing new is to go to the zone.
+// IsCordoned reports whether the zone must get no new machines or tasks.
 func (z *Zone) IsCordoned() bool { return z.Phase != Healthy }
 
-// ShouldPersist reports whether the phase has to outlive the leader.
+// ShouldPersist reports whether the phase must be stored for the leaders after this one.
 func (z *Zone) ShouldPersist() bool { return z.Phase == Lost || z.Phase == Returning }
--- a/internal/zonerecovery/zone_test.go
+++ b/internal/zonerecovery/zone_test.go
@@ -10,16 +10,16 @@
 	"postpoint/internal/rapidtest"
 )
 
-// TestMain fixes what rapid draws: the result is the same every time.
+// TestMain fixes the seed and the number of checks of rapid, so that every run draws the same values.
 func TestMain(m *testing.M) { rapidtest.Main(m, 500) }
 
 var (
-	well   = Evidence{Machines: 10, Heard: 10, Controllers: 1, ControllersReached: 1}
-	silent = Evidence{Machines: 10, Controllers: 1}
-	half   = Evidence{Machines: 10, Heard: 4, Controllers: 1, ControllersReached: 1}
+	noneSilent = Evidence{Machines: 10, Heard: 10, Controllers: 1, ControllersReached: 1}
+	allSilent  = Evidence{Machines: 10, Controllers: 1}
+	mostSilent = Evidence{Machines: 10, Heard: 4, Controllers: 1, ControllersReached: 1}
 )
 
-// observedZone is a zone with the clock by which it is shown evidence.
+// observedZone is a zone with the simulated time and the settings for its observations.
 type observedZone struct {
 	*Zone
 	now      clock.Micros
@@ -34,7 +34,8 @@
 	}
 }
 
-// observeFor shows the zone the same evidence for some time, twice a second, and returns its phase then.
+// observeFor passes the same evidence to the zone twice per second for the given duration, and returns the
+// phase at the end.
 func (z *observedZone) observeFor(duration clock.Micros, e Evidence, isolated bool) Phase {
 	for until := z.now + duration; z.now < until; z.now += clock.Second / 2 {
 		z.Observe(z.now, e, isolated, &z.settings)
@@ -42,8 +43,8 @@
 	return z.Phase
 }
 
-// A zone's way through its phases: hysteresis both ways, partial loss, an isolated controller, an
-// operator's override.
+// A zone must pass through the expected phases: with hysteresis on loss and return, on partial silence, with
+// an isolated controller, and under an operator's override.
 func TestZonePassesThroughPhases(t *testing.T) {
 	type step struct {
 		seconds  clock.Micros
@@ -59,46 +60,46 @@
 		steps  []step
 	}{
 		"lost and back": {"", []step{
-			{1, well, false, Healthy},
-			{2, silent, false, Suspect},
-			{6, silent, false, Lost},
-			{2, well, false, Returning},
-			{12, well, false, Healthy},
+			{1, noneSilent, false, Healthy},
+			{2, allSilent, false, Suspect},
+			{6, allSilent, false, Lost},
+			{2, noneSilent, false, Returning},
+			{12, noneSilent, false, Healthy},
 		}},
 		"short silence": {"", []step{
-			{1, well, false, Healthy},
-			{5, silent, false, Suspect},
-			{1, well, false, Healthy},
+			{1, noneSilent, false, Healthy},
+			{5, allSilent, false, Suspect},
+			{1, noneSilent, false, Healthy},
 		}},
 		"partial silence": {"", []step{
-			{30, half, false, Suspect},
-			{1, well, false, Healthy},
+			{30, mostSilent, false, Suspect},
+			{1, noneSilent, false, Healthy},
 		}},
-		"isolated controller": {"", []step{{60, silent, true, Healthy}}},
+		"isolated controller": {"", []step{{60, allSilent, true, Healthy}}},
 		"isolated in between": {"", []step{
-			{8, silent, false, Lost},
-			{20, silent, true, Lost},
-			{2, well, true, Returning},
+			{8, allSilent, false, Lost},
+			{20, allSilent, true, Lost},
+			{2, noneSilent, true, Returning},
 		}},
 		"one machine": {"", []step{{60, oneMachine, false, Healthy}}},
 		"nothing left": {"", []step{
-			{8, silent, false, Lost},
+			{8, allSilent, false, Lost},
 			{40, noMachines, false, Lost},
 			{30, noMachines, false, Healthy},
 		}},
 		"controller answers": {"", []step{
-			{8, silent, false, Lost},
+			{8, allSilent, false, Lost},
 			{30, controllerAnswers, false, Returning},
 		}},
-		"held":     {Hold, []step{{60, silent, false, Healthy}}},
-		"hastened": {Hasten, []step{{2, silent, false, Lost}}},
-		"ended":    {End, []step{{60, silent, false, Healthy}}},
+		"held":     {Hold, []step{{60, allSilent, false, Healthy}}},
+		"hastened": {Hasten, []step{{2, allSilent, false, Lost}}},
+		"ended":    {End, []step{{60, allSilent, false, Healthy}}},
 		"second loss": {"", []step{
-			{8, silent, false, Lost},
-			{2, well, false, Returning},
-			{9, silent, false, Lost},
-			{15, well, false, Returning},
-			{10, well, false, Healthy},
+			{8, allSilent, false, Lost},
+			{2, noneSilent, false, Returning},
+			{9, allSilent, false, Lost},
+			{15, noneSilent, false, Returning},
+			{10, noneSilent, false, Healthy},
 		}},
 	} {
 		z := newObservedZone()
@@ -114,41 +115,42 @@
 	}
 }
 
-// However a zone flaps, its losses are bounded by the loss delay and by the returns, each of which
-// has to last longer: for ten minutes of any pattern.
+// A flapping zone must not be lost without bound: over ten minutes of any pattern of silence, the loss delay
+// and the growing return delay limit the number of losses.
 func TestLossesOfFlappingZoneAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		z := newObservedZone()
 		s := &z.settings
 		for z.now < 700*clock.Second {
-			z.observeFor(clock.Micros(rapid.IntRange(1, 30).Draw(t, "silent"))*clock.Second, silent, false)
-			z.observeFor(clock.Micros(rapid.IntRange(1, 30).Draw(t, "well"))*clock.Second, well, false)
+			z.observeFor(clock.Micros(rapid.IntRange(1, 30).Draw(t, "silent"))*clock.Second, allSilent, false)
+			z.observeFor(clock.Micros(rapid.IntRange(1, 30).Draw(t, "responding"))*clock.Second, noneSilent, false)
 		}
-		if most := int64(600 / s.LossDelayS); z.Losses > most {
-			t.Fatalf("%d losses in ten minutes, want at most %d", z.Losses, most)
+		if limit := int64(600 / s.LossDelayS); z.Losses > limit {
+			t.Fatalf("%d losses in ten minutes, want at most %d", z.Losses, limit)
 		}
 		least := min(s.returnDelay()<<min(z.Flaps, maxDoublings), maxReturnDelay)
 		if got := z.currentReturnDelay(s); z.Flaps > 0 && got < least {
 			t.Fatalf("return delay of %.0f s after %d flaps, want at least %.0f s",
 				got.Seconds(), z.Flaps, least.Seconds())
 		}
-		z.observeFor(maxReturnDelay+20*clock.Second, well, false)
+		z.observeFor(maxReturnDelay+20*clock.Second, noneSilent, false)
 		if z.Phase != Healthy {
 			t.Fatalf("phase %s after the longest return delay, want %s", z.Phase, Healthy)
 		}
 	})
 }
 
-// What an earlier leader stored is resumed at the same time of day.
+// A new leader must resume the stored phase with its start at the same time of day, although its monotonic
+// clock differs from that of the earlier leader.
 func TestRecordOutlivesLeader(t *testing.T) {
 	z := newObservedZone()
-	z.observeFor(8*clock.Second, silent, false)
+	z.observeFor(8*clock.Second, allSilent, false)
 	next, err := Decode("a", z.Encode(1000*clock.Second), 1050*clock.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if next.Phase != Lost || next.Losses != 1 || next.Since != z.Since-50*clock.Second {
-		t.Fatalf("%+v, want phase %s, number 1, since %v", next, Lost, z.Since-50*clock.Second)
+		t.Fatalf("%+v, want phase %s, 1 loss, since %v", next, Lost, z.Since-50*clock.Second)
 	}
 }
 
