--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -7,7 +7,7 @@
 	"postpoint/internal/settings"
 )
 
-// ownSettings are those of a controller of cell alpha.
+// ownSettings returns the settings of a controller of cell alpha.
 func ownSettings() *settings.Settings {
 	s := &settings.Settings{Node: "worker-0", Peers: []settings.Peer{{Node: "worker-1"}, {Node: "worker-2"}}}
 	s.Deployment.Teams = []settings.Team{{Name: "evaluare"}}
@@ -21,7 +21,7 @@
 	return s
 }
 
-// exampleDirectory is what the file under deploy/ says to a controller of cell alpha.
+// exampleDirectory parses the cells file under deploy/ for a controller of cell alpha.
 func exampleDirectory(t *testing.T) *Directory {
 	t.Helper()
 	d, err := Parse([]byte(configtest.ReadExample(t, "cells.toml")), ownSettings())
@@ -43,17 +43,17 @@
 		t.Errorf("worker-1 has address %q, want 10.0.0.2:8082", address)
 	}
 	if !d.AcceptsFrom("beta") {
-		t.Error("alpha hosts no jobs of beta, want it to")
+		t.Error("alpha accepts no jobs from beta, want it to accept them")
 	}
 }
 
 func TestExampleFileLimitsOffloadingByClass(t *testing.T) {
 	d := exampleDirectory(t)
 	if _, ok := d.OffloadRule("extrase", "evaluare"); !ok {
-		t.Error("class extrase may not be offloaded, want it to be")
+		t.Error("no rule allows class extrase to be offloaded, want one")
 	}
 	if _, ok := d.OffloadRule("revaluare", "evaluare"); ok {
-		t.Error("class revaluare may be offloaded, want it to stay")
+		t.Error("a rule allows class revaluare to be offloaded, want none")
 	}
 }
 
@@ -65,7 +65,7 @@
 	}
 }
 
-// Each fault is refused with the name of its field.
+// The error for an invalid field must name that field.
 func TestParseNamesFieldAtFault(t *testing.T) {
 	const (
 		betaToAlpha = "from = \"beta\"\nto = [\"alpha\"]"
@@ -92,7 +92,7 @@
 		{Old: `to = ["beta"]`, New: "to = [\"beta\"]\nsplit_gangs = true", Field: "spill[0].split_gangs"},
 		{Old: `after_s = 15.0`, New: `after_s = -1.0`, Field: "spill[0].after_s"},
 		{Old: `after_s = 15.0`, New: `afterwards = 15.0`, Field: "afterwards"},
-		// No time is left for a permission.
+		// This lease of the host cell leaves no time for a permission.
 		{Old: "lease_s = 16.0\nguests", New: "lease_s = 24.0\nguests", Field: "spill[0].to"},
 	}
 	configtest.RequireRejected(t, configtest.ReadExample(t, "cells.toml"), faults, func(raw []byte) error {
--- a/internal/cells/check.go
+++ b/internal/cells/check.go
@@ -9,18 +9,18 @@
 	"postpoint/internal/settings"
 )
 
-// check compares fields with each other and with the controller's settings.
+// check validates the fields against each other and against the controller's settings.
 func (f *file) check(set *settings.Settings) error {
 	if err := f.checkCells(); err != nil {
 		return err
 	}
-	if err := f.checkOwn(set); err != nil {
+	if err := f.checkOwnCell(set); err != nil {
 		return err
 	}
 	return f.checkRules(set)
 }
 
-// checkCells makes sure that cells and addresses are unique.
+// checkCells rejects invalid cell names, and names and addresses that are listed twice.
 func (f *file) checkCells() error {
 	names, addresses := map[string]bool{}, map[string]bool{}
 	for i, c := range f.Cells {
@@ -43,11 +43,12 @@
 	return nil
 }
 
-// maxNameLength leaves room for job and number in the ids of hosted jobs.
+// maxNameLength keeps the IDs of hosted jobs short enough: they contain the cell's name, the job ID and the
+// number of the delegation.
 const maxNameLength = 16
 
-// validName reports whether a cell can be called so: names stand in keys and task names, between
-// dots and slashes.
+// validName reports whether a cell may have this name. Names are parts of keys and task names, which use dots
+// and slashes as separators.
 func validName(name string) bool {
 	for _, c := range []byte(name) {
 		if (c < 'a' || c > 'z') && (c < '0' || c > '9') && c != '-' {
@@ -57,11 +58,11 @@
 	return name != "" && len(name) <= maxNameLength
 }
 
-// checkOwn compares what the file says of the controller's own cell with its settings.
-func (f *file) checkOwn(set *settings.Settings) error {
+// checkOwnCell rejects an entry of the controller's own cell that doesn't match the controller's settings.
+func (f *file) checkOwnCell(set *settings.Settings) error {
 	own := f.find(f.Cell)
 	if own == nil {
-		return notAmongCells("cell", f.Cell)
+		return unknownCell("cell", f.Cell)
 	}
 	field := "cells." + own.Name
 	if lease := set.Deployment.Workers.LeaseS; own.LeaseS != lease {
@@ -80,7 +81,7 @@
 	return nil
 }
 
-// find returns the entry of a cell, or nil.
+// find returns the entry of a cell, or nil if the file doesn't list the cell.
 func (f *file) find(name string) *cellEntry {
 	for i := range f.Cells {
 		if f.Cells[i].Name == name {
@@ -90,11 +91,12 @@
 	return nil
 }
 
-func notAmongCells(field, name string) error {
+// unknownCell returns the error for a field that names a cell that the file doesn't list.
+func unknownCell(field, name string) error {
 	return configfile.Invalid(field, name, "is not among the cells")
 }
 
-// checkRules refuses rules that name what isn't there, and those that could never be used.
+// checkRules rejects rules that name unknown cells or teams, and rules that could never apply.
 func (f *file) checkRules(set *settings.Settings) error {
 	for i := range f.OffloadRules {
 		if err := f.checkRule(i, set); err != nil {
@@ -104,11 +106,12 @@
 	return nil
 }
 
+// checkRule validates the rule at an index.
 func (f *file) checkRule(i int, set *settings.Settings) error {
 	rule := &f.OffloadRules[i]
 	field := fmt.Sprintf("spill[%d]", i)
 	if f.find(rule.From) == nil {
-		return notAmongCells(field+".from", rule.From)
+		return unknownCell(field+".from", rule.From)
 	}
 	if rule.SplitGangs {
 		return configfile.Invalid(field+".split_gangs", true,
@@ -129,18 +132,18 @@
 	return f.checkTeams(field+".teams", rule, set)
 }
 
-// checkDestination checks the cell at an index of a rule's destinations.
+// checkDestination validates the cell at an index of a rule's destinations.
 func (f *file) checkDestination(field string, rule *ruleEntry, index int, set *settings.Settings) error {
 	name := rule.To[index]
 	host := f.find(name)
 	switch {
 	case host == nil:
-		return notAmongCells(field, name)
+		return unknownCell(field, name)
 	case name == rule.From:
 		return configfile.Invalid(field, name, "would offload to itself")
 	case slices.Contains(rule.To[:index], name):
 		return configfile.Invalid(field, name, "is listed twice")
-	case host.HostedQuota == amountEntry{}:
+	case host.HostedQuota == resourcesEntry{}:
 		return configfile.Invalid(field, name, "hosts no jobs: it has no guests amounts")
 	case rule.From == f.Cell:
 		return checkPermission(field, host, set.Deployment.Workers)
@@ -148,8 +151,8 @@
 	return nil
 }
 
-// checkPermission refuses a host cell that is rid of tasks so late that no time is left for a
-// permission.
+// checkPermission rejects a host cell that takes so long to stop its tasks that its permissions would be
+// shorter than MinPermission.
 func checkPermission(field string, host *cellEntry, origin settings.Workers) error {
 	clearTime := ClearTime(clock.FromSeconds(host.LeaseS))
 	permission := MaxPermission(origin, clearTime)
@@ -162,10 +165,10 @@
 		clearTime.Seconds(), origin.CancelS, permission.Seconds(), MinPermission.Seconds())
 }
 
-// checkTeams makes sure that the teams of a rule of the controller's own cell exist.
+// checkTeams rejects unknown teams in the rules of the controller's own cell.
 func (f *file) checkTeams(field string, rule *ruleEntry, set *settings.Settings) error {
 	if rule.From != f.Cell {
-		return nil // other cells have teams of their own
+		return nil // other cells have their own teams
 	}
 	for _, team := range rule.Teams {
 		if _, known := set.Deployment.Team(team); !known {
@@ -175,12 +178,12 @@
 	return nil
 }
 
-// overlaps reports whether two rules are for some work of the same cell.
+// overlaps reports whether two rules apply to some of the same jobs of a cell.
 func (e *ruleEntry) overlaps(other *ruleEntry) bool {
 	return e.From == other.From && intersect(e.Classes, other.Classes) && intersect(e.Teams, other.Teams)
 }
 
-// intersect reports whether two lists, of which an empty one stands for everything, share a name.
+// intersect reports whether two lists share a name. An empty list contains all names.
 func intersect(a, b []string) bool {
 	return len(a) == 0 || len(b) == 0 ||
 		slices.ContainsFunc(a, func(name string) bool { return slices.Contains(b, name) })
--- a/internal/cells/directory.go
+++ b/internal/cells/directory.go
@@ -7,8 +7,7 @@
 	"postpoint/internal/planner"
 )
 
-// Directory is what a controller knows of the federation. It doesn't change while the controller
-// runs.
+// Directory describes the federation to a controller. It doesn't change while the controller runs.
 type Directory struct {
 	// Own is the controller's own cell.
 	Own   *Cell
@@ -20,32 +19,32 @@
 type Cell struct {
 	Name        string
 	Controllers []Controller
-	// Lease is that of its workers.
+	// Lease is the lease of the cell's workers.
 	Lease clock.Micros
-	// HostedQuota is the quota for hosted jobs: the most that they may use at once. Reserve is what they
-	// may not take of the machines that are up.
+	// HostedQuota limits the resources that hosted jobs may use at once. Reserve is the capacity of ready
+	// machines that hosted jobs must leave free.
 	HostedQuota, Reserve planner.Resources
-	// Draining cells give back the jobs that they host, take back the tasks that they offloaded, and
-	// exchange nothing new.
+	// Draining tells that the cell returns the jobs that it hosts, recalls the tasks that it offloaded, and
+	// neither offloads nor hosts anything new.
 	Draining bool
 }
 
 // Controller is one controller of a cell.
 type Controller struct {
 	Node    string
-	Address string // where other cells reach it
+	Address string // address for other cells
 }
 
-// OffloadRule says which work may be offloaded from a cell, and where to.
+// OffloadRule allows a cell to offload certain jobs to certain other cells.
 type OffloadRule struct {
 	From           string
-	Classes, Teams []string // empty: all
+	Classes, Teams []string // an empty list means all
 	To             []string
-	// MinWait is how long work waits in its origin cell first.
+	// MinWait is how long a job waits in its origin cell before the cell may offload it.
 	MinWait clock.Micros
 }
 
-// directory converts a checked file.
+// directory converts a validated file.
 func (f *file) directory() *Directory {
 	d := &Directory{}
 	for i := range f.Cells {
@@ -58,13 +57,14 @@
 	return d
 }
 
+// cell converts the entry of a cell.
 func (e *cellEntry) cell() *Cell {
 	c := &Cell{
 		Name:        e.Name,
 		Lease:       clock.FromSeconds(e.LeaseS),
 		Draining:    e.Drain,
-		HostedQuota: e.HostedQuota.amounts(),
-		Reserve:     e.Reserve.amounts(),
+		HostedQuota: e.HostedQuota.resources(),
+		Reserve:     e.Reserve.resources(),
 	}
 	for _, controller := range e.Controllers {
 		c.Controllers = append(c.Controllers, Controller(controller))
@@ -72,21 +72,23 @@
 	return c
 }
 
+// rule converts the entry of a rule.
 func (e *ruleEntry) rule() OffloadRule {
 	return OffloadRule{
 		From:    e.From,
 		Classes: e.Classes,
 		Teams:   e.Teams,
 		To:      e.To,
-		MinWait: clock.FromSeconds(e.AfterS),
+		MinWait: clock.FromSeconds(e.MinWaitS),
 	}
 }
 
-func (e amountEntry) amounts() planner.Resources {
+// resources converts an amount of resources.
+func (e resourcesEntry) resources() planner.Resources {
 	return planner.Resources{Cpus: e.Cpus, Gpus: e.Gpus}
 }
 
-// Cell finds a cell by name, or nil.
+// Cell returns the cell with a name, or nil if there is none.
 func (d *Directory) Cell(name string) *Cell {
 	for _, c := range d.cells {
 		if c.Name == name {
@@ -96,13 +98,13 @@
 	return nil
 }
 
-// Others returns the cells but the controller's own.
+// Others returns all cells except the controller's own.
 func (d *Directory) Others() []*Cell {
 	return slices.DeleteFunc(slices.Clone(d.cells), func(c *Cell) bool { return c == d.Own })
 }
 
-// OffloadRule finds the rule by which work of the controller's own cell may be offloaded. The result is
-// false if it has to stay.
+// OffloadRule returns the rule that allows the controller's own cell to offload jobs of a class and team, and
+// false if no rule does.
 func (d *Directory) OffloadRule(class, team string) (OffloadRule, bool) {
 	for _, rule := range d.rules {
 		if rule.From == d.Own.Name && covers(rule.Classes, class) && covers(rule.Teams, team) {
@@ -112,17 +114,17 @@
 	return OffloadRule{}, false
 }
 
-// covers reports whether a list, of which an empty one stands for everything, has a name.
+// covers reports whether a list contains a name. An empty list contains all names.
 func covers(names []string, name string) bool { return len(names) == 0 || slices.Contains(names, name) }
 
-// AcceptsFrom reports whether a rule lets the controller's own cell host jobs of another one.
+// AcceptsFrom reports whether a rule allows the controller's own cell to host jobs of the named cell.
 func (d *Directory) AcceptsFrom(name string) bool {
 	return slices.ContainsFunc(d.rules, func(rule OffloadRule) bool {
 		return rule.From == name && slices.Contains(rule.To, d.Own.Name)
 	})
 }
 
-// Address returns where other cells reach a node of the cell, "" if it isn't one.
+// Address returns the address of a controller for other cells, or "" if the cell has no such controller.
 func (c *Cell) Address(node string) string {
 	for _, controller := range c.Controllers {
 		if controller.Node == node {
@@ -132,7 +134,7 @@
 	return ""
 }
 
-// HasAddress reports whether an address is one of the cell's controllers.
+// HasAddress reports whether an address belongs to one of the cell's controllers.
 func (c *Cell) HasAddress(address string) bool {
 	return slices.ContainsFunc(c.Controllers, func(controller Controller) bool {
 		return controller.Address == address
--- a/internal/cells/golden_test.go
+++ b/internal/cells/golden_test.go
@@ -77,30 +77,31 @@
 					{Node: "worker-2", Address: "10.0.0.3:8082"},
 				},
 				LeaseS:      16,
-				HostedQuota: amountEntry{Cpus: 128.5, Gpus: 8},
-				Reserve:     amountEntry{Cpus: 16.25, Gpus: 2},
+				HostedQuota: resourcesEntry{Cpus: 128.5, Gpus: 8},
+				Reserve:     resourcesEntry{Cpus: 16.25, Gpus: 2},
 				Drain:       true,
 			},
 			{
 				Name:        "beta",
 				Controllers: []controllerEntry{{Node: "worker-0", Address: "10.1.0.1:8082"}},
 				LeaseS:      12.5,
-				HostedQuota: amountEntry{Cpus: 64, Gpus: 4},
+				HostedQuota: resourcesEntry{Cpus: 64, Gpus: 4},
 			},
 		},
 		OffloadRules: []ruleEntry{{
-			From:    "alpha",
-			Classes: []string{"scenarii", "extrase"},
-			Teams:   []string{"evaluare"},
-			To:      []string{"beta"},
-			AfterS:  15.5,
+			From:     "alpha",
+			Classes:  []string{"scenarii", "extrase"},
+			Teams:    []string{"evaluare"},
+			To:       []string{"beta"},
+			MinWaitS: 15.5,
 		}},
 	}
 }
 
-var inside = cmp.AllowUnexported(Directory{})
+var unexportedFields = cmp.AllowUnexported(Directory{})
 
-// The operators' file with all that it may have, both ways.
+// Parse must read a cells file with all fields into the expected directory, and the contents must be written
+// as the same file.
 func TestGoldenFile(t *testing.T) {
 	goldentest.RequireTags(t, "toml", file{})
 	goldentest.RequireFieldsSet(t, "cell", goldenContents().Cells[0])
@@ -150,12 +151,12 @@
 			MinWait: 15_500 * clock.Millisecond,
 		}},
 	}
-	if d := cmp.Diff(want, got, inside); d != "" {
+	if d := cmp.Diff(want, got, unexportedFields); d != "" {
 		t.Error(d)
 	}
 }
 
-// The file under deploy/.
+// Parse must read the example file under deploy/ into the expected directory.
 func TestGoldenExampleFile(t *testing.T) {
 	got, err := Parse([]byte(configtest.ReadExample(t, "cells.toml")), ownSettings())
 	if err != nil {
@@ -195,12 +196,12 @@
 			{From: "beta", To: []string{"alpha"}, MinWait: 15 * clock.Second},
 		},
 	}
-	if d := cmp.Diff(want, got, inside); d != "" {
+	if d := cmp.Diff(want, got, unexportedFields); d != "" {
 		t.Error(d)
 	}
 }
 
-// What operators are told of a file that isn't good.
+// The error messages for invalid files are shown to operators and must not change.
 func TestGoldenFileErrors(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"", "cell: fails the check required  (is \"\")"},
@@ -213,7 +214,7 @@
 	} {
 		_, err := Parse([]byte(c.text), ownSettings())
 		if err == nil {
-			t.Errorf("%q is taken", c.text)
+			t.Errorf("%q is accepted, want an error", c.text)
 			continue
 		}
 		goldentest.Equal(t, c.text, []byte(err.Error()), c.want)
--- a/internal/cells/permission.go
+++ b/internal/cells/permission.go
@@ -5,41 +5,43 @@
 	"postpoint/internal/settings"
 )
 
-// A host cell may start and keep a task only while it has the origin cell's permission, which works
-// like a lease: the host asks for its renewal again and again. The permission's length follows from
-// cancel_s of the origin cell: see "How long a permission lasts" in docs/cells.md.
+// A host cell may start and keep a task only while it has the origin cell's permission. The permission is a
+// lease that the host cell renews periodically. Its length follows from the setting cancel_s of the origin
+// cell: see "How long a permission lasts" in docs/cells.md.
 //
 //	T         the origin cell's leader knows every cancellation confirmed before T
-//	T + P     no permission that it gives lasts longer
-//	T + P + E the host cell is rid of the tasks: E is its ClearTime
+//	T + P     the permissions that it grants with this knowledge have expired
+//	T + P + E no machine of the host cell runs the tasks any more: E is the host cell's ClearTime
 //	          T + P + E + margin <= T + cancel_s
 const (
-	// silenceMargin is what a leader waits beyond a lease before it takes silence for proof.
+	// silenceMargin is how long a leader waits after a lease has expired before it concludes that a silent
+	// machine runs nothing.
 	silenceMargin = clock.Second
-	// driftDivisor allows for clocks that drift apart by a thousandth of a lease.
+	// driftDivisor allows for clocks that drift apart by up to 1/1000 of a lease.
 	driftDivisor = 1000
-	// returnTime is left for the cloud to return a machine that hangs with a task.
+	// returnTime is the time that the cloud may take to release a machine on which a task hangs.
 	returnTime = 7 * clock.Second
-	// permissionMargin covers drift between clocks, timers, and responses under way.
+	// permissionMargin covers clock drift, timer delays and the latency of responses.
 	permissionMargin = clock.Second
-	// MinPermission lets two exchanges in a row fail before a permission ends.
+	// MinPermission is long enough that two consecutive exchanges may fail before a permission expires.
 	MinPermission = 4 * clock.Second
 )
 
-// SilenceTime returns after which time, counted from the last response to it, a host cell's silent
-// machine holds nothing that is still running: its lease, the drift of clocks, and a margin.
+// SilenceTime returns the time after which a silent machine of a host cell runs no more tasks, counted from
+// the leader's last response to it. It is the lease, plus clock drift and a margin.
 func SilenceTime(lease clock.Micros) clock.Micros { return lease + lease/driftDivisor + silenceMargin }
 
-// ClearTime returns how long after the end of a permission a cell whose workers have the given
-// lease takes at most until nothing that needed it is on its machines.
+// ClearTime returns the longest time from the expiry of a permission until no machine of the host cell runs a
+// task that needed the permission. lease is the lease of the host cell's workers.
 func ClearTime(lease clock.Micros) clock.Micros { return SilenceTime(lease) + returnTime }
 
-// MaxPermission returns how long after the moment up to which an origin cell's leader knows all
-// cancellations its permissions may last, for a host cell with the given ClearTime.
+// MaxPermission returns the longest duration of a permission for a host cell with the given ClearTime. The
+// duration counts from the time up to which the origin cell's leader knows all cancellations.
 func MaxPermission(origin settings.Workers, clearTime clock.Micros) clock.Micros {
 	return clock.FromSeconds(origin.CancelS) - clearTime - permissionMargin
 }
 
-// ProofTime returns how long after the moment up to which cancellations were known at its last
-// permission nothing of a delegation runs or can start, whatever the host cell does.
+// ProofTime returns the time after which no task of a delegation runs or can start, whatever the host cell
+// does. It counts from the time up to which the origin cell's leader knew all cancellations when it granted
+// the last permission.
 func ProofTime(origin settings.Workers) clock.Micros { return clock.FromSeconds(origin.CancelS) }
