--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -8,8 +8,8 @@
 	"postpoint/internal/protocol"
 )
 
-// A leader that is partitioned with the workers renews their leases only until a
-// cancellation that the majority accepted must have taken effect.
+// A leader is partitioned together with the workers, and the majority accepts a cancellation. The old leader
+// must stop renewing the workers' leases early enough for the cancelled tasks to end in time.
 func TestPartitionedLeaderLetsCancelledTasksExpire(t *testing.T) {
 	w := NewWorld(3)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
@@ -21,11 +21,11 @@
 	}
 	leader := mustLead(t, d)
 	for _, n := range d.Nodes {
-		n.Clouds.Cut = true // or the new leader would release the machines
+		n.CloudLink.Cut = true // otherwise the new leader would release the machines
 		if n == leader {
-			n.State.Cut, n.Peers.Cut = true, true
+			n.StoreLink.Cut, n.PeerLink.Cut = true, true
 		} else {
-			n.Workers.Cut = true
+			n.WorkerLink.Cut = true
 		}
 	}
 	d.Cancel(j)
@@ -34,28 +34,28 @@
 	mustKeepRules(t, w)
 }
 
-// The store refuses the leader and then is out for everybody, while a worker reaches no controller.
-// Direct commands reach it only after the leader's lease expired; they still stop what is cancelled.
+// The store rejects the leader and then has an outage, while a worker reaches no controller. Direct commands
+// reach the worker only after the leader's lease expired; they must still stop cancelled tasks.
 func TestRefusedLeaderStopsCancelledTasksByCommand(t *testing.T) {
 	w, d, j, _ := twoJobs(t, 37, 300*clock.Second)
-	mustLead(t, d).State.StoreRefuses = true
-	mute := sortedKeys(j.machines[0])[0]
-	mute.HeartbeatsLost, mute.Commands.Cut = true, true
+	mustLead(t, d).StoreLink.StoreRejects = true
+	silent := sortedKeys(j.machines[0])[0]
+	silent.HeartbeatsLost, silent.Commands.Cut = true, true
 	confirmCancel(w, d, j)
-	d.Store.Outage(true)
+	d.Store.SetOutage(true)
 	w.Run(w.Now() + 4*clock.Second)
-	mute.Commands.Heal()
+	silent.Commands.Heal()
 	w.Run(w.Now() + 5*clock.Second)
-	if mute.runs(j) || mute.incarnation != 1 {
-		t.Fatalf("the cancelled job runs: %v, want false; incarnation %d, want 1", mute.runs(j),
-			mute.incarnation)
+	if silent.runs(j) || silent.incarnation != 1 {
+		t.Fatalf("the cancelled job runs: %v, want false; incarnation %d, want 1", silent.runs(j),
+			silent.incarnation)
 	}
 	w.Run(w.Now() + 40*clock.Second)
 	mustKeepRules(t, w)
 }
 
-// Leaders change every few seconds while a worker hangs with cancelled tasks. Each of them counts
-// from the time in the job's record, so none delays the worker's release.
+// Leaders change every few seconds while a worker hangs with cancelled tasks. Each leader computes the
+// deadline from the time in the job's record, so that no failover delays the worker's release.
 func TestFailoversDontDelayReleaseOfHungWorkers(t *testing.T) {
 	w, d, j, other := twoJobs(t, 42, 200*clock.Second)
 	hung := sortedKeys(j.machines[0])[0]
@@ -69,15 +69,15 @@
 	w.Run(w.Now() + 20*clock.Second)
 	mustKeepRules(t, w)
 	if j.finalStatus != protocol.StatusCancelled || !hung.ended {
-		t.Fatalf("told %q, want %q; worker released: %v, want true",
+		t.Fatalf("the user got %q, want %q; worker released: %v, want true",
 			j.finalStatus, protocol.StatusCancelled, hung.ended)
 	}
 	w.Run(w.Now() + 600*clock.Second)
 	mustBeDone(t, w, other)
 }
 
-// The cloud refuses everything while a worker hangs with cancelled tasks: its release is retried
-// until the cloud responds, before any other request.
+// The cloud rejects all requests while a worker hangs with cancelled tasks. The leader must retry its
+// release, before any other request, until the cloud responds.
 func TestRefusedReleasesAreRetried(t *testing.T) {
 	w, d, j, _ := twoJobs(t, 43, 300*clock.Second)
 	hung := sortedKeys(j.machines[0])[0]
@@ -92,8 +92,8 @@
 	mustKeepRules(t, w)
 }
 
-// A job is cancelled, and all controllers are down for longer than the workers' lease before its
-// tasks could be stopped.
+// A user cancels a job, and all controllers are down for longer than the workers' lease before any of them
+// stops the job's tasks.
 func TestCancellationSurvivesLossOfAllControllers(t *testing.T) {
 	w, d, j, other := twoJobs(t, 47, 100*clock.Second)
 	d.Cancel(j)
@@ -104,13 +104,13 @@
 		n.Crash()
 	}
 	w.Run(w.Now() + 20*clock.Second)
-	d.StartNode(d.Nodes[0]) // one returns
+	d.StartNode(d.Nodes[0])
 	w.Run(w.Now() + 300*clock.Second)
 	mustBeDone(t, w, other)
 }
 
-// A team is at its quota, the leader changes, some of its workers are unreachable, and its job is
-// cancelled: its tasks count against the quota until each is proven gone.
+// A team is at its quota, the leader changes, some of the team's workers are unreachable, and a user cancels
+// its job. The cancelled tasks must count against the quota until each is proven gone.
 func TestCancelledTasksCountAgainstQuotaUntilProvenGone(t *testing.T) {
 	for seed := uint64(51); seed < 55; seed++ {
 		w := NewWorld(seed)
@@ -120,7 +120,7 @@
 			w.Run(w.Now() + 100*clock.Millisecond)
 		}
 		d.Submit(array("job-000002", "limited", 6, 4, 20), 20*clock.Second, false)
-		d.Submit(array("job-000003", "open", 2, 4, 300), 300*clock.Second, false) // keeps room up
+		d.Submit(array("job-000003", "open", 2, 4, 300), 300*clock.Second, false) // keeps machines up
 		for _, m := range sortedKeys(j.machines[0]) {
 			m.partition()
 		}
@@ -137,8 +137,8 @@
 	}
 }
 
-// Cancellations, status requests and repeated submissions race with the end of the last task:
-// whatever users are told first stays true, and the job ends once.
+// Cancellations, status requests and repeated submissions race with the completion of the last task. The
+// first final status that a user gets must stay, and the job must end once.
 func TestCancellationRacesWithCompletion(t *testing.T) {
 	w := NewWorld(71)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
@@ -157,15 +157,15 @@
 		}
 	}
 	mustKeepRules(t, w)
-	told := map[string]int{}
+	statuses := map[string]int{}
 	for _, j := range jobs {
-		told[j.finalStatus]++
+		statuses[j.finalStatus]++
 		if record := d.Store.record(j.spec.ID); record.Status != j.finalStatus || len(record.Placements) > 0 {
-			t.Fatalf("%s was told %q, its record says %q, want the same; placements %v, want none",
+			t.Fatalf("the user of %s got %q, the record has %q, want the same; placements %v, want none",
 				j.spec.ID, j.finalStatus, record.Status, record.Placements)
 		}
 	}
-	if told[""] > 0 || told[protocol.StatusCancelled] == 0 {
-		t.Fatalf("users were told %v, want all an end and some %q", told, protocol.StatusCancelled)
+	if statuses[""] > 0 || statuses[protocol.StatusCancelled] == 0 {
+		t.Fatalf("users got %v, want final statuses only and some %q", statuses, protocol.StatusCancelled)
 	}
 }
--- a/internal/simulation/cellclient.go
+++ b/internal/simulation/cellclient.go
@@ -8,38 +8,38 @@
 // cellTimeout is how long a cell waits for another's response.
 const cellTimeout = clock.Second
 
-// cellClient is one process's connection to other cells.
+// cellClient is the connection of one controller process to other cells.
 type cellClient struct {
 	d *Deployment
 	n *Node
 	p *Process
 }
 
-// Exchange carries a report to another cell and its response back, encoded as between real cells.
+// Exchange carries a heartbeat to another cell and the response back, both encoded as between real cells.
 func (x *cellClient) Exchange(address string, r delegation.Heartbeat,
 	done func(delegation.HeartbeatResponse, bool)) {
-	target := x.d.group.at(address)
+	target := x.d.group.nodeAt(address)
 	raw := r.Encode()
-	x.n.Cells.call(x.p, cellTimeout, func(answer func(func())) {
-		report, err := delegation.DecodeHeartbeat(raw)
+	x.n.CellLink.call(x.p, cellTimeout, func(answer func(func())) {
+		heartbeat, err := delegation.DecodeHeartbeat(raw)
 		if err != nil {
 			x.d.World.Violate(badExchange, "%v", err)
 			return
 		}
-		if target != nil && target.Up() && !target.Cells.Cut {
-			target.process.run(func() { x.deliver(target, report, answer, done) })
+		if target != nil && target.Up() && !target.CellLink.Cut {
+			target.process.run(func() { x.deliver(target, heartbeat, answer, done) })
 		}
 	}, func() { done(delegation.HeartbeatResponse{}, false) })
 }
 
-// deliver hands a report to the other cell's controller and sends the response.
+// deliver passes a heartbeat to the other cell's controller and sends the response.
 func (x *cellClient) deliver(
-	target *Node, report delegation.Heartbeat, answer func(func()),
+	target *Node, heartbeat delegation.Heartbeat, answer func(func()),
 	done func(delegation.HeartbeatResponse, bool),
 ) {
-	target.exchanges.Exchange(report, func(a delegation.HeartbeatResponse, ok bool) {
+	target.exchanges.Exchange(heartbeat, func(a delegation.HeartbeatResponse, ok bool) {
 		switch {
-		case target.Cells.Cut || x.n.Unanswered:
+		case target.CellLink.Cut || x.n.CellResponsesLost:
 		case !ok:
 			answer(func() { done(a, false) })
 		default:
--- a/internal/simulation/celldays.go
+++ b/internal/simulation/celldays.go
@@ -6,8 +6,10 @@
 )
 
 const (
-	groupGuests = "guests = { cpus = 400.0, gpus = 16.0 }"
-	groupRules  = `
+	// defaultHostedLimits is the part of each cell's entry in the cells file that limits hosted jobs.
+	defaultHostedLimits = "guests = { cpus = 400.0, gpus = 16.0 }"
+	// offloadRules lets each of the three cells offload tasks to the two others.
+	offloadRules = `
 [[spill]]
 from = "alpha"
 to = ["beta", "gamma"]
@@ -20,32 +22,33 @@
 `
 )
 
-// group is three cells that may all offload tasks to each other.
-func group(w *World, guests string, loss float64) *Group {
+// newThreeCells starts three cells that may all offload tasks to each other.
+func newThreeCells(w *World, hostedLimits string, loss float64) *Group {
 	var sets []*settings.Settings
 	for range 3 {
 		sets = append(sets, testSettings())
 	}
-	return NewGroup(w, sets, testTypes(), guests, groupRules, loss)
+	return NewGroup(w, sets, testTypes(), hostedLimits, offloadRules, loss)
 }
 
 const (
-	// cellJobsPerDay are submitted to the cells of a group, most of them to the first.
+	// cellJobsPerDay is how many jobs users submit to the cells of a group, most of them to the first.
 	cellJobsPerDay = 60
 	// cellFaultsPerDay is how many times faults begin.
 	cellFaultsPerDay = 12
-	// sharedIDs: jobs of different cells have the same ids.
-	sharedIDs = 40
+	// jobIDCount is the number of different job ids. It is less than cellJobsPerDay, so that jobs of
+	// different cells have the same ids.
+	jobIDCount = 40
 )
 
-// play runs a day of three cells, of which the first is overloaded.
-func (g *Group) play() {
+// simulateDay simulates a day of three cells, of which the first is overloaded.
+func (g *Group) simulateDay() {
 	w := g.Cells[0].World
 	for _, d := range g.Cells {
-		d.WatchService()
+		d.MonitorDisturbances()
 	}
 	for i := range cellJobsPerDay {
-		w.After(w.Between(0, dayLength), func() { g.submit(i % sharedIDs) })
+		w.After(w.Between(0, dayLength), func() { g.submit(i % jobIDCount) })
 	}
 	for range cellFaultsPerDay {
 		w.After(w.Between(20*clock.Second, dayLength), func() {
@@ -53,16 +56,16 @@
 			w.After(w.Between(0, faultGap), func() { injectCellFault(g) })
 		})
 	}
-	w.Run(faultsOver)
+	w.Run(faultsEnd)
 	for _, d := range g.Cells {
 		d.startNodes()
-		d.WatchAnswers()
-		d.WatchRoom()
+		d.MonitorResponses()
+		d.MonitorWaitingJobs()
 	}
 	w.Run(dayEnd)
 }
 
-// submit submits a job with a number to one of the cells, unless that has one.
+// submit submits the job with a number to one of the cells, unless that cell already has a job with its id.
 func (g *Group) submit(number int) {
 	d, w := g.Cells[0], g.Cells[0].World
 	if w.chance(0.3) {
@@ -72,7 +75,7 @@
 	if d.jobs[s.ID] != nil {
 		return
 	}
-	// A large array would fill its team's quota for long, which WatchRoom doesn't know of.
+	// A large array would use up its team's quota for long, and MonitorWaitingJobs doesn't account for that.
 	s.Team = "open"
 	if w.chance(0.3) && s.Tasks < 40 {
 		s.Team = "limited"
--- a/internal/simulation/celloperations_test.go
+++ b/internal/simulation/celloperations_test.go
@@ -12,8 +12,8 @@
 	"postpoint/internal/settings"
 )
 
-// The host cell is lost for good while it runs tasks: the origin cell runs them itself as soon as
-// nothing can still run there.
+// The host cell is lost for good while it runs tasks. The origin cell must run the tasks itself as soon as no
+// task can still run in the host cell.
 func TestTasksReturnFromALostHostCell(t *testing.T) {
 	t.Parallel()
 	x := newTransfer(4400, false)
@@ -28,7 +28,7 @@
 	for _, m := range x.host.Workers() {
 		m.Die()
 	}
-	for x.elsewhere() > 0 && x.w.Now() < lostAt+100*clock.Second {
+	for x.offloadedTasks() > 0 && x.w.Now() < lostAt+100*clock.Second {
 		x.w.Run(x.w.Now() + 100*clock.Millisecond)
 	}
 	if took := x.w.Now() - lostAt; took > 32*clock.Second {
@@ -41,15 +41,15 @@
 	}
 }
 
-// Controllers get the cells file one after another, and lose it again during a delegation: nothing
-// is delegated before all of them have it, and everything comes back.
+// Controllers get the cells file one after another, and lose it again during a delegation. The origin cell
+// must delegate no task before all its controllers have the file, and all tasks must return to it.
 func TestCellsAreSwitchedOnAndOffDuringADelegation(t *testing.T) {
 	t.Parallel()
 	x := newTransfer(4500, false)
 	behind := x.origin.Nodes[2]
 	behind.WithoutCells = true
 	behind.Crash()
-	// As if that one had never had it.
+	// Delete the published formats, as if that controller had never had the file.
 	for key := range x.origin.Store.entries {
 		if strings.HasPrefix(key, "rollout/") {
 			delete(x.origin.Store.entries, key)
@@ -57,7 +57,7 @@
 	}
 	x.origin.crashAll(100 * clock.Millisecond)
 	x.w.Run(50 * clock.Second)
-	if x.elsewhere() > 0 {
+	if x.offloadedTasks() > 0 {
 		t.Fatal("tasks are delegated while a controller can't read such records, want none")
 	}
 	behind.WithoutCells = false
@@ -85,7 +85,8 @@
 	}
 }
 
-// Whatever another cell does, a cell starts its own jobs about as soon as alone.
+// Another cell is dead, partitioned or floods a cell with heartbeats. The cell must start its own jobs about
+// as soon as without the other cell.
 func TestOtherCellsDontDelayOwnJobs(t *testing.T) {
 	t.Parallel()
 	starts := map[string]clock.Micros{}
@@ -97,7 +98,7 @@
 			}
 		},
 		"silent": func(_ *World, g *Group) { g.Cells[1].CutOff(true) },
-		// As many messages as the listener lets through, all of them valid.
+		// The neighbour sends as many messages as the listener accepts, all of them valid.
 		"flooding": func(w *World, g *Group) {
 			w.Every(50*clock.Millisecond, func() {
 				for _, n := range g.Cells[0].Nodes {
@@ -117,7 +118,7 @@
 	} {
 		w := NewWorld(4600)
 		w.MessageCost = 100
-		g := NewGroup(w, []*settings.Settings{testSettings(), testSettings()}, testTypes(), groupGuests,
+		g := NewGroup(w, []*settings.Settings{testSettings(), testSettings()}, testTypes(), defaultHostedLimits,
 			"[[spill]]\nfrom = \"alpha\"\nto = [\"beta\"]\n[[spill]]\nfrom = \"beta\"\nto = [\"alpha\"]\n", 0)
 		neighbour(w, g)
 		w.Run(20 * clock.Second)
@@ -126,7 +127,7 @@
 		mustKeepRules(t, w)
 		for _, j := range jobs {
 			if j.finalStatus != protocol.StatusDone {
-				t.Errorf("%s: %s was told %q, want %q", name, j.spec.ID, j.finalStatus, protocol.StatusDone)
+				t.Errorf("%s: %s has status %q, want %q", name, j.spec.ID, j.finalStatus, protocol.StatusDone)
 			}
 			starts[name] += j.startedAt - j.submittedAt
 		}
@@ -139,8 +140,8 @@
 	}
 }
 
-// Operators drain a cell while it runs another's tasks: all of them return, after a graceful stop,
-// and no more are offered to it.
+// Operators drain a cell while it hosts another cell's tasks. All of them must return after a graceful stop,
+// and the origin cell must offer it no more.
 func TestDrainedCellReturnsHostedJobs(t *testing.T) {
 	t.Parallel()
 	x := newTransfer(4700, true)
@@ -156,9 +157,9 @@
 		}
 	}
 	x.w.Run(x.w.Now() + 60*clock.Second)
-	if x.elsewhere() > 0 || x.delegated() || x.hosted() != nil {
+	if x.offloadedTasks() > 0 || x.delegated() || x.hosted() != nil {
 		t.Errorf("a minute later %d tasks are with the host, delegated %v, hosted job %v, want none of it",
-			x.elsewhere(), x.delegated(), x.hosted())
+			x.offloadedTasks(), x.delegated(), x.hosted())
 	}
 	x.finish(t, "drained")
 	if elsewhere, _ := x.history.Elsewhere(); elsewhere != x.job.spec.Tasks {
@@ -166,13 +167,13 @@
 	}
 }
 
-// Without a cells file nothing about cells is stored: the keys, and the format that controllers
-// publish, are those of the previous version.
+// Without a cells file controllers store nothing about cells: the keys and the format that they publish are
+// those of the previous version.
 func TestStoreIsUnchangedWithoutCellsFile(t *testing.T) {
 	t.Parallel()
 	puts := 0
 	prefixes := []string{jobrecord.Prefix, jobrecord.ShardsPrefix, "rollout/", "lead/controller", "catalogue"}
-	d := play(7, func(d *Deployment) {
+	d := simulateDay(7, func(d *Deployment) {
 		check := d.Store.CheckPut
 		d.Store.CheckPut = func(key string, value []byte) {
 			puts++
--- a/internal/simulation/cells.go
+++ b/internal/simulation/cells.go
@@ -10,26 +10,28 @@
 	"postpoint/internal/settings"
 )
 
-// Group is several cells in one world.
+// Group is a set of cells in one world.
 type Group struct {
 	Cells []*Deployment
 	// File is the cells file after its first line, which names the controller's own cell.
 	File string
 }
 
+// cellNames are the names of the cells of a group, in their order.
 var cellNames = []string{"alpha", "beta", "gamma", "delta"}
 
-// NewGroup starts cells with the given settings, named after the letters of the Greek alphabet. rules are
-// the offloading rules of the cells file, guests the limits of hosted jobs of each cell.
+// NewGroup starts one cell for each of the given settings. rules contains the offload rules of the cells
+// file, hostedLimits the limits of hosted jobs in each cell.
 func NewGroup(
-	w *World, sets []*settings.Settings, types []protocol.MachineType, guests, rules string, loss float64,
+	w *World, sets []*settings.Settings, types []protocol.MachineType,
+	hostedLimits, rules string, loss float64,
 ) *Group {
 	g := &Group{}
 	for i, set := range sets {
 		d := prepare(w, set, types, loss)
 		d.group, d.name = g, cellNames[i]
 		g.Cells = append(g.Cells, d)
-		g.File += cellEntry(d, i, guests)
+		g.File += cellEntry(d, i, hostedLimits)
 	}
 	g.File += rules
 	for _, d := range g.Cells {
@@ -38,13 +40,13 @@
 	return g
 }
 
-// cellPort ends the addresses of controllers for other cells.
+// cellPort is the port at which other cells reach a controller.
 const cellPort = ":8082"
 
-// cellEntry describes a cell in the cells file.
-func cellEntry(d *Deployment, cell int, guests string) string {
+// cellEntry returns the entry of a cell in the cells file.
+func cellEntry(d *Deployment, cell int, hostedLimits string) string {
 	entry := fmt.Sprintf("[[cells]]\nname = %q\nlease_s = %f\n%s\n",
-		d.name, d.Settings.Deployment.Workers.LeaseS, guests)
+		d.name, d.Settings.Deployment.Workers.LeaseS, hostedLimits)
 	for i, n := range d.Nodes {
 		address := fmt.Sprintf("10.0.%d.%d%s", cell, i+1, cellPort)
 		entry += fmt.Sprintf("[[cells.controllers]]\nnode = %q\naddress = %q\n", n.Name, address)
@@ -52,21 +54,22 @@
 	return entry
 }
 
-// CutOff partitions a cell from the others until the returned function is called.
+// CutOff partitions a cell from the others until the caller calls heal. Messages are lost or, if hold is set,
+// delivered after heal.
 func (d *Deployment) CutOff(hold bool) (heal func()) {
 	for _, n := range d.Nodes {
-		n.Cells.Cut, n.Cells.Hold = true, hold
+		n.CellLink.Cut, n.CellLink.Hold = true, hold
 	}
 	return func() {
 		for _, n := range d.Nodes {
-			n.Cells.Heal()
+			n.CellLink.Heal()
 		}
 	}
 }
 
-// directory is the cells file as a controller reads it, nil if it has none.
+// directory returns the cells file as parsed by a controller, nil if the controller has none.
 func (g *Group) directory(d *Deployment, n *Node, set *settings.Settings) *cells.Directory {
-	if g == nil || n.Old || n.WithoutCells {
+	if g == nil || n.OldVersion || n.WithoutCells {
 		return nil
 	}
 	c, err := cells.Parse([]byte(fmt.Sprintf("cell = %q\n", d.name)+g.File), set)
@@ -76,7 +79,7 @@
 	return c
 }
 
-// jobs are the jobs of all cells.
+// jobs returns the jobs of all cells, or those of own if it isn't in a group.
 func (g *Group) jobs(own *Deployment) []*Job {
 	if g == nil {
 		return own.order
@@ -88,7 +91,7 @@
 	return all
 }
 
-// machines are the machines of all cells.
+// machines returns the machines of all cells, or those of own if it isn't in a group.
 func (g *Group) machines(own *Deployment) []*FakeWorker {
 	if g == nil {
 		return own.Cloud.all
@@ -100,9 +103,9 @@
 	return all
 }
 
-// find is the job that a worker of the cell runs under an id, or nil. A hosted job is that of its origin
-// cell.
-func (d *Deployment) find(id protocol.JobID) *Job {
+// findJob returns the job that a worker of the cell runs under an id, or nil. For a hosted job it returns the
+// job of the origin cell.
+func (d *Deployment) findJob(id protocol.JobID) *Job {
 	origin, job, _, hosted := jobrecord.ParseHostedJobID(id)
 	if !hosted || d.group == nil {
 		return d.jobs[id]
@@ -115,8 +118,8 @@
 	return nil
 }
 
-// at is the controller with an address, or nil.
-func (g *Group) at(address string) *Node {
+// nodeAt returns the controller with an address, or nil.
+func (g *Group) nodeAt(address string) *Node {
 	var cell, number int
 	_, err := fmt.Sscanf(strings.TrimSuffix(address, cellPort), "10.0.%d.%d", &cell, &number)
 	if err != nil || cell >= len(g.Cells) {
@@ -125,7 +128,7 @@
 	return g.Cells[cell].Nodes[number-1]
 }
 
-// SwitchOff restarts all controllers without a cells file.
+// SwitchOff restarts all controllers with empty stores and without a cells file.
 func (g *Group) SwitchOff() {
 	for _, d := range g.Cells {
 		clear(d.Store.entries)
@@ -137,7 +140,7 @@
 	}
 }
 
-// Lose ends a cell for good: its controllers, its machines and its connections.
+// Lose destroys a cell for good: its controllers, its machines and its connections to other cells.
 func (d *Deployment) Lose() {
 	d.CutOff(false)
 	for _, n := range d.Nodes {
@@ -148,7 +151,7 @@
 	}
 }
 
-// Lent counts the tasks that other cells run by the records, by cell.
+// Lent counts the tasks that the job records place in other cells, by host cell.
 func (d *Deployment) Lent() map[string]int {
 	lent := map[string]int{}
 	for key := range d.Store.entries {
@@ -163,5 +166,5 @@
 	return lent
 }
 
-// Delegations counts the delegations that were stored.
+// Delegations returns the number of delegations that the cell has stored so far.
 func (d *Deployment) Delegations() int { return d.Store.delegationsStored }
--- a/internal/simulation/cells_test.go
+++ b/internal/simulation/cells_test.go
@@ -11,8 +11,8 @@
 	"postpoint/internal/protocol"
 )
 
-// flood submits n arrays of 20 tasks of 30 s, far more than a cell has machines for, and
-// some gangs among them.
+// flood submits n jobs, far more than a cell has machines for. Most of them are arrays of 20 tasks of 30 s;
+// every fourth is a gang.
 func flood(d *Deployment, n int) []*Job {
 	var jobs []*Job
 	for i := range n {
@@ -25,6 +25,8 @@
 	return jobs
 }
 
+// mustJudge fails the test if a rule was broken or the history shows a task that didn't run to completion
+// exactly once.
 func mustJudge(t *testing.T, w *World, h *History, jobs []*Job) {
 	t.Helper()
 	mustKeepRules(t, w)
@@ -33,12 +35,12 @@
 	}
 }
 
-// One cell is overloaded and offloads tasks; every task of all cells completes exactly once. Jobs of
-// different cells with the same id stay apart.
+// One cell is overloaded and offloads tasks. Every task of all cells must complete exactly once, even if jobs
+// of different cells have the same id.
 func TestOffloadedTasksCompleteExactlyOnce(t *testing.T) {
 	t.Parallel()
 	w := NewWorld(300)
-	g := group(w, groupGuests, 0)
+	g := newThreeCells(w, defaultHostedLimits, 0)
 	h := NewHistory(w, g.Cells...)
 	w.Run(20 * clock.Second)
 	jobs := flood(g.Cells[0], 30)
@@ -52,16 +54,16 @@
 	}
 }
 
-// Cells keep every rule, each for itself and all together, under random faults, and complete every
-// job exactly once.
+// Three cells run under random faults. They must keep every rule, each cell alone and all together, and
+// complete every job exactly once.
 func TestCellsKeepRulesUnderRandomFaults(t *testing.T) {
-	spilled := 0
+	offloaded := 0
 	for seed := range seeds(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			g := group(NewWorld(1000+seed), groupGuests, 0.01)
+			g := newThreeCells(NewWorld(1000+seed), defaultHostedLimits, 0.01)
 			h := NewHistory(g.Cells[0].World, g.Cells...)
-			g.play()
+			g.simulateDay()
 			var jobs []*Job
 			for _, d := range g.Cells {
 				if left := d.Unfinished(); len(left) > 0 {
@@ -78,18 +80,18 @@
 			}
 			mustJudge(t, g.Cells[0].World, h, jobs)
 			elsewhere, _ := h.Elsewhere()
-			spilled += elsewhere
+			offloaded += elsewhere
 		})
 	}
-	t.Cleanup(func() { t.Logf("%d runs in other cells", spilled) })
+	t.Cleanup(func() { t.Logf("%d runs in other cells", offloaded) })
 }
 
-// delegations are the keys that only delegations leave, guests' records included.
+// delegations returns the keys that only delegations create, including the records of hosted jobs.
 func (s *FakeStore) delegations() []string {
 	var keys []string
 	for key := range s.entries {
-		_, _, _, guest := jobrecord.ParseHostedJobID(protocol.JobID(strings.TrimPrefix(key, jobrecord.Prefix)))
-		if guest || strings.HasPrefix(key, delegation.Prefix) {
+		_, _, _, hosted := jobrecord.ParseHostedJobID(protocol.JobID(strings.TrimPrefix(key, jobrecord.Prefix)))
+		if hosted || strings.HasPrefix(key, delegation.Prefix) {
 			keys = append(keys, key)
 		}
 	}
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -10,31 +10,33 @@
 )
 
 const (
-	// Capacity of each type and zone unless a test sets another.
+	// How many machines of each type and zone can be rented, unless a test sets another capacity.
 	defaultSpotCapacity     = 2
 	defaultOnDemandCapacity = 3
 
-	// listInterval is how often the list of machines is copied, so that responses can lag.
+	// listInterval is how often the cloud copies its list of machines. Responses return older copies, so
+	// that they lag.
 	listInterval = clock.Second
 )
 
-// FakeCloud is a fake of the cloud's rental service. Controllers reach it by the clients that For returns.
+// FakeCloud is a fake of the cloud's rental service. Controllers reach it through the clients that ClientFor
+// returns.
 type FakeCloud struct {
 	w *World
 	d *Deployment
-	// Types is the catalogue.
+	// Types is the catalogue of machine types.
 	Types []protocol.MachineType
-	// Capacity is how many more machines can be rented.
+	// Capacity is how many more machines the cloud rents out.
 	Capacity map[scaling.CapacityPool]int
-	// Outage makes it refuse every request.
+	// Outage makes the cloud reject every request.
 	Outage bool
-	// Reliable clouds rent no machine that never comes up.
+	// Reliable guarantees that every rented machine comes up.
 	Reliable bool
 	// Calls counts requests.
 	Calls int
-	// rented are the machines that a request rented, by its idempotency key.
+	// rented holds the machines that each request rented, by its idempotency key.
 	rented   map[string][]protocol.MachineName
-	machines map[protocol.MachineName]*FakeWorker // those that are rented now
+	machines map[protocol.MachineName]*FakeWorker // the machines that are rented now
 	all      []*FakeWorker
 	lists    [][]protocol.ListedMachine // copies of the list, the newest last
 }
@@ -55,7 +57,7 @@
 	return c
 }
 
-// copyList keeps a copy of the list of machines in regular intervals.
+// copyList periodically appends a copy of the list of machines to lists.
 func (c *FakeCloud) copyList() {
 	var list []protocol.ListedMachine
 	for _, m := range c.sorted() {
@@ -68,14 +70,14 @@
 	c.w.After(listInterval, c.copyList)
 }
 
-// laggingList is a copy of the list from up to twice the announced lag ago.
+// laggingList returns a random copy of the list, up to twice the announced lag old.
 func (c *FakeCloud) laggingList() []protocol.ListedMachine {
-	most := min(2*int(c.d.Settings.Deployment.Cloud.ListLagS), len(c.lists)-1)
-	lag := c.w.Rand.IntN(1 + most)
+	maxLag := min(2*int(c.d.Settings.Deployment.Cloud.ListLagS), len(c.lists)-1)
+	lag := c.w.Rand.IntN(1 + maxLag)
 	return c.lists[len(c.lists)-1-lag]
 }
 
-// sorted are the machines that are rented now, by name.
+// sorted returns the machines that are rented now, sorted by name.
 func (c *FakeCloud) sorted() []*FakeWorker {
 	var all []*FakeWorker
 	for _, m := range c.machines {
@@ -85,7 +87,7 @@
 	return all
 }
 
-// rent boots as many machines as there are, up to a number, and returns their names.
+// rent boots count machines of a capacity pool and returns their names. The caller checks the capacity.
 func (c *FakeCloud) rent(k scaling.CapacityPool, count int) []protocol.MachineName {
 	var names []protocol.MachineName
 	c.Capacity[k] -= count
@@ -99,7 +101,7 @@
 	return names
 }
 
-// Remove ends a machine at once, because it was released or the cloud takes it back.
+// Remove ends a machine at once, because a controller releases it or the cloud takes it back.
 func (c *FakeCloud) Remove(name protocol.MachineName) {
 	if m := c.machines[name]; m != nil {
 		m.end()
--- a/internal/simulation/cloudclient.go
+++ b/internal/simulation/cloudclient.go
@@ -14,27 +14,28 @@
 // cloudTimeout is how long a client waits for a response.
 const cloudTimeout = 4 * clock.Second
 
-// For returns the cloud as one process reaches it over a link.
-func (c *FakeCloud) For(p *Process, l *Link) cloudtest.Service { return &cloudClient{c, p, l} }
+// ClientFor returns a client with which one process reaches the cloud over a link.
+func (c *FakeCloud) ClientFor(p *Process, l *Link) cloudtest.Service { return &cloudClient{c, p, l} }
 
-// cloudClient is a process's connection to the cloud.
+// cloudClient is the connection of one process to the cloud.
 type cloudClient struct {
 	cloud *FakeCloud
 	p     *Process
 	link  *Link
 }
 
-// call sends a request that may leave at any time.
+// call sends a request without a deadline.
 func (x *cloudClient) call(done func(int), execute func() int) {
 	x.callUntil(math.MaxInt64, done, execute)
 }
 
-// callUntil sends a request unless it is later than a deadline when it leaves the process, which may
-// have paused before.
+// callUntil sends a request, unless the deadline has passed when the request leaves the process. The process
+// may have paused before that.
 func (x *cloudClient) callUntil(until clock.Micros, done func(int), execute func() int) {
 	x.p.sendUntil(until, func() { x.send(done, execute) }, func() { done(transport.NotSent) })
 }
 
+// send carries a request to the cloud, which executes it unless it has an outage, and the status back.
 func (x *cloudClient) send(done func(int), execute func() int) {
 	x.link.call(x.p, cloudTimeout, func(answer func(func())) {
 		x.cloud.Calls++
@@ -73,7 +74,7 @@
 	})
 }
 
-// Release ends machines.
+// Release releases machines, which end at once.
 func (x *cloudClient) Release(names []protocol.MachineName, until clock.Micros, done func(int)) {
 	x.callUntil(until, done, func() int {
 		for _, name := range names {
@@ -83,7 +84,7 @@
 	})
 }
 
-// List reads the machines after a name; the list lags.
+// List returns the machines whose names follow another; the list lags.
 func (x *cloudClient) List(from protocol.MachineName, done func(int, protocol.MachineList)) {
 	var list protocol.MachineList
 	x.call(func(status int) { done(status, list) }, func() int {
--- a/internal/simulation/commands.go
+++ b/internal/simulation/commands.go
@@ -12,17 +12,17 @@
 // commandTimeout is how long a controller waits for the response to a direct command.
 const commandTimeout = 3 * clock.Second
 
-// command executes a direct command.
+// command executes direct commands. It rejects those of outdated epochs and for other incarnations.
 func (m *FakeWorker) command(c protocol.CommandRequest) (int, protocol.Heartbeat) {
 	if c.Epoch < m.epoch || c.Incarnation != m.incarnation {
 		return http.StatusConflict, m.newHeartbeat()
 	}
-	m.adopt(c.Epoch)
+	m.adoptEpoch(c.Epoch)
 	m.execute(c.Commands)
 	return http.StatusOK, m.newHeartbeat()
 }
 
-// agentClient is one process's connection to the workers.
+// agentClient is the connection of one controller process to the workers.
 type agentClient struct {
 	d *Deployment
 	p *Process
@@ -31,7 +31,8 @@
 
 var _ workertest.Service = (*agentClient)(nil)
 
-// Commands sends commands to the worker at an address, unless they leave later than a deadline.
+// Commands sends commands to the worker at an address, unless the deadline has passed when they leave the
+// process.
 func (a *agentClient) Commands(
 	addr string, c protocol.CommandRequest, until clock.Micros, done func(int, protocol.Heartbeat),
 ) {
@@ -42,24 +43,25 @@
 	}, func() { done(transport.NotSent, protocol.Heartbeat{}) })
 }
 
+// send carries commands to a worker and its response back.
 func (a *agentClient) send(m *FakeWorker, c protocol.CommandRequest, done func(int, protocol.Heartbeat)) {
-	silent := func() { done(0, protocol.Heartbeat{}) }
-	if m == nil || m.ResponsesLost || a.n.Workers.Cut {
-		a.p.After(commandTimeout, silent)
+	timedOut := func() { done(0, protocol.Heartbeat{}) }
+	if m == nil || m.ResponsesLost || a.n.WorkerLink.Cut {
+		a.p.After(commandTimeout, timedOut)
 		return
 	}
 	m.Commands.call(a.p, commandTimeout, func(answer func(func())) {
 		if !m.up {
 			return
 		}
-		// A hung machine executes it when it continues, however late.
+		// A hung machine executes the commands when it resumes, however late.
 		a.d.deliver(a.n.Zone, m.zone, func() {
-			m.do(func() {
+			m.runOrDefer(func() {
 				status, r := m.command(c)
-				if _, severed := a.d.partitioned(a.n.Zone, m.zone); !severed {
+				if _, blocked := a.d.partitioned(a.n.Zone, m.zone); !blocked {
 					answer(func() { done(status, r) })
 				}
 			})
 		})
-	}, silent)
+	}, timedOut)
 }
--- a/internal/simulation/days.go
+++ b/internal/simulation/days.go
@@ -6,7 +6,7 @@
 	"postpoint/internal/settings"
 )
 
-// announceTighterLimits has the settings announce lower limits of the store.
+// announceTighterLimits changes the settings to announce lower future limits of the key-value store.
 func announceTighterLimits(set *settings.Settings) {
 	valueKb, txnOps, writeRps := 2.0, 4, 28.0
 	set.Deployment.KVStore.Next = &settings.NextKVStore{ValueKb: &valueKb, TxnOps: &txnOps,
@@ -14,25 +14,26 @@
 }
 
 const (
-	// dayLength is how long jobs are submitted and faults are injected.
+	// dayLength is the time during which users submit jobs and the simulation injects faults.
 	dayLength = 240 * clock.Second
-	// After faultsOver all faults have ended; by dayEnd all jobs should be done.
-	faultsOver = dayLength + 90*clock.Second
-	dayEnd     = dayLength + 900*clock.Second
+	// By faultsEnd all faults have ended; by dayEnd all jobs should be done.
+	faultsEnd = dayLength + 90*clock.Second
+	dayEnd    = dayLength + 900*clock.Second
 )
 
-// workload is what users submit on a day.
+// workload describes the jobs that users submit on a simulated day.
 type workload struct {
-	services float64                                // the share of services
-	spec     func(w *World, n int) protocol.JobSpec // draws the others
-	longest  clock.Micros                           // run time of a task
-	// ownClasses gives each job a class of its own. The leader reserves room for the loss of a zone for
-	// tasks like those of any job of a class, so that simulations with several would not repeat.
+	services   float64                                // the share of services
+	spec       func(w *World, n int) protocol.JobSpec // draws a job that isn't a service
+	maxRunTime clock.Micros                           // the longest run time of a task
+	// ownClasses gives each job a class of its own. To reserve capacity for the loss of a zone, the leader
+	// takes the tasks of an arbitrary job of each class as typical. With several jobs in a class, the
+	// same seed would therefore not always give the same simulation.
 	ownClasses bool
 }
 
-// class gives a job its class.
-func (l workload) class(s protocol.JobSpec) protocol.JobSpec {
+// withOwnClass gives a job a class of its own if the workload requires it.
+func (l workload) withOwnClass(s protocol.JobSpec) protocol.JobSpec {
 	if l.ownClasses {
 		s.Class = string(s.ID)
 	}
@@ -40,17 +41,18 @@
 }
 
 const (
-	// jobsPerDay are submitted at random times, the faults begin at faultsPerDay times.
+	// Users submit jobsPerDay jobs, and faults begin at faultsPerDay times, all of them random.
 	jobsPerDay   = 30
 	faultsPerDay = 10
-	// More faults begin within faultGap of each: rules break where several meet.
+	// Two more faults begin within faultGap after each fault, because overlapping faults are the most
+	// likely to break a rule.
 	faultGap = 4 * clock.Second
 )
 
-// play runs a day of random faults and gives all jobs time to end.
-func (l workload) play(d *Deployment) {
+// simulateDay simulates a day of random faults and then gives all jobs time to end.
+func (l workload) simulateDay(d *Deployment) {
 	w := d.World
-	d.WatchService()
+	d.MonitorDisturbances()
 	for i := range jobsPerDay {
 		w.After(w.Between(0, dayLength), func() { l.submit(d, i) })
 	}
@@ -62,15 +64,16 @@
 			}
 		})
 	}
-	w.Run(faultsOver)
+	w.Run(faultsEnd)
 	d.startNodes()
-	d.WatchAnswers()
-	d.WatchRoom()
-	d.WatchReplicas()
+	d.MonitorResponses()
+	d.MonitorWaitingJobs()
+	d.MonitorReplicas()
 	w.Run(dayEnd)
 }
 
-// submit submits the job with a number. Some are cancelled, also all of those whose tasks fail.
+// submit submits the job with the given number. Users cancel some jobs later, among them all jobs whose
+// tasks fail.
 func (l workload) submit(d *Deployment, number int) {
 	w := d.World
 	if w.chance(l.services) {
@@ -79,18 +82,20 @@
 	}
 	run := w.Between(2*clock.Second, 30*clock.Second)
 	if w.chance(0.2) {
-		run = w.Between(40*clock.Second, l.longest)
+		run = w.Between(40*clock.Second, l.maxRunTime)
 	}
-	j := d.Submit(l.class(l.spec(w, number)), run, w.chance(0.05))
+	j := d.Submit(l.withOwnClass(l.spec(w, number)), run, w.chance(0.05))
 	if w.chance(0.25) || j.failing {
 		w.After(w.Between(0, 40*clock.Second), func() { d.Cancel(j) })
 	}
 }
 
+// submitService submits a random service. Users cancel some services later, among them all whose replicas
+// fail.
 func (l workload) submitService(d *Deployment, number int) {
 	w := d.World
 	s, run := randomService(w, number)
-	j := d.Submit(l.class(s), run, w.chance(0.1))
+	j := d.Submit(l.withOwnClass(s), run, w.chance(0.1))
 	if w.chance(0.6) || j.failing {
 		w.After(w.Between(0, dayLength), func() { d.Cancel(j) })
 	}
--- a/internal/simulation/delegationfaults_test.go
+++ b/internal/simulation/delegationfaults_test.go
@@ -7,73 +7,74 @@
 	"postpoint/internal/clock"
 )
 
-// faults are injected at every step of a delegation.
-var faults = map[string]func(x *transfer, long clock.Micros){
-	"origin's leader ends": func(x *transfer, long clock.Micros) { x.origin.crashLeader(long) },
-	"host's leader ends":   func(x *transfer, long clock.Micros) { x.host.crashLeader(long) },
-	"both leaders end": func(x *transfer, long clock.Micros) {
-		x.origin.crashLeader(long)
-		x.host.crashLeader(long)
+// faults maps the names of the faults that the test injects at every step of a delegation to their functions.
+var faults = map[string]func(x *transfer, duration clock.Micros){
+	"origin's leader crashes": func(x *transfer, duration clock.Micros) { x.origin.crashLeader(duration) },
+	"host's leader crashes":   func(x *transfer, duration clock.Micros) { x.host.crashLeader(duration) },
+	"both leaders crash": func(x *transfer, duration clock.Micros) {
+		x.origin.crashLeader(duration)
+		x.host.crashLeader(duration)
 	},
-	"origin restarts": func(x *transfer, long clock.Micros) { x.origin.crashAll(long) },
-	"both cells restart": func(x *transfer, long clock.Micros) {
-		x.origin.crashAll(long)
-		x.host.crashAll(long)
+	"origin restarts": func(x *transfer, duration clock.Micros) { x.origin.crashAll(duration) },
+	"both cells restart": func(x *transfer, duration clock.Micros) {
+		x.origin.crashAll(duration)
+		x.host.crashAll(duration)
 	},
-	"origin's key-value store is out": func(x *transfer, long clock.Micros) {
-		x.origin.Store.Outage(true)
-		x.w.After(long, func() { x.origin.Store.Outage(false) })
+	"outage of the origin's key-value store": func(x *transfer, duration clock.Micros) {
+		x.origin.Store.SetOutage(true)
+		x.w.After(duration, func() { x.origin.Store.SetOutage(false) })
 	},
-	"host's key-value store is out": func(x *transfer, long clock.Micros) {
-		x.host.Store.Outage(true)
-		x.w.After(long, func() { x.host.Store.Outage(false) })
+	"outage of the host's key-value store": func(x *transfer, duration clock.Micros) {
+		x.host.Store.SetOutage(true)
+		x.w.After(duration, func() { x.host.Store.SetOutage(false) })
 	},
-	"cells are cut": func(x *transfer, long clock.Micros) { x.w.After(long, x.host.CutOff(true)) },
-	"host isn't answered": func(x *transfer, long clock.Micros) {
+	"cells are partitioned": func(x *transfer, duration clock.Micros) { x.w.After(duration, x.host.CutOff(true)) },
+	"host's responses are lost": func(x *transfer, duration clock.Micros) {
 		for _, n := range x.host.Nodes {
-			n.Unanswered = true
-			x.w.After(long, func() { n.Unanswered = false })
+			n.CellResponsesLost = true
+			x.w.After(duration, func() { n.CellResponsesLost = false })
 		}
 	},
-	"host's leader stands still": func(x *transfer, long clock.Micros) {
+	"host's leader is paused": func(x *transfer, duration clock.Micros) {
 		if n := x.host.Leader(); n != nil {
-			n.process.Pause(long)
+			n.process.Pause(duration)
 		}
 	},
-	"origin's leader stands still": func(x *transfer, long clock.Micros) {
+	"origin's leader is paused": func(x *transfer, duration clock.Micros) {
 		if n := x.origin.Leader(); n != nil {
-			n.process.Pause(long)
+			n.process.Pause(duration)
 		}
 	},
 	"the job is cancelled": func(x *transfer, _ clock.Micros) { x.origin.Cancel(x.job) },
-	"cut and cancelled": func(x *transfer, long clock.Micros) {
-		x.w.After(long, x.host.CutOff(false))
+	"partitioned and cancelled": func(x *transfer, duration clock.Micros) {
+		x.w.After(duration, x.host.CutOff(false))
 		x.origin.Cancel(x.job)
 	},
 }
 
-// Every fault at every step of a delegation, short and long: no task runs twice, cancelled tasks end
-// in time, the whole job gets done, and nothing of the delegation is left.
+// Each fault occurs at each step of a delegation, for a short and for a long time. No task may run twice,
+// cancelled tasks must end in time, the whole job must complete, and no record of the delegation may be left.
 func TestFaultAtEveryStepOfADelegation(t *testing.T) {
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for i, step := range steps {
-				for k, long := range []clock.Micros{3 * clock.Second, 40 * clock.Second} {
+				for k, duration := range []clock.Micros{3 * clock.Second, 40 * clock.Second} {
 					x := newTransfer(uint64(4000+2*i+k), step.gang && i%2 == k)
 					if !x.runTo(step.reached) {
 						t.Errorf("the step %q wasn't reached within 200 s", step.name)
 						continue
 					}
-					fault(x, long)
-					x.finish(t, fmt.Sprintf("%s, %.0f s", step.name, long.Seconds()))
+					fault(x, duration)
+					x.finish(t, fmt.Sprintf("%s, %.0f s", step.name, duration.Seconds()))
 				}
 			}
 		})
 	}
 }
 
-// A leader crashes after any one request that it sends during a delegation.
+// The leader of the origin or of the host cell crashes after any one of the requests that it sends during a
+// delegation.
 func TestLeaderCrashAfterAnyRequestOfADelegation(t *testing.T) {
 	for i, name := range []string{"origin", "host"} {
 		t.Run(name, func(t *testing.T) {
@@ -91,31 +92,31 @@
 	}
 }
 
-// The host cell's workers run a job that is cancelled, and whatever could stop it there fails at that
-// moment, or a moment before: it ends in time nevertheless.
+// A user cancels a job that the host cell's workers run. At that moment, or shortly before, a component fails
+// that could stop the job there. The job must end in time nevertheless.
 func TestCancelledTasksEndInHostCells(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]func(x *transfer){
-		"nothing more":    func(*transfer) {},
-		"state outage":    func(x *transfer) { x.host.Store.Outage(true) },
-		"leader ends":     func(x *transfer) { x.host.crashLeader(5 * clock.Second) },
-		"leader stands":   func(x *transfer) { x.host.Leader().process.Pause(35 * clock.Second) },
+		"no other fault":  func(*transfer) {},
+		"store outage":    func(x *transfer) { x.host.Store.SetOutage(true) },
+		"leader crashes":  func(x *transfer) { x.host.crashLeader(5 * clock.Second) },
+		"leader paused":   func(x *transfer) { x.host.Leader().process.Pause(35 * clock.Second) },
 		"all controllers": func(x *transfer) { x.host.crashAll(200 * clock.Second) },
 		"machines hang":   func(x *transfer) { x.hang() },
-		"hang, leader ends": func(x *transfer) {
+		"hang, leader crashes": func(x *transfer) {
 			x.hang()
 			x.host.crashLeader(5 * clock.Second)
 		},
-		"commands don't go":    func(x *transfer) { x.hold() },
-		"origin's leader ends": func(x *transfer) { x.origin.crashLeader(5 * clock.Second) },
-		"origin's state": func(x *transfer) {
-			x.w.After(clock.Second, func() { x.origin.Store.Outage(true) })
-			x.w.After(80*clock.Second, func() { x.origin.Store.Outage(false) })
+		"commands are held":       func(x *transfer) { x.hold() },
+		"origin's leader crashes": func(x *transfer) { x.origin.crashLeader(5 * clock.Second) },
+		"origin's store outage": func(x *transfer) {
+			x.w.After(clock.Second, func() { x.origin.Store.SetOutage(true) })
+			x.w.After(80*clock.Second, func() { x.origin.Store.SetOutage(false) })
 		},
 	} {
 		for delay := range clock.Micros(4) {
 			x := newTransfer(uint64(4300+delay), false)
-			x.host.WatchService()
+			x.host.MonitorDisturbances()
 			if !x.runTo(steps[4].reached) {
 				t.Fatal("no task runs in the host cell")
 			}
@@ -127,22 +128,22 @@
 			x.w.Run(x.w.Now() + 31*clock.Second)
 			for _, m := range x.host.Cloud.all {
 				for _, task := range m.tasks {
-					if task.resident && !m.Hung && x.host.find(task.job) == x.job {
+					if task.resident && !m.Hung && x.host.findJob(task.job) == x.job {
 						t.Errorf("%s: %s still runs %s, want it ended", name, m.name, task.job)
 					}
 				}
 			}
-			x.host.Store.Outage(false)
+			x.host.Store.SetOutage(false)
 			heal()
 			mustKeepRules(t, x.w)
 		}
 	}
 }
 
-// hang freezes the workers that run the job's tasks.
+// hang makes the workers that run the job's tasks hang.
 func (x *transfer) hang() {
-	for _, places := range x.job.machines {
-		for m := range places {
+	for _, workers := range x.job.machines {
+		for m := range workers {
 			m.Hung = true
 		}
 	}
--- a/internal/simulation/deployment.go
+++ b/internal/simulation/deployment.go
@@ -13,10 +13,10 @@
 	"postpoint/internal/zonerecovery"
 )
 
-// Deployment is a deployment, or a cell of several: its controllers, the fakes around them and its users'
-// jobs.
+// Deployment is a single deployment, or one of several cells: its controllers, the fakes that they use, and
+// its users' jobs.
 type Deployment struct {
-	// group has the other cells, nil for a deployment on its own.
+	// group is the group of cells that this cell belongs to, nil for a single deployment.
 	group    *Group
 	name     string // of the cell
 	World    *World
@@ -26,37 +26,37 @@
 	Nodes    []*Node
 	// Loss is the chance that a message is lost.
 	Loss float64
-	// CancelAtEnd is the share of jobs that are cancelled at the moment of their end.
+	// CancelAtEnd is the share of jobs that users cancel at the moment when the last task completes.
 	CancelAtEnd float64
-	// disturbedAt is when a fault last affected a controller or what it needs to release a machine, if
-	// WatchService looks.
+	// disturbedAt is when a fault last affected a controller, or a service that it needs to release a
+	// machine. Only MonitorDisturbances updates it.
 	disturbedAt clock.Micros
-	// Recovery has the settings of zone recovery, nil if it is switched off.
+	// Recovery holds the settings of zone recovery, nil if it is disabled.
 	Recovery *zonerecovery.Settings
-	// cut are the zones that are partitioned, with the messages held meanwhile.
-	cut map[string]*partitionedZone
-	// History records what runs when, if set.
+	// partitions holds the zones that are partitioned, by name.
+	partitions map[string]*zonePartition
+	// History, if set, records when each task runs.
 	History *History
 	jobs    map[protocol.JobID]*Job
 	order   []*Job // in the order of their submission
 	byAddr  map[string]*FakeWorker
 	used    map[string]planner.Resources // by team, on machines
-	// Commands counts direct commands.
+	// Commands counts the requests with direct commands.
 	Commands int
-	// address is the address of a new worker.
+	// address returns the network address of a new worker.
 	address func(name protocol.MachineName) string
 }
 
 // nodesPerDeployment is the number of controllers.
 const nodesPerDeployment = 3
 
-// NewDeployment starts a deployment.
+// NewDeployment starts a deployment; loss is the chance that a message is lost.
 func NewDeployment(w *World, set *settings.Settings, types []protocol.MachineType, loss float64) *Deployment {
 	return newDeployment(w, set, types, loss, false)
 }
 
-// NewOldDeployment starts a deployment whose controllers are of the previous version.
-func NewOldDeployment(
+// NewOldVersionDeployment starts a deployment whose controllers run the previous version.
+func NewOldVersionDeployment(
 	w *World, set *settings.Settings, types []protocol.MachineType, loss float64,
 ) *Deployment {
 	return newDeployment(w, set, types, loss, true)
@@ -67,17 +67,18 @@
 ) *Deployment {
 	d := prepare(w, set, types, loss)
 	for _, n := range d.Nodes {
-		n.Old = old
+		n.OldVersion = old
 	}
 	d.startNodes()
 	return d
 }
 
-// prepare returns a deployment whose controllers are still to be started.
+// prepare returns a deployment whose controllers the caller has still to start.
 func prepare(w *World, set *settings.Settings, types []protocol.MachineType, loss float64) *Deployment {
 	d := &Deployment{
 		World: w, Settings: set, Store: NewFakeStore(w), Loss: loss,
-		cut: map[string]*partitionedZone{}, jobs: map[protocol.JobID]*Job{}, byAddr: map[string]*FakeWorker{},
+		partitions: map[string]*zonePartition{}, jobs: map[protocol.JobID]*Job{},
+		byAddr:  map[string]*FakeWorker{},
 		used:    map[string]planner.Resources{},
 		address: func(name protocol.MachineName) string { return string(name) + ":9000" },
 	}
@@ -92,14 +93,14 @@
 	return d
 }
 
-// startNodes starts the controllers that aren't up.
+// startNodes starts all controllers that are down.
 func (d *Deployment) startNodes() {
 	for _, n := range d.Nodes {
 		d.StartNode(n)
 	}
 }
 
-// nodeIndex is the index of the controller with a name.
+// nodeIndex returns the index of the controller with a name, or otherwise if there is none.
 func (d *Deployment) nodeIndex(name string, otherwise int) int {
 	for i, n := range d.Nodes {
 		if n.Name == name {
@@ -109,18 +110,18 @@
 	return otherwise
 }
 
-// sortedKeys are the machines of a set by cell and name.
+// sortedKeys returns the machines of a set, sorted by cell and name.
 func sortedKeys(set map[*FakeWorker]bool) []*FakeWorker {
 	return slices.SortedFunc(maps.Keys(set), func(a, b *FakeWorker) int {
 		return cmp.Or(cmp.Compare(a.d.name, b.d.name), cmp.Compare(a.name, b.name))
 	})
 }
 
-// Upgrade restarts the controllers with the new version, one after another.
+// Upgrade restarts the controllers with the new version, one in each period; each is down for a while.
 func (d *Deployment) Upgrade(every, down clock.Micros) {
 	for i, n := range d.Nodes {
 		d.World.After(clock.Micros(i)*every, func() {
-			n.Old = false
+			n.OldVersion = false
 			d.crashFor(n, down)
 		})
 	}
--- a/internal/simulation/docs_test.go
+++ b/internal/simulation/docs_test.go
@@ -11,8 +11,8 @@
 
 const rulesPage = repository + "/docs/rules.md"
 
-// docs/rules.md names code and tests. Each function, method, type and test that it names
-// still exists, in the package that it names.
+// docs/rules.md refers to code and tests. Each function, method, type and test that it names must exist, in
+// the package that it names.
 func TestRulesPageNamesWhatExists(t *testing.T) {
 	sources := indexSources(t)
 	page := readPage(t, rulesPage)
@@ -34,7 +34,7 @@
 	}
 }
 
-// Whatever code, test, file, link, flag, variable or command a page names exists.
+// Each code name, test, file, link, flag, environment variable and command in the pages must exist.
 func TestPagesNameWhatExists(t *testing.T) {
 	sources := indexSources(t)
 	total := map[string]int{}
@@ -59,7 +59,8 @@
 	}
 }
 
-// pages are the README, the change log, all pages under docs/ and the examples under deploy/.
+// pages returns the paths of the README, the change log, all pages under docs/ and the examples under
+// deploy/.
 func pages(t *testing.T) []string {
 	t.Helper()
 	all := []string{repository + "/README.md", repository + "/CHANGELOG.md"}
--- a/internal/simulation/docschecks_test.go
+++ b/internal/simulation/docschecks_test.go
@@ -8,11 +8,12 @@
 	"strings"
 )
 
-// pageCheck finds names of one kind and says what is wrong with one, or nothing.
+// pageCheck finds the names of one kind in pages and checks each of them.
 type pageCheck struct {
 	kind    string
 	pattern *regexp.Regexp // its last group is the name
-	least   int            // how many names all pages have together, at least
+	least   int            // the least number of names in all pages together
+	// problem describes what is wrong with a name, or returns an empty text.
 	problem func(x *sourceIndex, page, name string) string
 }
 
@@ -52,9 +53,9 @@
 	case x.fieldPath(name):
 		return ""
 	case x.imported[owner] && !x.packages[owner]:
-		return "" // another module's
+		return "" // a package of another module
 	}
-	for part := range strings.SplitSeq(member, ".") { // a name, or a type's method
+	for part := range strings.SplitSeq(member, ".") { // a name, or a type and its method
 		if qualified := owner + "." + part; !x.declared[qualified] && !x.values[qualified] {
 			return "neither code of that package nor a field of a file"
 		}
@@ -62,7 +63,7 @@
 	return ""
 }
 
-// unlessKnown returns the problem of a name that isn't among the known ones.
+// unlessKnown returns the problem unless the name is known.
 func unlessKnown(known map[string]bool, name, problem string) string {
 	if known[name] {
 		return ""
@@ -103,7 +104,7 @@
 	return ""
 }
 
-// goTestFlags are those of the go command that pages use.
+// goTestFlags lists the flags of the go command that pages may use.
 var goTestFlags = map[string]bool{
 	"-run": true, "-bench": true, "-benchtime": true, "-count": true, "-p": true, "-race": true,
 }
@@ -115,8 +116,8 @@
 	return ""
 }
 
-// literalProblem is for names of rules, settings and fields of the overview: they stand in the
-// sources as literals or field tags.
+// literalProblem checks names of rules, settings and fields of the overview. They appear in the sources as
+// literals or field tags.
 func literalProblem(x *sourceIndex, _, name string) string {
 	return unlessKnown(x.literals, name, "no rule, setting or field has this name")
 }
@@ -125,8 +126,7 @@
 	return unlessKnown(x.literals, name, "nothing reads this variable")
 }
 
-// commandProblem sees to it that a command of the go tool names packages, tools, tests and flags
-// that exist.
+// commandProblem checks that the packages, tools, tests and flags in a command of the go tool exist.
 func commandProblem(x *sourceIndex, page, command string) string {
 	words := strings.Fields(command)
 	packages := 0
@@ -159,7 +159,7 @@
 	return ""
 }
 
-// packageProblem says what is wrong with a package argument of the go command.
+// packageProblem describes what is wrong with a package argument of the go command.
 func packageProblem(pattern string) string {
 	folder, all := strings.CutSuffix(pattern, "/...")
 	folder = filepath.Join(repository, folder)
--- a/internal/simulation/docsindex_test.go
+++ b/internal/simulation/docsindex_test.go
@@ -16,23 +16,23 @@
 	"unicode"
 )
 
-// repository is the root of the source tree, seen from this package's folder.
+// repository is the path of the source tree's root, relative to this package.
 const repository = "../.."
 
 // sourceIndex holds the names that pages may refer to.
 type sourceIndex struct {
-	// declared are the functions, methods and types as "package.Name", and tests and benchmarks
-	// also without their package.
+	// declared holds the functions, methods and types as "package.Name", and tests and benchmarks also
+	// without their package.
 	declared map[string]bool
-	// values are the constants and variables of packages, likewise.
+	// values holds the constants and variables as "package.Name".
 	values map[string]bool
-	// packages are the repository's own packages, imported the names of all others that it uses.
+	// packages holds the repository's own packages, imported the names of all others that it uses.
 	packages, imported map[string]bool
-	// files are the base names of all files.
+	// files holds the base names of all files.
 	files map[string]bool
-	// tags are the names of encoded struct fields, flags those of command-line flags.
+	// tags holds the names of encoded struct fields, flags those of command-line flags.
 	tags, flags map[string]bool
-	// literals are the words of the sources' string literals, among them environment variables.
+	// literals holds the words of the sources' string literals, among them environment variables.
 	literals map[string]bool
 }
 
@@ -68,6 +68,7 @@
 	return x
 }
 
+// addFile adds the names of one file.
 func (x *sourceIndex) addFile(file *ast.File) {
 	x.packages[file.Name.Name] = true
 	for _, declaration := range file.Decls {
@@ -106,7 +107,8 @@
 
 var wordPattern = regexp.MustCompile(`[A-Za-z0-9_]+`)
 
-// addField takes the encoded names of a struct field, and its name as a flag if it is one.
+// addField adds the encoded names of a struct field and, if the field is a command-line flag, the flag's
+// name.
 func (x *sourceIndex) addField(field *ast.Field) {
 	if field.Tag == nil {
 		return
@@ -133,7 +135,7 @@
 	}
 }
 
-// flagName is the flag that the command-line library makes of a field's name.
+// flagName returns the name of the flag that the command-line library derives from a field's name.
 func flagName(field string) string {
 	var name strings.Builder
 	for i, r := range field {
@@ -145,7 +147,7 @@
 	return name.String()
 }
 
-// addFlagCall takes the flags that test binaries define by flag.Int and the like.
+// addFlagCall adds a flag that a test binary defines with flag.Int or a similar function.
 func (x *sourceIndex) addFlagCall(call *ast.CallExpr) {
 	function, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || len(call.Args) != 3 {
@@ -191,8 +193,8 @@
 	return names
 }
 
-// fieldPath reports whether a dotted name consists of names of encoded fields, as settings and
-// the files under deploy/ have them.
+// fieldPath reports whether a dotted name consists of names of encoded fields, as in settings and in the
+// files under deploy/.
 func (x *sourceIndex) fieldPath(dotted string) bool {
 	for part := range strings.SplitSeq(dotted, ".") {
 		if !x.tags[part] {
@@ -202,8 +204,8 @@
 	return true
 }
 
-// pathExists reports whether a path of a page names a file or folder, from the root of the
-// repository, from internal/ or from the page's folder.
+// pathExists reports whether a path in a page names a file or folder, relative to the root of the repository,
+// to internal/ or to the page's folder.
 func pathExists(page, name string) bool {
 	for _, base := range []string{repository, repository + "/internal", filepath.Dir(page)} {
 		if _, err := os.Stat(filepath.Join(base, name)); err == nil {
--- a/internal/simulation/failover_test.go
+++ b/internal/simulation/failover_test.go
@@ -9,16 +9,16 @@
 	"postpoint/internal/protocol"
 )
 
-// Ten leaders in two minutes, an outage of the store among them: no worker loses its tasks, and
-// tasks that end far apart each end once.
+// The leader crashes ten times in two minutes, and the store has an outage meanwhile. No worker may lose its
+// tasks, and tasks that end at different times must each end once.
 func TestRepeatedFailoversLoseNoTask(t *testing.T) {
 	w, d, _, other := twoJobs(t, 46, 200*clock.Second)
 	apart := d.Submit(array("job-000003", "open", 3, 2, 80), 80*clock.Second, false)
 	for i := range 10 {
 		w.Run(w.Now() + 12*clock.Second)
 		if i == 5 {
-			d.Store.Outage(true)
-			w.After(9*clock.Second, func() { d.Store.Outage(false) })
+			d.Store.SetOutage(true)
+			w.After(9*clock.Second, func() { d.Store.SetOutage(false) })
 		}
 		for _, n := range d.Nodes {
 			if n.Leader.Leads() {
@@ -37,9 +37,9 @@
 	}
 }
 
-// A leader that only the workers can't reach resigns in time for their tasks to continue under its
+// Only the workers can't reach the leader. It must resign early enough for their tasks to continue under its
 // successor.
-func TestLeaderThatHearsNoWorkerResigns(t *testing.T) {
+func TestLeaderThatReceivesNoHeartbeatsResigns(t *testing.T) {
 	w := NewWorld(5)
 	set := testSettings()
 	set.Deployment.Workers.LeaseS, set.Deployment.Workers.CancelS = 16, 36
@@ -47,11 +47,11 @@
 	spec := array("job-000001", "open", 12, 2, 60)
 	j := d.Submit(spec, 60*clock.Second, false)
 	w.Run(40 * clock.Second)
-	deaf := mustLead(t, d)
-	deaf.Workers.Cut = true
+	unreachable := mustLead(t, d)
+	unreachable.WorkerLink.Cut = true
 	w.Run(w.Now() + 40*clock.Second)
-	if mustLead(t, d) == deaf {
-		t.Fatalf("%s still leads, want another controller", deaf.Name)
+	if mustLead(t, d) == unreachable {
+		t.Fatalf("%s still leads, want another controller", unreachable.Name)
 	}
 	if n := expired(d); n > 0 {
 		t.Fatalf("%d workers lost their tasks, want none", n)
@@ -60,36 +60,36 @@
 	mustBeDone(t, w, j)
 }
 
-// A controller that reaches only the workers redirects them, without naming a leader that it hasn't
-// seen for a while, fails its health check and answers users at once.
+// A controller reaches only the workers. It must redirect them without naming a leader that it last
+// saw long ago, fail its health check, and respond to users at once.
 func TestIsolatedControllerFailsItsHealthCheck(t *testing.T) {
 	for _, leads := range []bool{true, false} {
 		w, d, j := eightTasks(t, 14, 60*clock.Second)
-		lone := mustLead(t, d)
+		isolated := mustLead(t, d)
 		if !leads {
 			for _, n := range d.Nodes {
-				if n != lone {
-					lone = n
+				if n != isolated {
+					isolated = n
 					break
 				}
 			}
 		}
-		lone.State.Cut, lone.Peers.Cut, lone.Clouds.Cut = true, true, true
+		isolated.StoreLink.Cut, isolated.PeerLink.Cut, isolated.CloudLink.Cut = true, true, true
 		up := true
 		for range 30 {
-			lone.Admission.Ready(func(ok bool) { up = ok }) // as the load balancer asks
+			isolated.Admission.Ready(func(ok bool) { up = ok }) // the health check of the load balancer
 			w.Run(w.Now() + clock.Second)
 		}
 		status, redirect := 0, ""
-		lone.Leader.Heartbeat(d.Workers()[0].newHeartbeat(), func(s int, body any) {
+		isolated.Leader.Heartbeat(d.Workers()[0].newHeartbeat(), func(s int, body any) {
 			status = s
 			if r, ok := body.(protocol.Redirect); ok {
 				redirect = r.Node
 			}
 		})
-		var told admission.Response
-		lone.Admission.Handle(admission.Request{Kind: admission.GetStatus, ID: j.spec.ID},
-			func(a admission.Response) { told = a })
+		var response admission.Response
+		isolated.Admission.Handle(admission.Request{Kind: admission.GetStatus, ID: j.spec.ID},
+			func(a admission.Response) { response = a })
 		w.Run(w.Now() + 20*clock.Millisecond)
 		if up {
 			t.Fatalf("led %v: it passes its health check, want it failed", leads)
@@ -98,8 +98,8 @@
 			t.Fatalf("led %v: a heartbeat gets %d and is sent to %q, want %d and nobody",
 				leads, status, redirect, http.StatusMisdirectedRequest)
 		}
-		if told.Status != http.StatusServiceUnavailable || told.RetryAfterS == 0 {
-			t.Fatalf("led %v: a user gets %+v, want %d and a retry time", leads, told,
+		if response.Status != http.StatusServiceUnavailable || response.RetryAfterS == 0 {
+			t.Fatalf("led %v: a user gets %+v, want %d and a retry time", leads, response,
 				http.StatusServiceUnavailable)
 		}
 		w.Run(w.Now() + 150*clock.Second)
@@ -107,28 +107,28 @@
 	}
 }
 
-// A controller pauses before any one of its requests or responses leaves, while its clocks go on: the
-// leader at any step of ordinary work, the others at any step of an election and a failover. Whatever
-// it was doing is outdated when it continues, and what it sends then does no harm.
+// A controller pauses before it sends any one of its requests or responses, while its clocks continue: the
+// leader at any step of ordinary work, the others at any step of an election and a failover. What it was
+// doing is outdated when it resumes, and what it sends then must do no harm.
 func TestControllerPausesAtAnyRequest(t *testing.T) {
 	for _, electing := range []bool{false, true} {
 		for _, length := range []clock.Micros{2500 * clock.Millisecond, 7 * clock.Second, 37 * clock.Second} {
 			for step := 1; step <= 20; step++ {
 				w, d, j := eightTasks(t, uint64(100+step), 30*clock.Second)
 				leader := mustLead(t, d)
-				stand := func(n *Node, from int) {
+				pauseAt := func(n *Node, from int) {
 					n.process.PauseFor, n.process.PauseAfter = length, from
 				}
 				d.Submit(array("job-000002", "open", 6, 4, 10), 10*clock.Second, false)
 				if electing {
 					for _, n := range d.Nodes {
 						if n != leader {
-							stand(n, step)
+							pauseAt(n, step)
 						}
 					}
 					d.crashFor(leader, 3*clock.Second)
 				} else {
-					stand(leader, step)
+					pauseAt(leader, step)
 				}
 				w.After(20*clock.Second, func() { d.Cancel(j) })
 				w.Run(w.Now() + 200*clock.Second)
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -3,30 +3,31 @@
 import "postpoint/internal/clock"
 
 const (
-	// A random fault lasts between these times.
-	minFault = 2 * clock.Second
-	maxFault = 45 * clock.Second
-	// A crashed controller is down between these times.
-	minDown = 100 * clock.Millisecond
-	maxDown = 8 * clock.Second
-	// leaderShare is the chance that a fault hits the leader instead of any controller.
-	leaderShare = 0.4
+	// A random fault lasts between minFaultTime and maxFaultTime.
+	minFaultTime = 2 * clock.Second
+	maxFaultTime = 45 * clock.Second
+	// A crashed controller is down between minDownTime and maxDownTime.
+	minDownTime = 100 * clock.Millisecond
+	maxDownTime = 8 * clock.Second
+	// leaderFaultShare is the chance that a fault hits the leader instead of a random controller.
+	leaderFaultShare = 0.4
 	// failoverCount is how often the leader crashes in a series of failovers.
 	failoverCount = 5
-	// maxCellFault is how long a fault between cells lasts at most.
-	maxCellFault = 60 * clock.Second
+	// maxCellFaultTime is how long a fault between cells lasts at most.
+	maxCellFaultTime = 60 * clock.Second
 )
 
-// fault is a random fault about to be injected into a deployment.
+// fault holds the targets and the duration of a random fault.
 type fault struct {
 	d        *Deployment
 	w        *World
-	node     *Node       // the controller that it hits
-	worker   *FakeWorker // the worker that another fault hits at the same time; nil if none is up
+	node     *Node       // the controller that a fault of controllerFaults hits
+	worker   *FakeWorker // the worker that a fault of workerFaults hits; nil if none is up
 	duration clock.Micros
 }
 
-// controllerFaults are drawn with equal chances; some stand there twice.
+// controllerFaults lists the faults of controllers, services and users. Each entry has the same chance; some
+// faults have two entries.
 var controllerFaults = []func(f *fault){
 	(*fault).crash,
 	(*fault).crashAll,
@@ -35,18 +36,18 @@
 	(*fault).isolate,
 	(*fault).storeOutage,
 	(*fault).cloudOutage,
-	(*fault).keepWorkersToItself,
-	(*fault).keepWorkersToItself,
+	(*fault).reachWorkersExclusively,
+	(*fault).reachWorkersExclusively,
 	(*fault).reachWorkersOnly,
 	(*fault).reachWorkersOnly,
 	(*fault).crashTwice,
-	(*fault).pauseShortly,
-	(*fault).pauseShortly,
+	(*fault).pauseBriefly,
+	(*fault).pauseBriefly,
 	(*fault).pause,
-	(*fault).refuseBeforeOutage,
-	(*fault).refuseBeforeOutage,
-	(*fault).refuse,
-	(*fault).writeLate,
+	(*fault).rejectNodeBeforeOutage,
+	(*fault).rejectNodeBeforeOutage,
+	(*fault).rejectNode,
+	(*fault).delayWrites,
 	(*fault).cancelAtEnd,
 	(*fault).failOverRepeatedly,
 	(*fault).cancelAndHang,
@@ -55,14 +56,14 @@
 	(*fault).slowStore,
 }
 
-// workerFaults likewise.
+// workerFaults lists the faults of workers. Each entry has the same chance; some faults have two entries.
 var workerFaults = []func(f *fault){
 	(*fault).hangWorker,
 	(*fault).hangWorker,
 	(*fault).partitionWorker,
 	(*fault).partitionWorker,
 	(*fault).killWorker,
-	(*fault).recallWorker,
+	(*fault).reclaimWorker,
 	(*fault).failTasks,
 	(*fault).holdCommands,
 	(*fault).loseResponses,
@@ -71,16 +72,16 @@
 	(*fault).loseHeartbeats,
 }
 
-// injectFault starts a random fault of a controller, a service or the users, and one of a worker, which
-// end some time later.
+// injectFault starts a random fault of a controller, a service or the users, and one of a worker. Both end
+// some time later.
 func injectFault(d *Deployment) {
 	w := d.World
 	f := &fault{d: d, w: w, node: d.Nodes[w.Rand.IntN(len(d.Nodes))]}
-	f.duration = w.Between(minFault, maxFault)
+	f.duration = w.Between(minFaultTime, maxFaultTime)
 	if up := d.Workers(); len(up) > 0 {
 		f.worker = up[w.Rand.IntN(len(up))]
 	}
-	if w.chance(leaderShare) {
+	if w.chance(leaderFaultShare) {
 		for _, n := range d.Nodes {
 			if n.Up() && n.Leader.Leads() {
 				f.node = n
@@ -93,13 +94,14 @@
 	}
 }
 
-// cut cuts a link as long as the fault lasts.
+// cut cuts a link until the fault ends.
 func (f *fault) cut(l *Link, hold bool) {
 	l.Cut, l.Hold = true, hold
 	f.w.After(f.duration, l.Heal)
 }
 
-func (f *fault) restart(n *Node) { f.d.crashFor(n, f.w.Between(minDown, maxDown)) }
+// restart crashes a controller and starts it again after a random time.
+func (f *fault) restart(n *Node) { f.d.crashFor(n, f.w.Between(minDownTime, maxDownTime)) }
 
 func (f *fault) crash() { f.restart(f.node) }
 
@@ -109,7 +111,7 @@
 	}
 }
 
-// crashTwice restarts a controller within a fraction of a second, twice in a row: in the middle of its own
+// crashTwice restarts a controller twice within a fraction of a second, so that it crashes during its own
 // election.
 func (f *fault) crashTwice() {
 	second := f.w.Between(10*clock.Millisecond, 500*clock.Millisecond)
@@ -131,54 +133,58 @@
 	}
 }
 
-// pauseShortly pauses a controller for less than any lease, while its clocks go on.
-func (f *fault) pauseShortly() {
+// pauseBriefly pauses a controller for less time than any lease lasts, while its clocks continue.
+func (f *fault) pauseBriefly() {
 	f.node.process.Pause(f.w.Between(500*clock.Millisecond, 4*clock.Second))
 }
 
-// pause does so for as long as the fault lasts, which may be longer than the workers' lease.
+// pause pauses a controller until the fault ends, which may take longer than the workers' lease.
 func (f *fault) pause() { f.node.process.Pause(f.duration) }
 
-func (f *fault) cutStore() { f.cut(&f.node.State, f.w.chance(0.5)) }
+// cutStore cuts a controller off from the store.
+func (f *fault) cutStore() { f.cut(&f.node.StoreLink, f.w.chance(0.5)) }
 
-func (f *fault) cutWorkers() { f.cut(&f.node.Workers, false) }
+// cutWorkers cuts a controller off from the workers.
+func (f *fault) cutWorkers() { f.cut(&f.node.WorkerLink, false) }
 
-// isolate leaves a controller with the cloud only.
+// isolate cuts a controller off from everything but the cloud.
 func (f *fault) isolate() {
-	f.cut(&f.node.State, f.w.chance(0.5))
-	f.cut(&f.node.Workers, false)
-	f.cut(&f.node.Peers, false)
+	f.cut(&f.node.StoreLink, f.w.chance(0.5))
+	f.cut(&f.node.WorkerLink, false)
+	f.cut(&f.node.PeerLink, false)
 }
 
-// keepWorkersToItself leaves a controller with the workers, and the others with everything else.
-func (f *fault) keepWorkersToItself() {
-	f.cut(&f.node.State, f.w.chance(0.5))
-	f.cut(&f.node.Peers, false)
+// reachWorkersExclusively lets only one controller reach the workers, and cuts it off from the store and from
+// its peers.
+func (f *fault) reachWorkersExclusively() {
+	f.cut(&f.node.StoreLink, f.w.chance(0.5))
+	f.cut(&f.node.PeerLink, false)
 	for _, n := range f.d.Nodes {
 		if n != f.node {
-			f.cut(&n.Workers, false)
+			f.cut(&n.WorkerLink, false)
 		}
 	}
 }
 
-// reachWorkersOnly leaves a controller with the workers, which reach the others as well.
+// reachWorkersOnly cuts a controller off from everything but the workers. The workers also reach the other
+// controllers.
 func (f *fault) reachWorkersOnly() {
-	f.cut(&f.node.State, f.w.chance(0.5))
-	f.cut(&f.node.Peers, false)
-	f.cut(&f.node.Clouds, false)
+	f.cut(&f.node.StoreLink, f.w.chance(0.5))
+	f.cut(&f.node.PeerLink, false)
+	f.cut(&f.node.CloudLink, false)
 }
 
 // injectCellFault starts a random fault between cells or, mostly, within one, and ends it later.
 func injectCellFault(g *Group) {
 	cell, w := g.Cells[g.Cells[0].World.Rand.IntN(len(g.Cells))], g.Cells[0].World
-	duration := w.Between(minFault, maxCellFault)
+	duration := w.Between(minFaultTime, maxCellFaultTime)
 	switch w.Rand.IntN(8) {
 	case 0, 1:
 		w.After(duration, cell.CutOff(w.chance(0.5)))
-	case 2: // reports to other cells arrive, their responses don't
+	case 2: // heartbeats to other cells arrive, their responses don't
 		for _, n := range cell.Nodes {
-			n.Unanswered = true
-			w.After(duration, func() { n.Unanswered = false })
+			n.CellResponsesLost = true
+			w.After(duration, func() { n.CellResponsesLost = false })
 		}
 	case 3:
 		cell.crashAll(duration)
--- a/internal/simulation/formatcheck.go
+++ b/internal/simulation/formatcheck.go
@@ -12,23 +12,23 @@
 	"postpoint/internal/protocol"
 )
 
-// checkFormat checks that only the first format is stored until all controllers have published that they
-// read the next.
+// checkFormat checks that controllers store only the first format until all of them have published that they
+// can read the next format.
 func (d *Deployment) checkFormat(key string, value []byte) {
 	if _, open := d.Store.entries["rollout/gate"]; open {
 		return
 	}
 	if strings.HasPrefix(key, jobrecord.ShardsPrefix) {
-		d.World.Violate(oldFormat, "%s", key)
+		d.World.Violate(unreadableFormat, "%s", key)
 	}
 	if strings.HasPrefix(key, jobrecord.Prefix) {
 		if err := readFirstFormat(value); err != nil {
-			d.World.Violate(oldFormat, "%s: %v", key, err)
+			d.World.Violate(unreadableFormat, "%s: %v", key, err)
 		}
 	}
 }
 
-// firstFormat is a record as the first version reads it.
+// firstFormat holds the fields that the first version reads from a record.
 type firstFormat struct {
 	Spec struct {
 		Shape string
@@ -49,7 +49,7 @@
 		return err
 	}
 	if r.Spec.Shape == protocol.ShapeService {
-		return errors.New("a service, which it takes for an array")
+		return errors.New("a service, which the first version reads as an array")
 	}
 	for _, text := range r.Placed {
 		fields := strings.Fields(text)
--- a/internal/simulation/gangs.go
+++ b/internal/simulation/gangs.go
@@ -2,59 +2,62 @@
 
 import "postpoint/internal/protocol"
 
-// member is a task of a gang with its machine.
+// member is a task of a gang and the machine that it is on.
 type member struct {
 	m *FakeWorker
 	t *task
 }
 
-// gang lists the tasks of one attempt that are on machines, by the id under which they run.
-func (d *Deployment) gang(id protocol.JobID, attempt protocol.Attempt) []member {
-	j := d.find(id)
-	var all []member
+// gangMembers lists the tasks of one attempt of a gang that are on machines with their images. id is the id
+// under which the workers run the job.
+func (d *Deployment) gangMembers(id protocol.JobID, attempt protocol.Attempt) []member {
+	j := d.findJob(id)
+	var members []member
 	for n := range j.spec.Tasks {
 		for m := range j.machines[n] {
-			if t := m.find(taskKey{id, n}, attempt); t != nil && t.resident {
-				all = append(all, member{m, t})
+			if t := m.findTask(taskKey{id, n}, attempt); t != nil && t.resident {
+				members = append(members, member{m, t})
 			}
 		}
 	}
-	return all
+	return members
 }
 
-// startGang starts a gang once all its tasks wait.
+// startGang starts a gang once all its tasks are waiting for each other.
 func (d *Deployment) startGang(id protocol.JobID, attempt protocol.Attempt) {
-	j, all := d.find(id), d.gang(id, attempt)
-	for _, x := range all {
+	j, members := d.findJob(id), d.gangMembers(id, attempt)
+	for _, x := range members {
 		if x.t.status != protocol.TaskWaiting {
 			return
 		}
 	}
-	if len(all) == j.spec.Tasks {
-		for _, x := range all {
-			x.m.run(x.t, j)
+	if len(members) == j.spec.Tasks {
+		for _, x := range members {
+			x.m.runTask(x.t, j)
 		}
 	}
 }
 
-// completeGang completes all tasks of a gang together, unless one is gone: the others notice that later.
+// completeGang completes all tasks of a gang together, unless one is gone. In that case
+// endIncompleteGangs ends the others later.
 func (d *Deployment) completeGang(id protocol.JobID, attempt protocol.Attempt) {
-	all := d.gang(id, attempt)
-	if len(all) != d.find(id).spec.Tasks {
+	members := d.gangMembers(id, attempt)
+	if len(members) != d.findJob(id).spec.Tasks {
 		return
 	}
-	for _, x := range all {
+	for _, x := range members {
 		if x.t.status != protocol.TaskRunning || x.m.Hung {
 			return
 		}
 	}
-	for _, x := range all {
+	for _, x := range members {
 		x.m.exit(x.t, protocol.CauseDone)
 	}
 }
 
-// noticeLostTasks has the running tasks of gangs notice after a while that others are gone.
-func (d *Deployment) noticeLostTasks() {
+// scheduleGangCheck ends the running tasks of incomplete gangs after the time that a task needs to notice
+// that others are gone.
+func (d *Deployment) scheduleGangCheck() {
 	d.World.After(d.Settings.Deployment.Workers.GangPeer(), d.endIncompleteGangs)
 }
 
@@ -72,16 +75,17 @@
 	}
 }
 
-// endIncompleteGang ends a task of a gang that runs on the machine if others of its attempt are gone.
+// endIncompleteGang ends the gang's task n on the machine if it is running and other tasks of its attempt are
+// gone.
 func (d *Deployment) endIncompleteGang(j *Job, n int, m *FakeWorker) {
 	for _, t := range m.tasks {
-		if t.task != n || d.find(t.job) != j || !t.resident || t.status != protocol.TaskRunning {
+		if t.task != n || d.findJob(t.job) != j || !t.resident || t.status != protocol.TaskRunning {
 			continue
 		}
-		if len(d.gang(t.job, t.attempt)) >= j.spec.Tasks {
+		if len(d.gangMembers(t.job, t.attempt)) >= j.spec.Tasks {
 			continue
 		}
-		m.do(func() {
+		m.runOrDefer(func() {
 			if t.status == protocol.TaskRunning {
 				m.exit(t, protocol.CauseGangBroken)
 			}
--- a/internal/simulation/gangs_test.go
+++ b/internal/simulation/gangs_test.go
@@ -10,8 +10,8 @@
 	"postpoint/internal/scaling"
 )
 
-// A gang that loses a task before it has started gets a replacement with the same attempt, and the
-// tasks that wait for it needn't restart.
+// A gang loses a task before the gang has started. The task must get a replacement with the same attempt, so
+// that the tasks that wait for it needn't restart.
 func TestLostTaskIsReplacedBeforeItsGangStarts(t *testing.T) {
 	w := NewWorld(9)
 	set := testSettings()
@@ -20,7 +20,7 @@
 	spec := array("job-000001", "open", 3, 6, 20)
 	spec.Shape = protocol.ShapeGang
 	j := d.Submit(spec, 20*clock.Second, false)
-	// Until one waits and another still fetches.
+	// Run until one task waits and another still fetches its image.
 	var dying *FakeWorker
 	for dying == nil && w.Now() < 60*clock.Second {
 		w.Run(w.Now() + 50*clock.Millisecond)
@@ -50,8 +50,8 @@
 	mustBeDone(t, w, j)
 }
 
-// A gang of which some tasks would have to wait for a worker to boot isn't placed until all workers
-// are up: placed in part it would hold resources, fail for want of the rest and restart.
+// Some tasks of a gang would have to wait for a worker to boot. The leader must not place the gang until all
+// workers are up: a partly placed gang would hold resources, fail because tasks are missing, and restart.
 func TestGangIsPlacedOnlyOnceAllItsWorkersAreUp(t *testing.T) {
 	w := NewWorld(15)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
@@ -84,8 +84,8 @@
 	mustBeDone(t, w, gang)
 }
 
-// A gang on a surplus worker is checkpointed and moved off it as a whole, and once: otherwise a
-// costly machine would be paid for until the gang ends.
+// A gang runs on a costly surplus worker. The leader must checkpoint the gang and move it as a whole, and
+// only once; otherwise the deployment would pay for the machine until the gang ends.
 func TestGangIsMovedOffSurplusWorkerAsAWhole(t *testing.T) {
 	w := NewWorld(19)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
@@ -93,10 +93,10 @@
 		{Type: "big", Zone: "a"}: 2}
 	spec := array("job-000001", "open", 3, 2, 600)
 	spec.MemoryGB = 20
-	d.Submit(spec, 600*clock.Second, false) // one on each small machine, which it keeps up
+	d.Submit(spec, 600*clock.Second, false) // keeps each small machine up with one task
 	w.Run(30 * clock.Second)
 	spec.ID, spec.Cpus, spec.MemoryGB, spec.EstimateS = "job-000002", 6, 5, 60
-	d.Submit(spec, 60*clock.Second, false) // fills them
+	d.Submit(spec, 60*clock.Second, false) // fills the small machines
 	w.Run(45 * clock.Second)
 	spec.ID, spec.Shape, spec.Tasks = "job-000003", protocol.ShapeGang, 2
 	spec.EstimateS, spec.CheckpointS, spec.SaveS = 400, 10, 1
@@ -125,8 +125,8 @@
 	mustBeDone(t, w, gang)
 }
 
-// No room is reserved for a gang that fits neither on the workers there are nor on all that the cloud
-// still has: smaller jobs would wait for ever.
+// A gang fits neither on the existing workers nor on all machines that the cloud still has. The leader must
+// reserve no capacity for it, because smaller jobs would then wait for ever.
 func TestGangThatNeverFitsReservesNoRoom(t *testing.T) {
 	w := NewWorld(91)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
@@ -144,7 +144,7 @@
 		})
 	}
 	w.Run(150 * clock.Second)
-	d.WatchRoom()
+	d.MonitorWaitingJobs()
 	w.Run(500 * clock.Second)
 	mustKeepRules(t, w)
 	if left := d.Unfinished(); len(left) != 1 {
--- a/internal/simulation/heartbeats.go
+++ b/internal/simulation/heartbeats.go
@@ -10,48 +10,49 @@
 const (
 	// heartbeatTimeout is how long a worker waits for the response to a heartbeat.
 	heartbeatTimeout = 4 * clock.Second
-	// retryPause is how long it waits before it tries another controller.
-	retryPause = clock.Second
-	// changePause is the least time between heartbeats about changes.
-	changePause = 500 * clock.Millisecond
-	// Late copies of heartbeats arrive after this, and up to this many leases later.
+	// retryDelay is how long it waits before it tries another controller.
+	retryDelay = clock.Second
+	// minChangeInterval is the least interval between heartbeats about changes: the worker sends one this
+	// long after the first change.
+	minChangeInterval = 500 * clock.Millisecond
+	// A late copy of a heartbeat arrives between minCopyDelay and maxCopyDelayLeases leases later.
 	minCopyDelay       = clock.Second
 	maxCopyDelayLeases = 3
 )
 
-// sendHeartbeats sends heartbeats in about the period of the settings.
+// sendHeartbeats sends heartbeats periodically, with some jitter around the interval of the settings.
 func (m *FakeWorker) sendHeartbeats() {
 	w := m.d.World
 	period := m.d.Settings.Deployment.Workers.HeartbeatInterval()
 	w.After(w.Between(period*3/4, period*5/4), func() {
 		if !m.ended {
-			m.do(m.sendHeartbeat)
+			m.runOrDefer(m.sendHeartbeat)
 			m.sendHeartbeats()
 		}
 	})
 }
 
-// scheduleHeartbeat schedules a heartbeat about a change.
+// scheduleHeartbeat schedules a heartbeat about a change, unless one is scheduled already.
 func (m *FakeWorker) scheduleHeartbeat() {
 	if m.changed || m.ended {
 		return
 	}
 	m.changed = true
-	m.d.World.After(changePause, func() {
+	m.d.World.After(minChangeInterval, func() {
 		m.changed = false
-		m.do(m.sendHeartbeat)
+		m.runOrDefer(m.sendHeartbeat)
 	})
 }
 
-// newHeartbeat is a heartbeat with the present state.
+// newHeartbeat returns a heartbeat with the present state of the worker.
 func (m *FakeWorker) newHeartbeat() protocol.Heartbeat {
 	m.counter++
 	r := protocol.Heartbeat{
 		Machine: m.name, Address: m.addr, Type: m.typ, Zone: m.zone, Spot: m.spot,
 		Incarnation: m.incarnation, Counter: m.counter, Epoch: m.epoch,
 	}
-	if m.recallAt != 0 {
-		left := (m.recallAt - m.d.World.now).Seconds()
+	if m.reclaimAt != 0 {
+		left := (m.reclaimAt - m.d.World.now).Seconds()
 		r.PreemptionNoticeS = &left
 	}
 	for _, t := range m.tasks {
@@ -63,7 +64,7 @@
 	return r
 }
 
-// sendHeartbeat sends a heartbeat unless one is under way.
+// sendHeartbeat sends a heartbeat unless one is in flight.
 func (m *FakeWorker) sendHeartbeat() {
 	if m.inFlight || m.ended {
 		return
@@ -71,18 +72,18 @@
 	w := m.d.World
 	m.inFlight = true
 	e := &heartbeatCall{
-		m: m, n: m.d.Nodes[m.node], sent: w.now, session: m.incarnation,
-		another: (m.node + 1) % len(m.d.Nodes),
+		m: m, n: m.d.Nodes[m.node], sent: w.now, incarnation: m.incarnation,
+		fallback: (m.node + 1) % len(m.d.Nodes),
 	}
 	r := m.newHeartbeat()
-	w.After(heartbeatTimeout, func() { e.finish(e.another, retryPause) })
+	w.After(heartbeatTimeout, func() { e.finish(e.fallback, retryDelay) })
 	m.send(func() { m.d.deliver(m.zone, e.n.Zone, func() { e.arrive(r) }) })
-	if w.chance(m.Late) {
+	if w.chance(m.LateCopyChance) {
 		e.sendLateCopy(r)
 	}
 }
 
-// send carries a message from the machine; a cut that holds delivers it late.
+// send carries a message from the machine. A cut link either loses it or holds it until Heal.
 func (m *FakeWorker) send(arrive func()) {
 	switch {
 	case m.Link.Cut && m.Link.Hold:
@@ -93,77 +94,77 @@
 	}
 }
 
-// receive carries a response to the machine once it has left the controller.
+// receive carries a response to the machine once it has left the controller's process.
 func (m *FakeWorker) receive(from *Process, arrive func()) {
 	from.send(func() { m.d.World.After(m.Link.delay(), arrive) })
 }
 
-// adopt takes a leader's epoch that is higher than all before.
-func (m *FakeWorker) adopt(epoch protocol.Epoch) {
+// adoptEpoch stores a leader's epoch if it is higher than all before, and reports it by a heartbeat.
+func (m *FakeWorker) adoptEpoch(epoch protocol.Epoch) {
 	if epoch > m.epoch {
 		m.epoch = epoch
 		m.scheduleHeartbeat()
 	}
 }
 
-// heartbeatCall is one heartbeat with its response.
+// heartbeatCall is one heartbeat of a worker to a controller, with its response.
 type heartbeatCall struct {
-	m       *FakeWorker
-	n       *Node
-	sent    clock.Micros
-	session protocol.Incarnation
-	another int // the controller that is tried next if this one doesn't respond
-	over    bool
+	m           *FakeWorker
+	n           *Node
+	sent        clock.Micros
+	incarnation protocol.Incarnation
+	fallback    int // the controller to try next if this one doesn't respond
+	finished    bool
 }
 
-// sameNode stays with the controller that responded.
+// sameNode means that the next heartbeat goes to the same controller.
 const sameNode = -1
 
-// finish ends the exchange, to continue with another controller after a pause.
+// finish ends the call. Unless next is sameNode, the worker sends a heartbeat to the controller next after a
+// pause.
 func (e *heartbeatCall) finish(next int, pause clock.Micros) {
-	if e.over {
+	if e.finished {
 		return
 	}
-	e.over = true
+	e.finished = true
 	e.m.inFlight = false
 	if next != sameNode {
 		e.m.node = next
-		e.m.d.World.After(pause, func() { e.m.do(e.m.sendHeartbeat) })
+		e.m.d.World.After(pause, func() { e.m.runOrDefer(e.m.sendHeartbeat) })
 	}
 }
 
-// sendLateCopy delivers the heartbeat once more, much later. The response to a copy is lost and counts
-// for nothing.
+// sendLateCopy delivers the heartbeat once more, much later. The worker never gets the response to the copy.
 func (e *heartbeatCall) sendLateCopy(r protocol.Heartbeat) {
 	w := e.m.d.World
 	longest := maxCopyDelayLeases * e.m.d.Settings.Deployment.Workers.Lease()
 	w.After(w.Between(minCopyDelay, longest), func() {
-		if e.reaches() {
-			e.n.reports.Heartbeat(r, func(int, any) {})
+		if e.reachable() {
+			e.n.heartbeats.Heartbeat(r, func(int, any) {})
 		}
 	})
 }
 
-// reaches reports whether the controller can be reached now.
-func (e *heartbeatCall) reaches() bool {
-	return e.n.Up() && !e.n.Workers.Cut && !e.m.HeartbeatsLost
+// reachable reports whether heartbeats of the worker reach the controller now.
+func (e *heartbeatCall) reachable() bool {
+	return e.n.Up() && !e.n.WorkerLink.Cut && !e.m.HeartbeatsLost
 }
 
 // arrive hands the heartbeat to the controller and carries its response back.
 func (e *heartbeatCall) arrive(r protocol.Heartbeat) {
-	if !e.reaches() {
+	if !e.reachable() {
 		return
 	}
 	m, proc := e.m, e.n.process
-	e.n.reports.Heartbeat(r, func(status int, body any) {
+	e.n.heartbeats.Heartbeat(r, func(status int, body any) {
 		if a, ok := body.(protocol.HeartbeatResponse); ok {
 			m.d.checkCommands(e.n, a.Epoch, a.Commands)
 		}
-		if m.Link.Cut || m.ResponsesLost || e.n.Workers.Cut || m.d.World.chance(m.Link.Loss) {
+		if m.Link.Cut || m.ResponsesLost || e.n.WorkerLink.Cut || m.d.World.chance(m.Link.Loss) {
 			return
 		}
 		m.receive(proc, func() {
-			m.d.deliver(e.n.Zone, m.zone, func() { m.do(func() { e.handleResponse(status, body) }) })
+			m.d.deliver(e.n.Zone, m.zone, func() { m.runOrDefer(func() { e.handleResponse(status, body) }) })
 		})
 	})
 }
@@ -171,28 +172,28 @@
 // handleResponse handles the controller's response.
 func (e *heartbeatCall) handleResponse(status int, body any) {
 	m := e.m
-	if e.over || m.ended {
+	if e.finished || m.ended {
 		return
 	}
 	if status != http.StatusOK {
-		e.finish(e.nextNode(body), retryPause)
+		e.finish(e.nextNode(body), retryDelay)
 		return
 	}
 	e.finish(sameNode, 0)
 	a := body.(protocol.HeartbeatResponse)
-	if e.session != m.incarnation || a.Epoch < m.epoch {
+	if e.incarnation != m.incarnation || a.Epoch < m.epoch {
 		return
 	}
-	m.adopt(a.Epoch)
+	m.adoptEpoch(a.Epoch)
 	m.leaseStart = e.sent
-	m.watchLease()
+	m.scheduleLeaseExpiry()
 	m.execute(a.Commands)
 }
 
-// nextNode is the controller that a response names, or another one.
+// nextNode returns the index of the controller to which a response redirects the worker, or fallback.
 func (e *heartbeatCall) nextNode(body any) int {
-	if hint, ok := body.(protocol.Redirect); ok && hint.Node != "" {
-		return e.m.d.nodeIndex(hint.Node, e.another)
+	if redirect, ok := body.(protocol.Redirect); ok && redirect.Node != "" {
+		return e.m.d.nodeIndex(redirect.Node, e.fallback)
 	}
-	return e.another
+	return e.fallback
 }
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -8,7 +8,7 @@
 	"postpoint/internal/protocol"
 )
 
-// twoJobs is a deployment that runs two long jobs, one to be cancelled and one to continue.
+// twoJobs starts a deployment that runs two long jobs, one to be cancelled and one to continue.
 func twoJobs(t *testing.T, seed uint64, run clock.Micros) (w *World, d *Deployment, cancelled, other *Job) {
 	t.Helper()
 	w = NewWorld(seed)
@@ -25,7 +25,7 @@
 	return w, d, cancelled, other
 }
 
-// eightTasks is a deployment that runs one job of eight tasks.
+// eightTasks starts a deployment that runs one job of eight tasks.
 func eightTasks(t *testing.T, seed uint64, run clock.Micros) (*World, *Deployment, *Job) {
 	t.Helper()
 	w := NewWorld(seed)
@@ -39,7 +39,7 @@
 	return w, d, j
 }
 
-// confirmCancel has the user cancel the job and runs until the cancellation is confirmed.
+// confirmCancel makes the user cancel the job and runs until a controller confirms the cancellation.
 func confirmCancel(w *World, d *Deployment, j *Job) {
 	d.Cancel(j)
 	for j.finalStatus == "" {
@@ -55,20 +55,20 @@
 	}
 }
 
-// mustBeDone fails the test unless the user was told that the job is done and no rule was broken.
+// mustBeDone fails the test unless the user's final status is done and no rule was broken.
 func mustBeDone(t *testing.T, w *World, j *Job) {
 	t.Helper()
 	if j.finalStatus != protocol.StatusDone || len(w.Violations) > 0 {
-		t.Fatalf("%s: told %q, want %q; broken rules %v, want none",
+		t.Fatalf("%s: status %q, want %q; broken rules %v, want none",
 			j.spec.ID, j.finalStatus, protocol.StatusDone, w.Violations)
 	}
 }
 
-// mustBeCancelled fails the test unless the user was told that the job is cancelled.
+// mustBeCancelled fails the test unless the user's final status is cancelled.
 func mustBeCancelled(t *testing.T, j *Job) {
 	t.Helper()
 	if j.finalStatus != protocol.StatusCancelled {
-		t.Fatalf("%s: told %q, want %q", j.spec.ID, j.finalStatus, protocol.StatusCancelled)
+		t.Fatalf("%s: status %q, want %q", j.spec.ID, j.finalStatus, protocol.StatusCancelled)
 	}
 }
 
@@ -92,7 +92,7 @@
 	return false
 }
 
-// mustKeepLeases fails the test if the lease of a worker that isn't excused expired.
+// mustKeepLeases fails the test if the lease of a worker expired, unless the worker is excused.
 func mustKeepLeases(t *testing.T, d *Deployment, excused map[*FakeWorker]bool) {
 	t.Helper()
 	for _, m := range d.Cloud.all {
@@ -111,7 +111,7 @@
 	m.Commands.Heal()
 }
 
-// mustLead is the first controller that leads; the test fails if none does.
+// mustLead returns the first controller that leads, and fails the test if none does.
 func mustLead(t *testing.T, d *Deployment) *Node {
 	t.Helper()
 	leader := d.Leader()
@@ -121,7 +121,7 @@
 	return leader
 }
 
-// expired counts the workers whose lease expired, which cost them their tasks.
+// expired counts the workers whose lease has expired and that have therefore lost their tasks.
 func expired(d *Deployment) int {
 	n := 0
 	for _, m := range d.Workers() {
--- a/internal/simulation/jobs.go
+++ b/internal/simulation/jobs.go
@@ -6,35 +6,37 @@
 	"postpoint/internal/protocol"
 )
 
-// Job is a user's job, what runs of it, and what its user was told.
+// Job is a user's job: its specification, its tasks on machines, and the responses that its user received.
 type Job struct {
-	origin *Deployment
-	spec   protocol.JobSpec
-	run    clock.Micros // about how long a task runs; 0 for replicas that run until they are stopped
-	// failing: its tasks fail.
+	origin  *Deployment
+	spec    protocol.JobSpec
+	runTime clock.Micros // about how long a task runs; 0 for replicas that run until a controller stops them
+	// failing is set if all its tasks fail.
 	failing bool
 
 	submittedAt    clock.Micros
 	acceptedAt     clock.Micros
-	startedAt      clock.Micros // when its first task had its image
+	startedAt      clock.Micros // when a worker had first fetched the image for one of its tasks
 	lastResponseAt clock.Micros // when its user last got a response
-	idleAt         clock.Micros // when it last ran, or couldn't have: see WatchRoom
+	waitingSince   clock.Micros // despite free capacity: see MonitorWaitingJobs
 
-	// cancelRequested: its user has cancelled it. cancelledAt is when that was confirmed.
+	// cancelRequested is set once its user has cancelled it; cancelledAt is when a controller confirmed
+	// the cancellation.
 	cancelRequested bool
 	cancelledAt     clock.Micros
-	// finalStatus is the final status that its user was told, finalAt when that was.
+	// finalStatus is the final status that a controller reported to its user, finalAt the time of that
+	// response.
 	finalStatus string
 	finalAt     clock.Micros
 
-	// completed are the completed tasks, machines those that each task is on.
+	// completed holds the completed tasks, machines the machines that each task is on.
 	completed map[int]bool
 	machines  map[int]map[*FakeWorker]bool
 }
 
 func newJob(d *Deployment, spec protocol.JobSpec, run clock.Micros, failing bool) *Job {
 	return &Job{
-		origin: d, spec: spec, run: run, failing: failing, submittedAt: d.World.now,
+		origin: d, spec: spec, runTime: run, failing: failing, submittedAt: d.World.now,
 		completed: map[int]bool{}, machines: map[int]map[*FakeWorker]bool{},
 	}
 }
@@ -42,38 +44,41 @@
 // accepted reports whether a controller has accepted the job.
 func (j *Job) accepted() bool { return j.acceptedAt != 0 }
 
-// needs is what one task uses.
-func (j *Job) needs() planner.Resources { return planner.TaskResources(&j.spec) }
+// taskResources returns the resources of one task.
+func (j *Job) taskResources() planner.Resources { return planner.TaskResources(&j.spec) }
 
 // Done reports whether every task has completed.
 func (j *Job) Done() bool { return len(j.completed) == j.spec.Tasks && !j.spec.Service() }
 
-// complete notes that a task has completed. A share of users cancel the job at the moment of its end.
+// complete records that a task has completed. If that completes the job, its user cancels it at that moment
+// with probability cancelShare.
 func (j *Job) complete(task int, cancelShare float64) {
-	d, was := j.origin, j.Done()
+	d, wasDone := j.origin, j.Done()
 	if !j.completed[task] {
 		d.History.taskCompleted(j, task)
 	}
 	j.completed[task] = true
-	if !was && j.Done() && d.World.chance(cancelShare) {
+	if !wasDone && j.Done() && d.World.chance(cancelShare) {
 		d.Cancel(j)
 	}
 }
 
-// FinalStatus is the final status that the user was told, empty before.
+// FinalStatus returns the final status that the user received, empty before.
 func (j *Job) FinalStatus() string { return j.finalStatus }
 
-// StartDelay is how long after its submission the job's first task had its image, or never.
-func (j *Job) StartDelay() clock.Micros { return since(j.submittedAt, j.startedAt) }
+// StartDelay returns the time from the job's submission until a worker had fetched the image for one of its
+// tasks, or never.
+func (j *Job) StartDelay() clock.Micros { return elapsed(j.submittedAt, j.startedAt) }
 
-// CompletionDelay is how long after its submission its user was told its end, or never.
-func (j *Job) CompletionDelay() clock.Micros { return since(j.submittedAt, j.finalAt) }
+// CompletionDelay returns the time from the job's submission until its user received its final status, or
+// never.
+func (j *Job) CompletionDelay() clock.Micros { return elapsed(j.submittedAt, j.finalAt) }
 
-// never is longer than any simulation.
+// never is the delay of an event that didn't happen; it is longer than any simulation.
 const never = 100_000 * clock.Second
 
-// since is the time between two moments, the second of which may not have come.
-func since(from, to clock.Micros) clock.Micros {
+// elapsed returns the time between two moments, or never if the second is 0.
+func elapsed(from, to clock.Micros) clock.Micros {
 	if to == 0 {
 		return never
 	}
--- a/internal/simulation/kinds.go
+++ b/internal/simulation/kinds.go
@@ -8,38 +8,38 @@
 	"postpoint/internal/zonerecovery"
 )
 
-// Kind is a kind of simulation with random load and random faults.
+// Kind is a kind of simulated day, with random load and random faults.
 type Kind struct {
 	Name string
-	// play plays a day, and returns the deployments. Some kinds differ for odd seeds.
-	play func(w *World, odd bool) []*Deployment
+	// simulate simulates a day and returns the deployments. Some kinds differ for odd seeds.
+	simulate func(w *World, odd bool) []*Deployment
 }
 
-// longestTask is the longest run time of a task.
-const longestTask = 300 * clock.Second
+// maxTaskRunTime is the longest run time of a task.
+const maxTaskRunTime = 300 * clock.Second
 
-// Kinds are all kinds of simulations.
+// Kinds lists all kinds of simulated days.
 var Kinds = []Kind{
-	{"plain", playPlain},
-	{"services", playServices},
-	{"divided", playSharded},
-	{"cells", playCells},
-	{"recovery", playRecovery},
-	{"upgrade", playUpgrade},
+	{"plain", simulatePlain},
+	{"services", simulateServices},
+	{"divided", simulateSharded},
+	{"cells", simulateCells},
+	{"recovery", simulateRecovery},
+	{"upgrade", simulateUpgrade},
 }
 
-// Play runs the simulation with a seed and records all messages, and finally all values of the stores.
+// Play runs the simulation with a seed. It records all messages and, at the end, all values of the stores.
 func (k Kind) Play(seed uint64, r Recorder) *World {
 	w := NewWorld(seed)
 	w.Recorder = r
-	for _, d := range k.play(w, seed%2 == 1) {
+	for _, d := range k.simulate(w, seed%2 == 1) {
 		d.recordStored()
 	}
 	return w
 }
 
-// playPlain plays arrays and gangs, with deadlines and objectives.
-func playPlain(w *World, _ bool) []*Deployment {
+// simulatePlain simulates arrays and gangs, with deadlines and service-level objectives.
+func simulatePlain(w *World, _ bool) []*Deployment {
 	set := testSettings()
 	set.Deployment.Objectives = []settings.Objective{
 		{Kind: "finished", Class: "c", WithinS: 60, Share: 0.9},
@@ -47,14 +47,14 @@
 		{Kind: "deadline", Class: "c", Times: 2, Share: 0.9},
 	}
 	d := NewDeployment(w, set, testTypes(), 0.01)
-	d.Store.Limit(set.Deployment.KVStore, true)
+	d.Store.SetLimits(set.Deployment.KVStore, true)
 	d.inspect()
-	workload{spec: withDeadlines, longest: longestTask}.play(d)
+	workload{spec: withDeadlines, maxRunTime: maxTaskRunTime}.simulateDay(d)
 	return []*Deployment{d}
 }
 
-// withDeadlines draws jobs of which some have a deadline, which not all of them can meet, and some an
-// estimate that is far too long.
+// withDeadlines draws a random job. Some jobs have a deadline, which not all of them can meet, and some have
+// a run time estimate that is far too long.
 func withDeadlines(w *World, n int) protocol.JobSpec {
 	s := randomSpec(w, n)
 	if w.chance(0.4) {
@@ -67,42 +67,42 @@
 	return s
 }
 
-// playServices plays mostly services, and has the cloud recall machines.
-func playServices(w *World, _ bool) []*Deployment {
+// simulateServices simulates mostly services while the cloud reclaims machines.
+func simulateServices(w *World, _ bool) []*Deployment {
 	d := NewDeployment(w, testSettings(), testTypes(), 0.01)
-	d.Store.Limit(d.Settings.Deployment.KVStore, false)
+	d.Store.SetLimits(d.Settings.Deployment.KVStore, false)
 	d.inspect()
 	for range 8 {
 		w.After(w.Between(30*clock.Second, dayLength), func() {
 			if up := d.Workers(); len(up) > 0 {
-				d.Recall(up[w.Rand.IntN(len(up))], w.Between(15*clock.Second, 60*clock.Second))
+				d.Reclaim(up[w.Rand.IntN(len(up))], w.Between(15*clock.Second, 60*clock.Second))
 			}
 		})
 	}
-	workload{services: 0.6, spec: randomSpec, longest: longestTask}.play(d)
+	workload{services: 0.6, spec: randomSpec, maxRunTime: maxTaskRunTime}.simulateDay(d)
 	return []*Deployment{d}
 }
 
-// playSharded plays large jobs whose records have to be sharded for the small values that the store takes.
-// Its limits tighten some time later, and then beyond what was announced, and leaders crash while they
-// shard records.
-func playSharded(w *World, _ bool) []*Deployment {
+// simulateSharded simulates large jobs. The store accepts only small values, so the leader must shard their
+// records. Later the store's limits tighten, first as announced and then beyond that, and leaders crash
+// while they shard records.
+func simulateSharded(w *World, _ bool) []*Deployment {
 	set := testSettings()
 	set.Deployment.KVStore.ValueKb = 4
 	announceTighterLimits(set)
 	d := NewDeployment(w, set, testTypes(), 0.01)
-	d.Store.Limit(set.Deployment.KVStore, false)
+	d.Store.SetLimits(set.Deployment.KVStore, false)
 	w.After(w.Between(0, dayLength), func() {
-		d.Store.Limit(set.Deployment.KVStore.Tightest(), true)
+		d.Store.SetLimits(set.Deployment.KVStore.Tightest(), true)
 		w.After(w.Between(0, 60*clock.Second), func() { d.Store.ValueBytes, d.Store.TxnOps = 1500, 3 })
 	})
 	d.crashLeaders(6)
 	d.inspect()
-	workload{services: 0.05, spec: mostlyLarge, longest: longestTask}.play(d)
+	workload{services: 0.05, spec: mostlyLarge, maxRunTime: maxTaskRunTime}.simulateDay(d)
 	return []*Deployment{d}
 }
 
-// mostlyLarge draws jobs of which half are large arrays of small tasks.
+// mostlyLarge draws a random job; half of the jobs are large arrays of small tasks.
 func mostlyLarge(w *World, n int) protocol.JobSpec {
 	s := randomSpec(w, n)
 	if w.chance(0.5) {
@@ -111,30 +111,30 @@
 	return s
 }
 
-// tightGuests lets cells host few tasks, and reserve some room for their own.
-const tightGuests = "guests = { cpus = 24.0, gpus = 1.0 }\nreserve = { cpus = 6.0 }"
+// tightHostedLimits lets cells host few tasks and makes them reserve some capacity for their own.
+const tightHostedLimits = "guests = { cpus = 24.0, gpus = 1.0 }\nreserve = { cpus = 6.0 }"
 
-// playCells plays three cells that offload tasks to each other, with odd seeds few.
-func playCells(w *World, odd bool) []*Deployment {
-	guests := groupGuests
+// simulateCells simulates three cells that offload tasks to each other; with odd seeds they host only few.
+func simulateCells(w *World, odd bool) []*Deployment {
+	hostedLimits := defaultHostedLimits
 	if odd {
-		guests = tightGuests
+		hostedLimits = tightHostedLimits
 	}
-	g := group(w, guests, 0.01)
+	g := newThreeCells(w, hostedLimits, 0.01)
 	for _, d := range g.Cells {
 		d.inspect()
 		if odd {
-			d.writeLate(w.Between(20*clock.Second, dayLength))
+			d.delayWrites(w.Between(20*clock.Second, dayLength))
 		}
 	}
-	g.play()
+	g.simulateDay()
 	return g.Cells
 }
 
-// recoveryFile reserves some room for the loss of a zone, and lets lost tasks restart slowly.
+// recoveryFile reserves some capacity for the loss of a zone and restarts displaced tasks slowly.
 const recoveryFile = "tasks_per_s = 4\n[reserve]\nshare = 0.3\n"
 
-// recoveryOn are the default settings of zone recovery, or those of the file.
+// recoveryOn returns the default settings of zone recovery, or those of recoveryFile.
 func recoveryOn(set *settings.Settings, fromFile bool) *zonerecovery.Settings {
 	if !fromFile {
 		s := zonerecovery.Defaults()
@@ -147,30 +147,30 @@
 	return parsed
 }
 
-// playRecovery plays zones that are lost and come back, with zone recovery switched on, and leaders that
-// crash meanwhile.
-func playRecovery(w *World, odd bool) []*Deployment {
+// simulateRecovery simulates zones that are lost and return, with zone recovery enabled, while leaders
+// crash.
+func simulateRecovery(w *World, odd bool) []*Deployment {
 	set := testSettings()
 	set.Deployment.Zones = []string{"a", "b"}
 	d := prepare(w, set, testTypes(), 0.01)
 	d.Recovery = recoveryOn(set, odd)
 	d.startNodes()
 	d.inspect()
-	d.cutZonesSometimes()
+	d.cutRandomZones()
 	d.crashLeaders(4)
 	if odd {
-		d.writeLate(w.Between(20*clock.Second, dayLength))
+		d.delayWrites(w.Between(20*clock.Second, dayLength))
 	}
-	workload{services: 0.15, spec: randomSpec, longest: longestTask, ownClasses: true}.play(d)
+	workload{services: 0.15, spec: randomSpec, maxRunTime: maxTaskRunTime, ownClasses: true}.simulateDay(d)
 	return []*Deployment{d}
 }
 
-// playUpgrade plays a deployment whose controllers are upgraded one after another, with some time in between.
-func playUpgrade(w *World, odd bool) []*Deployment {
+// simulateUpgrade simulates a rolling upgrade of the controllers, with some time between two of them.
+func simulateUpgrade(w *World, odd bool) []*Deployment {
 	set := testSettings()
 	announceTighterLimits(set)
-	d := NewOldDeployment(w, set, testTypes(), 0.01)
-	d.Store.Limit(set.Deployment.KVStore, false)
+	d := NewOldVersionDeployment(w, set, testTypes(), 0.01)
+	d.Store.SetLimits(set.Deployment.KVStore, false)
 	d.Store.CheckPut = d.checkFormat
 	upgrade := w.Between(10*clock.Second, dayLength/2)
 	w.After(upgrade, func() {
@@ -178,26 +178,26 @@
 	})
 	d.crashLeaders(4)
 	if odd {
-		d.writeLate(upgrade)
+		d.delayWrites(upgrade)
 	}
-	w.After(w.Between(0, dayLength), func() { d.Store.Limit(set.Deployment.KVStore.Tightest(), true) })
+	w.After(w.Between(0, dayLength), func() { d.Store.SetLimits(set.Deployment.KVStore.Tightest(), true) })
 	d.inspect()
-	workload{services: 0.15, spec: mostlyLarge, longest: longestTask}.play(d)
+	workload{services: 0.15, spec: mostlyLarge, maxRunTime: maxTaskRunTime}.simulateDay(d)
 	return []*Deployment{d}
 }
 
-// cutZonesSometimes partitions a zone three times.
-func (d *Deployment) cutZonesSometimes() {
+// cutRandomZones partitions a random zone at three random times.
+func (d *Deployment) cutRandomZones() {
 	w := d.World
 	for range 3 {
 		w.After(w.Between(30*clock.Second, dayLength), func() {
-			long := w.Between(2*clock.Second, 60*clock.Second)
-			w.After(long, d.CutZone([]string{"a", "b"}[w.Rand.IntN(2)], w.chance(0.5)))
+			duration := w.Between(2*clock.Second, 60*clock.Second)
+			w.After(duration, d.CutZone([]string{"a", "b"}[w.Rand.IntN(2)], w.chance(0.5)))
 		})
 	}
 }
 
-// crashLeaders crashes so many leaders at random times.
+// crashLeaders crashes the leader at n random times.
 func (d *Deployment) crashLeaders(n int) {
 	w := d.World
 	for range n {
@@ -207,13 +207,13 @@
 	}
 }
 
-// writeLate has the store execute many transactions late, from a time on for a while.
-func (d *Deployment) writeLate(from clock.Micros) {
+// delayWrites makes the store execute many transactions late, for 90 s from the given time on.
+func (d *Deployment) delayWrites(from clock.Micros) {
 	d.World.After(from, func() { d.Store.LateWrites = 0.2 })
 	d.World.After(from+90*clock.Second, func() { d.Store.LateWrites = 0 })
 }
 
-// inspect asks every controller regularly what operators, load balancers and users ask.
+// inspect regularly sends every controller the requests of operators, load balancers and users.
 func (d *Deployment) inspect() {
 	const period = 10 * clock.Second
 	asked := 0
@@ -229,12 +229,13 @@
 	})
 }
 
-// inspectNode asks one controller, also about the next of the jobs or about one that doesn't exist.
+// inspectNode sends these requests to one controller. The user's request is for the status of the next job
+// or, each fifth time, of a job that doesn't exist.
 func (d *Deployment) inspectNode(n *Node, asked int) {
 	if d.World.Recorder != nil {
-		of := d.recordingOf(n)
-		n.Leader.Overview(of.recordOverview)
-		n.Admission.Ready(func(ready bool) { of.record("ready", ready) })
+		recording := d.recordingOf(n)
+		n.Leader.Overview(recording.recordOverview)
+		n.Admission.Ready(func(ready bool) { recording.record("ready", ready) })
 	}
 	id := protocol.JobID("job-none")
 	if jobs := d.Jobs(); asked%5 != 0 && len(jobs) > 0 {
--- a/internal/simulation/link.go
+++ b/internal/simulation/link.go
@@ -3,51 +3,52 @@
 import "postpoint/internal/clock"
 
 const (
-	// A message takes a time between these, but a share of all takes one between the long ones.
+	// A message takes between minDelay and maxDelay. The share slowShare of all messages takes between
+	// minSlowDelay and maxSlowDelay instead.
 	minDelay     = clock.Micros(200)
 	maxDelay     = 3 * clock.Millisecond
 	slowShare    = 0.02
 	minSlowDelay = 50 * clock.Millisecond
 	maxSlowDelay = 400 * clock.Millisecond
-	// maxCopyDelay is how late a repeated request arrives at most.
+	// maxCopyDelay is the longest delay of a duplicate of a request.
 	maxCopyDelay = 20 * clock.Second
 )
 
-// Link is the network between a controller or worker and one outside system.
+// Link is the network between a controller or worker and the system that it sends requests to.
 type Link struct {
 	w *World
-	// Cut loses everything; with Hold, requests arrive once it is over.
+	// Cut makes the link lose all messages. With Hold it holds requests instead, which arrive after Heal.
 	Cut, Hold bool
-	// Loss is the chance that a request or its response is lost.
+	// Loss is the chance that a request is lost, and likewise a response.
 	Loss float64
-	// StoreRefuses has the store refuse what comes over this link, and no other.
-	StoreRefuses bool
-	// Delay is an additional delay of each way.
+	// StoreRejects makes the store reject the requests that arrive over this link.
+	StoreRejects bool
+	// Delay is an additional delay of each message.
 	Delay clock.Micros
 	held  []func()
 }
 
-// call is a request that is under way, or its response.
+// call is a request in flight, with its response.
 type call struct {
 	link *Link
 	p    *Process
 	// request executes the request; the fake responds by calling the function it gets.
-	request func(answer func(deliver func()))
-	settled bool // by a response or the timeout
+	request  func(answer func(deliver func()))
+	finished bool // set by a response or the timeout
 }
 
-// call carries a request there and its response back. If either is lost, silent runs after the timeout;
-// held requests are executed later nevertheless.
-func (l *Link) call(p *Process, timeout clock.Micros, request func(answer func(func())), silent func()) {
+// call carries a request to the fake and its response back. Without a response within the timeout, it runs
+// onTimeout. The fake still executes held requests later.
+func (l *Link) call(p *Process, timeout clock.Micros, request func(answer func(func())), onTimeout func()) {
 	c := &call{link: l, p: p, request: request}
-	p.After(timeout, func() { c.settle(silent) })
+	p.After(timeout, func() { c.finish(onTimeout) })
 	p.send(c.send)
 }
 
-// settle ends the call, once.
-func (c *call) settle(end func()) {
-	if !c.settled {
-		c.settled = true
+// finish ends the call by running a function, unless the call has already ended.
+func (c *call) finish(end func()) {
+	if !c.finished {
+		c.finished = true
 		end()
 	}
 }
@@ -61,15 +62,16 @@
 	case l.Cut || l.w.chance(l.Loss):
 	default:
 		l.w.After(l.delay(), c.arrive)
-		if l.w.chance(l.Loss / 2) { // a late copy of a request that was executed already
+		if l.w.chance(l.Loss / 2) { // a late duplicate, usually of a request that the fake has executed
 			l.w.After(l.w.Between(0, maxCopyDelay), c.arrive)
 		}
 	}
 }
 
+// arrive makes the fake execute the request.
 func (c *call) arrive() { c.request(c.respond) }
 
-// respond carries the response back.
+// respond carries the response back to the process.
 func (c *call) respond(deliver func()) {
 	l := c.link
 	if l.Cut || l.w.chance(l.Loss) {
@@ -77,7 +79,7 @@
 	}
 	l.w.After(l.delay(), func() {
 		if !l.Cut {
-			c.p.run(func() { c.settle(deliver) })
+			c.p.run(func() { c.finish(deliver) })
 		}
 	})
 }
@@ -90,7 +92,7 @@
 	return l.Delay + l.w.Between(minDelay, maxDelay)
 }
 
-// Heal ends a cut; held messages arrive now, however old.
+// Heal ends a cut. Held messages arrive now, however old they are.
 func (l *Link) Heal() {
 	l.Cut, l.Hold = false, false
 	held := l.held
--- a/internal/simulation/loopback.go
+++ b/internal/simulation/loopback.go
@@ -12,26 +12,27 @@
 )
 
 // Loopback runs a deployment's fakes in real time and connects them, over HTTP on the loopback interface,
-// to controllers in processes of their own. Unlike on the simulated clock alone, two runs differ.
+// to controllers in separate processes. Unlike pure simulations, two runs with the same seed differ.
 type Loopback struct {
 	Deployment *Deployment
 	*RealTime
 
-	node        *Node // the one as which the fakes treat every controller
+	node        *Node // represents all controllers in the fakes of the store and the cloud
 	controllers []*Node
 	users       http.Client
-	// Heartbeats, Polls and Submissions count heartbeats, status requests and submissions that the
-	// controller accepted, Starts the start commands that reached workers.
+	// Heartbeats, Polls and Submissions count the heartbeats, status requests and submissions that
+	// controllers accepted; Starts counts the start commands that reached workers.
 	Heartbeats, Polls, Submissions, Starts int
 }
 
 const (
 	// loopbackTimeout is how long workers and users wait for a response.
 	loopbackTimeout = 4 * time.Second
-	// idleUserConnections are kept open to controllers.
+	// idleUserConnections is how many idle connections of users to each controller stay open.
 	idleUserConnections = 64
 
-	// The store's limits without the small ones that force followers and lists into several steps.
+	// The store keeps more revisions and returns longer pages than in simulations, whose small values force
+	// watchers to read again and lists to take several requests.
 	loopbackKeptRevisions = 10_000
 	loopbackPageSize      = 500
 
@@ -39,11 +40,11 @@
 	addressesPerSubnet = 250
 )
 
-// Controller is where workers and users reach a controller.
+// Controller is the name of a controller and the address at which workers and users reach it.
 type Controller struct{ Name, Address string }
 
-// NewLoopback returns the fakes for controllers at the given addresses. Workers get addresses of their
-// own in 127.1.0.0/16, all with the same port.
+// NewLoopback returns the fakes for controllers at the given addresses. Each worker gets its own address in
+// 127.1.0.0/16; all use the same port.
 func NewLoopback(
 	set *settings.Settings, types []protocol.MachineType, controllers []Controller, workerPort int,
 ) *Loopback {
@@ -51,51 +52,51 @@
 	return newLoopback(NewDeployment(w, set, types, 0), &RealTime{World: w}, controllers, workerPort)
 }
 
-// NewLoopbackCell returns the fakes of one more cell in a world. Its own controllers, if any, run only in
-// processes of their own.
+// NewLoopbackCell adds a cell to a group and returns its fakes. Its controllers, if any, run only in separate
+// processes.
 func NewLoopbackCell(
-	x *RealTime, g *Group, name string, set *settings.Settings, types []protocol.MachineType,
+	realTime *RealTime, g *Group, name string, set *settings.Settings, types []protocol.MachineType,
 	controllers []Controller, workerPort int,
 ) *Loopback {
-	d := prepare(x.World, set, types, 0)
+	d := prepare(realTime.World, set, types, 0)
 	d.group, d.name = g, name
 	g.Cells = append(g.Cells, d)
-	l := newLoopback(d, x, controllers, workerPort)
+	l := newLoopback(d, realTime, controllers, workerPort)
 	d.Nodes = l.controllers
 	return l
 }
 
-func newLoopback(d *Deployment, x *RealTime, controllers []Controller, workerPort int) *Loopback {
-	d.Store.Kept, d.Store.Page = loopbackKeptRevisions, loopbackPageSize
+func newLoopback(d *Deployment, realTime *RealTime, controllers []Controller, workerPort int) *Loopback {
+	d.Store.KeptRevisions, d.Store.PageSize = loopbackKeptRevisions, loopbackPageSize
 	d.Cloud.Reliable = true
 	d.address = func(name protocol.MachineName) string {
 		n, _ := strconv.Atoi(string(name[len("m-"):]))
 		return fmt.Sprintf("127.1.%d.%d:%d", n/addressesPerSubnet, n%addressesPerSubnet+1, workerPort)
 	}
-	l := &Loopback{Deployment: d, RealTime: x}
+	l := &Loopback{Deployment: d, RealTime: realTime}
 	l.users = http.Client{
 		Timeout:   loopbackTimeout,
 		Transport: &http.Transport{MaxIdleConnsPerHost: idleUserConnections},
 	}
 	l.node = remoteNode(d.World, "", nil)
 	for _, c := range controllers {
-		at := &remoteController{l, "http://" + c.Address, map[protocol.MachineName]*http.Client{}}
-		l.controllers = append(l.controllers, remoteNode(d.World, c.Name, at))
+		controller := &remoteController{l, "http://" + c.Address, map[protocol.MachineName]*http.Client{}}
+		l.controllers = append(l.controllers, remoteNode(d.World, c.Name, controller))
 	}
 	return l
 }
 
-// remoteNode is a node whose process is elsewhere.
-func remoteNode(w *World, name string, at *remoteController) *Node {
-	n := &Node{Name: name, process: w.process(), reports: at, requests: at}
+// remoteNode returns a node for a controller in another process.
+func remoteNode(w *World, name string, controller *remoteController) *Node {
+	n := &Node{Name: name, process: w.newProcess(), heartbeats: controller, requests: controller}
 	for _, link := range n.links() {
 		link.w = w
 	}
 	return n
 }
 
-// WarmUp runs the deployment on the simulated clock, with controllers in the same process that end
-// afterwards and leave their workers and records to the remote ones.
+// WarmUp runs the deployment on the virtual clock with controllers in the same process. These controllers
+// then end, and the remote ones take over their workers and records.
 func (l *Loopback) WarmUp(d clock.Micros) {
 	l.Deployment.World.Run(l.Deployment.World.now + d)
 	for _, n := range l.Deployment.Nodes {
--- a/internal/simulation/loopbackclient.go
+++ b/internal/simulation/loopbackclient.go
@@ -16,31 +16,31 @@
 	cancelSuffix  = "/withdraw"
 )
 
-// remoteController is a controller in a process of its own, as workers and users reach it by HTTP.
+// remoteController is the HTTP client of workers and users for a controller in another process.
 type remoteController struct {
-	l        *Loopback
-	base     string                                // of its URLs
-	sessions map[protocol.MachineName]*http.Client // by worker, a connection each
+	l       *Loopback
+	base    string                                // of its URLs
+	clients map[protocol.MachineName]*http.Client // by worker, each with its own connection
 }
 
-// session is the connection of a worker, which has just one.
-func (c *remoteController) session(worker protocol.MachineName) *http.Client {
-	session := c.sessions[worker]
-	if session == nil {
+// clientFor returns the HTTP client of a worker, which uses a single connection.
+func (c *remoteController) clientFor(worker protocol.MachineName) *http.Client {
+	client := c.clients[worker]
+	if client == nil {
 		transport := &http.Transport{MaxConnsPerHost: 1, MaxIdleConnsPerHost: 1}
-		session = &http.Client{Timeout: loopbackTimeout, Transport: transport}
-		c.sessions[worker] = session
+		client = &http.Client{Timeout: loopbackTimeout, Transport: transport}
+		c.clients[worker] = client
 	}
-	return session
+	return client
 }
 
 // Heartbeat sends a worker's heartbeat to the controller.
 func (c *remoteController) Heartbeat(r protocol.Heartbeat, reply func(status int, body any)) {
-	session, l := c.session(r.Machine), c.l
+	client, l := c.clientFor(r.Machine), c.l
 	go func() {
 		var answer protocol.HeartbeatResponse
 		var redirect protocol.Redirect
-		status, raw := post(session, c.base+heartbeatPath, protocol.Encode(r))
+		status, raw := post(client, c.base+heartbeatPath, protocol.Encode(r))
 		switch {
 		case status == http.StatusOK && protocol.Decode(raw, &answer) == nil:
 			l.Do(func() {
@@ -56,7 +56,7 @@
 	}()
 }
 
-// countStarts counts start commands that reach workers.
+// countStarts counts the start commands that reach workers.
 func (l *Loopback) countStarts(commands []protocol.Command) {
 	for _, c := range commands {
 		if c.Verb == protocol.VerbStart {
@@ -65,7 +65,7 @@
 	}
 }
 
-// jobURL returns the address of a job at the controller.
+// jobURL returns the URL of a job at the controller.
 func (c *remoteController) jobURL(id protocol.JobID) string {
 	return c.base + jobsPath + "/" + string(id)
 }
@@ -95,17 +95,19 @@
 	}()
 }
 
+// post sends a POST request and returns the status and body of the response; status 0 means none.
 func post(c *http.Client, url string, body []byte) (int, []byte) {
 	resp, err := c.Post(url, "application/msgpack", bytes.NewReader(body))
 	return readResponse(resp, err)
 }
 
+// get sends a GET request and returns the status and body of the response; status 0 means none.
 func get(c *http.Client, url string) (int, []byte) {
 	resp, err := c.Get(url)
 	return readResponse(resp, err)
 }
 
-// readResponse reads a whole response; status 0 is none.
+// readResponse returns the status and the whole body of a response; status 0 means none.
 func readResponse(resp *http.Response, err error) (int, []byte) {
 	if err != nil {
 		return 0, nil
--- a/internal/simulation/loopbackserver.go
+++ b/internal/simulation/loopbackserver.go
@@ -13,22 +13,23 @@
 	"postpoint/internal/protocol"
 )
 
-// Serve serves the store, the cloud and the workers on the given listeners.
-func (l *Loopback) Serve(state, cloud, workers net.Listener) {
-	go serveUntilClosed(state, l.storeService())
-	go serveUntilClosed(cloud, l.cloudService())
-	go serveUntilClosed(workers, l.workerService())
+// Serve starts to serve the store, the cloud and the workers on the given listeners.
+func (l *Loopback) Serve(storeListener, cloudListener, workerListener net.Listener) {
+	go serveUntilClosed(storeListener, l.storeService())
+	go serveUntilClosed(cloudListener, l.cloudService())
+	go serveUntilClosed(workerListener, l.workerService())
 }
 
-// serveUntilClosed drops the error: http.Serve returns one in any case once its listener is closed.
+// serveUntilClosed serves requests until the caller closes the listener. It ignores the error, because
+// http.Serve always returns one then.
 func serveUntilClosed(listener net.Listener, handler http.Handler) {
 	_ = http.Serve(listener, handler)
 }
 
-// handler executes a decoded request in the world and responds, at once or later.
-type handler[Q any] func(r *http.Request, q Q, answer func(status int, body any))
+// handler executes a decoded request in the simulated world and responds, at once or later.
+type handler[Q any] func(r *http.Request, q Q, respond func(status int, body any))
 
-// serve decodes requests, has them handled and sends the responses.
+// serve returns an HTTP handler that decodes requests, passes them to handle and sends the responses.
 func serve[Q any](l *Loopback, handle handler[Q]) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var q Q
@@ -54,80 +55,85 @@
 	}
 }
 
-// answerFunc sends a response.
-type answerFunc = func(status int, body any)
+// respondFunc sends a response.
+type respondFunc = func(status int, body any)
 
-// nothing is an empty message.
-type nothing struct{}
+// noBody is an empty request or response.
+type noBody struct{}
 
-// reply sends a response of the store.
-func reply[T any](answer answerFunc) func(storetest.Reply[T]) {
-	return func(x storetest.Reply[T]) { answer(x.Status, x.Value) }
+// storeResponse returns a callback that sends a response of the store.
+func storeResponse[T any](respond respondFunc) func(storetest.Reply[T]) {
+	return func(x storetest.Reply[T]) { respond(x.Status, x.Value) }
 }
 
+// storeService returns the HTTP interface of the store.
 func (l *Loopback) storeService() http.Handler {
-	store := l.Deployment.Store.For(l.node.process, &l.node.State)
+	store := l.Deployment.Store.ClientFor(l.node.process, &l.node.StoreLink)
 	mux := http.NewServeMux()
-	mux.Handle("GET /kv/{key...}", serve(l, func(r *http.Request, _ nothing, answer answerFunc) {
-		store.Get(r.PathValue("key"), reply[protocol.Item](answer))
+	mux.Handle("GET /kv/{key...}", serve(l, func(r *http.Request, _ noBody, respond respondFunc) {
+		store.Get(r.PathValue("key"), storeResponse[protocol.Item](respond))
 	}))
-	mux.Handle("GET /kv", serve(l, func(r *http.Request, _ nothing, answer answerFunc) {
+	mux.Handle("GET /kv", serve(l, func(r *http.Request, _ noBody, respond respondFunc) {
 		q := r.URL.Query()
-		store.List(q.Get("Prefix"), q.Get("From"), reply[protocol.ItemList](answer))
+		store.List(q.Get("Prefix"), q.Get("From"), storeResponse[protocol.ItemList](respond))
 	}))
-	mux.Handle("POST /multi", serve(l, func(_ *http.Request, t protocol.Txn, answer answerFunc) {
-		store.Commit(kvstore.PriorityUser, t, reply[protocol.TxnResponse](answer))
+	mux.Handle("POST /multi", serve(l, func(_ *http.Request, t protocol.Txn, respond respondFunc) {
+		store.Commit(kvstore.PriorityUser, t, storeResponse[protocol.TxnResponse](respond))
 	}))
-	mux.Handle("GET /follow", serve(l, func(r *http.Request, _ nothing, answer answerFunc) {
+	mux.Handle("GET /follow", serve(l, func(r *http.Request, _ noBody, respond respondFunc) {
 		q := r.URL.Query()
 		from, _ := strconv.ParseInt(q.Get("From"), 10, 64)
 		block, _ := strconv.ParseInt(q.Get("BlockMs"), 10, 64)
 		store.Follow(q.Get("Prefix"), protocol.Revision(from), clock.Micros(block)*clock.Millisecond,
-			reply[protocol.WatchResponse](answer))
+			storeResponse[protocol.WatchResponse](respond))
 	}))
-	mux.Handle("POST /leases", serve(l, func(_ *http.Request, q protocol.LeaseRequest, answer answerFunc) {
+	mux.Handle("POST /leases", serve(l, func(_ *http.Request, q protocol.LeaseRequest, respond respondFunc) {
 		ttl := clock.Micros(q.TTLMs) * clock.Millisecond
-		store.Grant(ttl, reply[protocol.LeaseResponse](answer))
+		store.Grant(ttl, storeResponse[protocol.LeaseResponse](respond))
 	}))
-	mux.Handle("POST /leases/{id}/touch", serve(l, func(r *http.Request, _ nothing, answer answerFunc) {
+	mux.Handle("POST /leases/{id}/touch", serve(l, func(r *http.Request, _ noBody, respond respondFunc) {
 		id, _ := strconv.ParseInt(r.PathValue("id"), 10, 64)
-		store.Renew(protocol.LeaseID(id), reply[protocol.LeaseResponse](answer))
+		store.Renew(protocol.LeaseID(id), storeResponse[protocol.LeaseResponse](respond))
 	}))
 	return mux
 }
 
+// cloudService returns the HTTP interface of the cloud.
 func (l *Loopback) cloudService() http.Handler {
-	client := l.Deployment.Cloud.For(l.node.process, &l.node.Clouds)
+	client := l.Deployment.Cloud.ClientFor(l.node.process, &l.node.CloudLink)
 	mux := http.NewServeMux()
-	mux.Handle("GET /catalog", serve(l, func(_ *http.Request, _ nothing, answer answerFunc) {
-		client.Catalogue(func(status int, c protocol.Catalogue) { answer(status, c) })
+	mux.Handle("GET /catalog", serve(l, func(_ *http.Request, _ noBody, respond respondFunc) {
+		client.Catalogue(func(status int, c protocol.Catalogue) { respond(status, c) })
 	}))
-	mux.Handle("POST /hosts", serve(l, func(_ *http.Request, q protocol.ScaleOutRequest, answer answerFunc) {
-		client.Rent(q, math.MaxInt64, func(status int, a protocol.ScaleOutResponse) { answer(status, a) })
-	}))
-	release := func(_ *http.Request, q protocol.ScaleInRequest, answer answerFunc) {
-		client.Release(q.Machines, math.MaxInt64, func(status int) { answer(status, nothing{}) })
+	mux.Handle("POST /hosts", serve(l,
+		func(_ *http.Request, q protocol.ScaleOutRequest, respond respondFunc) {
+			client.Rent(q, math.MaxInt64,
+				func(status int, a protocol.ScaleOutResponse) { respond(status, a) })
+		}))
+	release := func(_ *http.Request, q protocol.ScaleInRequest, respond respondFunc) {
+		client.Release(q.Machines, math.MaxInt64, func(status int) { respond(status, noBody{}) })
 	}
 	mux.Handle("POST /hosts/release", serve(l, release))
-	mux.Handle("GET /hosts", serve(l, func(r *http.Request, _ nothing, answer answerFunc) {
+	mux.Handle("GET /hosts", serve(l, func(r *http.Request, _ noBody, respond respondFunc) {
 		from := protocol.MachineName(r.URL.Query().Get("From"))
-		client.List(from, func(status int, m protocol.MachineList) { answer(status, m) })
+		client.List(from, func(status int, m protocol.MachineList) { respond(status, m) })
 	}))
 	return mux
 }
 
+// workerService returns the HTTP interface of all workers, which it distinguishes by their addresses.
 func (l *Loopback) workerService() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST /commands", serve(l,
-		func(r *http.Request, c protocol.CommandRequest, answer answerFunc) {
+		func(r *http.Request, c protocol.CommandRequest, respond respondFunc) {
 			m := l.Deployment.byAddr[r.Host]
 			if m == nil || !m.up {
-				answer(http.StatusServiceUnavailable, nothing{})
+				respond(http.StatusServiceUnavailable, noBody{})
 				return
 			}
 			l.countStarts(c.Commands)
-			status, report := m.command(c)
-			answer(status, report)
+			status, heartbeat := m.command(c)
+			respond(status, heartbeat)
 		}))
 	return mux
 }
--- a/internal/simulation/main_test.go
+++ b/internal/simulation/main_test.go
@@ -6,8 +6,7 @@
 	"testing"
 )
 
-// TestMain keeps the controllers' own logs out of the results; POSTPOINT_TEST_LOG
-// shows them for the one test that is being looked at.
+// TestMain discards the controllers' logs, unless POSTPOINT_TEST_LOG is set to debug a test.
 func TestMain(m *testing.M) {
 	handler := slog.DiscardHandler
 	if os.Getenv("POSTPOINT_TEST_LOG") != "" {
--- a/internal/simulation/nodes.go
+++ b/internal/simulation/nodes.go
@@ -22,46 +22,47 @@
 type Node struct {
 	Name string
 	Zone string
-	// process is its present or last process, runs how many there have been.
+	// process is its present or last process; runs counts its processes so far.
 	process *Process
 	runs    int
-	// State, Clouds, Workers, Peers and Cells are its links to the store, the cloud, the workers, the other
-	// controllers and the other cells.
-	State, Clouds, Workers, Peers, Cells Link
-	// Unanswered controllers' reports arrive in other cells, whose responses are lost.
-	Unanswered bool
-	// WithoutCells controllers are started without a cells file.
+	// The links carry messages to and from the store, the cloud, the workers, the other controllers and the
+	// other cells.
+	StoreLink, CloudLink, WorkerLink, PeerLink, CellLink Link
+	// CellResponsesLost is set while the controller's heartbeats arrive in other cells but their responses
+	// are lost.
+	CellResponsesLost bool
+	// WithoutCells makes the controller start without a cells file.
 	WithoutCells bool
-	// Old controllers publish no format, like the previous version: the others keep to the first format
-	// for their sake.
-	Old bool
+	// OldVersion makes the controller publish no format, like the previous version. The other controllers
+	// therefore continue to write the first format, which it can read.
+	OldVersion bool
 
 	// Leader and Admission are the actors of the present process.
 	Leader    *leader.Leader
 	Admission *admission.Admission
-	// The handlers are the controller as workers, users, other controllers and other cells reach it.
-	reports   reportHandler
-	requests  requestHandler
-	peers     requestHandler
-	exchanges exchangeHandler
+	// The handlers execute the requests of workers, users, other controllers and other cells.
+	heartbeats heartbeatHandler
+	requests   requestHandler
+	peers      requestHandler
+	exchanges  exchangeHandler
 }
 
-// reportHandler responds to workers' heartbeats.
-type reportHandler interface {
+// heartbeatHandler responds to workers' heartbeats.
+type heartbeatHandler interface {
 	Heartbeat(r protocol.Heartbeat, reply func(status int, body any))
 }
 
-// requestHandler responds to users' requests.
+// requestHandler responds to requests of users or of other controllers.
 type requestHandler interface {
 	Handle(r admission.Request, reply func(admission.Response))
 }
 
-// exchangeHandler responds to other cells.
+// exchangeHandler responds to heartbeats of other cells.
 type exchangeHandler interface {
 	Exchange(r delegation.Heartbeat, reply func(a delegation.HeartbeatResponse, ok bool))
 }
 
-// Leader is the controller that leads, or nil.
+// Leader returns the first controller that leads, or nil.
 func (d *Deployment) Leader() *Node {
 	for _, n := range d.Nodes {
 		if n.Up() && n.Leader.Leads() {
@@ -74,7 +75,7 @@
 // Crash ends the controller's process.
 func (n *Node) Crash() { n.process.alive = false }
 
-// crashFor ends a controller's process and starts a new one after a while.
+// crashFor ends a controller's process and starts a new one after the given time.
 func (d *Deployment) crashFor(n *Node, down clock.Micros) {
 	n.Crash()
 	d.World.After(down, func() { d.StartNode(n) })
@@ -94,13 +95,15 @@
 	}
 }
 
-// links are the controller's connections.
-func (n *Node) links() []*Link { return []*Link{&n.State, &n.Clouds, &n.Workers, &n.Peers, &n.Cells} }
+// links returns all links of the controller.
+func (n *Node) links() []*Link {
+	return []*Link{&n.StoreLink, &n.CloudLink, &n.WorkerLink, &n.PeerLink, &n.CellLink}
+}
 
-// Up reports whether a process runs.
+// Up reports whether a process of the controller runs.
 func (n *Node) Up() bool { return n.process != nil && n.process.alive }
 
-// leaseTTL is that of the leader's lease.
+// leaseTTL is the time to live of the leader's lease.
 const leaseTTL = 4 * clock.Second
 
 // StartNode starts a new process of the controller, if none runs.
@@ -108,30 +111,30 @@
 	if n.Up() {
 		return
 	}
-	n.process = d.World.process()
+	n.process = d.World.newProcess()
 	n.runs++
 	environment := d.environment(n, n.process)
 	if d.World.Recorder != nil {
-		d.recordingOf(n).requestsOf(&environment)
+		d.recordingOf(n).recordOutgoing(&environment)
 	}
 	actors := node.New(environment)
 	n.Leader, n.Admission = actors.Leader, actors.Admission
-	n.reports, n.requests, n.peers, n.exchanges = n.Leader, n.Admission, n.Admission, n.Leader
+	n.heartbeats, n.requests, n.peers, n.exchanges = n.Leader, n.Admission, n.Admission, n.Leader
 	if d.World.Recorder != nil {
-		d.recordingOf(n).requestsTo(n)
+		d.recordingOf(n).recordIncoming(n)
 	}
-	if n.Old {
+	if n.OldVersion {
 		actors.StartUnpublished()
 	} else {
 		actors.Start()
 	}
 }
 
-// environment connects a process of a controller to the fakes.
+// environment returns the configuration of a controller's process and its connections to the fakes.
 func (d *Deployment) environment(n *Node, p *Process) node.Environment {
 	set := d.settingsOf(n)
-	everyone := func(_ *admission.Admission, r admission.Request, done func([]admission.Response, bool)) {
-		d.everyone(n, r, done)
+	askAll := func(_ *admission.Admission, r admission.Request, done func([]admission.Response, bool)) {
+		d.askAll(n, r, done)
 	}
 	services := d.servicesOf(n, p)
 	return node.Environment{
@@ -145,22 +148,23 @@
 		Agent:     workertest.Client(services.agent),
 		Forward:   func(r admission.Request, done func(admission.Response, bool)) { d.forward(n, r, done) },
 		Recovery:  d.Recovery,
-		Everyone:  everyone,
+		Everyone:  askAll,
 	}
 }
 
-// services are the outside systems as one process of a controller reaches them.
+// services holds the clients with which one process of a controller reaches the outside systems.
 type services struct {
 	store storetest.Service
 	cloud cloudtest.Service
 	agent workertest.Service
 }
 
-// servicesOf connects a process to the fakes, by way of the Recorder if there is one.
+// servicesOf returns the clients of a process for the fakes. If the world has a Recorder, the clients record
+// all messages.
 func (d *Deployment) servicesOf(n *Node, p *Process) services {
 	s := services{
-		store: d.Store.For(p, &n.State),
-		cloud: d.Cloud.For(p, &n.Clouds),
+		store: d.Store.ClientFor(p, &n.StoreLink),
+		cloud: d.Cloud.ClientFor(p, &n.CloudLink),
 		agent: &agentClient{d, p, n},
 	}
 	if d.World.Recorder != nil {
@@ -169,7 +173,7 @@
 	return s
 }
 
-// settingsOf are the deployment's settings as one controller gets them.
+// settingsOf returns the deployment's settings for one controller.
 func (d *Deployment) settingsOf(n *Node) *settings.Settings {
 	set := *d.Settings
 	set.Node, set.Domain, set.Peers = n.Name, n.Zone, nil
--- a/internal/simulation/peers.go
+++ b/internal/simulation/peers.go
@@ -5,7 +5,7 @@
 	"postpoint/internal/clock"
 )
 
-// forward passes a request to any other controller that is up.
+// forward sends a request to a random other controller that is up.
 func (d *Deployment) forward(n *Node, r admission.Request, done func(admission.Response, bool)) {
 	var others []*Node
 	for _, o := range d.Nodes {
@@ -18,18 +18,18 @@
 		return
 	}
 	r.Forwarded = true
-	n.asks(others[d.World.Rand.IntN(len(others))], r, done)
+	n.askPeer(others[d.World.Rand.IntN(len(others))], r, done)
 }
 
-// everyone asks all controllers, the asking one included.
-func (d *Deployment) everyone(n *Node, r admission.Request, done func([]admission.Response, bool)) {
-	p, left := n.process, len(d.Nodes)
+// askAll sends a request to all controllers, including the sender, and collects their responses.
+func (d *Deployment) askAll(n *Node, r admission.Request, done func([]admission.Response, bool)) {
+	p, pending := n.process, len(d.Nodes)
 	var answers []admission.Response
 	collect := func(a admission.Response, ok bool) {
 		if ok {
 			answers = append(answers, a)
 		}
-		if left--; left == 0 {
+		if pending--; pending == 0 {
 			done(answers, len(answers) == len(d.Nodes))
 		}
 	}
@@ -38,17 +38,17 @@
 			n.Admission.Handle(r, func(a admission.Response) { p.Post(func() { collect(a, true) }) })
 			continue
 		}
-		n.asks(o, r, collect)
+		n.askPeer(o, r, collect)
 	}
 }
 
 // peerTimeout is how long a controller waits for another's response.
 const peerTimeout = clock.Second
 
-// asks passes a request to another controller and reports whether it responded.
-func (n *Node) asks(o *Node, r admission.Request, done func(a admission.Response, ok bool)) {
-	n.Peers.call(n.process, peerTimeout, func(answer func(func())) {
-		if !o.Peers.Cut {
+// askPeer sends a request to another controller and reports whether it responded.
+func (n *Node) askPeer(o *Node, r admission.Request, done func(a admission.Response, ok bool)) {
+	n.PeerLink.call(n.process, peerTimeout, func(answer func(func())) {
+		if !o.PeerLink.Cut {
 			o.peers.Handle(r, func(a admission.Response) { answer(func() { done(a, true) }) })
 		}
 	}, func() { done(admission.Response{}, false) })
--- a/internal/simulation/placement_test.go
+++ b/internal/simulation/placement_test.go
@@ -10,8 +10,8 @@
 	"postpoint/internal/settings"
 )
 
-// Arrays and gangs bound to one zone lose workers: no task runs in another zone than those that may
-// still run, and all jobs get done.
+// Arrays and gangs whose tasks must share a zone lose workers. No task may run in another zone than tasks
+// that may still be running, and all jobs must complete.
 func TestZoneBoundJobsKeepTheirZoneWhenWorkersAreLost(t *testing.T) {
 	for seed := uint64(81); seed < 85; seed++ {
 		w := NewWorld(seed)
@@ -50,15 +50,16 @@
 	}
 }
 
-// The largest array that can be submitted is accepted at once, runs as far as its record has room,
-// and delays neither smaller jobs submitted after it nor the other controllers' responses.
+// A user submits the largest possible array. A controller must accept it at once, as many of its tasks must
+// run as its record can hold, and it must delay neither smaller jobs submitted after it nor responses to
+// users.
 func TestLargestArrayDelaysNoOtherJob(t *testing.T) {
 	w := NewWorld(20)
 	set := testSettings()
 	set.Deployment.Objectives = []settings.Objective{{Kind: "finished", Class: "small", WithinS: 60,
 		Share: 0.9}}
 	d := NewDeployment(w, set, testTypes(), 0)
-	d.Cloud.Reliable = true // or how much is done is a matter of luck
+	d.Cloud.Reliable = true // otherwise the number of completed tasks would depend on chance
 	w.Run(10 * clock.Second)
 	largest := array("job-000001", "open", 100_000, 1, 20)
 	largest.Class = "huge"
@@ -74,7 +75,7 @@
 		spec.Class = "small"
 		small = append(small, d.Submit(spec, 5*clock.Second, false))
 	}
-	d.WatchAnswers()
+	d.MonitorResponses()
 	w.Run(160 * clock.Second)
 	for _, j := range small {
 		mustBeDone(t, w, j)
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -2,30 +2,30 @@
 
 import "postpoint/internal/clock"
 
-// maxClockDrift is how much too fast a process's steady clock may run.
+// maxClockDrift is the largest relative error by which a process's monotonic clock runs too fast.
 const maxClockDrift = 0.0005
 
-// Process is one run of a controller: its mailboxes stop when it ends. Its steady clock runs a little fast
-// and starts anywhere.
+// Process is one process of a controller. When it ends, it handles no more messages. Its monotonic clock runs
+// slightly fast and is unrelated to the time of day.
 type Process struct {
 	w     *World
 	alive bool
 	start clock.Micros
 	drift float64
-	// busyUntil is when all messages so far are handled: see World.MessageCost.
+	// busyUntil is when the process has handled all messages so far: see World.MessageCost.
 	busyUntil clock.Micros
-	// While it is paused its clocks go on, and what would happen in it waits.
+	// While the process is paused, its clocks continue, and waiting holds what it would have done.
 	paused  bool
 	waiting []func()
-	// PauseAfter and PauseFor pause it as soon as so many more requests are about to leave it, the last
-	// of which leaves afterwards.
+	// PauseAfter, if not 0, makes the process pause for PauseFor before it sends its PauseAfter-th message
+	// from now on. That message leaves after the pause.
 	PauseAfter int
 	PauseFor   clock.Micros
-	// CrashAfter ends it once so many more requests have left it.
+	// CrashAfter, if not 0, ends the process once it has sent so many more messages.
 	CrashAfter int
 }
 
-// Pause stops the process for a while.
+// Pause suspends the process for a while.
 func (p *Process) Pause(d clock.Micros) {
 	if p.paused {
 		return
@@ -41,7 +41,8 @@
 	})
 }
 
-// run handles something in the process, once it isn't paused and has the processor time.
+// run runs a function in the process, once it isn't paused and has the processor time. A process that has
+// ended runs nothing.
 func (p *Process) run(do func()) {
 	switch {
 	case p.paused:
@@ -58,7 +59,7 @@
 	}
 }
 
-// send sends something out of the process, which may pause before that or crash afterwards.
+// send sends a message out of the process, which may pause before that or crash afterwards.
 func (p *Process) send(send func()) {
 	if p.PauseAfter > 0 {
 		if p.PauseAfter--; p.PauseAfter == 0 {
@@ -73,11 +74,12 @@
 	}
 }
 
-func (w *World) process() *Process {
+// newProcess returns a running process whose monotonic clock has a random drift.
+func (w *World) newProcess() *Process {
 	return &Process{w: w, alive: true, start: w.now, drift: 1 + w.Rand.Float64()*maxClockDrift}
 }
 
-// sendUntil sends a request out unless that is later than a deadline, as transport.Client.Do does.
+// sendUntil sends a request, or calls late if the deadline has passed by then, as transport.Client.Do does.
 func (p *Process) sendUntil(until clock.Micros, send, late func()) {
 	p.send(func() {
 		if p.Monotonic() >= until {
@@ -88,19 +90,19 @@
 	})
 }
 
-// Monotonic is the process's steady clock. With TimeOfDay, Post and After it makes the process an
+// Monotonic returns the time of the process's monotonic clock. Monotonic, TimeOfDay, Post and After implement
 // actor.Mailbox.
 func (p *Process) Monotonic() clock.Micros {
 	return clock.Second + clock.Micros(float64(p.w.now-p.start)*p.drift)
 }
 
-// TimeOfDay is the time of day, which is exact.
+// TimeOfDay returns the exact time of day.
 func (p *Process) TimeOfDay() clock.Micros { return p.w.now }
 
 // Post handles a message as soon as the process can.
 func (p *Process) Post(message func()) { p.After(0, message) }
 
-// After handles a message later, if the process is alive then.
+// After handles a message after a delay, if the process is alive then.
 func (p *Process) After(d clock.Micros, message func()) {
 	p.w.After(d, func() { p.run(message) })
 }
--- a/internal/simulation/record.go
+++ b/internal/simulation/record.go
@@ -17,31 +17,33 @@
 	"postpoint/internal/workerclient/workertest"
 )
 
-// Recorder is told of every message and every response that a controller sends or receives, at that moment
-// and in their order.
+// Recorder receives every request and every response that controllers send or receive, at that moment and in
+// their order.
 type Recorder interface {
-	// Record gets the simulated time, the controller's name, the kind of the message, and its
-	// content in wire form.
+	// Record receives the simulated time, the controller's name, the kind of the message, and its content in
+	// wire form.
 	Record(at clock.Micros, controller, kind string, content []byte)
 }
 
-// recording wraps the connections of one controller to tell a world's Recorder what passes over them.
-// Without a Recorder nothing is wrapped.
+// recording wraps the connections of one controller and passes all their messages to the world's Recorder.
+// Without a Recorder, the simulation wraps nothing.
 type recording struct {
 	world      *World
 	controller string
 }
 
+// recordingOf returns the recording of a controller.
 func (d *Deployment) recordingOf(n *Node) *recording {
 	return &recording{d.World, d.name + "/" + n.Name}
 }
 
-// record encodes the parts of a message at once, as their owners may change them, and passes them on.
+// record encodes the parts of a message at once, because their owners may change them later, and passes them
+// to the Recorder.
 func (r *recording) record(kind string, parts ...any) {
 	r.world.Recorder.Record(r.world.now, r.controller, kind, protocol.Encode(parts))
 }
 
-// services records what the controller asks of the outside systems.
+// services returns clients that record the controller's requests to the outside systems.
 func (r *recording) services(s services) services {
 	return services{
 		store: &recordedStore{r, s.store},
@@ -50,9 +52,9 @@
 	}
 }
 
-// requestsOf records what the controller asks of other controllers.
-func (r *recording) requestsOf(e *node.Environment) {
-	forward, everyone := e.Forward, e.Everyone
+// recordOutgoing makes an environment record the controller's requests to other controllers and cells.
+func (r *recording) recordOutgoing(e *node.Environment) {
+	forward, askAll := e.Forward, e.Everyone
 	e.Exchange = &recordedExchanger{r, e.Exchange}
 	e.Forward = func(request admission.Request, done func(admission.Response, bool)) {
 		r.record("forward", peer.RequestFrame(request))
@@ -64,7 +66,7 @@
 	e.Everyone = func(own *admission.Admission, request admission.Request,
 		done func([]admission.Response, bool)) {
 		r.record("ask all nodes", peer.RequestFrame(request))
-		everyone(own, request, func(answers []admission.Response, ok bool) {
+		askAll(own, request, func(answers []admission.Response, ok bool) {
 			for _, a := range answers {
 				r.record("a node answered", peer.ResponseFrame(a))
 			}
@@ -74,9 +76,10 @@
 	}
 }
 
-// requestsTo records what others ask of the controller.
-func (r *recording) requestsTo(n *Node) {
-	n.reports = &recordedReports{r, n.reports}
+// recordIncoming makes a controller's handlers record the requests of workers, users, other controllers and
+// other cells.
+func (r *recording) recordIncoming(n *Node) {
+	n.heartbeats = &recordedHeartbeats{r, n.heartbeats}
 	n.requests = &recordedRequests{r, n.requests, "user"}
 	n.peers = &recordedRequests{r, n.peers, "peer"}
 	n.exchanges = &recordedExchanges{r, n.exchanges}
@@ -88,7 +91,7 @@
 	store storetest.Service
 }
 
-// answered records a response of the store before it is handled.
+// answered returns a callback that records a response of the store and then handles it.
 func answered[T any](r *recording, kind string, done func(storetest.Reply[T])) func(storetest.Reply[T]) {
 	return func(reply storetest.Reply[T]) {
 		r.record(kind+" answered", reply.Status, reply.Value)
@@ -197,7 +200,7 @@
 	})
 }
 
-// recordedExchanger records the reports to other cells and their responses.
+// recordedExchanger records the heartbeats to other cells and their responses.
 type recordedExchanger struct {
 	*recording
 	exchanger federation.Exchanger
@@ -205,31 +208,31 @@
 
 // Exchange implements federation.Exchanger.
 func (x *recordedExchanger) Exchange(
-	address string, report delegation.Heartbeat, done func(delegation.HeartbeatResponse, bool),
+	address string, heartbeat delegation.Heartbeat, done func(delegation.HeartbeatResponse, bool),
 ) {
-	x.record("exchange", address, report.Encode())
-	x.exchanger.Exchange(address, report, func(a delegation.HeartbeatResponse, ok bool) {
+	x.record("exchange", address, heartbeat.Encode())
+	x.exchanger.Exchange(address, heartbeat, func(a delegation.HeartbeatResponse, ok bool) {
 		x.record("exchange answered", ok, a.Encode())
 		done(a, ok)
 	})
 }
 
-// recordedReports records workers' heartbeats and the controller's responses.
-type recordedReports struct {
+// recordedHeartbeats records workers' heartbeats and the controller's responses.
+type recordedHeartbeats struct {
 	*recording
-	reports reportHandler
+	heartbeats heartbeatHandler
 }
 
-// Heartbeat implements reportHandler.
-func (x *recordedReports) Heartbeat(report protocol.Heartbeat, reply func(status int, body any)) {
-	x.record("heartbeat", report)
-	x.reports.Heartbeat(report, func(status int, body any) {
+// Heartbeat implements heartbeatHandler.
+func (x *recordedHeartbeats) Heartbeat(heartbeat protocol.Heartbeat, reply func(status int, body any)) {
+	x.record("heartbeat", heartbeat)
+	x.heartbeats.Heartbeat(heartbeat, func(status int, body any) {
 		x.record("heartbeat answer", status, body)
 		reply(status, body)
 	})
 }
 
-// recordedRequests records the requests of users, or of other controllers, and the responses.
+// recordedRequests records the requests of users or of other controllers, and the controller's responses.
 type recordedRequests struct {
 	*recording
 	requests requestHandler
@@ -245,17 +248,17 @@
 	})
 }
 
-// recordedExchanges records other cells' reports and the controller's responses.
+// recordedExchanges records other cells' heartbeats and the controller's responses.
 type recordedExchanges struct {
 	*recording
 	exchanges exchangeHandler
 }
 
 // Exchange implements exchangeHandler.
-func (x *recordedExchanges) Exchange(report delegation.Heartbeat,
+func (x *recordedExchanges) Exchange(heartbeat delegation.Heartbeat,
 	reply func(delegation.HeartbeatResponse, bool)) {
-	x.record("cell report", report.Encode())
-	x.exchanges.Exchange(report, func(a delegation.HeartbeatResponse, ok bool) {
+	x.record("cell report", heartbeat.Encode())
+	x.exchanges.Exchange(heartbeat, func(a delegation.HeartbeatResponse, ok bool) {
 		x.record("cell answer", ok, a.Encode())
 		reply(a, ok)
 	})
--- a/internal/simulation/record_test.go
+++ b/internal/simulation/record_test.go
@@ -10,11 +10,11 @@
 	"postpoint/internal/jobrecord"
 )
 
-// hashRecorder hashes all that it is told of, and counts it by kinds.
+// hashRecorder hashes all recorded messages and counts them by kind.
 type hashRecorder struct {
 	hash.Hash
 	kinds map[string]int
-	// changed is the kind of the message that is to be recorded with another last byte.
+	// changed is the kind of message in whose first occurrence the recorder changes the last byte.
 	changed string
 }
 
@@ -26,8 +26,8 @@
 	_, _ = fmt.Fprintf(h, "%d %s %s %x\n", at, controller, kind, content)
 }
 
-// recordShortDay plays a job for a minute. In the first message of the kind to be changed, if any,
-// another last byte is recorded; change may do something to the key-value store in the end.
+// recordShortDay simulates a minute with one job. The recorder changes the last byte of the first message of
+// changedKind, if any; change, if set, modifies the key-value store at the end.
 func recordShortDay(seed uint64, changedKind string, change func(*FakeStore)) (*hashRecorder, string) {
 	h := &hashRecorder{sha256.New(), map[string]int{}, changedKind}
 	w := NewWorld(seed)
@@ -43,8 +43,8 @@
 	return h, fmt.Sprintf("%x", h.Sum(nil))
 }
 
-// All that is recorded of a day is the same each time, another for another seed, and another if
-// one byte of one stored value is.
+// The recording of a day must be the same each time, and it must differ for another seed and for a change of
+// one byte of one message or stored value.
 func TestRecordingIsExact(t *testing.T) {
 	t.Parallel()
 	h, first := recordShortDay(1, "", nil)
@@ -62,11 +62,11 @@
 		t.Error("the same day is recorded differently")
 	}
 	if _, other := recordShortDay(2, "", nil); other == first {
-		t.Error("two days are recorded alike")
+		t.Error("two different days give the same recording")
 	}
 	for kind := range h.kinds {
 		if _, changed := recordShortDay(1, kind, nil); changed == first {
-			t.Errorf("a changed byte of a message of kind %q doesn't show", kind)
+			t.Errorf("a changed byte of a message of kind %q doesn't change the recording", kind)
 		}
 	}
 	_, changed := recordShortDay(1, "", func(s *FakeStore) {
@@ -76,16 +76,16 @@
 		s.entries[jobrecord.Key("job-000001")] = e
 	})
 	if changed == first {
-		t.Error("a changed byte of a stored value isn't recorded")
+		t.Error("a changed byte of a stored value doesn't change the recording")
 	}
 }
 
-// Without a Recorder nothing stands between a controller and its connections.
+// Without a Recorder the simulation must not wrap the connections of a controller.
 func TestNothingIsWrappedWithoutRecorder(t *testing.T) {
 	t.Parallel()
 	d := NewDeployment(NewWorld(1), testSettings(), testTypes(), 0)
 	n := d.Nodes[0]
-	if n.requests != requestHandler(n.Admission) || n.reports != reportHandler(n.Leader) {
+	if n.requests != requestHandler(n.Admission) || n.heartbeats != heartbeatHandler(n.Leader) {
 		t.Error("a controller's connections are wrapped")
 	}
 }
--- a/internal/simulation/requests_test.go
+++ b/internal/simulation/requests_test.go
@@ -11,8 +11,8 @@
 	"postpoint/internal/protocol"
 )
 
-// Users repeat submissions, cancel finished jobs, ask for unknown ones, and submit jobs that can't run
-// or lack a field: none of it is accepted, and nothing changes.
+// Users repeat submissions, cancel finished jobs, ask for unknown jobs, and submit jobs that can't run or
+// lack a field. The controllers must accept none of these requests, and the store must not change.
 func TestInvalidAndRepeatedRequestsChangeNothing(t *testing.T) {
 	w, d, j := eightTasks(t, 72, 30*clock.Second)
 	done := d.Submit(array("job-000003", "open", 1, 1, 5), 5*clock.Second, false)
@@ -35,8 +35,8 @@
 	}
 }
 
-// Controllers that start while the cloud is out validate submissions by the catalogue that a leader
-// stored.
+// Controllers start during an outage of the cloud. They must validate submissions against the catalogue that
+// an earlier leader stored.
 func TestSubmissionsAreAcceptedWhenControllersStartWithoutCloud(t *testing.T) {
 	w := NewWorld(6)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -9,66 +9,67 @@
 	"postpoint/internal/protocol"
 )
 
-// rule is the name of a rule that must not be broken.
+// rule is the name of a rule that the controllers must never break.
 type rule string
 
-// The protocol's rules.
+// The protocol's rules. Each comment says what breaks the rule.
 const (
-	ranTwice     rule = "ran_twice"
-	overQuota    rule = "quota"
-	wrongPlace   rule = "wrong_place"
-	ranCancelled rule = "ran_cancelled"
-	forgotten    rule = "forgotten"
-	invented     rule = "invented"
-	notDone      rule = "not_done"
-	wentBack     rule = "went_back"
+	ranTwice            rule = "ran_twice"     // a task runs on two machines at once
+	overQuota           rule = "quota"         // a team uses more than its quota
+	disallowedPlacement rule = "wrong_place"   // a task starts on a machine or in a zone not allowed
+	ranCancelled        rule = "ran_cancelled" // a task starts or runs too long after its job's cancellation
+	lostJob             rule = "forgotten"     // a controller doesn't know a job or rejects a valid one
+	unsubmittedJob      rule = "invented"      // a controller knows a job that nobody submitted
+	doneTooEarly        rule = "not_done"      // a job is reported as done before its tasks have completed
+	statusReverted      rule = "went_back"     // a final status changes, or is cancelled unrequested
 )
 
-// The repository's own rules, which show a fault earlier than the protocol's.
+// The repository's own rules, which detect a fault earlier than the protocol's rules. Each comment says what
+// breaks the rule.
 const (
-	// noLease: commands without the leader's lease, other than to stop what is final.
+	// noLease: a controller without the leader's lease sends commands other than to stop tasks of final jobs.
 	noLease rule = "no_lease"
-	// unguarded: a transaction that could overwrite what its sender hasn't read.
+	// unguarded: a transaction could overwrite a value that its sender hasn't read.
 	unguarded rule = "unguarded"
-	// forgotEarly: a worker forgets an end that the record doesn't have.
-	forgotEarly rule = "forgot_early"
-	// startedAgain: an attempt starts again after the worker forgot its end.
-	startedAgain rule = "started_again"
-	// startedCancelled: a start command for a job that was cancelled a while ago.
+	// forgottenEarly: a worker forgets an exit that the record doesn't contain.
+	forgottenEarly rule = "forgot_early"
+	// forgottenRestarted: an attempt starts again after the worker forgot its exit.
+	forgottenRestarted rule = "started_again"
+	// startedCancelled: a controller sends a start command for a job that was cancelled a while ago.
 	startedCancelled rule = "started_cancelled"
-	// acceptedInvalid: an invalid submission is accepted.
+	// acceptedInvalid: a controller accepts an invalid submission.
 	acceptedInvalid rule = "accepted"
-	// unanswered: an accepted job's user gets no response for long.
-	unanswered rule = "unanswered"
-	// leftWaiting: a job waits for long though there is room.
-	leftWaiting rule = "left_waiting"
-	// unserved: a replica doesn't run for long.
-	unserved rule = "unserved"
-	// oldFormat: a value that a controller of the previous version can't read.
-	oldFormat rule = "old_format"
-	// incompleteGang: a gang that is placed in part for long.
+	// noResponse: an accepted job's user gets no response for long.
+	noResponse rule = "unanswered"
+	// waitsDespiteCapacity: a job waits for long although there is free capacity for it.
+	waitsDespiteCapacity rule = "left_waiting"
+	// missingReplica: a replica doesn't run for long.
+	missingReplica rule = "unserved"
+	// unreadableFormat: a controller stores a value that a controller of the previous version can't read.
+	unreadableFormat rule = "old_format"
+	// incompleteGang: only some tasks of a gang are placed for long.
 	incompleteGang rule = "gang_in_pieces"
-	// badOverview: an overview that can't be encoded.
+	// badOverview: an overview can't be encoded.
 	badOverview rule = "overview"
-	// badRecord: a record that can't be decoded.
+	// badRecord: a record can't be decoded.
 	badRecord rule = "record"
-	// badExchange: a message between cells that can't be decoded.
+	// badExchange: a message between cells can't be decoded.
 	badExchange rule = "exchange"
 )
 
-// Violate notes that a rule was broken.
+// Violate records that a controller broke a rule.
 func (w *World) Violate(broken rule, format string, args ...any) {
 	message := fmt.Sprintf(format, args...)
 	w.Violations = append(w.Violations, fmt.Sprintf("%.3f %s: %s", w.now.Seconds(), broken, message))
 }
 
-// limitTolerance is for sums of fractions that reach a limit.
+// limitTolerance allows for rounding errors of sums that reach a limit.
 const limitTolerance = 1e-6
 
-// taskStarted notes that a task has its image on a machine, and checks whether it may be there.
+// taskStarted records that a task has its image on a machine, and checks whether it may start there.
 func (d *Deployment) taskStarted(k taskKey, m *FakeWorker) {
-	j := d.find(k.job)
-	d = j.origin // whose rules count
+	j := d.findJob(k.job)
+	d = j.origin // the rules of the origin cell apply
 	d.checkStart(j, k, m)
 	if j.startedAt == 0 {
 		j.startedAt = d.World.now
@@ -78,23 +79,23 @@
 	}
 	j.machines[k.task][m] = true
 	d.History.runBegan(j, k.task, m)
-	d.used[j.spec.Team] = d.used[j.spec.Team].Plus(j.needs())
-	if !j.completed[k.task] { // or it exits at once with its earlier result, and uses nothing
+	d.used[j.spec.Team] = d.used[j.spec.Team].Plus(j.taskResources())
+	if !j.completed[k.task] { // a completed task exits at once with its earlier result, and uses nothing
 		d.checkQuota(j.spec.Team)
 	}
 }
 
-// taskEnded notes that a task isn't on a machine any more.
+// taskEnded records that a task isn't on a machine any more.
 func (d *Deployment) taskEnded(k taskKey, m *FakeWorker) {
-	j := d.find(k.job)
+	j := d.findJob(k.job)
 	d = j.origin
 	delete(j.machines[k.task], m)
 	d.History.runEnded(j, k.task, m)
-	d.used[j.spec.Team] = d.used[j.spec.Team].Minus(j.needs())
+	d.used[j.spec.Team] = d.used[j.spec.Team].Minus(j.taskResources())
 }
 
-// checkStart checks that a task starts nowhere else, in time before a cancellation, and on a machine
-// and in a zone that its job allows.
+// checkStart checks that a task isn't on another machine, that it doesn't start too long after a
+// cancellation, and that its job allows the machine and the zone.
 func (d *Deployment) checkStart(j *Job, k taskKey, m *FakeWorker) {
 	for other := range j.machines[k.task] {
 		if other != m {
@@ -108,11 +109,11 @@
 	zone := m.d.name + m.zone
 	if !planner.MachineAllowed(&j.spec, m.typ, m.zone, m.spot) ||
 		!planner.ZoneAllowed(&j.spec, j.zones(k.task), zone) {
-		d.World.Violate(wrongPlace, "%s/%d on %s %s", k.job, k.task, m.typ, m.zone)
+		d.World.Violate(disallowedPlacement, "%s/%d on %s %s", k.job, k.task, m.typ, m.zone)
 	}
 }
 
-// zones counts the machines with other tasks of the job by zone.
+// zones counts the machines with tasks of the job by zone, without the task except.
 func (j *Job) zones(except int) map[string]int {
 	zones := map[string]int{}
 	for task, machines := range j.machines {
@@ -126,7 +127,7 @@
 	return zones
 }
 
-// checkQuota checks that a team is within its limits.
+// checkQuota checks that a team is within its quota.
 func (d *Deployment) checkQuota(name string) {
 	team, _ := d.Settings.Deployment.Team(name)
 	used := d.used[name]
@@ -136,48 +137,48 @@
 	}
 }
 
-// startGrace is how old a leader's knowledge of the records may be, a little drift of clocks included.
-const startGrace = 6100 * clock.Millisecond
+// maxRecordAge is how outdated a leader's copy of the records may be, with some allowance for clock drift.
+const maxRecordAge = 6100 * clock.Millisecond
 
-// checkCommands checks that nobody sends commands without the leader's lease, but to stop tasks of final
-// jobs: that ends nothing which a later leader could want. Cancelled jobs aren't started.
+// checkCommands checks that no controller sends commands without the leader's lease, and none to start tasks
+// of cancelled jobs. Any controller may stop tasks of final jobs, because no later leader needs them.
 func (d *Deployment) checkCommands(n *Node, epoch protocol.Epoch, commands []protocol.Command) {
 	for _, c := range commands {
 		id, _, _ := protocol.ParseTask(c.Task)
-		j := d.find(id)
-		cancelled := j != nil && j.cancelledAt != 0 && d.World.now > j.cancelledAt+startGrace
+		j := d.findJob(id)
+		cancelled := j != nil && j.cancelledAt != 0 && d.World.now > j.cancelledAt+maxRecordAge
 		if c.Verb == protocol.VerbStart && cancelled {
 			d.World.Violate(startedCancelled, "%s starts %s, cancelled since %.3f s",
 				n.Name, c.Task, j.cancelledAt.Seconds())
 		}
 	}
-	if d.Store.leads(epoch) {
+	if d.Store.isLeaderEpoch(epoch) {
 		return
 	}
 	for _, c := range commands {
 		if !d.mayStopWithoutLease(c) {
-			d.World.Violate(noLease, "%s gives the order %v for epoch %d", n.Name, c, epoch)
+			d.World.Violate(noLease, "%s sends the command %v for epoch %d", n.Name, c, epoch)
 		}
 	}
 }
 
-// mayStopWithoutLease reports whether a command stops a task of a final job, or a hosted one: those end
-// without their records saying so if the origin cell no longer permits them.
+// mayStopWithoutLease reports whether a command stops a task of a final job or of a hosted job. A hosted job
+// may have to end before its record is final, because the origin cell no longer permits it.
 func (d *Deployment) mayStopWithoutLease(c protocol.Command) bool {
 	id, _, ok := protocol.ParseTask(c.Task)
 	_, _, _, hosted := jobrecord.ParseHostedJobID(id)
 	return c.Verb == protocol.VerbStop && ok && (hosted || d.Store.final(id))
 }
 
-// checkStatus checks a response to a user by what the user had been told when asking, and notes the end
-// of the job.
+// checkStatus checks the status in a response to a user against the final status that the user knew when
+// asking, and records the end of the job.
 func (d *Deployment) checkStatus(j *Job, before string, s protocol.JobStatus) {
 	final := s.Status == protocol.StatusDone || s.Status == protocol.StatusCancelled
 	if before != "" && s.Status != before || s.Status == protocol.StatusCancelled && !j.cancelRequested {
-		d.World.Violate(wentBack, "%s was %q, is %q", j.spec.ID, before, s.Status)
+		d.World.Violate(statusReverted, "%s was %q, is %q", j.spec.ID, before, s.Status)
 	}
 	if s.Status == protocol.StatusDone && !j.Done() {
-		d.World.Violate(notDone, "%s with %d of %d", j.spec.ID, len(j.completed), j.spec.Tasks)
+		d.World.Violate(doneTooEarly, "%s with %d of %d", j.spec.ID, len(j.completed), j.spec.Tasks)
 	}
 	if !final || j.finalStatus != "" {
 		return
@@ -190,7 +191,7 @@
 	}
 }
 
-// checkCancelled checks that nothing of a cancelled job is on a machine any more.
+// checkCancelled checks that no task of a cancelled job is on a machine any more.
 func (d *Deployment) checkCancelled(j *Job) {
 	for task, machines := range j.machines {
 		if len(machines) > 0 {
@@ -198,10 +199,10 @@
 		}
 	}
 	for _, m := range d.group.machines(d) {
-		// If its lease had ended before the cancellation, that would have proven it gone.
+		// If the lease had expired before the cancellation, the expiry would have proven the tasks gone.
 		for id, at := range m.expiredJobs {
-			undisturbed := d.World.now > max(d.disturbedAt, m.d.disturbedAt)+returnable
-			if m.d.find(id) == j && at > j.cancelledAt && undisturbed {
+			undisturbed := d.World.now > max(d.disturbedAt, m.d.disturbedAt)+releaseTime
+			if m.d.findJob(id) == j && at > j.cancelledAt && undisturbed {
 				d.World.Violate(ranCancelled, "%s is still on %s, which hangs", j.spec.ID, m.name)
 			}
 		}
--- a/internal/simulation/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -12,17 +12,18 @@
 	"postpoint/internal/protocol"
 )
 
-// play runs a day of random faults, after preparations of the deployment.
-func play(seed uint64, guards ...func(*Deployment)) *Deployment {
+// simulateDay simulates a day of random faults; each of guards prepares the deployment.
+func simulateDay(seed uint64, guards ...func(*Deployment)) *Deployment {
 	d := dayOfUpgrade(NewWorld(seed))
 	for _, g := range guards {
 		g(d)
 	}
-	usualWorkload.play(d)
+	mixedWorkload.simulateDay(d)
 	return d
 }
 
-// seeds are as many as CI plays of a kind of day, or those of a longer search.
+// seeds returns the seeds that CI simulates of a kind of day, or those that the environment requests for a
+// longer search.
 func seeds(usual uint64) iter.Seq[uint64] {
 	if n, err := strconv.ParseUint(os.Getenv("POSTPOINT_TEST_SEEDS"), 10, 64); err == nil {
 		usual = n
@@ -34,13 +35,13 @@
 	}
 }
 
-// Whole controllers keep every rule through crashes, partitions, outages, hung workers and late
-// messages, and get all accepted jobs done afterwards.
+// Whole controllers run through crashes, partitions, outages, hung workers and late messages. They must keep
+// every rule and complete all accepted jobs afterwards.
 func TestRulesHoldUnderRandomFaults(t *testing.T) {
 	for seed := range seeds(60) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			d := play(seed)
+			d := simulateDay(seed)
 			if len(d.World.Violations) > 0 {
 				t.Fatalf("broken rules, want none:\n%s", strings.Join(d.World.Violations, "\n"))
 			}
@@ -49,17 +50,18 @@
 			}
 			for _, j := range d.Jobs() {
 				if j.cancelRequested && j.accepted() && j.finalStatus == "" {
-					t.Fatalf("%s was told no end, want %q", j.spec.ID, protocol.StatusCancelled)
+					t.Fatalf("the user of %s got no final status, want %q",
+						j.spec.ID, protocol.StatusCancelled)
 				}
 			}
 		})
 	}
 }
 
-// The same seed gives the same course of events, so that a failing simulation can be repeated.
+// The same seed must give the same sequence of events, so that a developer can repeat a failing simulation.
 func TestSameSeedGivesSameSimulation(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 5, 21} { // some of them with outages of the key-value store
-		first, second := play(seed), play(seed)
+		first, second := simulateDay(seed), simulateDay(seed)
 		a, b := first.Store, second.Store
 		if first.World.seq != second.World.seq || a.revision != b.revision || a.Changes != b.Changes {
 			t.Errorf("seed %d: events %d and %d, revisions %d and %d, changes %d and %d, want the same",
@@ -68,15 +70,15 @@
 	}
 }
 
-// dayOfUpgrade is a deployment whose controllers are of the new version from the beginning, or upgraded at
-// some time, perhaps only after the faults. On most days the store's limits tighten at some time, whichever
-// controllers are upgraded by then.
+// dayOfUpgrade starts a deployment whose controllers either run the new version from the beginning or are
+// upgraded at some time, perhaps only after the faults. On most days the store's limits tighten at a random
+// time, whichever controllers have been upgraded by then.
 func dayOfUpgrade(w *World) *Deployment {
 	set := testSettings()
 	announceTighterLimits(set)
 	old := w.chance(0.5)
 	d := newDeployment(w, set, testTypes(), 0.01, old)
-	d.Store.Limit(set.Deployment.KVStore, false)
+	d.Store.SetLimits(set.Deployment.KVStore, false)
 	d.Store.CheckPut = d.checkFormat
 	if old {
 		upgrade := w.Between(10*clock.Second, dayLength*5/4)
@@ -86,10 +88,10 @@
 		})
 	}
 	if w.chance(0.7) {
-		w.After(w.Between(0, dayLength), func() { d.Store.Limit(set.Deployment.KVStore.Tightest(), true) })
+		w.After(w.Between(0, dayLength), func() { d.Store.SetLimits(set.Deployment.KVStore.Tightest(), true) })
 	}
 	return d
 }
 
-// usualWorkload is a mix of all shapes.
-var usualWorkload = workload{services: 0.15, spec: randomSpec, longest: 120 * clock.Second}
+// mixedWorkload is a mix of all job shapes.
+var mixedWorkload = workload{services: 0.15, spec: randomSpec, maxRunTime: 120 * clock.Second}
--- a/internal/simulation/scale_test.go
+++ b/internal/simulation/scale_test.go
@@ -11,10 +11,10 @@
 	"postpoint/internal/settings"
 )
 
-// Several hundred workers and thousands of tasks, a quarter of the workers partitioned for a while and
-// all controllers restarted: all jobs get done, the largest start within four minutes, every job stays
-// known, and the requests of all controllers to the store, the cloud and the workers stay within the
-// settings' limits and in proportion to the tasks.
+// A deployment has several hundred workers and thousands of tasks. A quarter of the workers is partitioned
+// for a while, and all controllers restart. All jobs must complete, the largest must start within four
+// minutes, no job may be lost, and the requests of all controllers to the store, the cloud and the workers
+// must stay within the settings' limits and in proportion to the tasks.
 func TestLargeDeploymentStaysWithinRequestBudgets(t *testing.T) {
 	t.Parallel()
 	w := NewWorld(17)
@@ -23,7 +23,7 @@
 		42
 	set.Deployment.KVStore.ValueKb, set.Deployment.KVStore.TxnOps = 32, 12
 	d := NewDeployment(w, set, testTypes(), 0)
-	d.Store.Kept, d.Store.Page = 10_000, 500
+	d.Store.KeptRevisions, d.Store.PageSize = 10_000, 500
 	d.Cloud.Capacity = map[scaling.CapacityPool]int{
 		{Type: "small", Zone: "a"}: 150, {Type: "small", Zone: "b"}: 100,
 		{Type: "small", Zone: "a", Spot: true}: 50,
@@ -54,7 +54,7 @@
 		}
 	})
 	w.After(70*clock.Second, func() { d.crashAll(2 * clock.Second) })
-	w.After(90*clock.Second, d.WatchAnswers)
+	w.After(90*clock.Second, d.MonitorResponses)
 	const day = 300 * clock.Second
 	w.Run(day)
 
@@ -73,16 +73,16 @@
 	if up := len(d.Cloud.all); up < 250 {
 		t.Errorf("%d machines were rented, want at least 250", up)
 	}
-	// The settings allow 12,000, 30,000 and 2,400. What this day needs is less by
-	// far, and a change that needs a third more is one to be noticed.
+	// The settings allow 12,000 changes, 30,000 requests and 2,400 calls. This day needs far less. The bounds
+	// are tight enough to detect a change of the code that needs a third more.
 	d.mustHaveUsed(t, used{changes: 3000, requests: 7500, calls: 400, plans: 4500, commands: tasks})
 }
 
-// used bounds what a simulation may need: changes of records, requests to the store and the cloud,
+// used holds upper bounds for a simulation: changes of records, requests to the store, calls to the cloud,
 // plans of the last leader, and direct commands.
 type used struct{ changes, requests, calls, plans, commands int }
 
-// mustHaveUsed fails the test if the deployment needed more.
+// mustHaveUsed fails the test if the deployment needed more than the bounds.
 func (d *Deployment) mustHaveUsed(t *testing.T, most used) {
 	t.Helper()
 	plans := 0
@@ -105,7 +105,7 @@
 	}
 }
 
-// scaleToThousands gives a deployment the timing and the request budgets of thousands of workers.
+// scaleToThousands sets the timing and the request budgets of a deployment of thousands of workers.
 func scaleToThousands(set *settings.Settings) {
 	set.Deployment.Workers = settings.Workers{HeartbeatS: 6, LeaseS: 31, GangWaitS: 40, GangPeerS: 5,
 		CancelS: 51}
@@ -113,7 +113,7 @@
 	set.Deployment.Cloud.Rps = 12
 }
 
-// nextID is an id that no job of the deployment has yet.
+// nextID returns an id that no job of the deployment has yet.
 func (d *Deployment) nextID() protocol.JobID {
 	return protocol.JobID(fmt.Sprintf("job-%06d", len(d.order)))
 }
@@ -127,10 +127,10 @@
 	}
 }
 
-// Two thousand workers: a zone is partitioned for longer than a lease, a hundred workers die meanwhile,
-// and before it is back all controllers are restarted, so that all workers return at once. All jobs get
-// done, every job stays known, no leases expire but those of workers that were partitioned or died, and
-// the requests to the outside systems stay in proportion.
+// Of two thousand workers, a zone is partitioned for longer than a lease and a hundred others fail. All
+// controllers restart before the partition ends, so that all workers return at once. All jobs must complete,
+// no job may be lost, only the leases of workers that were partitioned or failed may expire, and the requests
+// to the outside systems must stay in proportion.
 func TestTwoThousandWorkersReturnAtOnce(t *testing.T) {
 	t.Parallel()
 	w := NewWorld(18)
@@ -138,7 +138,7 @@
 	scaleToThousands(set)
 	set.Deployment.KVStore.ValueKb, set.Deployment.KVStore.TxnOps = 32, 12
 	d := NewDeployment(w, set, testTypes(), 0)
-	d.Store.Kept, d.Store.Page = 10_000, 500
+	d.Store.KeptRevisions, d.Store.PageSize = 10_000, 500
 	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 1500,
 		{Type: "small", Zone: "b"}: 500}
 	for i := range clock.Micros(8) {
@@ -166,7 +166,7 @@
 		}
 	})
 	w.After(115*clock.Second, func() { d.crashAll(3 * clock.Second) })
-	w.After(130*clock.Second, d.WatchAnswers)
+	w.After(130*clock.Second, d.MonitorResponses)
 	w.Run(450 * clock.Second)
 
 	mustFinish(t, d)
--- a/internal/simulation/scalefailover_test.go
+++ b/internal/simulation/scalefailover_test.go
@@ -9,10 +9,11 @@
 	"postpoint/internal/settings"
 )
 
-// Six hundred workers on controllers that are short of processor time: each message takes 2 ms, and
-// heartbeats alone take half of it. Many jobs are submitted at once, and the leader crashes while all of
-// them run. No reachable worker's lease expires, submissions are accepted within two seconds, and the
-// next leader has responded to every worker, and starts jobs, within 15 s of the crash.
+// Six hundred workers depend on controllers that are short of processor time: each message takes 2 ms, and
+// heartbeats alone need half of the processor time. Users submit many jobs at once, and the leader crashes
+// while all of them run. No reachable worker's lease may expire, controllers must accept submissions within
+// two seconds, and within 15 s of the crash the next leader must have responded to every worker and start
+// jobs.
 func TestSmallControllersKeepLeases(t *testing.T) {
 	t.Parallel()
 	w := NewWorld(19)
@@ -22,7 +23,7 @@
 	set.Deployment.KVStore = settings.KVStore{Rps: 100, WriteRps: 30, ValueKb: 32, TxnOps: 12}
 	set.Deployment.MachineLimits.CPU = 0.05
 	d := NewDeployment(w, set, testTypes(), 0)
-	d.Store.Kept, d.Store.Page = 10_000, 500
+	d.Store.KeptRevisions, d.Store.PageSize = 10_000, 500
 	d.Cloud.Reliable = true
 	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 400,
 		{Type: "small", Zone: "b"}: 200}
@@ -33,7 +34,7 @@
 	for i := range clock.Micros(5) {
 		w.After(i*clock.Second, func() { submit(400, 120*clock.Second) })
 	}
-	for i := range clock.Micros(40) { // ten a second, of which the key-value store takes 30
+	for i := range clock.Micros(40) { // ten jobs a second; the key-value store accepts 30 changes a second
 		w.After(60*clock.Second+i*100*clock.Millisecond, func() { submit(8, 40*clock.Second) })
 	}
 	const end = 90 * clock.Second
@@ -45,15 +46,15 @@
 		d.crashFor(old, 6*clock.Second)
 	})
 	w.After(end+15*clock.Second, func() {
-		heir := mustLead(t, d)
-		heard := 0
+		successor := mustLead(t, d)
+		responded := 0
 		for _, m := range d.Workers() {
-			if heir.Leader.HasMachine(m.name) && m.epoch > 1 {
-				heard++
+			if successor.Leader.HasMachine(m.name) && m.epoch > 1 {
+				responded++
 			}
 		}
-		if all := len(d.Workers()); heard < all {
-			t.Errorf("the next leader has responded to %d of %d workers after 15 s, want all", heard, all)
+		if all := len(d.Workers()); responded < all {
+			t.Errorf("the next leader has responded to %d of %d workers after 15 s, want all", responded, all)
 		}
 		submit(10, 20*clock.Second)
 	})
@@ -71,23 +72,24 @@
 	}
 }
 
-// Four thousand workers with services among the jobs: the leader crashes, and before its successor has
-// heard of all workers a zone of a thousand is lost for good. Replicas that ran there run elsewhere, each
-// once, all jobs get done, and the requests to the outside systems stay in proportion.
+// Four thousand workers run jobs, services among them. The leader crashes, and before its successor has
+// received heartbeats of all workers, a zone of a thousand workers is lost for good. Each replica that ran
+// there must run elsewhere, once; all jobs must complete, and the requests to the outside systems must stay
+// in proportion.
 func TestFourThousandWorkersLoseAZone(t *testing.T) {
 	t.Parallel()
 	w := NewWorld(20)
 	set := tighteningSettings()
 	scaleToThousands(set)
 	d := NewDeployment(w, set, testTypes(), 0)
-	d.Store.Kept, d.Store.Page = 10_000, 500
+	d.Store.KeptRevisions, d.Store.PageSize = 10_000, 500
 	d.Cloud.Reliable = true
 	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 3000,
 		{Type: "small", Zone: "b"}: 1000}
-	d.Store.Limit(set.Deployment.KVStore.Tightest(), false)
-	submit := func(shape, rank string, tasks int, cpus float64, run clock.Micros) *Job {
+	d.Store.SetLimits(set.Deployment.KVStore.Tightest(), false)
+	submit := func(shape, priority string, tasks int, cpus float64, run clock.Micros) *Job {
 		spec := array(d.nextID(), "open", tasks, cpus, run.Seconds())
-		spec.Class, spec.Shape, spec.Priority, spec.Spread = shape, shape, rank,
+		spec.Class, spec.Shape, spec.Priority, spec.Spread = shape, shape, priority,
 			shape == protocol.ShapeService
 		return d.Submit(spec, run, false)
 	}
@@ -121,7 +123,7 @@
 		for _, on := range j.machines {
 			running += len(on)
 		}
-		// Spread lets half of them, rounded up, be in the zone that is left.
+		// The spread constraint allows half of the replicas, rounded up, in the remaining zone.
 		if running < 3 {
 			t.Errorf("%s: %d replicas run 76 s after the zone was lost, want at least 3", j.spec.ID, running)
 		}
--- a/internal/simulation/servicefaults.go
+++ b/internal/simulation/servicefaults.go
@@ -3,19 +3,21 @@
 import "postpoint/internal/clock"
 
 const (
-	// hardlyServed delays each way of the store so much that responses hardly come in time.
-	hardlyServed = 700 * clock.Millisecond
-	// lateWriteShare of transactions are executed late during the fault.
+	// nearTimeoutDelay delays requests to the store and responses so much that responses hardly ever arrive
+	// before the client's timeout.
+	nearTimeoutDelay = 700 * clock.Millisecond
+	// lateWriteShare is the share of transactions that the store executes late during the fault.
 	lateWriteShare = 0.3
-	// cancelAtEndShare of jobs are cancelled at the moment of their end during the fault.
+	// cancelAtEndShare is the share of jobs that users cancel at the moment of their end during the fault.
 	cancelAtEndShare = 0.5
-	// maxCancelled jobs are cancelled at once.
+	// maxCancelled is how many jobs users cancel at once, at most.
 	maxCancelled = 8
 )
 
+// outage makes the store reject all requests for a time.
 func (f *fault) outage(duration clock.Micros) {
-	f.d.Store.Outage(true)
-	f.w.After(duration, func() { f.d.Store.Outage(false) })
+	f.d.Store.SetOutage(true)
+	f.w.After(duration, func() { f.d.Store.SetOutage(false) })
 }
 
 func (f *fault) storeOutage() { f.outage(f.duration) }
@@ -25,49 +27,52 @@
 	f.w.After(f.duration, func() { f.d.Cloud.Outage = false })
 }
 
-// refuse has the store refuse one controller.
-func (f *fault) refuse() {
+// rejectNode makes the store reject all requests of one controller.
+func (f *fault) rejectNode() {
 	n := f.node
-	n.State.StoreRefuses = true
-	f.w.After(f.duration, func() { n.State.StoreRefuses = false })
+	n.StoreLink.StoreRejects = true
+	f.w.After(f.duration, func() { n.StoreLink.StoreRejects = false })
 }
 
-// refuseBeforeOutage has the store refuse one controller while users cancel jobs through the others, and
-// then everybody, for longer than a cancellation may take.
-func (f *fault) refuseBeforeOutage() {
-	f.refuse()
+// rejectNodeBeforeOutage makes the store reject one controller while users cancel jobs through the others.
+// Soon afterwards the store rejects all controllers, perhaps for longer than a cancellation may take.
+func (f *fault) rejectNodeBeforeOutage() {
+	f.rejectNode()
 	cancelRunning(f.d, f.w.Between(1, maxCancelled), 0)
 	f.w.After(f.w.Between(0, 3*clock.Second), func() {
 		f.outage(f.w.Between(2*clock.Second, 40*clock.Second))
 	})
 }
 
-// writeLate has the store execute many transactions late, without a response.
-func (f *fault) writeLate() {
+// delayWrites makes the store execute many transactions late and without a response.
+func (f *fault) delayWrites() {
 	before := f.d.Store.LateWrites
 	f.d.Store.LateWrites = lateWriteShare
 	f.w.After(f.duration, func() { f.d.Store.LateWrites = before })
 }
 
-// slowStore has the store respond slowly, to one controller hardly ever in time.
+// slowStore delays the requests of all controllers to the store, those of one controller so much that it
+// hardly ever gets a response in time.
 func (f *fault) slowStore() {
 	for _, n := range f.d.Nodes {
-		n.State.Delay = f.w.Between(100*clock.Millisecond, 500*clock.Millisecond)
+		n.StoreLink.Delay = f.w.Between(100*clock.Millisecond, 500*clock.Millisecond)
 	}
-	f.node.State.Delay = hardlyServed
+	f.node.StoreLink.Delay = nearTimeoutDelay
 	f.w.After(f.duration, func() {
 		for _, n := range f.d.Nodes {
-			n.State.Delay = 0
+			n.StoreLink.Delay = 0
 		}
 	})
 }
 
+// cancelAtEnd makes users cancel many jobs at the moment of their end.
 func (f *fault) cancelAtEnd() {
 	f.d.CancelAtEnd = cancelAtEndShare
 	f.w.After(f.duration, func() { f.d.CancelAtEnd = 0 })
 }
 
-// cancelAndHang has users cancel running jobs while some of their workers hang.
+// cancelAndHang makes users cancel running jobs while some of their workers hang.
 func (f *fault) cancelAndHang() { cancelRunning(f.d, maxCancelled, f.w.Between(0, 60*clock.Second)) }
 
+// sendInvalidRequests makes users send repeated and invalid requests.
 func (f *fault) sendInvalidRequests() { sendInvalidRequests(f.d) }
--- a/internal/simulation/services_test.go
+++ b/internal/simulation/services_test.go
@@ -7,8 +7,8 @@
 	"postpoint/internal/protocol"
 )
 
-// Replicas that end by themselves are restarted, the service is never reported done, and once it is
-// cancelled none of its replicas is left.
+// The replicas of a service exit by themselves. The leader must restart them, no controller may report the
+// service as done, and after its cancellation no replica may be left.
 func TestServicesRunUntilCancelled(t *testing.T) {
 	t.Parallel()
 	w := NewWorld(260)
@@ -29,7 +29,7 @@
 	})
 	w.Run(400 * clock.Second)
 	if j.finalStatus != "" {
-		t.Fatalf("the user was told %q, want no end", j.finalStatus)
+		t.Fatalf("the user got %q, want no final status", j.finalStatus)
 	}
 	if served*100 < samples*85 {
 		t.Errorf("%d of %d replica seconds were served, want 85 in 100", served, samples)
@@ -44,8 +44,8 @@
 	}
 }
 
-// A worker with replicas hangs: the replicas run elsewhere well before its lease expires, each of them
-// once.
+// A worker with replicas hangs. Each replica must run elsewhere, once, well before the worker's lease
+// expires.
 func TestReplicasOfSilentWorkersAreReplacedSoon(t *testing.T) {
 	t.Parallel()
 	w := NewWorld(261)
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -14,16 +14,16 @@
 type entry struct {
 	value   []byte
 	version protocol.Revision
-	lease   protocol.LeaseID // 0: none
+	lease   protocol.LeaseID // 0 if bound to none
 }
 
-// lease is a lease of the store, to which entries may be bound.
+// lease is a lease of the store. The store deletes the entries bound to it when it expires.
 type lease struct {
 	ttl       clock.Micros
 	expiresAt clock.Micros
 }
 
-// watcher is a request that waits for changes.
+// watcher is a watch request that is waiting for changes.
 type watcher struct {
 	prefix string
 	from   protocol.Revision
@@ -33,16 +33,16 @@
 }
 
 const (
-	// Followers have to read again and lists have several pages with values this small.
+	// These values are so small that watchers have to read again and lists have several pages.
 	defaultKeptRevisions = 12
 	defaultPageSize      = 7
 
-	// maxExpiryDelay is how much longer than its time a lease may last.
+	// maxExpiryDelay is how much longer than its time to live a lease may last.
 	maxExpiryDelay = 100 * clock.Millisecond
 )
 
 // FakeStore is a fake of the consensus-backed key-value store: one linearizable copy, without replicas.
-// Controllers reach it by the clients that For returns.
+// Controllers reach it through the clients that ClientFor returns.
 type FakeStore struct {
 	w        *World
 	entries  map[string]entry
@@ -52,42 +52,43 @@
 	leaseSeq protocol.LeaseID
 	watchers []*watcher
 	outage   bool
-	// LateWrites is the share of transactions that get no response and are executed seconds later,
-	// after newer ones.
+	// LateWrites is the share of transactions that the store executes seconds later, after newer ones, and
+	// to which it doesn't respond.
 	LateWrites float64
-	// ValueBytes and TxnOps limit the size of a value in bytes of JSON and the changes of a
-	// transaction; ChangesPerS limits the changes in each second. 0: no limit.
+	// ValueBytes limits the size of a value in bytes of JSON, TxnOps the number of changes of a transaction,
+	// ChangesPerS the number of changes in each second. 0 means no limit.
 	ValueBytes, TxnOps, ChangesPerS int
-	// second is the one whose changes changesNow counts.
-	second     clock.Micros
-	changesNow int
-	// CheckPut inspects each value that is stored, if set.
+	// currentSecond is the second whose changes changesThisSecond counts.
+	currentSecond     clock.Micros
+	changesThisSecond int
+	// CheckPut, if set, checks each value that a transaction stores.
 	CheckPut func(key string, value []byte)
 	// Changes and Requests count stored changes and all requests, for tests that bound them.
 	Changes, Requests int
-	// delegationsStored counts the records of delegations that were created.
+	// delegationsStored counts the delegation records that controllers have created.
 	delegationsStored int
-	// Kept is how many revisions followers may lag behind, Page how many items a list returns at a
-	// time.
-	Kept protocol.Revision
-	Page int
+	// KeptRevisions is how many revisions a watcher may lag behind; PageSize is how many items a list
+	// returns at a time.
+	KeptRevisions protocol.Revision
+	PageSize      int
 }
 
 // NewFakeStore returns an empty store.
 func NewFakeStore(w *World) *FakeStore {
 	return &FakeStore{
 		w: w, entries: map[string]entry{}, leases: map[protocol.LeaseID]*lease{},
-		Kept: defaultKeptRevisions, Page: defaultPageSize,
+		KeptRevisions: defaultKeptRevisions, PageSize: defaultPageSize,
 	}
 }
 
-// Outage makes the store refuse every request, or serve again; then leases have their full time.
-func (s *FakeStore) Outage(on bool) {
+// SetOutage starts an outage, in which the store rejects every request, or ends it. At the end the store
+// renews all leases.
+func (s *FakeStore) SetOutage(on bool) {
 	s.outage = on
 	if on {
 		return
 	}
-	for id := range ordered.ByKey(s.leases) { // in order, since each draws a time
+	for id := range ordered.ByKey(s.leases) { // in order, because each renewal draws a random time
 		s.renewLease(id)
 	}
 	s.notifyWatchers()
@@ -101,7 +102,7 @@
 	return s.leaseSeq
 }
 
-// renewLease gives a lease its full time from now on and schedules its expiry.
+// renewLease restarts the time to live of a lease and schedules its expiry.
 func (s *FakeStore) renewLease(id protocol.LeaseID) {
 	l := s.leases[id]
 	l.expiresAt = s.w.now + l.ttl
@@ -113,7 +114,7 @@
 	})
 }
 
-// expireLease removes a lease with all entries bound to it.
+// expireLease removes a lease and all entries bound to it.
 func (s *FakeStore) expireLease(id protocol.LeaseID) {
 	delete(s.leases, id)
 	var bound []string
@@ -132,19 +133,19 @@
 	s.notifyWatchers()
 }
 
-// put stores a value at the present revision.
+// put stores a value at the current revision.
 func (s *FakeStore) put(key string, value []byte, lease protocol.LeaseID) {
 	s.entries[key] = entry{value, s.revision, lease}
 	s.log = append(s.log, protocol.Event{Put: key, Value: value, Version: s.revision})
 }
 
-// remove deletes a key at the present revision.
+// remove deletes a key at the current revision.
 func (s *FakeStore) remove(key string) {
 	delete(s.entries, key)
 	s.log = append(s.log, protocol.Event{Delete: key, Version: s.revision})
 }
 
-// notifyWatchers responds to the watchers for which there are changes.
+// notifyWatchers responds to all watchers whose keys have changed.
 func (s *FakeStore) notifyWatchers() {
 	if s.outage {
 		return
@@ -152,7 +153,7 @@
 	waiting := s.watchers
 	s.watchers = nil
 	for _, x := range waiting {
-		if !x.link.StoreRefuses && len(s.eventsSince(x.prefix, x.from)) > 0 {
+		if !x.link.StoreRejects && len(s.eventsSince(x.prefix, x.from)) > 0 {
 			x.done = true
 			x.reply()
 		} else if !x.done {
@@ -173,7 +174,7 @@
 	return events
 }
 
-// keysAfter lists the keys with a prefix that follow another in their order.
+// keysAfter lists the keys that have a prefix and follow another key, in their order.
 func (s *FakeStore) keysAfter(prefix, after string) []string {
 	var keys []string
 	for key := range s.entries {
