--- a/internal/simulation/storeclient.go
+++ b/internal/simulation/storeclient.go
@@ -13,31 +13,31 @@
 const (
 	// storeTimeout is how long a client waits for a response.
 	storeTimeout = 1500 * clock.Millisecond
-	// Late writes are executed this much later.
+	// The store executes a late write between minWriteDelay and maxWriteDelay after the request.
 	minWriteDelay = 2 * clock.Second
 	maxWriteDelay = 12 * clock.Second
 )
 
-// For returns the store as one process reaches it over a link.
-func (s *FakeStore) For(p *Process, l *Link) storetest.Service { return &storeClient{s, p, l} }
+// ClientFor returns a client with which one process reaches the store over a link.
+func (s *FakeStore) ClientFor(p *Process, l *Link) storetest.Service { return &storeClient{s, p, l} }
 
-// storeClient is a process's connection to the store.
+// storeClient is the connection of one process to the store.
 type storeClient struct {
 	store *FakeStore
 	p     *Process
 	link  *Link
 }
 
-// served reports whether the store takes requests of this client.
-func (c *storeClient) served() bool { return !c.store.outage && !c.link.StoreRefuses }
+// available reports whether the store accepts requests of this client.
+func (c *storeClient) available() bool { return !c.store.outage && !c.link.StoreRejects }
 
-// request carries a request to the store, which may refuse it, and its response back.
+// request carries a request to the store, which may reject it, and the response back.
 func request[T any](
 	c *storeClient, done func(storetest.Reply[T]), execute func() storetest.Reply[T],
 ) {
 	c.link.call(c.p, storeTimeout, func(answer func(func())) {
 		c.store.Requests++
-		if !c.served() {
+		if !c.available() {
 			answer(func() { done(storetest.Reply[T]{Status: http.StatusServiceUnavailable}) })
 			return
 		}
@@ -62,13 +62,13 @@
 	})
 }
 
-// List reads a page of the values whose keys have a prefix, after another key.
+// List reads a page of the values whose keys have a prefix and follow another key.
 func (c *storeClient) List(prefix, from string, done func(storetest.Reply[protocol.ItemList])) {
 	request(c, done, func() storetest.Reply[protocol.ItemList] {
 		s := c.store
 		keys := s.keysAfter(prefix, from)
-		list := protocol.ItemList{Revision: s.revision, More: len(keys) > s.Page}
-		for _, key := range keys[:min(s.Page, len(keys))] {
+		list := protocol.ItemList{Revision: s.revision, More: len(keys) > s.PageSize}
+		for _, key := range keys[:min(s.PageSize, len(keys))] {
 			e := s.entries[key]
 			list.Items = append(list.Items, protocol.Item{Key: key, Value: e.value, Version: e.version})
 		}
@@ -76,7 +76,8 @@
 	})
 }
 
-// Commit executes a transaction, or on some days much later, without a response.
+// Commit executes a transaction. The share LateWrites of transactions is executed much later, without a
+// response.
 func (c *storeClient) Commit(
 	use kvstore.Priority, t protocol.Txn, done func(storetest.Reply[protocol.TxnResponse]),
 ) {
@@ -89,19 +90,19 @@
 	request(c, done, func() storetest.Reply[protocol.TxnResponse] { return c.store.commit(t) })
 }
 
-// commitLate executes a transaction after newer ones, if the store serves the client then.
+// commitLate executes a transaction after newer ones, if the store is available to the client then.
 func (c *storeClient) commitLate(t protocol.Txn) {
 	c.p.send(func() {
 		c.store.w.After(c.store.w.Between(minWriteDelay, maxWriteDelay), func() {
-			if c.served() {
+			if c.available() {
 				c.store.commit(t)
 			}
 		})
 	})
 }
 
-// checkGuards checks that a transaction guards each key that it changes, and the leader's key if a
-// leader sends it.
+// checkGuards checks that a transaction has a condition for each key that it changes, and for the leader's
+// key if a leader sends it.
 func (c *storeClient) checkGuards(use kvstore.Priority, t protocol.Txn) {
 	guarded := map[string]bool{}
 	for _, g := range t.Conditions {
@@ -117,7 +118,8 @@
 	}
 }
 
-// Follow waits for changes of keys with a prefix after a revision, for a time at most.
+// Follow watches the keys with a prefix. It responds once there are changes after a revision, or without
+// changes when the time is over.
 func (c *storeClient) Follow(
 	prefix string, from protocol.Revision, block clock.Micros,
 	done func(storetest.Reply[protocol.WatchResponse]),
@@ -129,9 +131,9 @@
 			answer(func() { done(storetest.Reply[protocol.WatchResponse]{Status: status, Value: value}) })
 		}
 		switch {
-		case !c.served():
+		case !c.available():
 			respond(http.StatusServiceUnavailable, protocol.WatchResponse{})
-		case len(s.log) > 0 && s.revision-from > s.Kept:
+		case len(s.log) > 0 && s.revision-from > s.KeptRevisions:
 			respond(http.StatusGone, protocol.WatchResponse{})
 		default:
 			c.watch(prefix, from, block, func() {
@@ -142,12 +144,12 @@
 	}, func() { done(storetest.Reply[protocol.WatchResponse]{}) })
 }
 
-// watch replies once there are changes, or when the time is over.
+// watch registers a watcher and calls reply once there are changes or the time is over.
 func (c *storeClient) watch(prefix string, from protocol.Revision, block clock.Micros, reply func()) {
 	x := &watcher{prefix: prefix, from: from, link: c.link, reply: reply}
 	c.store.watchers = append(c.store.watchers, x)
 	c.store.w.After(block, func() {
-		if !x.done && c.served() {
+		if !x.done && c.available() {
 			x.done = true
 			x.reply()
 		}
@@ -163,7 +165,7 @@
 	})
 }
 
-// Renew gives a lease its full time again.
+// Renew restarts the time to live of a lease.
 func (c *storeClient) Renew(id protocol.LeaseID, done func(storetest.Reply[protocol.LeaseResponse])) {
 	request(c, done, func() storetest.Reply[protocol.LeaseResponse] {
 		if c.store.leases[id] == nil {
--- a/internal/simulation/storerecords.go
+++ b/internal/simulation/storerecords.go
@@ -6,12 +6,12 @@
 	"postpoint/internal/protocol"
 )
 
-// leads reports whether the epoch is that of the leader by the store.
-func (s *FakeStore) leads(epoch protocol.Epoch) bool {
+// isLeaderEpoch reports whether an epoch is that of the current leader in the store.
+func (s *FakeStore) isLeaderEpoch(epoch protocol.Epoch) bool {
 	return s.entries[election.LeaderKey].version == protocol.Revision(epoch)
 }
 
-// record decodes a job's record, without its shards; nil if there is none.
+// record decodes the head of a job's record, without its shards; nil if there is none.
 func (s *FakeStore) record(job protocol.JobID) *jobrecord.Record {
 	e, ok := s.entries[jobrecord.Key(job)]
 	if !ok {
@@ -30,17 +30,17 @@
 	if j == nil {
 		return nil
 	}
-	for part := range j.ShardCount() {
-		if e, ok := s.entries[jobrecord.ShardKey(job, part)]; ok {
-			if err := j.ApplyShard(part, e.value); err != nil {
-				s.w.Violate(badRecord, "part %d of %s: %v", part, job, err)
+	for shard := range j.ShardCount() {
+		if e, ok := s.entries[jobrecord.ShardKey(job, shard)]; ok {
+			if err := j.ApplyShard(shard, e.value); err != nil {
+				s.w.Violate(badRecord, "shard %d of %s: %v", shard, job, err)
 			}
 		}
 	}
 	return j
 }
 
-// assigned reports whether a job's record has an attempt on a machine.
+// assigned reports whether a job's record places an attempt on a machine.
 func (s *FakeStore) assigned(k taskKey, attempt protocol.Attempt, machine protocol.MachineName) bool {
 	j := s.wholeRecord(k.job)
 	return j != nil && j.Placements[k.task].Attempt == attempt && j.Placements[k.task].Machine == machine
--- a/internal/simulation/storetxn.go
+++ b/internal/simulation/storetxn.go
@@ -11,18 +11,19 @@
 	"postpoint/internal/settings"
 )
 
-// guardsPerChange is how many conditions a transaction may have for each change that it may have.
+// guardsPerChange is the limit of conditions in a transaction, as a multiple of the limit of changes.
 const guardsPerChange = 4
 
-// Limit sets the limits of the settings, the rate of changes only if asked for.
-func (s *FakeStore) Limit(l settings.KVStore, rate bool) {
+// SetLimits sets the limits of the settings; it sets the limit on the rate of changes only if rate is set.
+func (s *FakeStore) SetLimits(l settings.KVStore, rate bool) {
 	s.ValueBytes, s.TxnOps = l.ValueBytes(), l.TxnOps
 	if rate {
 		s.ChangesPerS = int(l.WriteRps)
 	}
 }
 
-// limitExceeded returns the status with which the limits refuse a transaction, 0 if they allow it.
+// limitExceeded returns the status with which the store rejects a transaction that exceeds a limit, 0 if
+// the limits allow it.
 func (s *FakeStore) limitExceeded(t protocol.Txn) int {
 	if s.TxnOps > 0 && (len(t.Changes) > s.TxnOps || len(t.Conditions) > guardsPerChange*s.TxnOps) {
 		return http.StatusBadRequest
@@ -32,17 +33,17 @@
 			return http.StatusBadRequest
 		}
 	}
-	if second := s.w.now / clock.Second; second != s.second {
-		s.second, s.changesNow = second, 0
+	if second := s.w.now / clock.Second; second != s.currentSecond {
+		s.currentSecond, s.changesThisSecond = second, 0
 	}
-	s.changesNow += len(t.Changes)
-	if s.ChangesPerS > 0 && s.changesNow > s.ChangesPerS {
+	s.changesThisSecond += len(t.Changes)
+	if s.ChangesPerS > 0 && s.changesThisSecond > s.ChangesPerS {
 		return http.StatusTooManyRequests
 	}
 	return 0
 }
 
-// failedGuards lists the keys that don't have the versions which a transaction requires.
+// failedGuards lists the keys that don't have the versions that a transaction requires.
 func (s *FakeStore) failedGuards(t protocol.Txn) []string {
 	var failed []string
 	for _, g := range t.Conditions {
@@ -53,7 +54,7 @@
 	return failed
 }
 
-// leasesExist reports whether there are all leases to which a transaction binds entries.
+// leasesExist reports whether all leases exist to which a transaction binds entries.
 func (s *FakeStore) leasesExist(t protocol.Txn) bool {
 	for _, c := range t.Changes {
 		if c.Lease != 0 && s.leases[c.Lease] == nil {
@@ -63,7 +64,7 @@
 	return true
 }
 
-// commit executes a compare-and-swap transaction, or refuses it as a whole.
+// commit executes a compare-and-swap transaction, or rejects it as a whole.
 func (s *FakeStore) commit(t protocol.Txn) storetest.Reply[protocol.TxnResponse] {
 	respond := func(status int, answer protocol.TxnResponse) storetest.Reply[protocol.TxnResponse] {
 		return storetest.Reply[protocol.TxnResponse]{Status: status, Value: answer}
--- a/internal/simulation/tasks.go
+++ b/internal/simulation/tasks.go
@@ -7,16 +7,16 @@
 	"postpoint/internal/scaling"
 )
 
-// maxFetchTime is how long an image takes at most.
+// maxFetchTime is the longest time to fetch an image.
 const maxFetchTime = 4 * clock.Second
 
-// taskKey is a task of a job, by the id under which the machine knows the job.
+// taskKey identifies a task by its number and the id under which the machine runs the job.
 type taskKey struct {
 	job  protocol.JobID
 	task int
 }
 
-// taskRef is one attempt of a task.
+// taskRef identifies one attempt of a task.
 type taskRef struct {
 	taskKey
 	attempt protocol.Attempt
@@ -28,29 +28,29 @@
 	attempt  protocol.Attempt
 	status   string
 	cause    string // of its exit
-	saved    bool
-	resident bool // has its image and hasn't ended
+	saved    bool   // it saved a checkpoint before it exited
+	resident bool   // it has its image and hasn't ended
 }
 
-// killAll ends all tasks at once; nothing of them is left to report.
+// killAll ends and forgets all tasks at once; heartbeats don't report them any more.
 func (m *FakeWorker) killAll() {
 	for _, t := range m.tasks {
-		m.leave(t)
+		m.markGone(t)
 	}
 	m.tasks = nil
-	m.d.noticeLostTasks()
+	m.d.scheduleGangCheck()
 }
 
-// leave notes that a task isn't on the machine any more.
-func (m *FakeWorker) leave(t *task) {
+// markGone records that a task isn't on the machine any more.
+func (m *FakeWorker) markGone(t *task) {
 	if t.resident {
 		t.resident = false
 		m.d.taskEnded(t.taskKey, m)
 	}
 }
 
-// find is an attempt on the machine, or nil.
-func (m *FakeWorker) find(k taskKey, attempt protocol.Attempt) *task {
+// findTask returns an attempt on the machine, or nil.
+func (m *FakeWorker) findTask(k taskKey, attempt protocol.Attempt) *task {
 	for _, t := range m.tasks {
 		if t.taskKey == k && t.attempt == attempt {
 			return t
@@ -68,7 +68,7 @@
 		case protocol.VerbStart:
 			m.start(key, c.Attempt)
 		case protocol.VerbStop:
-			if t := m.find(key, c.Attempt); t != nil && t.status != protocol.TaskExited {
+			if t := m.findTask(key, c.Attempt); t != nil && t.status != protocol.TaskExited {
 				m.stop(t, c.GraceS)
 			}
 		case protocol.VerbForget:
@@ -77,7 +77,7 @@
 	}
 }
 
-// forget drops an attempt that has exited; its end must be in the record by then.
+// forget drops an attempt that has exited. It checks that the job's record already contains the exit.
 func (m *FakeWorker) forget(k taskKey, attempt protocol.Attempt) {
 	for i, t := range m.tasks {
 		if t.taskKey != k || t.attempt != attempt || t.status != protocol.TaskExited {
@@ -86,52 +86,55 @@
 		m.tasks = append(m.tasks[:i:i], m.tasks[i+1:]...)
 		m.forgotten[taskRef{k, attempt}] = true
 		if m.d.Store.assigned(k, attempt, m.name) {
-			m.d.World.Violate(forgotEarly, "%s attempt %d: its end is not in the record",
+			m.d.World.Violate(forgottenEarly, "%s attempt %d: its end is not in the record",
 				protocol.TaskName(k.job, k.task), attempt)
 		}
 		return
 	}
 }
 
-// start begins an attempt: it fetches its image unless the machine refuses it.
+// start adds an attempt. The machine either rejects it, so that it exits at once, or fetches its image.
 func (m *FakeWorker) start(k taskKey, attempt protocol.Attempt) {
-	if m.find(k, attempt) != nil {
+	if m.findTask(k, attempt) != nil {
 		return
 	}
 	m.checkRestart(k, attempt)
 	t := &task{taskKey: k, attempt: attempt, status: protocol.TaskExited}
 	m.tasks = append(m.tasks, t)
 	m.scheduleHeartbeat()
-	if t.cause = m.refusal(k, attempt); t.cause != "" {
+	if t.cause = m.rejectionCause(k, attempt); t.cause != "" {
 		return
 	}
 	t.status = protocol.TaskFetching
-	session := m.incarnation
+	incarnation := m.incarnation
 	m.d.World.After(m.d.World.Between(0, maxFetchTime), func() {
-		m.do(func() {
-			if m.incarnation == session && t.status == protocol.TaskFetching && m.find(k, attempt) == t {
-				m.fetched(t)
+		m.runOrDefer(func() {
+			if m.incarnation == incarnation && t.status == protocol.TaskFetching &&
+				m.findTask(k, attempt) == t {
+				m.imageFetched(t)
 			}
 		})
 	})
 }
 
-// checkRestart checks that a forgotten attempt doesn't start again. A gang's replacement may have the
-// same attempt, but only by the record; a completed task has kept its result and doesn't run again.
+// checkRestart checks that a forgotten attempt doesn't start again. Two cases are allowed: the record assigns
+// this attempt to the machine again, as it does when it replaces a task of a gang; or the task is completed,
+// so that the worker has kept its result and doesn't run it again.
 func (m *FakeWorker) checkRestart(k taskKey, attempt protocol.Attempt) {
-	j := m.d.find(k.job)
+	j := m.d.findJob(k.job)
 	if m.forgotten[taskRef{k, attempt}] && !j.completed[k.task] && !m.d.Store.assigned(k, attempt, m.name) {
-		m.d.World.Violate(startedAgain, "%s/%d attempt %d after it was forgotten", k.job, k.task, attempt)
+		m.d.World.Violate(forgottenRestarted, "%s/%d attempt %d after it was forgotten",
+			k.job, k.task, attempt)
 	}
 }
 
-// refusal is the cause for which a start is refused, empty if it isn't.
-func (m *FakeWorker) refusal(k taskKey, attempt protocol.Attempt) string {
-	j := m.d.find(k.job)
+// rejectionCause returns the cause for which the machine rejects a start, empty if it accepts it.
+func (m *FakeWorker) rejectionCause(k taskKey, attempt protocol.Attempt) string {
+	j := m.d.findJob(k.job)
 	switch {
 	case j == nil:
 		return protocol.CauseNoSuchTask
-	case !j.needs().FitsIn(m.free()):
+	case !j.taskResources().FitsIn(m.free()):
 		return protocol.CauseNoRoom
 	}
 	for _, other := range m.tasks {
@@ -142,7 +145,7 @@
 	return ""
 }
 
-// free is what the tasks on the machine leave of it.
+// free returns the capacity that the tasks on the machine don't use.
 func (m *FakeWorker) free() planner.Resources {
 	var free planner.Resources
 	for _, ty := range m.d.Cloud.Types {
@@ -151,16 +154,16 @@
 		}
 	}
 	for _, t := range m.tasks {
-		if o := m.d.find(t.job); o != nil && t.status != protocol.TaskExited {
-			free = free.Minus(o.needs())
+		if o := m.d.findJob(t.job); o != nil && t.status != protocol.TaskExited {
+			free = free.Minus(o.taskResources())
 		}
 	}
 	return free
 }
 
-// fetched continues with a task that has its image.
-func (m *FakeWorker) fetched(t *task) {
-	j := m.d.find(t.job)
+// imageFetched continues with a task that has its image.
+func (m *FakeWorker) imageFetched(t *task) {
+	j := m.d.findJob(t.job)
 	t.resident = true
 	m.d.taskStarted(t.taskKey, m)
 	switch {
@@ -172,16 +175,16 @@
 		m.waitForGang(t)
 		m.d.startGang(t.job, t.attempt)
 	default:
-		m.run(t, j)
+		m.runTask(t, j)
 	}
 }
 
-// waitForGang lets a gang's task wait for the others, for a time at most.
+// waitForGang makes a gang's task wait for the others, with a timeout.
 func (m *FakeWorker) waitForGang(t *task) {
 	t.status = protocol.TaskWaiting
 	m.scheduleHeartbeat()
 	m.d.World.After(clock.FromSeconds(m.d.Settings.Deployment.Workers.GangWaitS), func() {
-		m.do(func() {
+		m.runOrDefer(func() {
 			if t.status == protocol.TaskWaiting {
 				m.exit(t, protocol.CauseGangIncomplete)
 			}
@@ -189,15 +192,15 @@
 	})
 }
 
-// run lets a task run for a random time about its job's, or until it is stopped.
-func (m *FakeWorker) run(t *task, j *Job) {
+// runTask runs a task for a random time around its job's run time, or until a controller stops it.
+func (m *FakeWorker) runTask(t *task, j *Job) {
 	t.status = protocol.TaskRunning
 	m.scheduleHeartbeat()
-	if j.spec.Service() && j.run == 0 {
+	if j.spec.Service() && j.runTime == 0 {
 		return
 	}
-	m.d.World.After(m.d.World.Between(j.run/2, j.run*3/2), func() {
-		m.do(func() {
+	m.d.World.After(m.d.World.Between(j.runTime/2, j.runTime*3/2), func() {
+		m.runOrDefer(func() {
 			switch {
 			case t.status != protocol.TaskRunning || !t.resident:
 			case j.spec.Gang():
@@ -209,19 +212,19 @@
 	})
 }
 
-// exit ends a task.
+// exit ends a task with a cause and schedules a heartbeat about it.
 func (m *FakeWorker) exit(t *task, cause string) {
 	t.status, t.cause = protocol.TaskExited, cause
-	if j := m.d.find(t.job); cause == protocol.CauseDone && !j.spec.Service() {
+	if j := m.d.findJob(t.job); cause == protocol.CauseDone && !j.spec.Service() {
 		j.complete(t.task, m.d.CancelAtEnd)
 	}
-	m.leave(t)
+	m.markGone(t)
 	m.scheduleHeartbeat()
 }
 
-// stop ends a task, after it has saved a checkpoint if it can within the grace period.
+// stop ends a task. If the task can save a checkpoint within the grace period, it does so first.
 func (m *FakeWorker) stop(t *task, graceS float64) {
-	spec := &m.d.find(t.job).spec
+	spec := &m.d.findJob(t.job).spec
 	if t.status == protocol.TaskRunning && spec.CheckpointS > 0 && graceS >= spec.SaveS {
 		m.save(t, clock.FromSeconds(spec.SaveS))
 		return
@@ -232,12 +235,12 @@
 	m.exit(t, protocol.CauseStopped)
 }
 
-// save lets a task save a checkpoint and exit.
+// save makes a task save a checkpoint and exit.
 func (m *FakeWorker) save(t *task, duration clock.Micros) {
 	t.status = protocol.TaskSaving
 	m.scheduleHeartbeat()
 	m.d.World.After(duration, func() {
-		m.do(func() {
+		m.runOrDefer(func() {
 			if t.status == protocol.TaskSaving {
 				t.saved = true
 				m.exit(t, protocol.CauseStopped)
--- a/internal/simulation/transfer_test.go
+++ b/internal/simulation/transfer_test.go
@@ -13,9 +13,9 @@
 	"postpoint/internal/settings"
 )
 
-// transfer is a delegation between two cells. The first has no machines, so that all of its job's tasks
-// go to the second, which has few. Later the first gets machines for a short job, and the tasks that
-// wait return to it.
+// transfer is a delegation between two cells. The origin cell has no machines, so it delegates all tasks of
+// its job to the host cell, which has few. Later the origin cell gets machines for a short job, and the
+// pending tasks return to it.
 type transfer struct {
 	w            *World
 	origin, host *Deployment
@@ -27,7 +27,7 @@
 
 func newTransfer(seed uint64, gang bool) *transfer {
 	w := NewWorld(seed)
-	g := NewGroup(w, []*settings.Settings{testSettings(), testSettings()}, testTypes()[:1], groupGuests,
+	g := NewGroup(w, []*settings.Settings{testSettings(), testSettings()}, testTypes()[:1], defaultHostedLimits,
 		"[[spill]]\nfrom = \"alpha\"\nto = [\"beta\"]\n", 0)
 	x := &transfer{w: w, origin: g.Cells[0], host: g.Cells[1]}
 	x.history = NewHistory(w, g.Cells...)
@@ -50,29 +50,31 @@
 	return x
 }
 
-// steps are the states of a delegation in their order, each with a check for whether it is reached.
+// steps lists the steps of a delegation in their order, each with a function that reports whether the
+// delegation has reached it.
 var steps = []struct {
 	name    string
 	reached func(x *transfer) bool
-	gang    bool // a gang reaches it, too
+	gang    bool // set if gangs reach the step, too
 }{
-	{"placed with the host", func(x *transfer) bool { return x.elsewhere() > 0 }, true},
+	{"placed with the host", func(x *transfer) bool { return x.offloadedTasks() > 0 }, true},
 	{"offered", func(x *transfer) bool { return x.inState(delegation.Offered) }, true},
 	{"recorded by the host", func(x *transfer) bool { return x.hosted() != nil }, true},
 	{"accepted", func(x *transfer) bool { return x.inState(delegation.Accepted) }, true},
 	{"running", func(x *transfer) bool { return len(x.job.machines) > 0 }, true},
 	{"partly done", func(x *transfer) bool { return len(x.job.completed) > 0 }, false},
-	{"done tasks at the origin", func(x *transfer) bool { return x.done() > 0 }, true},
+	{"completed tasks recorded by the origin", func(x *transfer) bool { return x.done() > 0 }, true},
 	{"recalled", func(x *transfer) bool { return x.inState(delegation.Recalled) }, false},
 	{"closed", func(x *transfer) bool { return x.hosted() != nil && x.hosted().Hosted.Closed }, false},
-	{"over for the host", func(x *transfer) bool { return x.hosted() != nil && x.hosted().Final() }, true},
+	{"final at the host", func(x *transfer) bool { return x.hosted() != nil && x.hosted().Final() }, true},
 	{"forgotten by the origin", func(x *transfer) bool { return x.hosted() != nil && !x.delegated() }, true},
 	{"forgotten by the host", func(x *transfer) bool {
 		return x.done() > 0 && x.hosted() == nil && !x.delegated()
 	}, true},
 }
 
-func (x *transfer) elsewhere() int {
+// offloadedTasks counts the tasks that the job's record places in the host cell.
+func (x *transfer) offloadedTasks() int {
 	n := 0
 	if j := x.origin.Store.record(x.job.spec.ID); j != nil {
 		for _, p := range j.Placements {
@@ -117,19 +119,19 @@
 func (x *transfer) hosted() *jobrecord.Record {
 	for key := range x.host.Store.entries {
 		id := protocol.JobID(strings.TrimPrefix(key, jobrecord.Prefix))
-		if _, _, _, guest := jobrecord.ParseHostedJobID(id); guest {
+		if _, _, _, hosted := jobrecord.ParseHostedJobID(id); hosted {
 			return x.host.Store.record(id)
 		}
 	}
 	return nil
 }
 
-// runTo runs until a step is reached and reports whether it was in time.
+// runTo runs until the delegation reaches a step, and reports whether it did so in time.
 func (x *transfer) runTo(reached func(x *transfer) bool) bool {
 	return runUntil(x.w, 200*clock.Second, 5*clock.Millisecond, func() bool { return reached(x) })
 }
 
-// finish runs to the end and checks that the job ended properly and the delegation is gone.
+// finish runs to the end and checks that the job ended properly and that no record of the delegation is left.
 func (x *transfer) finish(t *testing.T, step string) {
 	t.Helper()
 	x.w.Run(x.w.Now() + 300*clock.Second)
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -12,7 +12,8 @@
 	"postpoint/internal/settings"
 )
 
-// tighteningSettings announce store limits so low that a large array needs many values.
+// tighteningSettings returns settings that announce store limits so low that the record of a large array
+// needs many values.
 func tighteningSettings() *settings.Settings {
 	set := testSettings()
 	valueKb, txnOps, writeRps := 2.0, 4, 28.0
@@ -22,18 +23,18 @@
 	return set
 }
 
-// oldDeployment is a deployment of the previous version that runs an array of 200 tasks.
+// oldDeployment starts a deployment of the previous version that runs an array of 200 tasks.
 func oldDeployment(seed uint64, run clock.Micros) (w *World, d *Deployment, j *Job) {
 	w = NewWorld(seed)
-	d = NewOldDeployment(w, tighteningSettings(), testTypes(), 0)
-	d.Store.Limit(d.Settings.Deployment.KVStore, false)
+	d = NewOldVersionDeployment(w, tighteningSettings(), testTypes(), 0)
+	d.Store.SetLimits(d.Settings.Deployment.KVStore, false)
 	d.Store.CheckPut = d.checkFormat
 	j = d.Submit(array("job-000001", "open", 200, 1, run.Seconds()), run, false)
 	w.Run(40 * clock.Second)
 	return w, d, j
 }
 
-// shards are the keys of all shards of records that are stored.
+// shards returns the keys of all shards of records in the store.
 func (s *FakeStore) shards() []string {
 	var keys []string
 	for key := range s.entries {
@@ -45,24 +46,24 @@
 	return keys
 }
 
-// The leader crashes at any instant while a running array's record is sharded after an upgrade, and the
-// store's limits tighten as well: no task runs twice, the array gets done, and no shard is left.
+// After an upgrade, the leader crashes at any moment while it shards the record of a running array, and the
+// store's limits tighten as well. No task may run twice, the array must complete, and no shard may be left.
 func TestLeaderCrashWhileARecordIsSharded(t *testing.T) {
 	t.Parallel()
-	divided := 0
+	sharded := 0
 	for step := range clock.Micros(40) {
 		w, d, j := oldDeployment(uint64(200+step), 60*clock.Second)
 		d.Upgrade(2*clock.Second, 500*clock.Millisecond)
 		w.Run(44*clock.Second + 800*clock.Millisecond + step*60*clock.Millisecond)
 		if len(d.Store.shards()) > 0 {
-			divided++
+			sharded++
 		}
 		for _, n := range d.Nodes {
 			if n.Up() && n.Leader.Leads() {
 				d.crashFor(n, 2*clock.Second)
 			}
 		}
-		d.Store.Limit(d.Settings.Deployment.KVStore.Tightest(), false)
+		d.Store.SetLimits(d.Settings.Deployment.KVStore.Tightest(), false)
 		w.Run(400 * clock.Second)
 		mustKeepRules(t, w)
 		mustBeDone(t, w, j)
@@ -70,15 +71,15 @@
 			t.Fatalf("step %d: shards are left: %v, want none", step, left)
 		}
 	}
-	if divided < 5 {
-		t.Errorf("%d of the leaders had written shards, want at least 5", divided)
+	if sharded < 5 {
+		t.Errorf("%d of the leaders had written shards, want at least 5", sharded)
 	}
 }
 
-// One controller still runs the previous version, the store's limits tighten nevertheless, and the
-// leader crashes: accepted jobs stay known and continue as far as their records allow, a cancellation
-// takes effect, services are refused with a retry time, and once the last controller is upgraded all
-// jobs get done.
+// One controller still runs the previous version, the store's limits tighten nevertheless, and the leader
+// crashes. No accepted job may be lost, jobs must continue as far as their records allow, a cancellation must
+// take effect, and controllers must reject services with a retry time. After the upgrade of the last
+// controller all jobs must complete.
 func TestLimitsTightenWhileOneControllerIsOld(t *testing.T) {
 	t.Parallel()
 	w, d, j := oldDeployment(250, 30*clock.Second)
@@ -86,12 +87,12 @@
 	w.Run(70 * clock.Second)
 	behind := d.Nodes[2]
 	for _, n := range d.Nodes[:2] {
-		n.Old = false
+		n.OldVersion = false
 		n.Crash()
 		d.StartNode(n)
 		w.Run(w.Now() + 3*clock.Second)
 	}
-	d.Store.Limit(d.Settings.Deployment.KVStore.Tightest(), false)
+	d.Store.SetLimits(d.Settings.Deployment.KVStore.Tightest(), false)
 	replicas := array("job-000003", "open", 4, 1, 0)
 	replicas.Shape = protocol.ShapeService
 	service := d.Submit(replicas, 0, false)
@@ -105,7 +106,7 @@
 	w.Run(w.Now() + 60*clock.Second)
 	mustKeepRules(t, w)
 	if service.accepted() {
-		t.Fatal("a service is accepted while a controller would take it for an array, want it refused")
+		t.Fatal("a service is accepted while one controller would read it as an array, want it rejected")
 	}
 	missing := []string{}
 	d.Nodes[0].Leader.Overview(func(o any) { missing = o.(overview.Overview).Missing })
@@ -113,7 +114,7 @@
 	if !slices.Equal(missing, []string{behind.Name}) {
 		t.Errorf("controllers without the format: %v, want only %s", missing, behind.Name)
 	}
-	behind.Old = false
+	behind.OldVersion = false
 	behind.Crash()
 	d.StartNode(behind)
 	opened := w.Now()
@@ -129,8 +130,8 @@
 	mustBeDone(t, w, j)
 }
 
-// All controllers are upgraded one after another while an array runs: there are few elections, and no
-// task is lost to them.
+// All controllers are upgraded one after another while an array runs. There must be few elections, and they
+// must not cost any task.
 func TestRollingUpgradeLosesNoTask(t *testing.T) {
 	t.Parallel()
 	w, d, j := oldDeployment(262, 100*clock.Second)
--- a/internal/simulation/userfaults.go
+++ b/internal/simulation/userfaults.go
@@ -9,11 +9,11 @@
 	"postpoint/internal/protocol"
 )
 
-// maxHung is how many workers of cancelled jobs hang at most.
-const maxHung = 3
+// maxHungWorkers is how many workers of cancelled jobs hang at most.
+const maxHungWorkers = 3
 
-// cancelRunning has users cancel up to n running jobs within a fifth of a second, while some of their
-// workers hang for a time.
+// cancelRunning makes users cancel up to n running jobs within a fifth of a second. If hang isn't 0, some of
+// their workers hang for that time.
 func cancelRunning(d *Deployment, n, hang clock.Micros) {
 	w := d.World
 	hung := 0
@@ -25,7 +25,7 @@
 		w.After(w.Between(0, 200*clock.Millisecond), func() { d.Cancel(j) })
 		for t := range j.spec.Tasks {
 			for _, m := range sortedKeys(j.machines[t]) {
-				if hung++; hang > 0 && hung <= maxHung && !m.Hung {
+				if hung++; hang > 0 && hung <= maxHungWorkers && !m.Hung {
 					m.Hung = true
 					w.After(hang, m.Resume)
 				}
@@ -34,8 +34,8 @@
 	}
 }
 
-// sendInvalidRequests has users repeat submissions, cancel finished jobs, and submit jobs that can't run
-// or lack a field.
+// sendInvalidRequests makes users repeat submissions, cancel finished jobs, and submit jobs that can't run or
+// lack a field.
 func sendInvalidRequests(d *Deployment) {
 	for i, j := range d.Jobs() {
 		switch {
@@ -45,26 +45,26 @@
 			d.Cancel(j)
 		}
 	}
-	good := array("job-900001", "limited", 2, 2, 5)
-	huge, greedy, unknown := good, good, good
-	huge.MemoryGB = 4096
-	greedy.Shape, greedy.Tasks, greedy.Gpus = protocol.ShapeGang, 5, 1
-	unknown.Team = "nobody"
-	for _, s := range []protocol.JobSpec{huge, greedy, unknown} {
+	valid := array("job-900001", "limited", 2, 2, 5)
+	tooMuchMemory, gangBeyondQuota, unknownTeam := valid, valid, valid
+	tooMuchMemory.MemoryGB = 4096
+	gangBeyondQuota.Shape, gangBeyondQuota.Tasks, gangBeyondQuota.Gpus = protocol.ShapeGang, 5, 1
+	unknownTeam.Team = "nobody"
+	for _, s := range []protocol.JobSpec{tooMuchMemory, gangBeyondQuota, unknownTeam} {
 		d.SubmitInvalid(protocol.Encode(s))
 	}
 	for _, field := range submissionFields {
-		d.SubmitInvalid(withoutField(good, field))
+		d.SubmitInvalid(withoutField(valid, field))
 	}
 }
 
-// submissionFields are the wire names of fields without which a submission is invalid.
+// submissionFields lists the wire names of fields without which a submission is invalid.
 var submissionFields = []string{
 	"Lane", "Desk", "Shape", "Rank", "Legs", "Vcpus", "Gpus", "MemGb", "Bundle", "PullGb", "SamePlace",
 	"Spread", "Loaners", "ExpectedS", "SnapshotS", "FlushS",
 }
 
-// withoutField encodes a submission that lacks a field, the others in the order of their names.
+// withoutField encodes a submission without one field, and the other fields in the order of their names.
 func withoutField(spec protocol.JobSpec, field string) []byte {
 	var fields map[string]any
 	if err := protocol.Decode(protocol.Encode(spec), &fields); err != nil {
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -17,28 +17,28 @@
 	userLatency = clock.Millisecond
 	// retryInterval is how long a user waits before sending a failed request again.
 	retryInterval = clock.Second
-	// Users ask about their jobs in intervals between these.
+	// Users poll the status of their jobs in intervals between minPollInterval and maxPollInterval.
 	minPollInterval = 3 * clock.Second
 	maxPollInterval = 6 * clock.Second
-	// pollAfterEnd is the chance that a user asks once more about a finished job.
+	// pollAfterEnd is the chance that a user polls once more about a finished job.
 	pollAfterEnd = 0.3
 	// resubmission is the chance that a user repeats a submission after a status request.
 	resubmission = 0.03
 )
 
-// ask sends a user's request to any controller. Status 0 is no response within the user's time.
+// ask sends a user's request to a random controller. Status 0 means no response within userTimeout.
 func (d *Deployment) ask(r admission.Request, done func(status int, s protocol.JobStatus)) {
 	d.askNode(d.Nodes[d.World.Rand.IntN(len(d.Nodes))], r, done)
 }
 
 // askNode sends a user's request to one controller.
 func (d *Deployment) askNode(n *Node, r admission.Request, done func(status int, s protocol.JobStatus)) {
-	over := false
+	finished := false
 	finish := func(status int, body []byte) {
-		if over {
+		if finished {
 			return
 		}
-		over = true
+		finished = true
 		var s protocol.JobStatus
 		if err := protocol.Decode(body, &s); err != nil {
 			s = protocol.JobStatus{}
@@ -46,7 +46,7 @@
 		done(status, s)
 	}
 	d.World.After(userTimeout, func() { finish(0, nil) })
-	if !n.Up() || d.cut[n.Zone] != nil {
+	if !n.Up() || d.partitions[n.Zone] != nil {
 		return
 	}
 	proc := n.process
@@ -60,7 +60,7 @@
 	})
 }
 
-// Submit has a user submit a job, ask about it until it is over and now and then repeat the submission.
+// Submit makes a user submit a job, poll its status until it is final, and sometimes repeat the submission.
 // The tasks of failing jobs fail.
 func (d *Deployment) Submit(spec protocol.JobSpec, run clock.Micros, failing bool) *Job {
 	j := newJob(d, spec, run, failing)
@@ -79,7 +79,7 @@
 		case http.StatusCreated, http.StatusOK:
 			d.submitted(j, before, s)
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
-			d.World.Violate(forgotten, "%s answered %d", j.spec.ID, status)
+			d.World.Violate(lostJob, "%s answered %d", j.spec.ID, status)
 		default:
 			d.World.After(retryInterval, func() { d.submit(j) })
 		}
@@ -98,7 +98,7 @@
 	}
 }
 
-// SubmitInvalid has a user submit something that must not be accepted.
+// SubmitInvalid makes a user submit something that no controller may accept.
 func (d *Deployment) SubmitInvalid(body []byte) {
 	d.ask(admission.Request{Kind: admission.Submit, Body: body}, func(status int, _ protocol.JobStatus) {
 		if status == http.StatusOK || status == http.StatusCreated {
@@ -107,14 +107,14 @@
 	})
 }
 
-// poll has the user ask about the job after a while.
+// poll makes the user poll the job's status periodically until it is final.
 func (d *Deployment) poll(j *Job) {
 	d.World.After(d.World.Between(minPollInterval, maxPollInterval), func() {
 		before := j.finalStatus
 		d.ask(admission.Request{Kind: admission.GetStatus, ID: j.spec.ID},
 			func(status int, s protocol.JobStatus) {
 				if status == http.StatusNotFound {
-					d.World.Violate(forgotten, "%s answered 404", j.spec.ID)
+					d.World.Violate(lostJob, "%s answered 404", j.spec.ID)
 				}
 				if status == http.StatusOK {
 					j.lastResponseAt = d.World.now
@@ -130,7 +130,7 @@
 	})
 }
 
-// Cancel has the user cancel the job, if it is accepted, until a controller confirms that.
+// Cancel makes the user cancel an accepted job and retry until a controller confirms the cancellation.
 func (d *Deployment) Cancel(j *Job) {
 	if !j.accepted() {
 		return
@@ -146,10 +146,10 @@
 	})
 }
 
-// Jobs are all jobs in the order of their submission.
+// Jobs returns all jobs in the order of their submission.
 func (d *Deployment) Jobs() []*Job { return d.order }
 
-// Unfinished lists the jobs that should get done and whose users weren't told so.
+// Unfinished lists the jobs that should be done by now but whose users haven't received that status.
 func (d *Deployment) Unfinished() []string {
 	var ids []string
 	for _, j := range d.order {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -11,14 +11,14 @@
 const (
 	// neverBoots is the chance that a machine never comes up, unless the cloud is reliable.
 	neverBoots = 0.03
-	// A machine that comes up does so within these times.
+	// All other machines take between minBootTime and maxBootTime to boot.
 	minBootTime = clock.Second
 	maxBootTime = 15 * clock.Second
-	// failureDelay is how long a dead machine is still listed as running.
+	// failureDelay is how long the cloud still lists a failed machine as running.
 	failureDelay = 30 * clock.Second
 )
 
-// FakeWorker is a fake of one machine with its agent: it runs tasks under a lease that heartbeats renew.
+// FakeWorker is a fake of one machine with its agent. It runs tasks under a lease that heartbeats renew.
 type FakeWorker struct {
 	d         *Deployment
 	name      protocol.MachineName
@@ -29,48 +29,51 @@
 	rentedAt  clock.Micros
 	up, ended bool
 
-	// incarnation counts the agent's incarnations, counter its heartbeats; epoch is the highest that it
-	// has seen.
+	// incarnation counts the agent's incarnations, counter its heartbeats; epoch is the highest epoch of a
+	// leader that it has seen.
 	incarnation protocol.Incarnation
 	counter     int64
 	epoch       protocol.Epoch
 	tasks       []*task
 	// node is the index of the controller to which heartbeats go.
 	node int
-	// leaseStart is when the last heartbeat with a response was sent: the lease counts from then.
+	// leaseStart is when the worker sent the last heartbeat that got a response; the lease runs from then.
 	leaseStart clock.Micros
 	inFlight   bool
-	// changed reports whether a heartbeat about a change is scheduled.
-	changed  bool
-	recallAt clock.Micros
-	// Hung machines do nothing until they continue, but their leases expire.
+	// changed is set while a heartbeat about a change is scheduled.
+	changed bool
+	// reclaimAt is when the cloud takes the machine back, 0 if it has announced nothing.
+	reclaimAt clock.Micros
+	// Hung is set while the machine hangs: it does nothing until it resumes, but its lease expires.
 	Hung bool
-	// deferred is what a hung machine has still to do.
+	// deferred holds what a hung machine has still to do.
 	deferred []func()
-	// expiredJobs are the jobs with tasks on the machine when its lease expired while it hung, and when
-	// that was: the tasks are there until it continues.
+	// expiredJobs holds the jobs that had tasks on the machine when its lease expired while it hung, with
+	// the time of the expiry. These tasks stay on the machine until it resumes.
 	expiredJobs map[protocol.JobID]clock.Micros
-	// Link carries heartbeats and their responses, Commands what controllers send directly.
+	// Link carries heartbeats and their responses, Commands the direct commands of controllers.
 	Link, Commands Link
-	// HeartbeatsLost machines reach no controller; what controllers send directly reaches them.
+	// HeartbeatsLost is set while heartbeats reach no controller, although direct commands reach the
+	// machine.
 	HeartbeatsLost bool
-	// ResponsesLost machines send heartbeats, but neither responses nor commands reach them.
+	// ResponsesLost is set while heartbeats reach the controllers, but neither responses nor commands
+	// reach the machine.
 	ResponsesLost bool
-	// Late is the chance that a copy of a heartbeat arrives long after it.
-	Late float64
-	// forgotten are the attempts of this incarnation that may not start again.
+	// LateCopyChance is the chance that a copy of a heartbeat arrives long after the heartbeat.
+	LateCopyChance float64
+	// forgotten holds the attempts that this incarnation has forgotten and that must not start again.
 	forgotten map[taskRef]bool
-	// Faulty machines fail every task.
+	// Faulty is set while the machine fails every task.
 	Faulty bool
 }
 
-// boot starts a machine that comes up some time later.
+// boot adds a machine that comes up some time later, or never.
 func (d *Deployment) boot(name protocol.MachineName, k scaling.CapacityPool) *FakeWorker {
 	m := &FakeWorker{
 		d: d, name: name, addr: d.address(name), typ: k.Type, zone: k.Zone, spot: k.Spot,
 		status: protocol.MachineStarting, rentedAt: d.World.now,
 		Link: Link{w: d.World, Loss: d.Loss}, Commands: Link{w: d.World, Loss: d.Loss},
-		Late: 2 * d.Loss, forgotten: map[taskRef]bool{},
+		LateCopyChance: 2 * d.Loss, forgotten: map[taskRef]bool{},
 	}
 	d.byAddr[m.addr] = m
 	if d.World.chance(neverBoots) && !d.Cloud.Reliable {
@@ -78,18 +81,18 @@
 	}
 	d.World.After(d.World.Between(minBootTime, maxBootTime), func() {
 		if !m.ended {
-			m.comeUp()
+			m.startAgent()
 		}
 	})
 	return m
 }
 
-// comeUp begins the agent's first incarnation.
-func (m *FakeWorker) comeUp() {
+// startAgent starts the agent's first incarnation on a machine that has booted.
+func (m *FakeWorker) startAgent() {
 	m.up, m.status, m.incarnation = true, protocol.MachineRunning, 1
 	m.leaseStart = m.d.World.now
 	m.node = m.d.World.Rand.IntN(len(m.d.Nodes))
-	m.watchLease()
+	m.scheduleLeaseExpiry()
 	m.sendHeartbeats()
 }
 
@@ -99,14 +102,14 @@
 	m.killAll()
 }
 
-// Die stops the machine without telling anyone; it stays listed as running for a while.
+// Die makes the machine fail without notice. The cloud still lists it as running for a while.
 func (m *FakeWorker) Die() {
 	m.end()
 	m.d.World.After(failureDelay, func() { m.status = protocol.MachineFailed })
 }
 
-// do runs something on the machine, once it continues if it hangs.
-func (m *FakeWorker) do(f func()) {
+// runOrDefer runs a function on the machine, or defers it until a hung machine resumes.
+func (m *FakeWorker) runOrDefer(f func()) {
 	if m.Hung {
 		m.deferred = append(m.deferred, f)
 		return
@@ -116,18 +119,18 @@
 	}
 }
 
-// Resume lets a hung machine continue with what it had to do.
+// Resume ends the hang of a machine, which then does everything that it deferred.
 func (m *FakeWorker) Resume() {
 	m.Hung, m.expiredJobs = false, nil
-	frozen := m.deferred
+	deferred := m.deferred
 	m.deferred = nil
-	for _, f := range frozen {
-		m.do(f)
+	for _, f := range deferred {
+		m.runOrDefer(f)
 	}
 }
 
-// RestartCounters lets the agent count its incarnations and heartbeats from one again, with its tasks or
-// without. Its lease and the highest epoch stay.
+// RestartCounters makes the agent count its incarnations and heartbeats from one again. If empty is set, it
+// also loses its tasks. It keeps its lease and the highest epoch.
 func (m *FakeWorker) RestartCounters(empty bool) {
 	if !m.up || m.ended {
 		return
@@ -139,8 +142,8 @@
 	m.scheduleHeartbeat()
 }
 
-// watchLease ends the incarnation when its lease expires, also if the machine hangs.
-func (m *FakeWorker) watchLease() {
+// scheduleLeaseExpiry ends the incarnation when its lease expires, even if the machine hangs.
+func (m *FakeWorker) scheduleLeaseExpiry() {
 	w := m.d.World
 	lease := m.d.Settings.Deployment.Workers.Lease()
 	due := m.leaseStart + lease
@@ -151,7 +154,7 @@
 	})
 }
 
-// expire ends all tasks and begins the next incarnation.
+// expire ends all tasks and starts the next incarnation.
 func (m *FakeWorker) expire() {
 	if m.Hung {
 		m.keepExpiredJobs()
@@ -160,10 +163,10 @@
 	m.incarnation++
 	clear(m.forgotten)
 	m.leaseStart = m.d.World.now
-	m.watchLease()
+	m.scheduleLeaseExpiry()
 }
 
-// keepExpiredJobs remembers the jobs whose tasks a hung machine can't end.
+// keepExpiredJobs records the jobs whose tasks a hung machine can't end.
 func (m *FakeWorker) keepExpiredJobs() {
 	if m.expiredJobs == nil {
 		m.expiredJobs = map[protocol.JobID]clock.Micros{}
@@ -175,7 +178,7 @@
 	}
 }
 
-// Workers are the machines that are up, by name.
+// Workers returns the machines that are up, sorted by name.
 func (d *Deployment) Workers() []*FakeWorker {
 	all := append([]*FakeWorker(nil), d.Cloud.all...)
 	sort.Slice(all, func(i, j int) bool { return all[i].name < all[j].name })
@@ -188,10 +191,10 @@
 	return up
 }
 
-// Recall has the cloud announce that it takes a machine back, and take it when the notice is over.
-func (d *Deployment) Recall(m *FakeWorker, notice clock.Micros) {
+// Reclaim makes the cloud announce that it takes a machine back, and remove it after the notice period.
+func (d *Deployment) Reclaim(m *FakeWorker, notice clock.Micros) {
 	if notice > 0 {
-		m.recallAt = d.World.now + notice
+		m.reclaimAt = d.World.now + notice
 		m.scheduleHeartbeat()
 	}
 	d.World.After(notice, func() { d.Cloud.Remove(m.name) })
--- a/internal/simulation/workerloss_test.go
+++ b/internal/simulation/workerloss_test.go
@@ -9,18 +9,18 @@
 	"postpoint/internal/scaling"
 )
 
-// A worker reaches no controller, while direct commands reach it, so that it is heard of by their
-// responses. It gets no tasks, since they would end with its lease, and its jobs continue once it
-// reaches a controller again.
+// A worker reaches no controller, but direct commands reach it, so that the leader gets its status in their
+// responses. The worker must get no tasks, because they would end with its lease, and its jobs must continue
+// once it reaches a controller again.
 func TestWorkerThatReachesNoControllerGetsNoWork(t *testing.T) {
 	w := NewWorld(44)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
 	d.Cloud.Reliable = true
-	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 1} // there is no other
-	long := d.Submit(array("job-000001", "open", 1, 2, 90), 90*clock.Second, false)
+	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 1} // the only machine
+	job := d.Submit(array("job-000001", "open", 1, 2, 90), 90*clock.Second, false)
 	w.Run(40 * clock.Second)
-	if len(long.machines) != 1 {
-		t.Fatalf("%d tasks run, want 1", len(long.machines))
+	if len(job.machines) != 1 {
+		t.Fatalf("%d tasks run, want 1", len(job.machines))
 	}
 	m := d.Workers()[0]
 	m.HeartbeatsLost = true
@@ -39,8 +39,8 @@
 	mustHaveUnfinished(t, d, 0)
 }
 
-// When all workers are silent, leaders don't resign one after another for ever: one stays long enough
-// to prove the workers gone, and their tasks run elsewhere.
+// All workers are silent. Leaders must not resign one after another for ever: one must lead long enough to
+// prove the workers gone, so that their tasks run elsewhere.
 func TestSilentWorkersAreReplacedWhenAllAreSilent(t *testing.T) {
 	w := NewWorld(7)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
@@ -49,14 +49,14 @@
 	j := d.Submit(spec, 30*clock.Second, false)
 	w.Run(25 * clock.Second)
 	for _, m := range d.Workers() {
-		m.partition() // up, listed and silent
+		m.partition() // the worker is up and listed, but silent
 	}
 	w.Run(w.Now() + 200*clock.Second)
 	mustBeDone(t, w, j)
 }
 
-// A worker whose heartbeats arrive, but which neither responses nor commands reach, loses its tasks with
-// each lease: it gets no more tasks, they run elsewhere, and it is released.
+// A worker's heartbeats arrive, but neither responses nor commands reach it, so that it loses its tasks with
+// each lease. It must get no more tasks, its tasks must run elsewhere, and the leader must release it.
 func TestWorkerThatReceivesNoResponsesIsReplaced(t *testing.T) {
 	w, d, j := eightTasks(t, 11, 60*clock.Second)
 	m := d.Workers()[0]
@@ -69,10 +69,10 @@
 	mustBeDone(t, w, j)
 }
 
-// A worker that responses reach again in time is used again.
+// Responses reach a worker again in time. The leader must use it again.
 func TestWorkerThatReceivesResponsesAgainIsReused(t *testing.T) {
 	w, d, j := eightTasks(t, 11, 200*clock.Second)
-	d.Cloud.Capacity = map[scaling.CapacityPool]int{} // there is no other
+	d.Cloud.Capacity = map[scaling.CapacityPool]int{} // no other machines
 	m := d.Workers()[0]
 	m.ResponsesLost = true
 	w.Run(w.Now() + 14*clock.Second) // one lease
@@ -85,15 +85,15 @@
 	mustBeDone(t, w, j)
 }
 
-// A worker that counts its incarnations and heartbeats from one again is neither ignored for ever nor
-// trusted about tasks that it may still run, by the same leader or by the next.
+// A worker restarts its counters of incarnations and heartbeats from one. Neither this leader nor the next
+// may ignore it for ever or trust its statuses of tasks that it may still run; the leader must release it.
 func TestWorkerThatRestartsItsCountersIsReleased(t *testing.T) {
 	for _, next := range []bool{false, true} {
 		w, d, j := eightTasks(t, 12, 90*clock.Second)
 		m := d.Workers()[0]
 		m.partition()
-		d.Cloud.Outage = true            // so that its tasks come back to it
-		w.Run(w.Now() + 16*clock.Second) // it is in a later session by now
+		d.Cloud.Outage = true            // so that its tasks are placed on it again
+		w.Run(w.Now() + 16*clock.Second) // it is in a later incarnation by now
 		m.heal()
 		w.Run(w.Now() + 15*clock.Second)
 		d.Cloud.Outage = false
@@ -114,8 +114,8 @@
 	}
 }
 
-// Late copies of a heartbeat are the first that a new leader hears of a worker released since: the
-// worker gets no tasks and isn't remembered.
+// A leader releases a worker, and late copies of a heartbeat of this worker reach a new leader, which doesn't
+// know the worker. The worker must get no tasks, and the new leader must forget it.
 func TestLateHeartbeatCopiesDontReviveReleasedWorkers(t *testing.T) {
 	w, d, j := eightTasks(t, 13, 100*clock.Second)
 	m := d.Workers()[0]
@@ -125,13 +125,13 @@
 	n := mustLead(t, d)
 	n.Crash()
 	w.Run(w.Now() + 10*clock.Second)
-	heir := mustLead(t, d)
+	successor := mustLead(t, d)
 	for range 3 {
-		heir.Leader.Heartbeat(old, func(int, any) {})
+		successor.Leader.Heartbeat(old, func(int, any) {})
 		w.Run(w.Now() + 5*clock.Second)
 	}
 	w.Run(w.Now() + 60*clock.Second)
-	if heir.Leader.HasMachine(m.name) {
+	if successor.Leader.HasMachine(m.name) {
 		t.Fatalf("%s is still known, want it forgotten", m.name)
 	}
 	w.Run(w.Now() + 200*clock.Second)
--- a/internal/simulation/workload.go
+++ b/internal/simulation/workload.go
@@ -8,7 +8,7 @@
 	"postpoint/internal/settings"
 )
 
-// testSettings are the settings of most simulated deployments.
+// testSettings returns the settings of most simulated deployments.
 func testSettings() *settings.Settings {
 	s := &settings.Settings{}
 	s.Deployment = settings.Deployment{
@@ -19,13 +19,13 @@
 		Workers: settings.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 20, GangPeerS: 4, CancelS: 30},
 		KVStore: settings.KVStore{Rps: 100, WriteRps: 40, ValueKb: 8, TxnOps: 5},
 		Cloud:   settings.Cloud{Rps: 8, ListLagS: 4},
-		// A tenth of a core: the leader pauses between its steps.
+		// With a tenth of a core the leader pauses between its steps.
 		MachineLimits: settings.MachineLimits{CPU: 0.1},
 	}
 	return s
 }
 
-// testTypes are the machine types of most simulated clouds.
+// testTypes returns the machine types of most simulated clouds.
 func testTypes() []protocol.MachineType {
 	small := protocol.MachineType{
 		Name: "small", Cpus: 8, MemoryGB: 32, CacheGB: 20, FetchGBPerS: 1,
@@ -38,13 +38,13 @@
 	return []protocol.MachineType{small, big}
 }
 
-// array is the specification of a job array without placement constraints.
+// array returns the specification of a job array without placement constraints.
 func array(id protocol.JobID, team string, tasks int, cpus, seconds float64) protocol.JobSpec {
 	return protocol.JobSpec{ID: id, Class: "c", Team: team, Shape: protocol.ShapeArray, Priority: "normal",
 		Tasks: tasks, Cpus: cpus, MemoryGB: 1, Image: "i", EstimateS: seconds}
 }
 
-// randomSpec draws an array or a gang of any rank, with constraints on zones, for one of the teams.
+// randomSpec draws an array or a gang of any priority for one of the teams, perhaps with zone constraints.
 func randomSpec(w *World, n int) protocol.JobSpec {
 	r := w.Rand
 	s := protocol.JobSpec{
@@ -73,7 +73,7 @@
 		s.Zone = "b"
 	}
 	if w.chance(0.1) {
-		// More tasks than one value within the tightest limits has room for.
+		// The record of so many tasks doesn't fit in one value within the tightest limits.
 		makeLarge(&s, 40+r.IntN(100))
 	}
 	return s
@@ -86,7 +86,8 @@
 	s.OneZone, s.Spread, s.Zone = false, false, ""
 }
 
-// randomService draws a service whose replicas mostly run until they are stopped.
+// randomService draws a service. Most services have replicas that run until a controller stops them; the
+// replicas of the others exit after about the returned run time.
 func randomService(w *World, n int) (s protocol.JobSpec, run clock.Micros) {
 	s = randomSpec(w, n)
 	s.Shape, s.Team, s.EstimateS, s.CheckpointS = protocol.ShapeService, "open", 0, 0
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -1,12 +1,11 @@
-// Package simulation simulates whole deployments in one goroutine on a virtual clock: real controllers
-// against fakes of the key-value store, the cloud, the workers, the users and other cells, with messages
-// delayed, lost, held back and repeated. The same seed gives the same course of events.
+// Package simulation runs whole deployments in one goroutine on a virtual clock: real controllers against
+// fakes of the key-value store, the cloud, the workers, the users and other cells. It delays, loses, holds
+// back and repeats messages. The same seed always gives the same sequence of events.
 //
-// It owns the virtual clock with its event queue, the fakes, the injection of faults, and the checks of
-// the protocol's rules on everything that happens. It doesn't own any behaviour of controllers, and
-// nothing in it runs in production. Its callers are its own tests of whole controllers, the tests of
-// internal/controller, which connect the fakes to controllers in other processes over HTTP (Loopback),
-// and cmd/loadtool.
+// The package owns the virtual clock with its event queue, the fakes, the fault injection and the checks of
+// the protocol's rules. It contains no controller logic, and nothing in it runs in production. Its callers
+// are its own tests of whole controllers, the tests of internal/controller, which connect the fakes to
+// controllers in other processes over HTTP (Loopback), and cmd/loadtool.
 package simulation
 
 import (
@@ -16,14 +15,14 @@
 	"postpoint/internal/clock"
 )
 
-// event is something that happens at a time; seq orders events of the same time.
+// event is a function to run at a time of the virtual clock; seq orders events of the same time.
 type event struct {
 	at  clock.Micros
 	seq int
 	do  func()
 }
 
-// eventQueue is a heap of events, the next first.
+// eventQueue is a heap of events with the earliest on top.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -42,43 +41,43 @@
 	return last
 }
 
-// World is a simulated environment: the virtual clock, the events to come, the source of random numbers
-// and the broken rules.
+// World is a simulated environment: the virtual clock, the scheduled events, the source of random numbers
+// and the rule violations so far.
 type World struct {
 	now    clock.Micros
 	seq    int
 	events eventQueue
 	Rand   *rand.Rand
-	// MessageCost is how long a process takes for each message, one after another; 0 for processors
-	// that are never short.
+	// MessageCost is the processor time that a process needs for each message; a process handles one
+	// message at a time. 0 models unlimited processors.
 	MessageCost clock.Micros
-	// Recorder is told of all messages of controllers that start afterwards, if it is set.
+	// Recorder, if set, receives all messages of the controllers that start afterwards.
 	Recorder Recorder
-	// Violations are the broken rules, in the order in which they were seen.
+	// Violations describes each broken rule, in the order of detection.
 	Violations []string
 }
 
-// randomStream is the second half of every seed.
+// randomStream is the second half of the seed of the random number generator; it is the same in all worlds.
 const randomStream = 0x70707473
 
-// NewWorld returns a world whose clock stands at one second.
+// NewWorld returns a world whose clock starts at one second.
 func NewWorld(seed uint64) *World {
 	return &World{now: clock.Second, Rand: rand.New(rand.NewPCG(seed, randomStream))}
 }
 
-// After schedules an event.
+// After schedules a function to run after a delay.
 func (w *World) After(d clock.Micros, do func()) {
 	w.seq++
 	heap.Push(&w.events, event{w.now + max(d, 0), w.seq, do})
 }
 
-// Every runs a function now and again after each period.
+// Every runs a function now and then periodically.
 func (w *World) Every(period clock.Micros, do func()) {
 	do()
 	w.After(period, func() { w.Every(period, do) })
 }
 
-// Run handles the events up to a time.
+// Run advances the virtual clock to a time and runs all events that are due by then.
 func (w *World) Run(until clock.Micros) {
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(event)
@@ -88,13 +87,13 @@
 	w.now = until
 }
 
-// Now is the time of the virtual clock.
+// Now returns the time of the virtual clock.
 func (w *World) Now() clock.Micros { return w.now }
 
-// Between draws a time, both ends included.
+// Between draws a random time from lo to hi, both included.
 func (w *World) Between(lo, hi clock.Micros) clock.Micros {
 	return lo + clock.Micros(w.Rand.Int64N(int64(hi-lo)+1))
 }
 
-// chance draws an event of the given probability.
+// chance returns true with probability p.
 func (w *World) chance(p float64) bool { return w.Rand.Float64() < p }
--- a/internal/simulation/zonefixture_test.go
+++ b/internal/simulation/zonefixture_test.go
@@ -13,7 +13,7 @@
 	"postpoint/internal/zonerecovery"
 )
 
-// twoZones is a deployment of two zones with zone recovery switched on.
+// twoZones starts a deployment of two zones with zone recovery enabled.
 func twoZones(seed uint64, change func(*settings.Settings)) (*World, *Deployment, *History) {
 	w := NewWorld(seed)
 	set := testSettings()
@@ -29,7 +29,7 @@
 	return w, d, NewHistory(w, d)
 }
 
-// capacity limits the cloud to so many small machines in each zone.
+// capacity limits the cloud to a number of small machines in each zone.
 func (d *Deployment) capacity(machines int) {
 	clear(d.Cloud.Capacity)
 	for _, zone := range []string{"a", "b"} {
@@ -37,7 +37,7 @@
 	}
 }
 
-// zones is the leader's overview of the zones by name.
+// zones returns the leader's overview of the zones by name.
 func (d *Deployment) zones() map[string]overview.ZoneOverview {
 	all := map[string]overview.ZoneOverview{}
 	if n := d.Leader(); n != nil {
@@ -51,26 +51,27 @@
 	return all
 }
 
-// awaitPhase runs until a zone is in a phase by the leader's overview.
-func (d *Deployment) awaitPhase(t *testing.T, zone string, p zonerecovery.Phase, most clock.Micros) {
+// awaitPhase runs until the leader's overview shows a zone in a phase, and fails the test if that takes too
+// long.
+func (d *Deployment) awaitPhase(t *testing.T, zone string, p zonerecovery.Phase, timeout clock.Micros) {
 	t.Helper()
-	for until := d.World.now + most; d.World.now < until; d.World.Run(d.World.now + 100*clock.Millisecond) {
+	for until := d.World.now + timeout; d.World.now < until; d.World.Run(d.World.now + 100*clock.Millisecond) {
 		if d.zones()[zone].Phase == p {
 			return
 		}
 	}
-	t.Fatalf("zone %s is %+v after %.0f s, want %s", zone, d.zones()[zone], most.Seconds(), p)
+	t.Fatalf("zone %s is %+v after %.0f s, want %s", zone, d.zones()[zone], timeout.Seconds(), p)
 }
 
-// gang is the specification of a gang that saves checkpoints.
+// gang returns the specification of a gang that saves checkpoints.
 func gang(id protocol.JobID, tasks int, seconds float64) protocol.JobSpec {
 	s := array(id, "open", tasks, 4, seconds)
 	s.Shape, s.CheckpointS, s.SaveS = protocol.ShapeGang, 5, 1
 	return s
 }
 
-// checkJobs reports broken rules, jobs without an end, and tasks of the jobs that didn't complete
-// exactly once.
+// checkJobs fails the test for broken rules, jobs without a final status, and tasks of the jobs that didn't
+// complete exactly once.
 func checkJobs(t *testing.T, what string, w *World, h *History, jobs ...*Job) {
 	t.Helper()
 	wrong := append([]string(nil), w.Violations...)
@@ -88,12 +89,12 @@
 	}
 }
 
-// count is how many of a job's tasks on workers have a status.
+// count returns how many of a job's tasks on workers have a status.
 func (d *Deployment) count(j *Job, status string) int {
 	n := 0
 	for _, m := range d.Cloud.all {
 		for _, t := range m.tasks {
-			if m.d.find(t.job) == j && t.status == status {
+			if m.d.findJob(t.job) == j && t.status == status {
 				n++
 			}
 		}
@@ -101,7 +102,7 @@
 	return n
 }
 
-// checkUncancelledJobs is checkJobs without the jobs that were cancelled.
+// checkUncancelledJobs does the same as checkJobs, except for cancelled jobs.
 func checkUncancelledJobs(t *testing.T, what string, w *World, h *History, jobs []*Job) {
 	t.Helper()
 	var done []*Job
@@ -113,7 +114,7 @@
 	checkJobs(t, what, w, h, done...)
 }
 
-// displaced are the unfinished jobs marked as having lost tasks with a zone though no task is missing.
+// displaced returns the unfinished jobs that are still marked as displaced although no task is pending.
 func (d *Deployment) displaced() []protocol.JobID {
 	var ids []protocol.JobID
 	for _, j := range d.order {
--- a/internal/simulation/zoneloss_test.go
+++ b/internal/simulation/zoneloss_test.go
@@ -10,9 +10,9 @@
 	"postpoint/internal/zonerecovery"
 )
 
-// A zone is partitioned at every step of a gang's restart, for less than a lease, for longer and for
-// several: each gang ends whole, and no task runs twice, also once the zone is back with the tasks that
-// it still runs.
+// A zone is partitioned at each step of a gang's restart, for less than a lease, for longer than one, and for
+// several. Each gang must complete as a whole, and no task may run twice, even when the zone returns with
+// tasks that are still running.
 func TestZonePartitionAtEveryStepOfAGangRestart(t *testing.T) {
 	steps := []struct {
 		name    string
@@ -36,11 +36,11 @@
 	for i, step := range steps {
 		t.Run(step.name, func(t *testing.T) {
 			t.Parallel()
-			for k, long := range []clock.Micros{5 * clock.Second, 20 * clock.Second, 70 * clock.Second} {
+			for k, duration := range []clock.Micros{5 * clock.Second, 20 * clock.Second, 70 * clock.Second} {
 				for _, zone := range []string{"a", "b"} {
 					w, d, h := twoZones(uint64(5000+10*i+k), nil)
 					d.capacity(4)
-					d.watchGangs()
+					d.monitorGangs()
 					w.Run(20 * clock.Second)
 					j := d.Submit(gang("job-000001", 8, 25), 25*clock.Second, false)
 					other := d.Submit(array("job-000002", "open", 6, 2, 20), 20*clock.Second, false)
@@ -51,27 +51,27 @@
 						!(d.Store.wholeRecord(j.spec.ID) != nil && step.reached(d, j)) {
 						w.Run(w.Now() + 20*clock.Millisecond)
 					}
-					w.After(long, d.CutZone(zone, k%2 == 0))
+					w.After(duration, d.CutZone(zone, k%2 == 0))
 					w.Run(w.Now() + 400*clock.Second)
-					checkJobs(t, fmt.Sprintf("zone %s, %.0f s", zone, long.Seconds()), w, h, j, other)
+					checkJobs(t, fmt.Sprintf("zone %s, %.0f s", zone, duration.Seconds()), w, h, j, other)
 				}
 			}
 		})
 	}
 }
 
-// While a zone is lost the cloud or the store fails, the leader crashes again and again, controllers are
-// upgraded, or a cancellation is confirmed whose tasks are in the lost zone.
+// While a zone is lost, the cloud or the store has an outage, the leader crashes repeatedly, controllers are
+// upgraded, or a user cancels a job with tasks in the lost zone.
 func TestFaultsDuringZoneLoss(t *testing.T) {
 	t.Parallel()
-	for name, trouble := range map[string]func(d *Deployment, j *Job){
+	for name, fault := range map[string]func(d *Deployment, j *Job){
 		"cloud": func(d *Deployment, _ *Job) {
 			d.Cloud.Outage = true
 			d.World.After(45*clock.Second, func() { d.Cloud.Outage = false })
 		},
-		"state": func(d *Deployment, _ *Job) {
-			d.Store.Outage(true)
-			d.World.After(45*clock.Second, func() { d.Store.Outage(false) })
+		"store": func(d *Deployment, _ *Job) {
+			d.Store.SetOutage(true)
+			d.World.After(45*clock.Second, func() { d.Store.SetOutage(false) })
 		},
 		"leaders": func(d *Deployment, _ *Job) {
 			for i := range clock.Micros(6) {
@@ -80,7 +80,7 @@
 		},
 		"upgrade":      func(d *Deployment, _ *Job) { d.Upgrade(8*clock.Second, 2*clock.Second) },
 		"cancellation": func(d *Deployment, j *Job) { d.Cancel(j) },
-		"slow state": func(d *Deployment, _ *Job) {
+		"slow store": func(d *Deployment, _ *Job) {
 			d.Store.LateWrites = 0.3
 			d.World.After(60*clock.Second, func() { d.Store.LateWrites = 0 })
 		},
@@ -89,15 +89,15 @@
 		for i, delay := range []clock.Micros{0, 4 * clock.Second, 12 * clock.Second, 26 * clock.Second} {
 			w, d, h := twoZones(uint64(5600+i), nil)
 			d.capacity(5)
-			d.WatchService()
-			d.watchGangs()
+			d.MonitorDisturbances()
+			d.monitorGangs()
 			w.Run(20 * clock.Second)
 			jobs := []*Job{d.Submit(array("job-000001", "open", 24, 2, 50), 50*clock.Second, false),
 				d.Submit(gang("job-000002", 6, 40), 40*clock.Second, false)}
 			w.Run(60 * clock.Second)
 			w.After(50*clock.Second, d.CutZone([]string{"a", "b"}[i%2], i > 1))
 			w.Run(w.Now() + delay)
-			trouble(d, jobs[0])
+			fault(d, jobs[0])
 			w.Run(600 * clock.Second)
 			checkUncancelledJobs(t, fmt.Sprintf("%s after %.0f s", name, delay.Seconds()), w, h, jobs)
 			if left := d.displaced(); len(left) > 0 {
@@ -107,7 +107,7 @@
 	}
 }
 
-// Offloaded tasks survive the loss of a zone of the host cell, which recovers them like its own.
+// The host cell loses a zone in which it runs offloaded tasks. It must recover them like its own tasks.
 func TestOffloadedTasksSurviveZoneLoss(t *testing.T) {
 	t.Parallel()
 	x := newTransfer(5700, false)
@@ -122,21 +122,21 @@
 	x.finish(t, "zone of the host")
 }
 
-// Random faults with zone recovery switched on, partitions of zones among them: every rule holds, no
-// gang stays incomplete, and all accepted jobs get done.
+// Random faults, partitions of zones among them, occur with zone recovery enabled. Every rule must hold, no
+// gang may stay incomplete, and all accepted jobs must complete.
 func TestZoneRecoveryKeepsRulesUnderRandomFaults(t *testing.T) {
 	for seed := range seeds(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			d := play(7000+seed, func(d *Deployment) {
+			d := simulateDay(7000+seed, func(d *Deployment) {
 				s := zonerecovery.Defaults()
 				d.Recovery = &s
-				for _, n := range d.Nodes { // they started before
+				for _, n := range d.Nodes { // restart them, because they have read the settings already
 					n.Crash()
 					d.StartNode(n)
 				}
-				d.watchGangs()
-				d.cutZonesSometimes()
+				d.monitorGangs()
+				d.cutRandomZones()
 			})
 			mustKeepRules(t, d.World)
 			if left := d.Unfinished(); len(left) > 0 {
--- a/internal/simulation/zonerecovery_test.go
+++ b/internal/simulation/zonerecovery_test.go
@@ -12,8 +12,9 @@
 	"postpoint/internal/zonerecovery"
 )
 
-// The loss of a zone is told from the isolation of the leader, keeps its number through failovers in each
-// phase, and the zone is healthy again once it has been back for long enough.
+// Either of two zones is lost, and the leader crashes in each phase of the loss. The leader must distinguish
+// the loss of the zone from its own isolation, the loss must keep its number through failovers, and the zone
+// must become healthy again after it has been back for long enough.
 func TestZoneRecoverySurvivesFailover(t *testing.T) {
 	t.Parallel()
 	for _, phase := range []zonerecovery.Phase{zonerecovery.Suspect, zonerecovery.Lost,
@@ -46,14 +47,15 @@
 	}
 }
 
-// A zone that flaps costs little: no task is moved for partitions shorter than a verdict, and the more
-// often it flaps the longer it gets no tasks. Elections and rentals are bounded.
+// A zone flaps. Its losses, the rented machines and the elections must stay bounded: the leader moves no task
+// for partitions that end before it has diagnosed a loss, and the more often the zone flaps, the longer it
+// gets no tasks.
 func TestFlappingZoneCostsLittle(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		cuts, every, long clock.Micros // how many, how often, each for how long
-		losses            int64
-		rentals           int
+		cuts, every, duration clock.Micros // how many, how often, each for how long
+		losses                int64
+		rentals               int
 	}{
 		"twice within a minute":            {2, 40 * clock.Second, 15 * clock.Second, 2, 8},
 		"each few seconds for ten minutes": {75, 8 * clock.Second, 4 * clock.Second, 0, 3},
@@ -68,11 +70,11 @@
 		leader, machines := d.Leader(), len(d.Cloud.all)
 		zone := "a"
 		if leader.Zone == "a" {
-			zone = "b" // elections are another matter
+			zone = "b" // the leader's zone stays connected, so that there are no elections
 		}
 		epoch := d.Store.entries["lead/controller"].version
 		for i := range c.cuts {
-			w.After(i*c.every, func() { w.After(c.long, d.CutZone(zone, i%2 == 0)) })
+			w.After(i*c.every, func() { w.After(c.duration, d.CutZone(zone, i%2 == 0)) })
 		}
 		w.Run(w.Now() + c.cuts*c.every + 150*clock.Second)
 		z := d.zones()[zone]
@@ -93,8 +95,8 @@
 	}
 }
 
-// With little room left, a lost zone's jobs restart in the configured order, and a job that can't start
-// is listed with its reason.
+// There is little free capacity after the loss of a zone. The displaced jobs must restart in the configured
+// order, and the overview must list a job that can't start with the reason.
 func TestZoneRecoveryKeepsItsOrder(t *testing.T) {
 	t.Parallel()
 	w, d, _ := twoZones(5400, func(s *settings.Settings) { s.Deployment.Workers.GangWaitS = 60 })
@@ -103,7 +105,8 @@
 	d.Cloud.Capacity[scaling.CapacityPool{Type: "small", Zone: "a"}] = 12
 	d.Cloud.Capacity[scaling.CapacityPool{Type: "small", Zone: "b"}] = 1
 	w.Run(20 * clock.Second)
-	stays := array("job-000006", "open", 1, 8, 600) // or nothing would be heard at all
+	// Without this job zone b would have no machines, so that no controller would receive heartbeats.
+	stays := array("job-000006", "open", 1, 8, 600)
 	stays.Zone = "b"
 	d.Submit(stays, 600*clock.Second, false)
 	deadline := 4000.0
@@ -147,8 +150,8 @@
 	mustKeepRules(t, w)
 }
 
-// watchWaiting runs for 40 s and returns until when each job of a lost zone waited for its turn, and for what
-// one job waits that can't start.
+// watchWaiting runs for 40 s. It returns until when each job of a lost zone waited for its turn, and why the
+// job stuck can't start.
 func (d *Deployment) watchWaiting(
 	zone string, stuck protocol.JobID,
 ) (turns map[protocol.JobID]clock.Micros, reason string) {
@@ -166,8 +169,9 @@
 	return turns, reason
 }
 
-// No machine is rented in a lost zone, machines for its jobs boot before its tasks are proven gone, and
-// all tasks run again sooner than without zone recovery.
+// A zone is lost, with and without zone recovery. With it the leader must rent no machine in the lost zone,
+// boot machines for its jobs before its tasks are proven gone, and run all tasks again no later than without
+// it.
 func TestZoneRecoveryIsFasterThanNone(t *testing.T) {
 	t.Parallel()
 	took := map[bool]clock.Micros{}
@@ -209,7 +213,7 @@
 	}
 }
 
-// tasksOutside is how many of the job's tasks are on machines outside a zone.
+// tasksOutside returns how many of the job's tasks are on machines outside a zone.
 func (j *Job) tasksOutside(zone string) int {
 	tasks := 0
 	for _, machines := range j.machines {
--- a/internal/simulation/zones.go
+++ b/internal/simulation/zones.go
@@ -2,29 +2,28 @@
 
 import "postpoint/internal/clock"
 
-// maxHealDelay is how long after a partition held messages arrive at most.
+// maxHealDelay is the longest time from the end of a partition until a held message arrives.
 const maxHealDelay = 500 * clock.Millisecond
 
-// partitionedZone is a zone that is partitioned from everything outside. Inside, workers and controllers
-// reach each other.
-type partitionedZone struct {
+// zonePartition partitions a zone from everything outside. Inside, workers and controllers reach each other.
+type zonePartition struct {
 	hold bool
 	held []func()
 }
 
-// CutZone partitions a zone until the returned function is called. Messages out of it or into it are lost,
-// or held and delivered then.
+// CutZone partitions a zone until the caller calls heal. Messages out of the zone or into it are lost or, if
+// hold is set, delivered after heal.
 func (d *Deployment) CutZone(zone string, hold bool) (heal func()) {
-	if d.cut[zone] != nil {
+	if d.partitions[zone] != nil {
 		return func() {}
 	}
-	c := &partitionedZone{hold: hold}
-	d.cut[zone] = c
+	c := &zonePartition{hold: hold}
+	d.partitions[zone] = c
 	for _, l := range d.outsideLinks(zone) {
 		l.Cut, l.Hold = true, hold
 	}
 	return func() {
-		delete(d.cut, zone)
+		delete(d.partitions, zone)
 		for _, l := range d.outsideLinks(zone) {
 			l.Heal()
 		}
@@ -34,35 +33,36 @@
 	}
 }
 
-// outsideLinks are the links of a zone's controllers out of it.
+// outsideLinks returns the links on which a zone's controllers reach services and peers outside the zone.
 func (d *Deployment) outsideLinks(zone string) []*Link {
 	var links []*Link
 	for _, n := range d.Nodes {
 		if n.Zone == zone {
-			links = append(links, &n.State, &n.Clouds, &n.Peers, &n.Cells)
+			links = append(links, &n.StoreLink, &n.CloudLink, &n.PeerLink, &n.CellLink)
 		}
 	}
 	return links
 }
 
-// partitioned reports whether two zones are partitioned from each other, and by which partition.
-func (d *Deployment) partitioned(a, b string) (by *partitionedZone, yes bool) {
+// partitioned reports whether a partition separates two zones, and which one.
+func (d *Deployment) partitioned(a, b string) (by *zonePartition, yes bool) {
 	if a == b {
 		return nil, false
 	}
 	for _, zone := range []string{a, b} {
-		if c := d.cut[zone]; c != nil {
+		if c := d.partitions[zone]; c != nil {
 			return c, true
 		}
 	}
 	return nil, false
 }
 
-// deliver delivers a message from one zone to another, now or once a partition that holds it is over.
+// deliver delivers a message from one zone to another. A partition between them either loses the message or
+// holds it until the partition ends.
 func (d *Deployment) deliver(from, to string, arrive func()) {
-	by, severed := d.partitioned(from, to)
+	by, blocked := d.partitioned(from, to)
 	switch {
-	case !severed:
+	case !blocked:
 		arrive()
 	case by.hold:
 		by.held = append(by.held, arrive)
