--- a/internal/protocol/check.go
+++ b/internal/protocol/check.go
@@ -2,14 +2,14 @@
 
 import "github.com/vmihailenco/msgpack/v5/msgpcode"
 
-// maxDepth bounds how deep values may be nested, and with it the recursion of skip. Messages need a
-// handful of levels.
+// maxDepth limits the nesting of values, and thus the recursion of skip. Messages need only a few levels.
 const maxDepth = 32
 
-// Check returns ErrMalformed unless a body is exactly one MessagePack value. It keeps nothing. The
-// decoder allocates what a header announces before it sees that the rest is missing: five bytes
-// that announce a map of four thousand million entries would end the process.
-func Check(raw []byte) error {
+// CheckWellFormed returns ErrMalformed unless a body is exactly one MessagePack value. It allocates
+// nothing. The decoder, in contrast, allocates as many elements as a header announces before it finds
+// out that they are missing: five bytes that announce a map of four thousand million entries would
+// crash the process.
+func CheckWellFormed(raw []byte) error {
 	rest, ok := skip(raw, maxDepth)
 	if !ok || len(rest) > 0 {
 		return ErrMalformed
@@ -17,7 +17,7 @@
 	return nil
 }
 
-// skip returns what follows the first value; ok is false if that value isn't valid, not complete or
+// skip returns the bytes after the first value. ok is false if that value is invalid, incomplete or
 // nested deeper than depth.
 func skip(b []byte, depth int) (rest []byte, ok bool) {
 	if len(b) == 0 || depth == 0 {
@@ -38,8 +38,8 @@
 	return skipSized(c, b, depth)
 }
 
-// skipSized returns what follows a value whose code c says how many bytes its content or its length
-// has. Binary and extension types are not part of the protocol.
+// skipSized returns the bytes after a value whose code c determines the number of bytes of its content or
+// of its length. It rejects binary and extension types, which the protocol doesn't use.
 func skipSized(c byte, b []byte, depth int) (rest []byte, ok bool) {
 	switch c {
 	case msgpcode.Uint8, msgpcode.Int8:
@@ -68,8 +68,8 @@
 	return nil, false
 }
 
-// skipCounted skips the elements of an array or a map whose count has the given number of bytes. An
-// element of a map is two values.
+// skipCounted skips the elements of an array or a map whose count takes width bytes. An element of a map
+// is two values.
 func skipCounted(b []byte, width int, valuesPerElement uint64, depth int) (rest []byte, ok bool) {
 	count, b, ok := readCount(b, width)
 	if !ok {
@@ -78,7 +78,7 @@
 	return skipValues(b, valuesPerElement*count, depth)
 }
 
-// readCount reads a big-endian count of the given number of bytes.
+// readCount reads a big-endian count of width bytes.
 func readCount(b []byte, width int) (count uint64, rest []byte, ok bool) {
 	if len(b) < width {
 		return 0, nil, false
@@ -89,6 +89,7 @@
 	return count, b[width:], true
 }
 
+// skipBytes skips n bytes and returns false if there are fewer.
 func skipBytes(b []byte, n uint64) ([]byte, bool) {
 	if uint64(len(b)) < n {
 		return nil, false
@@ -96,8 +97,8 @@
 	return b[n:], true
 }
 
-// skipValues skips n values. Each takes a byte at least, so that a count that can't be true is
-// refused at once.
+// skipValues skips n values. Each value takes at least one byte, so skipValues rejects a count above the
+// number of remaining bytes at once.
 func skipValues(b []byte, n uint64, depth int) ([]byte, bool) {
 	ok := uint64(len(b)) >= n
 	for ; ok && n > 0; n-- {
--- a/internal/protocol/check_test.go
+++ b/internal/protocol/check_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// What passes the check can be decoded, whatever it is, without trouble; and headers that announce
-// more than there is are refused before they cost memory.
+// Guards against crashes and huge allocations on malformed bodies: the check rejects headers that announce
+// more than the body contains, and decoding a body that passes the check never panics.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff})
 	f.Add([]byte{0xdd, 0xff, 0xff, 0xff, 0xff, 0x01})
@@ -14,8 +14,8 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var v any
 		err := Decode(raw, &v)
-		if Check(raw) != nil && err == nil {
-			t.Fatalf("% x was decoded, want %v", raw, Check(raw))
+		if CheckWellFormed(raw) != nil && err == nil {
+			t.Fatalf("% x: no error, want %v", raw, CheckWellFormed(raw))
 		}
 		for _, into := range []any{&Heartbeat{}, &JobSpec{}, &MachineList{}, &WatchResponse{},
 			&TxnResponse{}} {
@@ -24,8 +24,8 @@
 	})
 }
 
-// Whatever is encoded passes the check, long texts and lists included.
-func TestCheckTakesWhatIsEncoded(t *testing.T) {
+// Every encoded message passes the check, including one with long texts and lists.
+func TestCheckAcceptsEncodedMessages(t *testing.T) {
 	due, tasks := 9.5, make([]TaskStatus, 70000)
 	for _, v := range []any{
 		JobSpec{ID: "job-1", DeadlineS: &due, Types: []string{"a"}},
@@ -33,8 +33,8 @@
 		map[string]any{"long": string(make([]byte, 70000)), "n": -5, "u": uint64(1) << 63,
 			"f": float32(1), "list": []any{nil, true, 1 << 20}},
 	} {
-		if err := Check(Encode(v)); err != nil {
-			t.Errorf("%.60v: %v, want it taken", v, err)
+		if err := CheckWellFormed(Encode(v)); err != nil {
+			t.Errorf("%.60v: %v, want it accepted", v, err)
 		}
 	}
 }
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -6,7 +6,7 @@
 	Cpus        float64  `msgpack:"Vcpus"`
 	Gpus        float64  `msgpack:"Gpus"`
 	MemoryGB    float64  `msgpack:"MemGb"`
-	CacheGB     float64  `msgpack:"LocalGb"` // for images
+	CacheGB     float64  `msgpack:"LocalGb"` // image cache of the machine
 	FetchGBPerS float64  `msgpack:"FetchGbPerS"`
 	Price       float64  `msgpack:"Hourly"`
 	SpotPrice   float64  `msgpack:"SpotPrice"`
@@ -19,9 +19,9 @@
 	MachineTypes []MachineType `msgpack:"Fleets"`
 }
 
-// ScaleOutRequest is a request to scale out by machines of one kind.
+// ScaleOutRequest is a request to scale out by machines of one capacity pool.
 type ScaleOutRequest struct {
-	// IdempotencyKey is the idempotency key: a repeated request with the same key starts nothing more.
+	// IdempotencyKey identifies the request: the cloud starts no further machines for a repeated key.
 	IdempotencyKey string `msgpack:"Booking"`
 	Type           string `msgpack:"Fleet"`
 	Zone           string `msgpack:"Hall"`
@@ -29,22 +29,22 @@
 	Count          int    `msgpack:"HowMany"`
 }
 
-// ScaleOutResponse names the machines of a Rental, or says why there are none.
+// ScaleOutResponse names the machines that the cloud starts, or the error if it starts none.
 type ScaleOutResponse struct {
 	Machines []MachineName `msgpack:"Hosts"`
 	Error    string        `msgpack:"error"`
 }
 
-// NoCapacity is the error of a response when the cloud has no machine of the kind, as opposed to
-// an outage.
+// NoCapacity is the error of a scale-out response if the cloud has no machine in the capacity pool. Other
+// errors are outages.
 const NoCapacity = "no capacity"
 
-// ScaleInRequest is a request to scale in by the named machines.
+// ScaleInRequest is a request to release the named machines.
 type ScaleInRequest struct {
 	Machines []MachineName `msgpack:"Hosts"`
 }
 
-// States of a listed machine.
+// States of a machine in the cloud's list.
 const (
 	MachineStarting = "starting"
 	MachineRunning  = "running"
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -7,10 +7,11 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// MaxBodyBytes is the limit of request bodies and of what workers and users are sent, in bytes.
+// MaxBodyBytes is the largest body of a request, and of a response to workers and users, in bytes.
 const MaxBodyBytes = 64 << 10
 
-// Encode returns the wire form. It can't fail for the types of this package.
+// Encode returns the wire form of a message. It panics on a type that MessagePack can't encode; this package
+// has none.
 func Encode(v any) []byte {
 	var b bytes.Buffer
 	encoder := msgpack.NewEncoder(&b)
@@ -21,17 +22,17 @@
 	return b.Bytes()
 }
 
-// Decode reads the wire form. Unknown fields are ignored. What isn't MessagePack at all is
-// ErrMalformed, before anything of it is kept.
+// Decode decodes the wire form of a message into v and ignores unknown fields. It returns ErrMalformed, and
+// leaves v unchanged, if raw isn't MessagePack.
 func Decode(raw []byte, v any) error {
-	if err := Check(raw); err != nil {
+	if err := CheckWellFormed(raw); err != nil {
 		return err
 	}
 	return msgpack.Unmarshal(raw, v)
 }
 
-// JSONSize returns how many bytes a value in wire form takes as JSON, the form in which the
-// key-value store counts sizes.
+// JSONSize returns the size of an encoded value as JSON, in bytes. The key-value store limits the size of
+// values in this form.
 func JSONSize(raw []byte) int {
 	var value any
 	if err := msgpack.Unmarshal(raw, &value); err != nil {
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -1,17 +1,15 @@
-// Package protocol defines the messages of all interfaces to the outside: users, workers, the cloud
-// and the key-value store. It owns their names on the wire, their encoding and the validation of
-// submissions, so that no other package knows a wire name. It doesn't send anything and takes no
-// decisions.
+// Package protocol defines the messages of all external interfaces: users, workers, the cloud and the
+// key-value store. It owns their wire names, their encoding and the validation of submissions, so that no
+// other package knows a wire name. It sends no messages and makes no scheduling decisions.
 //
-// Every package that talks to the outside calls it: admission for users, leader for workers,
-// workerclient, cloudclient and kvstore as clients, and simulation for the other side of all of them.
+// Every package with an external interface uses it: admission for users, leader for workers, workerclient,
+// cloudclient and kvstore as clients, and simulation for the other side of all of them.
 //
-// The names on the wire are themed and fixed. Each is mapped to the term of its field once, by the
-// tag of a struct's field:
+// The interfaces fix the wire names. The struct tags of this package map each of them to its usual term:
 //
 //	interface  on the wire       term
 //	users      Uid               id of a job
-//	           Lane              class of jobs that a service-level objective is for
+//	           Lane              class of jobs; service-level objectives apply to classes
 //	           Desk              team, which has a guarantee and a limit (quota)
 //	           Shape             array ("batch"), gang ("ensemble") or service ("daemon")
 //	           Rank              priority
@@ -20,18 +18,18 @@
 //	           Fleets, Hall      allowed machine types, allowed zone
 //	           SamePlace         all tasks in one zone
 //	           Loaners           spot machines are allowed
-//	           SnapshotS, FlushS checkpoint interval, time that saving a checkpoint takes
+//	           SnapshotS, FlushS checkpoint interval, time to save a checkpoint
 //	           ExpectedS, DueS   estimated run time, deadline
 //	           withdraw          cancel; the status is then "aborted"
 //	workers    Host, Fleet, Hall name, type and zone of the machine
 //	           Loaners           the machine is a spot machine
-//	           Shift             incarnation of the worker, increased by each lease expiry
+//	           Shift             incarnation of the worker, incremented at each lease expiry
 //	           Epoch             fencing token of the leader
-//	           RecallS           notice until a spot machine is preempted
+//	           RecallS           time until the cloud preempts a spot machine
 //	           Legs, Leg, Try    tasks, a task, its attempt
 //	           Orders            commands; the verb "kill" stops a task
-//	           LeaveS            grace period of a stop, in which a checkpoint may be saved
-//	           Dispatcher        leader to which a worker is redirected
+//	           LeaveS            grace period of a stop, in which a task may save a checkpoint
+//	           Dispatcher        leader to which the response redirects a worker
 //	cloud      Fleets, Sku       machine types, name of one
 //	           LocalGb           size of a machine's image cache
 //	           Halls             zones
--- a/internal/protocol/errors.go
+++ b/internal/protocol/errors.go
@@ -5,43 +5,43 @@
 	"fmt"
 )
 
-// The texts of the errors of a submission are part of the interface: users are sent them.
+// The error messages for submissions are part of the interface: users receive them.
 
 var (
-	// ErrMalformed is a body that isn't one whole MessagePack value.
+	// ErrMalformed means that a body isn't exactly one MessagePack value.
 	ErrMalformed = errors.New("not MessagePack")
-	// ErrNotMap is a submission that is MessagePack, but not a map with text keys.
+	// ErrNotMap means that a submission is MessagePack, but not a map with text keys.
 	ErrNotMap = errors.New("not a MessagePack map with text keys")
 )
 
-// BodyTooLargeError is a submission whose body is over the limit.
+// BodyTooLargeError means that the body of a submission exceeds the limit.
 type BodyTooLargeError struct{ Limit int } // in bytes
 
 // Error names the limit.
 func (e *BodyTooLargeError) Error() string { return fmt.Sprintf("the body is over %d bytes", e.Limit) }
 
-// FieldProblem says what is wrong with a field.
+// FieldProblem classifies why a field fails validation.
 type FieldProblem int
 
 // Problems of a field.
 const (
-	// FieldInvalid fields are missing, of another type, or texts, lists and amounts out of bounds.
+	// FieldInvalid means a missing field, a wrong type, or a text, list or amount that is out of bounds.
 	FieldInvalid FieldProblem = iota
-	// FieldUnacceptable fields have the right type and a value that the field can't have.
+	// FieldUnacceptable means a value of the right type that the field doesn't allow.
 	FieldUnacceptable
-	// FieldUnknownChoice fields have a value that is none of those to choose from.
+	// FieldUnknownChoice means a value that is none of the field's choices.
 	FieldUnknownChoice
 )
 
-// FieldError is a field of a submission that fails validation.
+// FieldError reports a field of a submission that fails validation.
 type FieldError struct {
 	Field   string // name on the wire
 	Problem FieldProblem
-	// Want is what the field should be, or one of what.
+	// Want describes the valid values, or lists them.
 	Want string
 }
 
-// Error names the field and what it should be.
+// Error names the field and its valid values.
 func (e *FieldError) Error() string {
 	switch e.Problem {
 	case FieldUnacceptable:
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -10,7 +10,7 @@
 	"postpoint/internal/goldentest"
 )
 
-// goldenMessage is a message with all of its fields set, and the bytes that it is on the wire.
+// goldenMessage is a message and its recorded wire form.
 type goldenMessage struct {
 	name  string
 	value any
@@ -44,7 +44,7 @@
 	}
 }
 
-func goldenTaskReport() TaskStatus {
+func goldenTaskStatus() TaskStatus {
 	return TaskStatus{
 		Task:    "job-000412/3",
 		Attempt: 2,
@@ -54,7 +54,7 @@
 	}
 }
 
-func goldenReport() Heartbeat {
+func goldenHeartbeat() Heartbeat {
 	return Heartbeat{
 		Machine:           "m-000231",
 		Address:           "10.1.0.232:9000",
@@ -65,11 +65,11 @@
 		Counter:           70_000,
 		Epoch:             1 << 40,
 		PreemptionNoticeS: pointerTo(12.5),
-		Tasks:             []TaskStatus{goldenTaskReport()},
+		Tasks:             []TaskStatus{goldenTaskStatus()},
 	}
 }
 
-func goldenOrder() Command {
+func goldenCommand() Command {
 	return Command{Verb: VerbStop, Task: "job-000412/3", Attempt: 2, GraceS: 4.5}
 }
 
@@ -104,6 +104,7 @@
 	return Item{Key: "jobs/job-000412", Value: []byte{0x81, 0xa1, 'a', 1}, Version: 9}
 }
 
+// goldenMessages have all of their fields set.
 var goldenMessages = []goldenMessage{
 	{"submission", goldenSpec(),
 		"\xde\x00\x14\xa3Uid\xaajob-000412\xa4Lane\xa5train\xa4Desk\xa6vision\xa5Shape\xa8ensemble" +
@@ -117,22 +118,22 @@
 		JobStatus{ID: "job-000412", Status: StatusRunning, Done: 3, Running: 130, Cause: "error on m-1"},
 		"\x85\xa3Uid\xaajob-000412\xa6Status\xa7running\xa4done\x03\xa7running\xcc\x82\xa5Cause" +
 			"\xacerror on m-1"},
-	{"refusal", ErrorResponse{Error: "no such job"}, "\x81\xa5error\xabno such job"},
-	{"task in a report", goldenTaskReport(),
+	{"error response", ErrorResponse{Error: "no such job"}, "\x81\xa5error\xabno such job"},
+	{"task status", goldenTaskStatus(),
 		"\x85\xa3Leg\xacjob-000412/3\xa3Try\x02\xa6Status\xa6exited\xa5Cause\xa4done\xa5Saved\xc3"},
-	{"report", goldenReport(),
+	{"heartbeat", goldenHeartbeat(),
 		"\x8a\xa4Host\xa8m-000231\xa7Address\xaf10.1.0.232:9000\xa5Fleet\xa2g8\xa4Hall\xa1a\xa7Loaner" +
 			"s\xc3\xa5Shift\x03\xa7Counter\xce\x00\x01\x11p\xa5Epoch\xcf\x00\x00\x01\x00\x00\x00\x00\x00" +
 			"\xa7RecallS\xcb@)\x00\x00\x00\x00\x00\x00\xa4Legs\x91\x85\xa3Leg\xacjob-000412/3\xa3Try\x02" +
 			"\xa6Status\xa6exited\xa5Cause\xa4done\xa5Saved\xc3"},
-	{"order", goldenOrder(),
+	{"command", goldenCommand(),
 		"\x84\xa4Verb\xa4kill\xa3Leg\xacjob-000412/3\xa3Try\x02\xa6LeaveS\xcb@\x12\x00\x00\x00\x00" +
 			"\x00\x00"},
-	{"answer to a report", HeartbeatResponse{Epoch: 41, Commands: []Command{goldenOrder()}},
+	{"heartbeat response", HeartbeatResponse{Epoch: 41, Commands: []Command{goldenCommand()}},
 		"\x82\xa5Epoch)\xa6Orders\x91\x84\xa4Verb\xa4kill\xa3Leg\xacjob-000412/3\xa3Try\x02\xa6LeaveS" +
 			"\xcb@\x12\x00\x00\x00\x00\x00\x00"},
 	{"redirect", Redirect{Node: "worker-1"}, "\x81\xaaDispatcher\xa8worker-1"},
-	{"commands", CommandRequest{Epoch: 41, Incarnation: 3, Commands: []Command{goldenOrder()}},
+	{"command request", CommandRequest{Epoch: 41, Incarnation: 3, Commands: []Command{goldenCommand()}},
 		"\x83\xa5Epoch)\xa5Shift\x03\xa6Orders\x91\x84\xa4Verb\xa4kill\xa3Leg\xacjob-000412/3\xa3Try" +
 			"\x02\xa6LeaveS\xcb@\x12\x00\x00\x00\x00\x00\x00"},
 	{"machine type", goldenMachineType(),
@@ -147,11 +148,11 @@
 			"\x00\x00\x00\xabFetchGbPerS\xcb?\xe0\x00\x00\x00\x00\x00\x00\xa6Hourly\xcb@8\x80\x00\x00\x00" +
 			"\x00\x00\xa9SpotPrice\xcb@\x1d\x00\x00\x00\x00\x00\x00\xa8StartupS\xcb@V\x80\x00\x00\x00\x00" +
 			"\x00\xa5Halls\x92\xa1a\xa1b"},
-	{"rental", ScaleOutRequest{IdempotencyKey: "e41-2", Type: "g8", Zone: "a", Spot: true, Count: 5},
+	{"scale-out request", ScaleOutRequest{IdempotencyKey: "e41-2", Type: "g8", Zone: "a", Spot: true, Count: 5},
 		"\x85\xa7Booking\xa5e41-2\xa5Fleet\xa2g8\xa4Hall\xa1a\xa7Loaners\xc3\xa7HowMany\x05"},
-	{"answer to a rental", ScaleOutResponse{Machines: []MachineName{"m-000231", "m-000232"}, Error: NoCapacity},
+	{"scale-out response", ScaleOutResponse{Machines: []MachineName{"m-000231", "m-000232"}, Error: NoCapacity},
 		"\x82\xa5Hosts\x92\xa8m-000231\xa8m-000232\xa5error\xabno capacity"},
-	{"release", ScaleInRequest{Machines: []MachineName{"m-000231", "m-000232"}},
+	{"scale-in request", ScaleInRequest{Machines: []MachineName{"m-000231", "m-000232"}},
 		"\x81\xa5Hosts\x92\xa8m-000231\xa8m-000232"},
 	{"listed machine", goldenListedMachine(),
 		"\x87\xa3Uid\xa8m-000231\xa7Address\xaf10.1.0.232:9000\xa5Fleet\xa2g8\xa4Hall\xa1a\xa7Loaners" +
@@ -164,7 +165,7 @@
 	{"list of items", ItemList{Items: []Item{goldenItem()}, More: true, Revision: 300},
 		"\x83\xa5Items\x91\x83\xa4Path\xafjobs/job-000412\xa4Data\x81\xa1a\x01\xa5Stamp\x09\xa7HasNex" +
 			"t\xc3\xa6Ledger\xcd\x01,"},
-	{"guard", Condition{Key: "lead/controller", Version: 9}, "\x82\xa4Path\xaflead/controller\xa5Stamp\x09"},
+	{"condition", Condition{Key: "lead/controller", Version: 9}, "\x82\xa4Path\xaflead/controller\xa5Stamp\x09"},
 	{"change", Change{Put: "a", Value: []byte{0xc3}, Lease: 70_000, Delete: "b"},
 		"\x84\xa5Write\xa1a\xa4Data\xc3\xa6Permit\xce\x00\x01\x11p\xa6Delete\xa1b"},
 	{"transaction", Txn{
@@ -173,20 +174,20 @@
 	},
 		"\x82\xa6Guards\x91\x82\xa4Path\xaflead/controller\xa5Stamp\x09\xa6Writes\x91\x84\xa5Write" +
 			"\xa1a\xa4Data\xc3\xa6Permit\x05\xa6Delete\xa1b"},
-	{"answer to a transaction",
+	{"transaction response",
 		TxnResponse{Revision: 300, Failed: []string{"jobs/job-000412"}, Error: "too large"},
 		"\x83\xa6Ledger\xcd\x01,\xa6failed\x91\xafjobs/job-000412\xa5error\xa9too large"},
-	{"request for a lease", LeaseRequest{TTLMs: 4000}, "\x81\xa5TtlMs\xcd\x0f\xa0"},
-	{"lease", LeaseResponse{Lease: 70_000}, "\x81\xa6Permit\xce\x00\x01\x11p"},
+	{"lease request", LeaseRequest{TTLMs: 4000}, "\x81\xa5TtlMs\xcd\x0f\xa0"},
+	{"lease response", LeaseResponse{Lease: 70_000}, "\x81\xa6Permit\xce\x00\x01\x11p"},
 	{"event", Event{Put: "a", Delete: "b", Value: []byte{0xc3}, Version: 9},
 		"\x84\xa5Write\xa1a\xa6Delete\xa1b\xa4Data\xc3\xa5Stamp\x09"},
-	{"answer to a follower", WatchResponse{
+	{"watch response", WatchResponse{
 		Revision: 300,
 		Events:   []Event{{Put: "a", Delete: "b", Value: []byte{0xc3}, Version: 9}},
 	}, "\x82\xa6Ledger\xcd\x01,\xa3Log\x91\x84\xa5Write\xa1a\xa6Delete\xa1b\xa4Data\xc3\xa5Stamp\x09"},
 }
 
-// sparseMessages have fields that aren't set: left out, null, zero or an empty list.
+// sparseMessages have unset fields, which are omitted, null, zero or an empty list on the wire.
 var sparseMessages = []goldenMessage{
 	{"submission", JobSpec{},
 		"\xde\x00\x13\xa3Uid\xa0\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa0\xa4Rank\xa0\xa4Legs\x00\xa5Vcpu" +
@@ -195,7 +196,7 @@
 			"\x00\xa6Fleets\xc0\xa9SamePlace\xc2\xa6Spread\xc2\xa7Loaners\xc2\xa9ExpectedS\xcb\x00\x00" +
 			"\x00\x00\x00\x00\x00\x00\xa9SnapshotS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6FlushS\xcb\x00" +
 			"\x00\x00\x00\x00\x00\x00\x00\xa4DueS\xc0"},
-	{"submission of any of no types", JobSpec{Types: []string{}},
+	{"submission with an empty list of types", JobSpec{Types: []string{}},
 		"\xde\x00\x13\xa3Uid\xa0\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa0\xa4Rank\xa0\xa4Legs\x00\xa5Vcpu" +
 			"s\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa5MemGb" +
 			"\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6Bundle\xa0\xa6PullGb\xcb\x00\x00\x00\x00\x00\x00\x00" +
@@ -203,23 +204,23 @@
 			"\x00\x00\x00\x00\x00\x00\xa9SnapshotS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6FlushS\xcb\x00" +
 			"\x00\x00\x00\x00\x00\x00\x00\xa4DueS\xc0"},
 	{"status of a job", JobStatus{}, "\x84\xa3Uid\xa0\xa6Status\xa0\xa4done\x00\xa7running\x00"},
-	{"refusal", ErrorResponse{}, "\x81\xa5error\xa0"},
-	{"task in a report", TaskStatus{},
+	{"error response", ErrorResponse{}, "\x81\xa5error\xa0"},
+	{"task status", TaskStatus{},
 		"\x85\xa3Leg\xa0\xa3Try\x00\xa6Status\xa0\xa5Cause\xa0\xa5Saved\xc2"},
-	{"report", Heartbeat{},
+	{"heartbeat", Heartbeat{},
 		"\x8a\xa4Host\xa0\xa7Address\xa0\xa5Fleet\xa0\xa4Hall\xa0\xa7Loaners\xc2\xa5Shift\x00\xa7Coun" +
 			"ter\x00\xa5Epoch\x00\xa7RecallS\xc0\xa4Legs\xc0"},
-	{"report of no tasks", Heartbeat{Tasks: []TaskStatus{}},
+	{"heartbeat with an empty list of tasks", Heartbeat{Tasks: []TaskStatus{}},
 		"\x8a\xa4Host\xa0\xa7Address\xa0\xa5Fleet\xa0\xa4Hall\xa0\xa7Loaners\xc2\xa5Shift\x00\xa7Coun" +
 			"ter\x00\xa5Epoch\x00\xa7RecallS\xc0\xa4Legs\x90"},
-	{"order", Command{},
+	{"command", Command{},
 		"\x84\xa4Verb\xa0\xa3Leg\xa0\xa3Try\x00\xa6LeaveS\xcb\x00\x00\x00\x00\x00\x00\x00\x00"},
-	{"answer to a report", HeartbeatResponse{}, "\x82\xa5Epoch\x00\xa6Orders\xc0"},
-	{"answer to a report without orders", HeartbeatResponse{Commands: []Command{}},
+	{"heartbeat response", HeartbeatResponse{}, "\x82\xa5Epoch\x00\xa6Orders\xc0"},
+	{"heartbeat response with an empty list of commands", HeartbeatResponse{Commands: []Command{}},
 		"\x82\xa5Epoch\x00\xa6Orders\x90"},
-	{"redirect to nobody", Redirect{}, "\x80"},
-	{"commands", CommandRequest{}, "\x83\xa5Epoch\x00\xa5Shift\x00\xa6Orders\xc0"},
-	{"commands of no orders", CommandRequest{Commands: []Command{}},
+	{"redirect without a leader", Redirect{}, "\x80"},
+	{"command request", CommandRequest{}, "\x83\xa5Epoch\x00\xa5Shift\x00\xa6Orders\xc0"},
+	{"command request with an empty list of commands", CommandRequest{Commands: []Command{}},
 		"\x83\xa5Epoch\x00\xa5Shift\x00\xa6Orders\x90"},
 	{"machine type", MachineType{},
 		"\x8a\xa3Sku\xa0\xa5Vcpus\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00\x00\x00\x00\x00" +
@@ -228,27 +229,27 @@
 			"\x00\x00\x00\x00\x00\xa9SpotPrice\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa8StartupS\xcb\x00" +
 			"\x00\x00\x00\x00\x00\x00\x00\xa5Halls\xc0"},
 	{"catalogue", Catalogue{}, "\x81\xa6Fleets\xc0"},
-	{"rental", ScaleOutRequest{},
+	{"scale-out request", ScaleOutRequest{},
 		"\x85\xa7Booking\xa0\xa5Fleet\xa0\xa4Hall\xa0\xa7Loaners\xc2\xa7HowMany\x00"},
-	{"answer to a rental", ScaleOutResponse{}, "\x82\xa5Hosts\xc0\xa5error\xa0"},
-	{"release", ScaleInRequest{}, "\x81\xa5Hosts\xc0"},
+	{"scale-out response", ScaleOutResponse{}, "\x82\xa5Hosts\xc0\xa5error\xa0"},
+	{"scale-in request", ScaleInRequest{}, "\x81\xa5Hosts\xc0"},
 	{"listed machine", ListedMachine{},
 		"\x87\xa3Uid\xa0\xa7Address\xa0\xa5Fleet\xa0\xa4Hall\xa0\xa7Loaners\xc2\xa6Status\xa0\xa5Held" +
 			"S\xcb\x00\x00\x00\x00\x00\x00\x00\x00"},
 	{"list of machines", MachineList{}, "\x82\xa5Hosts\xc0\xa7HasNext\xc2"},
 	{"list of items", ItemList{}, "\x83\xa5Items\xc0\xa7HasNext\xc2\xa6Ledger\x00"},
-	{"guard", Condition{}, "\x82\xa4Path\xa0\xa5Stamp\x00"},
+	{"condition", Condition{}, "\x82\xa4Path\xa0\xa5Stamp\x00"},
 	{"change", Change{}, "\x80"},
-	{"change that puts", Change{Put: "a", Value: []byte{0xc3}}, "\x82\xa5Write\xa1a\xa4Data\xc3"},
-	{"change that deletes", Change{Delete: "b"}, "\x81\xa6Delete\xa1b"},
+	{"put", Change{Put: "a", Value: []byte{0xc3}}, "\x82\xa5Write\xa1a\xa4Data\xc3"},
+	{"delete", Change{Delete: "b"}, "\x81\xa6Delete\xa1b"},
 	{"transaction", Txn{}, "\x82\xa6Guards\xc0\xa6Writes\xc0"},
-	{"answer to a transaction", TxnResponse{}, "\x83\xa6Ledger\x00\xa6failed\xc0\xa5error\xa0"},
-	{"request for a lease", LeaseRequest{}, "\x81\xa5TtlMs\x00"},
-	{"lease", LeaseResponse{}, "\x81\xa6Permit\x00"},
-	{"answer to a follower", WatchResponse{}, "\x82\xa6Ledger\x00\xa3Log\xc0"},
+	{"transaction response", TxnResponse{}, "\x83\xa6Ledger\x00\xa6failed\xc0\xa5error\xa0"},
+	{"lease request", LeaseRequest{}, "\x81\xa5TtlMs\x00"},
+	{"lease response", LeaseResponse{}, "\x81\xa6Permit\x00"},
+	{"watch response", WatchResponse{}, "\x82\xa6Ledger\x00\xa3Log\xc0"},
 }
 
-// check compares both ways: the value encodes as the bytes, and the bytes decode as the value.
+// check fails the test unless the value encodes to the bytes and the bytes decode to the value.
 func (m *goldenMessage) check(t *testing.T) {
 	t.Helper()
 	goldentest.Equal(t, m.name, Encode(m.value), m.bytes)
@@ -258,11 +259,12 @@
 		return
 	}
 	if d := cmp.Diff(m.value, decoded.Elem().Interface()); d != "" {
-		t.Errorf("%s: decoded with a difference: %s", m.name, d)
+		t.Errorf("%s: decoded value differs: %s", m.name, d)
 	}
 }
 
-// Every body that is sent or received has the recorded bytes.
+// Guards against accidental changes of the wire format: every message encodes to its recorded bytes and
+// decodes from them.
 func TestGoldenMessages(t *testing.T) {
 	for _, m := range goldenMessages {
 		goldentest.RequireFieldsSet(t, m.name, m.value)
@@ -273,7 +275,7 @@
 	}
 }
 
-// Every field of every message has its name on the wire in a tag.
+// Every field of every message has its wire name in a struct tag.
 func TestMessagesHaveTags(t *testing.T) {
 	for _, m := range goldenMessages {
 		goldentest.RequireTags(t, "msgpack", m.value)
@@ -291,7 +293,8 @@
 	return nil
 }
 
-// Submissions and reports have decoders of their own, which know the same names.
+// Submissions and heartbeats have decoders of their own, which must use the same wire names as the struct
+// tags.
 func TestGoldenMessagesOfOwnDecoders(t *testing.T) {
 	spec, err := DecodeSubmission(goldenBytes(t, "submission"))
 	if err != nil {
@@ -302,7 +305,7 @@
 	}
 	var decoder HeartbeatDecoder
 	for _, counter := range []string{"\x01", "\xce\x00\x01\x11p", "\x02"} {
-		raw := strings.Replace(string(goldenBytes(t, "report")), "\xa7Counter\xce\x00\x01\x11p",
+		raw := strings.Replace(string(goldenBytes(t, "heartbeat")), "\xa7Counter\xce\x00\x01\x11p",
 			"\xa7Counter"+counter, 1)
 		got, err := decoder.Decode([]byte(raw))
 		if err != nil {
@@ -316,12 +319,12 @@
 			t.Error(d)
 		}
 	}
-	if l, known := parseLayout(goldenBytes(t, "report")); !known || len(l.tasks) != 1 {
-		t.Error("the counter and the tasks of a report aren't found")
+	if l, hasLayout := parseLayout(goldenBytes(t, "heartbeat")); !hasLayout || len(l.tasks) != 1 {
+		t.Error("parseLayout doesn't find the counter and the tasks of a heartbeat")
 	}
 }
 
-// Constants that are sent, stored or compared with what is received.
+// Constants on the wire or in stored records have their recorded values.
 func TestGoldenConstants(t *testing.T) {
 	for _, c := range []struct{ constant, want string }{
 		{ShapeArray, "batch"},
@@ -354,7 +357,7 @@
 		{ErrMalformed.Error(), "not MessagePack"},
 	} {
 		if c.constant != c.want {
-			t.Errorf("%q, not %q", c.constant, c.want)
+			t.Errorf("constant is %q, want %q", c.constant, c.want)
 		}
 	}
 	if d := cmp.Diff([]string{"prod", "urgent", "normal", "idle"}, Priorities); d != "" {
@@ -362,11 +365,11 @@
 	}
 	for rank, name := range []string{"prod", "urgent", "normal", "idle"} {
 		if PriorityOf(name) != rank {
-			t.Errorf("%s has rank %d", name, PriorityOf(name))
+			t.Errorf("priority %s has index %d", name, PriorityOf(name))
 		}
 	}
 	if PriorityOf("") != -1 || PriorityOf("Prod") != -1 {
-		t.Error("a rank that there isn't")
+		t.Error("PriorityOf accepts an unknown priority")
 	}
 	for _, c := range []struct{ constant, want int }{
 		{MaxBodyBytes, 65536},
@@ -377,18 +380,18 @@
 		{maxDepth, 32},
 	} {
 		if c.constant != c.want {
-			t.Errorf("%d, not %d", c.constant, c.want)
+			t.Errorf("constant is %d, want %d", c.constant, c.want)
 		}
 	}
 }
 
-// Names of tasks and ids of jobs.
+// Names of tasks and ids of jobs have the recorded forms.
 func TestGoldenNames(t *testing.T) {
 	if name := TaskName("job-000412", 3); name != "job-000412/3" {
-		t.Errorf("a task is called %q", name)
+		t.Errorf("the name of a task is %q", name)
 	}
 	if job, task, ok := ParseTask("beta.job-1.7/12"); job != "beta.job-1.7" || task != 12 || !ok {
-		t.Errorf("a task's name is read as %q %d %v", job, task, ok)
+		t.Errorf("the name of a task is parsed as job %q, task %d, ok %v", job, task, ok)
 	}
 	for id, valid := range map[JobID]bool{
 		"job-000412":                            true,
@@ -406,7 +409,7 @@
 	}
 }
 
-// The size of a value is that of its JSON text, or of its bytes if it has none.
+// JSONSize returns the size of the JSON form, or the number of bytes if there is no JSON form.
 func TestGoldenJSONSizes(t *testing.T) {
 	for _, m := range []struct {
 		name string
@@ -414,24 +417,24 @@
 		size int
 	}{
 		{"submission", goldenBytes(t, "submission"), 288},
-		{"report", goldenBytes(t, "report"), 235},
+		{"heartbeat", goldenBytes(t, "heartbeat"), 235},
 		{"catalogue", goldenBytes(t, "catalogue"), 152},
 		{"nothing", nil, 0},
 		{"null", []byte{0xc0}, 4},
 		{"a number with a fraction", Encode(0.1), 3},
 		{"a large number", Encode(1e21), 5},
-		{"a text of marks that JSON escapes", Encode("<&>\"\n\u2028é"), 32},
+		{"a text with characters that JSON escapes", Encode("<&>\"\n\u2028é"), 32},
 		{"bytes", Encode([]byte{1, 2, 3, 4}), 10},
-		{"a map with a number for a key", []byte{0x81, 0x01, 0x02}, 3},
-		{"what isn't MessagePack", []byte{0xc1, 0xc1}, 2},
+		{"a map with a numeric key", []byte{0x81, 0x01, 0x02}, 3},
+		{"malformed MessagePack", []byte{0xc1, 0xc1}, 2},
 	} {
 		if size := JSONSize(m.raw); size != m.size {
-			t.Errorf("%s: %d bytes, not %d", m.name, size, m.size)
+			t.Errorf("%s: %d bytes, want %d", m.name, size, m.size)
 		}
 	}
 }
 
-// What users are told of a submission that isn't one.
+// Users receive the recorded error messages for invalid submissions.
 func TestGoldenSubmissionErrors(t *testing.T) {
 	for _, c := range []struct {
 		field string
@@ -453,7 +456,7 @@
 		s[c.field] = c.value
 		_, err := parse(t, s)
 		if err == nil {
-			t.Errorf("%s %v is taken", c.field, c.value)
+			t.Errorf("%s %v is accepted", c.field, c.value)
 			continue
 		}
 		goldentest.Equal(t, c.field, []byte(err.Error()), c.want)
@@ -465,9 +468,9 @@
 	} {
 		_, err := DecodeSubmission([]byte(c.raw))
 		if err == nil {
-			t.Errorf("%.20q is taken", c.raw)
+			t.Errorf("%.20q is accepted", c.raw)
 			continue
 		}
-		goldentest.Equal(t, "a whole body", []byte(err.Error()), c.want)
+		goldentest.Equal(t, "body", []byte(err.Error()), c.want)
 	}
 }
--- a/internal/protocol/heartbeatdecoder.go
+++ b/internal/protocol/heartbeatdecoder.go
@@ -6,37 +6,37 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// maxComparedHeartbeat bounds what a connection keeps between its requests, in bytes. Heartbeats of
-// more than a hundred tasks fit; larger ones are decoded from scratch each time.
-const maxComparedHeartbeat = 8 << 10
+// maxCachedHeartbeatBytes limits the heartbeat that a connection keeps between its requests. Heartbeats
+// with more than a hundred tasks fit. The decoder decodes larger ones from scratch each time.
+const maxCachedHeartbeatBytes = 8 << 10
 
-// HeartbeatDecoder decodes the heartbeats that come by one connection. Most of them differ from the
-// one before in nothing but their counter, and most others in a task or two. What has the same
-// bytes as in the last heartbeat isn't decoded again; a heartbeat with the same tasks shares its
-// list of them, which nobody may change. The zero value is ready for use.
+// HeartbeatDecoder decodes the heartbeats that arrive on one connection. Most of them differ from the
+// previous one only in their counter, and most of the others in one or two tasks. The decoder reuses
+// the decoded form of every part with the candidate bytes as in the previous heartbeat. Heartbeats with the
+// candidate tasks share one slice of them, which callers must not change. The zero value is ready for use.
 type HeartbeatDecoder struct {
-	last      layout    // without bytes: nothing to compare with
-	heartbeat Heartbeat // the last one, decoded
+	last      layout    // its raw bytes are nil if there is nothing to compare with
+	heartbeat Heartbeat // the last heartbeat, decoded
 }
 
-// Decode reads a heartbeat. It keeps raw, which must not be changed afterwards.
+// Decode decodes a heartbeat. It keeps raw, which callers must not change afterwards.
 func (d *HeartbeatDecoder) Decode(raw []byte) (Heartbeat, error) {
 	if heartbeat, unchanged := d.decodeUnchanged(raw); unchanged {
 		return heartbeat, nil
 	}
-	if err := Check(raw); err != nil {
+	if err := CheckWellFormed(raw); err != nil {
 		d.last = layout{}
 		return Heartbeat{}, err
 	}
-	next, known := parseLayout(raw)
+	next, hasLayout := parseLayout(raw)
 	var heartbeat Heartbeat
 	var err error
-	if known && d.last.sameBesidesCounterAndTasks(&next) {
+	if hasLayout && d.last.equalExceptCounterAndTasks(&next) {
 		heartbeat, err = d.update(&next)
 	} else {
 		err = msgpack.Unmarshal(raw, &heartbeat)
 	}
-	if err != nil || !known || len(raw) > maxComparedHeartbeat {
+	if err != nil || !hasLayout || len(raw) > maxCachedHeartbeatBytes {
 		d.last = layout{}
 		return heartbeat, err
 	}
@@ -44,8 +44,8 @@
 	return heartbeat, nil
 }
 
-// decodeUnchanged decodes a heartbeat that differs from the last one in its counter at most, as
-// most do; the second result reports whether this is one.
+// decodeUnchanged decodes a heartbeat that differs from the last one in its counter at most, as most
+// do. The second result reports whether raw is such a heartbeat.
 func (d *HeartbeatDecoder) decodeUnchanged(raw []byte) (Heartbeat, bool) {
 	last := &d.last
 	start, end := last.counter.start, last.counter.end
@@ -56,13 +56,13 @@
 	if !ok || !bytes.Equal(rest, last.raw[end:]) {
 		return Heartbeat{}, false
 	}
-	// Declared here because it moves to the heap, which a heartbeat with changes needn't pay for.
+	// The variable escapes to the heap. Declaring it here spares heartbeats with changes the allocation.
 	heartbeat := d.heartbeat
 	err := msgpack.Unmarshal(raw[start:len(raw)-len(rest)], &heartbeat.Counter)
 	return heartbeat, err == nil
 }
 
-// update returns the last heartbeat with the counter and the tasks of the next one.
+// update returns the last heartbeat with its counter and tasks replaced by those of the next one.
 func (d *HeartbeatDecoder) update(next *layout) (Heartbeat, error) {
 	heartbeat := d.heartbeat
 	if err := msgpack.Unmarshal(next.value(next.counter), &heartbeat.Counter); err != nil {
@@ -76,24 +76,25 @@
 	return heartbeat, nil
 }
 
-// updateTasks decodes the tasks that aren't in the last heartbeat with the same bytes.
+// updateTasks returns the tasks of a heartbeat. It decodes only those whose bytes differ from the last
+// heartbeat's.
 func (d *HeartbeatDecoder) updateTasks(encoded [][]byte) ([]TaskStatus, error) {
 	if encoded == nil {
 		return nil, nil
 	}
 	tasks := make([]TaskStatus, len(encoded))
-	same := 0 // where in the last heartbeat to look next
+	candidate := 0 // index of the last heartbeat's task to compare with next
 	for i, entry := range encoded {
-		// Tasks keep their order; some go, others come behind them.
-		for same < len(d.last.tasks) && !bytes.Equal(entry, d.last.tasks[same]) {
-			same++
+		// Tasks keep their order: workers remove some and append others.
+		for candidate < len(d.last.tasks) && !bytes.Equal(entry, d.last.tasks[candidate]) {
+			candidate++
 		}
-		if same < len(d.last.tasks) {
-			tasks[i] = d.heartbeat.Tasks[same]
-			same++
+		if candidate < len(d.last.tasks) {
+			tasks[i] = d.heartbeat.Tasks[candidate]
+			candidate++
 			continue
 		}
-		same = 0
+		candidate = 0
 		if err := msgpack.Unmarshal(entry, &tasks[i]); err != nil {
 			return nil, err
 		}
--- a/internal/protocol/heartbeatdecoder_test.go
+++ b/internal/protocol/heartbeatdecoder_test.go
@@ -20,8 +20,8 @@
 	return r
 }
 
-// Whatever comes by a connection, in whatever order, is decoded as if it came alone,
-// what is malformed or lacks a counter included.
+// Decoding relative to the previous heartbeat must give the same result as decoding each heartbeat on its
+// own, for any sequence of heartbeats, including malformed ones and ones without a counter.
 func TestHeartbeatDecoderAgreesWithDecode(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 5))
@@ -32,7 +32,7 @@
 			case 0:
 				last.Tasks = sampleHeartbeat(r.IntN(5)).Tasks
 			case 3, 4:
-				last.Tasks = shuffled(r, last.Tasks)
+				last.Tasks = mutateTasks(r, last.Tasks)
 			case 1:
 				last.Epoch = Epoch(r.Int64N(300))
 			case 2:
@@ -52,18 +52,19 @@
 				raw, _ = msgpack.Marshal(map[string]any{"Host": "m-000001", "Counter": "text"})
 			}
 			got, err := d.Decode(raw)
-			var plain Heartbeat
-			plainErr := Decode(raw, &plain)
-			if (err == nil) != (plainErr == nil) || err == nil && !cmp.Equal(got, plain) {
-				t.Fatalf("seed %d: % x is decoded as %v (%v), want %v (%v) as on its own",
-					seed, raw, got, err, plain, plainErr)
+			var want Heartbeat
+			wantErr := Decode(raw, &want)
+			if (err == nil) != (wantErr == nil) || err == nil && !cmp.Equal(got, want) {
+				t.Fatalf("seed %d: % x decoded as %v (%v), want %v (%v) as without a previous heartbeat",
+					seed, raw, got, err, want, wantErr)
 			}
 		}
 	}
 }
 
-// shuffled is a list of tasks some of which have gone, changed, come or moved.
-func shuffled(r *rand.Rand, tasks []TaskStatus) []TaskStatus {
+// mutateTasks returns a copy of tasks with one or two random changes: a task inserted, removed, changed or
+// moved.
+func mutateTasks(r *rand.Rand, tasks []TaskStatus) []TaskStatus {
 	tasks = slices.Clone(tasks)
 	for range 1 + r.IntN(2) {
 		at := r.IntN(len(tasks) + 1)
@@ -83,7 +84,8 @@
 	return tasks
 }
 
-// A heartbeat that differs in its counter only costs little, however many tasks it has.
+// A heartbeat that differs from the previous one only in its counter takes few allocations, for any number
+// of tasks.
 func TestUnchangedHeartbeatAllocatesLittle(t *testing.T) {
 	for _, tasks := range []int{0, 8, 60} {
 		t.Run(fmt.Sprint(tasks), func(t *testing.T) {
@@ -99,8 +101,7 @@
 	}
 }
 
-// BenchmarkDecodeHeartbeat is what every heartbeat costs before it is looked at, without what the
-// decoder keeps.
+// BenchmarkDecodeHeartbeat measures the decoding of a heartbeat without a previous one.
 func BenchmarkDecodeHeartbeat(b *testing.B) {
 	r := Heartbeat{Machine: "m-000231", Address: "10.1.0.232:9000", Type: "g8", Zone: "a",
 		Incarnation: 1, Counter: 88, Epoch: 41}
@@ -117,7 +118,7 @@
 	}
 }
 
-// BenchmarkChangedHeartbeat has one of eight tasks ended.
+// BenchmarkChangedHeartbeat measures the decoding of heartbeats in which one of eight tasks has changed.
 func BenchmarkChangedHeartbeat(b *testing.B) {
 	r := sampleHeartbeat(8)
 	var d HeartbeatDecoder
@@ -131,6 +132,7 @@
 	}
 }
 
+// BenchmarkUnchangedHeartbeat measures the decoding of heartbeats that differ only in their counter.
 func BenchmarkUnchangedHeartbeat(b *testing.B) {
 	r := sampleHeartbeat(8)
 	var d HeartbeatDecoder
--- a/internal/protocol/heartbeatlayout.go
+++ b/internal/protocol/heartbeatlayout.go
@@ -6,35 +6,38 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// Names on the wire of Heartbeat.Counter and Heartbeat.Tasks, those of its tags.
+// Wire names of Heartbeat.Counter and Heartbeat.Tasks, as in their struct tags.
 const (
 	counterKey = "Counter"
 	tasksKey   = "Legs"
 )
 
-// layout says where the parts of a heartbeat's body are that change from one to the next.
+// layout locates the two parts of an encoded heartbeat that change between heartbeats: its counter and
+// its tasks.
 type layout struct {
 	raw           []byte
-	counter, list valueSpan // list is that of the tasks
-	tasks         [][]byte  // the single elements of the list
+	counter, list valueSpan // list is the list of tasks
+	tasks         [][]byte  // the encoded elements of the list
 }
 
-// valueSpan is a value of the body's outermost map, in raw[start:end].
+// valueSpan locates a value of the body's outermost map: raw[start:end].
 type valueSpan struct{ start, end int }
 
+// value returns the bytes of a span.
 func (l *layout) value(s valueSpan) []byte { return l.raw[s.start:s.end] }
 
-// sameBesidesCounterAndTasks reports whether two bodies are equal but for the counter and the tasks.
-func (l *layout) sameBesidesCounterAndTasks(next *layout) bool {
+// equalExceptCounterAndTasks reports whether two bodies are equal except for the counter and the
+// tasks.
+func (l *layout) equalExceptCounterAndTasks(next *layout) bool {
 	if l.raw == nil {
 		return false
 	}
-	a, b := l.unchangingParts(), next.unchangingParts()
+	a, b := l.constantParts(), next.constantParts()
 	return bytes.Equal(a[0], b[0]) && bytes.Equal(a[1], b[1]) && bytes.Equal(a[2], b[2])
 }
 
-// unchangingParts returns the bytes before, between and behind the counter and the tasks.
-func (l *layout) unchangingParts() [3][]byte {
+// constantParts returns the bytes before, between and after the counter and the task list.
+func (l *layout) constantParts() [3][]byte {
 	first, second := l.counter, l.list
 	if second.start < first.start {
 		first, second = second, first
@@ -42,8 +45,8 @@
 	return [3][]byte{l.raw[:first.start], l.raw[first.end:second.start], l.raw[second.end:]}
 }
 
-// parseLayout finds the parts of a checked body. A body without counter or tasks, or with one of
-// them twice, has no layout.
+// parseLayout locates the counter and the tasks in a body that CheckWellFormed has accepted. It returns
+// false for a body that lacks one of them or has one of them twice.
 func parseLayout(raw []byte) (l layout, ok bool) {
 	l.raw = raw
 	pairs, rest, ok := readHeader(raw, msgpcode.IsFixedMap, msgpcode.FixedMapMask, msgpcode.Map16)
@@ -69,7 +72,7 @@
 	return l, ok && l.counter != valueSpan{} && l.list != valueSpan{}
 }
 
-// splitTasks finds the single tasks in their list.
+// splitTasks splits an encoded list of tasks into its elements. It returns false if it can't.
 func (l *layout) splitTasks(list []byte) bool {
 	if len(list) == 1 && list[0] == msgpcode.Nil {
 		return true
@@ -97,8 +100,9 @@
 		string(encoded[1:]) == text
 }
 
-// readHeader reads how many elements a map or an array has, given what recognises short ones and the
-// code of those with a count of 16 bits. It refuses longer ones, which no request body can hold.
+// readHeader reads the number of elements of a map or an array. isShort recognises the codes that contain
+// the count, under shortMask; code16 is the code that a 16-bit count follows. It rejects 32-bit counts:
+// no request body has room for so many elements.
 func readHeader(
 	raw []byte, isShort func(byte) bool, shortMask, code16 byte,
 ) (count uint64, rest []byte, ok bool) {
--- a/internal/protocol/jobs.go
+++ b/internal/protocol/jobs.go
@@ -29,12 +29,12 @@
 // JobSpec is a submission: the description of a job.
 type JobSpec struct {
 	ID       JobID   `msgpack:"Uid"`
-	Class    string  `msgpack:"Lane"` // service-level objectives are set for classes
+	Class    string  `msgpack:"Lane"` // service-level objectives apply to classes
 	Team     string  `msgpack:"Desk"`
 	Shape    string  `msgpack:"Shape"`
 	Priority string  `msgpack:"Rank"`
 	Tasks    int     `msgpack:"Legs"`
-	Cpus     float64 `msgpack:"Vcpus"` // of each task, as are Gpus and MemoryGB
+	Cpus     float64 `msgpack:"Vcpus"` // per task, like Gpus and MemoryGB
 	Gpus     float64 `msgpack:"Gpus"`
 	MemoryGB float64 `msgpack:"MemGb"`
 	Image    string  `msgpack:"Bundle"`
@@ -43,17 +43,17 @@
 	Types []string `msgpack:"Fleets"`
 	// Zone is the only allowed zone, empty for any.
 	Zone string `msgpack:"Hall,omitempty"`
-	// OneZone jobs have all their tasks in the same zone, Spread ones at most half in each.
+	// OneZone requires all tasks in the same zone, Spread at most half of them in each zone.
 	OneZone bool `msgpack:"SamePlace"`
 	Spread  bool `msgpack:"Spread"`
-	Spot    bool `msgpack:"Loaners"` // spot machines are allowed
+	Spot    bool `msgpack:"Loaners"` // tasks may run on spot machines
 	// EstimateS is the expected run time of a task.
 	EstimateS float64 `msgpack:"ExpectedS"`
-	// CheckpointS is the interval between checkpoints, 0 if the tasks save none.
+	// CheckpointS is the interval between checkpoints, 0 without checkpoints.
 	CheckpointS float64 `msgpack:"SnapshotS"`
-	// SaveS is how long a task needs to save a checkpoint when it is stopped.
+	// SaveS is the time that a stopped task needs to save a checkpoint.
 	SaveS float64 `msgpack:"FlushS"`
-	// DeadlineS is measured from the submission, nil for none.
+	// DeadlineS is the deadline, in seconds after the submission, nil for none.
 	DeadlineS *float64 `msgpack:"DueS"`
 }
 
@@ -72,7 +72,7 @@
 	Cause   string `msgpack:"Cause,omitempty"` // why the last start failed; users may ignore it
 }
 
-// ErrorResponse is the response to a request that was not carried out.
+// ErrorResponse is the response to a request that failed.
 type ErrorResponse struct {
 	Error string `msgpack:"error"`
 }
--- a/internal/protocol/protocoltest/golden.go
+++ b/internal/protocol/protocoltest/golden.go
@@ -1,5 +1,4 @@
-// Package protocoltest has what tests of other packages' forms of the protocol share, for tests
-// only.
+// Package protocoltest has fixtures and checks for the tests of packages that encode messages and records.
 package protocoltest
 
 import (
@@ -38,8 +37,8 @@
 	}
 }
 
-// RequireGolden fails the test unless a value has every field set, is encoded as the recorded
-// bytes, and is decoded from them.
+// RequireGolden fails the test unless a value has every field set, encodes to the recorded bytes and decodes
+// from them.
 func RequireGolden[T any](t testing.TB, name string, value T, recorded string) {
 	t.Helper()
 	goldentest.RequireFieldsSet(t, name, value)
@@ -49,6 +48,6 @@
 		t.Fatalf("%s: %v", name, err)
 	}
 	if d := cmp.Diff(value, decoded); d != "" {
-		t.Errorf("%s: decoded with a difference: %s", name, d)
+		t.Errorf("%s: decoded value differs: %s", name, d)
 	}
 }
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// maxTasks is the largest number of tasks of a job that the interface allows.
+	// maxTasks is the largest number of tasks per job, set by the interface.
 	maxTasks = 100_000
-	// MaxTextBytes is the limit of names of all kinds, in bytes. Nothing in the interface sets one; this
-	// is far above what is in use.
+	// MaxTextBytes is the largest length of a text field, in bytes. The interface sets no limit; this one is
+	// far above the lengths in use.
 	MaxTextBytes = 200
 	// maxTypes is the largest number of allowed machine types in a submission.
 	maxTypes = 64
-	// maxAmount bounds amounts and durations, so that their sums stay exact enough and times in range.
+	// maxAmount limits amounts and durations, so that their sums stay precise enough and times stay in
+	// range.
 	maxAmount = 1e9
 )
 
-// Names of the fields of a submission, those of JobSpec's tags.
+// Wire names of the fields of a submission, as in JobSpec's struct tags.
 const (
 	fieldID         = "Uid"
 	fieldClass      = "Lane"
@@ -45,7 +46,7 @@
 	fieldDeadline   = "DueS"
 )
 
-// What fields should be, in the texts of errors.
+// Descriptions of valid values in error messages.
 const (
 	wantTypes       = "null or a short list of texts"
 	wantJobID       = "a job id"
@@ -55,9 +56,9 @@
 	wantNonnegative = "a number from 0 up"
 )
 
-// DecodeSubmission reads a submission and validates it field by field. Its error is ErrMalformed,
-// ErrNotMap, a *BodyTooLargeError or a *FieldError. The id is returned whenever it is well formed,
-// also with an error, so that the repeat of an accepted submission can be recognised.
+// DecodeSubmission decodes a submission and validates it field by field. Its error is ErrMalformed,
+// ErrNotMap, a *BodyTooLargeError or a *FieldError. It returns a valid id even with an error in another
+// field, so that callers recognise a retry of an accepted submission.
 func DecodeSubmission(raw []byte) (JobSpec, error) {
 	fields, err := decodeFields(raw)
 	if err != nil {
@@ -72,19 +73,18 @@
 	spec.ID = id
 	p.checkChoices(&spec)
 	if spec.Service() {
-		// Replicas neither end nor save: an estimate, a deadline or a checkpoint interval would
-		// only mislead.
+		// Replicas neither complete nor save checkpoints, so these fields have no meaning for them.
 		spec.EstimateS, spec.CheckpointS, spec.SaveS, spec.DeadlineS = 0, 0, 0, nil
 	}
 	return spec, p.err
 }
 
-// decodeFields reads the map that a submission is.
+// decodeFields decodes a submission into a map from wire names to values.
 func decodeFields(raw []byte) (map[string]any, error) {
 	if len(raw) > MaxBodyBytes {
 		return nil, &BodyTooLargeError{Limit: MaxBodyBytes}
 	}
-	if err := Check(raw); err != nil {
+	if err := CheckWellFormed(raw); err != nil {
 		return nil, err
 	}
 	r := bytes.NewReader(raw)
@@ -101,15 +101,15 @@
 	return fields, nil
 }
 
-// submissionParser reads the fields of a submission and keeps the first error.
+// submissionParser converts the fields of a submission and keeps the first error.
 type submissionParser struct {
 	fields map[string]any
 	err    error
 }
 
-// parse reads all fields but the id.
+// parse converts all fields except the id.
 func (p *submissionParser) parse() JobSpec {
-	// The calls are in the order of the interface, which decides which error comes first.
+	// The interface's order of fields determines which error users receive, so the calls keep that order.
 	return JobSpec{
 		Class:       p.text(fieldClass),
 		Team:        p.text(fieldTeam),
@@ -133,7 +133,7 @@
 	}
 }
 
-// checkChoices validates the fields of which only some values are allowed.
+// checkChoices validates the fields that allow only some values of their type.
 func (p *submissionParser) checkChoices(spec *JobSpec) {
 	shapes := []string{ShapeArray, ShapeGang, ShapeService}
 	if !slices.Contains(shapes, spec.Shape) {
@@ -147,12 +147,14 @@
 	}
 }
 
+// fail records a field error unless there is an earlier error.
 func (p *submissionParser) fail(field string, problem FieldProblem, want string) {
 	if p.err == nil {
 		p.err = &FieldError{Field: field, Problem: problem, Want: want}
 	}
 }
 
+// text returns a required text.
 func (p *submissionParser) text(field string) string {
 	s, ok := p.fields[field].(string)
 	if !ok || !validText(s) {
@@ -161,9 +163,10 @@
 	return s
 }
 
+// validText reports whether a text is neither empty nor too long.
 func validText(s string) bool { return s != "" && len(s) <= MaxTextBytes }
 
-// optionalText returns an empty text for null.
+// optionalText returns a text, or "" for null or a missing field.
 func (p *submissionParser) optionalText(field string) string {
 	if p.fields[field] == nil {
 		return ""
@@ -171,6 +174,7 @@
 	return p.text(field)
 }
 
+// texts returns a list of texts, or nil for null or a missing field.
 func (p *submissionParser) texts(field string) []string {
 	value := p.fields[field]
 	if value == nil {
@@ -192,6 +196,7 @@
 	return texts
 }
 
+// flag returns a required boolean.
 func (p *submissionParser) flag(field string) bool {
 	b, ok := p.fields[field].(bool)
 	if !ok {
@@ -200,6 +205,7 @@
 	return b
 }
 
+// count returns a required whole number. Its callers check the range.
 func (p *submissionParser) count(field string) int {
 	switch n := p.fields[field].(type) {
 	case int64:
@@ -211,6 +217,7 @@
 	return 0
 }
 
+// amount returns a required number from 0 to maxAmount.
 func (p *submissionParser) amount(field string) float64 {
 	var f float64
 	switch n := p.fields[field].(type) {
@@ -226,14 +233,14 @@
 		p.fail(field, FieldInvalid, wantNumber)
 		return 0
 	}
-	if !(f >= 0 && f <= maxAmount) { // NaN fails both
+	if !(f >= 0 && f <= maxAmount) { // NaN fails both comparisons
 		p.fail(field, FieldInvalid, wantNonnegative)
 		return 0
 	}
 	return f
 }
 
-// optionalAmount returns nil for null.
+// optionalAmount returns an amount, or nil for null or a missing field.
 func (p *submissionParser) optionalAmount(field string) *float64 {
 	if p.fields[field] == nil {
 		return nil
--- a/internal/protocol/submission_test.go
+++ b/internal/protocol/submission_test.go
@@ -27,19 +27,20 @@
 	return DecodeSubmission(raw)
 }
 
-// A submission is taken as described, with null fields left out too, and each invalid field is named.
+// A valid submission is decoded completely, with optional fields null or missing too. Each invalid field
+// gives an error that names it.
 func TestSubmissionsAreCheckedFieldByField(t *testing.T) {
 	spec, err := parse(t, submission())
 	if err != nil || spec.Tasks != 4 || spec.CheckpointS != 30 || *spec.DeadlineS != 900 ||
 		!spec.OneZone || spec.Types[0] != "g8" {
-		t.Fatalf("read as %+v (%v), want what was submitted", spec, err)
+		t.Fatalf("decoded as %+v (%v), want the submitted values", spec, err)
 	}
 	s := submission()
 	delete(s, "Hall")
 	delete(s, "DueS")
 	s["Fleets"] = nil
 	if spec, err := parse(t, s); err != nil || spec.Zone != "" || spec.DeadlineS != nil || spec.Types != nil {
-		t.Fatalf("read as %+v (%v), want no zone, no deadline and any type", spec, err)
+		t.Fatalf("decoded as %+v (%v), want no zone, no deadline and any type", spec, err)
 	}
 	bad := map[string][]any{
 		"Uid":       {nil, 3, "", "job-", "job 1", "task-1", strings.Repeat("job-1", 50)},
@@ -65,26 +66,28 @@
 			}
 		}
 	}
-	behind := append(Encode(submission()), 0)
-	for _, raw := range [][]byte{nil, {0xc1}, {0x93, 1, 2, 3}, []byte("hello"), {0x81}, behind} {
+	trailing := append(Encode(submission()), 0)
+	for _, raw := range [][]byte{nil, {0xc1}, {0x93, 1, 2, 3}, []byte("hello"), {0x81}, trailing} {
 		if _, err := DecodeSubmission(raw); err == nil {
-			t.Errorf("% x was taken, want it refused", raw)
+			t.Errorf("% x was accepted, want it rejected", raw)
 		}
 	}
 }
 
+// DecodeSubmission never panics and accepts only valid submissions.
 func FuzzDecodeSubmission(f *testing.F) {
 	f.Add(Encode(submission()))
 	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		spec, err := DecodeSubmission(raw)
 		if err == nil && (spec.Tasks < 1 || !ValidJobID(spec.ID) || !(spec.Cpus >= 0)) {
-			t.Fatalf("taken: %+v, want only what is valid", spec)
+			t.Fatalf("accepted: %+v, want only valid submissions", spec)
 		}
 	})
 }
 
-// A service is taken with whatever it says of an end: replicas run until they are stopped.
+// A service has no estimate, checkpoint times or deadline, even if the submission has them: its replicas
+// run until the job is cancelled.
 func TestServicesHaveNoEnd(t *testing.T) {
 	s := submission()
 	s["Shape"], s["ExpectedS"] = "daemon", 0.0
@@ -93,7 +96,7 @@
 		spec, err := parse(t, s)
 		if err != nil || !spec.Service() || spec.EstimateS != 0 || spec.CheckpointS != 0 ||
 			spec.SaveS != 0 || spec.DeadlineS != nil {
-			t.Errorf("read as %+v (%v), want a service without times", spec, err)
+			t.Errorf("decoded as %+v (%v), want a service without times", spec, err)
 		}
 	}
 	s["ExpectedS"] = -1.0
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -2,22 +2,22 @@
 
 // States of a task on a worker.
 const (
-	TaskFetching = "fetching" // waits for its image
+	TaskFetching = "fetching" // the machine downloads its image
 	TaskWaiting  = "waiting"  // waits for the other tasks of its gang
 	TaskRunning  = "running"
-	TaskSaving   = "flushing" // was told to stop and saves a checkpoint
+	TaskSaving   = "flushing" // received a stop command and saves a checkpoint
 	TaskExited   = "exited"
 )
 
-// Causes of the end of a task.
+// Causes of a task's exit.
 const (
 	CauseDone           = "done"    // completed
-	CauseStopped        = "halted"  // stopped by command
-	CauseGangBroken     = "peers"   // another task of the gang is gone
-	CauseGangIncomplete = "alone"   // the gang was not complete in time
-	CauseError          = "error"   // failed, mostly because of a faulty machine
-	CauseNoRoom         = "no_room" // not started: too few free resources
-	CauseOtherAttempt   = "busy"    // not started: the machine has another attempt of the task
+	CauseStopped        = "halted"  // the leader stopped it
+	CauseGangBroken     = "peers"   // another task of the gang exited or was lost
+	CauseGangIncomplete = "alone"   // not all tasks of the gang started in time
+	CauseError          = "error"   // failed, usually because of a faulty machine
+	CauseNoRoom         = "no_room" // not started: not enough free resources
+	CauseOtherAttempt   = "busy"    // not started: the machine runs another attempt of the task
 	CauseNoSuchTask     = "no_such" // not started: no such job or task
 )
 
@@ -27,7 +27,7 @@
 	Attempt Attempt `msgpack:"Try"`
 	Status  string  `msgpack:"Status"`
 	Cause   string  `msgpack:"Cause"`
-	Saved   bool    `msgpack:"Saved"` // its progress was saved when it was stopped
+	Saved   bool    `msgpack:"Saved"` // it saved a checkpoint when it was stopped
 }
 
 // Heartbeat is a worker's heartbeat, with the status of its machine and tasks.
@@ -39,11 +39,11 @@
 	Spot    bool        `msgpack:"Loaners"`
 	// Incarnation is the worker's incarnation: it increases each time the worker's lease expires.
 	Incarnation Incarnation `msgpack:"Shift"`
-	// Counter increases with each message, so that late ones are recognised.
+	// Counter increases with each heartbeat, so that the leader recognises late ones.
 	Counter int64 `msgpack:"Counter"`
 	// Epoch is the highest fencing token that the worker has seen.
 	Epoch Epoch `msgpack:"Epoch"`
-	// PreemptionNoticeS is how long it takes until the spot machine is preempted, nil without notice.
+	// PreemptionNoticeS is the time until the cloud preempts the spot machine, nil without a notice.
 	PreemptionNoticeS *float64     `msgpack:"RecallS"`
 	Tasks             []TaskStatus `msgpack:"Legs"`
 }
@@ -52,7 +52,7 @@
 const (
 	VerbStart  = "start"
 	VerbStop   = "kill"
-	VerbForget = "forget" // removes an exited task from the heartbeats
+	VerbForget = "forget" // the worker leaves an exited task out of its heartbeats from now on
 )
 
 // Command is one command to a worker.
@@ -60,7 +60,7 @@
 	Verb    string  `msgpack:"Verb"`
 	Task    string  `msgpack:"Leg"`
 	Attempt Attempt `msgpack:"Try"`
-	GraceS  float64 `msgpack:"LeaveS"` // in which a stopped task may save a checkpoint
+	GraceS  float64 `msgpack:"LeaveS"` // time for a stopped task to save a checkpoint
 }
 
 // HeartbeatResponse is the response to a heartbeat.
@@ -69,13 +69,14 @@
 	Commands []Command `msgpack:"Orders"`
 }
 
-// Redirect is the response that sends a worker to the leader, or to any other node if the leader
-// isn't known.
+// Redirect is the response that redirects a worker to the leader. Node is empty if the leader is unknown:
+// the worker then tries any other controller.
 type Redirect struct {
 	Node string `msgpack:"Dispatcher,omitempty"`
 }
 
-// CommandRequest is a request that brings commands to a worker, other than as a response to a heartbeat.
+// CommandRequest is a request with which the leader sends commands to a worker outside the response to a
+// heartbeat.
 type CommandRequest struct {
 	Epoch       Epoch       `msgpack:"Epoch"` // fencing token of the leader
 	Incarnation Incarnation `msgpack:"Shift"` // the worker's incarnation
