--- a/internal/configfile/configfile.go
+++ b/internal/configfile/configfile.go
@@ -1,8 +1,7 @@
-// Package configfile reads and checks configuration files: the platform's settings (JSON), the
-// cells file and the zone-recovery file (both TOML). It owns decoding, the checks that the fields'
-// tags ask for, and the typed errors that name file, field and value. It doesn't know what the
-// fields mean: the packages settings, cells and zonerecovery, which call it, check fields against each
-// other.
+// Package configfile reads and validates configuration files: the platform's settings (JSON), the cells file
+// and the zone-recovery file (both TOML). It owns decoding, validation by struct tags, and the typed errors
+// that name file, field and value. It doesn't know the meaning of fields: its callers, the packages settings,
+// cells and zonerecovery, validate fields against each other.
 package configfile
 
 import (
@@ -17,13 +16,12 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Load reads the file at path and parses its text. Errors of parse are returned with the file's
-// name in them.
+// Load reads the file at path and parses its text. It adds the file's name to errors of parse.
 func Load[T any](path string, parse func(raw []byte) (T, error)) (T, error) {
 	var none T
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return none, err // names the file already
+		return none, err // the error names the file already
 	}
 	contents, err := parse(raw)
 	if err != nil {
@@ -32,8 +30,8 @@
 	return contents, nil
 }
 
-// DecodeJSON decodes raw into contents, a pointer to a struct, and checks it by its tags. Unknown
-// fields are ignored: the platform's settings may carry more than this version knows.
+// DecodeJSON decodes raw into contents, a pointer to a struct, and validates it by its tags. It ignores
+// unknown fields: the platform's settings may have fields that this version doesn't know.
 func DecodeJSON(raw []byte, contents any) error {
 	if err := json.Unmarshal(raw, contents); err != nil {
 		return jsonError(raw, err)
@@ -41,9 +39,9 @@
 	return validate(contents, "json")
 }
 
-// DecodeTOML decodes raw into contents, a pointer to a struct, and checks it by its tags. Unknown
-// fields are refused: operators write these files by hand, and a misspelled field would be lost
-// silently.
+// DecodeTOML decodes raw into contents, a pointer to a struct, and validates it by its tags. It rejects
+// unknown fields: operators write these files by hand, and a misspelled field would have no effect without
+// notice.
 func DecodeTOML(raw []byte, contents any) error {
 	if err := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields().Decode(contents); err != nil {
 		return tomlError(err)
@@ -51,6 +49,7 @@
 	return validate(contents, "toml")
 }
 
+// jsonError converts an error of the JSON decoder to a FieldError or a SyntaxError if it can.
 func jsonError(raw []byte, err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) && wrongType.Field != "" {
@@ -65,6 +64,7 @@
 	return err
 }
 
+// tomlError converts an error of the TOML decoder to a FieldError or a SyntaxError if it can.
 func tomlError(err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) {
@@ -81,7 +81,7 @@
 	return &SyntaxError{Line: line, Column: column, Err: err}
 }
 
-// kindName describes a Go type to somebody who writes JSON.
+// kindName returns the name of a Go type's JSON counterpart.
 func kindName(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Struct, reflect.Map:
@@ -98,8 +98,8 @@
 	return t.String()
 }
 
-// position converts a byte offset into line and column, both counted from one. JSON offsets point
-// behind the byte at fault.
+// position converts the byte offset of a JSON syntax error into line and column, both counted from one. The
+// offset is that of the byte after the invalid one.
 func position(raw []byte, offset int64) (line, column int) {
 	before := raw[:max(0, min(offset-1, int64(len(raw))))]
 	line = bytes.Count(before, []byte("\n")) + 1
--- a/internal/configfile/configfile_test.go
+++ b/internal/configfile/configfile_test.go
@@ -17,6 +17,7 @@
 	Count int `toml:"count" json:"count" validate:"gte=1"`
 }
 
+// decoder returns a parse function for Load.
 func decoder(decode func([]byte, any) error) func([]byte) (*contents, error) {
 	return func(raw []byte) (*contents, error) {
 		var c contents
@@ -24,7 +25,7 @@
 	}
 }
 
-// Errors name the file, the field as the file spells it, and the value.
+// Errors name the file, the field by the file's own names, and the value.
 func TestErrorsNameFileFieldAndValue(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	for _, c := range []struct {
@@ -70,7 +71,7 @@
 	}
 }
 
-// JSON files may have fields that this version doesn't know, TOML files may not.
+// DecodeJSON accepts unknown fields, DecodeTOML rejects them.
 func TestUnknownFieldsAreRefusedInTOMLOnly(t *testing.T) {
 	var c contents
 	if err := DecodeJSON([]byte(`{"rate":2,"more":1}`), &c); err != nil || c.Rate != 2 {
@@ -81,7 +82,7 @@
 	}
 }
 
-// A file that can't be read is reported as such, with its name.
+// Load returns the error of the file system for a file that doesn't exist.
 func TestLoadReportsMissingFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "missing")
 	if _, err := Load(path, decoder(DecodeTOML)); !errors.Is(err, os.ErrNotExist) {
--- a/internal/configfile/configtest/configtest.go
+++ b/internal/configfile/configtest/configtest.go
@@ -1,4 +1,4 @@
-// Package configtest has the checks that the tests of all configuration files share.
+// Package configtest has checks for the tests of all configuration files.
 package configtest
 
 import (
@@ -10,15 +10,16 @@
 	"postpoint/internal/configfile"
 )
 
-// Fault is a change of a good file that makes it a bad one.
+// Fault is a change that makes a valid file invalid.
 type Fault struct {
 	Old, New string
-	// Field is a part of the error's text that names the field at fault. It is empty where the
-	// text can't be parsed at all.
+	// Field is the part of the error message that names the invalid field. It is empty if the change is a
+	// syntax error.
 	Field string
 }
 
-// ReadExample returns the text of a file under deploy/, as seen from a package under internal/.
+// ReadExample returns the text of a file under deploy/. It works in the tests of packages directly under
+// internal/.
 func ReadExample(t *testing.T, name string) string {
 	t.Helper()
 	raw, err := os.ReadFile("../../deploy/" + name)
@@ -28,23 +29,22 @@
 	return string(raw)
 }
 
-// Replace returns text with the first old replaced by another text. It fails the test if there is
-// none or the replacement changes nothing.
+// Replace returns text with the first occurrence of old replaced. It fails the test if that changes nothing.
 func Replace(t *testing.T, text, old, replacement string) string {
 	t.Helper()
 	changed := strings.Replace(text, old, replacement, 1)
 	if changed == text {
-		t.Fatalf("replacing %q by %q changes nothing in the good file", old, replacement)
+		t.Fatalf("replacing %q by %q changes nothing in the valid file", old, replacement)
 	}
 	return changed
 }
 
-// RequireRejected checks that parse refuses the good text with each of the faults put in, with a
-// typed error that names the field.
-func RequireRejected(t *testing.T, good string, faults []Fault, parse func(raw []byte) error) {
+// RequireRejected fails the test unless parse rejects the valid text with each of the faults, one at a time,
+// with a typed error that names the field.
+func RequireRejected(t *testing.T, valid string, faults []Fault, parse func(raw []byte) error) {
 	t.Helper()
 	for _, fault := range faults {
-		err := parse([]byte(Replace(t, good, fault.Old, fault.New)))
+		err := parse([]byte(Replace(t, valid, fault.Old, fault.New)))
 		if err == nil || !strings.Contains(err.Error(), fault.Field) {
 			t.Errorf("%q for %q: error %v, want one that names %q", fault.New, fault.Old, err, fault.Field)
 			continue
--- a/internal/configfile/errors.go
+++ b/internal/configfile/errors.go
@@ -5,18 +5,18 @@
 	"fmt"
 )
 
-// FieldError is a field whose value can't be used.
+// FieldError reports a field with an invalid value.
 type FieldError struct {
-	File  string // "" if the text didn't come from a file
-	Field string // its path, as the file spells it: cells[1].name
-	// Value is the value at fault, nil if there is none.
+	File  string // "" if the text isn't from a file
+	Field string // its path in the file's own names, for example cells[1].name
+	// Value is the invalid value, nil if there is none.
 	Value any
-	// Problem says what is wrong, in words that show the value.
+	// Problem describes the fault and includes the value.
 	Problem string
 }
 
-// Invalid returns a FieldError for a field and its value, for Load to add the file to. The problem
-// completes a sentence that begins with the value.
+// Invalid returns a FieldError for a field and its value; Load adds the file. The problem is a format that
+// completes a sentence which begins with the value.
 func Invalid(field string, value any, problem string, args ...any) error {
 	shown := fmt.Sprintf("%v", value)
 	if text, ok := value.(string); ok {
@@ -25,22 +25,25 @@
 	return &FieldError{Field: field, Value: value, Problem: shown + " " + fmt.Sprintf(problem, args...)}
 }
 
+// Error names the file, the field and the problem.
 func (e *FieldError) Error() string { return inFile(e.File, e.Field+": "+e.Problem) }
 
-// SyntaxError is text that isn't in the file's notation at all, so that no field can be named.
+// SyntaxError reports text that isn't valid JSON or TOML, so that the error can name a position but no field.
 type SyntaxError struct {
-	File         string // "" if the text didn't come from a file
+	File         string // "" if the text isn't from a file
 	Line, Column int    // counted from one
 	Err          error
 }
 
+// Error names the file, the position and the decoder's error.
 func (e *SyntaxError) Error() string {
 	return inFile(e.File, fmt.Sprintf("line %d, column %d: %v", e.Line, e.Column, e.Err))
 }
 
-// Unwrap returns the decoder's own error.
+// Unwrap returns the decoder's error.
 func (e *SyntaxError) Unwrap() error { return e.Err }
 
+// inFile puts the name of the file, if any, before an error's text.
 func inFile(file, text string) string {
 	if file == "" {
 		return text
@@ -48,7 +51,7 @@
 	return file + ": " + text
 }
 
-// withFile names the file in an error of its text.
+// withFile adds the name of the file to an error that its text caused.
 func withFile(file string, err error) error {
 	var field *FieldError
 	if errors.As(err, &field) {
--- a/internal/configfile/validate.go
+++ b/internal/configfile/validate.go
@@ -10,8 +10,8 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// validate checks contents by the validate tags of its fields. The error names the first field at
-// fault as the file does, by the names in tags of the given kind.
+// validate checks contents by the validate tags of its fields. The error names the first invalid field by the
+// file's own names, which are those in the tags with the key nameTag.
 func validate(contents any, nameTag string) error {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get(nameTag) })
@@ -30,8 +30,8 @@
 	return &FieldError{Field: path, Value: first.Value(), Problem: problem}
 }
 
-// isIPv4AddrPort reports whether a field is an IPv4 address with its port. Host names are refused:
-// the platform has no name look-ups.
+// isIPv4AddrPort reports whether a field is an IPv4 address with a port. It rejects host names, because the
+// platform has no name resolution.
 func isIPv4AddrPort(f validator.FieldLevel) bool {
 	a, err := netip.ParseAddrPort(f.Field().String())
 	return err == nil && a.Addr().Is4() && a.Port() != 0
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// The platform's file with all that it may have is read as the settings, and its names are
-// those of the tags.
+// A file with every field is decoded as recorded, and the settings are encoded as the recorded text. This
+// guards against accidental changes of names in the platform's file.
 func TestGoldenFile(t *testing.T) {
 	want := goldenSettings()
 	goldentest.RequireFieldsSet(t, "settings", want)
@@ -77,7 +77,7 @@
 	goldentest.Equal(t, "file", written, goldenText)
 }
 
-// What operators are told of a file that isn't good.
+// Operators receive the recorded error messages for invalid files.
 func TestGoldenFileErrors(t *testing.T) {
 	for _, c := range []struct{ old, replacement, want string }{
 		{`"node":"worker-0"`, `"node":""`, "node: fails the check required  (is \"\")"},
@@ -91,7 +91,7 @@
 	} {
 		_, err := Parse([]byte(strings.Replace(goldenText, c.old, c.replacement, 1)))
 		if err == nil {
-			t.Errorf("%s is taken", c.replacement)
+			t.Errorf("%s is accepted", c.replacement)
 			continue
 		}
 		goldentest.Equal(t, c.replacement, []byte(err.Error()), c.want)
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -2,10 +2,10 @@
 
 import "postpoint/internal/configfile"
 
-// Load reads and checks the settings file at path. The error names the field at fault.
+// Load reads and validates the settings file at path. Its error names the file and the invalid field.
 func Load(path string) (*Settings, error) { return configfile.Load(path, Parse) }
 
-// Parse checks the text of a settings file. Unknown fields are ignored.
+// Parse decodes and validates the text of a settings file. It ignores unknown fields.
 func Parse(raw []byte) (*Settings, error) {
 	var s Settings
 	if err := configfile.DecodeJSON(raw, &s); err != nil {
@@ -20,7 +20,7 @@
 	return &s, nil
 }
 
-// checkTeams refuses teams that are listed twice or whose guarantee is above their limit.
+// checkTeams rejects teams that are listed twice or whose guarantee exceeds their limit.
 func (s *Settings) checkTeams() error {
 	const field = "deployment.teams"
 	seen := map[string]bool{}
@@ -36,10 +36,10 @@
 	return nil
 }
 
-// overLimit reports whether a guarantee exceeds a limit, of which 0 means none.
+// overLimit reports whether a guarantee exceeds a limit. A limit of 0 means none.
 func overLimit(guarantee, limit float64) bool { return limit > 0 && guarantee > limit }
 
-// checkPeers refuses a node that knows itself as another one.
+// checkPeers rejects settings that list this controller among its peers.
 func (s *Settings) checkPeers() error {
 	for _, peer := range s.Peers {
 		if peer.Node == s.Node {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,15 +1,14 @@
-// Package settings has the platform's settings file: what it contains, and the checks of fields
-// against each other. It owns neither decoding nor the checks of single fields, which internal/configfile
-// does by the tags below, nor the operators' own files (internal/cells, internal/zonerecovery), which
-// are checked against these settings. The command reads the file; everything else is handed the
-// result and changes nothing in it.
+// Package settings defines the platform's settings file and validates its fields against each other. Package
+// configfile decodes the file and validates single fields by the struct tags below. The operators' own files
+// (packages cells and zonerecovery) are validated against these settings by their own packages. Package main
+// loads the file; all other packages receive the result and don't modify it.
 package settings
 
 import (
 	"postpoint/internal/clock"
 )
 
-// Settings are the file's contents. Fields that end in S are seconds.
+// Settings are the contents of the file. Fields whose names end in S are in seconds.
 type Settings struct {
 	Node         string     `json:"node" validate:"required,max=100"`
 	Domain       string     `json:"domain" validate:"required,max=100"`
@@ -27,13 +26,13 @@
 	PeerAddr string `json:"peer_addr" validate:"required,ipv4port"`
 }
 
-// Endpoints has the addresses of the systems that controllers use.
+// Endpoints has the addresses of the external systems that controllers call.
 type Endpoints struct {
 	Cloud   string `json:"cloud" validate:"required,ipv4port"`
 	KVStore string `json:"state" validate:"required,ipv4port"`
 }
 
-// Deployment is what all controllers of a deployment have in common.
+// Deployment has the settings that all controllers of a deployment share.
 type Deployment struct {
 	InitialSize   int           `json:"initial_size" validate:"gte=1"`
 	Zones         []string      `json:"zones"`
@@ -46,7 +45,7 @@
 	ClockErrorMs  float64       `json:"clock_error_ms" validate:"gte=0"`
 }
 
-// Team holds a team's guarantee (its fair share) and limit (its quota); 0 means none.
+// Team has the guarantee (fair share) and the limit (quota, the fields with Max) of a team; 0 means none.
 type Team struct {
 	Name    string  `json:"name" validate:"required"`
 	Cpus    float64 `json:"cpus" validate:"gte=0"`
@@ -61,11 +60,11 @@
 	Class   string  `json:"class"`
 	WithinS float64 `json:"within_s" validate:"gte=0"`
 	Share   float64 `json:"share"`
-	// Times stretches the deadline that an objective of kind "deadline" is about.
+	// Times multiplies the deadline of a job, for objectives of kind "deadline".
 	Times float64 `json:"times" validate:"gte=0"`
 }
 
-// Workers has the times by which machines and their tasks are run.
+// Workers has the intervals and timeouts of workers and their tasks.
 type Workers struct {
 	HeartbeatS float64 `json:"report_s" validate:"gt=0"`
 	LeaseS     float64 `json:"lease_s" validate:"gt=0"`
@@ -74,17 +73,17 @@
 	CancelS    float64 `json:"cancel_s" validate:"gtfield=LeaseS"`
 }
 
-// KVStore has the limits of the key-value store, shared by all controllers.
+// KVStore has the limits of the key-value store, which apply to all controllers together.
 type KVStore struct {
 	Rps      float64 `json:"rps" validate:"gt=0"`
 	WriteRps float64 `json:"write_rps" validate:"gt=0"`
 	ValueKb  float64 `json:"value_kb" validate:"gte=2"`
 	TxnOps   int     `json:"txn_ops" validate:"gte=1"`
-	// Next are limits that the service may change to at any time, without notice.
+	// Next has announced limits: the store may switch to them at any time, without notice.
 	Next *NextKVStore `json:"next"`
 }
 
-// NextKVStore has the announced limits; what it leaves out does not change.
+// NextKVStore has the announced limits of the store. Limits that are nil don't change.
 type NextKVStore struct {
 	Rps      *float64 `json:"rps" validate:"omitnil,gt=0"`
 	WriteRps *float64 `json:"write_rps" validate:"omitnil,gt=0"`
@@ -92,20 +91,20 @@
 	TxnOps   *int     `json:"txn_ops" validate:"omitnil,gte=1"`
 }
 
-// Cloud has the limits of the cloud's interface.
+// Cloud has the request limit of the cloud's interface and the delay of its list of machines.
 type Cloud struct {
 	Rps      float64 `json:"rps" validate:"gt=0"`
 	ListLagS float64 `json:"list_lag_s" validate:"gte=0"`
 }
 
-// MachineLimits are those of the machine that a controller runs on.
+// MachineLimits has the limits of the machine on which a controller runs.
 type MachineLimits struct {
 	CPU        float64 `json:"cpu" validate:"gt=0"`
 	MemoryMb   float64 `json:"memory_mb" validate:"gt=0"`
 	MaxSockets int     `json:"max_sockets" validate:"gt=0"`
 }
 
-// Nodes returns the names of all controllers of the deployment, this one's first.
+// Nodes returns the names of all controllers of the deployment, beginning with this one.
 func (s *Settings) Nodes() []string {
 	names := []string{s.Node}
 	for _, peer := range s.Peers {
@@ -114,7 +113,7 @@
 	return names
 }
 
-// Team finds a team by name. The result is false if there is none.
+// Team returns the team with a name, or false if there is none.
 func (d *Deployment) Team(name string) (Team, bool) {
 	for _, team := range d.Teams {
 		if team.Name == name {
@@ -124,32 +123,32 @@
 	return Team{}, false
 }
 
-// Lease returns how long a worker keeps its tasks after the last heartbeat that was answered.
+// Lease returns how long a worker keeps its tasks after the last heartbeat with a response.
 func (w Workers) Lease() clock.Micros { return clock.FromSeconds(w.LeaseS) }
 
-// HeartbeatInterval returns the mean time between two heartbeats of a worker.
+// HeartbeatInterval returns the mean interval between the heartbeats of a worker.
 func (w Workers) HeartbeatInterval() clock.Micros { return clock.FromSeconds(w.HeartbeatS) }
 
 // GangPeer returns the time within which the tasks of a gang notice the loss of one of them.
 func (w Workers) GangPeer() clock.Micros { return clock.FromSeconds(w.GangPeerS) }
 
-// keepAliveMargin covers the drift of clocks and responses under way.
-const keepAliveMargin = clock.Second
+// renewalMargin covers clock drift and responses in transit.
+const renewalMargin = clock.Second
 
-// RenewalWindow returns how long a leader may go on answering workers after the moment up to which it
-// knows every cancellation: one confirmed elsewhere right then still sees every worker's lease
-// expire within cancel_s. See docs/rules.md.
+// RenewalWindow returns how long a leader may continue to renew workers' leases after the time up to which it
+// knows all cancellations. If another controller confirms a cancellation right after that time, every
+// worker's lease still expires within cancel_s. See docs/rules.md.
 func (w Workers) RenewalWindow() clock.Micros {
-	return clock.FromSeconds(w.CancelS-w.LeaseS) - keepAliveMargin
+	return clock.FromSeconds(w.CancelS-w.LeaseS) - renewalMargin
 }
 
-// bytesPerKb is what value_kb counts in.
+// bytesPerKb is the unit of value_kb.
 const bytesPerKb = 1024
 
-// ValueBytes returns the largest value that may be stored, in bytes of its JSON form.
+// ValueBytes returns the largest size of a stored value, in bytes of its JSON form.
 func (s KVStore) ValueBytes() int { return int(s.ValueKb * bytesPerKb) }
 
-// Tightest returns the limits that hold whether or not the announced ones have come into force.
+// Tightest returns limits that are safe whether or not the announced ones are in force already.
 func (s KVStore) Tightest() KVStore {
 	next := s.Next
 	s.Next = nil
@@ -163,10 +162,10 @@
 	return s
 }
 
-// lower returns the smaller of a present and an announced limit.
-func lower[T int | float64](present T, announced *T) T {
+// lower returns the smaller of a current and an announced limit.
+func lower[T int | float64](current T, announced *T) T {
 	if announced == nil {
-		return present
+		return current
 	}
-	return min(present, *announced)
+	return min(current, *announced)
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -6,7 +6,7 @@
 	"postpoint/internal/configfile/configtest"
 )
 
-const good = `{"node":"worker-0","domain":"a","bind":"10.0.0.1:8080","internal_addr":"10.0.0.1:8081",
+const validText = `{"node":"worker-0","domain":"a","bind":"10.0.0.1:8080","internal_addr":"10.0.0.1:8081",
 "known":[{"node":"worker-1","domain":"b","peer_addr":"10.0.0.2:8081"}],
 "outside":{"cloud":"10.2.0.2:8443","state":"10.2.0.1:2379"},
 "more":1,"deployment":{"initial_size":3,"zones":["a","b"],
@@ -17,12 +17,12 @@
 "state":{"rps":100,"write_rps":30,"value_kb":32,"txn_ops":12},"cloud":{"rps":8,"list_lag_s":10},
 "machine_limits":{"cpu":0.096,"memory_mb":179,"max_sockets":1800},"clock_error_ms":250}}`
 
-// withNext begins an announcement of other limits.
+// withNext precedes announced limits of the key-value store in a replacement for `"txn_ops":12`.
 const withNext = `"txn_ops":12,"next":`
 
-// Good settings are accepted, unknown fields ignored.
+// Parse accepts valid settings and ignores unknown fields.
 func TestParseAcceptsGoodSettings(t *testing.T) {
-	s, err := Parse([]byte(good))
+	s, err := Parse([]byte(validText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,7 +31,7 @@
 	}
 }
 
-// The first bad field is named by its path.
+// The error for an invalid file names the first invalid field by its path.
 func TestParseNamesFieldAtFault(t *testing.T) {
 	faults := []configtest.Fault{
 		{Old: `"node":"worker-0"`, New: `"node":""`, Field: "node"},
@@ -55,13 +55,13 @@
 		{Old: `"txn_ops":12`, New: withNext + `{"rps":0}`, Field: "deployment.state.next.rps"},
 		{Old: `"txn_ops":12`, New: withNext + `{"value_kb":"more"}`, Field: "value_kb"},
 	}
-	configtest.RequireRejected(t, good, faults, func(raw []byte) error {
+	configtest.RequireRejected(t, validText, faults, func(raw []byte) error {
 		_, err := Parse(raw)
 		return err
 	})
 }
 
-// Announced limits count where they are tighter; what they leave out stays.
+// Announced limits apply where they are lower. Limits that the announcement leaves out stay.
 func TestTightestTakesTheLowerLimits(t *testing.T) {
 	for next, want := range map[string]KVStore{
 		`null`: {Rps: 100, WriteRps: 30, ValueKb: 32, TxnOps: 12},
@@ -69,7 +69,7 @@
 		`{"write_rps":21,"value_kb":2,"txn_ops":4}`: {Rps: 100, WriteRps: 21, ValueKb: 2, TxnOps: 4},
 		`{"value_kb":64,"txn_ops":4}`:               {Rps: 100, WriteRps: 30, ValueKb: 32, TxnOps: 4},
 	} {
-		s, err := Parse([]byte(configtest.Replace(t, good, `"txn_ops":12`, withNext+next)))
+		s, err := Parse([]byte(configtest.Replace(t, validText, `"txn_ops":12`, withNext+next)))
 		if err != nil {
 			t.Fatalf("next %s: %v", next, err)
 		}
