--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -1,5 +1,5 @@
-// Package actor runs the parts of a process that own state: each has a mailbox whose messages are
-// handled one after another, so that its state needs no locks. An actor runs until the process ends.
+// Package actor runs actors: components that own state and handle the messages in their mailbox one after
+// another, so that the state needs no locks. An actor runs until the process ends.
 package actor
 
 import (
@@ -9,8 +9,8 @@
 	"postpoint/internal/clock"
 )
 
-// Mailbox takes messages for one actor. A message is a function that runs alone among all messages
-// of its mailbox.
+// Mailbox receives the messages for one actor. A message is a function; the actor never runs two messages of
+// a mailbox at the same time.
 type Mailbox interface {
 	clock.Clock
 	// Post queues a message. It may be called from any goroutine and never blocks.
@@ -19,7 +19,7 @@
 	After(delay clock.Micros, message func())
 }
 
-// mailbox is a Mailbox with a goroutine that handles its messages.
+// mailbox is a Mailbox with a goroutine that runs its messages.
 type mailbox struct {
 	clock.Clock
 	mu     sync.Mutex
@@ -27,9 +27,9 @@
 	signal chan struct{} // holds one element while the queue may not be empty
 }
 
-// New starts an actor with a goroutine of its own. The queue is unbounded because senders are
-// bounded instead: requests of users and workers by the listener's limit, everything else by one
-// outstanding call per purpose.
+// New starts an actor with a goroutine of its own and returns its mailbox. The queue is unbounded, because
+// the senders limit their messages: the listener limits the requests of users and workers, and every other
+// sender has at most one outstanding call per purpose.
 func New(c clock.Clock) Mailbox {
 	m := &mailbox{Clock: c, signal: make(chan struct{}, 1)}
 	go m.run()
@@ -43,7 +43,7 @@
 	m.mu.Unlock()
 	select {
 	case m.signal <- struct{}{}:
-	default: // the actor has been signaled already
+	default: // the actor has a signal already
 	}
 }
 
@@ -52,6 +52,7 @@
 	time.AfterFunc(delay.Duration(), func() { m.Post(message) })
 }
 
+// run handles messages until the process ends.
 func (m *mailbox) run() {
 	for range m.signal {
 		for _, message := range m.take() {
@@ -60,7 +61,7 @@
 	}
 }
 
-// take empties the queue.
+// take removes and returns all messages of the queue.
 func (m *mailbox) take() []func() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/actor/actor_test.go
+++ b/internal/actor/actor_test.go
@@ -8,7 +8,7 @@
 	"postpoint/internal/clock"
 )
 
-// waitLimit bounds how long a test waits for a message.
+// waitLimit is how long a test waits for a message.
 const waitLimit = 10 * time.Second
 
 // wait returns when the channel is closed, or fails the test.
@@ -17,14 +17,15 @@
 	select {
 	case <-done:
 	case <-time.After(waitLimit):
-		t.Fatalf("no message within %v, expected it to be handled", waitLimit)
+		t.Fatalf("the message has not run within %v", waitLimit)
 	}
 }
 
+// The actor runs one message at a time, and those of each sender in the order of their posts.
 func TestMessagesRunOneAfterAnotherInOrderOfEachSender(t *testing.T) {
 	const senders, each = 8, 500
 	m := New(clock.System())
-	var last [senders]int // owned by the actor: the race detector would tell
+	var last [senders]int // owned by the actor: the race detector reports concurrent messages
 	handled := 0
 	var sent sync.WaitGroup
 	for sender := range senders {
@@ -52,6 +53,7 @@
 	wait(t, done)
 }
 
+// Guards against a deadlock when a message posts to its own mailbox.
 func TestMessageMayPostToItsOwnMailbox(t *testing.T) {
 	m := New(clock.System())
 	done := make(chan struct{})
@@ -59,6 +61,7 @@
 	wait(t, done)
 }
 
+// After posts its message no earlier than after the delay.
 func TestAfterPostsOnceDelayIsOver(t *testing.T) {
 	const delay = 20 * clock.Millisecond
 	m := New(clock.System())
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -22,27 +22,28 @@
 	"postpoint/internal/simulation"
 )
 
-// realCell is a cell whose controllers are real processes.
+// realCell is a cell whose controllers are child processes.
 type realCell struct {
-	name      string
-	settings  []*settings.Settings // of each controller
-	exchanges []string             // their addresses for other cells
-	mu        sync.Mutex
-	processes []*exec.Cmd
-	closed    bool // the test is over: no process is started any more
-	standIns  *simulation.Loopback
-	file      string // the cells file
+	name          string
+	settings      []*settings.Settings // of each controller
+	cellAddresses []string             // of each controller, for other cells
+	mu            sync.Mutex
+	processes     []*exec.Cmd
+	closed        bool // the test has ended: start does nothing any more
+	fakes         *simulation.Loopback
+	file          string // the cells file
 }
 
 const controllersPerCell = 2
 
-// cellTypes are machines that boot fast.
+// cellTypes has one type of machine, which boots fast.
 var cellTypes = []protocol.MachineType{
 	{Name: "small", Cpus: 8, MemoryGB: 32, CacheGB: 50, FetchGBPerS: 1, Price: 0.4, SpotPrice: 0.1, BootS: 4,
 		Zones: []string{"a"}},
 }
 
-func newRealCell(x *simulation.RealTime, g *simulation.Group, name string, machines int) *realCell {
+// newRealCell starts the fakes of a cell and returns it. Its controllers start later.
+func newRealCell(realTime *simulation.RealTime, g *simulation.Group, name string, machines int) *realCell {
 	c := &realCell{name: name}
 	var controllers []simulation.Controller
 	for range controllersPerCell {
@@ -57,15 +58,15 @@
 			Cloud:         settings.Cloud{Rps: 8, ListLagS: 1},
 		}
 		c.settings = append(c.settings, s)
-		c.exchanges = append(c.exchanges, freeAddress())
+		c.cellAddresses = append(c.cellAddresses, freeAddress())
 		controllers = append(controllers, simulation.Controller{Name: s.Node, Address: s.Bind})
 	}
 	state, cloud, workers := listen("127.0.0.1:0"), listen("127.0.0.1:0"), listen("0.0.0.0:0")
-	c.standIns = simulation.NewLoopbackCell(x, g, name, c.settings[0], cellTypes, controllers,
+	c.fakes = simulation.NewLoopbackCell(realTime, g, name, c.settings[0], cellTypes, controllers,
 		workers.Addr().(*net.TCPAddr).Port)
-	clear(c.standIns.Deployment.Cloud.Capacity)
-	c.standIns.Deployment.Cloud.Capacity[scaling.CapacityPool{Type: "small", Zone: "a"}] = machines
-	c.standIns.Serve(state, cloud, workers)
+	clear(c.fakes.Deployment.Cloud.Capacity)
+	c.fakes.Deployment.Cloud.Capacity[scaling.CapacityPool{Type: "small", Zone: "a"}] = machines
+	c.fakes.Serve(state, cloud, workers)
 	for i, s := range c.settings {
 		s.Endpoints = settings.Endpoints{KVStore: state.Addr().String(), Cloud: cloud.Addr().String()}
 		for k, o := range c.settings {
@@ -77,63 +78,65 @@
 	return c
 }
 
-// entry is the cell's part of the cells file.
+// entry returns the cell's section of the cells file.
 func (c *realCell) entry() string {
 	text := fmt.Sprintf("[[cells]]\nname = %q\nlease_s = %v\nguests = { cpus = 64.0 }\n", c.name,
 		c.settings[0].Deployment.Workers.LeaseS)
-	for i, address := range c.exchanges {
+	for i, address := range c.cellAddresses {
 		text += fmt.Sprintf("[[cells.controllers]]\nnode = %q\naddress = %q\n", c.settings[i].Node, address)
 	}
 	return text
 }
 
+// start starts a controller's process.
 func (c *realCell) start(i int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.closed {
-		c.processes[i] = startAlone(c.settings[i], cellsVariable+"="+c.file)
+		c.processes[i] = startControllerProcess(c.settings[i], cellsVariable+"="+c.file)
 	}
 }
 
-func (c *realCell) end(i int) {
+// kill kills a controller's process.
+func (c *realCell) kill(i int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_ = c.processes[i].Process.Kill()
 	_ = c.processes[i].Wait()
 }
 
-// close ends all processes for good.
+// close kills all processes and prevents restarts.
 func (c *realCell) close() {
 	c.mu.Lock()
 	c.closed = true
 	c.mu.Unlock()
 	for i := range c.processes {
-		c.end(i)
+		c.kill(i)
 	}
 }
 
-// overview asks a controller, nil if it doesn't answer.
+// overview returns the overview of a controller, or nil if the controller doesn't respond.
 func (c *realCell) overview(i int) *overview.Overview {
 	client := http.Client{Timeout: 2 * time.Second}
-	answer, err := client.Get("http://" + c.settings[i].Bind + "/overview")
+	response, err := client.Get("http://" + c.settings[i].Bind + "/overview")
 	if err != nil {
 		return nil
 	}
-	defer answer.Body.Close()
+	defer response.Body.Close()
 	var o overview.Overview
-	if json.NewDecoder(answer.Body).Decode(&o) != nil {
+	if json.NewDecoder(response.Body).Decode(&o) != nil {
 		return nil
 	}
 	return &o
 }
 
-// endLeader kills the process that leads, and starts it again after a while.
-func (c *realCell) endLeader(t *testing.T) {
+// killLeader kills the leader's process and restarts it after 2 s.
+func (c *realCell) killLeader(t *testing.T) {
 	t.Helper()
 	for range 100 {
 		for i := range c.processes {
 			if o := c.overview(i); o != nil && o.Leads {
-				c.end(i)
+				c.kill(i)
 				time.AfterFunc(2*time.Second, func() { c.start(i) })
 				return
 			}
@@ -143,8 +146,9 @@
 	t.Errorf("nobody leads %s", c.name)
 }
 
-// lent counts the tasks that a cell has with others, -1 if nobody can tell.
-func (c *realCell) lent() int {
+// delegatedTasks returns the number of the cell's tasks that other cells hold, or -1 without a leader that
+// responds.
+func (c *realCell) delegatedTasks() int {
 	for i := range c.processes {
 		if o := c.overview(i); o != nil && o.Leads {
 			n := 0
@@ -157,27 +161,28 @@
 	return -1
 }
 
-// Three cells of real processes on loopback: one is filled, its work spills, each loses its
-// leader meanwhile, and every job finishes with each task completed exactly once. What the
-// stand-ins say of leases that ended between an answer's making and its arrival isn't judged:
-// in real time on a busy machine that says nothing of the order of events in the controller.
+// Three cells, with controllers in processes of their own, run on the loopback interface. One cell is
+// overloaded and offloads jobs, and each cell loses its leader meanwhile. Every job must complete, with each
+// task completed exactly once. The test ignores violations of the rule no_lease, which say that a lease
+// expired between the sending and the arrival of a response: in real time on a busy machine they don't show
+// the order of events in the controller.
 func TestThreeCellsOfRealProcesses(t *testing.T) {
-	x := &simulation.RealTime{World: simulation.NewWorld(1)}
+	realTime := &simulation.RealTime{World: simulation.NewWorld(1)}
 	g := &simulation.Group{}
 	group := []*realCell{
-		newRealCell(x, g, "alpha", 1),
-		newRealCell(x, g, "beta", 3),
-		newRealCell(x, g, "gamma", 3),
+		newRealCell(realTime, g, "alpha", 1),
+		newRealCell(realTime, g, "beta", 3),
+		newRealCell(realTime, g, "gamma", 3),
 	}
-	history := simulation.NewHistory(x.World, g.Cells...)
+	history := simulation.NewHistory(realTime.World, g.Cells...)
 	text := ""
 	for _, c := range group {
 		text += c.entry()
 	}
 	text += "[[spill]]\nfrom = \"alpha\"\nto = [\"beta\", \"gamma\"]\n"
-	folder := t.TempDir()
+	directory := t.TempDir()
 	for _, c := range group {
-		c.file = filepath.Join(folder, c.name+".toml")
+		c.file = filepath.Join(directory, c.name+".toml")
 		must(os.WriteFile(c.file, []byte(fmt.Sprintf("cell = %q\n%s", c.name, text)), 0o600))
 		c.processes = make([]*exec.Cmd, controllersPerCell)
 		for i := range c.processes {
@@ -187,11 +192,11 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go x.Run(ctx)
+	go realTime.Run(ctx)
 
-	alpha := group[0].standIns.Deployment
+	alpha := group[0].fakes.Deployment
 	var jobs []*simulation.Job
-	x.Do(func() {
+	realTime.Do(func() {
 		for i := range 8 {
 			spec := protocol.JobSpec{ID: protocol.JobID(fmt.Sprintf("job-%06d", i)), Class: "c", Team: "open",
 				Shape: protocol.ShapeArray, Priority: "normal", Tasks: 8, Cpus: 2, MemoryGB: 1,
@@ -204,7 +209,7 @@
 	})
 	began := time.Now()
 	finished := func() (done, elsewhere int) {
-		x.Do(func() {
+		realTime.Do(func() {
 			for _, j := range jobs {
 				if j.FinalStatus() == protocol.StatusDone {
 					done++
@@ -227,19 +232,19 @@
 		t.Error("hardly anything ran in other cells within a minute")
 	}
 	for _, c := range group {
-		c.endLeader(t)
+		c.killLeader(t)
 		time.Sleep(time.Second)
 	}
 	if !wait(150*time.Second, func() bool { n, _ := finished(); return n == len(jobs) }) {
 		n, _ := finished()
 		t.Errorf("%d of %d jobs are done after %.0f s", n, len(jobs), time.Since(began).Seconds())
 	}
-	if !wait(180*time.Second, func() bool { return group[0].lent() == 0 }) {
+	if !wait(180*time.Second, func() bool { return group[0].delegatedTasks() == 0 }) {
 		t.Error("work is still lent")
 	}
-	x.Do(func() {
+	realTime.Do(func() {
 		wrong := history.Judge(jobs)
-		for _, broken := range x.World.Violations {
+		for _, broken := range realTime.World.Violations {
 			if !strings.Contains(broken, " no_lease:") {
 				wrong = append(wrong, broken)
 			}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,6 +1,6 @@
-// Package controller assembles one controller process: its actors, the clients of the outside
-// systems, and the servers for users, workers and the other controllers. It also fits the process
-// to its machine. What the actors do is up to them; package node connects them.
+// Package controller assembles a controller process: its actors, the clients of the external systems, and the
+// servers for users, workers, other controllers and other cells. It also adapts the process to the limits of
+// its machine. Package node connects the actors.
 package controller
 
 import (
@@ -21,13 +21,13 @@
 	"postpoint/internal/zonerecovery"
 )
 
-// Options are the operator's own settings of a controller.
+// Options are the settings of a controller that its operator chooses.
 type Options struct {
-	// LeaseTTL is how long leadership outlasts its last renewal.
+	// LeaseTTL is the time to live of the leader's lease after its last renewal.
 	LeaseTTL clock.Micros
-	// Cells lists the cells of a group, nil for a cell on its own.
+	// Cells lists the cells that offload jobs to each other, nil for a single cell.
 	Cells *cells.Directory
-	// Recovery has the settings of recoveries from the loss of a zone, nil for none.
+	// Recovery has the settings of zone recovery, nil if it is disabled.
 	Recovery *zonerecovery.Settings
 }
 
@@ -40,15 +40,15 @@
 	return o.checkCellSockets(s.Deployment.MachineLimits)
 }
 
-// Run starts the actors and serves until one of the listeners fails, which is the error that it
-// returns. The actors run as long as the process: a controller that ends lets its lease expire.
+// Run starts the actors and the servers, and returns the error of the first server that fails. The actors run
+// until the process ends. A controller that ends doesn't release its lease; the lease expires.
 func Run(s *settings.Settings, o Options) error {
 	n := assemble(s, o)
 	n.Admission.RefuseWhen(memoryFull(s.Deployment.MachineLimits.MemoryMb))
 	n.Start()
 	failed := make(chan error, maxServers)
-	serve := func(clients, address string, serve func() error) {
-		go func() { failed <- fmt.Errorf("serve %s at %s: %w", clients, address, serve()) }()
+	serve := func(clients, address string, runServer func() error) {
+		go func() { failed <- fmt.Errorf("serve %s at %s: %w", clients, address, runServer()) }()
 	}
 	serve("controllers", s.InternalAddr, func() error { return peer.Serve(s.InternalAddr, n.Admission) })
 	serve("users and workers", s.Bind, func() error {
@@ -61,29 +61,29 @@
 	return <-failed
 }
 
-// maxServers is how many servers a controller has at the most.
+// maxServers is the largest number of servers of a controller.
 const maxServers = 3
 
-// assemble connects a node to the outside systems.
+// assemble returns a node with clients of the external systems.
 func assemble(s *settings.Settings, o Options) *node.Node {
-	boxes := newMailboxes()
+	mailboxes := newMailboxes()
 	peers := peerAddresses(s)
 	return node.New(node.Environment{
 		Settings:  s,
 		Election:  election.Config{Node: s.Node, Incarnation: rand.Text(), TTL: o.LeaseTTL},
-		Mailboxes: boxes,
+		Mailboxes: mailboxes,
 		Store:     kvstore.New(s.Endpoints.KVStore, s.Deployment.KVStore.Tightest()).For,
-		Cloud:     cloudclient.New(s.Endpoints.Cloud).For(boxes.Leader),
-		Agent:     workerclient.New().For(boxes.Leader),
-		Forward:   peer.NewForwarder(peers, boxes.Admission).Forward,
+		Cloud:     cloudclient.New(s.Endpoints.Cloud).For(mailboxes.Leader),
+		Agent:     workerclient.New().For(mailboxes.Leader),
+		Forward:   peer.NewForwarder(peers, mailboxes.Admission).Forward,
 		Cells:     o.Cells,
-		Exchange:  peer.NewCellClient(boxes.Leader),
-		Everyone:  peer.NewForwarder(peers, boxes.Leader).AskAll,
+		Exchange:  peer.NewCellClient(mailboxes.Leader),
+		Everyone:  peer.NewForwarder(peers, mailboxes.Leader).AskAll,
 		Recovery:  o.Recovery,
 	})
 }
 
-// newMailboxes starts the actors, all on the machine's clock.
+// newMailboxes starts the actors. All of them use the machine's clock.
 func newMailboxes() node.Mailboxes {
 	machineClock := clock.System()
 	return node.Mailboxes{
@@ -94,7 +94,7 @@
 	}
 }
 
-// peerAddresses returns where the other controllers listen for this one.
+// peerAddresses returns the addresses at which the other controllers serve their peers.
 func peerAddresses(s *settings.Settings) []string {
 	var addresses []string
 	for _, p := range s.Peers {
--- a/internal/controller/freeaddress_test.go
+++ b/internal/controller/freeaddress_test.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	lowestTestPort  = 10_000 // well-known services are below
-	ephemeralRange  = "/proc/sys/net/ipv4/ip_local_port_range"
-	ephemeralByRFC  = 49_152 // where the file does not exist
-	portsPerProcess = 97     // so that test processes side by side begin at different ports
+	lowestTestPort   = 10_000 // well-known services use lower ports
+	ephemeralRange   = "/proc/sys/net/ipv4/ip_local_port_range"
+	defaultEphemeral = 49_152 // the default without the file
+	portsPerProcess  = 97     // so that concurrent test processes begin at different ports
 )
 
 var portsTried atomic.Int64
 
-// lowestEphemeralPort is the first port that the system gives to connections and to listeners that
-// name none.
+// lowestEphemeralPort returns the first port that the system assigns to connections, and to listeners without
+// a port of their own.
 func lowestEphemeralPort() int {
 	text, err := os.ReadFile(ephemeralRange)
 	if err != nil {
-		return ephemeralByRFC
+		return defaultEphemeral
 	}
 	var lowest, highest int
 	_, err = fmt.Sscan(string(text), &lowest, &highest)
@@ -30,9 +30,9 @@
 	return lowest
 }
 
-// freeAddress is an address that nothing listens on, for a process that is started later. Its port
-// is below the ephemeral ports: one of those could be taken by any connection until the process
-// listens, which then ends with "address already in use".
+// freeAddress returns a loopback address without a listener, for a process that starts later. Its port is
+// below the ephemeral ports: the system could assign one of those to any connection before the process
+// listens, and the process would then fail with "address already in use".
 func freeAddress() string {
 	ports := lowestEphemeralPort() - lowestTestPort
 	for range ports {
@@ -47,15 +47,15 @@
 		lowestTestPort, lowestTestPort+ports))
 }
 
-// An address for a controller that starts later stays free: the system gives its port to nothing
-// else, and no second controller has it.
+// Guards against "address already in use" when a controller starts later: freeAddress returns no ephemeral
+// port, which the system could assign to a connection, and returns no address twice.
 func TestFreeAddressStaysFree(t *testing.T) {
 	lowest := lowestEphemeralPort()
 	seen := map[string]bool{}
 	for range 64 {
 		address := freeAddress()
 		if seen[address] {
-			t.Errorf("%s is given twice", address)
+			t.Errorf("freeAddress returned %s twice", address)
 		}
 		seen[address] = true
 		resolved, err := net.ResolveTCPAddr("tcp4", address)
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -11,38 +11,40 @@
 )
 
 const (
-	// outgoingSockets are for requests to the key-value store and the cloud, with some to spare.
+	// outgoingSockets is the number of sockets for requests to the key-value store and the cloud, with some
+	// headroom.
 	outgoingSockets = 64
-	// reservedSockets are left of the machine's limit for what this process connects to and for its
-	// peers: neither workers nor users can lock out the key-value store.
+	// reservedSockets is the part of the machine's socket limit that is reserved for outgoing connections and
+	// for peers, so that connections of workers and users can't block requests to the key-value store.
 	reservedSockets = workerclient.MaxConnections + 2*peer.MaxConnections + outgoingSockets
-	// minClientConnections is the least with which users, health checks and a few workers are served
-	// side by side.
+	// minClientConnections is the smallest number of client connections with which a controller serves users,
+	// health checks and a few workers at the same time.
 	minClientConnections = 64
-	// MinSockets is the least with which a controller runs.
+	// MinSockets is the smallest socket limit with which a controller runs.
 	MinSockets = reservedSockets + minClientConnections
-	// MinMemoryMB likewise: an idle controller holds some 13 MB, and each client connection takes
-	// about 20 kB while it is served.
+	// MinMemoryMB is the smallest memory limit with which a controller runs: an idle controller uses about
+	// 13 MB, and each client connection takes about 20 kB while the controller serves it.
 	MinMemoryMB = 24
-	// MinCPU is the least part of a core with which renewals keep their pace: a renewal and what it
-	// brings take well below a millisecond, and there is one every 0.8 s.
+	// MinCPU is the smallest share of a core with which a controller renews its lease in time: a renewal and
+	// the work that follows it take well below a millisecond, and there is one every 0.8 s.
 	MinCPU = 0.005
-	// heapShare of the memory limit is the collector's; the rest is for stacks, the C library and
-	// the binary.
+	// heapShare is the share of the memory limit that the garbage collector may use. The rest is for stacks,
+	// the C library and the binary.
 	heapShare = 0.75
+	// gcPercent is the growth of the heap, in percent, after which a garbage collection starts.
 	gcPercent = 300
 )
 
-// LimitError is a limit of the machine with which a controller can't run.
+// LimitError reports a limit of the machine that is too low for a controller.
 type LimitError struct {
-	// Field is the one in deployment.machine_limits of the settings.
+	// Field is the name of the limit in deployment.machine_limits of the settings.
 	Field          string
 	Value, Minimum float64
-	// Condition is what needs the minimum, "" if every controller does.
+	// Condition names the feature that requires the minimum, "" if every controller does.
 	Condition string
 }
 
-// Error names the field in full, its value and what is needed.
+// Error names the field by its full path, its value and the minimum.
 func (e *LimitError) Error() string {
 	condition := e.Condition
 	if condition != "" {
@@ -52,7 +54,7 @@
 		e.Field, e.Value, condition, e.Minimum)
 }
 
-// CheckLimits returns a *LimitError for a machine that is too small to run a controller at all.
+// CheckLimits returns a *LimitError if the machine is too small for any controller.
 func CheckLimits(l settings.MachineLimits) error {
 	for _, limit := range []LimitError{
 		{Field: "cpu", Value: l.CPU, Minimum: MinCPU},
@@ -66,18 +68,17 @@
 	return nil
 }
 
-// checkCellSockets returns a *LimitError if there are cells and too few sockets for them.
+// checkCellSockets returns a *LimitError if there are cells and too few sockets for connections with them.
 func (o Options) checkCellSockets(l settings.MachineLimits) error {
-	const least = MinSockets + peer.MaxCellConnections
-	if o.Cells == nil || l.MaxSockets >= least {
+	const minimum = MinSockets + peer.MaxCellConnections
+	if o.Cells == nil || l.MaxSockets >= minimum {
 		return nil
 	}
-	return &LimitError{Field: "max_sockets", Value: float64(l.MaxSockets), Minimum: least,
+	return &LimitError{Field: "max_sockets", Value: float64(l.MaxSockets), Minimum: minimum,
 		Condition: "with cells"}
 }
 
-// clientConnections is how many connections of users, workers and health checks the machine has
-// sockets for.
+// clientConnections returns the number of sockets for connections of users, workers and health checks.
 func (o Options) clientConnections(l settings.MachineLimits) int {
 	if o.Cells != nil {
 		return l.MaxSockets - reservedSockets - peer.MaxCellConnections
@@ -85,8 +86,8 @@
 	return l.MaxSockets - reservedSockets
 }
 
-// ApplyLimits fits the Go runtime to the machine: with a part of one core, more threads would only
-// take turns on it.
+// ApplyLimits adapts the Go runtime to the machine. It sets GOMAXPROCS to 1 because a controller has only a
+// share of one core, on which several threads would not run in parallel.
 func ApplyLimits(l settings.MachineLimits) {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(l.MemoryMb * 1e6 * heapShare))
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -19,11 +19,12 @@
 	"postpoint/internal/settings"
 )
 
-// controllerVariable makes the test program run a controller with the given settings.
+// controllerVariable is the environment variable with settings in JSON. If it is present, the test program
+// runs a controller with these settings instead of the tests.
 const controllerVariable = "POSTPOINT_CONTROLLER"
 
-// runAlone is the controller's process in the test of the least limits.
-func runAlone(raw string) {
+// runController is the main function of a child process. It runs a controller with settings in JSON.
+func runController(raw string) {
 	var s settings.Settings
 	must(json.Unmarshal([]byte(raw), &s))
 	must(CheckLimits(s.Deployment.MachineLimits))
@@ -38,12 +39,12 @@
 	must(Run(&s, options))
 }
 
-// cellsVariable names the cells file of such a controller.
+// cellsVariable is the environment variable with the path of the child controller's cells file.
 const cellsVariable = "POSTPOINT_CONTROLLER_CELLS"
 
-// startAlone starts a process that runs a controller.
-func startAlone(set *settings.Settings, environment ...string) *exec.Cmd {
-	raw, err := json.Marshal(set)
+// startControllerProcess starts a child process that runs a controller.
+func startControllerProcess(config *settings.Settings, environment ...string) *exec.Cmd {
+	raw, err := json.Marshal(config)
 	must(err)
 	child := exec.Command(os.Args[0])
 	child.Env = append(append(os.Environ(), controllerVariable+"="+string(raw)), environment...)
@@ -54,6 +55,7 @@
 // smallest is the smallest machine on which a controller runs.
 var smallest = settings.MachineLimits{CPU: MinCPU, MemoryMb: MinMemoryMB, MaxSockets: MinSockets}
 
+// CheckLimits names the limit that is too low.
 func TestTooSmallMachineIsRefusedByField(t *testing.T) {
 	if err := CheckLimits(smallest); err != nil {
 		t.Errorf("the smallest machine: %v, expected no error", err)
@@ -63,14 +65,14 @@
 		field   string
 		value   float64
 		minimum float64
-		set     func(*settings.MachineLimits)
+		change  func(*settings.MachineLimits)
 	}{
 		{"cpu", 0.001, 0.005, func(l *settings.MachineLimits) { l.CPU = 0.001 }},
 		{"memory_mb", 8, MinMemoryMB, func(l *settings.MachineLimits) { l.MemoryMb = 8 }},
 		{"max_sockets", 100, MinSockets, func(l *settings.MachineLimits) { l.MaxSockets = 100 }},
 	} {
 		l := smallest
-		c.set(&l)
+		c.change(&l)
 		err := CheckLimits(l)
 		if want := fmt.Sprintf(format, c.field, c.value, c.minimum); err == nil || err.Error() != want {
 			t.Errorf("%v, expected %q", err, want)
@@ -82,6 +84,7 @@
 	}
 }
 
+// A controller with cells needs sockets for the connections to other cells, too.
 func TestCellsNeedMoreSockets(t *testing.T) {
 	s := &settings.Settings{}
 	s.Deployment.MachineLimits = smallest
@@ -102,23 +105,24 @@
 	}
 }
 
+// memoryFull compares the memory of the process with the limit, in megabytes.
 func TestMemoryLimitComparesWithWhatProcessHolds(t *testing.T) {
 	if memoryFull(1e6)() {
-		t.Error("a limit of a terabyte is reached, expected that it isn't")
+		t.Error("memoryFull is true for a limit of a terabyte, expected false")
 	}
 	if !memoryFull(1)() {
-		t.Error("a limit of a megabyte isn't reached, expected that it is")
+		t.Error("memoryFull is false for a limit of a megabyte, expected true")
 	}
 }
 
-// With the least of memory and sockets a controller starts, responds on as many connections as it
-// has sockets for, and stays within both.
+// A controller on the smallest allowed machine starts, responds on all of its client connections, and stays
+// within its limits of memory and sockets.
 func TestControllerServesOnSmallestMachine(t *testing.T) {
-	set := loadSettings(loads["often"])
-	set.Deployment.MachineLimits = smallest
-	set.Bind, set.InternalAddr = freeAddress(), freeAddress()
-	set.Endpoints = settings.Endpoints{KVStore: freeAddress(), Cloud: freeAddress()}
-	child := startAlone(set)
+	config := loadSettings(loads["often"])
+	config.Deployment.MachineLimits = smallest
+	config.Bind, config.InternalAddr = freeAddress(), freeAddress()
+	config.Endpoints = settings.Endpoints{KVStore: freeAddress(), Cloud: freeAddress()}
+	child := startControllerProcess(config)
 	defer func() {
 		_ = child.Process.Kill()
 		_ = child.Wait()
@@ -126,18 +130,18 @@
 	for i := range minClientConnections {
 		client := http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{}}
 		defer client.CloseIdleConnections()
-		for tries := 0; ; tries++ {
-			answer, err := client.Get("http://" + set.Bind + "/overview")
+		for attempts := 0; ; attempts++ {
+			response, err := client.Get("http://" + config.Bind + "/overview")
 			if err == nil {
-				_, err = io.Copy(io.Discard, answer.Body) // so that the connection is kept
+				_, err = io.Copy(io.Discard, response.Body) // so that the client keeps the connection open
 				must(err)
-				_ = answer.Body.Close()
+				_ = response.Body.Close()
 				break
 			}
-			if i > 0 || tries == 500 {
+			if i > 0 || attempts == 500 {
 				t.Fatalf("connection %d: %v", i, err)
 			}
-			time.Sleep(20 * time.Millisecond) // it is starting
+			time.Sleep(20 * time.Millisecond) // the controller is starting
 		}
 	}
 	proc := fmt.Sprint("/proc/", child.Process.Pid)
@@ -148,7 +152,7 @@
 	_, err = fmt.Sscan(peak, &kilobytes)
 	must(err)
 	if kilobytes > MinMemoryMB*1000 {
-		t.Errorf("%d kB held at the peak, expected at most %d MB", kilobytes, MinMemoryMB)
+		t.Errorf("peak memory of %d kB, expected at most %d MB", kilobytes, MinMemoryMB)
 	}
 	files, err := os.ReadDir(filepath.Join(proc, "fd"))
 	must(err)
--- a/internal/controller/loopback_test.go
+++ b/internal/controller/loopback_test.go
@@ -25,28 +25,30 @@
 	"postpoint/internal/simulation"
 )
 
-// The benchmarks here run one whole controller against stand-ins in another process,
-// through real connections on the loopback interface, in real time. A controller runs
-// until its process ends, so that each benchmark needs a process of its own, and runs once:
+// The benchmarks in this file run one controller against fakes in another process, in real time and over
+// connections on the loopback interface. A controller runs until its process ends, so each benchmark needs a
+// process of its own and runs once:
 //
 //	go test -run xxx -bench SteadyState -benchtime 1x ./internal/controller \
 //		-seconds 60 -profiles "$PWD/target"
 //
-// The flags of this package come after its name: go test takes what follows an unknown flag for the
-// flags of the test, the package's name too.
+// The flags of this package must follow the package's name: go test passes everything after an unknown flag
+// to the test, including the name of the package.
 var (
-	seconds  = flag.Int("seconds", 20, "how long the phase at test lasts")
-	load     = flag.String("load", "often", "what the stand-ins are: 'often' or 'many', see loads")
-	profiles = flag.String("profiles", "", "folder for a processor and a heap profile of the phase")
+	seconds  = flag.Int("seconds", 20, "length of the measured phase in seconds")
+	load     = flag.String("load", "often", "deployment and load of the fakes: 'often' or 'many', see loads")
+	profiles = flag.String("profiles", "", "directory for a CPU and a heap profile of the phase")
 )
 
-// standInsVariable makes the test program play the stand-ins instead of testing.
-const standInsVariable = "POSTPOINT_STAND_INS"
+// fakesVariable is the environment variable with fakesOptions in JSON. If it is present, the test program
+// runs the fakes instead of the tests.
+const fakesVariable = "POSTPOINT_STAND_INS"
 
-// warmUp is played on the simulated clock before the controller at test takes over.
+// warmUp is how long the fakes run with simulated controllers, on the simulated clock, before the tested
+// controller takes over.
 const warmUp = 120 * clock.Second
 
-// loadShape is a deployment's size and what its users submit.
+// loadShape is the size of a deployment and the load from its users.
 type loadShape struct {
 	Workers  settings.Workers
 	Limits   settings.MachineLimits
@@ -54,15 +56,15 @@
 	Arrivals []arrivals
 }
 
-// arrivals are jobs of one kind.
+// arrivals are equal jobs that users submit at a fixed interval.
 type arrivals struct {
-	Every clock.Micros
-	Spec  protocol.JobSpec
-	Run   clock.Micros
+	Every   clock.Micros
+	Spec    protocol.JobSpec
+	RunTime clock.Micros
 }
 
 var loads = map[string]loadShape{
-	// Some 600 machines that report every 2.5 s, gangs and large arrays.
+	// About 600 machines with a heartbeat interval of 2.5 s, gangs and large arrays.
 	"often": {
 		Workers:  settings.Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 40, GangPeerS: 5, CancelS: 36},
 		Limits:   settings.MachineLimits{CPU: 0.05, MemoryMb: 114, MaxSockets: 1800},
@@ -78,7 +80,7 @@
 				100 * clock.Second},
 		},
 	},
-	// Some 1,000 machines that report every 5 s, arrays of short tasks on GPUs.
+	// About 1,000 machines with a heartbeat interval of 5 s, arrays of short tasks on GPUs.
 	"many": {
 		Workers:  settings.Workers{HeartbeatS: 5, LeaseS: 22, GangWaitS: 35, GangPeerS: 8, CancelS: 42},
 		Limits:   settings.MachineLimits{CPU: 0.036, MemoryMb: 114, MaxSockets: 1800},
@@ -104,43 +106,44 @@
 		BootS: 10, Zones: []string{"a", "b"}},
 }
 
+// TestMain runs the tests, or a child process that an environment variable selects.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	if shape := os.Getenv(standInsVariable); shape != "" {
-		playStandIns(shape)
+	if options := os.Getenv(fakesVariable); options != "" {
+		runFakes(options)
 		return
 	}
 	if raw := os.Getenv(controllerVariable); raw != "" {
-		runAlone(raw)
+		runController(raw)
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// standInsOptions are what the stand-ins are told, standInsReady what they answer.
-type standInsOptions struct {
+// fakesOptions configures the process with the fakes, which responds with fakesReady once it serves.
+type fakesOptions struct {
 	Load       string
 	Controller string
 }
 
-type standInsReady struct{ State, Cloud string }
+type fakesReady struct{ State, Cloud string }
 
-// progress is what the stand-ins have counted so far.
+// progress has the counters of the fakes, since their start.
 type progress struct {
-	Reports, Polls, Submissions, Starts, Machines, Changes int
+	Heartbeats, Polls, Submissions, Starts, Machines, Changes int
 }
 
-// playStandIns runs until its standard input ends; each line asks for the progress, or
-// brings the trouble that it names first.
-func playStandIns(raw string) {
-	var options standInsOptions
+// runFakes is the main function of the process with the fakes. It runs until its standard input ends. Each
+// line of the input is a command: it causes the event that it names, if any, and returns the progress.
+func runFakes(raw string) {
+	var options fakesOptions
 	must(json.Unmarshal([]byte(raw), &options))
 	shape := loads[options.Load]
 	workers := listen("0.0.0.0:0")
-	set := loadSettings(shape)
-	controllers := []simulation.Controller{{Name: set.Node, Address: options.Controller}}
-	l := simulation.NewLoopback(set, loadTypes, controllers, workers.Addr().(*net.TCPAddr).Port)
+	config := loadSettings(shape)
+	controllers := []simulation.Controller{{Name: config.Node, Address: options.Controller}}
+	l := simulation.NewLoopback(config, loadTypes, controllers, workers.Addr().(*net.TCPAddr).Port)
 	for name, n := range shape.Capacity {
 		for _, zone := range []string{"a", "b"} {
 			l.Deployment.Cloud.Capacity[scaling.CapacityPool{Type: name, Zone: zone}] = n
@@ -150,11 +153,11 @@
 	submitted := 0
 	submit := func(a arrivals) {
 		spec := a.Spec
-		spec.ID, spec.Team, spec.Priority, spec.Spot = protocol.JobID(fmt.Sprintf("job-%06d", submitted)), "open", "normal",
-			true
+		spec.ID, spec.Team, spec.Priority, spec.Spot =
+			protocol.JobID(fmt.Sprintf("job-%06d", submitted)), "open", "normal", true
 		spec.Image = fmt.Sprintf("img-%s-%d", spec.Class, submitted%4)
 		submitted++
-		l.Deployment.Submit(spec, a.Run, false)
+		l.Deployment.Submit(spec, a.RunTime, false)
 	}
 	for _, a := range shape.Arrivals {
 		l.Deployment.World.Every(a.Every, func() { submit(a) })
@@ -162,8 +165,8 @@
 	l.WarmUp(warmUp)
 	state, cloud := listen("127.0.0.1:0"), listen("127.0.0.1:0")
 	l.Serve(state, cloud, workers)
-	answers := json.NewEncoder(os.Stdout)
-	must(answers.Encode(standInsReady{state.Addr().String(), cloud.Addr().String()}))
+	responses := json.NewEncoder(os.Stdout)
+	must(responses.Encode(fakesReady{state.Addr().String(), cloud.Addr().String()}))
 	go l.Run(context.Background())
 	commands := json.NewDecoder(os.Stdin)
 	for {
@@ -186,7 +189,7 @@
 					}
 				}
 			}
-			must(answers.Encode(progress{l.Heartbeats, l.Polls, l.Submissions, l.Starts,
+			must(responses.Encode(progress{l.Heartbeats, l.Polls, l.Submissions, l.Starts,
 				len(l.Deployment.Workers()), l.Deployment.Store.Changes}))
 		})
 	}
@@ -204,7 +207,7 @@
 	return l
 }
 
-// loadSettings are the settings of a deployment, without its addresses.
+// loadSettings returns the settings of a deployment, without its addresses.
 func loadSettings(shape loadShape) *settings.Settings {
 	s := &settings.Settings{Node: "worker-0", Domain: "a"}
 	s.Deployment = settings.Deployment{
@@ -220,34 +223,35 @@
 	return s
 }
 
-// standIns is the other process.
-type standIns struct {
-	commands *json.Encoder
-	answers  *json.Decoder
+// fakesProcess is the connection to the process with the fakes.
+type fakesProcess struct {
+	commands  *json.Encoder
+	responses *json.Decoder
 }
 
-func (s *standIns) ask(tb testing.TB, command string) progress {
+// ask sends a command and returns the progress.
+func (s *fakesProcess) ask(tb testing.TB, command string) progress {
 	tb.Helper()
 	var p progress
 	if err := s.commands.Encode(command); err != nil {
 		tb.Fatal(err)
 	}
-	if err := s.answers.Decode(&p); err != nil {
+	if err := s.responses.Decode(&p); err != nil {
 		tb.Fatal(err)
 	}
 	return p
 }
 
-// startStandIns gives a deployment that was at work a moment ago and has lost its
-// controllers, and the settings for a new one.
-func startStandIns(tb testing.TB) (*standIns, *settings.Settings) {
+// startFakes starts the process with the fakes: a deployment under load that has just lost its controllers.
+// It also returns the settings for a new controller.
+func startFakes(tb testing.TB) (*fakesProcess, *settings.Settings) {
 	tb.Helper()
-	set := loadSettings(loads[*load])
-	set.Bind, set.InternalAddr = freeAddress(), freeAddress()
-	options, err := json.Marshal(standInsOptions{*load, set.Bind})
+	config := loadSettings(loads[*load])
+	config.Bind, config.InternalAddr = freeAddress(), freeAddress()
+	options, err := json.Marshal(fakesOptions{*load, config.Bind})
 	must(err)
 	child := exec.Command(os.Args[0])
-	child.Env = append(os.Environ(), standInsVariable+"="+string(options))
+	child.Env = append(os.Environ(), fakesVariable+"="+string(options))
 	child.Stderr = os.Stderr
 	in, err := child.StdinPipe()
 	must(err)
@@ -260,17 +264,17 @@
 		in.Close()
 		_ = child.Wait()
 	})
-	s := &standIns{json.NewEncoder(in), json.NewDecoder(out)}
-	var ready standInsReady
-	if err := s.answers.Decode(&ready); err != nil {
+	s := &fakesProcess{json.NewEncoder(in), json.NewDecoder(out)}
+	var ready fakesReady
+	if err := s.responses.Decode(&ready); err != nil {
 		tb.Fatal(err)
 	}
-	set.Endpoints = settings.Endpoints{KVStore: ready.State, Cloud: ready.Cloud}
-	return s, set
+	config.Endpoints = settings.Endpoints{KVStore: ready.State, Cloud: ready.Cloud}
+	return s, config
 }
 
-// phase measures what the controller's process uses while something happens.
-func phase(b *testing.B, s *standIns, during func()) {
+// measurePhase reports the resources that the controller's process uses during a function.
+func measurePhase(b *testing.B, s *fakesProcess, during func()) {
 	if *profiles != "" {
 		must(os.MkdirAll(*profiles, 0o755))
 		name := filepath.Join(*profiles, strings.TrimPrefix(b.Name(), "Benchmark")+"-"+*load)
@@ -293,22 +297,24 @@
 	b.ReportMetric((u.allocated-used.allocated)/elapsed/1e6, "alloc-MB/s")
 	b.ReportMetric(float64(u.resident)/1e6, "max-resident-MB")
 	b.ReportMetric((u.reads-used.reads+u.writes-used.writes)/elapsed, "reads+writes/s")
-	b.ReportMetric(float64(after.Reports-before.Reports)/elapsed, "reports/s")
+	b.ReportMetric(float64(after.Heartbeats-before.Heartbeats)/elapsed, "reports/s")
 	b.ReportMetric(float64(after.Polls-before.Polls)/elapsed, "polls/s")
 	b.ReportMetric(float64(after.Starts-before.Starts)/elapsed, "starts/s")
 	b.ReportMetric(float64(after.Changes-before.Changes)/elapsed, "changes/s")
 	b.ReportMetric(float64(after.Machines), "machines")
 }
 
-// cpuSamples a second: a phase uses a twentieth of a core.
+// cpuSamples is the rate of the CPU profile, per second. It is above the default because a phase uses only a
+// twentieth of a core.
 const cpuSamples = 1000
 
-// processUsage is what the process has used so far.
+// processUsage has the resources that this process has used since its start.
 type processUsage struct {
 	processor, allocated, reads, writes float64
-	resident                            int64 // bytes, at the most
+	resident                            int64 // peak, in bytes
 }
 
+// usage returns the resources that this process has used.
 func usage() processUsage {
 	var r syscall.Rusage
 	must(syscall.Getrusage(syscall.RUSAGE_SELF, &r))
@@ -326,29 +332,29 @@
 }
 
 // startController runs the controller in this process.
-func startController(set *settings.Settings) {
-	ApplyLimits(set.Deployment.MachineLimits)
-	go func() { must(Run(set, Options{LeaseTTL: 4 * clock.Second})) }()
+func startController(config *settings.Settings) {
+	ApplyLimits(config.Deployment.MachineLimits)
+	go func() { must(Run(config, Options{LeaseTTL: 4 * clock.Second})) }()
 }
 
-// From the start of a process to the first health check that it passes, in a process of
-// its own.
+// BenchmarkStartUp measures the time from the start of a controller's process to its first successful health
+// check.
 func BenchmarkStartUp(b *testing.B) {
-	_, set := startStandIns(b)
+	_, config := startFakes(b)
 	var wall, processor time.Duration
 	for range b.N {
 		began := time.Now()
-		child := startAlone(set)
+		child := startControllerProcess(config)
 		for {
-			answer, err := http.Get("http://" + set.Bind + "/up")
+			response, err := http.Get("http://" + config.Bind + "/up")
 			if err == nil {
-				_ = answer.Body.Close()
-				if answer.StatusCode == http.StatusOK {
+				_ = response.Body.Close()
+				if response.StatusCode == http.StatusOK {
 					break
 				}
 			}
 			if time.Since(began) > time.Minute {
-				b.Fatal("never healthy")
+				b.Fatal("the controller isn't healthy after a minute")
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -361,11 +367,12 @@
 	b.ReportMetric(processor.Seconds()/float64(b.N), "cpu-s")
 }
 
-// Election, records, and the whole fleet reporting anew.
+// BenchmarkTakeover measures a takeover: the election, loading the records, and the first heartbeats of all
+// machines.
 func BenchmarkTakeover(b *testing.B) {
-	s, set := startStandIns(b)
-	phase(b, s, func() {
-		startController(set)
+	s, config := startFakes(b)
+	measurePhase(b, s, func() {
+		startController(config)
 		began, starts := time.Now(), s.ask(b, "").Starts
 		for s.ask(b, "").Starts == starts && time.Since(began) < time.Minute {
 			time.Sleep(10 * time.Millisecond)
@@ -375,27 +382,28 @@
 	})
 }
 
-// Nothing but what users and workers always do.
-func BenchmarkSteadyState(b *testing.B) { benchmarkTrouble(b, "") }
+// BenchmarkSteadyState measures the usual load of users and workers.
+func BenchmarkSteadyState(b *testing.B) { benchmarkEvent(b, "") }
 
-// A burst of submissions.
-func BenchmarkBurst(b *testing.B) { benchmarkTrouble(b, "burst") }
+// BenchmarkBurst measures a burst of submissions.
+func BenchmarkBurst(b *testing.B) { benchmarkEvent(b, "burst") }
 
-// A third of the machines dies.
-func BenchmarkMachinesLost(b *testing.B) { benchmarkTrouble(b, "lost") }
+// BenchmarkMachinesLost measures the loss of a third of the machines.
+func BenchmarkMachinesLost(b *testing.B) { benchmarkEvent(b, "lost") }
 
-func benchmarkTrouble(b *testing.B, trouble string) {
-	s, set := startStandIns(b)
-	startController(set)
+// benchmarkEvent measures a phase that begins with an event, or without one for "".
+func benchmarkEvent(b *testing.B, event string) {
+	s, config := startFakes(b)
+	startController(config)
 	time.Sleep(settleTime)
-	phase(b, s, func() {
-		s.ask(b, trouble)
+	measurePhase(b, s, func() {
+		s.ask(b, event)
 		time.Sleep(time.Duration(*seconds) * time.Second)
 	})
 }
 
-// burstJobs of each kind come at once in a burst.
+// burstJobs is the number of jobs of each kind in a burst.
 const burstJobs = 40
 
-// settleTime is for the takeover before the phase at test.
+// settleTime is the time for the takeover before the measured phase.
 const settleTime = 15 * time.Second
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
-// Package node connects the actors of one controller with each other: who is told of a term, of a
-// leader, of a format. What lies outside of the node is passed in: real clients in a controller's
-// process, simulated ones in tests.
+// Package node connects the actors of one controller: it passes terms, the name of the leader and format
+// versions from the actor that determines them to the others. Callers supply the clients of external systems:
+// real ones in a controller's process, simulated ones in tests.
 package node
 
 import (
@@ -20,29 +20,31 @@
 	"postpoint/internal/zonerecovery"
 )
 
-// Mailboxes are those of a node's actors.
+// Mailboxes are the mailboxes of a node's actors.
 type Mailboxes struct {
 	Leader, Election, Admission, Rollout actor.Mailbox
 }
 
-// Environment is what a node's actors talk to.
+// Environment has the settings, mailboxes and clients that a node's actors use.
 type Environment struct {
 	Settings  *settings.Settings
 	Election  election.Config
 	Mailboxes Mailboxes
-	// Store returns the key-value store whose results arrive in a mailbox.
+	// Store returns a client of the key-value store that posts its results to the given mailbox.
 	Store func(actor.Mailbox) kvstore.Store
-	// Cloud and Agent respond to the mailbox of Leader, Forward to that of Admission.
+	// Cloud and Agent (the client of workers) post their results to the mailbox of Leader. Forward posts to
+	// that of Admission.
 	Cloud   cloudclient.API
 	Agent   workerclient.API
 	Forward admission.Forward
-	// Cells lists the cells, nil if they are switched off; Exchange reaches them and responds to the
-	// mailbox of Leader.
+	// Cells lists the cells that offload jobs to each other, nil for a single cell. Exchange is the client of
+	// the other cells, which posts its results to the mailbox of Leader.
 	Cells    *cells.Directory
 	Exchange federation.Exchanger
-	// Recovery has the settings of zone recovery, nil if it is switched off.
+	// Recovery has the settings of zone recovery, nil if it is disabled.
 	Recovery *zonerecovery.Settings
-	// Everyone asks all nodes, given this one's own actor; ok reports whether all have responded.
+	// Everyone sends a request to all controllers. own serves the request on this one. ok reports whether all
+	// have responded.
 	Everyone func(own *admission.Admission, r admission.Request,
 		done func(answers []admission.Response, ok bool))
 }
@@ -55,7 +57,7 @@
 	Rollout   *rollout.Rollout
 }
 
-// New returns a node that does nothing yet.
+// New returns a node that does nothing until Start is called.
 func New(e Environment) *Node {
 	n := &Node{}
 	n.Admission = admission.New(e.Mailboxes.Admission, e.Store(e.Mailboxes.Admission), e.Settings,
@@ -73,13 +75,13 @@
 	return n
 }
 
-// newLeader returns the leader's actor.
+// newLeader returns the Leader, connected to the node's other actors.
 func (n *Node) newLeader(e Environment) *leader.Leader {
-	box := e.Mailboxes.Leader
+	mailbox := e.Mailboxes.Leader
 	return leader.New(leader.Dependencies{
-		Mailbox:          box,
+		Mailbox:          mailbox,
 		Settings:         e.Settings,
-		Store:            e.Store(box),
+		Store:            e.Store(mailbox),
 		Cloud:            e.Cloud,
 		Workers:          e.Agent,
 		Deposed:          func(epoch protocol.Epoch) { n.Candidate.ObserveEpoch(epoch) },
@@ -89,7 +91,8 @@
 	})
 }
 
-// attestations returns how the leader asks all nodes to vouch for what they have told users.
+// attestations returns the function with which the leader requests attestations from all controllers: which
+// cancellations they have confirmed to users within the period `back`.
 func (n *Node) attestations(e Environment) func(back clock.Micros, done func([]admission.Attestation, bool)) {
 	return func(back clock.Micros, done func([]admission.Attestation, bool)) {
 		e.Everyone(n.Admission, admission.NewAttestationRequest(back),
@@ -99,7 +102,8 @@
 	}
 }
 
-// zoneReports returns how the leader asks all nodes which zones' machines they hear from.
+// zoneReports returns the function with which the leader asks all controllers from which zones they receive
+// heartbeats.
 func (n *Node) zoneReports(e Environment) func(done func([]admission.ZoneReports)) {
 	return func(done func([]admission.ZoneReports)) {
 		e.Everyone(n.Admission, admission.Request{Kind: admission.GetZoneReports},
@@ -109,15 +113,18 @@
 	}
 }
 
+// newCandidate returns the Candidate, which passes terms to Admission and Leader.
 func (n *Node) newCandidate(e Environment) *election.Candidate {
-	box := e.Mailboxes.Election
+	mailbox := e.Mailboxes.Election
 	publishTerm := func(t election.Term) {
-		n.Admission.NoteElection(t.Epoch) // first: nothing is vouched for after the term has begun
+		// First, so that every attestation after the term has begun reports this election.
+		n.Admission.NoteElection(t.Epoch)
 		n.Leader.SetTerm(t)
 	}
-	return election.New(box, e.Store(box), e.Election, publishTerm, n.Leader.SetLeader)
+	return election.New(mailbox, e.Store(mailbox), e.Election, publishTerm, n.Leader.SetLeader)
 }
 
+// newRollout returns the Rollout, which starts the election after it has published this node's format.
 func (n *Node) newRollout(e Environment) *rollout.Rollout {
 	format := rollout.FormatServices
 	if e.Cells != nil {
@@ -127,20 +134,21 @@
 		n.Leader.SetFormat(s)
 		n.Admission.SetFormatStatus(s)
 	}
-	box := e.Mailboxes.Rollout
-	// The election waits: what this node writes comes after the format that it reads.
-	return rollout.New(box, e.Store(box), e.Settings.Node, e.Settings.Nodes(), format,
+	mailbox := e.Mailboxes.Rollout
+	// The election starts only then, so that other controllers know the format that this node reads before it
+	// writes records.
+	return rollout.New(mailbox, e.Store(mailbox), e.Settings.Node, e.Settings.Nodes(), format,
 		n.Candidate.Start, onStatus)
 }
 
-// Start lets the node publish its format, stand for election and serve.
+// Start starts the leader's actor and the publication of this node's format, which starts the election.
 func (n *Node) Start() {
 	n.Leader.Start()
 	n.Rollout.Start()
 }
 
-// StartUnpublished starts it like a version that publishes no format, for tests of versions side by
-// side.
+// StartUnpublished starts the node like a version that publishes no format, for tests of several versions in
+// one deployment.
 func (n *Node) StartUnpublished() {
 	n.Leader.Start()
 	n.Candidate.Start()
