--- a/cmd/loadtool/cells.go
+++ b/cmd/loadtool/cells.go
@@ -11,29 +11,30 @@
 // firstCellsSeed is the seed of the first day of each variant.
 const firstCellsSeed = 100
 
-// cellsCommand compares ways in which three cells may help each other while one is overloaded.
+// cellsCommand compares variants of offloading among three cells, one of which is overloaded.
 type cellsCommand struct{ outputFlags }
 
-// Run simulates all variants, prints their figures and writes the report.
+// Run simulates all variants, prints their results and writes the report.
 func (c *cellsCommand) Run() error {
 	var rows [][]string
-	var starts, lent []htmlreport.Series
+	var starts, delegated []htmlreport.Series
 	for _, v := range cellsVariants {
 		sum, returned, first := c.simulate(v)
 		starts = append(starts, htmlreport.Distribution(v.name, sum.starts))
 		if v.rules != "" {
-			lent = append(lent, htmlreport.Series{Name: v.name, Points: first.lentOverTime, Steps: true})
+			delegated = append(delegated,
+				htmlreport.Series{Name: v.name, Points: first.delegatedOverTime, Steps: true})
 		}
 		rows = append(rows, c.row(v, sum, returned))
 	}
 	for _, row := range rows {
 		fmt.Println(strings.Join(row, " | "))
 	}
-	return c.write(rows, starts, lent)
+	return c.write(rows, starts, delegated)
 }
 
-// simulate sums up a variant's days, sorted, and lists after how long each lost cell's tasks were the
-// origin's again. It also returns the first day.
+// simulate simulates a variant's days. It returns the sum of their results with sorted delays, the times in
+// seconds after which the origin cell had the tasks of the lost cell back, and the result of the first day.
 func (c *cellsCommand) simulate(v cellsVariant) (sum cellsDay, returned []string, first cellsDay) {
 	for seed := range c.Seeds {
 		day := simulateCells(v, firstCellsSeed+seed)
@@ -51,13 +52,14 @@
 	return sum, returned, first
 }
 
+// cellsHeader has the headings of the columns of row.
 var cellsHeader = []string{
 	"variant", "alpha's jobs begin after, s (half, nine in ten)", "end after, s", "beta's own begin after, s",
 	"share of runs elsewhere", "delegations a job", "tasks not exactly once", "rules broken", "unfinished",
 	"beta's work back after, s", "alpha's changes of state", "processor, s a day (all stand-ins)",
 }
 
-// row is a line of the table under cellsHeader.
+// row returns a variant's row of the table with the columns of cellsHeader.
 func (c *cellsCommand) row(v cellsVariant, sum cellsDay, returned []string) []string {
 	days := float64(c.Seeds)
 	return []string{
@@ -67,29 +69,31 @@
 		fmt.Sprintf("%d of %d", sum.wrong, sum.jobs), fmt.Sprint(sum.broken), fmt.Sprint(sum.unfinished),
 		strings.Join(returned, " "),
 		fmt.Sprintf("%.0f", float64(sum.changes)/days),
-		fmt.Sprintf("%.2f", sum.processor.Seconds()/days),
+		fmt.Sprintf("%.2f", sum.elapsed.Seconds()/days),
 	}
 }
 
-func (c *cellsCommand) write(rows [][]string, starts, lent []htmlreport.Series) error {
-	r := htmlreport.Report{Title: "Three cells, one of them filled (simulated)"}
-	text := fmt.Sprintf("%d days of each kind. Alpha gets an array of eight tasks, or a gang of four, "+
-		"every five seconds, about three times what its machines can do; beta has some work of its own.",
+// write writes the report.
+func (c *cellsCommand) write(rows [][]string, starts, delegated []htmlreport.Series) error {
+	r := htmlreport.Report{Title: "Three cells, one of them overloaded (simulated)"}
+	text := fmt.Sprintf("%d days of each variant. Users submit an array of eight tasks, or a gang of four, "+
+		"to alpha every five seconds, about three times its capacity; beta has some jobs of its own.",
 		c.Seeds)
 	r.Table("Figures", text, cellsHeader, rows)
-	err := r.Lines("Starts", "The share of alpha's jobs that have begun.",
+	err := r.Lines("Starts", "The share of alpha's jobs that have started.",
 		"seconds from the submission", "share", starts...)
 	if err != nil {
 		return err
 	}
-	err = r.Lines("Lent", "Alpha's tasks with other cells, on the first day.", "seconds", "tasks", lent...)
+	err = r.Lines("Lent", "Alpha's tasks that other cells hold, on the first day.",
+		"seconds", "tasks", delegated...)
 	if err != nil {
 		return err
 	}
 	return r.Write(c.Report)
 }
 
-// quantiles are the median and the ninth decile.
+// quantiles returns the median and the ninth decile.
 func quantiles(sorted []float64) string {
 	if len(sorted) == 0 {
 		return "-"
--- a/cmd/loadtool/cellsday.go
+++ b/cmd/loadtool/cellsday.go
@@ -13,29 +13,30 @@
 )
 
 const (
-	fillingTime = 240 * clock.Second // while jobs are submitted
-	dayLength   = 900 * clock.Second
-	lossTime    = 100 * clock.Second // when beta is lost, if it is
+	submissionEnd = 240 * clock.Second // users submit jobs before this time
+	dayLength     = 900 * clock.Second
+	lossTime      = 100 * clock.Second // of beta, in variants with a loss
 
 	firstSubmission = 20 * clock.Second
-	alphaInterval   = 5 * clock.Second  // between submissions to the overloaded cell
-	betaInterval    = 30 * clock.Second // between submissions to its neighbour
+	alphaInterval   = 5 * clock.Second  // between submissions to alpha, the overloaded cell
+	betaInterval    = 30 * clock.Second // between submissions to beta
 	jobDuration     = 40 * clock.Second
 	gangEvery       = 4 // every fourth job is a gang
 	hostedJobs      = "guests = { cpus = 64.0 }"
 	offloadRules    = "[[spill]]\nfrom = \"alpha\"\nto = [\"beta\", \"gamma\"]\n"
 	numberOfCells   = 3
-	notReturned     = -1 // seconds, of a lost cell's tasks that are not the origin's again
+	notReturned     = -1 // value of returnedS while the lost cell holds tasks
 )
 
-// cellsVariant is one way in which the cells may help each other.
+// cellsVariant is a configuration of offloading between the cells.
 type cellsVariant struct {
 	name     string
-	rules    string // of the cells file
-	on       bool   // with a cells file at all
-	loseBeta bool   // the cell that helps most is lost in the middle
+	rules    string // offload rules of the cells file
+	on       bool   // whether there is a cells file at all
+	loseBeta bool   // whether the cell with most of the hosted jobs is lost at lossTime
 }
 
+// cellsVariants are the compared variants.
 var cellsVariants = []cellsVariant{
 	{name: "cells off", on: false},
 	{name: "on, nothing may spill", on: true},
@@ -45,23 +46,23 @@
 
 // cellsDay is the result of one simulated day, or the sum of several.
 type cellsDay struct {
-	starts       []float64 // of the overloaded cell's jobs, in seconds from their submission
-	ends         []float64
-	otherStarts  []float64 // of the other cells' own jobs
-	elsewhere    int       // runs of tasks outside their origin cell
-	runs         int
-	delegations  int
-	jobs         int
-	wrong        int // tasks that didn't complete exactly once
-	unfinished   int
-	broken       int           // broken rules
-	changes      int           // of the overloaded cell's store
-	returnedS    float64       // until no task was with the lost cell any more
-	processor    time.Duration // spent on the day
-	lentOverTime plotter.XYs   // tasks with other cells
+	starts            []float64 // of the overloaded cell's jobs, in seconds from their submission
+	ends              []float64 // of the same jobs
+	otherStarts       []float64 // of the other cells' own jobs
+	elsewhere         int       // runs of tasks outside their origin cell
+	runs              int       // all runs of tasks
+	delegations       int       // by the overloaded cell
+	jobs              int       // of the overloaded cell
+	wrong             int       // tasks that didn't complete exactly once
+	unfinished        int
+	broken            int           // violations of the simulation's rules
+	changes           int           // to the overloaded cell's store
+	returnedS         float64       // from the loss of a cell until it holds no tasks of the overloaded cell
+	elapsed           time.Duration // real time of the simulation
+	delegatedOverTime plotter.XYs   // the overloaded cell's tasks that other cells hold
 }
 
-// add sums up days.
+// add adds the results of a day.
 func (c *cellsDay) add(day cellsDay) {
 	c.starts = append(c.starts, day.starts...)
 	c.ends = append(c.ends, day.ends...)
@@ -74,9 +75,10 @@
 	c.unfinished += day.unfinished
 	c.broken += day.broken
 	c.changes += day.changes
-	c.processor += day.processor
+	c.elapsed += day.elapsed
 }
 
+// cellSettings returns the settings of each cell.
 func cellSettings() *settings.Settings {
 	s := &settings.Settings{}
 	s.Deployment = settings.Deployment{
@@ -90,13 +92,14 @@
 	return s
 }
 
+// cellTypes are the machine types of each cell.
 var cellTypes = []protocol.MachineType{{
 	Name: "small", Cpus: 8, MemoryGB: 32, CacheGB: 50, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3,
 	BootS: 8, Zones: []string{"a", "b"},
 }}
 
-// cellsSimulation is a day under way. Alpha is overloaded: it gets three times as many tasks as its
-// machines can run.
+// cellsSimulation is the simulation of a day. Alpha is overloaded: users submit three times as many tasks as
+// its machines can run.
 type cellsSimulation struct {
 	variant     cellsVariant
 	world       *simulation.World
@@ -107,17 +110,18 @@
 	day         cellsDay
 }
 
-// simulateCells runs a day of a variant.
+// simulateCells simulates a day of a variant.
 func simulateCells(v cellsVariant, seed uint64) cellsDay {
 	s := newCellsSimulation(v, seed)
-	began := time.Now()
+	start := time.Now()
 	s.scheduleSubmissions()
 	s.run()
-	s.day.processor = time.Since(began)
+	s.day.elapsed = time.Since(start)
 	s.measure()
 	return s.day
 }
 
+// newCellsSimulation returns a day that has not started.
 func newCellsSimulation(v cellsVariant, seed uint64) *cellsSimulation {
 	world := simulation.NewWorld(seed)
 	var sets []*settings.Settings
@@ -135,8 +139,9 @@
 	}
 }
 
+// scheduleSubmissions schedules all submissions of the day.
 func (s *cellsSimulation) scheduleSubmissions() {
-	for at := firstSubmission; at < fillingTime; at += alphaInterval {
+	for at := firstSubmission; at < submissionEnd; at += alphaInterval {
 		s.world.After(at, func() { submitNext(s.alpha, &s.jobs) })
 		if (at-firstSubmission)%betaInterval == 0 {
 			s.world.After(at, func() { submitNext(s.beta, &s.otherJobs) })
@@ -144,7 +149,7 @@
 	}
 }
 
-// submitNext submits an array, or a gang each fourth time.
+// submitNext submits an array, or a gang as every fourth job.
 func submitNext(d *simulation.Deployment, jobs *[]*simulation.Job) {
 	number := len(*jobs)
 	spec := protocol.JobSpec{
@@ -159,7 +164,7 @@
 	*jobs = append(*jobs, d.Submit(spec, jobDuration, false))
 }
 
-// run lets the day pass and samples the tasks with other cells each second.
+// run simulates the day and samples the tasks that other cells hold every second.
 func (s *cellsSimulation) run() {
 	if s.variant.loseBeta {
 		s.world.Run(lossTime)
@@ -171,16 +176,18 @@
 	}
 }
 
+// sample records the number of alpha's tasks that other cells hold.
 func (s *cellsSimulation) sample() {
-	lent := s.alpha.Lent()
-	tasks := float64(lent["beta"] + lent["gamma"])
-	s.day.lentOverTime = append(s.day.lentOverTime, plotter.XY{X: s.world.Now().Seconds(), Y: tasks})
-	if s.variant.loseBeta && s.day.returnedS < 0 && lent["beta"] == 0 {
+	delegated := s.alpha.Lent()
+	tasks := float64(delegated["beta"] + delegated["gamma"])
+	s.day.delegatedOverTime = append(s.day.delegatedOverTime,
+		plotter.XY{X: s.world.Now().Seconds(), Y: tasks})
+	if s.variant.loseBeta && s.day.returnedS < 0 && delegated["beta"] == 0 {
 		s.day.returnedS = (s.world.Now() - lossTime).Seconds()
 	}
 }
 
-// measure fills in the day's results.
+// measure fills in the results of the day.
 func (s *cellsSimulation) measure() {
 	day := &s.day
 	for _, j := range s.jobs {
--- a/cmd/loadtool/digest.go
+++ b/cmd/loadtool/digest.go
@@ -10,20 +10,21 @@
 	"postpoint/internal/simulation"
 )
 
-// digestCommand prints a hash of all that controllers send, store and answer on days of random
-// load and failures. It stays the same as long as they do exactly the same.
+// digestCommand prints a hash of everything that controllers send, store and respond on simulated days with
+// random load and faults. A change of the code that keeps the controllers' behaviour keeps the hashes.
 type digestCommand struct {
 	Seeds     uint64 `name:"seeds" help:"How many days of each kind are played." default:"8"`
 	FirstSeed uint64 `name:"first-seed" help:"The first day's seed." default:"1"`
 	Parallel  int    `name:"parallel" help:"How many days are played at a time." default:"4"`
 }
 
-// digest hashes the messages of one day in the order in which it is told of them.
+// digest hashes the messages of one simulated day in the order of the calls of Record.
 type digest struct {
 	hash     hash.Hash
 	messages int
 }
 
+// newDigest returns a digest without messages.
 func newDigest() *digest { return &digest{hash: sha256.New()} }
 
 // Record adds a message.
@@ -35,19 +36,20 @@
 	d.add(content)
 }
 
-// add takes a field in after its length, so that no two sequences of fields look alike.
+// add hashes the length of a field before the field, so that different sequences of fields never result in
+// the same bytes.
 func (d *digest) add(field []byte) {
 	d.hash.Write(binary.BigEndian.AppendUint32(nil, uint32(len(field))))
 	d.hash.Write(field)
 }
 
-// digestBytes is how much of the hash is printed.
+// digestBytes is the number of bytes of the hash that String returns.
 const digestBytes = 16
 
-// String is the beginning of the hash in hexadecimal digits.
+// String returns the beginning of the hash in hexadecimal digits.
 func (d *digest) String() string { return fmt.Sprintf("%x", d.hash.Sum(nil)[:digestBytes]) }
 
-// digestDay plays a day and describes it in one line.
+// digestDay simulates a day and returns a line with its digest.
 func digestDay(kind simulation.Kind, seed uint64) string {
 	d := newDigest()
 	kind.Play(seed, d)
--- a/cmd/loadtool/digest_test.go
+++ b/cmd/loadtool/digest_test.go
@@ -7,7 +7,7 @@
 	"postpoint/internal/simulation"
 )
 
-// A day's digest is the same each time, and another seed's is another.
+// Two simulations of the same day have the same digest; days with different seeds have different digests.
 func TestDigestRepeats(t *testing.T) {
 	plain := simulation.Kinds[0]
 	first, again, other := digestDay(plain, 1), digestDay(plain, 1), digestDay(plain, 2)
@@ -19,6 +19,7 @@
 	}
 }
 
+// message has the arguments of Record.
 type message struct {
 	at               clock.Micros
 	controller, kind string
@@ -33,19 +34,19 @@
 	return d.String()
 }
 
-// Every part of a message, the order of messages and their number count.
+// The digest depends on every part of a message, on the order of messages and on their number.
 func TestDigestDependsOnEverything(t *testing.T) {
 	a, b := message{1, "worker-0", "get", "key"}, message{2, "worker-1", "list", "prefix"}
 	variants := map[string][]message{
-		"the messages":       {a, b},
-		"another order":      {b, a},
-		"one message":        {a},
-		"one twice":          {a, b, b},
-		"another time":       {{3, "worker-0", "get", "key"}, b},
-		"another controller": {{1, "worker-2", "get", "key"}, b},
-		"another kind":       {{1, "worker-0", "put", "key"}, b},
-		"another byte":       {{1, "worker-0", "get", "kez"}, b},
-		"another border":     {{1, "worker-0", "getk", "ey"}, b},
+		"the messages":                  {a, b},
+		"another order":                 {b, a},
+		"one message":                   {a},
+		"a repeated message":            {a, b, b},
+		"another time":                  {{3, "worker-0", "get", "key"}, b},
+		"another controller":            {{1, "worker-2", "get", "key"}, b},
+		"another kind":                  {{1, "worker-0", "put", "key"}, b},
+		"another byte":                  {{1, "worker-0", "get", "kez"}, b},
+		"another border between fields": {{1, "worker-0", "getk", "ey"}, b},
 	}
 	names := map[string]string{}
 	for name, messages := range variants {
--- a/cmd/loadtool/main.go
+++ b/cmd/loadtool/main.go
@@ -1,6 +1,6 @@
-// Command loadtool plays loads and faults on the simulated clock, against this repository's
-// stand-ins, and writes what it measured as a page with plots, or a hash of what controllers
-// did. Its figures are simulated.
+// Command loadtool simulates loads and faults on a simulated clock with the repository's fakes. It writes its
+// measurements as a page with plots, or prints hashes of the actions of the controllers. All of its figures
+// are simulated.
 package main
 
 import (
@@ -9,6 +9,7 @@
 	"github.com/alecthomas/kong"
 )
 
+// commandLine has the commands.
 type commandLine struct {
 	Cells  cellsCommand  `cmd:"" name:"cells" help:"Three cells of which one is filled, with and without spilling."`
 	Digest digestCommand `cmd:"" name:"digest" help:"A hash of all that controllers do on each of many days."`
@@ -17,12 +18,12 @@
 func main() {
 	var cli commandLine
 	ctx := kong.Parse(&cli, kong.Name("loadtool"),
-		kong.Description("Plays loads and faults on the simulated clock and reports on them."))
-	slog.SetDefault(slog.New(slog.DiscardHandler)) // the controllers' own logs
+		kong.Description("Simulates loads and faults on a simulated clock and reports the results."))
+	slog.SetDefault(slog.New(slog.DiscardHandler)) // discards the logs of the simulated controllers
 	ctx.FatalIfErrorf(ctx.Run())
 }
 
-// outputFlags are those of every command.
+// outputFlags are the flags of commands that write a report.
 type outputFlags struct {
 	Report string `name:"report" help:"File to write the report to (HTML)." default:"report.html" placeholder:"FILE"`
 	Seeds  uint64 `name:"seeds" help:"How many days of each kind are played." default:"8"`
--- a/cmd/postpoint/golden_test.go
+++ b/cmd/postpoint/golden_test.go
@@ -11,7 +11,7 @@
 	"postpoint/internal/goldentest"
 )
 
-// newParser is one whose help and errors don't end the process.
+// newParser returns a parser that doesn't exit the process after help or an error.
 func newParser(t *testing.T, cli *commandLine) *kong.Kong {
 	t.Helper()
 	parser, err := kong.New(cli, kong.Name("postpoint"), helpTexts,
@@ -22,7 +22,7 @@
 	return parser
 }
 
-// goldenFlag is what an operator sees of a flag.
+// goldenFlag has the properties of a flag on which operators rely.
 type goldenFlag struct {
 	Name, Env, Default, Enum, Placeholder string
 	Required                              bool
@@ -46,8 +46,8 @@
 	return flags
 }
 
-// The version, and the commands, flags and environment variables with their defaults, are as
-// recorded.
+// Guards against accidental changes of the command line: the version, the commands, and the flags and
+// environment environmentVariables with their defaults are as recorded.
 func TestGoldenCommandLine(t *testing.T) {
 	model := newParser(t, &commandLine{}).Model
 	files := []goldenFlag{
@@ -75,19 +75,21 @@
 		delete(commands, node.Name)
 	}
 	if version != "0.1.0" {
-		t.Errorf("version %s", version)
+		t.Errorf("version is %s, want 0.1.0", version)
 	}
 	if len(commands) > 0 {
 		t.Errorf("%d commands are missing", len(commands))
 	}
 	if model.DefaultCmd == nil || model.DefaultCmd.Name != "serve" {
-		t.Error("serve isn't the default")
+		t.Error("the default command isn't serve")
 	}
 }
 
-var variables = []string{"LOG_LEVEL", "POSTPOINT_RECOVERY", "POSTPOINT_CELLS", "POSTPOINT_LEASE_TTL_MS"}
+var environmentVariables = []string{
+	"LOG_LEVEL", "POSTPOINT_RECOVERY", "POSTPOINT_CELLS", "POSTPOINT_LEASE_TTL_MS",
+}
 
-// Arguments and environment variables are read as the recorded values.
+// Arguments and environment environmentVariables are parsed into the recorded values.
 func TestGoldenArguments(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.json")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
@@ -101,7 +103,7 @@
 		command     string
 		want        commandLine
 	}{
-		{"the platform's", []string{"--config", file}, nil, "serve", commandLine{
+		{"the platform's arguments", []string{"--config", file}, nil, "serve", commandLine{
 			LogLevel: "info",
 			Serve:    serveCommand{filesFlags: filesFlags{Config: file}, LeaseTTLMs: 4000},
 		}},
@@ -112,7 +114,7 @@
 				LogLevel: "debug",
 				Serve:    serveCommand{filesFlags: allFiles, LeaseTTLMs: 3000},
 			}},
-		{"all variables", []string{"--config", "c"}, map[string]string{
+		{"all environment variables", []string{"--config", "c"}, map[string]string{
 			"LOG_LEVEL":              "error",
 			"POSTPOINT_RECOVERY":     "r",
 			"POSTPOINT_CELLS":        "x",
@@ -122,15 +124,15 @@
 			Serve:    serveCommand{filesFlags: allFiles, LeaseTTLMs: 2500},
 			Check:    checkCommand{filesFlags: filesFlags{Recovery: "r", Cells: "x"}},
 		}},
-		{"a check", []string{"check", "--config=c", "--recovery=r", "--cells=x"}, nil, "check", commandLine{
+		{"check", []string{"check", "--config=c", "--recovery=r", "--cells=x"}, nil, "check", commandLine{
 			LogLevel: "info",
 			Serve:    serveCommand{LeaseTTLMs: 4000},
 			Check:    checkCommand{filesFlags: allFiles},
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			for _, name := range variables {
-				t.Setenv(name, "") // restored afterwards
+			for _, name := range environmentVariables {
+				t.Setenv(name, "") // restores the variable after the test
 				_ = os.Unsetenv(name)
 			}
 			for name, value := range c.environment {
@@ -142,7 +144,7 @@
 				t.Fatal(err)
 			}
 			if ctx.Command() != c.command {
-				t.Errorf("command %q", ctx.Command())
+				t.Errorf("command is %q", ctx.Command())
 			}
 			all := cmp.AllowUnexported(commandLine{}, serveCommand{}, checkCommand{}, filesFlags{})
 			if d := cmp.Diff(c.want, cli, all); d != "" {
@@ -152,7 +154,7 @@
 	}
 }
 
-// A command's and a flag's name is in its tag: else renaming its field would rename it.
+// Every command and flag has its name in a tag; otherwise, renaming its Go field would rename it.
 func TestFlagsHaveTags(t *testing.T) {
 	goldentest.RequireTags(t, "name", commandLine{})
 }
--- a/cmd/postpoint/main.go
+++ b/cmd/postpoint/main.go
@@ -1,4 +1,4 @@
-// Command postpoint is one controller of the scheduler.
+// Command postpoint runs a controller of the cluster scheduler, or checks its configuration files.
 package main
 
 import (
@@ -16,21 +16,23 @@
 	"postpoint/internal/zonerecovery"
 )
 
+// version is the version that --version and the log report.
 var version = "0.1.0"
 
-// defaultLeaseTTL is that of the flag.
+// defaultLeaseTTL is the default of the flag --lease-ttl-ms.
 const defaultLeaseTTL = 4 * clock.Second
 
-// helpTexts are the longer texts of --help, by their names in the fields' tags.
+// helpTexts are the longer help texts, by the names of the variables in the struct tags.
 var helpTexts = kong.Vars{
 	"version":      "postpoint " + version,
-	"log_level":    "Amount of logging: error, info or debug.",
-	"lease_ttl_ms": "How long leadership outlasts its last renewal, in milliseconds.",
-	"recovery_file": "File of the settings of recoveries from the loss of a zone (TOML); " +
-		"none: machines are met one by one.",
-	"cells_file": "File that lists the cells which run work for each other (TOML); none: a cell on its own.",
+	"log_level":    "Log level: error, info or debug.",
+	"lease_ttl_ms": "Time to live of the leader's lease after its last renewal, in milliseconds.",
+	"recovery_file": "File with the settings of zone recovery (TOML). " +
+		"Without it, the leader handles unreachable machines one by one.",
+	"cells_file": "File with the cells that offload jobs to each other (TOML). Without it: a single cell.",
 }
 
+// commandLine has the global flags and the commands.
 type commandLine struct {
 	LogLevel string           `help:"${log_level}" enum:"error,info,debug" default:"info" env:"LOG_LEVEL" name:"log-level"`
 	Version  kong.VersionFlag `help:"Print the version." name:"version"`
@@ -39,16 +41,18 @@
 	Check checkCommand `cmd:"" name:"check" help:"Check a settings file and say what is wrong with it."`
 }
 
+// serveCommand runs a controller.
 type serveCommand struct {
 	filesFlags
 	LeaseTTLMs int64 `help:"${lease_ttl_ms}" default:"4000" env:"POSTPOINT_LEASE_TTL_MS" name:"lease-ttl-ms"`
 }
 
+// checkCommand validates the configuration files.
 type checkCommand struct {
 	filesFlags
 }
 
-// filesFlags name the files that a controller reads.
+// filesFlags are the paths of a controller's configuration files.
 type filesFlags struct {
 	Config   string `name:"config" help:"Settings file of the platform (JSON)." required:"" placeholder:"FILE"`
 	Recovery string `name:"recovery" help:"${recovery_file}" env:"POSTPOINT_RECOVERY" placeholder:"FILE"`
@@ -58,7 +62,7 @@
 func main() {
 	var cli commandLine
 	ctx := kong.Parse(&cli, kong.Name("postpoint"), helpTexts,
-		kong.Description("A cluster scheduler: takes jobs, rents machines and decides what runs where."))
+		kong.Description("A cluster scheduler: accepts jobs, scales out and in, and places tasks on machines."))
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(strings.ToUpper(cli.LogLevel))); err != nil {
 		ctx.FatalIfErrorf(err)
@@ -70,7 +74,7 @@
 	}
 }
 
-// load reads the files and refuses machines that are too small.
+// load reads the configuration files and rejects a machine that is too small for a controller.
 func (f *filesFlags) load() (*settings.Settings, controller.Options, error) {
 	options := controller.Options{LeaseTTL: defaultLeaseTTL}
 	s, err := settings.Load(f.Config)
@@ -93,6 +97,7 @@
 	return s, options, nil
 }
 
+// Run checks the files and prints a line about each of them, or returns the first error.
 func (c *checkCommand) Run() error {
 	s, options, err := c.load()
 	if err != nil {
@@ -101,17 +106,18 @@
 	if err := options.Validate(s); err != nil {
 		return err
 	}
-	fmt.Printf("%s: node %s of %d, %d teams, %d aims\n", c.Config, s.Node, len(s.Peers)+1,
+	fmt.Printf("%s: node %s of %d, %d teams, %d objectives\n", c.Config, s.Node, len(s.Peers)+1,
 		len(s.Deployment.Teams), len(s.Deployment.Objectives))
-	if group := options.Cells; group != nil {
-		fmt.Printf("%s: cell %s and %d others\n", c.Cells, group.Own.Name, len(group.Others()))
+	if directory := options.Cells; directory != nil {
+		fmt.Printf("%s: cell %s and %d others\n", c.Cells, directory.Own.Name, len(directory.Others()))
 	}
-	if r := options.Recovery; r != nil {
-		fmt.Printf("%s: order %v, %v tasks a second\n", c.Recovery, r.Order, r.TasksPerS)
+	if recovery := options.Recovery; recovery != nil {
+		fmt.Printf("%s: order %v, %v tasks a second\n", c.Recovery, recovery.Order, recovery.TasksPerS)
 	}
 	return nil
 }
 
+// Run runs a controller until one of its servers fails.
 func (c *serveCommand) Run() error {
 	s, options, err := c.load()
 	if err != nil {
