--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,5 +1,5 @@
-// Package goldentest compares what is sent and stored with recorded bytes, for tests only. The
-// recorded bytes are the formats themselves: they change only together with a new format version.
+// Package goldentest helps tests to compare messages and stored records with recorded bytes. The recorded
+// bytes define the formats: they change only together with a new format version.
 package goldentest
 
 import (
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Equal fails the test unless an encoded form is the recorded one, byte for byte.
+// Equal fails the test unless the encoded form equals the recorded one, byte for byte.
 func Equal(t testing.TB, name string, encoded []byte, recorded string) {
 	t.Helper()
 	if string(encoded) != recorded {
@@ -17,7 +17,7 @@
 	}
 }
 
-// quote writes bytes as a string literal in which all that isn't printable ASCII is escaped.
+// quote returns bytes as a string literal that escapes everything except printable ASCII.
 func quote(raw []byte) string {
 	var b strings.Builder
 	for _, c := range raw {
@@ -33,13 +33,14 @@
 	return `"` + b.String() + `"`
 }
 
-// RequireFieldsSet fails the test if an exported field of a struct, or of a struct within it, has
-// its zero value: a recorded form says nothing of the fields that are left out of it.
+// RequireFieldsSet fails the test if an exported field of a struct, or of a struct within it, has its zero
+// value: the encoded form may omit such a field, and the comparison then can't detect a change of its format.
 func RequireFieldsSet(t testing.TB, name string, value any) {
 	t.Helper()
 	requireFieldsSet(t, name, reflect.ValueOf(value))
 }
 
+// requireFieldsSet checks the value at a path.
 func requireFieldsSet(t testing.TB, path string, v reflect.Value) {
 	t.Helper()
 	if v.IsZero() {
@@ -65,9 +66,9 @@
 	}
 }
 
-// RequireTags fails the test if an exported field of a struct, or of one of this module's structs
-// within it, has no name of its own in the given kind of tag: its Go name would be what is sent or
-// stored. Embedded structs lend their fields and need no name.
+// RequireTags fails the test if an exported field of a struct, or of one of this module's structs within it,
+// has no name in the tag with the given key: its Go name would be on the wire or in stored records. Embedded
+// structs need no name, because the encoding contains only their fields.
 func RequireTags(t testing.TB, tag string, values ...any) {
 	t.Helper()
 	seen := map[reflect.Type]bool{}
@@ -75,10 +76,11 @@
 		requireTags(t, tag, reflect.TypeOf(value), seen)
 	}
 	if len(seen) < len(values) {
-		t.Errorf("%d structs among %d values", len(seen), len(values))
+		t.Errorf("found %d structs in %d values, want at least one for each", len(seen), len(values))
 	}
 }
 
+// requireTags checks a type unless it has been seen.
 func requireTags(t testing.TB, tag string, typ reflect.Type, seen map[reflect.Type]bool) {
 	t.Helper()
 	switch typ.Kind() {
@@ -104,5 +106,5 @@
 	}
 }
 
-// modulePrefix is what the paths of this module's packages begin with.
+// modulePrefix is the prefix of the import paths of this module's packages.
 const modulePrefix = "postpoint/"
--- a/internal/goldentest/server.go
+++ b/internal/goldentest/server.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-// Serve is an outside system that answers every request alike. It gives its address, and the
-// requests as they came: method and path, headers, an empty line and the body, with line feeds
-// alone at the ends of lines.
-func Serve(t testing.TB, status int, answer string) (address string, requests <-chan []byte) {
+// Serve starts a fake of an external system that sends the same response to every request. It returns the
+// address of the fake and the requests that it receives: method and path, headers, an empty line and the
+// body. Lines end with a line feed alone.
+func Serve(t testing.TB, status int, response string) (address string, requests <-chan []byte) {
 	t.Helper()
-	came := make(chan []byte, 1)
+	received := make(chan []byte, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var request bytes.Buffer
 		request.WriteString(r.Method + " " + r.RequestURI + "\n")
@@ -22,10 +22,10 @@
 		head := bytes.ReplaceAll(request.Bytes(), []byte("\r\n"), []byte("\n"))
 		var body bytes.Buffer
 		_, _ = body.ReadFrom(r.Body)
-		came <- append(head, body.Bytes()...)
+		received <- append(head, body.Bytes()...)
 		w.WriteHeader(status)
-		_, _ = w.Write([]byte(answer))
+		_, _ = w.Write([]byte(response))
 	}))
 	t.Cleanup(server.Close)
-	return strings.TrimPrefix(server.URL, "http://"), came
+	return strings.TrimPrefix(server.URL, "http://"), received
 }
--- a/internal/goldentest/tags_test.go
+++ b/internal/goldentest/tags_test.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// nameTags are the kinds of tags that give fields their names outside, by a kind that the fields
-// of such a struct have.
+// nameTags maps tag keys to the tag keys that hold external names. If a field of a struct has a tag with the
+// first key, every exported field of the struct needs a name in the tag with the second key.
 var nameTags = map[string]string{
 	"msgpack": "msgpack",
 	"json":    "json",
@@ -22,12 +22,12 @@
 	"cmd":     "name", // of commands
 }
 
-// A struct that has one field with a name outside has them for all of its exported fields: none of
-// them is known by its Go name, which may be changed.
+// Guards against Go names on the wire, in stored records or on the command line, where a renamed field would
+// change the interface: if one field of a struct has a name in a tag, all of its exported fields need one.
 func TestTaggedStructsAreTaggedThroughout(t *testing.T) {
 	structs := 0
-	for _, folder := range []string{"../../internal", "../../cmd"} {
-		err := filepath.WalkDir(folder, func(path string, _ fs.DirEntry, err error) error {
+	for _, directory := range []string{"../../internal", "../../cmd"} {
+		err := filepath.WalkDir(directory, func(path string, _ fs.DirEntry, err error) error {
 			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
 			}
@@ -48,11 +48,12 @@
 		}
 	}
 	if structs < 60 {
-		t.Errorf("only %d structs with names outside were found", structs)
+		t.Errorf("found only %d structs with external names, want at least 60", structs)
 	}
 }
 
-// requireTaggedThroughout tells whether the struct has any names outside.
+// requireTaggedThroughout fails the test if only some of the struct's exported fields have external names. It
+// reports whether any has one.
 func requireTaggedThroughout(t *testing.T, path string, s *ast.StructType) bool {
 	t.Helper()
 	wanted := map[string]bool{}
@@ -76,6 +77,7 @@
 	return len(wanted) > 0
 }
 
+// tagOf returns the tag of a field, "" if it has none.
 func tagOf(f *ast.Field) reflect.StructTag {
 	if f.Tag == nil {
 		return ""
--- a/internal/htmlreport/page.go
+++ b/internal/htmlreport/page.go
@@ -1,8 +1,8 @@
-// Package htmlreport builds HTML pages of measurements that need no other files: tables, and plots drawn
-// by gonum's plot library as inline SVG pictures.
+// Package htmlreport builds self-contained HTML pages of measurements: text, tables, and plots, which gonum's
+// plot library draws as inline SVG pictures.
 //
-// It owns the layout of a page and the look of its plots. It doesn't measure, compute statistics beyond
-// a distribution, or know what the figures mean. Its caller is cmd/loadtool.
+// The package owns the layout of a page and the style of its plots. It takes no measurements, computes no
+// statistics except a distribution, and doesn't know the meaning of the numbers. Its caller is cmd/loadtool.
 package htmlreport
 
 import (
@@ -12,13 +12,13 @@
 	"os"
 )
 
-// Report is a page in the making: callers add sections, then write it.
+// Report is the content of a page. Callers add sections to it and then write it to a file.
 type Report struct {
 	Title    string
 	Sections []Section
 }
 
-// Section is one part of a page. Empty fields are left out.
+// Section is one part of a page. The page omits empty fields.
 type Section struct {
 	Heading string
 	Text    string
@@ -32,15 +32,15 @@
 	r.Sections = append(r.Sections, Section{Heading: heading, Text: text})
 }
 
-// Table adds a section with a table under its text.
+// Table adds a section with a text and a table below it.
 func (r *Report) Table(heading, text string, header []string, rows [][]string) {
 	r.Sections = append(r.Sections, Section{Heading: heading, Text: text, Header: header, Rows: rows})
 }
 
-// pageMode lets everybody read the page.
+// pageMode lets all users read the page.
 const pageMode = 0o644
 
-// Write writes the page to a file.
+// Write renders the page and writes it to a file.
 func (r *Report) Write(file string) error {
 	var page bytes.Buffer
 	if err := layout.Execute(&page, r); err != nil {
@@ -52,4 +52,5 @@
 //go:embed page.html
 var layoutText string
 
+// layout is the template of a page.
 var layout = template.Must(template.New("report").Parse(layoutText))
--- a/internal/htmlreport/page_test.go
+++ b/internal/htmlreport/page_test.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// A page contains its text and tables, escaped, and its plots as pictures, and refers to no other file.
+// A page contains its texts and tables, escaped, and its plots as pictures, and refers to no other file.
 func TestPageStandsByItself(t *testing.T) {
 	r := Report{Title: "Title"}
 	r.Text("First", "text <&>")
@@ -48,7 +48,7 @@
 	}
 }
 
-// A distribution begins at zero and rises to one by the same step with each value.
+// A distribution begins at zero and rises to one, by the same step at each value.
 func TestDistributionRisesToOne(t *testing.T) {
 	points := Distribution("share", []float64{1, 4, 4, 9}).Points
 	want := plotter.XYs{{X: 0, Y: 0}, {X: 1, Y: 0.25}, {X: 4, Y: 0.5}, {X: 4, Y: 0.75}, {X: 9, Y: 1}}
--- a/internal/htmlreport/plots.go
+++ b/internal/htmlreport/plots.go
@@ -22,15 +22,15 @@
 type Series struct {
 	Name   string
 	Points plotter.XYs
-	// Steps draws each value as constant until the next point.
+	// Steps draws each value as constant up to the next point.
 	Steps bool
 }
 
-// Bar is one row of a plot of spans: something that lasted from one time to another.
+// Bar is one row of a plot of time spans.
 type Bar struct {
 	Name     string
 	From, To float64
-	// Kind selects the colour, which bars of the same kind share.
+	// Kind selects the colour: bars of the same kind have the same colour.
 	Kind int
 }
 
@@ -55,7 +55,7 @@
 	return r.addPicture(heading, text, p)
 }
 
-// Spans adds a section with a plot that has a row for each bar, the first at the top.
+// Spans adds a section with a plot of time spans. It has a row for each bar, the first at the top.
 func (r *Report) Spans(heading, text, xLabel string, bars []Bar) error {
 	p := plot.New()
 	p.X.Label.Text = xLabel
@@ -75,7 +75,7 @@
 	return r.addPicture(heading, text, p)
 }
 
-// addPicture draws a plot as SVG into a section of its own.
+// addPicture draws a plot as SVG and adds a section with it.
 func (r *Report) addPicture(heading, text string, p *plot.Plot) error {
 	canvas := vgsvg.New(pictureWidth, pictureHeight)
 	p.Draw(draw.New(canvas))
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// Distribution is the share of values up to each of them, for a plot of lines. The values are sorted.
+// Distribution returns the cumulative distribution of sorted values as a series for Lines.
 func Distribution(name string, sorted []float64) Series {
 	s := Series{Name: name, Steps: true, Points: plotter.XYs{{}}}
 	for i, x := range sorted {
--- a/internal/ordered/order.go
+++ b/internal/ordered/order.go
@@ -1,5 +1,5 @@
-// Package ordered iterates over maps in the order of their keys, so that the same state always leads
-// to the same decisions.
+// Package ordered iterates over maps in the order of their keys, so that the same state always results in the
+// same decisions.
 package ordered
 
 import (
@@ -9,8 +9,8 @@
 	"slices"
 )
 
-// ByKey goes through a map by its keys, so that the same state always leads
-// to the same decisions.
+// ByKey returns an iterator over the entries of a map in the order of their keys. It skips entries that the
+// loop's body deletes.
 func ByKey[K cmp.Ordered, V any](m map[K]V) iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		for _, k := range slices.Sorted(maps.Keys(m)) {
--- a/internal/rapidtest/rapidtest.go
+++ b/internal/rapidtest/rapidtest.go
@@ -1,8 +1,8 @@
-// Package rapidtest runs property tests that pgregory.net/rapid checks with fixed seeds, so that CI gives
-// the same verdict every time.
+// Package rapidtest runs property tests of pgregory.net/rapid with fixed seeds, so that CI has the same
+// result in each run.
 //
-// It owns the defaults of rapid's flags and nothing else: properties and generators belong to the tested
-// packages, whose TestMain functions call Main.
+// The package owns the defaults of rapid's flags and nothing else. Properties and generators belong to the
+// tested packages, whose TestMain functions call Main.
 package rapidtest
 
 import (
@@ -12,11 +12,11 @@
 	"testing"
 )
 
-// fixedSeed is the seed of all properties unless the command line gives another.
+// fixedSeed is the seed of all properties unless the command line sets another one.
 const fixedSeed = "1"
 
-// Main runs a package's tests with fixed seeds and the given number of checks of each property. Flags of
-// the command line win, so that longer searches are possible.
+// Main runs a package's tests with fixed seeds and the given number of checks per property. Flags on the
+// command line take precedence, so that longer searches are possible.
 func Main(m *testing.M, checks int) {
 	flag.Parse()
 	setDefault("rapid.seed", fixedSeed)
@@ -25,9 +25,9 @@
 	os.Exit(m.Run())
 }
 
-// setDefault sets a flag that the command line doesn't.
+// setDefault sets a flag unless the command line does.
 func setDefault(name, value string) {
-	if given(name) {
+	if isSet(name) {
 		return
 	}
 	if err := flag.Set(name, value); err != nil {
@@ -35,8 +35,8 @@
 	}
 }
 
-// given reports whether the command line sets a flag.
-func given(name string) bool {
+// isSet reports whether the command line sets a flag.
+func isSet(name string) bool {
 	found := false
 	flag.Visit(func(f *flag.Flag) { found = found || f.Name == name })
 	return found
