--- a/cmd/loadtool/cellsday.go
+++ b/cmd/loadtool/cellsday.go
@@ -22,7 +22,7 @@
 	betaInterval    = 30 * clock.Second // between submissions to beta
 	jobDuration     = 40 * clock.Second
 	gangEvery       = 4 // every fourth job is a gang
-	hostedJobs      = "guests = { cpus = 64.0 }"
+	hostedCapacity  = "guests = { cpus = 64.0 }"
 	offloadRules    = "[[spill]]\nfrom = \"alpha\"\nto = [\"beta\", \"gamma\"]\n"
 	numberOfCells   = 3
 	notReturned     = -1 // value of returnedS while the lost cell holds tasks
@@ -128,7 +128,7 @@
 	for range numberOfCells {
 		sets = append(sets, cellSettings())
 	}
-	group := simulation.NewGroup(world, sets, cellTypes, hostedJobs, v.rules, 0)
+	group := simulation.NewGroup(world, sets, cellTypes, hostedCapacity, v.rules, 0)
 	if !v.on {
 		group.SwitchOff()
 	}
--- a/cmd/loadtool/digest.go
+++ b/cmd/loadtool/digest.go
@@ -10,7 +10,7 @@
 	"postpoint/internal/simulation"
 )
 
-// digestCommand prints a hash of everything that controllers send, store and respond on simulated days with
+// digestCommand prints a hash of all messages and stored values of the controllers on simulated days with
 // random load and faults. A change of the code that keeps the controllers' behaviour keeps the hashes.
 type digestCommand struct {
 	Seeds     uint64 `name:"seeds" help:"How many days of each kind are played." default:"8"`
--- a/internal/goldentest/tags_test.go
+++ b/internal/goldentest/tags_test.go
@@ -58,8 +58,8 @@
 	t.Helper()
 	wanted := map[string]bool{}
 	for _, f := range s.Fields.List {
-		for kind, nameTag := range nameTags {
-			if _, has := tagOf(f).Lookup(kind); has {
+		for key, nameTag := range nameTags {
+			if _, has := tagOf(f).Lookup(key); has {
 				wanted[nameTag] = true
 			}
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -46,7 +46,7 @@
 	// Everyone sends a request to all controllers. own serves the request on this one. ok reports whether all
 	// have responded.
 	Everyone func(own *admission.Admission, r admission.Request,
-		done func(answers []admission.Response, ok bool))
+		done func(responses []admission.Response, ok bool))
 }
 
 // Node has the actors of one controller.
@@ -96,8 +96,8 @@
 func (n *Node) attestations(e Environment) func(back clock.Micros, done func([]admission.Attestation, bool)) {
 	return func(back clock.Micros, done func([]admission.Attestation, bool)) {
 		e.Everyone(n.Admission, admission.NewAttestationRequest(back),
-			func(answers []admission.Response, ok bool) {
-				done(admission.DecodeAttestations(answers, ok))
+			func(responses []admission.Response, ok bool) {
+				done(admission.DecodeAttestations(responses, ok))
 			})
 	}
 }
@@ -107,8 +107,8 @@
 func (n *Node) zoneReports(e Environment) func(done func([]admission.ZoneReports)) {
 	return func(done func([]admission.ZoneReports)) {
 		e.Everyone(n.Admission, admission.Request{Kind: admission.GetZoneReports},
-			func(answers []admission.Response, _ bool) {
-				done(admission.DecodeAllZoneReports(answers))
+			func(responses []admission.Response, _ bool) {
+				done(admission.DecodeAllZoneReports(responses))
 			})
 	}
 }
