--- a/cmd/postpoint/golden_test.go
+++ b/cmd/postpoint/golden_test.go
@@ -47,7 +47,7 @@
 }
 
 // Guards against accidental changes of the command line: the version, the commands, and the flags and
-// environment environmentVariables with their defaults are as recorded.
+// environment variables with their defaults are as recorded.
 func TestGoldenCommandLine(t *testing.T) {
 	model := newParser(t, &commandLine{}).Model
 	files := []goldenFlag{
@@ -89,7 +89,7 @@
 	"LOG_LEVEL", "POSTPOINT_RECOVERY", "POSTPOINT_CELLS", "POSTPOINT_LEASE_TTL_MS",
 }
 
-// Arguments and environment environmentVariables are parsed into the recorded values.
+// Arguments and environment variables are parsed into the recorded values.
 func TestGoldenArguments(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.json")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -135,8 +135,8 @@
 		n.Admission.SetFormatStatus(s)
 	}
 	mailbox := e.Mailboxes.Rollout
-	// The election starts only then, so that other controllers know the format that this node reads before it
-	// writes records.
+	// The election starts after the publication, so that other controllers know which format this node reads
+	// before it writes records.
 	return rollout.New(mailbox, e.Store(mailbox), e.Settings.Node, e.Settings.Nodes(), format,
 		n.Candidate.Start, onStatus)
 }
--- a/internal/protocol/heartbeatdecoder.go
+++ b/internal/protocol/heartbeatdecoder.go
@@ -12,8 +12,8 @@
 
 // HeartbeatDecoder decodes the heartbeats that arrive on one connection. Most of them differ from the
 // previous one only in their counter, and most of the others in one or two tasks. The decoder reuses
-// the decoded form of every part with the candidate bytes as in the previous heartbeat. Heartbeats with the
-// candidate tasks share one slice of them, which callers must not change. The zero value is ready for use.
+// the decoded form of every part with the same bytes as in the previous heartbeat. Heartbeats with the
+// same tasks share one slice of them, which callers must not change. The zero value is ready for use.
 type HeartbeatDecoder struct {
 	last      layout    // its raw bytes are nil if there is nothing to compare with
 	heartbeat Heartbeat // the last heartbeat, decoded
