--- a/internal/leader/cells_delegating_test.go
+++ b/internal/leader/cells_delegating_test.go
@@ -16,23 +16,26 @@
 	"postpoint/internal/protocol"
 )
 
-// While a task is with another cell, its zone isn't known: no other task of a job whose zones depend on each
-// other is planned here.
+// The leader doesn't know the zones of tasks that it has delegated to another cell. While it has
+// delegated some, it plans no other task of a job whose tasks' zones depend on each other: it might
+// choose a wrong zone.
 func TestDelegatedTasksHaveUnknownZones(t *testing.T) {
 	for _, oneZone := range []bool{false, true} {
-		l, j, _, box := delegatingLeader(t)
+		l, j, _, mailbox := delegatingLeader(t)
 		j.Spec.OneZone = oneZone
 		l.jobs.ReleasePlacement(j, j.Placements[0])
-		planned := l.snapshots.PlannedJob(j, box.Now, false)
+		planned := l.snapshots.PlannedJob(j, mailbox.Now, false)
 		if (len(planned.Pending) == 0) != oneZone {
-			t.Errorf("one zone %v: got pending %v, want some only without zones that depend on each other",
+			t.Errorf("one zone %v: got pending tasks %v, want some only if the zones are independent",
 				oneZone, planned.Pending)
 		}
 	}
 }
 
-// A delegation is stored only once its placements are, and only while they are what they were: a creation
-// that is carried out after they were released makes nothing. It is offered after that.
+// The leader creates the record of a delegation only after the placements of its tasks are stored, on
+// the condition that they haven't changed, and offers the delegation only after that. Otherwise the
+// store could apply a late creation after the leader has released the placements, and both cells would
+// run the tasks.
 func TestDelegationsAreStoredBeforeTheyAreOffered(t *testing.T) {
 	l, j, store, _ := delegatingLeader(t)
 	l.origin.SaveDelegations()
@@ -48,36 +51,38 @@
 		!requires(store.txns[0], delegation.Key(7), 0) {
 		t.Fatalf("got %+v, want one transaction on version 6 of the job and a new delegation", store.txns)
 	}
-	store.answer(committedAt(8))
+	store.respond(committedAt(8))
 	if offers := l.origin.OffersTo("beta", nil); len(offers) != 1 || offers[0].Tasks.Len() != 2 {
 		t.Fatalf("got offers %v, want one of two tasks", offers)
 	}
 }
 
-// createDelegation returns a leader of alpha that has sent the creation of delegation 7.
+// createDelegation returns a leader of alpha that has sent the creation of delegation 7 and has no
+// response yet.
 func createDelegation(t *testing.T) (*Leader, *fakeStore, *actortest.Still) {
 	t.Helper()
-	l, j, store, box := delegatingLeader(t)
+	l, j, store, mailbox := delegatingLeader(t)
 	j.StoredValue.StoredCount, j.StoredValue.Version = j.ChangeCount, 6
 	l.origin.SaveDelegations()
 	if len(store.txns) != 1 {
 		t.Fatalf("got %+v, want one transaction", store.txns)
 	}
-	return l, store, box
+	return l, store, mailbox
 }
 
-// A delegation whose creation may have been carried out is read before anything else is written: if it is
-// there it is offered, if it isn't it is created again.
+// If the outcome of a delegation's creation is unknown, the leader reads the record before it writes
+// anything else. It offers the delegation if the record exists, and creates the record again if not.
+// Otherwise it would create a delegation twice, or never offer one that exists.
 func TestDelegationsAreReadAfterUnknownOutcomes(t *testing.T) {
 	record := delegation.Record{Host: "beta", Job: "job-1", Tasks: taskSet(0, 1), State: delegation.Offered}
 	for name, response := range map[string]storetest.Reply[protocol.TxnResponse]{
-		"no response":     {},
-		"server failure":  {Status: http.StatusInternalServerError},
-		"another version": conflictOn(delegation.Key(7)),
+		"no response":      {},
+		"server failure":   {Status: http.StatusInternalServerError},
+		"version conflict": conflictOn(delegation.Key(7)),
 	} {
-		l, store, box := createDelegation(t)
-		store.answer(response)
-		box.Now += term.RetryDelay
+		l, store, mailbox := createDelegation(t)
+		store.respond(response)
+		mailbox.Now += term.RetryDelay
 		useStore(l, &singleKeyStore{store, protocol.Item{Value: record.Encode(), Version: 9}, http.StatusOK})
 		l.origin.SaveDelegations()
 		l.origin.SaveDelegations()
@@ -86,9 +91,9 @@
 				name, len(store.txns), offers)
 		}
 
-		l, store, box = createDelegation(t)
-		store.answer(response)
-		box.Now += term.RetryDelay
+		l, store, mailbox = createDelegation(t)
+		store.respond(response)
+		mailbox.Now += term.RetryDelay
 		useStore(l, &singleKeyStore{store, protocol.Item{}, http.StatusNotFound})
 		l.origin.SaveDelegations()
 		l.origin.SaveDelegations()
@@ -98,16 +103,17 @@
 	}
 }
 
-// A creation that the store has declined goes again after a pause, without being read.
-func TestDeclinedDelegationsGoAgain(t *testing.T) {
+// If the store rejects a creation as throttled or unavailable, the leader retries it after a pause. It
+// needs no read before the retry, because the store has applied nothing.
+func TestRejectedDelegationsAreRetried(t *testing.T) {
 	for _, status := range []int{http.StatusTooManyRequests, http.StatusServiceUnavailable} {
-		l, store, box := createDelegation(t)
-		store.answer(storetest.Reply[protocol.TxnResponse]{Status: status})
+		l, store, mailbox := createDelegation(t)
+		store.respond(storetest.Reply[protocol.TxnResponse]{Status: status})
 		l.origin.SaveDelegations()
 		if len(store.txns) != 1 {
 			t.Errorf("status %d: got %d transactions during the pause, want 1", status, len(store.txns))
 		}
-		box.Now += term.RetryDelay
+		mailbox.Now += term.RetryDelay
 		l.origin.SaveDelegations()
 		if len(store.txns) != 2 || !requires(store.txns[1], delegation.Key(7), 0) {
 			t.Errorf("status %d: got %+v after the pause, want a second creation", status, store.txns)
@@ -115,76 +121,79 @@
 	}
 }
 
-// A leader whose key has changed hands learns it from its transaction.
-func TestDelegationsTellOfANewLeader(t *testing.T) {
+// A transaction that conflicts on the leader's key shows that another node leads. The leader must step
+// down, and not handle this as a conflict on the delegation's record.
+func TestDelegationConflictDeposesLeader(t *testing.T) {
 	l, store, _ := createDelegation(t)
 	deposedBy := protocol.Epoch(0)
 	l.state.Deposed = func(epoch protocol.Epoch) { deposedBy = epoch }
-	store.answer(conflictOn(election.LeaderKey, delegation.Key(7)))
+	store.respond(conflictOn(election.LeaderKey, delegation.Key(7)))
 	if deposedBy != 8 {
 		t.Errorf("got deposed by epoch %d, want 8", deposedBy)
 	}
 }
 
-// What a heartbeat says of completed tasks counts however late it comes, what it says of others only once the
-// hosted job is closed.
+// A heartbeat of the host cell proves that a task is done, however late it arrives. It proves the end of
+// the other tasks only if it reports the hosted job as closed. A leader that released placements on less
+// evidence would start tasks that the host still runs.
 func TestHeartbeatsReleaseWhatTheyProve(t *testing.T) {
 	l, j, _, _ := delegatingLeader(t)
 	first, both := taskSet(0), taskSet(0, 1)
-	reportDelegation(l, delegation.Status{Held: both})
+	sendDelegationStatus(l, delegation.Status{Held: both})
 	if len(j.Placements) != 2 {
 		t.Fatalf("got placements %v while both tasks are held, want both", j.Placements)
 	}
-	reportDelegation(l, delegation.Status{Done: first})
+	sendDelegationStatus(l, delegation.Status{Done: first})
 	if _, placed := j.Placements[1]; !placed || !j.Done.Contains(0) || len(j.Placements) != 1 {
 		t.Fatalf("got placements %v, done %v, want task 1 placed and task 0 done", j.Placements,
 			j.Done.String())
 	}
-	reportDelegation(l, delegation.Status{Held: both}) // an old one
-	reportDelegation(l, delegation.Status{Closed: true, Done: first})
+	sendDelegationStatus(l, delegation.Status{Held: both}) // an outdated heartbeat
+	sendDelegationStatus(l, delegation.Status{Closed: true, Done: first})
 	if len(j.Placements) != 0 || j.ReturnCount != 1 || !l.origin.Delegations[7].IsOver() {
 		t.Fatalf("got placements %v, %d returns, %+v, want none, 1 return and the delegation over",
 			j.Placements, j.ReturnCount, l.origin.Delegations[7].Delegation)
 	}
 }
 
-// What keeps work here: nothing waits, it hasn't waited for long, it came back a moment ago or often enough,
-// it can't go as a whole.
+// The leader keeps tasks in their own cell if the job has no unmet demand or has it only for a short
+// time, if the tasks returned recently or too often, or if the job can't be delegated as a whole.
+// Otherwise tasks would move back and forth between cells, or lose the tasks that they depend on.
 func TestWorkThatMayNotBeOffloaded(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(l *Leader, j *jobtable.Job)
 		want   int
 	}{
-		"waits":           {func(*Leader, *jobtable.Job) {}, 2},
+		"unmet demand":    {func(*Leader, *jobtable.Job) {}, 2},
 		"no unmet demand": {func(_ *Leader, j *jobtable.Job) { j.UnmetAt = 0 }, 0},
-		"waits a little": {func(l *Leader, j *jobtable.Job) {
+		"unmet demand for a short time": {func(l *Leader, j *jobtable.Job) {
 			j.UnmetSince = l.state.Now() - federation.ShortageTime + 1
 		}, 0},
-		"came back": {func(l *Leader, j *jobtable.Job) {
+		"returned recently": {func(l *Leader, j *jobtable.Job) {
 			j.ReturnedAt = l.state.Now() - federation.MinStayTime + 1
 		}, 0},
-		"came back too often": {func(_ *Leader, j *jobtable.Job) { j.ReturnCount = federation.MaxReturns },
+		"returned too often": {func(_ *Leader, j *jobtable.Job) { j.ReturnCount = federation.MaxReturns },
 			0},
-		"service":    {func(_ *Leader, j *jobtable.Job) { j.Spec.Shape = protocol.ShapeService }, 0},
-		"whole gang": {func(_ *Leader, j *jobtable.Job) { j.Spec.Shape = protocol.ShapeGang }, 4},
-		"broken gang": {func(_ *Leader, j *jobtable.Job) {
+		"service": {func(_ *Leader, j *jobtable.Job) { j.Spec.Shape = protocol.ShapeService }, 0},
+		"gang":    {func(_ *Leader, j *jobtable.Job) { j.Spec.Shape = protocol.ShapeGang }, 4},
+		"gang with a done task": {func(_ *Leader, j *jobtable.Job) {
 			j.Spec.Shape = protocol.ShapeGang
 			j.Done.Add(0)
 		}, 0},
-		"one zone, running": {func(l *Leader, j *jobtable.Job) {
+		"one zone, with a placement": {func(l *Leader, j *jobtable.Job) {
 			j.Spec.OneZone = true
 			l.jobs.AddPlacement(j, jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1})
 		}, 0},
-		"over": {func(l *Leader, j *jobtable.Job) { l.jobs.NoteCancelled(j, l.state.Now()) }, 0},
+		"cancelled": {func(l *Leader, j *jobtable.Job) { l.jobs.NoteCancelled(j, l.state.Now()) }, 0},
 	} {
-		l, _, box := cellLeader(t)
+		l, _, mailbox := cellLeader(t)
 		spec := protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 4, Cpus: 1}
 		l.reader.Apply(jobrecord.Key("job-1"), jobrecord.New(spec, 1).Encode(), 5)
 		j := l.jobs.ByID["job-1"]
-		j.UnmetSince, j.UnmetAt, j.UnmetTasks = box.Now-10*clock.Second, box.Now, 2
+		j.UnmetSince, j.UnmetAt, j.UnmetTasks = mailbox.Now-10*clock.Second, mailbox.Now, 2
 		c.change(l, j)
 		if got := l.origin.OffloadableTasks(j).Count; got != c.want {
-			t.Errorf("%s: got %d tasks that may go, want %d", name, got, c.want)
+			t.Errorf("%s: got %d offloadable tasks, want %d", name, got, c.want)
 		}
 	}
 }
--- a/internal/leader/cells_helpers_test.go
+++ b/internal/leader/cells_helpers_test.go
@@ -15,6 +15,7 @@
 	"postpoint/internal/protocol"
 )
 
+// twoCells is the directory of the cells alpha and beta, each of which may offload tasks to the other.
 const twoCells = `
 cell = "alpha"
 [[cells]]
@@ -35,10 +36,11 @@
 to = ["alpha"]
 `
 
-// cellLeader returns a leader of alpha, which runs work for beta and has beta run its own.
+// cellLeader returns a leader of cell alpha, which hosts jobs of beta and may delegate its own jobs to
+// beta.
 func cellLeader(tb testing.TB) (*Leader, *fakeStore, *actortest.Still) {
 	tb.Helper()
-	l, box := newLeader()
+	l, mailbox := newLeader()
 	l.state.Settings.Node = "worker-0"
 	directory, err := cells.Parse([]byte(twoCells), l.state.Settings)
 	if err != nil {
@@ -50,14 +52,14 @@
 	l.EnableCells(directory, nil)
 	l.cells.Begin()
 	l.origin.Begin()
-	return l, store, box
+	return l, store, mailbox
 }
 
-// hostingLeader returns a leader of alpha with a hosted job of one task on m-1, committed and permitted
-// until ten seconds from now.
+// hostingLeader returns a leader of alpha with a hosted job of one task. The task's placement on m-1 is
+// committed, and the job's permission expires in ten seconds.
 func hostingLeader(t *testing.T) (*Leader, *jobtable.Job, *machinetable.Machine, *actortest.Still) {
 	t.Helper()
-	l, _, box := cellLeader(t)
+	l, _, mailbox := cellLeader(t)
 	id := jobrecord.HostedJobID("beta", "job-1", 7)
 	content := jobrecord.New(protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Tasks: 1, Cpus: 1}, 1)
 	content.Hosted = &jobrecord.HostedJob{OriginCell: "beta", Delegation: 7}
@@ -67,27 +69,27 @@
 	j := l.jobs.ByID[id]
 	permission := delegation.Directive{Number: 7, Action: delegation.Continue,
 		PermissionFor: 10 * clock.Second}
-	j.Permission.Apply(permission, box.Now, box.Now)
-	return l, j, l.machines.ByName["m-1"], box
+	j.Permission.Apply(permission, mailbox.Now, mailbox.Now)
+	return l, j, l.machines.ByName["m-1"], mailbox
 }
 
-// hostedAttempt names the attempt of the hosted job's task.
+// hostedAttempt returns a reference to the attempt of the hosted job's task.
 func hostedAttempt(j *jobtable.Job) machinetable.AttemptRef {
 	return machinetable.AttemptRef{Job: j.Spec.ID, Task: 0, Attempt: 1}
 }
 
-// hostedTask is what m-1 tells of the hosted job's task.
+// hostedTask returns the status of the hosted job's task as m-1 reports it.
 func hostedTask(j *jobtable.Job, status, cause string) protocol.TaskStatus {
 	return protocol.TaskStatus{Task: protocol.TaskName(j.Spec.ID, 0), Attempt: 1, Status: status,
 		Cause: cause}
 }
 
-// sendHeartbeat has m-1 send a heartbeat to a leader whose lease holds, and returns the status and the
-// commands of the response.
-func sendHeartbeat(l *Leader, box *actortest.Still, counter int64,
+// sendHeartbeat sends a heartbeat of m-1 to a leader with a valid lease and current records. It returns
+// the status and the commands of the response.
+func sendHeartbeat(l *Leader, mailbox *actortest.Still, counter int64,
 	tasks ...protocol.TaskStatus) (status int, commands []protocol.Command) {
-	l.state.Term.RenewedAt, l.state.Term.ValidUntil = box.Now, box.Now+4*clock.Second
-	l.state.RecordsKnownUntil = box.Now
+	l.state.Term.RenewedAt, l.state.Term.ValidUntil = mailbox.Now, mailbox.Now+4*clock.Second
+	l.state.RecordsKnownUntil = mailbox.Now
 	l.Heartbeat(workerHeartbeat(1, counter, tasks...), func(s int, body any) {
 		status = s
 		if response, ok := body.(protocol.HeartbeatResponse); ok {
@@ -97,20 +99,20 @@
 	return status, commands
 }
 
-// delegatingLeader returns a leader of alpha whose job has both tasks delegated to beta.
+// delegatingLeader returns a leader of alpha that has delegated both tasks of a job to beta.
 func delegatingLeader(t *testing.T) (*Leader, *jobtable.Job, *fakeStore, *actortest.Still) {
 	t.Helper()
-	l, store, box := cellLeader(t)
+	l, store, mailbox := cellLeader(t)
 	content := jobrecord.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 2, Cpus: 1}, 1)
 	l.reader.Apply(jobrecord.Key("job-1"), content.Encode(), 5)
 	j := l.jobs.ByID["job-1"]
 	l.origin.Numbers = federation.NumberBlock{Next: 7, End: 1000}
 	l.origin.Delegate(j, "beta", []int{0, 1})
-	return l, j, store, box
+	return l, j, store, mailbox
 }
 
-// reportFromBeta is a heartbeat of beta as host of alpha's jobs.
-func reportFromBeta(statuses ...delegation.Status) delegation.Heartbeat {
+// heartbeatFromBeta returns a heartbeat that beta, as a host, sends to alpha.
+func heartbeatFromBeta(statuses ...delegation.Status) delegation.Heartbeat {
 	return delegation.Heartbeat{
 		Host:      "beta",
 		Origin:    "alpha",
@@ -120,11 +122,12 @@
 	}
 }
 
-// reportDelegation has beta tell the status of delegation 7, and returns alpha's response.
-func reportDelegation(l *Leader, s delegation.Status) delegation.HeartbeatResponse {
+// sendDelegationStatus sends beta's status of delegation 7 to the leader of alpha, and returns the
+// response.
+func sendDelegationStatus(l *Leader, s delegation.Status) delegation.HeartbeatResponse {
 	s.Number, s.Job = 7, "job-1"
 	var response delegation.HeartbeatResponse
-	l.Exchange(reportFromBeta(s), func(a delegation.HeartbeatResponse, _ bool) { response = a })
+	l.Exchange(heartbeatFromBeta(s), func(a delegation.HeartbeatResponse, _ bool) { response = a })
 	return response
 }
 
@@ -137,17 +140,17 @@
 	return set
 }
 
-// requires reports whether a transaction has the condition that a key is at a version.
+// requires reports whether a transaction depends on the given version of a key.
 func requires(t protocol.Txn, key string, version protocol.Revision) bool {
-	for _, g := range t.Conditions {
-		if g.Key == key && g.Version == version {
+	for _, condition := range t.Conditions {
+		if condition.Key == key && condition.Version == version {
 			return true
 		}
 	}
 	return false
 }
 
-// singleKeyStore is a store that has one key, or not even that.
+// singleKeyStore is a store that responds to each read with the same status and item.
 type singleKeyStore struct {
 	*fakeStore
 	item   protocol.Item
--- a/internal/leader/cells_numbers_test.go
+++ b/internal/leader/cells_numbers_test.go
@@ -8,7 +8,8 @@
 	"postpoint/internal/protocol"
 )
 
-// Numbers are reserved in the store before any of them is used.
+// The leader reserves a block of delegation numbers in the store before it uses any of them. Otherwise
+// two leaders could use the same number for different delegations.
 func TestNumbersAreReservedBeforeUse(t *testing.T) {
 	l, store, _ := cellLeader(t)
 	found := protocol.Item{Value: protocol.Encode(int64(4001)), Version: 9}
@@ -20,7 +21,7 @@
 	if len(store.txns) != 1 || !requires(store.txns[0], delegation.NumbersKey, 9) {
 		t.Fatalf("got %+v, want one transaction on version 9 of the numbers", store.txns)
 	}
-	store.answer(committedAt(0))
+	store.respond(committedAt(0))
 	if l.origin.Numbers.Next != 4001 || l.origin.Numbers.End != 5001 {
 		t.Fatalf("got numbers %+v, want 4001 up to 5001", l.origin.Numbers)
 	}
--- a/internal/leader/cells_offers_test.go
+++ b/internal/leader/cells_offers_test.go
@@ -9,10 +9,11 @@
 	"postpoint/internal/protocol"
 )
 
-// Every reason for which an offer is refused leaves a tombstone that says so, and the same number can't be
-// accepted afterwards. Without a reason the offer is accepted, once.
+// For each reason to refuse an offer, the host stores a tombstone that names the reason. It can't accept
+// the same delegation number afterwards, even if the offer arrives again. Without a reason to refuse it,
+// the host accepts the offer, once.
 func TestRefusedOffersLeaveTombstones(t *testing.T) {
-	good := protocol.JobSpec{
+	validSpec := protocol.JobSpec{
 		ID:       "job-1",
 		Class:    "c",
 		Team:     "t",
@@ -44,13 +45,13 @@
 			Price:    1,
 			Zones:    []string{"a"},
 		}}
-		offer := delegation.Offer{Number: 7, Spec: good, Tasks: taskSet(0)}
+		offer := delegation.Offer{Number: 7, Spec: validSpec, Tasks: taskSet(0)}
 		change(l, &offer)
 		l.host.HandleOffer(l.cells.ByCell["beta"], offer)
-		store.answer(committedAt(8))
+		store.respond(committedAt(8))
 		j := l.jobs.ByID[jobrecord.HostedJobID("beta", "job-1", 7)]
 		if j == nil || j.Final() != (reason != "") || !strings.Contains(j.Cause, reason) {
-			t.Errorf("reason %q: got %+v, want a record that is final and says why if there is a reason",
+			t.Errorf("reason %q: got %+v, want a record that is final and names the reason if there is one",
 				reason, j)
 			continue
 		}
--- a/internal/leader/cells_permissions_test.go
+++ b/internal/leader/cells_permissions_test.go
@@ -21,58 +21,62 @@
 	return response.Directives[0]
 }
 
-// A permission lasts from the time up to which cancellations are known, not from now; a cancelled job has
-// none.
+// A permission counts from the time up to which the leader knows all cancellations, not from now.
+// Otherwise a host could keep a task running for too long whose cancellation the leader has not received
+// yet. A cancelled job gets no permission.
 func TestPermissionsCountFromWhatIsKnown(t *testing.T) {
-	l, j, _, box := delegatingLeader(t)
-	box.Now += 2 * clock.Second // the records were fresh and the lease renewed before
-	l.state.Term.ValidUntil = box.Now + clock.Second
+	l, j, _, mailbox := delegatingLeader(t)
+	mailbox.Now += 2 * clock.Second // since the leader last read its records and renewed its lease
+	l.state.Term.ValidUntil = mailbox.Now + clock.Second
 	workers := l.state.Settings.Deployment.Workers
 	length := cells.MaxPermission(workers, cells.ClearTime(12*clock.Second)) - 2*clock.Second
 	want := delegation.Directive{Number: 7, Action: delegation.Continue, PermissionFor: length}
-	if got := onlyDirective(t, reportDelegation(l, delegation.Status{})); got != want {
+	if got := onlyDirective(t, sendDelegationStatus(l, delegation.Status{})); got != want {
 		t.Fatalf("got %+v, want %+v", got, want)
 	}
-	l.jobs.NoteCancelled(j, box.Now)
+	l.jobs.NoteCancelled(j, mailbox.Now)
 	want = delegation.Directive{Number: 7, Action: delegation.Cancel}
-	if got := onlyDirective(t, reportDelegation(l, delegation.Status{})); got != want {
+	if got := onlyDirective(t, sendDelegationStatus(l, delegation.Status{})); got != want {
 		t.Fatalf("got %+v for a cancelled job, want %+v", got, want)
 	}
 }
 
-// Nobody but a leader that has read all records says that there is no such delegation.
+// Only a leader that has read all records knows that a delegation doesn't exist, so only it tells the
+// host to forget one. A node without the lease, or a leader with a malformed delegation record, would
+// make the host drop a valid delegation.
 func TestOnlyLeadersWithAllRecordsForgetDelegations(t *testing.T) {
-	l, j, _, box := delegatingLeader(t)
-	box.Now += 2 * clock.Second
-	l.jobs.NoteCancelled(j, box.Now) // a delegation that there isn't is forgotten, not cancelled
+	l, j, _, mailbox := delegatingLeader(t)
+	mailbox.Now += 2 * clock.Second
+	// The host must forget an unknown delegation even if its job is cancelled.
+	l.jobs.NoteCancelled(j, mailbox.Now)
 	delete(l.origin.Delegations, 7)
-	l.state.Term.ValidUntil = box.Now + clock.Second
-	directive := onlyDirective(t, reportDelegation(l, delegation.Status{}))
+	l.state.Term.ValidUntil = mailbox.Now + clock.Second
+	directive := onlyDirective(t, sendDelegationStatus(l, delegation.Status{}))
 	if directive.Number != 7 || directive.Action != delegation.Forget {
 		t.Fatalf("got %+v from the leader, want delegation 7 to be forgotten", directive)
 	}
-	l.state.Term.ValidUntil = box.Now
-	if a := reportDelegation(l, delegation.Status{}); a.Result != delegation.Processed ||
+	l.state.Term.ValidUntil = mailbox.Now
+	if a := sendDelegationStatus(l, delegation.Status{}); a.Result != delegation.Processed ||
 		len(a.Directives) != 0 {
 		t.Fatalf("got %+v from a node without the lease, want a response without directives", a)
 	}
-	l.state.Term.ValidUntil = box.Now + clock.Second
+	l.state.Term.ValidUntil = mailbox.Now + clock.Second
 	l.origin.HasMalformed = true
-	if a := reportDelegation(l, delegation.Status{}); a.Result != delegation.Processed ||
+	if a := sendDelegationStatus(l, delegation.Status{}); a.Result != delegation.Processed ||
 		len(a.Directives) != 0 {
 		t.Fatalf("got %+v though a delegation's record is malformed, want a response without directives", a)
 	}
 }
 
-// BenchmarkExchange measures what a heartbeat on as many delegations as one cell may have costs both
-// leaders: decoding it, handling it, and the response.
+// BenchmarkExchange measures what a heartbeat with the maximum number of delegations of a host costs
+// both leaders: decoding and handling it, and the response.
 func BenchmarkExchange(b *testing.B) {
-	l, _, box := cellLeader(b)
+	l, _, mailbox := cellLeader(b)
 	l.origin.Numbers = federation.NumberBlock{Next: 1, End: 1000}
-	r := benchmarkReport(l)
+	r := benchmarkHeartbeat(l)
 	for b.Loop() {
-		l.state.RecordsKnownUntil, l.state.Term.RenewedAt, l.state.Term.ValidUntil = box.Now, box.Now,
-			box.Now+clock.Second
+		l.state.RecordsKnownUntil, l.state.Term.RenewedAt, l.state.Term.ValidUntil = mailbox.Now, mailbox.Now,
+			mailbox.Now+clock.Second
 		decoded, err := delegation.DecodeHeartbeat(r.Encode())
 		if err != nil {
 			b.Fatal(err)
@@ -88,15 +92,15 @@
 	}
 }
 
-// benchmarkReport delegates as many jobs of a hundred tasks as one cell may have, and returns the heartbeat
-// by which the host has all of them.
-func benchmarkReport(l *Leader) delegation.Heartbeat {
+// benchmarkHeartbeat delegates the maximum number of jobs, with a hundred tasks each, to beta. It
+// returns the heartbeat that reports all of their tasks as held.
+func benchmarkHeartbeat(l *Leader) delegation.Heartbeat {
 	const tasksPerJob = 100
 	var tasks []int
 	for task := range tasksPerJob {
 		tasks = append(tasks, task)
 	}
-	r := reportFromBeta()
+	r := heartbeatFromBeta()
 	for range delegation.MaxPerHost {
 		number := l.origin.Numbers.Next
 		id := protocol.JobID(fmt.Sprintf("job-%d", number))
--- a/internal/leader/commands_test.go
+++ b/internal/leader/commands_test.go
@@ -14,82 +14,86 @@
 	"postpoint/internal/workerclient/workertest"
 )
 
-// A leader that no longer hears what users change stops sending commands, though
-// its lease is good: cancelled work must not be started again.
+// A leader that no longer receives the changes of users stops sending commands although its lease is
+// valid: it could start tasks of a cancelled job. It still responds to heartbeats within the renewal
+// window; after that, a response could keep a cancelled task running for too long.
 func TestStaleRecordsStopCommands(t *testing.T) {
-	d, _, _, box := leaderWithOneTask(t)
-	if !d.state.Leads() {
-		t.Fatal("it doesn't lead")
+	l, _, _, mailbox := leaderWithOneTask(t)
+	if !l.state.Leads() {
+		t.Fatal("the leader doesn't lead with current records")
 	}
-	box.Now += term.StaleAfter + clock.Second
-	d.state.Term.RenewedAt, d.state.Term.ValidUntil = box.Now, box.Now+4*clock.Second
-	if d.state.Leads() {
-		t.Fatal("it leads with stale records")
+	mailbox.Now += term.StaleAfter + clock.Second
+	l.state.Term.RenewedAt, l.state.Term.ValidUntil = mailbox.Now, mailbox.Now+4*clock.Second
+	if l.state.Leads() {
+		t.Fatal("the leader leads with stale records")
 	}
-	if !d.state.MayRespond() {
-		t.Fatal("it lets the workers go too soon")
+	if !l.state.MayRespond() {
+		t.Fatal("the leader doesn't respond within the renewal window")
 	}
-	box.Now += d.state.Settings.Deployment.Workers.RenewalWindow()
-	d.state.Term.RenewedAt = box.Now
-	if d.state.MayRespond() {
-		t.Fatal("it keeps tasks alive that may be cancelled")
+	mailbox.Now += l.state.Settings.Deployment.Workers.RenewalWindow()
+	l.state.Term.RenewedAt = mailbox.Now
+	if l.state.MayRespond() {
+		t.Fatal("the leader responds after the renewal window, when tasks may be cancelled")
 	}
 }
 
-// A heartbeat that changes nothing costs next to nothing.
+// Most heartbeats change nothing, so the leader must handle them with few allocations. A full
+// reconciliation of each would take a large share of its processor time.
 func TestUnchangedHeartbeatCostsLittle(t *testing.T) {
-	d, _, r := leaderWithEightTasks()
+	l, _, r := leaderWithEightTasks()
 	n := testing.AllocsPerRun(100, func() {
 		r.Counter++
-		d.Heartbeat(r, func(int, any) {})
+		l.Heartbeat(r, func(int, any) {})
 	})
 	if n > 4 {
-		t.Errorf("%v allocations, want at most 4", n)
+		t.Errorf("got %v allocations, want at most 4", n)
 	}
 }
 
-// Whatever makes commands due is noticed at the next heartbeat, also where that one changes nothing.
+// Whatever makes a command due, the leader sends it in the response to the next heartbeat, even if that
+// heartbeat changes nothing. The shortcut for unchanged heartbeats would otherwise hide the command.
 func TestDueCommandsAreNoticed(t *testing.T) {
-	for name, change := range map[string]func(d *Leader, j *jobtable.Job, r *protocol.Heartbeat){
-		"a task is to stop": func(_ *Leader, j *jobtable.Job, _ *protocol.Heartbeat) {
-			j.Stops[3] = jobtable.StopRequest{Reason: "room"}
+	for name, change := range map[string]func(l *Leader, j *jobtable.Job, r *protocol.Heartbeat){
+		"a task must stop": func(_ *Leader, j *jobtable.Job, _ *protocol.Heartbeat) {
+			j.Stops[3] = jobtable.StopRequest{Reason: "preempted"}
 		},
-		"the job is cancelled": func(d *Leader, j *jobtable.Job, _ *protocol.Heartbeat) {
-			d.jobs.NoteCancelled(j, d.state.Now())
+		"the job is cancelled": func(l *Leader, j *jobtable.Job, _ *protocol.Heartbeat) {
+			l.jobs.NoteCancelled(j, l.state.Now())
 		},
-		"a task has gone": func(_ *Leader, _ *jobtable.Job, r *protocol.Heartbeat) {
+		"the heartbeat lacks a task": func(_ *Leader, _ *jobtable.Job, r *protocol.Heartbeat) {
 			r.Tasks = r.Tasks[1:]
 		},
-		"a placement is released": func(d *Leader, j *jobtable.Job, _ *protocol.Heartbeat) {
-			d.jobs.ReleasePlacement(j, j.Placements[5])
+		"a placement is released": func(l *Leader, j *jobtable.Job, _ *protocol.Heartbeat) {
+			l.jobs.ReleasePlacement(j, j.Placements[5])
 		},
-		"a task has been added": func(_ *Leader, _ *jobtable.Job, r *protocol.Heartbeat) {
+		"the heartbeat has an unassigned task": func(_ *Leader, _ *jobtable.Job, r *protocol.Heartbeat) {
 			r.Tasks = append(slices.Clone(r.Tasks), unassignedTask)
 		},
 		"a gang is incomplete": func(_ *Leader, j *jobtable.Job, _ *protocol.Heartbeat) {
 			j.Spec.Shape, j.Spec.Tasks, j.BrokenAttempt = protocol.ShapeGang, 9, 1
 		},
 	} {
-		d, j, r := leaderWithEightTasks()
-		change(d, j, &r)
+		l, j, r := leaderWithEightTasks()
+		change(l, j, &r)
 		r.Counter++
-		if commands := commandsInResponse(d, r); len(commands) == 0 {
-			t.Errorf("%s: no commands, want some", name)
+		if commands := commandsInResponse(l, r); len(commands) == 0 {
+			t.Errorf("%s: got no commands, want some", name)
 		}
 	}
 }
 
-// unassignedTask is a running task that no record has.
+// unassignedTask is a running task that is in no record.
 var unassignedTask = protocol.TaskStatus{Task: "job-2/0", Attempt: 1, Status: protocol.TaskRunning}
 
-// commandsInResponse returns the commands in the response to a heartbeat that is accepted.
-func commandsInResponse(d *Leader, r protocol.Heartbeat) (commands []protocol.Command) {
-	d.Heartbeat(r, func(_ int, body any) { commands = body.(protocol.HeartbeatResponse).Commands })
+// commandsInResponse returns the commands in the response to a heartbeat that the leader accepts.
+func commandsInResponse(l *Leader, r protocol.Heartbeat) (commands []protocol.Command) {
+	l.Heartbeat(r, func(_ int, body any) { commands = body.(protocol.HeartbeatResponse).Commands })
 	return commands
 }
 
-// Exited tasks are forgotten several at a time, with other commands, or after a while: each
-// forgotten one makes its worker send another heartbeat.
+// Each command to forget an exited task makes the worker send another heartbeat. To save heartbeats, the
+// leader sends these commands several at a time, with other commands, or after a delay, and only once
+// the exits are stored.
 func TestExitedTasksAreForgottenTogether(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -100,15 +104,15 @@
 	}{
 		{"one", 1, false, 0, 0},
 		{"one, with another command", 1, true, 0, 1},
-		{"one, after a while", 1, false, reconciler.ForgetDelay, 1},
+		{"one, after the delay", 1, false, reconciler.ForgetDelay, 1},
 		{"a batch", reconciler.ForgetBatch, false, 0, reconciler.ForgetBatch},
 	} {
-		d, j, r := leaderWithEightTasks()
-		box := d.state.Mailbox.(*actortest.Still)
+		l, j, r := leaderWithEightTasks()
+		mailbox := l.state.Mailbox.(*actortest.Still)
 		heartbeat := func() (forgotten int) {
 			r.Counter++
 			r.Tasks = slices.Clone(r.Tasks)
-			for _, c := range commandsInResponse(d, r) {
+			for _, c := range commandsInResponse(l, r) {
 				if c.Verb == protocol.VerbForget {
 					forgotten++
 				}
@@ -119,31 +123,33 @@
 			r.Tasks[i].Status, r.Tasks[i].Cause = protocol.TaskExited, protocol.CauseDone
 		}
 		if n := heartbeat(); n > 0 {
-			t.Errorf("%s: %d forgotten before their ends are durable, want none", c.name, n)
+			t.Errorf("%s: got %d tasks forgotten before their exits are stored, want none", c.name, n)
 		}
 		j.StoredCount = j.ChangeCount
 		if c.other {
-			j.Stops[7] = jobtable.StopRequest{Reason: "room"}
+			j.Stops[7] = jobtable.StopRequest{Reason: "preempted"}
 		}
 		for waited := clock.Micros(0); waited < c.after; waited += clock.Second {
 			if n := heartbeat(); n > 0 {
-				t.Errorf("%s: %d forgotten after %v s, want none yet", c.name, n, waited.Seconds())
+				t.Errorf("%s: got %d tasks forgotten after %v s, want none yet", c.name, n, waited.Seconds())
 			}
-			box.Now += clock.Second
-			d.state.RecordsKnownUntil, d.state.Term.ValidUntil = box.Now, box.Now+clock.Second
+			mailbox.Now += clock.Second
+			l.state.RecordsKnownUntil, l.state.Term.ValidUntil = mailbox.Now, mailbox.Now+clock.Second
 		}
 		if n := heartbeat(); n != c.forgotten {
-			t.Errorf("%s: %d forgotten, want %d", c.name, n, c.forgotten)
+			t.Errorf("%s: got %d tasks forgotten, want %d", c.name, n, c.forgotten)
 		}
 	}
 }
 
-// An exited task that was forgotten doesn't hide another that has come in its stead.
+// A worker may report an unassigned task in the same heartbeat in which an exited task, which it has
+// forgotten, is missing. The number of tasks is then the same as before, and a leader that relied on the
+// number would not stop the unassigned task.
 func TestUnassignedTaskInPlaceOfExitedOneIsStopped(t *testing.T) {
-	d, j, r := leaderWithEightTasks()
+	l, j, r := leaderWithEightTasks()
 	heartbeat := func() []protocol.Command {
 		r.Counter++
-		return commandsInResponse(d, r)
+		return commandsInResponse(l, r)
 	}
 	r.Tasks = slices.Clone(r.Tasks)
 	r.Tasks[0].Status, r.Tasks[0].Cause = protocol.TaskExited, protocol.CauseDone
@@ -152,11 +158,11 @@
 	r.Tasks = append(slices.Clone(r.Tasks[1:]), unassignedTask)
 	commands := heartbeat()
 	if len(commands) != 1 || commands[0].Verb != protocol.VerbStop || commands[0].Task != "job-2/0" {
-		t.Errorf("commands %v, want the stop of job-2/0", commands)
+		t.Errorf("got commands %v, want a stop of job-2/0", commands)
 	}
 }
 
-// commandCounter counts direct commands.
+// commandCounter counts the requests that send commands to a worker directly.
 type commandCounter struct{ n int }
 
 func (c *commandCounter) Commands(string, protocol.CommandRequest, clock.Micros,
@@ -164,31 +170,31 @@
 	c.n++
 }
 
-// While the processor doesn't keep up, starts wait for the responses to heartbeats instead
-// of taking a connection each.
+// A late tick shows that the leader's processor is overloaded. The leader then sends start commands in
+// the responses to heartbeats: a connection for each of them would add to the load.
 func TestStartsWaitForHeartbeatsUnderOverload(t *testing.T) {
 	for _, late := range []clock.Micros{0, clock.Second} {
-		d, j, m, box := leaderWithOneTask(t)
+		l, j, m, mailbox := leaderWithOneTask(t)
 		out := &commandCounter{}
-		d.commands.Workers, m.Address = workertest.Client(out), "m-1:1"
-		d.reconciler.Observe(m, workerHeartbeat(1, 1))
-		d.steps.TickedAt = box.Now
-		box.Now += term.TickInterval + late
-		d.state.RecordsKnownUntil, d.state.Term.ValidUntil = box.Now, box.Now+4*clock.Second
-		d.state.Term.Epoch = 0 // the tick only looks at the clock
-		d.tick()
-		d.state.Term.Epoch = 7
+		l.commands.Workers, m.Address = workertest.Client(out), "m-1:1"
+		l.reconciler.Observe(m, workerHeartbeat(1, 1))
+		l.steps.TickedAt = mailbox.Now
+		mailbox.Now += term.TickInterval + late
+		l.state.RecordsKnownUntil, l.state.Term.ValidUntil = mailbox.Now, mailbox.Now+4*clock.Second
+		l.state.Term.Epoch = 0 // without an epoch, the tick only measures its delay
+		l.tick()
+		l.state.Term.Epoch = 7
 		j.Uncommitted = []int{0}
-		d.writer.HandleResult(
+		l.writer.HandleResult(
 			[]recordstore.Write{{Job: j, Value: &j.StoredValue, Shard: recordstore.HeadIndex,
 				ChangeCount: j.ChangeCount}},
 			resultOf(committedAt(9)))
 		if direct := out.n > 0; direct != (late == 0) {
-			t.Errorf("late by %v: %d direct commands, want some only without delay", late, out.n)
+			t.Errorf("late by %v: got %d direct commands, want some only without delay", late, out.n)
 		}
-		commands := d.commands.CommandsFor(m, reconciler.ViaHeartbeat)
+		commands := l.commands.CommandsFor(m, reconciler.ViaHeartbeat)
 		if late > 0 && (len(commands) != 1 || commands[0].Verb != protocol.VerbStart) {
-			t.Errorf("late by %v: the heartbeat's response has %v, want the start", late, commands)
+			t.Errorf("late by %v: got commands %v in the response to the heartbeat, want one start", late, commands)
 		}
 	}
 }
--- a/internal/leader/commitoutcome_test.go
+++ b/internal/leader/commitoutcome_test.go
@@ -12,10 +12,11 @@
 	"postpoint/internal/protocol"
 )
 
-// A change without a response may be carried out seconds later. Its placements stay, and it goes again
-// at the same versions, so that only one of the two can apply.
+// The store may apply a transaction seconds after the leader has given up waiting for the response. The
+// leader keeps the placements of such a commit and retries it at the same versions, so that only one of
+// the two can apply. Otherwise a placement that the leader has given up could be committed.
 func TestCommitsOfUnknownOutcomeAreRetried(t *testing.T) {
-	l, box := newLeader()
+	l, mailbox := newLeader()
 	store := &fakeStore{}
 	useStore(l, store)
 	content := jobrecord.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 2}, 1)
@@ -23,37 +24,37 @@
 	j := l.jobs.ByID["job-1"]
 	l.jobs.AddPlacement(j, jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1})
 	l.writer.Commit()
-	store.answer(noResponse())
+	store.respond(noResponse())
 	if len(j.Placements) != 1 || j.MustReload() || j.Committed(j.Placements[0]) {
-		t.Fatalf("placed %v, to be reloaded %v, committed %v, want one task, false, false", j.Placements,
+		t.Fatalf("got placements %v, reload due %v, committed %v, want one, false, false", j.Placements,
 			j.MustReload(), j.Committed(j.Placements[0]))
 	}
-	box.Now += term.RetryDelay
+	mailbox.Now += term.RetryDelay
 	l.writer.Commit()
 	if len(store.txns) != 2 || fmt.Sprint(store.txns[0]) != fmt.Sprint(store.txns[1]) {
-		t.Fatalf("transactions %v, want the same one twice", store.txns)
+		t.Fatalf("got transactions %v, want the same one twice", store.txns)
 	}
-	// The first has applied meanwhile: the record shows it.
-	store.answer(conflictOn(jobrecord.Key("job-1")))
+	// The store has applied the first transaction meanwhile, so the retry conflicts.
+	store.respond(conflictOn(jobrecord.Key("job-1")))
 	if !j.MustReload() {
-		t.Fatal("the record isn't to be reloaded after a conflict on it")
+		t.Fatal("no reload of the record is due after a conflict on it")
 	}
 }
 
-// A placement that is released while a write which contains it has no response counts against its
-// team's limit until that write can't be carried out any more: it would bring the placement back after
-// its room had been given away.
-func TestReleasedPlacementsCountWhileAWriteMayComeLate(t *testing.T) {
-	declined := storetest.Reply[protocol.TxnResponse]{Status: http.StatusTooManyRequests}
+// A write of unknown outcome may contain a placement that the leader releases in the meantime. The
+// placement counts against its team's quota until the store can no longer apply that write: otherwise
+// the write would bring the placement back after the leader has given its capacity to another task.
+func TestReleasedPlacementsCountWhileWriteMayApply(t *testing.T) {
+	rejected := storetest.Reply[protocol.TxnResponse]{Status: http.StatusTooManyRequests}
 	for name, c := range map[string]struct {
 		responses []storetest.Reply[protocol.TxnResponse]
-		taken     int
+		counted   int
 	}{
-		"carried out":                {[]storetest.Reply[protocol.TxnResponse]{committedAt(6)}, 0},
-		"never carried out":          {[]storetest.Reply[protocol.TxnResponse]{declined}, 0},
+		"applied":                    {[]storetest.Reply[protocol.TxnResponse]{committedAt(6)}, 0},
+		"rejected":                   {[]storetest.Reply[protocol.TxnResponse]{rejected}, 0},
 		"no response":                {[]storetest.Reply[protocol.TxnResponse]{noResponse()}, 1},
-		"no response, then declined": {[]storetest.Reply[protocol.TxnResponse]{noResponse(), declined}, 1},
-		"no response, then carried out": {[]storetest.Reply[protocol.TxnResponse]{noResponse(),
+		"no response, then rejected": {[]storetest.Reply[protocol.TxnResponse]{noResponse(), rejected}, 1},
+		"no response, then applied": {[]storetest.Reply[protocol.TxnResponse]{noResponse(),
 			committedAt(6)}, 0},
 	} {
 		l, j, m, _ := leaderWithOneTask(t)
@@ -66,19 +67,20 @@
 				{Job: j, Value: &j.StoredValue, Shard: recordstore.HeadIndex, ChangeCount: j.ChangeCount - 1},
 			}, resultOf(response))
 		}
-		used, wantUsed := l.snapshots.Snapshot().Teams[""].Used, float64(c.taken)*j.Spec.Cpus
-		if j.CountedPlacements() != c.taken || used.Cpus != wantUsed {
-			t.Errorf("%s: %d placements count and %v are used, want %d and %v processors", name,
+		used, wantUsed := l.snapshots.Snapshot().Teams[""].Used, float64(c.counted)*j.Spec.Cpus
+		if j.CountedPlacements() != c.counted || used.Cpus != wantUsed {
+			t.Errorf("%s: got %d counted placements and usage %v, want %d and %v CPUs", name,
 				j.CountedPlacements(),
-				used, c.taken, wantUsed)
+				used, c.counted, wantUsed)
 		}
 	}
 }
 
-// Limits that nobody announced are found by halves; a value alone that is refused waits until it has
-// become smaller, and isn't sent unchanged again.
+// The store may reject a transaction because of a limit that it hasn't announced. The leader then halves
+// the number of changes; if the store rejects a single value, the leader doesn't send it again
+// unchanged, but waits until it has become smaller. Otherwise one large value would block all commits.
 func TestUnknownLimitsAreLearned(t *testing.T) {
-	l, store := tightLeader(true)
+	l, store := leaderWithTightLimits(true)
 	for _, id := range []protocol.JobID{"job-1", "job-2", "job-3"} {
 		l.reader.Apply(jobrecord.Key(id), jobrecord.New(arraySpec(id, 1), 1).Encode(), 5)
 		l.jobs.AddPlacement(l.jobs.ByID[id], jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1",
@@ -87,16 +89,17 @@
 	for i, want := range []int{3, 3, 1} {
 		commitAfterPause(l)
 		if n := len(store.txns[i].Changes); n != want {
-			t.Fatalf("transaction %d has %d changes, want %d", i, n, want)
+			t.Fatalf("transaction %d: got %d changes, want %d", i, n, want)
 		}
-		store.answer(storetest.Reply[protocol.TxnResponse]{Status: http.StatusBadRequest})
+		store.respond(storetest.Reply[protocol.TxnResponse]{Status: http.StatusBadRequest})
 	}
-	refused := store.txns[2].Changes[0].Put
+	rejectedKey := store.txns[2].Changes[0].Put
 	commitAfterPause(l)
-	if next := store.txns[3].Changes; len(next) != 1 || next[0].Put == refused {
-		t.Fatalf("changes %v, want one other than that of %s, which was refused alone", next, refused)
+	if next := store.txns[3].Changes; len(next) != 1 || next[0].Put == rejectedKey {
+		t.Fatalf("got changes %v, want a single one other than that of %s, which the store has rejected", next,
+			rejectedKey)
 	}
 	if len(l.jobs.ByID) != 3 {
-		t.Fatalf("%d jobs are known, want 3", len(l.jobs.ByID))
+		t.Fatalf("got %d jobs, want 3", len(l.jobs.ByID))
 	}
 }
--- a/internal/leader/golden_test.go
+++ b/internal/leader/golden_test.go
@@ -23,6 +23,10 @@
 	"postpoint/internal/zonerecovery"
 )
 
+// The golden tests compare stored records, responses and the overview with recorded forms. Controllers of
+// other versions and users read these forms, so an unintended change of an encoding must fail a test.
+
+// goldenTypes returns a catalogue with one machine type in which every field is set.
 func goldenTypes() []protocol.MachineType {
 	return []protocol.MachineType{{
 		Name:        "g8",
@@ -38,25 +42,25 @@
 	}}
 }
 
-// onlyTxn is the single transaction that was written, as it is sent.
+// onlyTxn returns the encoded form of the only transaction that the leader has sent.
 func onlyTxn(t *testing.T, store *fakeStore) []byte {
 	t.Helper()
 	if len(store.txns) != 1 {
-		t.Fatalf("%d transactions", len(store.txns))
+		t.Fatalf("got %d transactions, want 1", len(store.txns))
 	}
 	return protocol.Encode(store.txns[0])
 }
 
-// The catalogue is left for others under the recorded key in the recorded bytes, and taken from
-// there.
+// The leader shares the catalogue with other controllers under the recorded key in the recorded bytes,
+// and the next leader reads it from there.
 func TestGoldenCatalogue(t *testing.T) {
-	d, _ := newLeader()
+	l, _ := newLeader()
 	store := &fakeStore{}
-	useStore(d, &singleKeyStore{store, protocol.Item{}, 404})
-	d.catalogue.Publish = func([]protocol.MachineType) {}
-	d.catalogue.Replace(goldenTypes())
-	d.catalogue.FromCloud = true
-	d.catalogue.Share()
+	useStore(l, &singleKeyStore{store, protocol.Item{}, 404})
+	l.catalogue.Publish = func([]protocol.MachineType) {}
+	l.catalogue.Replace(goldenTypes())
+	l.catalogue.FromCloud = true
+	l.catalogue.Share()
 	goldentest.Equal(t, "catalogue", onlyTxn(t, store),
 		"\x82\xa6Guards\x92\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xa9catalogue\xa5S"+
 			"tamp\x00\xa6Writes\x91\x82\xa5Write\xa9catalogue\xa4Data\x81\xa6Fleets\x91\x8a\xa3Sku\xa2g8"+
@@ -66,21 +70,21 @@
 			"\x00\x00\x00\x00\x00\x00\xa8StartupS\xcb@V\x80\x00\x00\x00\x00\x00\xa5Halls\x92\xa1a\xa1b")
 
 	next, _ := newLeader()
-	left := protocol.Item{Key: "catalogue", Value: store.txns[0].Changes[0].Value, Version: 9}
-	useStore(next, &singleKeyStore{store, left, 200})
+	shared := protocol.Item{Key: "catalogue", Value: store.txns[0].Changes[0].Value, Version: 9}
+	useStore(next, &singleKeyStore{store, shared, 200})
 	next.catalogue.Publish = func([]protocol.MachineType) {}
 	next.catalogue.ReadShared()
 	if len(next.catalogue.Types) != 1 || !machinetable.SameType(next.catalogue.Types[0], goldenTypes()[0]) {
-		t.Errorf("%+v", next.catalogue.Types)
+		t.Errorf("got machine types %+v, want the shared one", next.catalogue.Types)
 	}
 }
 
-// Blocks of delegations' numbers.
+// The recorded form of a reserved block of delegation numbers: of a later block, and of the first one.
 func TestGoldenNumbers(t *testing.T) {
-	d, store, _ := cellLeader(t)
-	taken := protocol.Item{Key: "delegation-numbers", Value: []byte("\xcd\x0f\xa1"), Version: 9}
-	useStore(d, &singleKeyStore{store, taken, 200})
-	d.origin.ReserveNumbers()
+	l, store, _ := cellLeader(t)
+	reserved := protocol.Item{Key: "delegation-numbers", Value: []byte("\xcd\x0f\xa1"), Version: 9}
+	useStore(l, &singleKeyStore{store, reserved, 200})
+	l.origin.ReserveNumbers()
 	goldentest.Equal(t, "numbers", onlyTxn(t, store),
 		"\x82\xa6Guards\x92\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xb2delegation-num"+
 			"bers\xa5Stamp\x09\xa6Writes\x91\x82\xa5Write\xb2delegation-numbers\xa4Data\xcd\x13\x89")
@@ -93,9 +97,10 @@
 			"bers\xa5Stamp\x00\xa6Writes\x91\x82\xa5Write\xb2delegation-numbers\xa4Data\xcd\x03\xe9")
 }
 
-// A delegation's record, and its job's, whose places are the other cell's.
+// The recorded form of a delegation: the job's record, whose placements are in the other cell, the
+// delegation's record, and the offer.
 func TestGoldenDelegation(t *testing.T) {
-	d, j, store, _ := delegatingLeader(t)
+	l, j, store, _ := delegatingLeader(t)
 	goldentest.Equal(t, "job", j.Encode(),
 		"\x84\xa4spec\xde\x00\x13\xa3Uid\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa5batch\xa4Rank"+
 			"\xa0\xa4Legs\x02\xa5Vcpus\xcb?\xf0\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00\x00\x00\x00\x00"+
@@ -105,19 +110,19 @@
 			"\x00\xa6FlushS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4DueS\xc0\xa2at\x01\xa3try\x01\xa6place"+
 			"d\x91\xb1cell beta 7 1 0-1")
 	j.StoredValue.StoredCount, j.StoredValue.Version = j.ChangeCount, 6
-	d.origin.SaveDelegations()
+	l.origin.SaveDelegations()
 	goldentest.Equal(t, "delegation", onlyTxn(t, store),
 		"\x82\xa6Guards\x93\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xaddelegations/7"+
 			"\xa5Stamp\x00\x82\xa4Path\xaajobs/job-1\xa5Stamp\x06\xa6Writes\x91\x82\xa5Write\xaddelegatio"+
 			"ns/7\xa4Data\x85\xa4host\xa4beta\xa3job\xa5job-1\xa5tasks\xa30-1\xa5state\xa7offered\xa2at"+
 			"\xce\x05\xf5\xe1\x00")
-	store.answer(storetest.Reply[protocol.TxnResponse]{Status: 200, Value: protocol.TxnResponse{Revision: 8}})
-	offers := d.origin.OffersTo("beta", nil)
+	store.respond(storetest.Reply[protocol.TxnResponse]{Status: 200, Value: protocol.TxnResponse{Revision: 8}})
+	offers := l.origin.OffersTo("beta", nil)
 	if len(offers) != 1 {
-		t.Fatalf("offers %v", offers)
+		t.Fatalf("got offers %v, want one", offers)
 	}
-	answer := delegation.HeartbeatResponse{Result: delegation.Processed, Offers: offers}
-	goldentest.Equal(t, "offer", answer.Encode(),
+	response := delegation.HeartbeatResponse{Result: delegation.Processed, Offers: offers}
+	goldentest.Equal(t, "offer", response.Encode(),
 		"\x01\x01\x00\x00\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00\x00\x07\x00\xd5\xde\x00\x13\xa3Uid"+
 			"\xa5job-1\xa4Lane\xa0\xa4Desk\xa0\xa5Shape\xa5batch\xa4Rank\xa0\xa4Legs\x02\xa5Vcpus\xcb?"+
 			"\xf0\x00\x00\x00\x00\x00\x00\xa4Gpus\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa5MemGb\xcb\x00"+
@@ -127,14 +132,14 @@
 			"\x00\x00\x00\x00\x00\xa4DueS\xc0\x00\x030-1\x00\x00\x00\x00\x05\xf5\xe0\xff")
 }
 
-// The record of an accepted hosted job, and that of a refused one.
+// The recorded form of the record of an accepted hosted job, and of a refused one.
 func TestGoldenHostedJobs(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		draining bool
 		want     string
 	}{
-		{"taken", false,
+		{"accepted", false,
 			"\x82\xa6Guards\x92\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xb1jobs/beta." +
 				"job-1.7\xa5Stamp\x00\xa6Writes\x91\x82\xa5Write\xb1jobs/beta.job-1.7\xa4Data\x85\xa4spec" +
 				"\xde\x00\x13\xa3Uid\xacbeta.job-1.7\xa4Lane\xa6beta.c\xa4Desk\xa6beta.t\xa5Shape\xa5batc" +
@@ -156,9 +161,9 @@
 				"\xc0\xa6status\xa7aborted\xa2at\xce\x00\x98\x96\x80\xa4done\xa30,2\xa3try\x01\xa6placed" +
 				"\x91\xb3guest beta 7 closed\xa5cause\xb9the cell is being drained"},
 	} {
-		d, store, _ := cellLeader(t)
-		d.catalogue.Types = goldenTypes()
-		d.cells.Directory.Own.Draining = c.draining
+		l, store, _ := cellLeader(t)
+		l.catalogue.Types = goldenTypes()
+		l.cells.Directory.Own.Draining = c.draining
 		var tasks jobrecord.TaskSet
 		tasks.Add(1)
 		spec := protocol.JobSpec{
@@ -173,36 +178,37 @@
 			Image:    "i",
 		}
 		offer := delegation.Offer{Number: 7, Spec: spec, Tasks: tasks, JobAge: 90 * clock.Second}
-		d.host.HandleOffer(d.cells.ByCell["beta"], offer)
+		l.host.HandleOffer(l.cells.ByCell["beta"], offer)
 		goldentest.Equal(t, c.name, onlyTxn(t, store), c.want)
 	}
 }
 
-// A zone's record as the leader writes it.
+// The recorded form of a zone's record, as the leader writes it.
 func TestGoldenZone(t *testing.T) {
-	d, _ := newLeader()
+	l, _ := newLeader()
 	store := &fakeStore{}
-	useStore(d, store)
+	useStore(l, store)
 	lost := &zonerecovery.Zone{Name: "somes", Phase: zonerecovery.Lost, Losses: 3, Since: 90 * clock.Second,
 		Flaps: 2}
-	d.zones.Zones = map[string]*zonetracker.Zone{"somes": {Zone: lost, RecordVersion: 9}}
-	d.zones.SaveZones()
+	l.zones.Zones = map[string]*zonetracker.Zone{"somes": {Zone: lost, RecordVersion: 9}}
+	l.zones.SaveZones()
 	goldentest.Equal(t, "zone", onlyTxn(t, store),
 		"\x82\xa6Guards\x92\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xaerecovery/somes"+
 			"\xa5Stamp\x09\xa6Writes\x91\x82\xa5Write\xaerecovery/somes\xa4Data\x84\xa6number\x03\xa5phas"+
 			"e\xa4lost\xa5since\xce\x05]J\x80\xa5flaps\x02")
 }
 
-// A job's changes as the leader writes them: its record, or a part of a divided one.
+// The recorded form of a job's changes, as the leader writes them: of its record, or of a shard of a
+// sharded one.
 func TestGoldenCommits(t *testing.T) {
-	d, j, _, _ := leaderWithOneTask(t)
+	l, j, _, _ := leaderWithOneTask(t)
 	store := &fakeStore{}
-	useStore(d, store)
+	useStore(l, store)
 	j.RecordDone(0)
-	d.jobs.ReleasePlacement(j, j.Placements[0])
-	d.jobs.NoteHeadChange(j)
+	l.jobs.ReleasePlacement(j, j.Placements[0])
+	l.jobs.NoteHeadChange(j)
 	j.StoredValue.ChangedAt = 0
-	d.writer.Commit()
+	l.writer.Commit()
 	goldentest.Equal(t, "record", onlyTxn(t, store),
 		"\x82\xa6Guards\x92\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xaajobs/job-1\xa5"+
 			"Stamp\x05\xa6Writes\x91\x82\xa5Write\xaajobs/job-1\xa4Data\x84\xa4spec\xde\x00\x13\xa3Uid"+
@@ -213,13 +219,14 @@
 			"\x00\x00\x00\x00\xa9SnapshotS\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa6FlushS\xcb\x00\x00\x00"+
 			"\x00\x00\x00\x00\x00\xa4DueS\xc0\xa2at\x01\xa4done\xa10\xa3try\x02")
 
-	_, parts, _ := shardedArray(t)
-	goldentest.Equal(t, "part", onlyTxn(t, parts),
+	_, shardStore, _ := shardedArray(t)
+	goldentest.Equal(t, "shard", onlyTxn(t, shardStore),
 		"\x82\xa6Guards\x93\x82\xa4Path\xaflead/controller\xa5Stamp\x07\x82\xa4Path\xaajobs/job-1\xa5"+
 			"Stamp\x05\x82\xa4Path\xadparts/job-1/0\xa5Stamp\x00\xa6Writes\x91\x82\xa5Write\xadparts/job-"+
 			"1/0\xa4Data\x84\xa4next\x01\xa5shift\x01\xa3try\x01\xa6placed\xa5m-1 0")
 }
 
+// goldenOverview returns an overview in which every field is set.
 func goldenOverview() overview.Overview {
 	return overview.Overview{
 		Node:   "worker-0",
@@ -273,7 +280,7 @@
 	}
 }
 
-// The overview's keys, with all of them and with those that are always there.
+// The recorded keys of the overview: all of them, and those that are always present.
 func TestGoldenOverview(t *testing.T) {
 	full := goldenOverview()
 	goldentest.RequireFieldsSet(t, "overview", full)
@@ -317,14 +324,14 @@
 	}
 }
 
-// The overview of a leader with a job, a machine, cells and zones.
+// The recorded form of the overview of a leader with a job, a machine, cells and zones.
 func TestGoldenOverviewOfALeader(t *testing.T) {
-	d, _, _, _ := hostingLeader(t)
-	d.state.KnownLeader, d.scheduler.Plans, d.writer.LimitsTightened = "worker-0", 7, true
-	d.state.Format = rollout.Status{Services: true, Cells: true, Missing: []string{"worker-1"}}
+	l, _, _, _ := hostingLeader(t)
+	l.state.KnownLeader, l.scheduler.Plans, l.writer.LimitsTightened = "worker-0", 7, true
+	l.state.Format = rollout.Status{Services: true, Cells: true, Missing: []string{"worker-1"}}
 	s := zonerecovery.Defaults()
-	d.zones.Options = &s
-	d.zones.Zones = map[string]*zonetracker.Zone{"somes": {
+	l.zones.Options = &s
+	l.zones.Zones = map[string]*zonetracker.Zone{"somes": {
 		Zone: &zonerecovery.Zone{
 			Name:      "somes",
 			Phase:     zonerecovery.Lost,
@@ -336,7 +343,7 @@
 			HeardElsewhere: 2},
 	}}
 	var got []byte
-	d.Overview(func(o any) {
+	l.Overview(func(o any) {
 		var err error
 		if got, err = json.Marshal(o); err != nil {
 			t.Fatal(err)
@@ -353,15 +360,15 @@
 			`"heard_elsewhere":2}]}`)
 }
 
-// The idempotency key of a scale-out request consists of the epoch and a count.
+// The idempotency key of a scale-out request consists of the epoch and a counter.
 func TestGoldenIdempotencyKeys(t *testing.T) {
-	d, _ := newLeader()
+	l, _ := newLeader()
 	recorder := &scaleOutRecorder{}
-	d.autoscaler.Cloud = cloudtest.Client(recorder)
-	d.catalogue.Publish = func([]protocol.MachineType) {}
-	d.catalogue.Replace(goldenTypes())
-	d.state.Settings.Deployment.Cloud.Rps = 100
-	d.autoscaler.Begin()
+	l.autoscaler.Cloud = cloudtest.Client(recorder)
+	l.catalogue.Publish = func([]protocol.MachineType) {}
+	l.catalogue.Replace(goldenTypes())
+	l.state.Settings.Deployment.Cloud.Rps = 100
+	l.autoscaler.Begin()
 	spec := &protocol.JobSpec{
 		ID:        "job-1",
 		Shape:     protocol.ShapeArray,
@@ -372,15 +379,15 @@
 		EstimateS: 600,
 	}
 	job := &planner.Job{ID: "job-1", Spec: spec, Pending: []int{0}, MaxStarts: 1}
-	d.autoscaler.ScaleOut([]planner.UnmetDemand{{Job: job, Tasks: 1}})
+	l.autoscaler.ScaleOut([]planner.UnmetDemand{{Job: job, Tasks: 1}})
 	if len(recorder.requests) != 1 {
-		t.Fatalf("%+v", recorder.requests)
+		t.Fatalf("got requests %+v, want one", recorder.requests)
 	}
-	goldentest.Equal(t, "rental", protocol.Encode(recorder.requests[0]),
+	goldentest.Equal(t, "scale-out request", protocol.Encode(recorder.requests[0]),
 		"\x85\xa7Booking\xa4e7-1\xa5Fleet\xa2g8\xa4Hall\xa1a\xa7Loaners\xc3\xa7HowMany\x01")
 }
 
-// scaleOutRecorder is a fake of the cloud that records scale-out requests.
+// scaleOutRecorder is a fake cloud that records scale-out requests.
 type scaleOutRecorder struct {
 	cloudtest.Service
 	requests []protocol.ScaleOutRequest
@@ -391,30 +398,30 @@
 	r.requests = append(r.requests, x)
 }
 
-// Responses to heartbeats: commands with each verb, redirects and refusals.
+// The recorded form of responses to heartbeats: commands with each verb, redirects and refusals.
 func TestGoldenHeartbeatResponses(t *testing.T) {
-	answered := func(d *Leader, r protocol.Heartbeat) (int, []byte) {
+	respondTo := func(l *Leader, r protocol.Heartbeat) (int, []byte) {
 		status, body := 0, []byte(nil)
-		d.Heartbeat(r, func(s int, b any) { status, body = s, protocol.Encode(b) })
+		l.Heartbeat(r, func(s int, b any) { status, body = s, protocol.Encode(b) })
 		return status, body
 	}
 	start, _, _, _ := leaderWithOneTask(t)
-	status, body := answered(start, workerHeartbeat(1, 1))
+	status, body := respondTo(start, workerHeartbeat(1, 1))
 	goldentest.Equal(t, "start", body,
 		"\x82\xa5Epoch\x07\xa6Orders\x91\x84\xa4Verb\xa5start\xa3Leg\xa7job-1/0\xa3Try\x01\xa6LeaveS"+
 			"\xcb\x00\x00\x00\x00\x00\x00\x00\x00")
 	if status != 200 {
-		t.Errorf("start: %d", status)
+		t.Errorf("start: got status %d, want 200", status)
 	}
 	stray := protocol.TaskStatus{Task: "job-9/0", Attempt: 1, Status: protocol.TaskRunning}
 	stop, _, _, _ := leaderWithOneTask(t)
-	status, body = answered(stop, workerHeartbeat(1, 1, stray))
+	status, body = respondTo(stop, workerHeartbeat(1, 1, stray))
 	goldentest.Equal(t, "stop", body,
 		"\x82\xa5Epoch\x07\xa6Orders\x92\x84\xa4Verb\xa5start\xa3Leg\xa7job-1/0\xa3Try\x01\xa6LeaveS"+
 			"\xcb\x00\x00\x00\x00\x00\x00\x00\x00\x84\xa4Verb\xa4kill\xa3Leg\xa7job-9/0\xa3Try\x01\xa6Lea"+
 			"veS\xcb\x00\x00\x00\x00\x00\x00\x00\x00")
 	if status != 200 {
-		t.Errorf("stop: %d", status)
+		t.Errorf("stop: got status %d, want 200", status)
 	}
 	ended := protocol.TaskStatus{
 		Task:    "job-9/0",
@@ -423,45 +430,46 @@
 		Cause:   protocol.CauseDone,
 	}
 	forget, _, _, _ := leaderWithOneTask(t)
-	status, body = answered(forget, workerHeartbeat(1, 1, ended))
+	status, body = respondTo(forget, workerHeartbeat(1, 1, ended))
 	goldentest.Equal(t, "forget", body,
 		"\x82\xa5Epoch\x07\xa6Orders\x92\x84\xa4Verb\xa5start\xa3Leg\xa7job-1/0\xa3Try\x01\xa6LeaveS"+
 			"\xcb\x00\x00\x00\x00\x00\x00\x00\x00\x84\xa4Verb\xa6forget\xa3Leg\xa7job-9/0\xa3Try\x01\xa6L"+
 			"eaveS\xcb\x00\x00\x00\x00\x00\x00\x00\x00")
 	if status != 200 {
-		t.Errorf("forget: %d", status)
+		t.Errorf("forget: got status %d, want 200", status)
 	}
 	other, _, _, _ := leaderWithOneTask(t)
 	other.state.Term.Epoch, other.state.KnownLeader = 0, "worker-1"
-	status, body = answered(other, workerHeartbeat(1, 1))
+	status, body = respondTo(other, workerHeartbeat(1, 1))
 	goldentest.Equal(t, "another node leads", body, "\x81\xaaDispatcher\xa8worker-1")
 	if status != 421 {
-		t.Errorf("another node leads: %d", status)
+		t.Errorf("another node leads: got status %d, want 421", status)
 	}
-	released, _, _, box := leaderWithOneTask(t)
-	released.machines.Released["m-1"] = box.Now
-	status, body = answered(released, workerHeartbeat(1, 1))
+	released, _, _, mailbox := leaderWithOneTask(t)
+	released.machines.Released["m-1"] = mailbox.Now
+	status, body = respondTo(released, workerHeartbeat(1, 1))
 	goldentest.Equal(t, "released", body, "\x80")
 	if status != 421 {
-		t.Errorf("released: %d", status)
+		t.Errorf("released: got status %d, want 421", status)
 	}
 }
 
-// The kinds of objectives that the settings name.
+// The kinds of objectives in the settings, and the start objective and the due times that the leader
+// derives from them.
 func TestGoldenObjectives(t *testing.T) {
-	d, _ := newLeader()
-	d.state.Settings.Deployment.Objectives = []settings.Objective{
+	l, _ := newLeader()
+	l.state.Settings.Deployment.Objectives = []settings.Objective{
 		{Kind: "wait", Class: "c", WithinS: 5},
 		{Kind: "finished", Class: "c", WithinS: 300},
 		{Kind: "deadline", Class: "c", Times: 1.5},
 	}
-	if s := d.objectives.StartObjectiveS("c"); s != 5 {
-		t.Errorf("a start within %v s", s)
+	if s := l.objectives.StartObjectiveS("c"); s != 5 {
+		t.Errorf("got a start objective of %v s, want 5", s)
 	}
 	due := 100.0
 	j := jobtable.NewJob()
 	j.Record = jobrecord.New(protocol.JobSpec{ID: "job-1", Class: "c", DeadlineS: &due}, 1)
-	if times := d.objectives.DueTimes(j); !slices.Equal(times, []float64{100, 150, 300}) {
-		t.Errorf("due after %v s", times)
+	if times := l.objectives.DueTimes(j); !slices.Equal(times, []float64{100, 150, 300}) {
+		t.Errorf("got due times %v s, want 100, 150 and 300", times)
 	}
 }
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -14,26 +14,27 @@
 	"postpoint/internal/settings"
 )
 
-// newLeader returns a leader that has read its records, in epoch 7.
+// newLeader returns a leader in epoch 7 that has loaded its records, and its mailbox, whose clock the
+// test sets.
 func newLeader() (*Leader, *actortest.Still) {
-	box := &actortest.Still{Now: 100 * clock.Second}
+	mailbox := &actortest.Still{Now: 100 * clock.Second}
 	set := &settings.Settings{}
 	set.Deployment.Workers = settings.Workers{HeartbeatS: 2, LeaseS: 12, GangPeerS: 4, CancelS: 30}
 	set.Deployment.KVStore = settings.KVStore{Rps: 100, WriteRps: 40, ValueKb: 8, TxnOps: 5}
-	d := New(Dependencies{Mailbox: box, Settings: set, Deposed: func(protocol.Epoch) {}, Resign: func() {}})
-	d.state.Term.Epoch, d.state.BegunAt = 7, box.Now
-	d.state.Term.RenewedAt, d.state.Term.ValidUntil = box.Now, box.Now+4*clock.Second
-	d.jobs.ByID, d.jobs.Malformed = map[protocol.JobID]*jobtable.Job{}, map[protocol.JobID]bool{}
-	d.jobs.FinalVersions = map[protocol.JobID]protocol.Revision{}
-	d.jobs.StrayShards = map[string]protocol.Revision{}
-	d.machines.ByName = map[protocol.MachineName]*machinetable.Machine{}
-	d.machines.Released = map[protocol.MachineName]clock.Micros{}
-	d.state.Random = term.NewRandom(7)
-	d.state.Loaded, d.state.RecordsKnownUntil, d.steps.Pending = true, box.Now, true
-	return d, box
+	l := New(Dependencies{Mailbox: mailbox, Settings: set, Deposed: func(protocol.Epoch) {}, Resign: func() {}})
+	l.state.Term.Epoch, l.state.BegunAt = 7, mailbox.Now
+	l.state.Term.RenewedAt, l.state.Term.ValidUntil = mailbox.Now, mailbox.Now+4*clock.Second
+	l.jobs.ByID, l.jobs.Malformed = map[protocol.JobID]*jobtable.Job{}, map[protocol.JobID]bool{}
+	l.jobs.FinalVersions = map[protocol.JobID]protocol.Revision{}
+	l.jobs.StrayShards = map[string]protocol.Revision{}
+	l.machines.ByName = map[protocol.MachineName]*machinetable.Machine{}
+	l.machines.Released = map[protocol.MachineName]clock.Micros{}
+	l.state.Random = term.NewRandom(7)
+	l.state.Loaded, l.state.RecordsKnownUntil, l.steps.Pending = true, mailbox.Now, true
+	return l, mailbox
 }
 
-// useStore gives all components a key-value store that responds as the service does.
+// useStore connects all components that access the key-value store to the given fake.
 func useStore(l *Leader, service storetest.Service) {
 	store := storetest.Client(service)
 	l.catalogue.Store = store
@@ -44,19 +45,20 @@
 	l.zones.Store = store
 }
 
-// leaderWithOneTask returns a leader that has committed one task to machine m-1 in its incarnation 1.
+// leaderWithOneTask returns a leader with a committed placement of one task on incarnation 1 of machine
+// m-1, together with the job, the machine and the mailbox.
 func leaderWithOneTask(t *testing.T) (*Leader, *jobtable.Job, *machinetable.Machine, *actortest.Still) {
 	t.Helper()
-	d, box := newLeader()
+	l, mailbox := newLeader()
 	content := jobrecord.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 1}, 1)
 	content.NextAttempt = 2
 	content.Placements[0] = jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1}
-	d.reader.Apply(jobrecord.Key("job-1"), content.Encode(), 5)
-	return d, d.jobs.ByID["job-1"], d.machines.ByName["m-1"], box
+	l.reader.Apply(jobrecord.Key("job-1"), content.Encode(), 5)
+	return l, l.jobs.ByID["job-1"], l.machines.ByName["m-1"], mailbox
 }
 
-// exitedHeartbeat returns the first heartbeat of machine m-1, which says that task 0 of job-1 has
-// exited.
+// exitedHeartbeat returns the first heartbeat of machine m-1. It reports that task 0 of job-1 has exited
+// for the given cause.
 func exitedHeartbeat(cause string) protocol.Heartbeat {
 	return workerHeartbeat(1, 1, protocol.TaskStatus{
 		Task:    "job-1/0",
@@ -66,7 +68,7 @@
 	})
 }
 
-// workerHeartbeat returns a heartbeat of machine m-1, whose agent knows of epoch 7.
+// workerHeartbeat returns a heartbeat of machine m-1, whose worker has seen epoch 7.
 func workerHeartbeat(
 	incarnation protocol.Incarnation, counter int64, tasks ...protocol.TaskStatus,
 ) protocol.Heartbeat {
@@ -80,10 +82,10 @@
 	}
 }
 
-// leaderWithEightTasks returns a leader that has heard of a job's eight tasks where they are placed,
-// and the heartbeat that said so.
+// leaderWithEightTasks returns a leader to which machine m-1 has reported all eight tasks of a job, the
+// job, and the last of these heartbeats.
 func leaderWithEightTasks() (*Leader, *jobtable.Job, protocol.Heartbeat) {
-	d, _ := newLeader()
+	l, _ := newLeader()
 	content := jobrecord.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 8}, 1)
 	r := workerHeartbeat(1, 0)
 	for task := range 8 {
@@ -94,10 +96,10 @@
 			Status:  protocol.TaskRunning,
 		})
 	}
-	d.reader.Apply(jobrecord.Key("job-1"), content.Encode(), 5)
+	l.reader.Apply(jobrecord.Key("job-1"), content.Encode(), 5)
 	for range 2 {
 		r.Counter++
-		d.Heartbeat(r, func(int, any) {})
+		l.Heartbeat(r, func(int, any) {})
 	}
-	return d, d.jobs.ByID["job-1"], r
+	return l, l.jobs.ByID["job-1"], r
 }
--- a/internal/leader/machines_test.go
+++ b/internal/leader/machines_test.go
@@ -10,18 +10,19 @@
 	"postpoint/internal/leader/machinetable"
 )
 
-// A machine on which tasks take twice as long as elsewhere is told from others
-// after a few runs, though all estimates are wrong, and recovers when it does.
-func TestSlowMachinesAreToldFromOthers(t *testing.T) {
-	d, j, slow, _ := leaderWithOneTask(t)
+// After a few runs the leader detects a machine on which tasks take twice as long as elsewhere, even if
+// all estimates are wrong, and it notices when the machine has recovered. A comparison with the
+// estimates alone would count every machine as slow.
+func TestSlowMachinesAreDetected(t *testing.T) {
+	l, j, slow, _ := leaderWithOneTask(t)
 	j.Spec.EstimateS, j.Spec.Class = 10, "c"
-	d.objectives.NoteArrival(&j.Spec)
-	other := d.machines.GetOrAdd("m-2")
+	l.objectives.NoteArrival(&j.Spec)
+	other := l.machines.GetOrAdd("m-2")
 	run := func(m *machinetable.Machine, s int) {
-		d.objectives.NoteRun(m, &j.Spec, clock.Micros(s)*clock.Second)
+		l.objectives.NoteRun(m, &j.Spec, clock.Micros(s)*clock.Second)
 	}
 	for range 10 {
-		run(other, 30) // three times the estimate, as everywhere
+		run(other, 30) // three times the estimate, as on all other machines
 	}
 	for range 8 {
 		run(slow, 60)
@@ -30,43 +31,44 @@
 		}
 	}
 	if slow.Slowness() < 0.5 || other.Slowness() != 0 {
-		t.Fatalf("slowness %v and %v, want at least 0.5 and 0", slow.Slowness(), other.Slowness())
+		t.Fatalf("got slowness %v and %v, want at least 0.5 and 0", slow.Slowness(), other.Slowness())
 	}
 	for range 6 {
 		run(slow, 30)
 		run(other, 30)
 	}
 	if slow.Slowness() != 0 {
-		t.Fatalf("slowness %v after it has recovered, want 0", slow.Slowness())
+		t.Fatalf("got slowness %v after the machine has recovered, want 0", slow.Slowness())
 	}
 }
 
-// A placement read back for a machine that was released meanwhile is gone with it:
-// nothing will ever be heard of that machine again.
+// The leader may read a placement on a machine that was released in the meantime. It releases the
+// placement at once: the machine will never send a heartbeat that proves the task's end, so the task
+// would otherwise never start again.
 func TestPlacementsOnReleasedMachinesAreReleased(t *testing.T) {
-	d, j, _, box := leaderWithOneTask(t)
+	l, j, _, mailbox := leaderWithOneTask(t)
 	old := j.Encode()
-	d.machines.Released["m-1"] = box.Now
-	delete(d.machines.ByName, "m-1")
-	d.machines.Ordered = nil
+	l.machines.Released["m-1"] = mailbox.Now
+	delete(l.machines.ByName, "m-1")
+	l.machines.Ordered = nil
 	j.NoteRecordEvent(jobtable.EventRecordConflict)
-	d.reader.Apply(jobrecord.Key("job-1"), old, 6)
+	l.reader.Apply(jobrecord.Key("job-1"), old, 6)
 	if len(j.Placements) != 0 || j.NextAttempt < 2 {
-		t.Fatalf("placements %v, next attempt %d; want none and at least 2", j.Placements, j.NextAttempt)
+		t.Fatalf("got placements %v, next attempt %d; want none and at least 2", j.Placements, j.NextAttempt)
 	}
-	// What is still heard of it is outdated, and brings nothing back.
+	// A late heartbeat of the released machine is outdated and doesn't register the machine again.
 	status := 0
-	d.Heartbeat(workerHeartbeat(1, 7), func(s int, _ any) { status = s })
-	if status != http.StatusMisdirectedRequest || d.machines.ByName["m-1"] != nil {
-		t.Fatalf("status %d, known %v; want 421 and false", status, d.machines.ByName["m-1"] != nil)
+	l.Heartbeat(workerHeartbeat(1, 7), func(s int, _ any) { status = s })
+	if status != http.StatusMisdirectedRequest || l.machines.ByName["m-1"] != nil {
+		t.Fatalf("got status %d, known %v; want 421 and false", status, l.machines.ByName["m-1"] != nil)
 	}
-	// A term of months doesn't remember all that it released.
-	box.Now += machinetable.ReleasedRetention
-	if d.machines.ForgetReleased(); !d.machines.WasReleased("m-1") {
-		t.Error("forgotten too early")
+	// The leader forgets released machines after a while, which bounds its memory in a term of months.
+	mailbox.Now += machinetable.ReleasedRetention
+	if l.machines.ForgetReleased(); !l.machines.WasReleased("m-1") {
+		t.Error("the leader has forgotten the released machine before ReleasedRetention was over")
 	}
-	box.Now++
-	if d.machines.ForgetReleased(); len(d.machines.Released) > 0 {
-		t.Errorf("%d released machines are kept, want none", len(d.machines.Released))
+	mailbox.Now++
+	if l.machines.ForgetReleased(); len(l.machines.Released) > 0 {
+		t.Errorf("got %d released machines, want none", len(l.machines.Released))
 	}
 }
--- a/internal/leader/objectives_test.go
+++ b/internal/leader/objectives_test.go
@@ -8,14 +8,15 @@
 	"postpoint/internal/settings"
 )
 
-// Among jobs that are to start, the time left to the next objective counts, the last being the four
-// minutes in which every job is to start. A class that must start sooner than a machine boots has no
-// other than that.
+// The slack of a job that hasn't started is the time left to its next start objective, the last of which
+// is the four minutes within which every job must start. A class that must start sooner than a machine
+// boots has only this last one: otherwise its jobs would lose priority after a few seconds and miss the
+// four minutes too.
 func TestNextStartObjectiveSetsSlack(t *testing.T) {
-	d, j, _, box := leaderWithOneTask(t)
-	box.Now = 1000 * clock.Second
-	d.catalogue.Types = []protocol.MachineType{{Name: "t", BootS: 30, FetchGBPerS: 0.25}}
-	d.state.Settings.Deployment.Objectives = []settings.Objective{
+	l, j, _, mailbox := leaderWithOneTask(t)
+	mailbox.Now = 1000 * clock.Second
+	l.catalogue.Types = []protocol.MachineType{{Name: "t", BootS: 30, FetchGBPerS: 0.25}}
+	l.state.Settings.Deployment.Objectives = []settings.Objective{
 		{Kind: "wait", Class: "late", WithinS: 120},
 		{Kind: "wait", Class: "late", WithinS: 300},
 		{Kind: "wait", Class: "soon", WithinS: 5},
@@ -25,16 +26,16 @@
 		ageS, imageGB, want float64
 	}{
 		{"first objective", "late", 50, 0, 70},
-		{"four minutes before the second objective", "late", 130, 0, 110},
-		{"four minutes are over", "late", 250, 0, -10},
+		{"four-minute objective before the second one of its class", "late", 130, 0, 110},
+		{"four-minute objective missed", "late", 250, 0, -10},
 		{"no objective", "none", 100, 0, 140},
 		{"objective sooner than a boot", "soon", 1, 0, 239},
 		{"image that takes 80 s", "none", 100, 20, 60},
 	} {
 		j.Spec.Class, j.Spec.ImageGB = c.class, c.imageGB
-		j.SubmittedAt = int64(box.Now - clock.FromSeconds(c.ageS))
-		if got := d.objectives.StartSlackS(j); got != c.want {
-			t.Errorf("%s: %v s left to start, want %v", c.name, got, c.want)
+		j.SubmittedAt = int64(mailbox.Now - clock.FromSeconds(c.ageS))
+		if got := l.objectives.StartSlackS(j); got != c.want {
+			t.Errorf("%s: got a slack of %v s, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/leader/reconciler_test.go
+++ b/internal/leader/reconciler_test.go
@@ -10,141 +10,147 @@
 	"postpoint/internal/protocol"
 )
 
-// firstAttempt is the attempt that leaderWithOneTask places.
+// firstAttempt refers to the attempt that leaderWithOneTask places.
 var firstAttempt = machinetable.AttemptRef{Job: "job-1", Task: 0, Attempt: 1}
 
-// taskOfOne is the task that leaderWithOneTask places, as a heartbeat lists it.
-func taskOfOne(status, cause string) protocol.TaskStatus {
+// firstTaskStatus returns the status of the task that leaderWithOneTask places, as a heartbeat reports
+// it.
+func firstTaskStatus(status, cause string) protocol.TaskStatus {
 	return protocol.TaskStatus{Task: "job-1/0", Attempt: 1, Status: status, Cause: cause}
 }
 
-// A heartbeat that is older than one observed already proves nothing, however late it arrives.
+// Heartbeats may arrive out of order. One that is older than a heartbeat that the leader has observed
+// proves nothing, and must not release a placement.
 func TestOutdatedHeartbeatsAreIgnored(t *testing.T) {
-	d, j, m, _ := leaderWithOneTask(t)
-	d.reconciler.Observe(m, workerHeartbeat(1, 9, taskOfOne(protocol.TaskRunning, "")))
-	d.reconciler.Observe(m, workerHeartbeat(1, 4, taskOfOne(protocol.TaskExited, protocol.CauseError)))
+	l, j, m, _ := leaderWithOneTask(t)
+	l.reconciler.Observe(m, workerHeartbeat(1, 9, firstTaskStatus(protocol.TaskRunning, "")))
+	l.reconciler.Observe(m, workerHeartbeat(1, 4, firstTaskStatus(protocol.TaskExited, protocol.CauseError)))
 	if len(j.Placements) != 1 || m.Counter != 9 {
-		t.Fatalf("placements %v, counter %d after an outdated heartbeat; want the placement and 9",
+		t.Fatalf("got placements %v, counter %d after an outdated heartbeat; want the placement and 9",
 			j.Placements, m.Counter)
 	}
 }
 
-// While a start may still arrive, a heartbeat without the task doesn't release its
-// placement, even if the task is to be stopped; it is started and stopped instead. A
-// cancelled job's isn't: nothing of it may start any more, and the placement is kept.
+// While a start command may still arrive, a heartbeat without the task doesn't prove that the task won't
+// run, so the leader keeps the placement. If the task must stop, the leader sends the start again
+// together with a stop. It sends neither for a cancelled job, since no task of the job may start any
+// more, and keeps the placement.
 func TestAbsenceProvesNothingWhileStartMayArrive(t *testing.T) {
-	d, j, m, _ := leaderWithOneTask(t)
-	d.reconciler.Observe(m, workerHeartbeat(1, 1))
+	l, j, m, _ := leaderWithOneTask(t)
+	l.reconciler.Observe(m, workerHeartbeat(1, 1))
 	m.Deliveries[firstAttempt] = &machinetable.StartDelivery{OutcomeUnknown: true}
-	j.Stops[0] = jobtable.StopRequest{Reason: "room"}
-	d.reconciler.Observe(m, workerHeartbeat(1, 2))
+	j.Stops[0] = jobtable.StopRequest{Reason: "preempted"}
+	l.reconciler.Observe(m, workerHeartbeat(1, 2))
 	if len(j.Placements) != 1 {
 		t.Fatal("the placement was released, want it kept")
 	}
-	commands := d.commands.CommandsFor(m, reconciler.ViaHeartbeat)
+	commands := l.commands.CommandsFor(m, reconciler.ViaHeartbeat)
 	if len(commands) != 2 || commands[0].Verb != protocol.VerbStart || commands[1].Verb != protocol.VerbStop {
-		t.Fatalf("commands %v, want a start and a stop", commands)
+		t.Fatalf("got commands %v, want a start and a stop", commands)
 	}
 	m.Deliveries[firstAttempt] = &machinetable.StartDelivery{OutcomeUnknown: true}
 	j.Status = protocol.StatusCancelled
-	if commands := d.commands.CommandsFor(m, reconciler.ViaHeartbeat); len(commands) != 0 ||
+	if commands := l.commands.CommandsFor(m, reconciler.ViaHeartbeat); len(commands) != 0 ||
 		len(j.Placements) != 1 {
-		t.Fatalf("commands %v, placements %v of a cancelled job; want none, and the placement", commands,
+		t.Fatalf("got commands %v, placements %v of a cancelled job; want none, and the placement", commands,
 			j.Placements)
 	}
 	m.Deliveries[firstAttempt] = &machinetable.StartDelivery{}
-	d.reconciler.Observe(m, workerHeartbeat(1, 3))
+	l.reconciler.Observe(m, workerHeartbeat(1, 3))
 	if len(j.Placements) != 0 {
-		t.Fatalf("placements %v though no start can arrive, want none", j.Placements)
+		t.Fatalf("got placements %v though no start can arrive, want none", j.Placements)
 	}
 }
 
-// Once a machine's lease has certainly expired, heartbeats of that incarnation, held up
-// somewhere, don't bring it back; the next incarnation does.
+// Once the lease of an incarnation has certainly expired, the leader has released its placements. A
+// delayed heartbeat of this incarnation must not make the machine usable again; a heartbeat of the next
+// incarnation does.
 func TestExpiredIncarnationsStayExpired(t *testing.T) {
-	d, j, m, box := leaderWithOneTask(t)
-	d.reconciler.Observe(m, workerHeartbeat(1, 1, taskOfOne(protocol.TaskRunning, "")))
-	box.Now += 60 * clock.Second
-	d.health.ExpireLeases()
+	l, j, m, mailbox := leaderWithOneTask(t)
+	l.reconciler.Observe(m, workerHeartbeat(1, 1, firstTaskStatus(protocol.TaskRunning, "")))
+	mailbox.Now += 60 * clock.Second
+	l.health.ExpireLeases()
 	if !m.LeaseExpired || len(j.Placements) != 0 {
-		t.Fatalf("expired %v, placements %v; want true and none", m.LeaseExpired, j.Placements)
+		t.Fatalf("got expired %v, placements %v; want true and none", m.LeaseExpired, j.Placements)
 	}
-	d.reconciler.Observe(m, workerHeartbeat(1, 8))
-	if !m.LeaseExpired || d.machines.EpochAcknowledged(m) {
-		t.Fatal("an expired incarnation came back")
+	l.reconciler.Observe(m, workerHeartbeat(1, 8))
+	if !m.LeaseExpired || l.machines.EpochAcknowledged(m) {
+		t.Fatal("the leader accepts a heartbeat of an expired incarnation")
 	}
-	d.reconciler.Observe(m, workerHeartbeat(2, 9))
-	if m.LeaseExpired || !d.machines.EpochAcknowledged(m) {
-		t.Fatal("the next incarnation isn't taken")
+	l.reconciler.Observe(m, workerHeartbeat(2, 9))
+	if m.LeaseExpired || !l.machines.EpochAcknowledged(m) {
+		t.Fatal("the leader doesn't accept the next incarnation")
 	}
 }
 
-// An incarnation begins with a lease that nobody renewed: a machine just heard of
-// for the first time isn't expired, though no heartbeat of it was ever responded to.
+// An incarnation begins with a lease that no leader has renewed. A machine whose first heartbeat has
+// just arrived isn't expired, although the leader has never responded to it. Otherwise the leader would
+// release the placements of tasks that still run.
 func TestIncarnationBeginsWithLease(t *testing.T) {
-	d, j, m, box := leaderWithOneTask(t)
-	box.Now += 60 * clock.Second
-	d.reconciler.Observe(m, workerHeartbeat(1, 1, taskOfOne(protocol.TaskRunning, "")))
-	d.health.ExpireLeases()
+	l, j, m, mailbox := leaderWithOneTask(t)
+	mailbox.Now += 60 * clock.Second
+	l.reconciler.Observe(m, workerHeartbeat(1, 1, firstTaskStatus(protocol.TaskRunning, "")))
+	l.health.ExpireLeases()
 	if m.LeaseExpired || len(j.Placements) != 1 {
-		t.Fatalf("expired %v, placements %v; want the lease that the incarnation began with to count",
+		t.Fatalf("got expired %v, placements %v; want the first lease to be valid and the placement kept",
 			m.LeaseExpired, j.Placements)
 	}
 }
 
-// A machine that loses its lease though its heartbeats are responded to doesn't hear: it gets
-// no more work until an incarnation outlasts its first lease, and goes the second time.
+// A machine whose lease expires although the leader responds to its heartbeats doesn't receive the
+// responses. It gets no tasks until an incarnation outlasts its first lease, and the leader releases it
+// when that happens for the second time. Otherwise it would lose task after task.
 func TestMachinesThatLoseResponsesGetNoWork(t *testing.T) {
-	d, _, m, box := leaderWithOneTask(t)
-	d.catalogue.ByName["t"] = protocol.MachineType{Name: "t", Cpus: 8}
-	usable := func() bool { _, ok := d.snapshots.PlannedMachine(m, box.Now); return ok }
+	l, _, m, mailbox := leaderWithOneTask(t)
+	l.catalogue.ByName["t"] = protocol.MachineType{Name: "t", Cpus: 8}
+	usable := func() bool { _, ok := l.snapshots.PlannedMachine(m, mailbox.Now); return ok }
 	heartbeat := func(incarnation protocol.Incarnation, counter int64) {
 		r := workerHeartbeat(incarnation, counter)
 		r.Type = "t"
-		d.Heartbeat(r, func(int, any) {})
+		l.Heartbeat(r, func(int, any) {})
 	}
 	heartbeat(1, 1)
 	if !usable() {
-		t.Fatal("it can't be used to begin with")
+		t.Fatal("the machine isn't usable at first")
 	}
-	box.Now += 11 * clock.Second
-	d.state.Term.ValidUntil, d.state.RecordsKnownUntil = box.Now+4*clock.Second, box.Now
+	mailbox.Now += 11 * clock.Second
+	l.state.Term.ValidUntil, l.state.RecordsKnownUntil = mailbox.Now+4*clock.Second, mailbox.Now
 	heartbeat(1, 2)
-	box.Now += 2 * clock.Second
-	heartbeat(2, 3) // its lease counts from a heartbeat that was responded to before
+	mailbox.Now += 2 * clock.Second
+	heartbeat(2, 3) // the lease counts from an earlier heartbeat, to which the leader responded
 	if usable() || m.Releasing {
-		t.Fatalf("usable %v, releasing %v after one lost incarnation; want neither", usable(), m.Releasing)
+		t.Fatalf("got usable %v, releasing %v after one lost incarnation; want neither", usable(), m.Releasing)
 	}
-	box.Now += 14 * clock.Second
-	d.state.Term.RenewedAt, d.state.Term.ValidUntil, d.state.RecordsKnownUntil = box.Now, box.Now+4*clock.Second,
-		box.Now
+	mailbox.Now += 14 * clock.Second
+	l.state.Term.RenewedAt, l.state.Term.ValidUntil, l.state.RecordsKnownUntil = mailbox.Now,
+		mailbox.Now+4*clock.Second, mailbox.Now
 	heartbeat(2, 4)
 	if !usable() {
-		t.Fatal("it isn't used again though its incarnation lasts")
+		t.Fatal("the machine isn't usable though its incarnation has outlasted its first lease")
 	}
-	m.RespondedAt = box.Now
+	m.RespondedAt = mailbox.Now
 	heartbeat(3, 5)
-	m.RespondedAt = box.Now
+	m.RespondedAt = mailbox.Now
 	heartbeat(4, 6)
 	if !m.Releasing {
-		t.Fatal("it is kept after two lost incarnations")
+		t.Fatal("the machine isn't releasing after two lost incarnations")
 	}
 }
 
-// As the first that a new leader hears of a machine, a copy of an old heartbeat
-// releases no placement by what it lacks, and the machine gets no work: only a heartbeat
-// that carries the leader's epoch is known to be of its time.
+// The first heartbeat that a new leader receives from a machine may be a delayed copy of an old one. The
+// tasks that it lacks may run, so the leader releases no placement for it and places no tasks on the
+// machine: only a heartbeat with the leader's epoch is certainly recent.
 func TestHeartbeatsOfOlderEpochsProveNoAbsence(t *testing.T) {
-	d, j, m, box := leaderWithOneTask(t)
-	d.catalogue.ByName["t"] = protocol.MachineType{Name: "t", Cpus: 8}
+	l, j, m, mailbox := leaderWithOneTask(t)
+	l.catalogue.ByName["t"] = protocol.MachineType{Name: "t", Cpus: 8}
 	old := workerHeartbeat(1, 5)
 	old.Epoch, old.Type = 6, "t"
 	j.Status = protocol.StatusCancelled
-	d.Heartbeat(old, func(int, any) {})
+	l.Heartbeat(old, func(int, any) {})
 	if len(j.Placements) != 1 {
 		t.Fatal("the placement was released, want it kept")
 	}
-	if _, ok := d.snapshots.PlannedMachine(m, box.Now); ok {
-		t.Fatal("the machine is used, want no work on it")
+	if _, ok := l.snapshots.PlannedMachine(m, mailbox.Now); ok {
+		t.Fatal("the machine is usable, want no tasks on it")
 	}
 }
--- a/internal/leader/recordfixtures_test.go
+++ b/internal/leader/recordfixtures_test.go
@@ -14,27 +14,28 @@
 	"postpoint/internal/settings"
 )
 
-// fakeStore is a key-value store that keeps transactions until the test responds to the last.
+// fakeStore is a key-value store that records transactions. The test responds to the last of them with
+// respond.
 type fakeStore struct {
 	storetest.Service
-	txns   []protocol.Txn
-	answer func(storetest.Reply[protocol.TxnResponse])
+	txns    []protocol.Txn
+	respond func(storetest.Reply[protocol.TxnResponse])
 }
 
 func (c *fakeStore) Commit(_ kvstore.Priority, t protocol.Txn,
 	done func(storetest.Reply[protocol.TxnResponse])) {
-	c.txns, c.answer = append(c.txns, t), done
+	c.txns, c.respond = append(c.txns, t), done
 }
 
 func (c *fakeStore) last() protocol.Txn { return c.txns[len(c.txns)-1] }
 
-// readableStore keeps transactions like fakeStore, and responds to reads at once.
+// readableStore records transactions as fakeStore does, and responds to reads at once.
 type readableStore struct {
 	fakeStore
-	items []protocol.Item // of lists
-	down  bool            // for lists
-	item  protocol.Item   // of single reads
-	reads int
+	items []protocol.Item // in the responses to list requests
+	down  bool            // whether list requests fail
+	item  protocol.Item   // in the responses to single reads
+	reads int             // number of single reads
 }
 
 func (c *readableStore) Get(_ string, done func(storetest.Reply[protocol.Item])) {
@@ -50,7 +51,7 @@
 	done(storetest.Reply[protocol.ItemList]{Status: http.StatusOK, Value: protocol.ItemList{Items: c.items}})
 }
 
-// committedAt is the response to a transaction that was carried out.
+// committedAt returns the response to a transaction that the store has applied at the given revision.
 func committedAt(revision protocol.Revision) storetest.Reply[protocol.TxnResponse] {
 	return storetest.Reply[protocol.TxnResponse]{
 		Status: http.StatusOK,
@@ -58,7 +59,7 @@
 	}
 }
 
-// conflictOn is the response to a transaction of whose conditions those on the given keys don't hold.
+// conflictOn returns the response to a transaction whose conditions on the given keys don't hold.
 func conflictOn(keys ...string) storetest.Reply[protocol.TxnResponse] {
 	return storetest.Reply[protocol.TxnResponse]{
 		Status: http.StatusConflict,
@@ -66,31 +67,31 @@
 	}
 }
 
-// noResponse is the reply to a transaction whose outcome is unknown.
+// noResponse returns the reply to a transaction whose outcome is unknown.
 func noResponse() storetest.Reply[protocol.TxnResponse] {
 	return storetest.Reply[protocol.TxnResponse]{}
 }
 
-// resultOf returns the typed result of a transaction to which the store replies as given.
+// resultOf returns the client's typed result for a reply of the store to a transaction.
 func resultOf(reply storetest.Reply[protocol.TxnResponse]) kvstore.Result[protocol.Revision] {
 	var result kvstore.Result[protocol.Revision]
 	store := &fakeStore{}
 	client := storetest.Client(store)
 	client.Commit(kvstore.PriorityElection, protocol.Txn{},
 		func(r kvstore.Result[protocol.Revision]) { result = r })
-	store.answer(reply)
+	store.respond(reply)
 	return result
 }
 
-// commitAfterPause commits without waiting for the end of a pause.
+// commitAfterPause ends the pause after a failed commit and commits.
 func commitAfterPause(l *Leader) {
 	l.writer.PauseUntil = 0
 	l.writer.Commit()
 }
 
-// tightLeader is one whose store may come to take values of 2 KiB and four changes at a time. If
-// sharding is true, every controller reads sharded records.
-func tightLeader(sharding bool) (*Leader, *fakeStore) {
+// leaderWithTightLimits returns a leader whose store has announced that it will limit values to 2 KiB
+// and transactions to four changes. sharding sets whether every controller reads sharded records.
+func leaderWithTightLimits(sharding bool) (*Leader, *fakeStore) {
 	l, _ := newLeader()
 	valueKb, txnOps := 2.0, 4
 	l.state.Settings.Deployment.KVStore = settings.KVStore{Rps: 100, WriteRps: 40, ValueKb: 32, TxnOps: 12,
@@ -101,12 +102,12 @@
 	return l, store
 }
 
-// arraySpec is a job without needs of its own.
+// arraySpec returns the spec of an array that has no requirements.
 func arraySpec(id protocol.JobID, tasks int) protocol.JobSpec {
 	return protocol.JobSpec{ID: id, Shape: protocol.ShapeArray, Priority: "normal", Tasks: tasks}
 }
 
-// wideArray is the record of an array of 300 tasks, all of which run on machines of their own.
+// wideArray returns the record of an array of 300 tasks, each placed on a machine of its own.
 func wideArray() *jobrecord.Record {
 	content := jobrecord.New(arraySpec("job-1", 300), 1)
 	content.NextAttempt = 2
@@ -118,10 +119,11 @@
 	return content
 }
 
-// shardedArray is a leader with a sharded array, its first task placed on m-1.
+// shardedArray returns a leader with a sharded array, whose first task is placed on m-1. The write of
+// its shard is in flight.
 func shardedArray(t *testing.T) (*Leader, *fakeStore, *jobtable.Job) {
 	t.Helper()
-	l, store := tightLeader(true)
+	l, store := leaderWithTightLimits(true)
 	content := jobrecord.New(arraySpec("job-1", 250), 1)
 	content.ShardSize, content.FormatMarked = 100, true
 	l.reader.Apply(jobrecord.Key("job-1"), content.Encode(), 5)
--- a/internal/leader/sharding_test.go
+++ b/internal/leader/sharding_test.go
@@ -11,50 +11,51 @@
 	"postpoint/internal/rollout"
 )
 
-// A record that is too large for the limits that may come is sharded when it changes next: its shards
-// first, the head last, each on the condition of the undivided record's version, and none of them
-// beyond the limits.
+// The leader shards a record that is too large for the announced limits when the record changes next. It
+// writes the shards first and the head last, each on the condition of the undivided record's version,
+// and within the limits. Otherwise the store would reject the record once the limits apply, or a record
+// that is only partly sharded would count.
 func TestLargeRecordsAreSharded(t *testing.T) {
-	l, store := tightLeader(true)
+	l, store := leaderWithTightLimits(true)
 	l.reader.Apply(jobrecord.Key("job-1"), wideArray().Encode(), 5)
 	j := l.jobs.ByID["job-1"]
 	l.jobs.ReleasePlacement(j, j.Placements[0])
-	j.ChangedAt = 0 // long enough ago
+	j.ChangedAt = 0 // the last change was long enough ago
 	l.writer.Commit()
 	if len(store.txns) != 0 || !j.Sharding() {
-		t.Fatalf("%d transactions, sharding %v, want none yet and true", len(store.txns), j.Sharding())
+		t.Fatalf("got %d transactions, sharding %v, want none yet and true", len(store.txns), j.Sharding())
 	}
 	headWritten := false
 	for revision := protocol.Revision(11); j.Sharding(); revision++ {
 		l.writer.Commit()
 		if !l.writer.Committing {
-			t.Fatal("nothing is written though the record isn't sharded yet")
+			t.Fatal("no commit is in flight though the record isn't sharded yet")
 		}
 		requireTightLimits(t, store.last())
 		for _, c := range store.last().Changes {
 			if headWritten {
-				t.Fatalf("%s is written after the head, want the head last", c.Put)
+				t.Fatalf("the leader writes %s after the head, want the head last", c.Put)
 			}
 			headWritten = c.Put == jobrecord.Key("job-1")
 		}
-		store.answer(committedAt(revision))
+		store.respond(committedAt(revision))
 	}
 	if !headWritten || j.Sharding() || len(j.Shards) < 3 {
-		t.Fatalf("head written %v, sharding %v, %d shards, want true, false and 3 or more", headWritten,
+		t.Fatalf("got head written %v, sharding %v, %d shards, want true, false and 3 or more", headWritten,
 			j.Sharding(), len(j.Shards))
 	}
 	if len(j.Placements) != 299 || !j.Committed(j.Placements[7]) {
-		t.Fatalf("%d placed, committed %v, want 299 and true", len(j.Placements),
+		t.Fatalf("got %d placements, committed %v, want 299 and true", len(j.Placements),
 			j.Committed(j.Placements[7]))
 	}
 }
 
-// requireTightLimits checks a transaction against the tightest limits, and that it depends on the
-// record's version.
+// requireTightLimits fails the test unless a transaction is within the announced limits and depends on
+// the record's version.
 func requireTightLimits(t *testing.T, txn protocol.Txn) {
 	t.Helper()
 	if len(txn.Changes) > 4 || len(txn.Conditions) > 16 {
-		t.Fatalf("%d changes and %d guards, want at most 4 and 16", len(txn.Changes), len(txn.Conditions))
+		t.Fatalf("got %d changes and %d conditions, want at most 4 and 16", len(txn.Changes), len(txn.Conditions))
 	}
 	for _, c := range txn.Changes {
 		if size := protocol.JSONSize(c.Value); size > jobrecord.UsableBytes(2<<10) {
@@ -63,14 +64,15 @@
 	}
 	if want := (protocol.Condition{Key: jobrecord.Key("job-1"), Version: 5}); !slices.Contains(txn.Conditions,
 		want) {
-		t.Fatalf("guards %v, want %v among them", txn.Conditions, want)
+		t.Fatalf("got conditions %v, want %v among them", txn.Conditions, want)
 	}
 }
 
-// Until every controller reads sharded records none is written, whatever the limits: what is too large
-// waits, and other jobs' changes go out without it.
+// The leader writes no sharded record until every controller reads them, whatever the limits, because
+// any controller may lead next. A record that is too large waits, and the leader commits the changes of
+// other jobs without it.
 func TestNoRecordIsShardedBeforeEveryControllerReadsThem(t *testing.T) {
-	l, store := tightLeader(false)
+	l, store := leaderWithTightLimits(false)
 	l.reader.Apply(jobrecord.Key("job-1"), wideArray().Encode(), 5)
 	l.reader.Apply(jobrecord.Key("job-2"), jobrecord.New(arraySpec("job-2", 1), 1).Encode(), 6)
 	j := l.jobs.ByID["job-1"]
@@ -80,34 +82,34 @@
 	l.jobs.AddPlacement(small, jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-z", Incarnation: 1})
 	l.writer.Commit()
 	if len(store.txns) != 1 || len(store.txns[0].Changes) != 2 {
-		t.Fatalf("transactions %v, want one of two changes", store.txns)
+		t.Fatalf("got transactions %v, want one with two changes", store.txns)
 	}
-	// The limits have come: the same changes are refused, and go again without the large one.
-	store.answer(storetest.Reply[protocol.TxnResponse]{Status: http.StatusBadRequest})
+	// The limits apply now: the store rejects the changes, and the leader retries without the large one.
+	store.respond(storetest.Reply[protocol.TxnResponse]{Status: http.StatusBadRequest})
 	commitAfterPause(l)
 	last := store.last()
 	if len(store.txns) != 2 || len(last.Changes) != 1 || last.Changes[0].Put != jobrecord.Key("job-2") {
-		t.Fatalf("%d transactions, the last with %v, want 2, the last with job-2 alone", len(store.txns),
+		t.Fatalf("got %d transactions, the last with %v, want 2, the last with only job-2", len(store.txns),
 			last.Changes)
 	}
-	store.answer(committedAt(9))
+	store.respond(committedAt(9))
 	commitAfterPause(l)
 	if len(store.txns) != 2 || j.MustReload() || len(j.Placements) != 299 || j.ShardSize != 0 {
-		t.Fatalf("%d transactions, to be reloaded %v, %d placed, shards of %d tasks, want 2, false, 299 and 0",
+		t.Fatalf("got %d transactions, reload due %v, %d placements, shards of %d tasks, want 2, false, 299 and 0",
 			len(store.txns), j.MustReload(), len(j.Placements), j.ShardSize)
 	}
-	// Once the last controller is new, the record is sharded and written.
+	// Once every controller reads sharded records, the leader shards the record and writes it.
 	l.SetFormat(rollout.Status{Services: true})
 	j.ChangedAt = 0
 	l.writer.Commit()
 	l.writer.Commit()
 	if !j.Sharding() || len(store.txns) != 3 {
-		t.Fatalf("sharding %v, %d transactions, want true and 3", j.Sharding(), len(store.txns))
+		t.Fatalf("got sharding %v, %d transactions, want true and 3", j.Sharding(), len(store.txns))
 	}
 }
 
-// A placement in a shard is acted on once the shard is stored, and the head needn't change for it; what
-// it depends on is that the head hasn't.
+// A placement in a shard is committed once the shard is stored. The leader doesn't write the head for
+// it, but the transaction depends on the version of the head, so that it conflicts with a cancellation.
 func TestShardsAreCommittedWithoutTheirHead(t *testing.T) {
 	l, store, j := shardedArray(t)
 	if j.Committed(j.Placements[0]) {
@@ -116,20 +118,20 @@
 	txn := store.txns[0]
 	if len(txn.Changes) != 1 || txn.Changes[0].Put != jobrecord.ShardKey("job-1", 0) ||
 		len(txn.Conditions) != 3 {
-		t.Fatalf("%+v, want the change of shard 0 alone, with 3 guards", txn)
+		t.Fatalf("got %+v, want only the change of shard 0, with 3 conditions", txn)
 	}
-	store.answer(committedAt(9))
+	store.respond(committedAt(9))
 	if !j.Committed(j.Placements[0]) || j.Version != 5 || j.Shards[0].Version != 9 ||
 		l.jobs.ByID["job-1"] != j {
-		t.Fatalf("committed %v, head at version %d, shard at version %d, want true, 5 and 9, of the same job",
+		t.Fatalf("got committed %v, head version %d, shard version %d, want true, 5 and 9, of the same job",
 			j.Committed(j.Placements[0]), j.Version, j.Shards[0].Version)
 	}
 }
 
-// Shards that a leader left behind, ended while it sharded a record, are removed; the undivided record
-// is what counts.
+// A leader that ends while it shards a record leaves stray shards behind. The undivided record is still
+// the valid one. The next leader deletes the stray shards before it shards the record.
 func TestStrayShardsAreRemoved(t *testing.T) {
-	l, store := tightLeader(true)
+	l, store := leaderWithTightLimits(true)
 	spec := protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 300}
 	l.reader.Apply(jobrecord.Key("job-1"), jobrecord.New(spec, 1).Encode(), 5)
 	l.reader.ApplyShard(protocol.Item{Key: jobrecord.ShardKey("job-1", 0), Version: 4})
@@ -140,19 +142,19 @@
 	}
 	l.writer.Commit()
 	if len(store.txns) != 1 || len(store.txns[0].Changes) != 2 || store.txns[0].Changes[0].Delete == "" {
-		t.Fatalf("transactions %+v, want one of two removals", store.txns)
+		t.Fatalf("got transactions %+v, want one with two deletions", store.txns)
 	}
-	store.answer(committedAt(9))
+	store.respond(committedAt(9))
 	if len(l.jobs.StrayShards) != 0 {
-		t.Fatalf("stray shards %v, want none", l.jobs.StrayShards)
+		t.Fatalf("got stray shards %v, want none", l.jobs.StrayShards)
 	}
 }
 
-// A shard whose write had no response is there all the same, and conflicts with the next attempt to
-// shard the record: it is found and removed before the record is sharded again, instead of being
-// refused for ever.
+// The store may have applied the write of a shard whose response was lost. That shard conflicts with the
+// next attempt to shard the record. The leader must find and delete it before it shards the record
+// again; otherwise the store would reject every further attempt.
 func TestStrayShardsAreRemovedBeforeShardingAgain(t *testing.T) {
-	l, _ := tightLeader(true)
+	l, _ := leaderWithTightLimits(true)
 	store := &readableStore{}
 	useStore(l, store)
 	l.reader.Apply(jobrecord.Key("job-1"), wideArray().Encode(), 5)
@@ -160,17 +162,17 @@
 	l.writer.Shard(j)
 	l.writer.Commit()
 	first := store.txns[0].Changes[0].Put
-	store.answer(noResponse()) // carried out, as it turns out
+	store.respond(noResponse()) // the store has applied the write
 	commitAfterPause(l)
 	store.down = true
-	store.answer(conflictOn(first))
-	commitAfterPause(l) // the shards can't be listed
+	store.respond(conflictOn(first))
+	commitAfterPause(l) // the list request for the shards fails
 	if len(j.Placements) != 300 || j.MustReload() {
-		t.Fatalf("%d placed, to be reloaded %v, want 300 and false: the undivided record is what counts",
+		t.Fatalf("got %d placements, reload due %v, want 300 and false, as in the undivided record",
 			len(j.Placements), j.MustReload())
 	}
 	if j.Sharding() || !j.HasStrayShards() {
-		t.Fatalf("sharding %v, stray shards %v, want false and true", j.Sharding(), j.HasStrayShards())
+		t.Fatalf("got sharding %v, stray shards %v, want false and true", j.Sharding(), j.HasStrayShards())
 	}
 	l.writer.Shard(j)
 	if j.Sharding() {
@@ -180,11 +182,11 @@
 	store.items = []protocol.Item{{Key: first, Version: 7}}
 	commitAfterPause(l)
 	commitAfterPause(l)
-	removal := store.last()
-	if len(removal.Changes) != 1 || removal.Changes[0].Delete != first {
-		t.Fatalf("changes %+v, want the removal of %s", removal.Changes, first)
+	deletion := store.last()
+	if len(deletion.Changes) != 1 || deletion.Changes[0].Delete != first {
+		t.Fatalf("got changes %+v, want the deletion of %s", deletion.Changes, first)
 	}
-	store.answer(committedAt(9))
+	store.respond(committedAt(9))
 	l.writer.Shard(j)
 	if !j.Sharding() {
 		t.Fatal("the record isn't sharded again")
--- a/internal/leader/snapshot_test.go
+++ b/internal/leader/snapshot_test.go
@@ -11,45 +11,47 @@
 	"postpoint/internal/settings"
 )
 
-// What the preemption of a task would lose is known as soon as some job could preempt another: by its
-// rank, or because a team has a guarantee.
+// The snapshot has the work that the preemption of a task would lose as soon as some job could preempt
+// another, by its rank or because a team has a guarantee. Without it, the planner would choose victims
+// that lose more work than others.
 func TestPreemptionOverheadsAreKnownIfJobsCanBePreempted(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(d *Leader)
+		change func(l *Leader)
 		want   float64
 	}{
-		{"jobs alike", func(*Leader) {}, 0},
-		{"two ranks", func(d *Leader) {
+		{"equal jobs", func(*Leader) {}, 0},
+		{"two ranks", func(l *Leader) {
 			spec := protocol.JobSpec{ID: "job-2", Shape: protocol.ShapeArray, Priority: "urgent", Tasks: 1}
-			d.reader.Apply(jobrecord.Key("job-2"), jobrecord.New(spec, 1).Encode(), 6)
+			l.reader.Apply(jobrecord.Key("job-2"), jobrecord.New(spec, 1).Encode(), 6)
 		}, 20},
-		{"a guarantee", func(d *Leader) {
-			d.state.Settings.Deployment.Teams = []settings.Team{{Name: "a", Cpus: 1}}
+		{"a guarantee", func(l *Leader) {
+			l.state.Settings.Deployment.Teams = []settings.Team{{Name: "a", Cpus: 1}}
 		}, 20},
 	} {
-		d, _, _ := leaderWithEightTasks()
-		c.change(d)
-		d.state.Mailbox.(*actortest.Still).Now += 20 * clock.Second
-		for _, j := range d.snapshots.Snapshot().Jobs {
+		l, _, _ := leaderWithEightTasks()
+		c.change(l)
+		l.state.Mailbox.(*actortest.Still).Now += 20 * clock.Second
+		for _, j := range l.snapshots.Snapshot().Jobs {
 			for _, r := range j.Running {
 				if r.OverheadS != c.want {
-					t.Errorf("%s: task %d loses %v s, want %v", c.name, r.Task, r.OverheadS, c.want)
+					t.Errorf("%s: task %d: got an overhead of %v s, want %v", c.name, r.Task, r.OverheadS, c.want)
 				}
 			}
 		}
 	}
 }
 
-// Replicas aren't taken for work of their team beyond its guarantee, which others' guarantees end.
+// Replicas don't count as work of their team beyond its guarantee. If they did, the guarantees of other
+// teams would preempt them.
 func TestReplicasAreNeverOverQuota(t *testing.T) {
-	d, _, _ := leaderWithService(t)
-	s := d.snapshots.Snapshot()
+	l, _, _ := leaderWithService(t)
+	s := l.snapshots.Snapshot()
 	snapshots.MarkOverQuota(&s)
 	for _, j := range s.Jobs {
 		for _, r := range j.Running {
 			if r.OverQuota {
-				t.Errorf("replica %s/%d is over quota, want none to be", j.ID, r.Task)
+				t.Errorf("replica %s/%d is over quota, want no replica to be", j.ID, r.Task)
 			}
 		}
 	}
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -14,10 +14,10 @@
 	"postpoint/internal/zonerecovery"
 )
 
-// saveLostZone returns a leader that has sent the record of a lost zone.
+// saveLostZone returns a leader that has sent the write of a lost zone's record and has no response yet.
 func saveLostZone(t *testing.T) (*Leader, *zonetracker.Zone, *fakeStore, *actortest.Still) {
 	t.Helper()
-	l, box := newLeader()
+	l, mailbox := newLeader()
 	store := &fakeStore{}
 	useStore(l, store)
 	z := &zonetracker.Zone{
@@ -30,19 +30,20 @@
 	if len(store.txns) != 1 || !requires(store.txns[0], zonerecovery.Key("a"), 5) {
 		t.Fatalf("got %+v, want one transaction on version 5 of the zone", store.txns)
 	}
-	return l, z, store, box
+	return l, z, store, mailbox
 }
 
-// A stored phase is written again only once it has changed, and at the version of its last write. Suspicion
-// isn't stored.
+// The leader writes a stored phase again only once it has changed, and at the version of its last write.
+// It doesn't store the suspect phase. Otherwise each save would load the store, or conflict with the one
+// before.
 func TestZonesAreSavedWhenTheirPhasesChange(t *testing.T) {
 	l, z, store, _ := saveLostZone(t)
-	store.answer(committedAt(6))
+	store.respond(committedAt(6))
 	l.zones.SaveZones()
 	z.Phase = zonerecovery.Suspect
 	l.zones.SaveZones()
 	if len(store.txns) != 1 {
-		t.Fatalf("got %+v, want no other transaction for a stored phase or a suspicion", store.txns)
+		t.Fatalf("got %+v, want no other transaction for a stored phase or a suspect zone", store.txns)
 	}
 	z.Phase = zonerecovery.Healthy
 	l.zones.SaveZones()
@@ -51,16 +52,17 @@
 	}
 }
 
-// A zone's record whose change may have been carried out is read, and written at the version that was read.
+// If the outcome of a zone's write is unknown, the leader reads the record and writes it at the version
+// that it read. Otherwise every retry could conflict with a write that the store has applied.
 func TestZonesAreReadAfterUnknownOutcomes(t *testing.T) {
 	for name, response := range map[string]storetest.Reply[protocol.TxnResponse]{
-		"no response":     {},
-		"server failure":  {Status: http.StatusInternalServerError},
-		"another version": conflictOn(zonerecovery.Key("a")),
+		"no response":      {},
+		"server failure":   {Status: http.StatusInternalServerError},
+		"version conflict": conflictOn(zonerecovery.Key("a")),
 	} {
-		l, _, store, box := saveLostZone(t)
-		store.answer(response)
-		box.Now += term.RetryDelay
+		l, _, store, mailbox := saveLostZone(t)
+		store.respond(response)
+		mailbox.Now += term.RetryDelay
 		useStore(l, &singleKeyStore{store, protocol.Item{Version: 9}, http.StatusOK})
 		l.zones.SaveZones()
 		if len(store.txns) != 1 {
@@ -73,16 +75,17 @@
 	}
 }
 
-// A change that the store has declined goes again after a pause, without a read.
-func TestDeclinedZonesGoAgain(t *testing.T) {
+// If the store rejects a zone's write as throttled or unavailable, the leader retries it after a pause.
+// It needs no read before the retry, because the store has applied nothing.
+func TestRejectedZonesAreRetried(t *testing.T) {
 	for _, status := range []int{http.StatusTooManyRequests, http.StatusServiceUnavailable} {
-		l, _, store, box := saveLostZone(t)
-		store.answer(storetest.Reply[protocol.TxnResponse]{Status: status})
+		l, _, store, mailbox := saveLostZone(t)
+		store.respond(storetest.Reply[protocol.TxnResponse]{Status: status})
 		l.zones.SaveZones()
 		if len(store.txns) != 1 {
 			t.Errorf("status %d: got %d transactions during the pause, want 1", status, len(store.txns))
 		}
-		box.Now += term.RetryDelay
+		mailbox.Now += term.RetryDelay
 		l.zones.SaveZones()
 		if len(store.txns) != 2 || !requires(store.txns[1], zonerecovery.Key("a"), 5) {
 			t.Errorf("status %d: got %+v after the pause, want a second transaction", status, store.txns)
@@ -90,12 +93,13 @@
 	}
 }
 
-// A leader whose key has changed hands learns it from its transaction.
-func TestZonesTellOfANewLeader(t *testing.T) {
+// A transaction that conflicts on the leader's key shows that another node leads. The leader must step
+// down, and not handle this as a conflict on the zone's record.
+func TestZoneConflictDeposesLeader(t *testing.T) {
 	l, _, store, _ := saveLostZone(t)
 	deposedBy := protocol.Epoch(0)
 	l.state.Deposed = func(epoch protocol.Epoch) { deposedBy = epoch }
-	store.answer(conflictOn(election.LeaderKey, zonerecovery.Key("a")))
+	store.respond(conflictOn(election.LeaderKey, zonerecovery.Key("a")))
 	if deposedBy != 8 {
 		t.Errorf("got deposed by epoch %d, want 8", deposedBy)
 	}
