--- a/cmd/loadtool/cells.go
+++ b/cmd/loadtool/cells.go
@@ -64,11 +64,12 @@
 	days := float64(c.Seeds)
 	return []string{
 		v.name, quantiles(sum.starts), quantiles(sum.ends), quantiles(sum.otherStarts),
-		fmt.Sprintf("%.2f", float64(sum.elsewhere)/float64(max(sum.runs, 1))),
+		fmt.Sprintf("%.2f", float64(sum.runsOutsideOrigin)/float64(max(sum.runs, 1))),
 		fmt.Sprintf("%.2f", float64(sum.delegations)/float64(sum.jobs)),
-		fmt.Sprintf("%d of %d", sum.wrong, sum.jobs), fmt.Sprint(sum.broken), fmt.Sprint(sum.unfinished),
+		fmt.Sprintf("%d of %d", sum.notOnceTasks, sum.jobs),
+		fmt.Sprint(sum.violations), fmt.Sprint(sum.unfinished),
 		strings.Join(returned, " "),
-		fmt.Sprintf("%.0f", float64(sum.changes)/days),
+		fmt.Sprintf("%.0f", float64(sum.storeChanges)/days),
 		fmt.Sprintf("%.2f", sum.elapsed.Seconds()/days),
 	}
 }
--- a/cmd/loadtool/cellsday.go
+++ b/cmd/loadtool/cellsday.go
@@ -15,7 +15,7 @@
 const (
 	submissionEnd = 240 * clock.Second // users submit jobs before this time
 	dayLength     = 900 * clock.Second
-	lossTime      = 100 * clock.Second // of beta, in variants with a loss
+	destroyTime   = 100 * clock.Second // of beta, in variants with a loss
 
 	firstSubmission = 20 * clock.Second
 	alphaInterval   = 5 * clock.Second  // between submissions to alpha, the overloaded cell
@@ -30,18 +30,18 @@
 
 // cellsVariant is a configuration of offloading between the cells.
 type cellsVariant struct {
-	name     string
-	rules    string // offload rules of the cells file
-	on       bool   // whether there is a cells file at all
-	loseBeta bool   // whether the cell with most of the hosted jobs is lost at lossTime
+	name         string
+	rules        string // offload rules of the cells file
+	cellsEnabled bool   // whether there is a cells file at all
+	destroyBeta  bool   // whether the cell with most of the hosted jobs is destroyed at destroyTime
 }
 
 // cellsVariants are the compared variants.
 var cellsVariants = []cellsVariant{
-	{name: "cells off", on: false},
-	{name: "on, nothing may spill", on: true},
-	{name: "spilling", on: true, rules: offloadRules},
-	{name: "spilling, beta lost at 100 s", on: true, rules: offloadRules, loseBeta: true},
+	{name: "cells off", cellsEnabled: false},
+	{name: "on, nothing may spill", cellsEnabled: true},
+	{name: "spilling", cellsEnabled: true, rules: offloadRules},
+	{name: "spilling, beta lost at 100 s", cellsEnabled: true, rules: offloadRules, destroyBeta: true},
 }
 
 // cellsDay is the result of one simulated day, or the sum of several.
@@ -49,14 +49,14 @@
 	starts            []float64 // of the overloaded cell's jobs, in seconds from their submission
 	ends              []float64 // of the same jobs
 	otherStarts       []float64 // of the other cells' own jobs
-	elsewhere         int       // runs of tasks outside their origin cell
+	runsOutsideOrigin int       // runs of tasks outside their origin cell
 	runs              int       // all runs of tasks
 	delegations       int       // by the overloaded cell
 	jobs              int       // of the overloaded cell
-	wrong             int       // tasks that didn't complete exactly once
+	notOnceTasks      int       // tasks that didn't complete exactly once
 	unfinished        int
-	broken            int           // violations of the simulation's rules
-	changes           int           // to the overloaded cell's store
+	violations        int           // violations of the simulation's rules
+	storeChanges      int           // to the overloaded cell's store
 	returnedS         float64       // from the loss of a cell until it holds no tasks of the overloaded cell
 	elapsed           time.Duration // real time of the simulation
 	delegatedOverTime plotter.XYs   // the overloaded cell's tasks that other cells hold
@@ -67,14 +67,14 @@
 	c.starts = append(c.starts, day.starts...)
 	c.ends = append(c.ends, day.ends...)
 	c.otherStarts = append(c.otherStarts, day.otherStarts...)
-	c.elsewhere += day.elsewhere
+	c.runsOutsideOrigin += day.runsOutsideOrigin
 	c.runs += day.runs
 	c.delegations += day.delegations
 	c.jobs += day.jobs
-	c.wrong += day.wrong
+	c.notOnceTasks += day.notOnceTasks
 	c.unfinished += day.unfinished
-	c.broken += day.broken
-	c.changes += day.changes
+	c.violations += day.violations
+	c.storeChanges += day.storeChanges
 	c.elapsed += day.elapsed
 }
 
@@ -83,7 +83,7 @@
 	s := &settings.Settings{}
 	s.Deployment = settings.Deployment{
 		Teams: []settings.Team{{Name: "open"}},
-		Workers: settings.Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 40, GangPeerS: 5,
+		Workers: settings.Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 40, GangPeerTimeoutS: 5,
 			CancelS: 36},
 		KVStore:       settings.KVStore{Rps: 100, WriteRps: 30, ValueKb: 32, TxnOps: 12},
 		Cloud:         settings.Cloud{Rps: 8, ListLagS: 4},
@@ -129,8 +129,8 @@
 		sets = append(sets, cellSettings())
 	}
 	group := simulation.NewGroup(world, sets, cellTypes, hostedCapacity, v.rules, 0)
-	if !v.on {
-		group.SwitchOff()
+	if !v.cellsEnabled {
+		group.DisableCells()
 	}
 	return &cellsSimulation{
 		variant: v, world: world, alpha: group.Cells[0], beta: group.Cells[1],
@@ -166,9 +166,9 @@
 
 // run simulates the day and samples the tasks that other cells hold every second.
 func (s *cellsSimulation) run() {
-	if s.variant.loseBeta {
-		s.world.Run(lossTime)
-		s.beta.Lose()
+	if s.variant.destroyBeta {
+		s.world.Run(destroyTime)
+		s.beta.Destroy()
 	}
 	for s.world.Now() < dayLength {
 		s.world.Run(s.world.Now() + clock.Second)
@@ -178,12 +178,12 @@
 
 // sample records the number of alpha's tasks that other cells hold.
 func (s *cellsSimulation) sample() {
-	delegated := s.alpha.Lent()
+	delegated := s.alpha.OffloadedTasks()
 	tasks := float64(delegated["beta"] + delegated["gamma"])
 	s.day.delegatedOverTime = append(s.day.delegatedOverTime,
 		plotter.XY{X: s.world.Now().Seconds(), Y: tasks})
-	if s.variant.loseBeta && s.day.returnedS < 0 && delegated["beta"] == 0 {
-		s.day.returnedS = (s.world.Now() - lossTime).Seconds()
+	if s.variant.destroyBeta && s.day.returnedS < 0 && delegated["beta"] == 0 {
+		s.day.returnedS = (s.world.Now() - destroyTime).Seconds()
 	}
 }
 
@@ -197,12 +197,13 @@
 			day.unfinished++
 		}
 	}
-	if !s.variant.loseBeta {
+	if !s.variant.destroyBeta {
 		for _, j := range s.otherJobs {
 			day.otherStarts = append(day.otherStarts, j.StartDelay().Seconds())
 		}
 	}
-	day.elsewhere, day.runs = s.history.Elsewhere()
-	day.delegations, day.jobs, day.changes = s.alpha.Delegations(), len(s.jobs), s.alpha.Store.Changes
-	day.wrong, day.broken = len(s.history.Judge(s.jobs)), len(s.world.Violations)
+	day.runsOutsideOrigin, day.runs = s.history.RunsOutsideOrigin()
+	day.delegations, day.jobs, day.storeChanges =
+		s.alpha.DelegationCount(), len(s.jobs), s.alpha.Store.Changes
+	day.notOnceTasks, day.violations = len(s.history.Check(s.jobs)), len(s.world.Violations)
 }
--- a/cmd/loadtool/digest.go
+++ b/cmd/loadtool/digest.go
@@ -50,9 +50,9 @@
 func (d *digest) String() string { return fmt.Sprintf("%x", d.hash.Sum(nil)[:digestBytes]) }
 
 // digestDay simulates a day and returns a line with its digest.
-func digestDay(kind simulation.Kind, seed uint64) string {
+func digestDay(kind simulation.DayKind, seed uint64) string {
 	d := newDigest()
-	kind.Play(seed, d)
+	kind.Simulate(seed, d)
 	return fmt.Sprintf("%s %d %s messages=%d", kind.Name, seed, d, d.messages)
 }
 
@@ -60,7 +60,7 @@
 func (c *digestCommand) Run() error {
 	slots := make(chan struct{}, max(1, c.Parallel))
 	var lines []chan string
-	for _, kind := range simulation.Kinds {
+	for _, kind := range simulation.DayKinds {
 		for seed := c.FirstSeed; seed < c.FirstSeed+c.Seeds; seed++ {
 			line := make(chan string, 1)
 			lines = append(lines, line)
--- a/cmd/loadtool/digest_test.go
+++ b/cmd/loadtool/digest_test.go
@@ -9,7 +9,7 @@
 
 // Two simulations of the same day have the same digest; days with different seeds have different digests.
 func TestDigestRepeats(t *testing.T) {
-	plain := simulation.Kinds[0]
+	plain := simulation.DayKinds[0]
 	first, again, other := digestDay(plain, 1), digestDay(plain, 1), digestDay(plain, 2)
 	if first != again {
 		t.Errorf("the same day gives %q and %q", first, again)
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -52,14 +52,14 @@
 	}
 }
 
-// RefuseWhen makes Admission reject new jobs as retryable while full returns true: a process that
-// exceeds its memory limit is killed with all of its work in progress. The caller calls RefuseWhen
+// RejectNewJobsWhen makes Admission reject new jobs as retryable while full returns true: a process that
+// exceeds its memory limit is killed with all of its work in progress. The caller calls RejectNewJobsWhen
 // before the first request; the actor calls full.
-func (adm *Admission) RefuseWhen(full func() bool) { adm.memoryFull = full }
+func (adm *Admission) RejectNewJobsWhen(full func() bool) { adm.memoryFull = full }
 
-// ZoneReportsFrom sets the function that responds to GetZoneReports. The caller calls it before the
+// SetZoneReporter sets the function that responds to GetZoneReports. The caller calls it before the
 // first request.
-func (adm *Admission) ZoneReportsFrom(ask func(reply func(ZoneReports))) { adm.zoneReports = ask }
+func (adm *Admission) SetZoneReporter(ask func(reply func(ZoneReports))) { adm.zoneReports = ask }
 
 // SetMachineTypes replaces the machine types when a new catalogue arrives.
 func (adm *Admission) SetMachineTypes(types []protocol.MachineType) {
@@ -72,9 +72,9 @@
 	adm.mailbox.Post(func() { adm.formatOpen = s.Services })
 }
 
-// NoteElection records an election of this node. The caller calls it before the new leader does
+// RecordElection records an election of this node. The caller calls it before the new leader does
 // anything.
-func (adm *Admission) NoteElection(epoch protocol.Epoch) {
+func (adm *Admission) RecordElection(epoch protocol.Epoch) {
 	adm.mailbox.Post(func() { adm.epoch = max(adm.epoch, epoch) })
 }
 
--- a/internal/admission/attestation.go
+++ b/internal/admission/attestation.go
@@ -122,5 +122,5 @@
 		c.fail(outcomeTryLater, reasonTooOld)
 		return
 	}
-	c.finish(outcome{kind: outcomeForNode, body: body})
+	c.finish(outcome{kind: outcomeForController, body: body})
 }
--- a/internal/admission/attestation_test.go
+++ b/internal/admission/attestation_test.go
@@ -29,7 +29,7 @@
 // started. A cancellation counts from its first report, which may be the response to a status request;
 // cancellations before the requested time are left out.
 func TestAttestationListsReportedCancellations(t *testing.T) {
-	mailbox := &actortest.Still{Now: 5 * clock.Second}
+	mailbox := &actortest.SynchronousMailbox{Now: 5 * clock.Second}
 	adm := New(mailbox, cancelledJobs("job-000001", "job-000002"), &settings.Settings{}, nil)
 	getStatus := func(id protocol.JobID) { responseOf(t, adm, Request{Kind: GetStatus, ID: id}) }
 	attest := func(back clock.Micros) (Attestation, bool) {
@@ -41,8 +41,8 @@
 	}
 	mailbox.Now += 10 * clock.Second
 	getStatus("job-000001")
-	adm.NoteElection(9)
-	adm.NoteElection(0) // a term ended
+	adm.RecordElection(9)
+	adm.RecordElection(0) // a term ended
 	mailbox.Now += 20 * clock.Second
 	getStatus("job-000002")
 	mailbox.Now += 5 * clock.Second
--- a/internal/admission/call.go
+++ b/internal/admission/call.go
@@ -60,7 +60,7 @@
 		c.attest()
 	case c.request.Kind == GetZoneReports:
 		c.admission.zoneReports(func(z ZoneReports) {
-			c.finish(outcome{kind: outcomeForNode, body: z.Encode()})
+			c.finish(outcome{kind: outcomeForController, body: z.Encode()})
 		})
 	case c.admission.mailbox.Monotonic() < c.admission.availability.storeDownUntil:
 		c.forwardToPeer()
--- a/internal/admission/cancellation_test.go
+++ b/internal/admission/cancellation_test.go
@@ -24,7 +24,7 @@
 			Incarnation: 1}
 	}
 	store := &fakeStore{values: map[string][]byte{jobrecord.Key(spec.ID): record.Encode()}, maxValue: 2 << 10}
-	adm := New(&actortest.Still{Now: clock.Second}, store, &settings.Settings{}, nil)
+	adm := New(&actortest.SynchronousMailbox{Now: clock.Second}, store, &settings.Settings{}, nil)
 	got := responseOf(t, adm, Request{Kind: Cancel, ID: spec.ID})
 	if got.Status != http.StatusOK || len(store.puts) != 1 {
 		t.Fatalf("status %d with %d puts, want %d with 1", got.Status, len(store.puts), http.StatusOK)
--- a/internal/admission/forwarding.go
+++ b/internal/admission/forwarding.go
@@ -38,5 +38,5 @@
 		return false
 	}
 	spec, err := protocol.DecodeSubmission(c.request.Body)
-	return err == nil && spec.Service()
+	return err == nil && spec.IsService()
 }
--- a/internal/admission/golden_test.go
+++ b/internal/admission/golden_test.go
@@ -72,7 +72,7 @@
 	store.values["jobs/job-2"] = sharded.Encode()
 	store.values["parts/job-2/1"] = sharded.EncodeShard(1)
 	set := &settings.Settings{Deployment: visionDeployment()}
-	adm := New(&actortest.Still{Now: 20 * clock.Second}, store, set, noPeers)
+	adm := New(&actortest.SynchronousMailbox{Now: 20 * clock.Second}, store, set, noPeers)
 	adm.SetMachineTypes(gpuTypes("a"))
 	adm.SetFormatStatus(rollout.Status{Services: true})
 	return adm, store
@@ -131,7 +131,9 @@
 			"503 Service Unavailable\nContent-Length: 44\nContent-Type: application/msgpack\n" +
 				"Retry-After: 1\n\n\x81\xa5error\xd9#the machine types are not known yet"},
 		{"with a full memory", "POST", "/api/jobs", protocol.Encode(accepted),
-			func(adm *Admission, _ *goldenStore, _ *goldenLeader) { adm.RefuseWhen(func() bool { return true }) },
+			func(adm *Admission, _ *goldenStore, _ *goldenLeader) {
+				adm.RejectNewJobsWhen(func() bool { return true })
+			},
 			"503 Service Unavailable\nContent-Length: 39\nContent-Type: application/msgpack\n" +
 				"Retry-After: 1\n\n\x81\xa5error\xbfthe controller's memory is full"},
 		{"not recorded", "POST", "/api/jobs", protocol.Encode(accepted),
--- a/internal/admission/handler.go
+++ b/internal/admission/handler.go
@@ -13,8 +13,8 @@
 
 // Reasons for rejecting a request before it reaches an actor.
 const (
-	reasonBody      = "the body is too large or incomplete"
-	reasonHeartbeat = "not a report"
+	reasonUnreadableBody     = "the body is too large or incomplete"
+	reasonMalformedHeartbeat = "not a report"
 )
 
 // LeaderHandler handles the heartbeats of workers, to which it replies with an HTTP status and a body,
@@ -107,7 +107,7 @@
 	}
 	heartbeat, err := heartbeatDecoder(r).Decode(body)
 	if err != nil || !validHeartbeat(&heartbeat) {
-		reject(w, reasonHeartbeat)
+		reject(w, reasonMalformedHeartbeat)
 		return
 	}
 	replies := make(chan heartbeatResult, 1)
@@ -145,7 +145,7 @@
 		body, err = io.ReadAll(io.LimitReader(r.Body, protocol.MaxBodyBytes+1))
 	}
 	if err != nil || len(body) > protocol.MaxBodyBytes {
-		reject(w, reasonBody)
+		reject(w, reasonUnreadableBody)
 		return nil, false
 	}
 	return body, true
--- a/internal/admission/handler_test.go
+++ b/internal/admission/handler_test.go
@@ -18,7 +18,7 @@
 	set := &settings.Settings{}
 	set.Deployment.Teams = []settings.Team{{Name: "vision"}}
 	set.Deployment.KVStore.ValueKb = 8
-	adm := New(&actortest.Still{Now: 20 * clock.Second}, &fakeStore{down: true}, set, noPeers)
+	adm := New(&actortest.SynchronousMailbox{Now: 20 * clock.Second}, &fakeStore{down: true}, set, noPeers)
 	adm.SetMachineTypes(gpuTypes("a"))
 	heartbeats := &heartbeatRecorder{}
 	h := Handler(adm, heartbeats)
--- a/internal/admission/helpers_test.go
+++ b/internal/admission/helpers_test.go
@@ -103,7 +103,7 @@
 
 // lockedMailbox is a mailbox that runs messages one at a time, on a clock that stands still.
 type lockedMailbox struct {
-	*actortest.Still
+	*actortest.SynchronousMailbox
 	mu *sync.Mutex
 }
 
@@ -118,7 +118,9 @@
 func concurrentAdmission(heartbeatIntervalS float64) *Admission {
 	set := &settings.Settings{}
 	set.Deployment.Workers.HeartbeatS = heartbeatIntervalS
-	mailbox := lockedMailbox{Still: &actortest.Still{Now: 20 * clock.Second}, mu: &sync.Mutex{}}
+	mailbox := lockedMailbox{
+		SynchronousMailbox: &actortest.SynchronousMailbox{Now: 20 * clock.Second}, mu: &sync.Mutex{},
+	}
 	adm := New(mailbox, &fakeStore{readOnly: true}, set, noPeers)
 	adm.SetMachineTypes([]protocol.MachineType{{Name: "g8"}})
 	adm.availability.storeRespondedAt = adm.mailbox.Monotonic()
--- a/internal/admission/listener.go
+++ b/internal/admission/listener.go
@@ -12,8 +12,8 @@
 const (
 	// evictionLogInterval is the minimum time between two log lines about evictions.
 	evictionLogInterval = 10 * time.Second
-	// workersShare is the share of the connections that workers may keep open between heartbeats.
-	workersShare = 0.75
+	// maxWorkerShare is the share of the connections that workers may keep open between heartbeats.
+	maxWorkerShare = 0.75
 )
 
 // limitedListener bounds the open connections of users, workers and health checks. The limit comes from
@@ -29,19 +29,19 @@
 	net.Listener
 	limit, workerLimit int // maximum of open and of workersKept
 
-	mu          sync.Mutex // guards the fields below
-	freed       *sync.Cond // signalled when a slot or an evictable connection becomes available
-	open        int
-	workersKept int       // open connections that workers keep between heartbeats
-	idle        list.List // idle and new connections, longest idle first
-	evicted     int
-	loggedAt    time.Time // when evictions were last logged
+	mu            sync.Mutex // guards the fields below
+	slotAvailable *sync.Cond // signalled when a slot or an evictable connection becomes available
+	open          int
+	workersKept   int       // open connections that workers keep between heartbeats
+	idle          list.List // idle and new connections, longest idle first
+	evicted       int
+	loggedAt      time.Time // when evictions were last logged
 }
 
 // newLimitedListener limits the open connections of l.
 func newLimitedListener(l net.Listener, limit int) *limitedListener {
-	limited := &limitedListener{Listener: l, limit: limit, workerLimit: int(float64(limit) * workersShare)}
-	limited.freed = sync.NewCond(&limited.mu)
+	limited := &limitedListener{Listener: l, limit: limit, workerLimit: int(float64(limit) * maxWorkerShare)}
+	limited.slotAvailable = sync.NewCond(&limited.mu)
 	return limited
 }
 
@@ -65,7 +65,7 @@
 	for l.open >= l.limit {
 		longestIdle := l.idle.Front()
 		if longestIdle == nil {
-			l.freed.Wait()
+			l.slotAvailable.Wait()
 			continue
 		}
 		l.recordEviction()
@@ -99,7 +99,7 @@
 			l.workersKept--
 		}
 	}
-	l.freed.Signal()
+	l.slotAvailable.Signal()
 }
 
 // connState is called by http.Server when the state of a connection changes.
@@ -123,7 +123,7 @@
 	l.removeIdle(c)
 	if !c.closed {
 		c.idle = l.idle.PushBack(c)
-		l.freed.Signal()
+		l.slotAvailable.Signal()
 	}
 }
 
--- a/internal/admission/outcome.go
+++ b/internal/admission/outcome.go
@@ -6,15 +6,15 @@
 type outcomeKind int
 
 const (
-	outcomeAccepted    outcomeKind = iota + 1 // this request created the record of the job
-	outcomeKnown                              // the job already has a record
-	outcomeNoSuchJob                          // the job has no record
-	outcomeMalformed                          // the request is malformed, and so is any retry
-	outcomeNeverRuns                          // the request is valid, but the job can never run
-	outcomeTryLater                           // not carried out; a retry may succeed
-	outcomeUnconfirmed                        // outcome unknown; a retry finds out
-	outcomeForNode                            // carried out for another node, which gets the body
-	outcomeFromPeer                           // another node responded to the forwarded request
+	outcomeAccepted      outcomeKind = iota + 1 // this request created the record of the job
+	outcomeKnown                                // the job already has a record
+	outcomeNoSuchJob                            // the job has no record
+	outcomeMalformed                            // the request is malformed, and so is any retry
+	outcomeNotRunnable                          // the request is valid, but the job can never run
+	outcomeTryLater                             // not carried out; a retry may succeed
+	outcomeUnconfirmed                          // outcome unknown; a retry finds out
+	outcomeForController                        // carried out for another node, which gets the body
+	outcomeFromPeer                             // another node responded to the forwarded request
 )
 
 // outcome is the result of a request.
@@ -22,7 +22,7 @@
 	kind     outcomeKind
 	status   protocol.JobStatus // status of an accepted or known job
 	reason   string             // why the request wasn't carried out
-	body     []byte             // only for outcomeForNode
+	body     []byte             // only for outcomeForController
 	response Response           // only for outcomeFromPeer
 }
 
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -2,12 +2,12 @@
 
 import "postpoint/internal/protocol"
 
-// Kind is the operation that a request asks for. Nodes send each other its number.
-type Kind byte
+// RequestKind is the operation that a request asks for. Nodes send each other its number.
+type RequestKind byte
 
 // Kinds of requests.
 const (
-	Submit Kind = iota + 1
+	Submit RequestKind = iota + 1
 	GetStatus
 	Cancel
 	// GetAttestation asks for an Attestation. Only nodes send it.
@@ -19,7 +19,7 @@
 // Request is a request of a user or a node. A forwarded request comes from another node, which can't
 // reach the key-value store; the receiver never forwards it again.
 type Request struct {
-	Kind      Kind
+	Kind      RequestKind
 	ID        protocol.JobID // ID of the job, empty for a submission
 	Body      []byte
 	Forwarded bool
--- a/internal/admission/response.go
+++ b/internal/admission/response.go
@@ -30,7 +30,7 @@
 		return Response{Status: http.StatusCreated, Body: protocol.Encode(o.status)}
 	case outcomeKnown:
 		return Response{Status: http.StatusOK, Body: protocol.Encode(o.status)}
-	case outcomeForNode:
+	case outcomeForController:
 		return Response{Status: http.StatusOK, Body: o.body}
 	case outcomeFromPeer:
 		return o.response
@@ -50,7 +50,7 @@
 		return http.StatusNotFound
 	case outcomeMalformed:
 		return http.StatusBadRequest
-	case outcomeNeverRuns:
+	case outcomeNotRunnable:
 		return http.StatusUnprocessableEntity
 	}
 	return http.StatusServiceUnavailable
--- a/internal/admission/runnable.go
+++ b/internal/admission/runnable.go
@@ -30,7 +30,7 @@
 	if overLimit(spec, team) {
 		return errOverTeamLimit
 	}
-	if runsAtOnce(spec) && spec.Spread && spec.Tasks > 1 && (spec.OneZone || spec.Zone != "") {
+	if needsAllTasksAtOnce(spec) && spec.Spread && spec.Tasks > 1 && (spec.OneZone || spec.Zone != "") {
 		return errSpreadInZone
 	}
 	// The store may lower its limits at any time.
@@ -41,13 +41,13 @@
 	return nil
 }
 
-// runsAtOnce reports whether all tasks of the job must run at the same time.
-func runsAtOnce(spec *protocol.JobSpec) bool { return spec.Gang() || spec.Service() }
+// needsAllTasksAtOnce reports whether all tasks of the job must run at the same time.
+func needsAllTasksAtOnce(spec *protocol.JobSpec) bool { return spec.IsGang() || spec.IsService() }
 
 // overLimit reports whether the tasks that must run at the same time exceed the team's limit.
 func overLimit(spec *protocol.JobSpec, team settings.Team) bool {
 	atOnce := 1.0
-	if runsAtOnce(spec) {
+	if needsAllTasksAtOnce(spec) {
 		atOnce = float64(spec.Tasks)
 	}
 	return team.CpusMax > 0 && atOnce*spec.Cpus > team.CpusMax ||
--- a/internal/admission/submission.go
+++ b/internal/admission/submission.go
@@ -44,9 +44,9 @@
 		return failure(outcomeTryLater, reasonMemoryFull), true
 	}
 	if err := checkRunnable(spec, &adm.set.Deployment, adm.types); err != nil {
-		return failure(outcomeNeverRuns, err.Error()), true
+		return failure(outcomeNotRunnable, err.Error()), true
 	}
-	if spec.Service() && !adm.formatOpen {
+	if spec.IsService() && !adm.formatOpen {
 		return failure(outcomeTryLater, reasonFormatClosed), true
 	}
 	return outcome{}, false
@@ -57,7 +57,7 @@
 	record := jobrecord.New(c.spec, int64(c.admission.mailbox.TimeOfDay()))
 	if c.admission.formatOpen {
 		limits := c.admission.set.Deployment.KVStore.Tightest()
-		record.FormatMarked = c.spec.Service()
+		record.FormatMarked = c.spec.IsService()
 		record.ShardSize = jobrecord.ShardSizeFor(&c.spec, limits.ValueBytes())
 	}
 	return record
--- a/internal/admission/submission_test.go
+++ b/internal/admission/submission_test.go
@@ -22,7 +22,7 @@
 	submit := Request{Kind: Submit, Body: protocol.Encode(spec)}
 	forward := func(Request, func(Response, bool)) { t.Error("forwarded to a peer, want it handled here") }
 	for _, served := range []bool{true, false} {
-		mailbox := &actortest.Still{Now: clock.Second}
+		mailbox := &actortest.SynchronousMailbox{Now: clock.Second}
 		store := &fakeStore{maxValue: 2 << 10}
 		adm := New(mailbox, store, set, forward)
 		adm.SetMachineTypes(gpuTypes("a", "b"))
@@ -58,9 +58,9 @@
 		if known {
 			store.values = map[string][]byte{jobrecord.Key(spec.ID): jobrecord.New(spec, 1).Encode()}
 		}
-		adm := New(&actortest.Still{Now: 20 * clock.Second}, store, set, nil)
+		adm := New(&actortest.SynchronousMailbox{Now: 20 * clock.Second}, store, set, nil)
 		adm.SetMachineTypes(gpuTypes("a"))
-		adm.RefuseWhen(func() bool { return true })
+		adm.RejectNewJobsWhen(func() bool { return true })
 		for _, r := range []Request{{Kind: Submit, Body: raw}, {Kind: GetStatus, ID: spec.ID}} {
 			got := responseOf(t, adm, r)
 			want := http.StatusOK
--- a/internal/admission/workerconnection.go
+++ b/internal/admission/workerconnection.go
@@ -30,8 +30,8 @@
 	writeBufferBytes = 2 << 10
 )
 
-// writers pools the write buffers of all connections.
-var writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, writeBufferBytes) }}
+// writerPool pools the write buffers of all connections.
+var writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, writeBufferBytes) }}
 
 // endOfHead is the empty line that ends the head of a request.
 var endOfHead = []byte("\r\n\r\n")
@@ -187,8 +187,8 @@
 		ContentLength: int64(c.response.body.Len()),
 		Body:          io.NopCloser(&c.response.body),
 	}
-	w := writers.Get().(*bufio.Writer)
-	defer writers.Put(w)
+	w := writerPool.Get().(*bufio.Writer)
+	defer writerPool.Put(w)
 	w.Reset(c.conn)
 	return response.Write(w) == nil && w.Flush() == nil
 }
--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -12,11 +12,11 @@
 	s := &settings.Settings{Node: "worker-0", Peers: []settings.Peer{{Node: "worker-1"}, {Node: "worker-2"}}}
 	s.Deployment.Teams = []settings.Team{{Name: "evaluare"}}
 	s.Deployment.Workers = settings.Workers{
-		HeartbeatS: 2.5,
-		LeaseS:     16,
-		GangWaitS:  40,
-		GangPeerS:  5,
-		CancelS:    36,
+		HeartbeatS:       2.5,
+		LeaseS:           16,
+		GangWaitS:        40,
+		GangPeerTimeoutS: 5,
+		CancelS:          36,
 	}
 	return s
 }
@@ -59,7 +59,7 @@
 
 func TestLongestPermissionOfExampleFile(t *testing.T) {
 	d := exampleDirectory(t)
-	p := MaxPermission(ownSettings().Deployment.Workers, ClearTime(d.Cell("beta").Lease))
+	p := MaxPermission(ownSettings().Deployment.Workers, MaxTerminationTime(d.Cell("beta").Lease))
 	if p.Seconds() < 10.9 || p.Seconds() > 11 {
 		t.Errorf("permission of %v s, want between 10.9 and 11", p.Seconds())
 	}
--- a/internal/cells/check.go
+++ b/internal/cells/check.go
@@ -154,15 +154,15 @@
 // checkPermission rejects a host cell that takes so long to stop its tasks that its permissions would be
 // shorter than MinPermission.
 func checkPermission(field string, host *cellEntry, origin settings.Workers) error {
-	clearTime := ClearTime(clock.FromSeconds(host.LeaseS))
-	permission := MaxPermission(origin, clearTime)
+	terminationTime := MaxTerminationTime(clock.FromSeconds(host.LeaseS))
+	permission := MaxPermission(origin, terminationTime)
 	if permission >= MinPermission {
 		return nil
 	}
 	return configfile.Invalid(field, host.Name,
 		"needs %.1f s of cancel_s %v s to be rid of a task, which leaves %.1f s between two answers, "+
 			"under %.0f s",
-		clearTime.Seconds(), origin.CancelS, permission.Seconds(), MinPermission.Seconds())
+		terminationTime.Seconds(), origin.CancelS, permission.Seconds(), MinPermission.Seconds())
 }
 
 // checkTeams rejects unknown teams in the rules of the controller's own cell.
--- a/internal/cloudclient/client.go
+++ b/internal/cloudclient/client.go
@@ -35,8 +35,8 @@
 type API interface {
 	// Catalogue reads the machine types and their current prices.
 	Catalogue(done func(protocol.Catalogue, error))
-	// ScaleOut rents machines, possibly fewer than requested if the cloud has no more. A retry with the
-	// same idempotency key rents no more machines and returns the same ones.
+	// ScaleOut starts machines, possibly fewer than requested if the cloud has no more. A retry with the
+	// same idempotency key starts no more machines and returns the same ones.
 	ScaleOut(
 		r protocol.ScaleOutRequest, until clock.Micros,
 		done func(machines []protocol.MachineName, err error),
--- a/internal/cloudclient/client_test.go
+++ b/internal/cloudclient/client_test.go
@@ -17,14 +17,14 @@
 // service is a fake cloud with one fixed response to all requests.
 type service struct {
 	client   *Client
-	mailbox  actortest.Instant
+	mailbox  actortest.ChannelMailbox
 	requests atomic.Int32
 }
 
 // newService starts a fake cloud that responds with the status and body.
 func newService(t *testing.T, status int, body []byte) *service {
 	t.Helper()
-	s := &service{mailbox: actortest.Instant{Now: 10 * clock.Second, Messages: make(chan func())}}
+	s := &service{mailbox: actortest.ChannelMailbox{Now: 10 * clock.Second, Messages: make(chan func())}}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		s.requests.Add(1)
 		w.WriteHeader(status)
--- a/internal/cloudclient/cloudtest/service.go
+++ b/internal/cloudclient/cloudtest/service.go
@@ -10,11 +10,13 @@
 )
 
 // Service is a fake cloud for one client. Status 0 means that there was no response, and
-// transport.NotSent that the request was not sent.
+// transport.StatusNotSent that the request was not sent.
 type Service interface {
 	Catalogue(done func(status int, c protocol.Catalogue))
-	Rent(r protocol.ScaleOutRequest, until clock.Micros, done func(status int, a protocol.ScaleOutResponse))
-	Release(machines []protocol.MachineName, until clock.Micros, done func(status int))
+	ScaleOut(
+		r protocol.ScaleOutRequest, until clock.Micros, done func(status int, a protocol.ScaleOutResponse),
+	)
+	ScaleIn(machines []protocol.MachineName, until clock.Micros, done func(status int))
 	List(from protocol.MachineName, done func(status int, l protocol.MachineList))
 }
 
@@ -33,14 +35,14 @@
 func (c client) ScaleOut(
 	r protocol.ScaleOutRequest, until clock.Micros, done func([]protocol.MachineName, error),
 ) {
-	c.service.Rent(r, until, func(status int, a protocol.ScaleOutResponse) {
+	c.service.ScaleOut(r, until, func(status int, a protocol.ScaleOutResponse) {
 		done(a.Machines, failure(status, a.Error))
 	})
 }
 
 // ScaleIn implements cloudclient.API.
 func (c client) ScaleIn(machines []protocol.MachineName, until clock.Micros, done func(error)) {
-	c.service.Release(machines, until, func(status int) { done(failure(status, "")) })
+	c.service.ScaleIn(machines, until, func(status int) { done(failure(status, "")) })
 }
 
 // List implements cloudclient.API.
@@ -51,7 +53,7 @@
 // failure returns the error for a status of a Service, nil for success.
 func failure(status int, reason string) error {
 	switch status {
-	case transport.NotSent:
+	case transport.StatusNotSent:
 		return &transport.Error{Kind: cloudclient.ErrNotSent, Status: status, Reason: reason}
 	case 0:
 		return &transport.Error{Kind: cloudclient.ErrNoResponse, Reason: reason}
--- a/internal/cloudclient/cloudtest/service_test.go
+++ b/internal/cloudclient/cloudtest/service_test.go
@@ -23,12 +23,12 @@
 	done(f.status, protocol.Catalogue{MachineTypes: []protocol.MachineType{{Name: "g8"}}})
 }
 
-func (f fixedCloud) Rent(_ protocol.ScaleOutRequest, _ clock.Micros,
+func (f fixedCloud) ScaleOut(_ protocol.ScaleOutRequest, _ clock.Micros,
 	done func(int, protocol.ScaleOutResponse)) {
 	done(f.status, protocol.ScaleOutResponse{Machines: []protocol.MachineName{"m-1"}, Error: f.reason})
 }
 
-func (f fixedCloud) Release(_ []protocol.MachineName, _ clock.Micros, done func(int)) { done(f.status) }
+func (f fixedCloud) ScaleIn(_ []protocol.MachineName, _ clock.Micros, done func(int)) { done(f.status) }
 
 func (f fixedCloud) List(_ protocol.MachineName, done func(int, protocol.MachineList)) {
 	done(f.status, protocol.MachineList{More: true})
@@ -49,7 +49,7 @@
 
 // Guards against a fake whose status becomes the wrong error, for every status.
 func TestClientReturnsErrorOfEveryStatus(t *testing.T) {
-	for status := transport.NotSent; status < 1000; status++ {
+	for status := transport.StatusNotSent; status < 1000; status++ {
 		for _, reason := range []string{"", protocol.NoCapacity, "trouble"} {
 			err := errors.New("no outcome")
 			var machines []protocol.MachineName
@@ -67,7 +67,7 @@
 			if noResponse := status == 0; errors.Is(err, cloudclient.ErrNoResponse) != noResponse {
 				t.Errorf("status %d: %v, expected no response %v", status, err, noResponse)
 			}
-			if notSent := status == transport.NotSent; errors.Is(err, cloudclient.ErrNotSent) != notSent {
+			if notSent := status == transport.StatusNotSent; errors.Is(err, cloudclient.ErrNotSent) != notSent {
 				t.Errorf("status %d: %v, expected not sent %v", status, err, notSent)
 			}
 		}
@@ -77,7 +77,7 @@
 // Guards against an operation that loses the status or the value of the fake.
 func TestClientReturnsStatusAndValueOfEveryOperation(t *testing.T) {
 	noOutcome := errors.New("no outcome")
-	for status := transport.NotSent; status < 1000; status++ {
+	for status := transport.StatusNotSent; status < 1000; status++ {
 		api := Client(fixedCloud{status: status})
 		catalogueErr, scaleInErr, listErr := noOutcome, noOutcome, noOutcome
 		var catalogue protocol.Catalogue
--- a/internal/cloudclient/golden_test.go
+++ b/internal/cloudclient/golden_test.go
@@ -50,8 +50,8 @@
 			api.List("m-1", func(_ protocol.MachineList, err error) { got = err })
 		}, "GET /hosts?From=m-1&Limit=500\nUser-Agent: Go-http-client/1.1\n\n"},
 	} {
-		address, requests := goldentest.Serve(t, http.StatusOK, c.response)
-		mailbox := actortest.Instant{Messages: make(chan func(), 1)}
+		address, requests := goldentest.ServeFixedResponse(t, http.StatusOK, c.response)
+		mailbox := actortest.ChannelMailbox{Messages: make(chan func(), 1)}
 		api, got = New(address).For(mailbox), errors.New("no outcome")
 		c.call()
 		goldentest.Equal(t, c.name, <-requests, c.recorded)
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -51,7 +51,7 @@
 			Bind: freeAddress(), InternalAddr: freeAddress()}
 		s.Deployment = settings.Deployment{
 			InitialSize: controllersPerCell, Zones: []string{"a"}, Teams: []settings.Team{{Name: "open"}},
-			Workers: settings.Workers{HeartbeatS: 1, LeaseS: 6, GangWaitS: 15, GangPeerS: 3,
+			Workers: settings.Workers{HeartbeatS: 1, LeaseS: 6, GangWaitS: 15, GangPeerTimeoutS: 3,
 				CancelS: 24},
 			MachineLimits: settings.MachineLimits{CPU: 0.2, MemoryMb: 120, MaxSockets: 800},
 			KVStore:       settings.KVStore{Rps: 200, WriteRps: 80, ValueKb: 8, TxnOps: 12},
@@ -215,7 +215,7 @@
 					done++
 				}
 			}
-			elsewhere, _ = history.Elsewhere()
+			elsewhere, _ = history.RunsOutsideOrigin()
 		})
 		return done, elsewhere
 	}
@@ -240,10 +240,10 @@
 		t.Errorf("%d of %d jobs are done after %.0f s", n, len(jobs), time.Since(began).Seconds())
 	}
 	if !wait(180*time.Second, func() bool { return group[0].delegatedTasks() == 0 }) {
-		t.Error("work is still lent")
+		t.Error("tasks are still offloaded")
 	}
 	realTime.Do(func() {
-		wrong := history.Judge(jobs)
+		wrong := history.Check(jobs)
 		for _, broken := range realTime.World.Violations {
 			if !strings.Contains(broken, " no_lease:") {
 				wrong = append(wrong, broken)
@@ -252,7 +252,7 @@
 		if len(wrong) > 0 {
 			t.Error(strings.Join(wrong, "\n"))
 		}
-		elsewhere, all := history.Elsewhere()
+		elsewhere, all := history.RunsOutsideOrigin()
 		t.Logf("%d of %d runs in other cells, all done after %.0f s", elsewhere, all,
 			time.Since(began).Seconds())
 	})
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -44,7 +44,7 @@
 // until the process ends. A controller that ends doesn't release its lease; the lease expires.
 func Run(s *settings.Settings, o Options) error {
 	n := assemble(s, o)
-	n.Admission.RefuseWhen(memoryFull(s.Deployment.MachineLimits.MemoryMb))
+	n.Admission.RejectNewJobsWhen(memoryFull(s.Deployment.MachineLimits.MemoryMb))
 	n.Start()
 	failed := make(chan error, maxServers)
 	serve := func(clients, address string, runServer func() error) {
@@ -69,17 +69,17 @@
 	mailboxes := newMailboxes()
 	peers := peerAddresses(s)
 	return node.New(node.Environment{
-		Settings:  s,
-		Election:  election.Config{Node: s.Node, Incarnation: rand.Text(), TTL: o.LeaseTTL},
-		Mailboxes: mailboxes,
-		Store:     kvstore.New(s.Endpoints.KVStore, s.Deployment.KVStore.Tightest()).For,
-		Cloud:     cloudclient.New(s.Endpoints.Cloud).For(mailboxes.Leader),
-		Agent:     workerclient.New().For(mailboxes.Leader),
-		Forward:   peer.NewForwarder(peers, mailboxes.Admission).Forward,
-		Cells:     o.Cells,
-		Exchange:  peer.NewCellClient(mailboxes.Leader),
-		Everyone:  peer.NewForwarder(peers, mailboxes.Leader).AskAll,
-		Recovery:  o.Recovery,
+		Settings:          s,
+		Election:          election.Config{Node: s.Node, Incarnation: rand.Text(), TTL: o.LeaseTTL},
+		Mailboxes:         mailboxes,
+		Store:             kvstore.New(s.Endpoints.KVStore, s.Deployment.KVStore.Tightest()).For,
+		Cloud:             cloudclient.New(s.Endpoints.Cloud).For(mailboxes.Leader),
+		Workers:           workerclient.New().For(mailboxes.Leader),
+		Forward:           peer.NewForwarder(peers, mailboxes.Admission).Forward,
+		Cells:             o.Cells,
+		CellClient:        peer.NewCellClient(mailboxes.Leader),
+		AskAllControllers: peer.NewForwarder(peers, mailboxes.Leader).AskAll,
+		Recovery:          o.Recovery,
 	})
 }
 
--- a/internal/controller/loopback_test.go
+++ b/internal/controller/loopback_test.go
@@ -66,7 +66,7 @@
 var loads = map[string]loadShape{
 	// About 600 machines with a heartbeat interval of 2.5 s, gangs and large arrays.
 	"often": {
-		Workers:  settings.Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 40, GangPeerS: 5, CancelS: 36},
+		Workers:  settings.Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 40, GangPeerTimeoutS: 5, CancelS: 36},
 		Limits:   settings.MachineLimits{CPU: 0.05, MemoryMb: 114, MaxSockets: 1800},
 		Capacity: map[string]int{"small": 180, "middle": 100, "large": 25},
 		Arrivals: []arrivals{
@@ -82,7 +82,7 @@
 	},
 	// About 1,000 machines with a heartbeat interval of 5 s, arrays of short tasks on GPUs.
 	"many": {
-		Workers:  settings.Workers{HeartbeatS: 5, LeaseS: 22, GangWaitS: 35, GangPeerS: 8, CancelS: 42},
+		Workers:  settings.Workers{HeartbeatS: 5, LeaseS: 22, GangWaitS: 35, GangPeerTimeoutS: 8, CancelS: 42},
 		Limits:   settings.MachineLimits{CPU: 0.036, MemoryMb: 114, MaxSockets: 1800},
 		Capacity: map[string]int{"small": 350, "middle": 0, "large": 150},
 		Arrivals: []arrivals{
@@ -185,7 +185,7 @@
 			case "lost":
 				for i, m := range l.Deployment.Workers() {
 					if i%3 == 0 {
-						m.Die()
+						m.Fail()
 					}
 				}
 			}
--- a/internal/delegation/codec.go
+++ b/internal/delegation/codec.go
@@ -21,7 +21,7 @@
 	w.text(h.Origin)
 	w.number(int64(h.Epoch))
 	w.number(h.Sequence)
-	w.number(int64(h.ClearTime))
+	w.number(int64(h.MaxTerminationTime))
 	w.load(&h.Load)
 	w.count(len(h.Statuses))
 	for i := range h.Statuses {
@@ -38,7 +38,7 @@
 	w.text(s.Done.String())
 	w.text(s.Held.String())
 	w.number(int64(s.Running))
-	w.number(int64(s.Waiting))
+	w.number(int64(s.Pending))
 	w.text(s.Reason[:min(len(s.Reason), maxReasonBytes)])
 }
 
@@ -78,7 +78,7 @@
 	heartbeat.Origin = r.text(maxNameBytes)
 	heartbeat.Epoch = protocol.Epoch(r.number())
 	heartbeat.Sequence = r.number()
-	heartbeat.ClearTime = clock.Micros(r.number())
+	heartbeat.MaxTerminationTime = clock.Micros(r.number())
 	heartbeat.Load = r.load()
 	for range r.count(MaxStatuses) {
 		heartbeat.Statuses = append(heartbeat.Statuses, r.status())
@@ -98,7 +98,7 @@
 	s.Done = r.taskSet()
 	s.Held = r.taskSet()
 	s.Running = r.cappedInt()
-	s.Waiting = r.cappedInt()
+	s.Pending = r.cappedInt()
 	s.Reason = r.text(maxReasonBytes)
 	return s
 }
--- a/internal/delegation/codec_test.go
+++ b/internal/delegation/codec_test.go
@@ -66,18 +66,18 @@
 		Done:    drawTaskSet.Draw(t, "done"),
 		Held:    drawTaskSet.Draw(t, "held"),
 		Running: 3,
-		Waiting: 4,
+		Pending: 4,
 		Reason:  drawText.Draw(t, "reason"),
 	}
 })
 
 var drawHeartbeat = rapid.Custom(func(t *rapid.T) Heartbeat {
 	heartbeat := Heartbeat{
-		Host:      drawText.Draw(t, "host"),
-		Origin:    drawText.Draw(t, "origin"),
-		Epoch:     protocol.Epoch(drawNumber.Draw(t, "epoch")),
-		Sequence:  drawNumber.Draw(t, "sequence"),
-		ClearTime: drawMicros.Draw(t, "clear time"),
+		Host:               drawText.Draw(t, "host"),
+		Origin:             drawText.Draw(t, "origin"),
+		Epoch:              protocol.Epoch(drawNumber.Draw(t, "epoch")),
+		Sequence:           drawNumber.Draw(t, "sequence"),
+		MaxTerminationTime: drawMicros.Draw(t, "clear time"),
 		Load: Load{
 			QuotaLeft: drawResources.Draw(t, "quota left"),
 			OwnWait:   drawMicros.Draw(t, "own wait"),
--- a/internal/delegation/golden_test.go
+++ b/internal/delegation/golden_test.go
@@ -14,11 +14,11 @@
 
 func goldenHeartbeat() Heartbeat {
 	return Heartbeat{
-		Host:      "beta",
-		Origin:    "alpha",
-		Epoch:     41,
-		Sequence:  70_000,
-		ClearTime: 24 * clock.Second,
+		Host:               "beta",
+		Origin:             "alpha",
+		Epoch:              41,
+		Sequence:           70_000,
+		MaxTerminationTime: 24 * clock.Second,
 		Load: Load{
 			QuotaLeft: planner.Resources{Cpus: 128, Gpus: 8, MemoryGB: 1024},
 			OwnWait:   5 * clock.Second,
@@ -46,7 +46,7 @@
 			Done:    taskSet(0, 1, 2, 5),
 			Held:    taskSet(3, 9),
 			Running: 2,
-			Waiting: 300,
+			Pending: 300,
 			Reason:  "no room",
 		}, {
 			Number: 8,
@@ -68,7 +68,7 @@
 		},
 		Offers: []Offer{{
 			Number: 11,
-			Spec:   protocoltest.WholeJobSpec(),
+			Spec:   protocoltest.FullJobSpec(),
 			Tasks:  taskSet(0, 1, 2, 7),
 			JobAge: 90 * clock.Second,
 		}},
--- a/internal/delegation/message.go
+++ b/internal/delegation/message.go
@@ -20,11 +20,11 @@
 	// Epoch and Sequence order the heartbeats of a host. Epoch is the epoch of the host's leader.
 	Epoch    protocol.Epoch
 	Sequence int64
-	// ClearTime is the longest time from the expiry of a permission until no machine of the host runs a task
-	// that needed the permission.
-	ClearTime clock.Micros
-	Load      Load
-	Statuses  []Status
+	// MaxTerminationTime is the longest time from the expiry of a permission until no machine of the host
+	// runs a task that needed the permission.
+	MaxTerminationTime clock.Micros
+	Load               Load
+	Statuses           []Status
 }
 
 // Status is the state of one delegation at its host. The set of completed tasks, and the statement that a
@@ -39,8 +39,8 @@
 	Done jobrecord.TaskSet
 	// Held is the set of tasks that may be running on the host's machines.
 	Held jobrecord.TaskSet
-	// Running counts the tasks that run. Waiting counts the tasks that wait for a machine.
-	Running, Waiting int
+	// Running counts the tasks that run. Pending counts the tasks that wait for a machine.
+	Running, Pending int
 	// Reason tells why the host refused or returned the delegation.
 	Reason string
 }
--- a/internal/delegation/origin.go
+++ b/internal/delegation/origin.go
@@ -14,9 +14,9 @@
 	Offerable bool
 	// Outstanding is the set of tasks that still belong to the host, as far as the origin's leader knows.
 	Outstanding jobrecord.TaskSet
-	// clearAt is when no task runs or can start any more, unless the leader grants another permission. It is
-	// 0 if no leader ever granted one.
-	clearAt clock.Micros
+	// expiresAt is when no task runs or can start any more, unless the leader grants another permission. It
+	// is 0 if no leader ever granted one.
+	expiresAt clock.Micros
 	// LastStatus is the last status from the host. LastStatusAt is when it arrived.
 	LastStatus   Status
 	LastStatusAt clock.Micros
@@ -26,23 +26,23 @@
 func New(r Record) *Delegation { return &Delegation{Record: r, Outstanding: r.Tasks} }
 
 // Restore returns a delegation from the record that a new leader has read. Earlier leaders may have granted
-// permissions until the new term began. No task runs for longer than proofTime after that.
-func Restore(r Record, termBegan, proofTime clock.Micros) *Delegation {
-	return &Delegation{Record: r, Outstanding: r.Tasks, Offerable: true, clearAt: termBegan + proofTime}
+// permissions until the new term began. No task runs for longer than expiryTime after that.
+func Restore(r Record, termBegan, expiryTime clock.Micros) *Delegation {
+	return &Delegation{Record: r, Outstanding: r.Tasks, Offerable: true, expiresAt: termBegan + expiryTime}
 }
 
-// NotePermission records that the leader granted a permission. known is the time up to which the leader knew
-// all cancellations.
-func (d *Delegation) NotePermission(known, proofTime clock.Micros) {
-	d.clearAt = max(d.clearAt, known+proofTime)
+// RecordPermission records that the leader granted a permission. known is the time up to which the leader
+// knew all cancellations.
+func (d *Delegation) RecordPermission(known, expiryTime clock.Micros) {
+	d.expiresAt = max(d.expiresAt, known+expiryTime)
 }
 
-// IsClear reports whether none of the tasks runs or can start any more, whatever the host does: there was no
-// permission, or the last one expired long enough ago.
-func (d *Delegation) IsClear(now clock.Micros) bool { return now >= d.clearAt }
+// IsExpired reports whether none of the tasks runs or can start any more, whatever the host does: there was
+// no permission, or the last one expired long enough ago.
+func (d *Delegation) IsExpired(now clock.Micros) bool { return now >= d.expiresAt }
 
-// FreedTasks lists tasks that no longer belong to a delegation.
-type FreedTasks struct {
+// ReturnedTasks lists tasks that no longer belong to a delegation.
+type ReturnedTasks struct {
 	Completed []int
 	// Unfinished tasks may start in the origin cell again.
 	Unfinished []int
@@ -50,29 +50,30 @@
 
 // ApplyStatus updates the delegation from a status of the host and returns the tasks that the status frees.
 // Statuses may arrive in any order, because everything that the function uses stays true once it is true.
-func (d *Delegation) ApplyStatus(s Status, now clock.Micros) FreedTasks {
+func (d *Delegation) ApplyStatus(s Status, now clock.Micros) ReturnedTasks {
 	d.LastStatus, d.LastStatusAt = s, now
-	freed := d.free(&s)
+	returned := d.returnTasks(&s)
 	d.State = d.stateAfter(&s)
-	return freed
+	return returned
 }
 
-// free removes the tasks that a status of the host frees from the outstanding tasks, and returns them.
-func (d *Delegation) free(s *Status) FreedTasks {
-	var freed FreedTasks
+// returnTasks removes the tasks that a status of the host returns from the outstanding tasks, and returns
+// them.
+func (d *Delegation) returnTasks(s *Status) ReturnedTasks {
+	var returned ReturnedTasks
 	var left jobrecord.TaskSet
 	for task := range d.Outstanding.All() {
 		switch {
 		case s.Done.Contains(task):
-			freed.Completed = append(freed.Completed, task)
+			returned.Completed = append(returned.Completed, task)
 		case s.Closed && !s.Held.Contains(task):
-			freed.Unfinished = append(freed.Unfinished, task)
+			returned.Unfinished = append(returned.Unfinished, task)
 		default:
 			left.Add(task)
 		}
 	}
 	d.Outstanding = left
-	return freed
+	return returned
 }
 
 // stateAfter returns the state that follows from a status of the host.
@@ -91,11 +92,11 @@
 	return d.State
 }
 
-// Expire ends a delegation and frees all outstanding tasks. The caller has to check IsClear first.
-func (d *Delegation) Expire() FreedTasks {
-	freed := FreedTasks{Unfinished: slices.Collect(d.Outstanding.All())}
+// Expire ends a delegation and returns all outstanding tasks. The caller has to check IsExpired first.
+func (d *Delegation) Expire() ReturnedTasks {
+	returned := ReturnedTasks{Unfinished: slices.Collect(d.Outstanding.All())}
 	d.Outstanding, d.State = jobrecord.TaskSet{}, Ended
-	return freed
+	return returned
 }
 
 // Recall starts the return of the tasks to the origin. It can't be undone.
--- a/internal/delegation/transfer_test.go
+++ b/internal/delegation/transfer_test.go
@@ -102,7 +102,7 @@
 	known := m.now - lag
 	length := known + modelMaxPermission - m.now
 	if length > 0 && !m.origin.IsOver() {
-		m.origin.NotePermission(known, modelCancelTime)
+		m.origin.RecordPermission(known, modelCancelTime)
 		m.send(Directive{Number: 1, Action: m.origin.NextAction(false), PermissionFor: length}, r)
 	}
 }
@@ -111,7 +111,7 @@
 	m.responses = append(m.responses, sentResponse{directive, to.sentAt})
 }
 
-func (m *transferModel) free(f FreedTasks) {
+func (m *transferModel) free(f ReturnedTasks) {
 	for _, task := range f.Unfinished {
 		m.freed[task] = true
 	}
@@ -221,7 +221,7 @@
 	case 0:
 		m.origin.Recall()
 	case 1:
-		if m.origin.IsClear(m.now) && !m.origin.IsOver() {
+		if m.origin.IsExpired(m.now) && !m.origin.IsOver() {
 			m.free(m.origin.Expire())
 		}
 	case 2:
--- a/internal/goldentest/server.go
+++ b/internal/goldentest/server.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// Serve starts a fake of an external system that sends the same response to every request. It returns the
-// address of the fake and the requests that it receives: method and path, headers, an empty line and the
-// body. Lines end with a line feed alone.
-func Serve(t testing.TB, status int, response string) (address string, requests <-chan []byte) {
+// ServeFixedResponse starts a fake of an external system that sends the same response to every request. It
+// returns the address of the fake and the requests that it receives: method and path, headers, an empty line
+// and the body. Lines end with a line feed alone.
+func ServeFixedResponse(t testing.TB, status int, response string) (address string, requests <-chan []byte) {
 	t.Helper()
 	received := make(chan []byte, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/htmlreport/page_test.go
+++ b/internal/htmlreport/page_test.go
@@ -18,7 +18,7 @@
 	if err := r.Lines("Third", "", "x", "y", line, Distribution("share", []float64{1, 2})); err != nil {
 		t.Fatal(err)
 	}
-	bars := []Bar{{Name: "upper", From: 0, To: 2}, {Name: "lower", From: 1, To: 3, Kind: 1}}
+	bars := []Bar{{Name: "upper", From: 0, To: 2}, {Name: "lower", From: 1, To: 3, ColorIndex: 1}}
 	if err := r.Spans("Fourth", "", "x", bars); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/htmlreport/plots.go
+++ b/internal/htmlreport/plots.go
@@ -30,8 +30,8 @@
 type Bar struct {
 	Name     string
 	From, To float64
-	// Kind selects the colour: bars of the same kind have the same colour.
-	Kind int
+	// ColorIndex selects the colour: bars of the same kind have the same colour.
+	ColorIndex int
 }
 
 // Lines adds a section with a plot of lines.
@@ -68,7 +68,7 @@
 		if err != nil {
 			return err
 		}
-		line.Color, line.Width = plotutil.Color(b.Kind), vg.Points(barWidth)
+		line.Color, line.Width = plotutil.Color(b.ColorIndex), vg.Points(barWidth)
 		p.Add(line)
 	}
 	p.NominalY(names...)
--- a/internal/jobrecord/capacity.go
+++ b/internal/jobrecord/capacity.go
@@ -60,7 +60,7 @@
 	if record.ShardSize == 0 {
 		return true
 	}
-	return record.headBytes() <= UsableBytes(limit) && (!spec.Gang() || record.ShardCount() <= txnOps)
+	return record.headBytes() <= UsableBytes(limit) && (!spec.IsGang() || record.ShardCount() <= txnOps)
 }
 
 // StartCapacity returns how many more tasks may start before a record that isn't sharded could exceed
--- a/internal/jobrecord/codec.go
+++ b/internal/jobrecord/codec.go
@@ -65,7 +65,7 @@
 		DisplacedFrom: stored.Displaced,
 	}
 	// Controllers of format 1 classify services as arrays and record exited replicas as done.
-	if !record.Spec.Service() {
+	if !record.Spec.IsService() {
 		record.Done = done
 	}
 	for _, text := range stored.Placed {
--- a/internal/jobrecord/format.go
+++ b/internal/jobrecord/format.go
@@ -72,7 +72,7 @@
 	if r.Hosted != nil {
 		markers = append(markers, hostedMarker+" "+r.Hosted.encode())
 	}
-	if r.FormatMarked && r.Spec.Service() {
+	if r.FormatMarked && r.Spec.IsService() {
 		markers = append(markers, serviceMarker)
 	}
 	if r.ShardSize > 0 && !r.Truncated {
--- a/internal/jobrecord/format_test.go
+++ b/internal/jobrecord/format_test.go
@@ -86,7 +86,7 @@
 		if d := cmp.Diff(&stored.want, record, allFields); d != "" {
 			t.Fatalf("%s: decoded record differs (-want +got):\n%s", name, d)
 		}
-		if !record.Spec.Service() && !bytes.Equal(record.Encode(), value) {
+		if !record.Spec.IsService() && !bytes.Equal(record.Encode(), value) {
 			t.Errorf("%s: encoded again as %x, want %x", name, record.Encode(), value)
 		}
 	}
--- a/internal/jobrecord/golden_test.go
+++ b/internal/jobrecord/golden_test.go
@@ -65,7 +65,7 @@
 	{
 		name: "a whole record with every field that it can have",
 		job: Record{
-			Spec:          protocoltest.WholeJobSpec(),
+			Spec:          protocoltest.FullJobSpec(),
 			Status:        protocol.StatusCancelled,
 			SubmittedAt:   1764668400000000,
 			CancelledAt:   1764668460000000,
@@ -200,7 +200,7 @@
 	{
 		name: "a sharded record",
 		job: Record{
-			Spec:          protocoltest.WholeJobSpec(),
+			Spec:          protocoltest.FullJobSpec(),
 			SubmittedAt:   1764668400000000,
 			Done:          goldenRanges(span{0, 3}, span{7, 7}),
 			NextAttempt:   5,
@@ -284,7 +284,7 @@
 // The stored forms with every field set encode to the recorded bytes. No real record sets them all.
 func TestGoldenStoredForms(t *testing.T) {
 	whole := storedRecord{
-		Spec:        protocoltest.WholeJobSpec(),
+		Spec:        protocoltest.FullJobSpec(),
 		Status:      protocol.StatusCancelled,
 		SubmittedAt: 1764668400000000,
 		CancelledAt: 1764668460000000,
--- a/internal/jobrecord/record.go
+++ b/internal/jobrecord/record.go
@@ -50,7 +50,7 @@
 
 // complete marks a task as done. It ignores tasks of a service, which are never done.
 func (r *Record) complete(task int) {
-	if !r.Spec.Service() {
+	if !r.Spec.IsService() {
 		r.Done.Add(task)
 	}
 }
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -21,14 +21,14 @@
 // newServedStore returns the client of a server that responds to every request with the given status and
 // body, and a mailbox for its results.
 func newServedStore(t *testing.T, limits settings.KVStore, status int,
-	body []byte) (*Client, actortest.Instant) {
+	body []byte) (*Client, actortest.ChannelMailbox) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
 		_, _ = w.Write(body)
 	}))
 	t.Cleanup(server.Close)
-	mailbox := actortest.Instant{Now: clock.Second, Messages: make(chan func())}
+	mailbox := actortest.ChannelMailbox{Now: clock.Second, Messages: make(chan func())}
 	return New(strings.TrimPrefix(server.URL, "http://"), limits), mailbox
 }
 
@@ -124,7 +124,7 @@
 }
 
 func TestNoConnectionLeavesOutcomeUnknown(t *testing.T) {
-	mailbox := actortest.Instant{Now: clock.Second, Messages: make(chan func())}
+	mailbox := actortest.ChannelMailbox{Now: clock.Second, Messages: make(chan func())}
 	server := httptest.NewServer(nil)
 	server.Close() // nobody listens there any more
 	client := New(strings.TrimPrefix(server.URL, "http://"), ampleLimits)
--- a/internal/kvstore/golden_test.go
+++ b/internal/kvstore/golden_test.go
@@ -19,8 +19,8 @@
 func requireRequest[T any](t *testing.T, name, response string, want T, recorded string,
 	call func(s Store, done func(Result[T]))) {
 	t.Helper()
-	address, requests := goldentest.Serve(t, http.StatusOK, response)
-	mailbox := actortest.Instant{Messages: make(chan func(), 1)}
+	address, requests := goldentest.ServeFixedResponse(t, http.StatusOK, response)
+	mailbox := actortest.ChannelMailbox{Messages: make(chan func(), 1)}
 	got := Result[T]{Err: errors.New("no response")}
 	call(New(address, settings.KVStore{Rps: 100, WriteRps: 100}).For(mailbox), func(r Result[T]) { got = r })
 	goldentest.Equal(t, name, <-requests, recorded)
--- a/internal/leader/autoscaler/cordon.go
+++ b/internal/leader/autoscaler/cordon.go
@@ -184,7 +184,7 @@
 	if j.MustNotRun() || j.Spec.CheckpointS == 0 {
 		return false
 	}
-	multiTaskGang := j.Spec.Gang() && j.Spec.Tasks > 1
+	multiTaskGang := j.Spec.IsGang() && j.Spec.Tasks > 1
 	return !multiTaskGang || !j.MovedOffSurplus && a.gangRuns(j)
 }
 
--- a/internal/leader/cells_delegating_test.go
+++ b/internal/leader/cells_delegating_test.go
@@ -55,7 +55,7 @@
 }
 
 // createDelegation returns a leader of alpha that has sent the creation of delegation 7.
-func createDelegation(t *testing.T) (*Leader, *fakeStore, *actortest.Still) {
+func createDelegation(t *testing.T) (*Leader, *fakeStore, *actortest.SynchronousMailbox) {
 	t.Helper()
 	l, j, store, box := delegatingLeader(t)
 	j.StoredValue.StoredCount, j.StoredValue.Version = j.ChangeCount, 6
--- a/internal/leader/cells_helpers_test.go
+++ b/internal/leader/cells_helpers_test.go
@@ -36,7 +36,7 @@
 `
 
 // cellLeader returns a leader of alpha, which runs work for beta and has beta run its own.
-func cellLeader(tb testing.TB) (*Leader, *fakeStore, *actortest.Still) {
+func cellLeader(tb testing.TB) (*Leader, *fakeStore, *actortest.SynchronousMailbox) {
 	tb.Helper()
 	l, box := newLeader()
 	l.state.Settings.Node = "worker-0"
@@ -55,7 +55,9 @@
 
 // hostingLeader returns a leader of alpha with a hosted job of one task on m-1, committed and permitted
 // until ten seconds from now.
-func hostingLeader(t *testing.T) (*Leader, *jobtable.Job, *machinetable.Machine, *actortest.Still) {
+func hostingLeader(t *testing.T) (
+	*Leader, *jobtable.Job, *machinetable.Machine, *actortest.SynchronousMailbox,
+) {
 	t.Helper()
 	l, _, box := cellLeader(t)
 	id := jobrecord.HostedJobID("beta", "job-1", 7)
@@ -84,7 +86,7 @@
 
 // sendHeartbeat has m-1 send a heartbeat to a leader whose lease holds, and returns the status and the
 // commands of the response.
-func sendHeartbeat(l *Leader, box *actortest.Still, counter int64,
+func sendHeartbeat(l *Leader, box *actortest.SynchronousMailbox, counter int64,
 	tasks ...protocol.TaskStatus) (status int, commands []protocol.Command) {
 	l.state.Term.RenewedAt, l.state.Term.ValidUntil = box.Now, box.Now+4*clock.Second
 	l.state.RecordsKnownUntil = box.Now
@@ -98,7 +100,7 @@
 }
 
 // delegatingLeader returns a leader of alpha whose job has both tasks delegated to beta.
-func delegatingLeader(t *testing.T) (*Leader, *jobtable.Job, *fakeStore, *actortest.Still) {
+func delegatingLeader(t *testing.T) (*Leader, *jobtable.Job, *fakeStore, *actortest.SynchronousMailbox) {
 	t.Helper()
 	l, store, box := cellLeader(t)
 	content := jobrecord.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 2, Cpus: 1}, 1)
@@ -112,11 +114,11 @@
 // reportFromBeta is a heartbeat of beta as host of alpha's jobs.
 func reportFromBeta(statuses ...delegation.Status) delegation.Heartbeat {
 	return delegation.Heartbeat{
-		Host:      "beta",
-		Origin:    "alpha",
-		Epoch:     3,
-		ClearTime: cells.ClearTime(12 * clock.Second),
-		Statuses:  statuses,
+		Host:               "beta",
+		Origin:             "alpha",
+		Epoch:              3,
+		MaxTerminationTime: cells.MaxTerminationTime(12 * clock.Second),
+		Statuses:           statuses,
 	}
 }
 
--- a/internal/leader/cells_hosting_test.go
+++ b/internal/leader/cells_hosting_test.go
@@ -58,14 +58,15 @@
 // heartbeats, whoever leads.
 func TestHungMachinesWithHostedTasksAreReleasedInTime(t *testing.T) {
 	l, j, _, _ := hostingLeader(t)
-	clearTime := cells.ClearTime(l.state.Settings.Deployment.Workers.Lease()) - reconciler.MaxReleaseTime
-	latest := j.Permission.ExpiresAt() + clearTime
+	terminationTime := cells.MaxTerminationTime(l.state.Settings.Deployment.Workers.Lease()) -
+		reconciler.MaxReleaseTime
+	latest := j.Permission.ExpiresAt() + terminationTime
 	if at := l.cancellations.ReleaseAt(j); at > latest {
 		t.Errorf("released at %.1f s, want %.1f s at the latest", at.Seconds(), latest.Seconds())
 	}
 	// A new leader: the last permission ended just before its predecessor's lease did.
 	l.jobs.AwaitPermission(j)
-	latest = l.state.BegunAt - 5*clock.Second + clearTime
+	latest = l.state.BegunAt - 5*clock.Second + terminationTime
 	if at := l.cancellations.ReleaseAt(j); at > latest {
 		t.Errorf("released by a new leader at %.1f s, want %.1f s at the latest", at.Seconds(),
 			latest.Seconds())
--- a/internal/leader/cells_permissions_test.go
+++ b/internal/leader/cells_permissions_test.go
@@ -28,7 +28,7 @@
 	box.Now += 2 * clock.Second // the records were fresh and the lease renewed before
 	l.state.Term.ValidUntil = box.Now + clock.Second
 	workers := l.state.Settings.Deployment.Workers
-	length := cells.MaxPermission(workers, cells.ClearTime(12*clock.Second)) - 2*clock.Second
+	length := cells.MaxPermission(workers, cells.MaxTerminationTime(12*clock.Second)) - 2*clock.Second
 	want := delegation.Directive{Number: 7, Action: delegation.Continue, PermissionFor: length}
 	if got := onlyDirective(t, reportDelegation(l, delegation.Status{})); got != want {
 		t.Fatalf("got %+v, want %+v", got, want)
--- a/internal/leader/commands_test.go
+++ b/internal/leader/commands_test.go
@@ -104,7 +104,7 @@
 		{"a batch", reconciler.ForgetBatch, false, 0, reconciler.ForgetBatch},
 	} {
 		d, j, r := leaderWithEightTasks()
-		box := d.state.Mailbox.(*actortest.Still)
+		box := d.state.Mailbox.(*actortest.SynchronousMailbox)
 		heartbeat := func() (forgotten int) {
 			r.Counter++
 			r.Tasks = slices.Clone(r.Tasks)
--- a/internal/leader/federation/delegationstore.go
+++ b/internal/leader/federation/delegationstore.go
@@ -39,8 +39,8 @@
 		del.record.markReloaded(item.Version)
 		return
 	}
-	proofTime := cells.ProofTime(o.Settings.Deployment.Workers)
-	del := &trackedDelegation{Delegation: delegation.Restore(r, o.BegunAt, proofTime)}
+	expiryTime := cells.DelegationExpiryTime(o.Settings.Deployment.Workers)
+	del := &trackedDelegation{Delegation: delegation.Restore(r, o.BegunAt, expiryTime)}
 	del.record.markStored(item.Version, r.State)
 	o.Delegations[r.Number] = del
 }
--- a/internal/leader/federation/heartbeats.go
+++ b/internal/leader/federation/heartbeats.go
@@ -110,12 +110,12 @@
 // many jobs as a heartbeat may list.
 func (h *Host) heartbeat(link *Link, jobs []*jobtable.Job) delegation.Heartbeat {
 	heartbeat := delegation.Heartbeat{
-		Host:      h.cells.Directory.Own.Name,
-		Origin:    link.cell,
-		Epoch:     h.Term.Epoch,
-		Sequence:  link.outgoing.sequence,
-		ClearTime: cells.ClearTime(h.Settings.Deployment.Workers.Lease()),
-		Load:      h.ownLoad(),
+		Host:               h.cells.Directory.Own.Name,
+		Origin:             link.cell,
+		Epoch:              h.Term.Epoch,
+		Sequence:           link.outgoing.sequence,
+		MaxTerminationTime: cells.MaxTerminationTime(h.Settings.Deployment.Workers.Lease()),
+		Load:               h.ownLoad(),
 	}
 	for _, j := range jobs {
 		if status, known := h.StatusOf(j); known && len(heartbeat.Statuses) < delegation.MaxStatuses {
@@ -209,7 +209,7 @@
 		}
 	}
 	// The count of pending tasks may be negative: the completed tasks of a gang may still have placements.
-	status.Waiting = max(0, j.PendingCount())
+	status.Pending = max(0, j.PendingCount())
 	return status, true
 }
 
--- a/internal/leader/federation/offers.go
+++ b/internal/leader/federation/offers.go
@@ -95,7 +95,7 @@
 		return refusedDraining
 	case !h.cells.Directory.AcceptsFrom(origin):
 		return refusedNoRule
-	case spec.Service():
+	case spec.IsService():
 		return refusedService
 	case !validTasks(spec, &offer.Tasks):
 		return refusedTasks
@@ -122,7 +122,7 @@
 	if n == 0 || n > delegation.MaxTasks || tasks.Max() >= spec.Tasks {
 		return false
 	}
-	return !spec.Gang() || n >= spec.Tasks
+	return !spec.IsGang() || n >= spec.Tasks
 }
 
 // withinHostedQuota reports whether the quota for hosted jobs has enough left for n more tasks. The quota
@@ -138,7 +138,7 @@
 func (h *Host) fitsInRecord(record *jobrecord.Record, n int) bool {
 	limit, _ := h.writer.Limits()
 	capacity := record.StartCapacity(limit)
-	return capacity != 0 && (!record.Spec.Gang() || capacity >= n)
+	return capacity != 0 && (!record.Spec.IsGang() || capacity >= n)
 }
 
 // hostedTasksWithin returns how many tasks of an ordinary job fit into the record of a hosted job if the
--- a/internal/leader/federation/offload.go
+++ b/internal/leader/federation/offload.go
@@ -141,8 +141,9 @@
 		return Offloadable{}
 	}
 	pending := j.PendingCount()
-	if j.Spec.Gang() || j.Spec.OneZone || j.Spec.Spread {
-		if len(j.Placements) > 0 || pending > delegation.MaxTasks || j.Spec.Gang() && pending < j.Spec.Tasks {
+	if j.Spec.IsGang() || j.Spec.OneZone || j.Spec.Spread {
+		if len(j.Placements) > 0 || pending > delegation.MaxTasks ||
+			j.Spec.IsGang() && pending < j.Spec.Tasks {
 			return Offloadable{AllOrNothing: true}
 		}
 		return Offloadable{Count: pending, AllOrNothing: true}
@@ -155,7 +156,7 @@
 func (o *Origin) mayOffload(j *jobtable.Job) bool {
 	now := o.Now()
 	switch {
-	case j.MustNotRun() || j.Hosted != nil || j.Spec.Service():
+	case j.MustNotRun() || j.Hosted != nil || j.Spec.IsService():
 		return false
 	case j.ReadPending() || j.ShardsUnread() || j.Sharding():
 		return false
--- a/internal/leader/federation/origin.go
+++ b/internal/leader/federation/origin.go
@@ -147,10 +147,10 @@
 	if !o.mayExpire(j, del) {
 		return
 	}
-	freed := del.Expire()
+	returned := del.Expire()
 	slog.Info("delegation expired", "job", del.Job, "cell", del.Host, "delegation", del.Number,
-		"tasks", len(freed.Unfinished), "silent_s", (o.Now() - del.LastStatusAt).Seconds())
-	o.releaseFreed(del, freed)
+		"tasks", len(returned.Unfinished), "silent_s", (o.Now() - del.LastStatusAt).Seconds())
+	o.releaseFreed(del, returned)
 }
 
 // mayExpire reports whether the origin may end a delegation without a final status from its host. The
@@ -160,7 +160,7 @@
 	now := o.Now()
 	silent := now > max(del.LastStatusAt, o.BegunAt)+hostSilenceTimeout
 	switch {
-	case del.IsOver() || !del.IsClear(now):
+	case del.IsOver() || !del.IsExpired(now):
 		return false
 	case !silent && del.State != delegation.Recalled:
 		return false
@@ -176,25 +176,25 @@
 
 // releaseFreed releases the placements of tasks that no longer belong to a delegation, and marks completed
 // tasks as done.
-func (o *Origin) releaseFreed(del *trackedDelegation, freed delegation.FreedTasks) {
+func (o *Origin) releaseFreed(del *trackedDelegation, returned delegation.ReturnedTasks) {
 	j := o.jobs.ByID[del.Job]
 	if j == nil {
 		return
 	}
-	for _, task := range freed.Completed {
+	for _, task := range returned.Completed {
 		if p, placed := del.placement(j, task); placed {
 			j.RecordDone(task)
 			o.jobs.ReleasePlacement(j, p)
 		}
 	}
-	returned := false
-	for _, task := range freed.Unfinished {
+	anyUnfinished := false
+	for _, task := range returned.Unfinished {
 		if p, placed := del.placement(j, task); placed {
 			o.jobs.ReleasePlacement(j, p)
-			returned = true
+			anyUnfinished = true
 		}
 	}
-	if returned && !j.MustNotRun() {
+	if anyUnfinished && !j.MustNotRun() {
 		o.recordReturn(j, del)
 	}
 	o.jobs.CompleteIfDone(j)
--- a/internal/leader/federation/recall.go
+++ b/internal/leader/federation/recall.go
@@ -48,7 +48,7 @@
 // couldStartHere reports whether tasks of an accepted delegation are pending at the host although this cell
 // has capacity for them.
 func (o *Origin) couldStartHere(j *jobtable.Job, del *trackedDelegation) bool {
-	pending := del.LastStatus.Waiting
+	pending := del.LastStatus.Pending
 	return del.State == delegation.Accepted && pending > 0 && o.hasCapacityFor(j, pending)
 }
 
--- a/internal/leader/federation/responses.go
+++ b/internal/leader/federation/responses.go
@@ -59,18 +59,18 @@
 	case del.IsOver():
 		return directive, false // the host may forget it once the stored records show its end
 	}
-	return o.permit(del, heartbeat.ClearTime)
+	return o.permit(del, heartbeat.MaxTerminationTime)
 }
 
 // permit grants a host a permission for a delegation. Like a worker's lease, the permission is counted from
 // the time up to which the leader knows all cancellations and elections. ok is false if a permission counted
 // from that time would have expired already.
 func (o *Origin) permit(
-	del *trackedDelegation, clearTime clock.Micros,
+	del *trackedDelegation, terminationTime clock.Micros,
 ) (directive delegation.Directive, ok bool) {
 	known := min(o.CancellationsKnownUntil(), o.SoleLeaderUntil())
 	workers := o.Settings.Deployment.Workers
-	length := known + cells.MaxPermission(workers, clearTime) - o.Now()
+	length := known + cells.MaxPermission(workers, terminationTime) - o.Now()
 	if length <= 0 {
 		return directive, false
 	}
@@ -79,7 +79,7 @@
 		Action:        del.NextAction(o.cells.draining(del.Host)),
 		PermissionFor: length,
 	}
-	del.NotePermission(known, cells.ProofTime(workers))
+	del.RecordPermission(known, cells.DelegationExpiryTime(workers))
 	return directive, true
 }
 
--- a/internal/leader/golden_test.go
+++ b/internal/leader/golden_test.go
@@ -332,8 +332,8 @@
 			Since:     90 * clock.Second,
 			Diagnosis: zonerecovery.PoweredOff,
 		},
-		Evidence: zonerecovery.Evidence{Machines: 4, Heard: 1, Controllers: 1, ControllersReached: 1,
-			HeardElsewhere: 2},
+		Evidence: zonerecovery.Evidence{Machines: 4, OnTime: 1, Controllers: 1, ControllersReached: 1,
+			OnTimeElsewhere: 2},
 	}}
 	var got []byte
 	d.Overview(func(o any) {
@@ -386,7 +386,7 @@
 	requests []protocol.ScaleOutRequest
 }
 
-func (r *scaleOutRecorder) Rent(x protocol.ScaleOutRequest, _ clock.Micros,
+func (r *scaleOutRecorder) ScaleOut(x protocol.ScaleOutRequest, _ clock.Micros,
 	_ func(int, protocol.ScaleOutResponse)) {
 	r.requests = append(r.requests, x)
 }
@@ -453,7 +453,7 @@
 	d.state.Settings.Deployment.Objectives = []settings.Objective{
 		{Kind: "wait", Class: "c", WithinS: 5},
 		{Kind: "finished", Class: "c", WithinS: 300},
-		{Kind: "deadline", Class: "c", Times: 1.5},
+		{Kind: "deadline", Class: "c", DeadlineFactor: 1.5},
 	}
 	if s := d.objectives.StartObjectiveS("c"); s != 5 {
 		t.Errorf("a start within %v s", s)
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -37,7 +37,7 @@
 
 // queuedMailbox is a mailbox whose messages wait until the test lets them through.
 type queuedMailbox struct {
-	actortest.Still
+	actortest.SynchronousMailbox
 	waiting []func()
 }
 
@@ -47,7 +47,7 @@
 // looked at: it says nothing of now, and it doesn't count as responded to.
 func TestHeartbeatsThatWaitedTooLongAreRefused(t *testing.T) {
 	d, box := newLeader()
-	q := &queuedMailbox{Still: *box}
+	q := &queuedMailbox{SynchronousMailbox: *box}
 	d.state.Mailbox = q
 	heartbeat := func(counter int64, wait clock.Micros) int {
 		got := 0
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -15,10 +15,10 @@
 )
 
 // newLeader returns a leader that has read its records, in epoch 7.
-func newLeader() (*Leader, *actortest.Still) {
-	box := &actortest.Still{Now: 100 * clock.Second}
+func newLeader() (*Leader, *actortest.SynchronousMailbox) {
+	box := &actortest.SynchronousMailbox{Now: 100 * clock.Second}
 	set := &settings.Settings{}
-	set.Deployment.Workers = settings.Workers{HeartbeatS: 2, LeaseS: 12, GangPeerS: 4, CancelS: 30}
+	set.Deployment.Workers = settings.Workers{HeartbeatS: 2, LeaseS: 12, GangPeerTimeoutS: 4, CancelS: 30}
 	set.Deployment.KVStore = settings.KVStore{Rps: 100, WriteRps: 40, ValueKb: 8, TxnOps: 5}
 	d := New(Dependencies{Mailbox: box, Settings: set, Deposed: func(protocol.Epoch) {}, Resign: func() {}})
 	d.state.Term.Epoch, d.state.BegunAt = 7, box.Now
@@ -45,7 +45,9 @@
 }
 
 // leaderWithOneTask returns a leader that has committed one task to machine m-1 in its incarnation 1.
-func leaderWithOneTask(t *testing.T) (*Leader, *jobtable.Job, *machinetable.Machine, *actortest.Still) {
+func leaderWithOneTask(t *testing.T) (
+	*Leader, *jobtable.Job, *machinetable.Machine, *actortest.SynchronousMailbox,
+) {
 	t.Helper()
 	d, box := newLeader()
 	content := jobrecord.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 1}, 1)
--- a/internal/leader/jobtable/job.go
+++ b/internal/leader/jobtable/job.go
@@ -143,7 +143,7 @@
 // number before, since NextAttempt rises above the attempt of each task that has to run again. A
 // gang that has placed tasks keeps their attempt for the remaining ones.
 func (j *Job) CurrentAttempt() protocol.Attempt {
-	if j.Spec.Gang() {
+	if j.Spec.IsGang() {
 		for _, p := range j.Placements {
 			return p.Attempt
 		}
@@ -167,8 +167,8 @@
 // done, all are. Final jobs don't change, and a service's tasks are never done.
 func (j *Job) RecordDone(task int) {
 	switch {
-	case j.Final() || j.Spec.Service():
-	case j.Spec.Gang():
+	case j.Final() || j.Spec.IsService():
+	case j.Spec.IsGang():
 		for t := range j.Spec.Tasks {
 			j.Done.Add(t)
 		}
--- a/internal/leader/jobtable/jobtable.go
+++ b/internal/leader/jobtable/jobtable.go
@@ -177,7 +177,7 @@
 
 // AbandonSharding keeps the undivided record, which has been the valid one throughout.
 func (t *Table) AbandonSharding(j *Job) {
-	j.ShardSize, j.FormatMarked = 0, j.Spec.Service()
+	j.ShardSize, j.FormatMarked = 0, j.Spec.IsService()
 	t.DropShards(j)
 }
 
@@ -193,7 +193,7 @@
 // CompleteIfDone makes a job final with the status done once all of its tasks are done. Services
 // never complete.
 func (t *Table) CompleteIfDone(j *Job) {
-	if j.Final() || j.Spec.Service() || j.Done.Len() < j.Spec.Tasks {
+	if j.Final() || j.Spec.IsService() || j.Done.Len() < j.Spec.Tasks {
 		return
 	}
 	j.Status = protocol.StatusDone
--- a/internal/leader/objectives/objectives.go
+++ b/internal/leader/objectives/objectives.go
@@ -80,7 +80,7 @@
 // StartsBeforeBoot reports whether jobs of a class should start sooner than a machine boots, which
 // only the capacity of ready machines allows.
 func (t *Tracker) StartsBeforeBoot(class string) bool {
-	if history := t.Classes[class]; history.Spec.Service() {
+	if history := t.Classes[class]; history.Spec.IsService() {
 		return true // a service is unavailable until its replicas run
 	}
 	slowestBoot := 0.0
@@ -102,8 +102,8 @@
 		switch {
 		case isFor(objective, kindEnd, j.Spec.Class):
 			due = append(due, objective.WithinS)
-		case isFor(objective, kindDeadline, j.Spec.Class) && objective.Times > 0 && deadline != nil:
-			due = append(due, *deadline*objective.Times)
+		case isFor(objective, kindDeadline, j.Spec.Class) && objective.DeadlineFactor > 0 && deadline != nil:
+			due = append(due, *deadline*objective.DeadlineFactor)
 		}
 	}
 	slices.Sort(due)
--- a/internal/leader/objectives/urgency.go
+++ b/internal/leader/objectives/urgency.go
@@ -24,7 +24,7 @@
 
 // Urgency returns the urgency of a job.
 func (t *Tracker) Urgency(j *jobtable.Job) Urgency {
-	if j.Spec.Service() {
+	if j.Spec.IsService() {
 		return Urgency{Tier: planner.TierStartInTime} // users wait for each missing replica
 	}
 	age := t.ageS(j)
--- a/internal/leader/overview/zoneoverview.go
+++ b/internal/leader/overview/zoneoverview.go
@@ -34,10 +34,10 @@
 
 // WaitingJob is a displaced job with the reason why its pending tasks don't run.
 type WaitingJob struct {
-	Job    protocol.JobID    `json:"job"`
-	Kind   zonerecovery.Kind `json:"kind"`
-	Tasks  int               `json:"tasks"`
-	Reason string            `json:"why"`
+	Job    protocol.JobID       `json:"job"`
+	Kind   zonerecovery.JobKind `json:"kind"`
+	Tasks  int                  `json:"tasks"`
+	Reason string               `json:"why"`
 }
 
 // maxWaiting bounds the number of listed displaced jobs of a zone.
@@ -65,10 +65,10 @@
 		Diagnosis:           z.Diagnosis,
 		Flaps:               z.Flaps,
 		Machines:            z.Evidence.Machines,
-		OnTime:              z.Evidence.Heard,
+		OnTime:              z.Evidence.OnTime,
 		Controllers:         z.Evidence.Controllers,
 		ControllersReached:  z.Evidence.ControllersReached,
-		HeartbeatsElsewhere: z.Evidence.HeardElsewhere,
+		HeartbeatsElsewhere: z.Evidence.OnTimeElsewhere,
 		HeldTasks:           r.heldTasks(name),
 	}
 	displaced := r.displacedJobs(name)
@@ -134,7 +134,7 @@
 		return waitsForZone
 	case r.jobs.TasksWithinQuota(j) == 0:
 		return waitsForQuota
-	case spec.Gang() && len(j.Placements) > 0:
+	case spec.IsGang() && len(j.Placements) > 0:
 		return waitsForGang
 	case spec.Spread && !r.spreadAllowsZone(j):
 		return waitsForSpread
--- a/internal/leader/reconciler/cancellations.go
+++ b/internal/leader/reconciler/cancellations.go
@@ -146,7 +146,7 @@
 // must end. A leader that never had a permission doesn't know when the last one expired: if the record
 // is closed, that may have been long ago; otherwise it was hardly before the leader's term.
 func (cn *Cancellations) releaseHostedAt(j *jobtable.Job) clock.Micros {
-	silence := cells.SilenceTime(cn.Settings.Deployment.Workers.Lease())
+	silence := cells.LeaseExpiryTime(cn.Settings.Deployment.Workers.Lease())
 	switch {
 	case j.Permission.ExpiresAt() > 0:
 		return j.Permission.ExpiresAt() + silence
--- a/internal/leader/reconciler/commands.go
+++ b/internal/leader/reconciler/commands.go
@@ -175,7 +175,7 @@
 	if s, ok := j.Stops[p.Task]; ok {
 		return &s
 	}
-	if j.Spec.Gang() && len(j.Placements) < j.Spec.Tasks && !cs.Completable(j) {
+	if j.Spec.IsGang() && len(j.Placements) < j.Spec.Tasks && !cs.Completable(j) {
 		// Some of the gang's tasks are gone: the next attempt needs the capacity of all tasks.
 		return &jobtable.StopRequest{Reason: "gang broken"}
 	}
@@ -187,7 +187,7 @@
 // had started, the remaining tasks would be running, or would have exited because a peer was missing,
 // by the time the loss is proven.
 func (cs *CommandSender) Completable(j *jobtable.Job) bool {
-	if !j.Spec.Gang() || len(j.Placements) == 0 || len(j.Stops) > 0 {
+	if !j.Spec.IsGang() || len(j.Placements) == 0 || len(j.Stops) > 0 {
 		return false
 	}
 	attempt := protocol.Attempt(0)
@@ -217,7 +217,7 @@
 // Stop stops a running task, which saves a checkpoint if it can. A gang can only save a checkpoint as a
 // whole, so Stop stops all of its tasks at once. forID is the job that needs the capacity, if any.
 func (cs *CommandSender) Stop(j *jobtable.Job, task int, reason string, forID protocol.JobID) {
-	if !j.Spec.Gang() {
+	if !j.Spec.IsGang() {
 		cs.stopTask(j, task, reason, forID)
 		return
 	}
--- a/internal/leader/reconciler/commands_test.go
+++ b/internal/leader/reconciler/commands_test.go
@@ -37,7 +37,7 @@
 		{"accepted by another worker", "m-2", http.StatusOK, Executed, false},
 		{"rejected", "m-1", http.StatusConflict, NotExecuted, true},
 		{"malformed", "m-1", http.StatusBadRequest, NotExecuted, false},
-		{"never sent", "", transport.NotSent, NotExecuted, false},
+		{"never sent", "", transport.StatusNotSent, NotExecuted, false},
 		{"no response", "", 0, OutcomeUnknown, false},
 		{"worker error", "m-1", http.StatusInternalServerError, OutcomeUnknown, false},
 	} {
--- a/internal/leader/reconciler/commandset.go
+++ b/internal/leader/reconciler/commandset.go
@@ -96,7 +96,7 @@
 	startNeeded := !reported && (stop == nil || d.MayArrive())
 	if startNeeded && set.repeatDue(d.StartSentAt) && j.StartPermitted(stop, set.now) {
 		set.add(protocol.VerbStart, ref)
-		d.NoteStart(set.via == ViaHeartbeat, j.Spec.Service(), set.now)
+		d.NoteStart(set.via == ViaHeartbeat, j.Spec.IsService(), set.now)
 	}
 	if stop != nil && (reported || d.MayArrive()) && set.repeatDue(d.StopSentAt) {
 		command := commandFor(protocol.VerbStop, ref)
@@ -209,7 +209,7 @@
 	for id, tasks := range m.Placements {
 		j := cs.jobs.ByID[id]
 		if j == nil || j.MustNotRun() || len(j.Stops) > 0 ||
-			j.Spec.Gang() && len(j.Placements) < j.Spec.Tasks {
+			j.Spec.IsGang() && len(j.Placements) < j.Spec.Tasks {
 			return false
 		}
 		placed += len(tasks)
--- a/internal/leader/reconciler/exits.go
+++ b/internal/leader/reconciler/exits.go
@@ -36,7 +36,7 @@
 	protocol.CauseGangBroken:     {breaksAttempt: true},
 	protocol.CauseGangIncomplete: {breaksAttempt: true, failedStart: true},
 	protocol.CauseError:          {failedStart: true, startPause: clock.Second, suspectsMachine: true},
-	protocol.CauseNoRoom:         {refused: true, failedStart: true, fullFor: 5 * clock.Second},
+	protocol.CauseNoCapacity:     {refused: true, failedStart: true, fullFor: 5 * clock.Second},
 	protocol.CauseOtherAttempt: {
 		refused: true, failedStart: true, startPause: clock.Second, fullFor: 2 * clock.Second,
 	},
@@ -68,7 +68,7 @@
 	if j.MustNotRun() {
 		return
 	}
-	if j.Spec.Service() && rc.HandleReplicaExit(m, j, p, cause, runTime) {
+	if j.Spec.IsService() && rc.HandleReplicaExit(m, j, p, cause, runTime) {
 		return
 	}
 	rc.applyExit(m, j, p, cause, runTime)
--- a/internal/leader/reconciler/exits_test.go
+++ b/internal/leader/reconciler/exits_test.go
@@ -18,7 +18,7 @@
 		protocol.CauseGangBroken:     {breaksAttempt: true},
 		protocol.CauseGangIncomplete: {breaksAttempt: true, failedStart: true},
 		protocol.CauseError:          {failedStart: true, startPause: second, suspectsMachine: true},
-		protocol.CauseNoRoom:         {refused: true, failedStart: true, fullFor: 5 * second},
+		protocol.CauseNoCapacity:     {refused: true, failedStart: true, fullFor: 5 * second},
 		protocol.CauseOtherAttempt: {refused: true, failedStart: true, startPause: second,
 			fullFor: 2 * second},
 		protocol.CauseNoSuchTask:     {failedStart: true, startPause: 2 * second},
--- a/internal/leader/reconciler/health.go
+++ b/internal/leader/reconciler/health.go
@@ -93,7 +93,7 @@
 	zones map[string]machinetable.HeartbeatCount) bool {
 	for id := range m.Placements {
 		j := hm.jobs.ByID[id]
-		if j == nil || j.MustNotRun() || !j.Spec.Service() {
+		if j == nil || j.MustNotRun() || !j.Spec.IsService() {
 			continue
 		}
 		others := hm.jobs.PlacementsByZone(j)
@@ -199,7 +199,7 @@
 			j := hm.jobs.ByID[id]
 			switch {
 			case j == nil:
-			case j.Spec.Service():
+			case j.Spec.IsService():
 				hm.moveReplica(j, tasks)
 			case j.Spec.CheckpointS != 0 && remaining <= j.Spec.SaveS+saveMarginS:
 				for task := range ordered.ByKey(tasks) {
--- a/internal/leader/recordstore/apply.go
+++ b/internal/leader/recordstore/apply.go
@@ -85,7 +85,7 @@
 	if content.Hosted == nil {
 		r.objectives.NoteArrival(&content.Spec)
 	}
-	if r.Format.Services && content.Spec.Service() {
+	if r.Format.Services && content.Spec.IsService() {
 		content.FormatMarked = true // an earlier version of the software wrote it as an array
 	}
 	j := jobtable.NewJob()
@@ -173,7 +173,7 @@
 // noteShardsLoaded completes the load of a sharded record whose shards have all been applied.
 func (r *Reader) noteShardsLoaded(j *jobtable.Job) {
 	j.NoteRecordEvent(jobtable.EventShardsLoaded)
-	if j.Spec.Gang() && j.Done.Len() > 0 {
+	if j.Spec.IsGang() && j.Done.Len() > 0 {
 		j.RecordDone(0)
 	}
 	r.matchPlacements(j)
--- a/internal/leader/recordstore/units.go
+++ b/internal/leader/recordstore/units.go
@@ -157,7 +157,7 @@
 // except that the shards of a gang, which starts as a whole, form a single unit.
 func (w *Writer) shardUnits(j *jobtable.Job) []WriteUnit {
 	_, txnOps := w.Limits()
-	asOneUnit := j.Spec.Gang() && !j.Sharding() && len(j.Shards) <= txnOps
+	asOneUnit := j.Spec.IsGang() && !j.Sharding() && len(j.Shards) <= txnOps
 	var units []WriteUnit
 	gangUnit := WriteUnit{rank: j.Rank(), urgency: urgencyWholeJob}
 	for shard, v := range j.Shards {
@@ -209,7 +209,7 @@
 	switch {
 	case j.Sharding():
 		return urgencyStart
-	case j.Final() || j.Spec.Gang() || len(j.Uncommitted) > 0 && len(j.Uncommitted) == len(j.Placements):
+	case j.Final() || j.Spec.IsGang() || len(j.Uncommitted) > 0 && len(j.Uncommitted) == len(j.Placements):
 		return urgencyWholeJob
 	case len(j.Uncommitted) > 0:
 		return urgencyStart
--- a/internal/leader/scaleout_test.go
+++ b/internal/leader/scaleout_test.go
@@ -24,12 +24,12 @@
 	releaseSets [][]protocol.MachineName
 }
 
-func (s *fakeCloud) Rent(r protocol.ScaleOutRequest, _ clock.Micros,
+func (s *fakeCloud) ScaleOut(r protocol.ScaleOutRequest, _ clock.Micros,
 	done func(int, protocol.ScaleOutResponse)) {
 	s.scaleOuts, s.scaledOut = append(s.scaleOuts, r), append(s.scaledOut, done)
 }
 
-func (s *fakeCloud) Release(machines []protocol.MachineName, _ clock.Micros, done func(int)) {
+func (s *fakeCloud) ScaleIn(machines []protocol.MachineName, _ clock.Micros, done func(int)) {
 	s.releaseSets, s.scaledIn = append(s.releaseSets, machines), append(s.scaledIn, done)
 }
 
@@ -39,7 +39,7 @@
 
 // delayedMailbox keeps what is to happen later until the test runs it.
 type delayedMailbox struct {
-	*actortest.Still
+	*actortest.SynchronousMailbox
 	delayed []func()
 }
 
@@ -50,7 +50,7 @@
 // scalingLeader returns a leader whose cloud has one machine type, in one zone.
 func scalingLeader() (*Leader, *fakeCloud, *delayedMailbox) {
 	d, box := newLeader()
-	mailbox := &delayedMailbox{Still: box}
+	mailbox := &delayedMailbox{SynchronousMailbox: box}
 	d.state.Mailbox = mailbox
 	stub := &fakeCloud{}
 	d.autoscaler.Cloud = cloudtest.Client(stub)
--- a/internal/leader/scheduler/actions.go
+++ b/internal/leader/scheduler/actions.go
@@ -36,7 +36,7 @@
 func (s *Scheduler) gangsWaitingForBoot(placements []planner.Placement) map[protocol.JobID]bool {
 	waiting := map[protocol.JobID]bool{}
 	for _, p := range placements {
-		if p.MachineBooting && !snapshots.IsReserve(p.Job) && s.jobs.ByID[p.Job].Spec.Gang() {
+		if p.MachineBooting && !snapshots.IsReserve(p.Job) && s.jobs.ByID[p.Job].Spec.IsGang() {
 			waiting[p.Job] = true
 		}
 	}
--- a/internal/leader/scheduler/demand.go
+++ b/internal/leader/scheduler/demand.go
@@ -73,7 +73,7 @@
 		if withheld <= 0 || j.BackingOff || !s.jobs.IsHosted(j.ID) {
 			continue
 		}
-		if j.Spec.Gang() {
+		if j.Spec.IsGang() {
 			withheld = len(j.Pending) // a gang starts as a whole or not at all
 		}
 		demand = append(demand, planner.UnmetDemand{Job: j, Tasks: withheld})
--- a/internal/leader/snapshot_test.go
+++ b/internal/leader/snapshot_test.go
@@ -30,7 +30,7 @@
 	} {
 		d, _, _ := leaderWithEightTasks()
 		c.change(d)
-		d.state.Mailbox.(*actortest.Still).Now += 20 * clock.Second
+		d.state.Mailbox.(*actortest.SynchronousMailbox).Now += 20 * clock.Second
 		for _, j := range d.snapshots.Snapshot().Jobs {
 			for _, r := range j.Running {
 				if r.OverheadS != c.want {
--- a/internal/leader/snapshots/jobs.go
+++ b/internal/leader/snapshots/jobs.go
@@ -92,7 +92,7 @@
 func (b *Builder) setUrgency(j *jobtable.Job, planned *planner.Job) {
 	urgency := b.objectives.Urgency(j)
 	planned.Tier, planned.SlackS = urgency.Tier, urgency.SlackS
-	planned.HasStartObjective = j.Spec.Service() || b.objectives.StartObjectiveS(j.Spec.Class) > 0
+	planned.HasStartObjective = j.Spec.IsService() || b.objectives.StartObjectiveS(j.Spec.Class) > 0
 	planned.StartSlackS = b.objectives.StartSlackS(j)
 }
 
@@ -112,14 +112,14 @@
 	if j.DelegatedTasks > 0 && (j.Spec.OneZone || j.Spec.Spread) {
 		return false
 	}
-	return !j.Spec.Gang() || len(j.Placements) == 0 || b.commands.Completable(j)
+	return !j.Spec.IsGang() || len(j.Placements) == 0 || b.commands.Completable(j)
 }
 
 // setPending sets the pending tasks of a job, and how many of them a plan may start within what the
 // record can hold.
 func (b *Builder) setPending(j *jobtable.Job, planned *planner.Job, now clock.Micros) {
 	valueBytes, _ := b.writer.Limits()
-	if j.Spec.Gang() {
+	if j.Spec.IsGang() {
 		planned.Pending = j.Pending(j.Spec.Tasks)
 		planned.MaxStarts = len(j.Startable(valueBytes, j.Spec.Tasks))
 		planned.AvoidedMachines = b.machinesWithExitedTasks(j)
--- a/internal/leader/snapshots/machines.go
+++ b/internal/leader/snapshots/machines.go
@@ -107,7 +107,7 @@
 	for id, tasks := range ordered.ByKey(m.Placements) {
 		spec := &b.jobs.ByID[id].Spec
 		m.View.Free = m.View.Free.Minus(planner.TaskResources(spec).Times(float64(len(tasks))))
-		if spec.Service() {
+		if spec.IsService() {
 			m.View.Replicas += len(tasks)
 		}
 		m.View.StartPull(spec)
--- a/internal/leader/snapshots/quota.go
+++ b/internal/leader/snapshots/quota.go
@@ -128,7 +128,7 @@
 // service may not: its preemption costs its users more than a guarantee that is met later. A hosted job
 // may not either: its rank is below those of all other jobs anyway.
 func preemptibleForGuarantee(j *planner.Job) bool {
-	return !j.Spec.Service() && j.Rank <= len(protocol.Priorities)
+	return !j.Spec.IsService() && j.Rank <= len(protocol.Priorities)
 }
 
 // markJobOverQuota marks a job's running tasks as long as its team exceeds its guarantee, and returns
--- a/internal/leader/snapshots/reserve.go
+++ b/internal/leader/snapshots/reserve.go
@@ -79,7 +79,7 @@
 	spec := history.Spec
 	expected := float64(len(history.Arrivals)) * arrivalHorizonS / objectives.ArrivalWindow.Seconds()
 	tasks, rank := history.Spec.Tasks*(1+int(expected)), protocol.PriorityOf(spec.Priority)
-	if history.Spec.Service() {
+	if history.Spec.IsService() {
 		tasks, rank = b.ReplicaReserve(history), len(protocol.Priorities)
 		spec.Types = b.catalogue.ReplicaTypes(&history.Spec)
 	}
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -15,7 +15,7 @@
 )
 
 // saveLostZone returns a leader that has sent the record of a lost zone.
-func saveLostZone(t *testing.T) (*Leader, *zonetracker.Zone, *fakeStore, *actortest.Still) {
+func saveLostZone(t *testing.T) (*Leader, *zonetracker.Zone, *fakeStore, *actortest.SynchronousMailbox) {
 	t.Helper()
 	l, box := newLeader()
 	store := &fakeStore{}
--- a/internal/leader/zonetracker/displaced.go
+++ b/internal/leader/zonetracker/displaced.go
@@ -75,7 +75,7 @@
 	switch {
 	case j.ClearedToStart || action == zonerecovery.Hold:
 		return false
-	case action == zonerecovery.Hasten || z.Phase == zonerecovery.Healthy ||
+	case action == zonerecovery.DeclareLost || z.Phase == zonerecovery.Healthy ||
 		now > j.DisplacedAt+maxClearanceWait:
 		j.ClearedToStart = true
 		return false
@@ -100,15 +100,15 @@
 }
 
 // displacedKind returns the kind of work by which a displaced job is ordered.
-func displacedKind(j *jobtable.Job, tier planner.Tier, slackS float64) zonerecovery.Kind {
+func displacedKind(j *jobtable.Job, tier planner.Tier, slackS float64) zonerecovery.JobKind {
 	switch {
-	case j.Spec.Service():
+	case j.Spec.IsService():
 		return zonerecovery.Services
 	case j.Spec.DeadlineS != nil && slackS >= 0:
 		return zonerecovery.Deadlines
 	case tier == planner.TierTooLate:
 		return zonerecovery.PastObjective
-	case j.Spec.Gang():
+	case j.Spec.IsGang():
 		return zonerecovery.Gangs
 	}
 	return zonerecovery.Arrays
--- a/internal/leader/zonetracker/evidence.go
+++ b/internal/leader/zonetracker/evidence.go
@@ -83,10 +83,10 @@
 		total.Expected++
 		switch {
 		case !t.machines.HeartbeatMissed(m):
-			e.Heard++
+			e.OnTime++
 			total.OnTime++
 		case t.goneFromCloud(m):
-			e.Gone++
+			e.FailedOrUnlisted++
 		}
 	}
 	return total
@@ -119,7 +119,7 @@
 	}
 	for name, n := range report.Machines {
 		if z := t.Zones[name]; z != nil {
-			z.Evidence.HeardElsewhere += n
+			z.Evidence.OnTimeElsewhere += n
 		}
 	}
 }
@@ -162,7 +162,7 @@
 // anySilent reports whether most machines of some zone are silent.
 func (t *Tracker) anySilent() bool {
 	for _, z := range t.Zones {
-		if e := z.Evidence; e.Machines > 0 && 2*e.Heard < e.Machines {
+		if e := z.Evidence; e.Machines > 0 && 2*e.OnTime < e.Machines {
 			return true
 		}
 	}
--- a/internal/leader/zonetracker/tracker.go
+++ b/internal/leader/zonetracker/tracker.go
@@ -127,7 +127,7 @@
 // no evidence against the zone.
 func mostSilentElsewhere(total machinetable.HeartbeatCount, z *Zone) bool {
 	rest := machinetable.HeartbeatCount{
-		OnTime:   total.OnTime - z.Evidence.Heard,
+		OnTime:   total.OnTime - z.Evidence.OnTime,
 		Expected: total.Expected - z.Evidence.Machines,
 	}
 	return rest.Expected == 0 || !rest.MostOnTime()
@@ -137,7 +137,7 @@
 func logPhase(name string, z *Zone) {
 	slog.Info("zone phase changed", "zone", name, "phase", z.Phase, "losses", z.Losses, "diagnosis",
 		z.Diagnosis,
-		"machines", z.Evidence.Machines, "heard", z.Evidence.Heard, "controllers", z.Evidence.Controllers,
+		"machines", z.Evidence.Machines, "heard", z.Evidence.OnTime, "controllers", z.Evidence.Controllers,
 		"controllers_reached", z.Evidence.ControllersReached, "flaps", z.Flaps)
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -32,20 +32,20 @@
 	Mailboxes Mailboxes
 	// Store returns a client of the key-value store that posts its results to the given mailbox.
 	Store func(actor.Mailbox) kvstore.Store
-	// Cloud and Agent (the client of workers) post their results to the mailbox of Leader. Forward posts to
+	// Cloud and Workers post their results to the mailbox of Leader. Forward posts to
 	// that of Admission.
 	Cloud   cloudclient.API
-	Agent   workerclient.API
+	Workers workerclient.API
 	Forward admission.Forward
-	// Cells lists the cells that offload jobs to each other, nil for a single cell. Exchange is the client of
-	// the other cells, which posts its results to the mailbox of Leader.
-	Cells    *cells.Directory
-	Exchange federation.Exchanger
+	// Cells lists the cells that offload jobs to each other, nil for a single cell. CellClient is the client
+	// of the other cells, which posts its results to the mailbox of Leader.
+	Cells      *cells.Directory
+	CellClient federation.Exchanger
 	// Recovery has the settings of zone recovery, nil if it is disabled.
 	Recovery *zonerecovery.Settings
-	// Everyone sends a request to all controllers. own serves the request on this one. ok reports whether all
-	// have responded.
-	Everyone func(own *admission.Admission, r admission.Request,
+	// AskAllControllers sends a request to all controllers. own serves the request on this one. ok reports
+	// whether all have responded.
+	AskAllControllers func(own *admission.Admission, r admission.Request,
 		done func(responses []admission.Response, ok bool))
 }
 
@@ -64,12 +64,12 @@
 		e.Forward)
 	n.Leader = n.newLeader(e)
 	n.Candidate = n.newCandidate(e)
-	n.Admission.ZoneReportsFrom(n.Leader.ZoneReports)
+	n.Admission.SetZoneReporter(n.Leader.ZoneReports)
 	if e.Recovery != nil {
 		n.Leader.EnableZoneRecovery(e.Recovery, n.zoneReports(e))
 	}
 	if e.Cells != nil {
-		n.Leader.EnableCells(e.Cells, e.Exchange)
+		n.Leader.EnableCells(e.Cells, e.CellClient)
 	}
 	n.Rollout = n.newRollout(e)
 	return n
@@ -83,7 +83,7 @@
 		Settings:         e.Settings,
 		Store:            e.Store(mailbox),
 		Cloud:            e.Cloud,
-		Workers:          e.Agent,
+		Workers:          e.Workers,
 		Deposed:          func(epoch protocol.Epoch) { n.Candidate.ObserveEpoch(epoch) },
 		Resign:           func() { n.Candidate.Resign() },
 		Attest:           n.attestations(e),
@@ -95,7 +95,7 @@
 // cancellations they have confirmed to users within the period `back`.
 func (n *Node) attestations(e Environment) func(back clock.Micros, done func([]admission.Attestation, bool)) {
 	return func(back clock.Micros, done func([]admission.Attestation, bool)) {
-		e.Everyone(n.Admission, admission.NewAttestationRequest(back),
+		e.AskAllControllers(n.Admission, admission.NewAttestationRequest(back),
 			func(responses []admission.Response, ok bool) {
 				done(admission.DecodeAttestations(responses, ok))
 			})
@@ -106,7 +106,7 @@
 // heartbeats.
 func (n *Node) zoneReports(e Environment) func(done func([]admission.ZoneReports)) {
 	return func(done func([]admission.ZoneReports)) {
-		e.Everyone(n.Admission, admission.Request{Kind: admission.GetZoneReports},
+		e.AskAllControllers(n.Admission, admission.Request{Kind: admission.GetZoneReports},
 			func(responses []admission.Response, _ bool) {
 				done(admission.DecodeAllZoneReports(responses))
 			})
@@ -118,7 +118,7 @@
 	mailbox := e.Mailboxes.Election
 	publishTerm := func(t election.Term) {
 		// First, so that every attestation after the term has begun reports this election.
-		n.Admission.NoteElection(t.Epoch)
+		n.Admission.RecordElection(t.Epoch)
 		n.Leader.SetTerm(t)
 	}
 	return election.New(mailbox, e.Store(mailbox), e.Election, publishTerm, n.Leader.SetLeader)
@@ -147,9 +147,9 @@
 	n.Rollout.Start()
 }
 
-// StartUnpublished starts the node like a version that publishes no format, for tests of several versions in
-// one deployment.
-func (n *Node) StartUnpublished() {
+// StartWithoutFormat starts the node like a version that publishes no format, for tests of several versions
+// in one deployment.
+func (n *Node) StartWithoutFormat() {
 	n.Leader.Start()
 	n.Candidate.Start()
 }
--- a/internal/peer/cellserver.go
+++ b/internal/peer/cellserver.go
@@ -112,8 +112,8 @@
 
 // exchangeResult is the result of a CellHandler.
 type exchangeResult struct {
-	response delegation.HeartbeatResponse
-	known    bool // whether the sender is a known cell
+	response  delegation.HeartbeatResponse
+	knownCell bool // whether the sender is a known cell
 }
 
 // handleExchange passes a heartbeat to the handler and waits for the response.
@@ -123,7 +123,7 @@
 		results <- exchangeResult{response, ok}
 	})
 	result := <-results
-	if !result.known {
+	if !result.knownCell {
 		return delegation.HeartbeatResponse{}, ErrUnknownCell
 	}
 	return result.response, nil
--- a/internal/peer/cellserver_test.go
+++ b/internal/peer/cellserver_test.go
@@ -91,7 +91,7 @@
 
 // exchangeWith sends a heartbeat for the host cell to alphaLeader.
 func exchangeWith(address, host string) (response delegation.HeartbeatResponse, ok bool) {
-	mailbox := actortest.Instant{Messages: make(chan func(), 1)}
+	mailbox := actortest.ChannelMailbox{Messages: make(chan func(), 1)}
 	r := delegation.Heartbeat{Host: host, Origin: "alpha", Sequence: 9}
 	NewCellClient(mailbox).Exchange(address, r, func(got delegation.HeartbeatResponse, responded bool) {
 		response, ok = got, responded
--- a/internal/peer/forwarder_test.go
+++ b/internal/peer/forwarder_test.go
@@ -38,7 +38,7 @@
 // Guards against a set of attestations that counts as complete although a node is missing. AskAll asks all
 // nodes, including this one, and reports when one is unreachable.
 func TestAskAllReportsMissingNodes(t *testing.T) {
-	instant := actortest.Instant{Now: clock.Second, Messages: make(chan func())}
+	instant := actortest.ChannelMailbox{Now: clock.Second, Messages: make(chan func())}
 	go func() {
 		for message := range instant.Messages {
 			message()
@@ -53,7 +53,7 @@
 		if !allReachable {
 			addresses = append(addresses, unreachable.Addr().String())
 		}
-		mailbox := actortest.Instant{Now: clock.Second, Messages: make(chan func())}
+		mailbox := actortest.ChannelMailbox{Now: clock.Second, Messages: make(chan func())}
 		own := admission.New(instant, nil, &settings.Settings{}, nil)
 		var all []admission.Attestation
 		complete := false
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -142,7 +142,7 @@
 		sent <- frame(payload)
 		_, _ = c.Write([]byte(goldenExchangeResponse))
 	}()
-	mailbox := actortest.Instant{Messages: make(chan func(), 1)}
+	mailbox := actortest.ChannelMailbox{Messages: make(chan func(), 1)}
 	var got delegation.HeartbeatResponse
 	responded := false
 	heartbeat := delegation.Heartbeat{Host: "beta", Origin: "alpha", Epoch: 41, Sequence: 9}
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -49,7 +49,7 @@
 	if len(b) < requestHeaderBytes {
 		return admission.Request{}, fmt.Errorf("%w: request of %d bytes", ErrMalformed, len(b))
 	}
-	kind := admission.Kind(b[0])
+	kind := admission.RequestKind(b[0])
 	if kind < admission.Submit || kind > admission.GetZoneReports {
 		return admission.Request{}, fmt.Errorf("%w: request of unknown kind %d", ErrMalformed, kind)
 	}
--- a/internal/planner/assign.go
+++ b/internal/planner/assign.go
@@ -5,7 +5,7 @@
 // assignPending assigns the pending tasks of a job that fit. It returns the demand, which is how
 // many tasks should run now, and how many it assigned.
 func (p *planning) assignPending(job *Job) (demand, assigned int) {
-	if job.Spec.Gang() {
+	if job.Spec.IsGang() {
 		return p.assignGang(job)
 	}
 	return p.assignTasks(job, p.candidates(job, readyOrBooting))
@@ -89,7 +89,7 @@
 		team.Used = team.Used.Plus(request)
 	}
 	machine.StartPull(job.Spec)
-	if job.Spec.Service() {
+	if job.Spec.IsService() {
 		machine.Replicas++
 	}
 	if job.zoneConstrained() {
--- a/internal/planner/build_test.go
+++ b/internal/planner/build_test.go
@@ -59,4 +59,4 @@
 }
 
 // isMultiTaskGang reports whether a job is a gang of more than one task.
-func isMultiTaskGang(j *Job) bool { return j.Spec.Gang() && j.Spec.Tasks > 1 }
+func isMultiTaskGang(j *Job) bool { return j.Spec.IsGang() && j.Spec.Tasks > 1 }
--- a/internal/planner/constraints.go
+++ b/internal/planner/constraints.go
@@ -57,7 +57,7 @@
 // accepts reports whether the planner may assign the job's tasks to the machine, apart from free
 // capacity.
 func (j *Job) accepts(machine *Machine) bool {
-	if machine.HeartbeatLate && j.Spec.Service() {
+	if machine.HeartbeatLate && j.Spec.IsService() {
 		return false
 	}
 	if machine.ZoneAtRisk && !MayNeedZone(j.Spec, machine.Zone) {
--- a/internal/planner/cost.go
+++ b/internal/planner/cost.go
@@ -39,7 +39,7 @@
 	if machine.Spot && job.Spec.CheckpointS == 0 {
 		cost += spotLossFraction * job.Spec.EstimateS
 	}
-	if job.Spec.Service() {
+	if job.Spec.IsService() {
 		cost += replicaCost(machine)
 	}
 	cost += priceWeight * machine.HourlyPrice * request.DominantShare(machine.Capacity)
--- a/internal/planner/draw_test.go
+++ b/internal/planner/draw_test.go
@@ -30,7 +30,7 @@
 				j.Pending = append(j.Pending, task)
 			}
 		}
-		if spec.Gang() && len(j.Running) > 0 {
+		if spec.IsGang() && len(j.Running) > 0 {
 			j.Pending = nil
 		}
 		s.Jobs = append(s.Jobs, j)
--- a/internal/planner/gang.go
+++ b/internal/planner/gang.go
@@ -75,7 +75,7 @@
 // It reserves nothing for a gang that the present machines can't hold and for which none have come:
 // such a reservation would never end.
 func (p *planning) reserveForGang(job *Job, n int) int {
-	if p.gangReserved || !job.Spec.Gang() || job.Tier != TierStartInTime {
+	if p.gangReserved || !job.Spec.IsGang() || job.Tier != TierStartInTime {
 		return 0
 	}
 	if job.ScaleOutOverdue && !p.fitsWhenEmpty(job, n) {
--- a/internal/planner/model_test.go
+++ b/internal/planner/model_test.go
@@ -138,7 +138,7 @@
 // checkGangsAreWhole checks that the plan places all tasks of a gang or none.
 func (c *checkedPlan) checkGangsAreWhole(t *rapid.T) {
 	for id, j := range c.jobs {
-		if j.Spec.Gang() && c.placed[id] != 0 && c.placed[id] != len(j.Pending) {
+		if j.Spec.IsGang() && c.placed[id] != 0 && c.placed[id] != len(j.Pending) {
 			t.Fatalf("%d of %d tasks of gang %s are placed, want all or none", c.placed[id], len(j.Pending),
 				id)
 		}
@@ -153,7 +153,7 @@
 		}
 		j := c.jobsAfter[demand.Job.ID]
 		fitting := modelCapacity(j, c.machinesAfter)
-		if !j.Spec.Gang() && fitting > 0 || j.Spec.Gang() && fitting >= demand.Tasks {
+		if !j.Spec.IsGang() && fitting > 0 || j.Spec.IsGang() && fitting >= demand.Tasks {
 			t.Fatalf("%s has unmet demand for %d tasks though %d fit", j.ID, demand.Tasks, fitting)
 		}
 	}
@@ -231,7 +231,7 @@
 // independently: each task of a shrunk array, but only all tasks of a job that it preempted as a
 // whole.
 func (c *checkedPlan) possiblyKept(owner protocol.JobID, tasks map[int]bool) []int {
-	if c.jobs[owner].Spec.Gang() || len(tasks) == len(c.jobs[owner].Running) {
+	if c.jobs[owner].Spec.IsGang() || len(tasks) == len(c.jobs[owner].Running) {
 		return []int{everyTask}
 	}
 	return slices.Sorted(maps.Keys(tasks))
--- a/internal/planner/preempt.go
+++ b/internal/planner/preempt.go
@@ -114,7 +114,7 @@
 		c := newPreemptableJob(owner, preemptor)
 		// Preempting only a part of a gang breaks the whole gang: it loses more than the preemptor
 		// gains.
-		brokenGang := owner.Spec.Gang() && len(c.tasks) < len(owner.Running)
+		brokenGang := owner.Spec.IsGang() && len(c.tasks) < len(owner.Running)
 		if len(c.tasks) > 0 && !brokenGang {
 			candidates = append(candidates, c)
 		}
--- a/internal/planner/queue.go
+++ b/internal/planner/queue.go
@@ -83,7 +83,7 @@
 // canWaitForImage reports whether the job loses nothing by waiting for machines that
 // have its image.
 func (j *Job) canWaitForImage() bool {
-	if j.Spec.Gang() || j.WithinGuarantee || j.Lender || j.Tier == TierStartInTime {
+	if j.Spec.IsGang() || j.WithinGuarantee || j.Lender || j.Tier == TierStartInTime {
 		return false
 	}
 	return j.Tier == TierTooLate || j.SlackS > imageWaitSlackS
--- a/internal/planner/reference_test.go
+++ b/internal/planner/reference_test.go
@@ -169,7 +169,7 @@
 // place assigns those tasks of a job that fit, or only those that fit on machines with its image
 // cached.
 func (r reference) place(j *Job, cachedOnly bool) {
-	if j.Spec.Gang() {
+	if j.Spec.IsGang() {
 		r.placeGang(j)
 		return
 	}
--- a/internal/planner/shrink.go
+++ b/internal/planner/shrink.go
@@ -43,7 +43,7 @@
 	var arrays []shrinkableArray
 	for i := range jobs {
 		owner := &jobs[i]
-		if owner.Spec.Gang() || owner.Spec.Service() {
+		if owner.Spec.IsGang() || owner.Spec.IsService() {
 			continue
 		}
 		if a := newShrinkableArray(owner, preemptor); a.surplus > 0 {
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -344,7 +344,7 @@
 		{CauseGangBroken, "peers"},
 		{CauseGangIncomplete, "alone"},
 		{CauseError, "error"},
-		{CauseNoRoom, "no_room"},
+		{CauseNoCapacity, "no_room"},
 		{CauseOtherAttempt, "busy"},
 		{CauseNoSuchTask, "no_such"},
 		{VerbStart, "start"},
--- a/internal/protocol/jobs.go
+++ b/internal/protocol/jobs.go
@@ -57,11 +57,11 @@
 	DeadlineS *float64 `msgpack:"DueS"`
 }
 
-// Gang reports whether all tasks of the job must run at the same time.
-func (s *JobSpec) Gang() bool { return s.Shape == ShapeGang }
+// IsGang reports whether all tasks of the job must run at the same time.
+func (s *JobSpec) IsGang() bool { return s.Shape == ShapeGang }
 
-// Service reports whether the job's tasks are replicas that run until the job is cancelled.
-func (s *JobSpec) Service() bool { return s.Shape == ShapeService }
+// IsService reports whether the job's tasks are replicas that run until the job is cancelled.
+func (s *JobSpec) IsService() bool { return s.Shape == ShapeService }
 
 // JobStatus is the response to users about a job. Done and Running count tasks.
 type JobStatus struct {
--- a/internal/protocol/protocoltest/golden.go
+++ b/internal/protocol/protocoltest/golden.go
@@ -10,8 +10,8 @@
 	"postpoint/internal/protocol"
 )
 
-// WholeJobSpec returns a submission with every field set.
-func WholeJobSpec() protocol.JobSpec {
+// FullJobSpec returns a submission with every field set.
+func FullJobSpec() protocol.JobSpec {
 	deadline := 900.0
 	return protocol.JobSpec{
 		ID:          "job-000412",
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -72,7 +72,7 @@
 	spec := p.parse()
 	spec.ID = id
 	p.checkChoices(&spec)
-	if spec.Service() {
+	if spec.IsService() {
 		// Replicas neither complete nor save checkpoints, so these fields have no meaning for them.
 		spec.EstimateS, spec.CheckpointS, spec.SaveS, spec.DeadlineS = 0, 0, 0, nil
 	}
--- a/internal/protocol/submission_test.go
+++ b/internal/protocol/submission_test.go
@@ -94,7 +94,7 @@
 	for _, estimate := range []float64{0, 240} {
 		s["ExpectedS"] = estimate
 		spec, err := parse(t, s)
-		if err != nil || !spec.Service() || spec.EstimateS != 0 || spec.CheckpointS != 0 ||
+		if err != nil || !spec.IsService() || spec.EstimateS != 0 || spec.CheckpointS != 0 ||
 			spec.SaveS != 0 || spec.DeadlineS != nil {
 			t.Errorf("decoded as %+v (%v), want a service without times", spec, err)
 		}
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -16,7 +16,7 @@
 	CauseGangBroken     = "peers"   // another task of the gang exited or was lost
 	CauseGangIncomplete = "alone"   // not all tasks of the gang started in time
 	CauseError          = "error"   // failed, usually because of a faulty machine
-	CauseNoRoom         = "no_room" // not started: not enough free resources
+	CauseNoCapacity     = "no_room" // not started: not enough free resources
 	CauseOtherAttempt   = "busy"    // not started: the machine runs another attempt of the task
 	CauseNoSuchTask     = "no_such" // not started: no such job or task
 )
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -29,7 +29,7 @@
 		var status Status
 		for _, name := range []string{"a", "b"} {
 			changed := func(s Status) { status = s }
-			New(&actortest.Still{}, store, name, []string{"a", "b"}, format, func() {}, changed).poll()
+			New(&actortest.SynchronousMailbox{}, store, name, []string{"a", "b"}, format, func() {}, changed).poll()
 		}
 		if d := cmp.Diff([]string{"rollout/node/a", "rollout/node/b", "rollout/gate"}, store.puts); d != "" {
 			t.Errorf("format %d: %s", format, d)
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -58,7 +58,7 @@
 // newController returns the rollout of a controller that reads FormatServices.
 func newController(store kvstore.Store, name string, all ...string) *controller {
 	c := &controller{}
-	c.rollout = New(&actortest.Still{}, store, name, all, FormatServices,
+	c.rollout = New(&actortest.SynchronousMailbox{}, store, name, all, FormatServices,
 		func() { c.published = true }, func(s Status) { c.status = s })
 	return c
 }
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -36,8 +36,8 @@
 			InitialSize: 3,
 			Zones:       []string{"a", "b"},
 			Teams:       []Team{{Name: "t", Cpus: 2, CpusMax: 6, Gpus: 4, GpusMax: 12}},
-			Objectives:  []Objective{{Kind: "deadline", Class: "c", WithinS: 5, Share: 0.85, Times: 1.5}},
-			Workers:     Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 40, GangPeerS: 5, CancelS: 36},
+			Objectives:  []Objective{{Kind: "deadline", Class: "c", WithinS: 5, Share: 0.85, DeadlineFactor: 1.5}},
+			Workers:     Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 40, GangPeerTimeoutS: 5, CancelS: 36},
 			KVStore: KVStore{
 				Rps:      100,
 				WriteRps: 30,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -60,17 +60,17 @@
 	Class   string  `json:"class"`
 	WithinS float64 `json:"within_s" validate:"gte=0"`
 	Share   float64 `json:"share"`
-	// Times multiplies the deadline of a job, for objectives of kind "deadline".
-	Times float64 `json:"times" validate:"gte=0"`
+	// DeadlineFactor multiplies the deadline of a job, for objectives of kind "deadline".
+	DeadlineFactor float64 `json:"times" validate:"gte=0"`
 }
 
 // Workers has the intervals and timeouts of workers and their tasks.
 type Workers struct {
-	HeartbeatS float64 `json:"report_s" validate:"gt=0"`
-	LeaseS     float64 `json:"lease_s" validate:"gt=0"`
-	GangWaitS  float64 `json:"gang_wait_s" validate:"gt=0"`
-	GangPeerS  float64 `json:"gang_peer_s" validate:"gt=0"`
-	CancelS    float64 `json:"cancel_s" validate:"gtfield=LeaseS"`
+	HeartbeatS       float64 `json:"report_s" validate:"gt=0"`
+	LeaseS           float64 `json:"lease_s" validate:"gt=0"`
+	GangWaitS        float64 `json:"gang_wait_s" validate:"gt=0"`
+	GangPeerTimeoutS float64 `json:"gang_peer_s" validate:"gt=0"`
+	CancelS          float64 `json:"cancel_s" validate:"gtfield=LeaseS"`
 }
 
 // KVStore has the limits of the key-value store, which apply to all controllers together.
@@ -129,8 +129,8 @@
 // HeartbeatInterval returns the mean interval between the heartbeats of a worker.
 func (w Workers) HeartbeatInterval() clock.Micros { return clock.FromSeconds(w.HeartbeatS) }
 
-// GangPeer returns the time within which the tasks of a gang notice the loss of one of them.
-func (w Workers) GangPeer() clock.Micros { return clock.FromSeconds(w.GangPeerS) }
+// GangPeerTimeout returns the time within which the tasks of a gang notice the loss of one of them.
+func (w Workers) GangPeerTimeout() clock.Micros { return clock.FromSeconds(w.GangPeerTimeoutS) }
 
 // renewalMargin covers clock drift and responses in transit.
 const renewalMargin = clock.Second
@@ -155,15 +155,15 @@
 	if next == nil {
 		return s
 	}
-	s.Rps = lower(s.Rps, next.Rps)
-	s.WriteRps = lower(s.WriteRps, next.WriteRps)
-	s.ValueKb = lower(s.ValueKb, next.ValueKb)
-	s.TxnOps = lower(s.TxnOps, next.TxnOps)
+	s.Rps = tighterLimit(s.Rps, next.Rps)
+	s.WriteRps = tighterLimit(s.WriteRps, next.WriteRps)
+	s.ValueKb = tighterLimit(s.ValueKb, next.ValueKb)
+	s.TxnOps = tighterLimit(s.TxnOps, next.TxnOps)
 	return s
 }
 
-// lower returns the smaller of a current and an announced limit.
-func lower[T int | float64](current T, announced *T) T {
+// tighterLimit returns the smaller of a current and an announced limit.
+func tighterLimit[T int | float64](current T, announced *T) T {
 	if announced == nil {
 		return current
 	}
--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -142,7 +142,7 @@
 func TestCancellationRacesWithCompletion(t *testing.T) {
 	w := NewWorld(71)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
-	d.CancelAtEnd = 1
+	d.CancelAtEndChance = 1
 	var jobs []*Job
 	for i := range 40 {
 		spec := array(protocol.JobID(fmt.Sprintf("job-%06d", i)), "open", 1+i%3, 2, 10)
--- a/internal/simulation/celloperations_test.go
+++ b/internal/simulation/celloperations_test.go
@@ -24,9 +24,9 @@
 	for _, n := range x.host.Nodes {
 		n.Crash()
 	}
-	x.host.CutOff(false)
+	x.host.PartitionCell(false)
 	for _, m := range x.host.Workers() {
-		m.Die()
+		m.Fail()
 	}
 	for x.offloadedTasks() > 0 && x.w.Now() < lostAt+100*clock.Second {
 		x.w.Run(x.w.Now() + 100*clock.Millisecond)
@@ -97,13 +97,13 @@
 				n.Crash()
 			}
 		},
-		"silent": func(_ *World, g *Group) { g.Cells[1].CutOff(true) },
+		"silent": func(_ *World, g *Group) { g.Cells[1].PartitionCell(true) },
 		// The neighbour sends as many messages as the listener accepts, all of them valid.
 		"flooding": func(w *World, g *Group) {
 			w.Every(50*clock.Millisecond, func() {
 				for _, n := range g.Cells[0].Nodes {
 					r := delegation.Heartbeat{Host: "beta", Origin: "alpha", Epoch: 1 << 40,
-						Sequence: int64(w.Now()), ClearTime: 20 * clock.Second}
+						Sequence: int64(w.Now()), MaxTerminationTime: 20 * clock.Second}
 					for i := range delegation.MaxStatuses {
 						r.Statuses = append(r.Statuses,
 							delegation.Status{Number: int64(i), Job: "job-000001", Closed: true})
@@ -162,7 +162,7 @@
 			x.offloadedTasks(), x.delegated(), x.hosted())
 	}
 	x.finish(t, "drained")
-	if elsewhere, _ := x.history.Elsewhere(); elsewhere != x.job.spec.Tasks {
+	if elsewhere, _ := x.history.RunsOutsideOrigin(); elsewhere != x.job.spec.Tasks {
 		t.Errorf("%d runs in the host cell, want %d", elsewhere, x.job.spec.Tasks)
 	}
 }
@@ -182,7 +182,7 @@
 				func(prefix string) bool { return strings.HasPrefix(key, prefix) })
 			if !known || strings.Contains(string(value), "cell ") ||
 				strings.Contains(string(value), "guest ") {
-				d.World.Violate("cells", "%s: %q", key, value)
+				d.World.ReportViolation("cells", "%s: %q", key, value)
 			}
 			var published struct {
 				Format int `msgpack:"format"`
@@ -191,7 +191,7 @@
 				return
 			}
 			if protocol.Decode(value, &published) != nil || published.Format != 2 {
-				d.World.Violate("cells", "format %d is published", published.Format)
+				d.World.ReportViolation("cells", "format %d is published", published.Format)
 			}
 		}
 	})
--- a/internal/simulation/cells.go
+++ b/internal/simulation/cells.go
@@ -54,9 +54,9 @@
 	return entry
 }
 
-// CutOff partitions a cell from the others until the caller calls heal. Messages are lost or, if hold is set,
-// delivered after heal.
-func (d *Deployment) CutOff(hold bool) (heal func()) {
+// PartitionCell partitions a cell from the others until the caller calls heal. Messages are lost or, if hold
+// is set, delivered after heal.
+func (d *Deployment) PartitionCell(hold bool) (heal func()) {
 	for _, n := range d.Nodes {
 		n.CellLink.Cut, n.CellLink.Hold = true, hold
 	}
@@ -128,8 +128,8 @@
 	return g.Cells[cell].Nodes[number-1]
 }
 
-// SwitchOff restarts all controllers with empty stores and without a cells file.
-func (g *Group) SwitchOff() {
+// DisableCells restarts all controllers with empty stores and without a cells file.
+func (g *Group) DisableCells() {
 	for _, d := range g.Cells {
 		clear(d.Store.entries)
 		for _, n := range d.Nodes {
@@ -140,31 +140,31 @@
 	}
 }
 
-// Lose destroys a cell for good: its controllers, its machines and its connections to other cells.
-func (d *Deployment) Lose() {
-	d.CutOff(false)
+// Destroy destroys a cell for good: its controllers, its machines and its connections to other cells.
+func (d *Deployment) Destroy() {
+	d.PartitionCell(false)
 	for _, n := range d.Nodes {
 		n.Crash()
 	}
 	for _, m := range d.Workers() {
-		m.Die()
+		m.Fail()
 	}
 }
 
-// Lent counts the tasks that the job records place in other cells, by host cell.
-func (d *Deployment) Lent() map[string]int {
-	lent := map[string]int{}
+// OffloadedTasks counts the tasks that the job records place in other cells, by host cell.
+func (d *Deployment) OffloadedTasks() map[string]int {
+	offloaded := map[string]int{}
 	for key := range d.Store.entries {
 		if id, isJob := strings.CutPrefix(key, jobrecord.Prefix); isJob {
 			for _, p := range d.Store.record(protocol.JobID(id)).Placements {
 				if host := p.HostCell(); host != "" {
-					lent[host]++
+					offloaded[host]++
 				}
 			}
 		}
 	}
-	return lent
+	return offloaded
 }
 
-// Delegations returns the number of delegations that the cell has stored so far.
-func (d *Deployment) Delegations() int { return d.Store.delegationsStored }
+// DelegationCount returns the number of delegations that the cell has stored so far.
+func (d *Deployment) DelegationCount() int { return d.Store.delegationsStored }
--- a/internal/simulation/cells_test.go
+++ b/internal/simulation/cells_test.go
@@ -30,7 +30,7 @@
 func mustJudge(t *testing.T, w *World, h *History, jobs []*Job) {
 	t.Helper()
 	mustKeepRules(t, w)
-	if wrong := h.Judge(jobs); len(wrong) > 0 {
+	if wrong := h.Check(jobs); len(wrong) > 0 {
 		t.Fatalf("want each task completed once, without overlap:\n%s", strings.Join(wrong, "\n"))
 	}
 }
@@ -47,7 +47,7 @@
 	jobs = append(jobs, flood(g.Cells[1], 3)...)
 	w.Run(600 * clock.Second)
 	mustJudge(t, w, h, jobs)
-	elsewhere, all := h.Elsewhere()
+	elsewhere, all := h.RunsOutsideOrigin()
 	t.Logf("%d of %d runs in other cells", elsewhere, all)
 	if elsewhere < 100 {
 		t.Errorf("%d of %d runs in other cells, want at least 100", elsewhere, all)
@@ -79,7 +79,7 @@
 				}
 			}
 			mustJudge(t, g.Cells[0].World, h, jobs)
-			elsewhere, _ := h.Elsewhere()
+			elsewhere, _ := h.RunsOutsideOrigin()
 			offloaded += elsewhere
 		})
 	}
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// How many machines of each type and zone can be rented, unless a test sets another capacity.
+	// How many machines of each type and zone are available, unless a test sets another capacity.
 	defaultSpotCapacity     = 2
 	defaultOnDemandCapacity = 3
 
@@ -19,32 +19,32 @@
 	listInterval = clock.Second
 )
 
-// FakeCloud is a fake of the cloud's rental service. Controllers reach it through the clients that ClientFor
+// FakeCloud is a fake of the cloud's machine service. Controllers reach it through the clients that ClientFor
 // returns.
 type FakeCloud struct {
 	w *World
 	d *Deployment
 	// Types is the catalogue of machine types.
 	Types []protocol.MachineType
-	// Capacity is how many more machines the cloud rents out.
+	// Capacity is how many more machines the cloud can start.
 	Capacity map[scaling.CapacityPool]int
 	// Outage makes the cloud reject every request.
 	Outage bool
-	// Reliable guarantees that every rented machine comes up.
+	// Reliable guarantees that every machine comes up.
 	Reliable bool
 	// Calls counts requests.
 	Calls int
-	// rented holds the machines that each request rented, by its idempotency key.
-	rented   map[string][]protocol.MachineName
-	machines map[protocol.MachineName]*FakeWorker // the machines that are rented now
-	all      []*FakeWorker
-	lists    [][]protocol.ListedMachine // copies of the list, the newest last
+	// machinesByKey holds the machines that each scale-out request started, by its idempotency key.
+	machinesByKey map[string][]protocol.MachineName
+	machines      map[protocol.MachineName]*FakeWorker // the current machines
+	all           []*FakeWorker
+	lists         [][]protocol.ListedMachine // copies of the list, the newest last
 }
 
 func newCloud(d *Deployment, types []protocol.MachineType) *FakeCloud {
 	c := &FakeCloud{
 		w: d.World, d: d, Types: types,
-		Capacity: map[scaling.CapacityPool]int{}, rented: map[string][]protocol.MachineName{},
+		Capacity: map[scaling.CapacityPool]int{}, machinesByKey: map[string][]protocol.MachineName{},
 		machines: map[protocol.MachineName]*FakeWorker{},
 	}
 	for _, t := range types {
@@ -63,7 +63,7 @@
 	for _, m := range c.sorted() {
 		list = append(list, protocol.ListedMachine{
 			Name: m.name, Address: m.addr, Type: m.typ, Zone: m.zone, Spot: m.spot,
-			Status: m.status, AgeS: (c.w.now - m.rentedAt).Seconds(),
+			Status: m.status, AgeS: (c.w.now - m.createdAt).Seconds(),
 		})
 	}
 	c.lists = append(c.lists, list)
@@ -77,7 +77,7 @@
 	return c.lists[len(c.lists)-1-lag]
 }
 
-// sorted returns the machines that are rented now, sorted by name.
+// sorted returns the current machines, sorted by name.
 func (c *FakeCloud) sorted() []*FakeWorker {
 	var all []*FakeWorker
 	for _, m := range c.machines {
@@ -87,8 +87,9 @@
 	return all
 }
 
-// rent boots count machines of a capacity pool and returns their names. The caller checks the capacity.
-func (c *FakeCloud) rent(k scaling.CapacityPool, count int) []protocol.MachineName {
+// bootMachines boots count machines of a capacity pool and returns their names. The caller checks the
+// capacity.
+func (c *FakeCloud) bootMachines(k scaling.CapacityPool, count int) []protocol.MachineName {
 	var names []protocol.MachineName
 	c.Capacity[k] -= count
 	for range count {
--- a/internal/simulation/cloudclient.go
+++ b/internal/simulation/cloudclient.go
@@ -32,18 +32,18 @@
 // callUntil sends a request, unless the deadline has passed when the request leaves the process. The process
 // may have paused before that.
 func (x *cloudClient) callUntil(until clock.Micros, done func(int), execute func() int) {
-	x.p.sendUntil(until, func() { x.send(done, execute) }, func() { done(transport.NotSent) })
+	x.p.sendUntil(until, func() { x.send(done, execute) }, func() { done(transport.StatusNotSent) })
 }
 
 // send carries a request to the cloud, which executes it unless it has an outage, and the status back.
 func (x *cloudClient) send(done func(int), execute func() int) {
-	x.link.call(x.p, cloudTimeout, func(answer func(func())) {
+	x.link.call(x.p, cloudTimeout, func(respond func(func())) {
 		x.cloud.Calls++
 		status := http.StatusServiceUnavailable
 		if !x.cloud.Outage {
 			status = execute()
 		}
-		answer(func() { done(status) })
+		respond(func() { done(status) })
 	}, func() { done(0) })
 }
 
@@ -53,29 +53,29 @@
 		func() int { return http.StatusOK })
 }
 
-// Rent rents machines; a repeated request gets the response of the first.
-func (x *cloudClient) Rent(r protocol.ScaleOutRequest, until clock.Micros,
+// ScaleOut starts machines; a repeated request gets the response of the first.
+func (x *cloudClient) ScaleOut(r protocol.ScaleOutRequest, until clock.Micros,
 	done func(int, protocol.ScaleOutResponse)) {
-	var answer protocol.ScaleOutResponse
-	x.callUntil(until, func(status int) { done(status, answer) }, func() int {
-		if names, ok := x.cloud.rented[r.IdempotencyKey]; ok {
-			answer.Machines = names
+	var response protocol.ScaleOutResponse
+	x.callUntil(until, func(status int) { done(status, response) }, func() int {
+		if names, ok := x.cloud.machinesByKey[r.IdempotencyKey]; ok {
+			response.Machines = names
 			return http.StatusOK
 		}
 		k := scaling.CapacityPool{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 		count := min(r.Count, x.cloud.Capacity[k])
 		if count == 0 {
-			answer.Error = protocol.NoCapacity
+			response.Error = protocol.NoCapacity
 			return http.StatusServiceUnavailable
 		}
-		answer.Machines = append(answer.Machines, x.cloud.rent(k, count)...)
-		x.cloud.rented[r.IdempotencyKey] = answer.Machines
+		response.Machines = append(response.Machines, x.cloud.bootMachines(k, count)...)
+		x.cloud.machinesByKey[r.IdempotencyKey] = response.Machines
 		return http.StatusOK
 	})
 }
 
-// Release releases machines, which end at once.
-func (x *cloudClient) Release(names []protocol.MachineName, until clock.Micros, done func(int)) {
+// ScaleIn releases machines, which end at once.
+func (x *cloudClient) ScaleIn(names []protocol.MachineName, until clock.Micros, done func(int)) {
 	x.callUntil(until, done, func() int {
 		for _, name := range names {
 			x.cloud.Remove(name)
--- a/internal/simulation/commands.go
+++ b/internal/simulation/commands.go
@@ -22,35 +22,35 @@
 	return http.StatusOK, m.newHeartbeat()
 }
 
-// agentClient is the connection of one controller process to the workers.
-type agentClient struct {
+// workerClient is the connection of one controller process to the workers.
+type workerClient struct {
 	d *Deployment
 	p *Process
 	n *Node
 }
 
-var _ workertest.Service = (*agentClient)(nil)
+var _ workertest.Service = (*workerClient)(nil)
 
 // Commands sends commands to the worker at an address, unless the deadline has passed when they leave the
 // process.
-func (a *agentClient) Commands(
+func (a *workerClient) Commands(
 	addr string, c protocol.CommandRequest, until clock.Micros, done func(int, protocol.Heartbeat),
 ) {
 	a.d.Commands++
 	a.p.sendUntil(until, func() {
 		a.d.checkCommands(a.n, c.Epoch, c.Commands)
 		a.send(a.d.byAddr[addr], c, done)
-	}, func() { done(transport.NotSent, protocol.Heartbeat{}) })
+	}, func() { done(transport.StatusNotSent, protocol.Heartbeat{}) })
 }
 
 // send carries commands to a worker and its response back.
-func (a *agentClient) send(m *FakeWorker, c protocol.CommandRequest, done func(int, protocol.Heartbeat)) {
+func (a *workerClient) send(m *FakeWorker, c protocol.CommandRequest, done func(int, protocol.Heartbeat)) {
 	timedOut := func() { done(0, protocol.Heartbeat{}) }
 	if m == nil || m.ResponsesLost || a.n.WorkerLink.Cut {
 		a.p.After(commandTimeout, timedOut)
 		return
 	}
-	m.Commands.call(a.p, commandTimeout, func(answer func(func())) {
+	m.Commands.call(a.p, commandTimeout, func(respond func(func())) {
 		if !m.up {
 			return
 		}
@@ -59,7 +59,7 @@
 			m.runOrDefer(func() {
 				status, r := m.command(c)
 				if _, blocked := a.d.partitioned(a.n.Zone, m.zone); !blocked {
-					answer(func() { done(status, r) })
+					respond(func() { done(status, r) })
 				}
 			})
 		})
--- a/internal/simulation/delegationfaults_test.go
+++ b/internal/simulation/delegationfaults_test.go
@@ -28,7 +28,9 @@
 		x.host.Store.SetOutage(true)
 		x.w.After(duration, func() { x.host.Store.SetOutage(false) })
 	},
-	"cells are partitioned": func(x *transfer, duration clock.Micros) { x.w.After(duration, x.host.CutOff(true)) },
+	"cells are partitioned": func(x *transfer, duration clock.Micros) {
+		x.w.After(duration, x.host.PartitionCell(true))
+	},
 	"host's responses are lost": func(x *transfer, duration clock.Micros) {
 		for _, n := range x.host.Nodes {
 			n.CellResponsesLost = true
@@ -47,7 +49,7 @@
 	},
 	"the job is cancelled": func(x *transfer, _ clock.Micros) { x.origin.Cancel(x.job) },
 	"partitioned and cancelled": func(x *transfer, duration clock.Micros) {
-		x.w.After(duration, x.host.CutOff(false))
+		x.w.After(duration, x.host.PartitionCell(false))
 		x.origin.Cancel(x.job)
 	},
 }
@@ -121,14 +123,14 @@
 				t.Fatal("no task runs in the host cell")
 			}
 			x.w.Run(x.w.Now() + 2*clock.Second)
-			heal := x.host.CutOff(false)
+			heal := x.host.PartitionCell(false)
 			fault(x)
 			x.w.Run(x.w.Now() + delay*700*clock.Millisecond)
 			confirmCancel(x.w, x.origin, x.job)
 			x.w.Run(x.w.Now() + 31*clock.Second)
 			for _, m := range x.host.Cloud.all {
 				for _, task := range m.tasks {
-					if task.resident && !m.Hung && x.host.findJob(task.job) == x.job {
+					if task.onMachine && !m.Hung && x.host.findJob(task.job) == x.job {
 						t.Errorf("%s: %s still runs %s, want it ended", name, m.name, task.job)
 					}
 				}
--- a/internal/simulation/deployment.go
+++ b/internal/simulation/deployment.go
@@ -24,10 +24,10 @@
 	Store    *FakeStore
 	Cloud    *FakeCloud
 	Nodes    []*Node
-	// Loss is the chance that a message is lost.
-	Loss float64
-	// CancelAtEnd is the share of jobs that users cancel at the moment when the last task completes.
-	CancelAtEnd float64
+	// LossChance is the chance that a message is lost.
+	LossChance float64
+	// CancelAtEndChance is the share of jobs that users cancel at the moment when the last task completes.
+	CancelAtEndChance float64
 	// disturbedAt is when a fault last affected a controller, or a service that it needs to release a
 	// machine. Only MonitorDisturbances updates it.
 	disturbedAt clock.Micros
@@ -76,7 +76,7 @@
 // prepare returns a deployment whose controllers the caller has still to start.
 func prepare(w *World, set *settings.Settings, types []protocol.MachineType, loss float64) *Deployment {
 	d := &Deployment{
-		World: w, Settings: set, Store: NewFakeStore(w), Loss: loss,
+		World: w, Settings: set, Store: NewFakeStore(w), LossChance: loss,
 		partitions: map[string]*zonePartition{}, jobs: map[protocol.JobID]*Job{},
 		byAddr:  map[string]*FakeWorker{},
 		used:    map[string]planner.Resources{},
@@ -86,7 +86,7 @@
 	for i := range nodesPerDeployment {
 		n := &Node{Name: fmt.Sprintf("worker-%d", i), Zone: []string{"a", "b"}[i%2]}
 		for _, l := range n.links() {
-			l.w, l.Loss = w, loss
+			l.w, l.LossChance = w, loss
 		}
 		d.Nodes = append(d.Nodes, n)
 	}
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -9,8 +9,8 @@
 	// A crashed controller is down between minDownTime and maxDownTime.
 	minDownTime = 100 * clock.Millisecond
 	maxDownTime = 8 * clock.Second
-	// leaderFaultShare is the chance that a fault hits the leader instead of a random controller.
-	leaderFaultShare = 0.4
+	// leaderFaultChance is the chance that a fault hits the leader instead of a random controller.
+	leaderFaultChance = 0.4
 	// failoverCount is how often the leader crashes in a series of failovers.
 	failoverCount = 5
 	// maxCellFaultTime is how long a fault between cells lasts at most.
@@ -81,7 +81,7 @@
 	if up := d.Workers(); len(up) > 0 {
 		f.worker = up[w.Rand.IntN(len(up))]
 	}
-	if w.chance(leaderFaultShare) {
+	if w.chance(leaderFaultChance) {
 		for _, n := range d.Nodes {
 			if n.Up() && n.Leader.Leads() {
 				f.node = n
@@ -180,7 +180,7 @@
 	duration := w.Between(minFaultTime, maxCellFaultTime)
 	switch w.Rand.IntN(8) {
 	case 0, 1:
-		w.After(duration, cell.CutOff(w.chance(0.5)))
+		w.After(duration, cell.PartitionCell(w.chance(0.5)))
 	case 2: // heartbeats to other cells arrive, their responses don't
 		for _, n := range cell.Nodes {
 			n.CellResponsesLost = true
--- a/internal/simulation/formatcheck.go
+++ b/internal/simulation/formatcheck.go
@@ -19,11 +19,11 @@
 		return
 	}
 	if strings.HasPrefix(key, jobrecord.ShardsPrefix) {
-		d.World.Violate(unreadableFormat, "%s", key)
+		d.World.ReportViolation(unreadableFormat, "%s", key)
 	}
 	if strings.HasPrefix(key, jobrecord.Prefix) {
 		if err := readFirstFormat(value); err != nil {
-			d.World.Violate(unreadableFormat, "%s: %v", key, err)
+			d.World.ReportViolation(unreadableFormat, "%s: %v", key, err)
 		}
 	}
 }
--- a/internal/simulation/gangs.go
+++ b/internal/simulation/gangs.go
@@ -15,7 +15,7 @@
 	var members []member
 	for n := range j.spec.Tasks {
 		for m := range j.machines[n] {
-			if t := m.findTask(taskKey{id, n}, attempt); t != nil && t.resident {
+			if t := m.findTask(taskKey{id, n}, attempt); t != nil && t.onMachine {
 				members = append(members, member{m, t})
 			}
 		}
@@ -58,13 +58,13 @@
 // scheduleGangCheck ends the running tasks of incomplete gangs after the time that a task needs to notice
 // that others are gone.
 func (d *Deployment) scheduleGangCheck() {
-	d.World.After(d.Settings.Deployment.Workers.GangPeer(), d.endIncompleteGangs)
+	d.World.After(d.Settings.Deployment.Workers.GangPeerTimeout(), d.endIncompleteGangs)
 }
 
 // endIncompleteGangs ends the running tasks of gangs that have lost a task.
 func (d *Deployment) endIncompleteGangs() {
 	for _, j := range d.group.jobs(d) {
-		if !j.spec.Gang() || j.Done() {
+		if !j.spec.IsGang() || j.Done() {
 			continue
 		}
 		for n := range j.spec.Tasks {
@@ -79,7 +79,7 @@
 // gone.
 func (d *Deployment) endIncompleteGang(j *Job, n int, m *FakeWorker) {
 	for _, t := range m.tasks {
-		if t.task != n || d.findJob(t.job) != j || !t.resident || t.status != protocol.TaskRunning {
+		if t.task != n || d.findJob(t.job) != j || !t.onMachine || t.status != protocol.TaskRunning {
 			continue
 		}
 		if len(d.gangMembers(t.job, t.attempt)) >= j.spec.Tasks {
--- a/internal/simulation/gangs_test.go
+++ b/internal/simulation/gangs_test.go
@@ -41,7 +41,7 @@
 	if dying == nil {
 		t.Fatal("no task waited while another fetched its image")
 	}
-	dying.Die()
+	dying.Fail()
 	w.Run(w.Now() + 150*clock.Second)
 	record, err := jobrecord.Decode(d.Store.entries[jobrecord.Key(spec.ID)].value)
 	if err != nil || record.Status != protocol.StatusDone || record.NextAttempt != 2 {
--- a/internal/simulation/heartbeats.go
+++ b/internal/simulation/heartbeats.go
@@ -88,7 +88,7 @@
 	switch {
 	case m.Link.Cut && m.Link.Hold:
 		m.Link.held = append(m.Link.held, arrive)
-	case m.Link.Cut || m.d.World.chance(m.Link.Loss):
+	case m.Link.Cut || m.d.World.chance(m.Link.LossChance):
 	default:
 		m.d.World.After(m.Link.delay(), arrive)
 	}
@@ -160,7 +160,7 @@
 		if a, ok := body.(protocol.HeartbeatResponse); ok {
 			m.d.checkCommands(e.n, a.Epoch, a.Commands)
 		}
-		if m.Link.Cut || m.ResponsesLost || e.n.WorkerLink.Cut || m.d.World.chance(m.Link.Loss) {
+		if m.Link.Cut || m.ResponsesLost || e.n.WorkerLink.Cut || m.d.World.chance(m.Link.LossChance) {
 			return
 		}
 		m.receive(proc, func() {
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -135,7 +135,7 @@
 // runs reports whether a task of the job is on the worker.
 func (m *FakeWorker) runs(j *Job) bool {
 	for _, t := range m.tasks {
-		if t.job == j.spec.ID && t.resident {
+		if t.job == j.spec.ID && t.onMachine {
 			return true
 		}
 	}
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// Judge describes each task of the given jobs that didn't complete exactly once or whose runs overlapped. All
+// Check describes each task of the given jobs that didn't complete exactly once or whose runs overlapped. All
 // of the jobs should be done.
-func (h *History) Judge(jobs []*Job) []string {
+func (h *History) Check(jobs []*Job) []string {
 	var problems []string
 	for _, j := range jobs {
 		for task := range j.spec.Tasks {
@@ -99,8 +99,8 @@
 	return fmt.Sprintf("%s/%d of %s", k.job.spec.ID, k.task, k.job.origin.name)
 }
 
-// Elsewhere returns the number of runs outside the jobs' origin cells and the number of all runs.
-func (h *History) Elsewhere() (elsewhere, all int) {
+// RunsOutsideOrigin returns the number of runs outside the jobs' origin cells and the number of all runs.
+func (h *History) RunsOutsideOrigin() (elsewhere, all int) {
 	for k, runs := range h.runs {
 		for _, r := range runs {
 			all++
--- a/internal/simulation/jobs.go
+++ b/internal/simulation/jobs.go
@@ -48,7 +48,7 @@
 func (j *Job) taskResources() planner.Resources { return planner.TaskResources(&j.spec) }
 
 // Done reports whether every task has completed.
-func (j *Job) Done() bool { return len(j.completed) == j.spec.Tasks && !j.spec.Service() }
+func (j *Job) Done() bool { return len(j.completed) == j.spec.Tasks && !j.spec.IsService() }
 
 // complete records that a task has completed. If that completes the job, its user cancels it at that moment
 // with probability cancelShare.
--- a/internal/simulation/kinds.go
+++ b/internal/simulation/kinds.go
@@ -8,8 +8,8 @@
 	"postpoint/internal/zonerecovery"
 )
 
-// Kind is a kind of simulated day, with random load and random faults.
-type Kind struct {
+// DayKind is a kind of simulated day, with random load and random faults.
+type DayKind struct {
 	Name string
 	// simulate simulates a day and returns the deployments. Some kinds differ for odd seeds.
 	simulate func(w *World, odd bool) []*Deployment
@@ -18,8 +18,8 @@
 // maxTaskRunTime is the longest run time of a task.
 const maxTaskRunTime = 300 * clock.Second
 
-// Kinds lists all kinds of simulated days.
-var Kinds = []Kind{
+// DayKinds lists all kinds of simulated days.
+var DayKinds = []DayKind{
 	{"plain", simulatePlain},
 	{"services", simulateServices},
 	{"divided", simulateSharded},
@@ -28,8 +28,9 @@
 	{"upgrade", simulateUpgrade},
 }
 
-// Play runs the simulation with a seed. It records all messages and, at the end, all values of the stores.
-func (k Kind) Play(seed uint64, r Recorder) *World {
+// Simulate runs the simulation with a seed. It records all messages and, at the end, all values of the
+// stores.
+func (k DayKind) Simulate(seed uint64, r Recorder) *World {
 	w := NewWorld(seed)
 	w.Recorder = r
 	for _, d := range k.simulate(w, seed%2 == 1) {
@@ -44,11 +45,11 @@
 	set.Deployment.Objectives = []settings.Objective{
 		{Kind: "finished", Class: "c", WithinS: 60, Share: 0.9},
 		{Kind: "wait", Class: "c", WithinS: 20, Share: 0.5},
-		{Kind: "deadline", Class: "c", Times: 2, Share: 0.9},
+		{Kind: "deadline", Class: "c", DeadlineFactor: 2, Share: 0.9},
 	}
 	d := NewDeployment(w, set, testTypes(), 0.01)
 	d.Store.SetLimits(set.Deployment.KVStore, true)
-	d.inspect()
+	d.scheduleRequests()
 	workload{spec: withDeadlines, maxRunTime: maxTaskRunTime}.simulateDay(d)
 	return []*Deployment{d}
 }
@@ -71,7 +72,7 @@
 func simulateServices(w *World, _ bool) []*Deployment {
 	d := NewDeployment(w, testSettings(), testTypes(), 0.01)
 	d.Store.SetLimits(d.Settings.Deployment.KVStore, false)
-	d.inspect()
+	d.scheduleRequests()
 	for range 8 {
 		w.After(w.Between(30*clock.Second, dayLength), func() {
 			if up := d.Workers(); len(up) > 0 {
@@ -97,7 +98,7 @@
 		w.After(w.Between(0, 60*clock.Second), func() { d.Store.ValueBytes, d.Store.TxnOps = 1500, 3 })
 	})
 	d.crashLeaders(6)
-	d.inspect()
+	d.scheduleRequests()
 	workload{services: 0.05, spec: mostlyLarge, maxRunTime: maxTaskRunTime}.simulateDay(d)
 	return []*Deployment{d}
 }
@@ -122,7 +123,7 @@
 	}
 	g := newThreeCells(w, hostedLimits, 0.01)
 	for _, d := range g.Cells {
-		d.inspect()
+		d.scheduleRequests()
 		if odd {
 			d.delayWrites(w.Between(20*clock.Second, dayLength))
 		}
@@ -155,8 +156,8 @@
 	d := prepare(w, set, testTypes(), 0.01)
 	d.Recovery = recoveryOn(set, odd)
 	d.startNodes()
-	d.inspect()
-	d.cutRandomZones()
+	d.scheduleRequests()
+	d.partitionRandomZones()
 	d.crashLeaders(4)
 	if odd {
 		d.delayWrites(w.Between(20*clock.Second, dayLength))
@@ -181,18 +182,18 @@
 		d.delayWrites(upgrade)
 	}
 	w.After(w.Between(0, dayLength), func() { d.Store.SetLimits(set.Deployment.KVStore.Tightest(), true) })
-	d.inspect()
+	d.scheduleRequests()
 	workload{services: 0.15, spec: mostlyLarge, maxRunTime: maxTaskRunTime}.simulateDay(d)
 	return []*Deployment{d}
 }
 
-// cutRandomZones partitions a random zone at three random times.
-func (d *Deployment) cutRandomZones() {
+// partitionRandomZones partitions a random zone at three random times.
+func (d *Deployment) partitionRandomZones() {
 	w := d.World
 	for range 3 {
 		w.After(w.Between(30*clock.Second, dayLength), func() {
 			duration := w.Between(2*clock.Second, 60*clock.Second)
-			w.After(duration, d.CutZone([]string{"a", "b"}[w.Rand.IntN(2)], w.chance(0.5)))
+			w.After(duration, d.PartitionZone([]string{"a", "b"}[w.Rand.IntN(2)], w.chance(0.5)))
 		})
 	}
 }
@@ -209,19 +210,19 @@
 
 // delayWrites makes the store execute many transactions late, for 90 s from the given time on.
 func (d *Deployment) delayWrites(from clock.Micros) {
-	d.World.After(from, func() { d.Store.LateWrites = 0.2 })
-	d.World.After(from+90*clock.Second, func() { d.Store.LateWrites = 0 })
+	d.World.After(from, func() { d.Store.LateWriteChance = 0.2 })
+	d.World.After(from+90*clock.Second, func() { d.Store.LateWriteChance = 0 })
 }
 
-// inspect regularly sends every controller the requests of operators, load balancers and users.
-func (d *Deployment) inspect() {
+// scheduleRequests regularly sends every controller the requests of operators, load balancers and users.
+func (d *Deployment) scheduleRequests() {
 	const period = 10 * clock.Second
 	asked := 0
 	d.World.After(period, func() {
 		d.World.Every(period, func() {
 			for _, n := range d.Nodes {
 				if n.Up() {
-					d.inspectNode(n, asked)
+					d.sendRequests(n, asked)
 					asked++
 				}
 			}
@@ -229,9 +230,9 @@
 	})
 }
 
-// inspectNode sends these requests to one controller. The user's request is for the status of the next job
+// sendRequests sends these requests to one controller. The user's request is for the status of the next job
 // or, each fifth time, of a job that doesn't exist.
-func (d *Deployment) inspectNode(n *Node, asked int) {
+func (d *Deployment) sendRequests(n *Node, asked int) {
 	if d.World.Recorder != nil {
 		recording := d.recordingOf(n)
 		n.Leader.Overview(recording.recordOverview)
--- a/internal/simulation/link.go
+++ b/internal/simulation/link.go
@@ -3,11 +3,11 @@
 import "postpoint/internal/clock"
 
 const (
-	// A message takes between minDelay and maxDelay. The share slowShare of all messages takes between
+	// A message takes between minDelay and maxDelay. With the chance slowChance it takes between
 	// minSlowDelay and maxSlowDelay instead.
 	minDelay     = clock.Micros(200)
 	maxDelay     = 3 * clock.Millisecond
-	slowShare    = 0.02
+	slowChance   = 0.02
 	minSlowDelay = 50 * clock.Millisecond
 	maxSlowDelay = 400 * clock.Millisecond
 	// maxCopyDelay is the longest delay of a duplicate of a request.
@@ -19,8 +19,8 @@
 	w *World
 	// Cut makes the link lose all messages. With Hold it holds requests instead, which arrive after Heal.
 	Cut, Hold bool
-	// Loss is the chance that a request is lost, and likewise a response.
-	Loss float64
+	// LossChance is the chance that a request is lost, and likewise a response.
+	LossChance float64
 	// StoreRejects makes the store reject the requests that arrive over this link.
 	StoreRejects bool
 	// Delay is an additional delay of each message.
@@ -33,13 +33,13 @@
 	link *Link
 	p    *Process
 	// request executes the request; the fake responds by calling the function it gets.
-	request  func(answer func(deliver func()))
+	request  func(respond func(deliver func()))
 	finished bool // set by a response or the timeout
 }
 
 // call carries a request to the fake and its response back. Without a response within the timeout, it runs
 // onTimeout. The fake still executes held requests later.
-func (l *Link) call(p *Process, timeout clock.Micros, request func(answer func(func())), onTimeout func()) {
+func (l *Link) call(p *Process, timeout clock.Micros, request func(respond func(func())), onTimeout func()) {
 	c := &call{link: l, p: p, request: request}
 	p.After(timeout, func() { c.finish(onTimeout) })
 	p.send(c.send)
@@ -59,10 +59,10 @@
 	switch {
 	case l.Cut && l.Hold:
 		l.held = append(l.held, c.arrive)
-	case l.Cut || l.w.chance(l.Loss):
+	case l.Cut || l.w.chance(l.LossChance):
 	default:
 		l.w.After(l.delay(), c.arrive)
-		if l.w.chance(l.Loss / 2) { // a late duplicate, usually of a request that the fake has executed
+		if l.w.chance(l.LossChance / 2) { // a late duplicate, usually of a request that the fake has executed
 			l.w.After(l.w.Between(0, maxCopyDelay), c.arrive)
 		}
 	}
@@ -74,7 +74,7 @@
 // respond carries the response back to the process.
 func (c *call) respond(deliver func()) {
 	l := c.link
-	if l.Cut || l.w.chance(l.Loss) {
+	if l.Cut || l.w.chance(l.LossChance) {
 		return
 	}
 	l.w.After(l.delay(), func() {
@@ -86,7 +86,7 @@
 
 // delay draws how long a message takes.
 func (l *Link) delay() clock.Micros {
-	if l.w.chance(slowShare) {
+	if l.w.chance(slowChance) {
 		return l.Delay + l.w.Between(minSlowDelay, maxSlowDelay)
 	}
 	return l.Delay + l.w.Between(minDelay, maxDelay)
--- a/internal/simulation/loopbackclient.go
+++ b/internal/simulation/loopbackclient.go
@@ -38,15 +38,15 @@
 func (c *remoteController) Heartbeat(r protocol.Heartbeat, reply func(status int, body any)) {
 	client, l := c.clientFor(r.Machine), c.l
 	go func() {
-		var answer protocol.HeartbeatResponse
+		var response protocol.HeartbeatResponse
 		var redirect protocol.Redirect
 		status, raw := post(client, c.base+heartbeatPath, protocol.Encode(r))
 		switch {
-		case status == http.StatusOK && protocol.Decode(raw, &answer) == nil:
+		case status == http.StatusOK && protocol.Decode(raw, &response) == nil:
 			l.Do(func() {
 				l.Heartbeats++
-				l.countStarts(answer.Commands)
-				reply(status, answer)
+				l.countStarts(response.Commands)
+				reply(status, response)
 			})
 		case status == http.StatusMisdirectedRequest && protocol.Decode(raw, &redirect) == nil:
 			l.Do(func() { reply(status, redirect) })
@@ -74,23 +74,23 @@
 func (c *remoteController) Handle(r admission.Request, reply func(admission.Response)) {
 	l := c.l
 	go func() {
-		var answer admission.Response
+		var response admission.Response
 		counter := new(int)
 		switch r.Kind {
 		case admission.Submit:
 			counter = &l.Submissions
-			answer.Status, answer.Body = post(&l.users, c.base+jobsPath, r.Body)
+			response.Status, response.Body = post(&l.users, c.base+jobsPath, r.Body)
 		case admission.GetStatus:
 			counter = &l.Polls
-			answer.Status, answer.Body = get(&l.users, c.jobURL(r.ID))
+			response.Status, response.Body = get(&l.users, c.jobURL(r.ID))
 		case admission.Cancel:
-			answer.Status, answer.Body = post(&l.users, c.jobURL(r.ID)+cancelSuffix, nil)
+			response.Status, response.Body = post(&l.users, c.jobURL(r.ID)+cancelSuffix, nil)
 		}
 		l.Do(func() {
-			if answer.Status == http.StatusOK || answer.Status == http.StatusCreated {
+			if response.Status == http.StatusOK || response.Status == http.StatusCreated {
 				*counter++
 			}
-			reply(answer)
+			reply(response)
 		})
 	}()
 }
--- a/internal/simulation/loopbackserver.go
+++ b/internal/simulation/loopbackserver.go
@@ -107,11 +107,11 @@
 	}))
 	mux.Handle("POST /hosts", serve(l,
 		func(_ *http.Request, q protocol.ScaleOutRequest, respond respondFunc) {
-			client.Rent(q, math.MaxInt64,
+			client.ScaleOut(q, math.MaxInt64,
 				func(status int, a protocol.ScaleOutResponse) { respond(status, a) })
 		}))
 	release := func(_ *http.Request, q protocol.ScaleInRequest, respond respondFunc) {
-		client.Release(q.Machines, math.MaxInt64, func(status int) { respond(status, noBody{}) })
+		client.ScaleIn(q.Machines, math.MaxInt64, func(status int) { respond(status, noBody{}) })
 	}
 	mux.Handle("POST /hosts/release", serve(l, release))
 	mux.Handle("GET /hosts", serve(l, func(r *http.Request, _ noBody, respond respondFunc) {
--- a/internal/simulation/monitors.go
+++ b/internal/simulation/monitors.go
@@ -28,7 +28,7 @@
 		for _, j := range d.order {
 			waiting := j.accepted() && !j.cancelRequested && j.finalStatus == ""
 			if waiting && d.World.now > max(j.lastResponseAt, began)+maxResponseGap {
-				d.World.Violate(noResponse, "%s since %.0f s", j.spec.ID, j.lastResponseAt.Seconds())
+				d.World.ReportViolation(noResponse, "%s since %.0f s", j.spec.ID, j.lastResponseAt.Seconds())
 			}
 		}
 	})
@@ -47,7 +47,7 @@
 
 // disturbed reports whether a fault affects a controller or service that is needed to release a machine.
 func (d *Deployment) disturbed() bool {
-	if d.Cloud.Outage || d.Store.outage || d.Store.LateWrites > 0 {
+	if d.Cloud.Outage || d.Store.outage || d.Store.LateWriteChance > 0 {
 		return true
 	}
 	return slices.ContainsFunc(d.Nodes, (*Node).disturbed)
@@ -66,17 +66,18 @@
 	d.World.Every(2*clock.Second, func() {
 		for _, j := range d.order {
 			waiting := j.accepted() && !j.cancelRequested && j.finalStatus == "" && !j.failing
-			if !waiting || d.onMachines(j) || !d.hasCapacityFor(j) {
+			if !waiting || d.hasTaskOnMachine(j) || !d.hasCapacityFor(j) {
 				j.waitingSince = d.World.now
 			} else if d.World.now > max(j.waitingSince, began)+maxPlaceableWait {
-				d.World.Violate(waitsDespiteCapacity, "%s since %.0f s", j.spec.ID, j.waitingSince.Seconds())
+				d.World.ReportViolation(waitsDespiteCapacity, "%s since %.0f s",
+					j.spec.ID, j.waitingSince.Seconds())
 			}
 		}
 	})
 }
 
-// onMachines reports whether a task of a job is on a machine and hasn't exited.
-func (d *Deployment) onMachines(j *Job) bool {
+// hasTaskOnMachine reports whether a task of a job is on a machine and hasn't exited.
+func (d *Deployment) hasTaskOnMachine(j *Job) bool {
 	for _, m := range d.group.machines(d) {
 		for _, t := range m.tasks {
 			if m.d.findJob(t.job) == j && t.status != protocol.TaskExited {
@@ -92,7 +93,7 @@
 func (d *Deployment) hasCapacityFor(j *Job) bool {
 	s := &j.spec
 	missing := 1
-	if s.Gang() {
+	if s.IsGang() {
 		missing = s.Tasks
 	}
 	if s.OneZone || s.Spread {
@@ -132,7 +133,8 @@
 				} else if absentSince[k] == 0 {
 					absentSince[k] = d.World.now
 				} else if d.World.now > absentSince[k]+maxReplicaAbsence {
-					d.World.Violate(missingReplica, "%s/%d since %.0f s", k.job, n, absentSince[k].Seconds())
+					d.World.ReportViolation(missingReplica, "%s/%d since %.0f s",
+						k.job, n, absentSince[k].Seconds())
 					absentSince[k] = d.World.now
 				}
 			}
@@ -142,7 +144,7 @@
 
 // needsAllReplicas reports whether all replicas of the job have to run.
 func (j *Job) needsAllReplicas() bool {
-	return j.spec.Service() && j.runTime == 0 && !j.cancelRequested && !j.failing && j.accepted()
+	return j.spec.IsService() && j.runTime == 0 && !j.cancelRequested && !j.failing && j.accepted()
 }
 
 // monitorGangs checks from now on that no record has only some tasks of a gang placed for too long: for
@@ -150,19 +152,19 @@
 // affect the controllers, the record may lag.
 func (d *Deployment) monitorGangs() {
 	workers := d.Settings.Deployment.Workers
-	longest := clock.FromSeconds(workers.GangWaitS+workers.LeaseS+workers.GangPeerS) +
+	longest := clock.FromSeconds(workers.GangWaitS+workers.LeaseS+workers.GangPeerTimeoutS) +
 		workers.RenewalWindow() + 10*clock.Second
 	since := map[protocol.JobID]clock.Micros{}
 	d.World.Every(clock.Second, func() {
 		for _, j := range d.order {
 			r := d.Store.wholeRecord(j.spec.ID)
 			whole := r == nil || r.Final() || len(r.Placements) == 0 || len(r.Placements) == j.spec.Tasks
-			if whole || !j.spec.Gang() {
+			if whole || !j.spec.IsGang() {
 				delete(since, j.spec.ID)
 			} else if since[j.spec.ID] == 0 {
 				since[j.spec.ID] = d.World.now
 			} else if d.World.now > max(since[j.spec.ID], d.disturbedAt)+longest {
-				d.World.Violate(incompleteGang, "%s: %d of %d tasks", j.spec.ID, len(r.Placements),
+				d.World.ReportViolation(incompleteGang, "%s: %d of %d tasks", j.spec.ID, len(r.Placements),
 					j.spec.Tasks)
 				since[j.spec.ID] = d.World.now
 			}
--- a/internal/simulation/nodes.go
+++ b/internal/simulation/nodes.go
@@ -124,7 +124,7 @@
 		d.recordingOf(n).recordIncoming(n)
 	}
 	if n.OldVersion {
-		actors.StartUnpublished()
+		actors.StartWithoutFormat()
 	} else {
 		actors.Start()
 	}
@@ -138,34 +138,36 @@
 	}
 	services := d.servicesOf(n, p)
 	return node.Environment{
-		Settings:  set,
-		Cells:     d.group.directory(d, n, set),
-		Exchange:  &cellClient{d, n, p},
-		Election:  election.Config{Node: n.Name, Incarnation: fmt.Sprint(n.runs), TTL: leaseTTL},
-		Mailboxes: node.Mailboxes{Leader: p, Election: p, Admission: p, Rollout: p},
-		Store:     func(actor.Mailbox) kvstore.Store { return storetest.Client(services.store) },
-		Cloud:     cloudtest.Client(services.cloud),
-		Agent:     workertest.Client(services.agent),
-		Forward:   func(r admission.Request, done func(admission.Response, bool)) { d.forward(n, r, done) },
-		Recovery:  d.Recovery,
-		Everyone:  askAll,
+		Settings:   set,
+		Cells:      d.group.directory(d, n, set),
+		CellClient: &cellClient{d, n, p},
+		Election:   election.Config{Node: n.Name, Incarnation: fmt.Sprint(n.runs), TTL: leaseTTL},
+		Mailboxes:  node.Mailboxes{Leader: p, Election: p, Admission: p, Rollout: p},
+		Store:      func(actor.Mailbox) kvstore.Store { return storetest.Client(services.store) },
+		Cloud:      cloudtest.Client(services.cloud),
+		Workers:    workertest.Client(services.workers),
+		Forward: func(r admission.Request, done func(admission.Response, bool)) {
+			d.forward(n, r, done)
+		},
+		Recovery:          d.Recovery,
+		AskAllControllers: askAll,
 	}
 }
 
 // services holds the clients with which one process of a controller reaches the outside systems.
 type services struct {
-	store storetest.Service
-	cloud cloudtest.Service
-	agent workertest.Service
+	store   storetest.Service
+	cloud   cloudtest.Service
+	workers workertest.Service
 }
 
 // servicesOf returns the clients of a process for the fakes. If the world has a Recorder, the clients record
 // all messages.
 func (d *Deployment) servicesOf(n *Node, p *Process) services {
 	s := services{
-		store: d.Store.ClientFor(p, &n.StoreLink),
-		cloud: d.Cloud.ClientFor(p, &n.CloudLink),
-		agent: &agentClient{d, p, n},
+		store:   d.Store.ClientFor(p, &n.StoreLink),
+		cloud:   d.Cloud.ClientFor(p, &n.CloudLink),
+		workers: &workerClient{d, p, n},
 	}
 	if d.World.Recorder != nil {
 		s = d.recordingOf(n).services(s)
--- a/internal/simulation/peers.go
+++ b/internal/simulation/peers.go
@@ -24,13 +24,13 @@
 // askAll sends a request to all controllers, including the sender, and collects their responses.
 func (d *Deployment) askAll(n *Node, r admission.Request, done func([]admission.Response, bool)) {
 	p, pending := n.process, len(d.Nodes)
-	var answers []admission.Response
+	var responses []admission.Response
 	collect := func(a admission.Response, ok bool) {
 		if ok {
-			answers = append(answers, a)
+			responses = append(responses, a)
 		}
 		if pending--; pending == 0 {
-			done(answers, len(answers) == len(d.Nodes))
+			done(responses, len(responses) == len(d.Nodes))
 		}
 	}
 	for _, o := range d.Nodes {
@@ -47,9 +47,9 @@
 
 // askPeer sends a request to another controller and reports whether it responded.
 func (n *Node) askPeer(o *Node, r admission.Request, done func(a admission.Response, ok bool)) {
-	n.PeerLink.call(n.process, peerTimeout, func(answer func(func())) {
+	n.PeerLink.call(n.process, peerTimeout, func(respond func(func())) {
 		if !o.PeerLink.Cut {
-			o.peers.Handle(r, func(a admission.Response) { answer(func() { done(a, true) }) })
+			o.peers.Handle(r, func(a admission.Response) { respond(func() { done(a, true) }) })
 		}
 	}, func() { done(admission.Response{}, false) })
 }
--- a/internal/simulation/placement_test.go
+++ b/internal/simulation/placement_test.go
@@ -37,7 +37,7 @@
 			}
 			m := up[w.Rand.IntN(len(up))]
 			if i%2 == 0 {
-				m.Die()
+				m.Fail()
 			} else {
 				m.partition()
 				w.After(20*clock.Second, m.heal)
--- a/internal/simulation/record.go
+++ b/internal/simulation/record.go
@@ -46,16 +46,16 @@
 // services returns clients that record the controller's requests to the outside systems.
 func (r *recording) services(s services) services {
 	return services{
-		store: &recordedStore{r, s.store},
-		cloud: &recordedCloud{r, s.cloud},
-		agent: &recordedAgent{r, s.agent},
+		store:   &recordedStore{r, s.store},
+		cloud:   &recordedCloud{r, s.cloud},
+		workers: &recordedWorkers{r, s.workers},
 	}
 }
 
 // recordOutgoing makes an environment record the controller's requests to other controllers and cells.
 func (r *recording) recordOutgoing(e *node.Environment) {
-	forward, askAll := e.Forward, e.Everyone
-	e.Exchange = &recordedExchanger{r, e.Exchange}
+	forward, askAll := e.Forward, e.AskAllControllers
+	e.CellClient = &recordedExchanger{r, e.CellClient}
 	e.Forward = func(request admission.Request, done func(admission.Response, bool)) {
 		r.record("forward", peer.RequestFrame(request))
 		forward(request, func(a admission.Response, ok bool) {
@@ -63,15 +63,15 @@
 			done(a, ok)
 		})
 	}
-	e.Everyone = func(own *admission.Admission, request admission.Request,
+	e.AskAllControllers = func(own *admission.Admission, request admission.Request,
 		done func([]admission.Response, bool)) {
 		r.record("ask all nodes", peer.RequestFrame(request))
-		askAll(own, request, func(answers []admission.Response, ok bool) {
-			for _, a := range answers {
+		askAll(own, request, func(responses []admission.Response, ok bool) {
+			for _, a := range responses {
 				r.record("a node answered", peer.ResponseFrame(a))
 			}
 			r.record("all nodes answered", ok)
-			done(answers, ok)
+			done(responses, ok)
 		})
 	}
 }
@@ -91,8 +91,10 @@
 	store storetest.Service
 }
 
-// answered returns a callback that records a response of the store and then handles it.
-func answered[T any](r *recording, kind string, done func(storetest.Reply[T])) func(storetest.Reply[T]) {
+// recordStoreResponse returns a callback that records a response of the store and then handles it.
+func recordStoreResponse[T any](
+	r *recording, kind string, done func(storetest.Reply[T]),
+) func(storetest.Reply[T]) {
 	return func(reply storetest.Reply[T]) {
 		r.record(kind+" answered", reply.Status, reply.Value)
 		done(reply)
@@ -102,13 +104,13 @@
 // Get implements storetest.Service.
 func (s *recordedStore) Get(key string, done func(storetest.Reply[protocol.Item])) {
 	s.record("get", key)
-	s.store.Get(key, answered(s.recording, "get", done))
+	s.store.Get(key, recordStoreResponse(s.recording, "get", done))
 }
 
 // List implements storetest.Service.
 func (s *recordedStore) List(prefix, from string, done func(storetest.Reply[protocol.ItemList])) {
 	s.record("list", prefix, from)
-	s.store.List(prefix, from, answered(s.recording, "list", done))
+	s.store.List(prefix, from, recordStoreResponse(s.recording, "list", done))
 }
 
 // Commit implements storetest.Service.
@@ -116,7 +118,7 @@
 	use kvstore.Priority, t protocol.Txn, done func(storetest.Reply[protocol.TxnResponse]),
 ) {
 	s.record("commit", int(use), t)
-	s.store.Commit(use, t, answered(s.recording, "commit", done))
+	s.store.Commit(use, t, recordStoreResponse(s.recording, "commit", done))
 }
 
 // Watch implements storetest.Service.
@@ -125,19 +127,19 @@
 	done func(storetest.Reply[protocol.WatchResponse]),
 ) {
 	s.record("follow", prefix, from, int64(block))
-	s.store.Watch(prefix, from, block, answered(s.recording, "follow", done))
+	s.store.Watch(prefix, from, block, recordStoreResponse(s.recording, "follow", done))
 }
 
 // Grant implements storetest.Service.
 func (s *recordedStore) Grant(ttl clock.Micros, done func(storetest.Reply[protocol.LeaseResponse])) {
 	s.record("grant", int64(ttl))
-	s.store.Grant(ttl, answered(s.recording, "grant", done))
+	s.store.Grant(ttl, recordStoreResponse(s.recording, "grant", done))
 }
 
 // Renew implements storetest.Service.
 func (s *recordedStore) Renew(lease protocol.LeaseID, done func(storetest.Reply[protocol.LeaseResponse])) {
 	s.record("renew", lease)
-	s.store.Renew(lease, answered(s.recording, "renew", done))
+	s.store.Renew(lease, recordStoreResponse(s.recording, "renew", done))
 }
 
 // recordedCloud records the requests to the cloud and their responses.
@@ -155,20 +157,20 @@
 	})
 }
 
-// Rent implements cloudtest.Service.
-func (c *recordedCloud) Rent(r protocol.ScaleOutRequest, until clock.Micros,
+// ScaleOut implements cloudtest.Service.
+func (c *recordedCloud) ScaleOut(r protocol.ScaleOutRequest, until clock.Micros,
 	done func(int, protocol.ScaleOutResponse)) {
 	c.record("rent", r, int64(until))
-	c.cloud.Rent(r, until, func(status int, a protocol.ScaleOutResponse) {
+	c.cloud.ScaleOut(r, until, func(status int, a protocol.ScaleOutResponse) {
 		c.record("rent answered", status, a)
 		done(status, a)
 	})
 }
 
-// Release implements cloudtest.Service.
-func (c *recordedCloud) Release(machines []protocol.MachineName, until clock.Micros, done func(int)) {
+// ScaleIn implements cloudtest.Service.
+func (c *recordedCloud) ScaleIn(machines []protocol.MachineName, until clock.Micros, done func(int)) {
 	c.record("release", protocol.ScaleInRequest{Machines: machines}, int64(until))
-	c.cloud.Release(machines, until, func(status int) {
+	c.cloud.ScaleIn(machines, until, func(status int) {
 		c.record("release answered", status)
 		done(status)
 	})
@@ -183,18 +185,18 @@
 	})
 }
 
-// recordedAgent records the commands to workers and their responses.
-type recordedAgent struct {
+// recordedWorkers records the commands to workers and their responses.
+type recordedWorkers struct {
 	*recording
-	agent workertest.Service
+	workers workertest.Service
 }
 
 // Commands implements workertest.Service.
-func (a *recordedAgent) Commands(
+func (a *recordedWorkers) Commands(
 	addr string, c protocol.CommandRequest, until clock.Micros, done func(int, protocol.Heartbeat),
 ) {
 	a.record("commands", addr, c, int64(until))
-	a.agent.Commands(addr, c, until, func(status int, r protocol.Heartbeat) {
+	a.workers.Commands(addr, c, until, func(status int, r protocol.Heartbeat) {
 		a.record("commands answered", status, r)
 		done(status, r)
 	})
@@ -268,7 +270,7 @@
 func (r *recording) recordOverview(o any) {
 	text, err := json.Marshal(o)
 	if err != nil {
-		r.world.Violate(badOverview, "%v", err)
+		r.world.ReportViolation(badOverview, "%v", err)
 	}
 	r.record("overview", text)
 }
--- a/internal/simulation/requests_test.go
+++ b/internal/simulation/requests_test.go
@@ -21,7 +21,7 @@
 		d.ask(admission.Request{Kind: admission.GetStatus, ID: "job-999999"},
 			func(status int, _ protocol.JobStatus) {
 				if status != http.StatusNotFound {
-					w.Violate("invented", "answered %d", status)
+					w.ReportViolation("invented", "answered %d", status)
 				}
 			})
 		w.Run(w.Now() + 4*clock.Second)
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -57,8 +57,8 @@
 	badExchange rule = "exchange"
 )
 
-// Violate records that a controller broke a rule.
-func (w *World) Violate(broken rule, format string, args ...any) {
+// ReportViolation records that a controller broke a rule.
+func (w *World) ReportViolation(broken rule, format string, args ...any) {
 	message := fmt.Sprintf(format, args...)
 	w.Violations = append(w.Violations, fmt.Sprintf("%.3f %s: %s", w.now.Seconds(), broken, message))
 }
@@ -99,17 +99,17 @@
 func (d *Deployment) checkStart(j *Job, k taskKey, m *FakeWorker) {
 	for other := range j.machines[k.task] {
 		if other != m {
-			d.World.Violate(ranTwice, "%s/%d on %s and %s", k.job, k.task, other.name, m.name)
+			d.World.ReportViolation(ranTwice, "%s/%d on %s and %s", k.job, k.task, other.name, m.name)
 		}
 	}
 	cancelTime := clock.FromSeconds(d.Settings.Deployment.Workers.CancelS)
 	if j.cancelledAt != 0 && d.World.now > j.cancelledAt+cancelTime {
-		d.World.Violate(ranCancelled, "%s/%d starts", k.job, k.task)
+		d.World.ReportViolation(ranCancelled, "%s/%d starts", k.job, k.task)
 	}
 	zone := m.d.name + m.zone
 	if !planner.MachineAllowed(&j.spec, m.typ, m.zone, m.spot) ||
 		!planner.ZoneAllowed(&j.spec, j.zones(k.task), zone) {
-		d.World.Violate(disallowedPlacement, "%s/%d on %s %s", k.job, k.task, m.typ, m.zone)
+		d.World.ReportViolation(disallowedPlacement, "%s/%d on %s %s", k.job, k.task, m.typ, m.zone)
 	}
 }
 
@@ -133,7 +133,7 @@
 	used := d.used[name]
 	if team.CpusMax > 0 && used.Cpus > team.CpusMax+limitTolerance ||
 		team.GpusMax > 0 && used.Gpus > team.GpusMax+limitTolerance {
-		d.World.Violate(overQuota, "%s uses %v", name, used)
+		d.World.ReportViolation(overQuota, "%s uses %v", name, used)
 	}
 }
 
@@ -148,7 +148,7 @@
 		j := d.findJob(id)
 		cancelled := j != nil && j.cancelledAt != 0 && d.World.now > j.cancelledAt+maxRecordAge
 		if c.Verb == protocol.VerbStart && cancelled {
-			d.World.Violate(startedCancelled, "%s starts %s, cancelled since %.3f s",
+			d.World.ReportViolation(startedCancelled, "%s starts %s, cancelled since %.3f s",
 				n.Name, c.Task, j.cancelledAt.Seconds())
 		}
 	}
@@ -157,7 +157,7 @@
 	}
 	for _, c := range commands {
 		if !d.mayStopWithoutLease(c) {
-			d.World.Violate(noLease, "%s sends the command %v for epoch %d", n.Name, c, epoch)
+			d.World.ReportViolation(noLease, "%s sends the command %v for epoch %d", n.Name, c, epoch)
 		}
 	}
 }
@@ -175,10 +175,10 @@
 func (d *Deployment) checkStatus(j *Job, before string, s protocol.JobStatus) {
 	final := s.Status == protocol.StatusDone || s.Status == protocol.StatusCancelled
 	if before != "" && s.Status != before || s.Status == protocol.StatusCancelled && !j.cancelRequested {
-		d.World.Violate(statusReverted, "%s was %q, is %q", j.spec.ID, before, s.Status)
+		d.World.ReportViolation(statusReverted, "%s was %q, is %q", j.spec.ID, before, s.Status)
 	}
 	if s.Status == protocol.StatusDone && !j.Done() {
-		d.World.Violate(doneTooEarly, "%s with %d of %d", j.spec.ID, len(j.completed), j.spec.Tasks)
+		d.World.ReportViolation(doneTooEarly, "%s with %d of %d", j.spec.ID, len(j.completed), j.spec.Tasks)
 	}
 	if !final || j.finalStatus != "" {
 		return
@@ -195,7 +195,7 @@
 func (d *Deployment) checkCancelled(j *Job) {
 	for task, machines := range j.machines {
 		if len(machines) > 0 {
-			d.World.Violate(ranCancelled, "%s/%d is still there", j.spec.ID, task)
+			d.World.ReportViolation(ranCancelled, "%s/%d is still there", j.spec.ID, task)
 		}
 	}
 	for _, m := range d.group.machines(d) {
@@ -203,7 +203,7 @@
 		for id, at := range m.expiredJobs {
 			undisturbed := d.World.now > max(d.disturbedAt, m.d.disturbedAt)+releaseTime
 			if m.d.findJob(id) == j && at > j.cancelledAt && undisturbed {
-				d.World.Violate(ranCancelled, "%s is still on %s, which hangs", j.spec.ID, m.name)
+				d.World.ReportViolation(ranCancelled, "%s is still on %s, which hangs", j.spec.ID, m.name)
 			}
 		}
 	}
--- a/internal/simulation/scale_test.go
+++ b/internal/simulation/scale_test.go
@@ -71,7 +71,7 @@
 		}
 	}
 	if up := len(d.Cloud.all); up < 250 {
-		t.Errorf("%d machines were rented, want at least 250", up)
+		t.Errorf("%d machines were started, want at least 250", up)
 	}
 	// The settings allow 12,000 changes, 30,000 requests and 2,400 calls. This day needs far less. The bounds
 	// are tight enough to detect a change of the code that needs a third more.
@@ -107,7 +107,7 @@
 
 // scaleToThousands sets the timing and the request budgets of a deployment of thousands of workers.
 func scaleToThousands(set *settings.Settings) {
-	set.Deployment.Workers = settings.Workers{HeartbeatS: 6, LeaseS: 31, GangWaitS: 40, GangPeerS: 5,
+	set.Deployment.Workers = settings.Workers{HeartbeatS: 6, LeaseS: 31, GangWaitS: 40, GangPeerTimeoutS: 5,
 		CancelS: 51}
 	set.Deployment.KVStore.Rps, set.Deployment.KVStore.WriteRps = 250, 70
 	set.Deployment.Cloud.Rps = 12
@@ -161,7 +161,7 @@
 				w.After(45*clock.Second, m.heal)
 			case i%15 == 0:
 				excused[m] = true
-				w.After(15*clock.Second, m.Die)
+				w.After(15*clock.Second, m.Fail)
 			}
 		}
 	})
--- a/internal/simulation/scalefailover_test.go
+++ b/internal/simulation/scalefailover_test.go
@@ -18,7 +18,7 @@
 	t.Parallel()
 	w := NewWorld(19)
 	set := testSettings()
-	set.Deployment.Workers = settings.Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 40, GangPeerS: 5,
+	set.Deployment.Workers = settings.Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 40, GangPeerTimeoutS: 5,
 		CancelS: 36}
 	set.Deployment.KVStore = settings.KVStore{Rps: 100, WriteRps: 30, ValueKb: 32, TxnOps: 12}
 	set.Deployment.MachineLimits.CPU = 0.05
@@ -112,7 +112,7 @@
 	w.After(124*clock.Second, func() {
 		for _, m := range d.Workers() {
 			if m.zone == "b" {
-				m.Die()
+				m.Fail()
 			}
 		}
 		d.Cloud.Capacity[scaling.CapacityPool{Type: "small", Zone: "b"}] = 0
--- a/internal/simulation/servicefaults.go
+++ b/internal/simulation/servicefaults.go
@@ -6,10 +6,10 @@
 	// nearTimeoutDelay delays requests to the store and responses so much that responses hardly ever arrive
 	// before the client's timeout.
 	nearTimeoutDelay = 700 * clock.Millisecond
-	// lateWriteShare is the share of transactions that the store executes late during the fault.
-	lateWriteShare = 0.3
-	// cancelAtEndShare is the share of jobs that users cancel at the moment of their end during the fault.
-	cancelAtEndShare = 0.5
+	// lateWriteChance is the share of transactions that the store executes late during the fault.
+	lateWriteChance = 0.3
+	// cancelAtEndChance is the share of jobs that users cancel at the moment of their end during the fault.
+	cancelAtEndChance = 0.5
 	// maxCancelled is how many jobs users cancel at once, at most.
 	maxCancelled = 8
 )
@@ -46,9 +46,9 @@
 
 // delayWrites makes the store execute many transactions late and without a response.
 func (f *fault) delayWrites() {
-	before := f.d.Store.LateWrites
-	f.d.Store.LateWrites = lateWriteShare
-	f.w.After(f.duration, func() { f.d.Store.LateWrites = before })
+	before := f.d.Store.LateWriteChance
+	f.d.Store.LateWriteChance = lateWriteChance
+	f.w.After(f.duration, func() { f.d.Store.LateWriteChance = before })
 }
 
 // slowStore delays the requests of all controllers to the store, those of one controller so much that it
@@ -67,8 +67,8 @@
 
 // cancelAtEnd makes users cancel many jobs at the moment of their end.
 func (f *fault) cancelAtEnd() {
-	f.d.CancelAtEnd = cancelAtEndShare
-	f.w.After(f.duration, func() { f.d.CancelAtEnd = 0 })
+	f.d.CancelAtEndChance = cancelAtEndChance
+	f.w.After(f.duration, func() { f.d.CancelAtEndChance = 0 })
 }
 
 // cancelAndHang makes users cancel running jobs while some of their workers hang.
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -52,9 +52,9 @@
 	leaseSeq protocol.LeaseID
 	watchers []*watcher
 	outage   bool
-	// LateWrites is the share of transactions that the store executes seconds later, after newer ones, and
-	// to which it doesn't respond.
-	LateWrites float64
+	// LateWriteChance is the share of transactions that the store executes seconds later, after newer ones,
+	// and to which it doesn't respond.
+	LateWriteChance float64
 	// ValueBytes limits the size of a value in bytes of JSON, TxnOps the number of changes of a transaction,
 	// ChangesPerS the number of changes in each second. 0 means no limit.
 	ValueBytes, TxnOps, ChangesPerS int
--- a/internal/simulation/storeclient.go
+++ b/internal/simulation/storeclient.go
@@ -35,18 +35,18 @@
 func request[T any](
 	c *storeClient, done func(storetest.Reply[T]), execute func() storetest.Reply[T],
 ) {
-	c.link.call(c.p, storeTimeout, func(answer func(func())) {
+	c.link.call(c.p, storeTimeout, func(respond func(func())) {
 		c.store.Requests++
 		if !c.available() {
-			answer(func() { done(storetest.Reply[T]{Status: http.StatusServiceUnavailable}) })
+			respond(func() { done(storetest.Reply[T]{Status: http.StatusServiceUnavailable}) })
 			return
 		}
-		if c.store.w.chance(c.link.Loss / 2) {
-			answer(func() { done(storetest.Reply[T]{Status: http.StatusTooManyRequests}) })
+		if c.store.w.chance(c.link.LossChance / 2) {
+			respond(func() { done(storetest.Reply[T]{Status: http.StatusTooManyRequests}) })
 			return
 		}
 		r := execute()
-		answer(func() { done(r) })
+		respond(func() { done(r) })
 	}, func() { done(storetest.Reply[T]{}) })
 }
 
@@ -76,13 +76,12 @@
 	})
 }
 
-// Commit executes a transaction. The share LateWrites of transactions is executed much later, without a
-// response.
+// Commit executes a transaction. With the chance LateWriteChance it executes much later, without a response.
 func (c *storeClient) Commit(
 	use kvstore.Priority, t protocol.Txn, done func(storetest.Reply[protocol.TxnResponse]),
 ) {
 	c.checkGuards(use, t)
-	if c.store.w.chance(c.store.LateWrites) {
+	if c.store.w.chance(c.store.LateWriteChance) {
 		c.commitLate(t)
 		c.p.After(storeTimeout, func() { done(storetest.Reply[protocol.TxnResponse]{}) })
 		return
@@ -110,11 +109,11 @@
 	}
 	for _, x := range t.Changes {
 		if !guarded[x.Put+x.Delete] {
-			c.store.w.Violate(unguarded, "a change of %s", x.Put+x.Delete)
+			c.store.w.ReportViolation(unguarded, "a change of %s", x.Put+x.Delete)
 		}
 	}
 	if use == kvstore.PriorityLeader && !guarded[election.LeaderKey] {
-		c.store.w.Violate(unguarded, "a leader's change without the leader's key")
+		c.store.w.ReportViolation(unguarded, "a leader's change without the leader's key")
 	}
 }
 
@@ -124,20 +123,20 @@
 	prefix string, from protocol.Revision, block clock.Micros,
 	done func(storetest.Reply[protocol.WatchResponse]),
 ) {
-	c.link.call(c.p, block+storeTimeout, func(answer func(func())) {
+	c.link.call(c.p, block+storeTimeout, func(respond func(func())) {
 		s := c.store
 		s.Requests++
-		respond := func(status int, value protocol.WatchResponse) {
-			answer(func() { done(storetest.Reply[protocol.WatchResponse]{Status: status, Value: value}) })
+		finish := func(status int, value protocol.WatchResponse) {
+			respond(func() { done(storetest.Reply[protocol.WatchResponse]{Status: status, Value: value}) })
 		}
 		switch {
 		case !c.available():
-			respond(http.StatusServiceUnavailable, protocol.WatchResponse{})
+			finish(http.StatusServiceUnavailable, protocol.WatchResponse{})
 		case len(s.log) > 0 && s.revision-from > s.KeptRevisions:
-			respond(http.StatusGone, protocol.WatchResponse{})
+			finish(http.StatusGone, protocol.WatchResponse{})
 		default:
 			c.watch(prefix, from, block, func() {
-				respond(http.StatusOK, protocol.WatchResponse{Revision: s.revision,
+				finish(http.StatusOK, protocol.WatchResponse{Revision: s.revision,
 					Events: s.eventsSince(prefix, from)})
 			})
 		}
@@ -160,8 +159,8 @@
 // Grant creates a lease.
 func (c *storeClient) Grant(ttl clock.Micros, done func(storetest.Reply[protocol.LeaseResponse])) {
 	request(c, done, func() storetest.Reply[protocol.LeaseResponse] {
-		answer := protocol.LeaseResponse{Lease: c.store.grantLease(ttl)}
-		return storetest.Reply[protocol.LeaseResponse]{Status: http.StatusOK, Value: answer}
+		response := protocol.LeaseResponse{Lease: c.store.grantLease(ttl)}
+		return storetest.Reply[protocol.LeaseResponse]{Status: http.StatusOK, Value: response}
 	})
 }
 
--- a/internal/simulation/storeoutage_test.go
+++ b/internal/simulation/storeoutage_test.go
@@ -120,13 +120,13 @@
 		if len(keep.machines) == 0 {
 			t.Fatal("no task runs, want six")
 		}
-		d.Store.LateWrites = 0.5
+		d.Store.LateWriteChance = 0.5
 		for i := range 6 {
 			d.Submit(array(protocol.JobID(fmt.Sprintf("job-1%05d", i)), "limited", 4, 2, 15), 15*clock.Second, false)
 			w.Run(w.Now() + 2*clock.Second)
 		}
 		w.Run(w.Now() + 30*clock.Second)
-		d.Store.LateWrites = 0
+		d.Store.LateWriteChance = 0
 		w.Run(w.Now() + 300*clock.Second)
 		mustKeepRules(t, w)
 		mustHaveUnfinished(t, d, 1)
--- a/internal/simulation/storerecords.go
+++ b/internal/simulation/storerecords.go
@@ -33,7 +33,7 @@
 	for shard := range j.ShardCount() {
 		if e, ok := s.entries[jobrecord.ShardKey(job, shard)]; ok {
 			if err := j.ApplyShard(shard, e.value); err != nil {
-				s.w.Violate(badRecord, "shard %d of %s: %v", shard, job, err)
+				s.w.ReportViolation(badRecord, "shard %d of %s: %v", shard, job, err)
 			}
 		}
 	}
--- a/internal/simulation/storetxn.go
+++ b/internal/simulation/storetxn.go
@@ -66,8 +66,8 @@
 
 // commit executes a compare-and-swap transaction, or rejects it as a whole.
 func (s *FakeStore) commit(t protocol.Txn) storetest.Reply[protocol.TxnResponse] {
-	respond := func(status int, answer protocol.TxnResponse) storetest.Reply[protocol.TxnResponse] {
-		return storetest.Reply[protocol.TxnResponse]{Status: status, Value: answer}
+	respond := func(status int, body protocol.TxnResponse) storetest.Reply[protocol.TxnResponse] {
+		return storetest.Reply[protocol.TxnResponse]{Status: status, Value: body}
 	}
 	if status := s.limitExceeded(t); status != 0 {
 		return respond(status, protocol.TxnResponse{})
--- a/internal/simulation/tasks.go
+++ b/internal/simulation/tasks.go
@@ -16,8 +16,8 @@
 	task int
 }
 
-// taskRef identifies one attempt of a task.
-type taskRef struct {
+// attemptKey identifies one attempt of a task.
+type attemptKey struct {
 	taskKey
 	attempt protocol.Attempt
 }
@@ -25,11 +25,11 @@
 // task is an attempt on a machine, until the machine forgets it.
 type task struct {
 	taskKey
-	attempt  protocol.Attempt
-	status   string
-	cause    string // of its exit
-	saved    bool   // it saved a checkpoint before it exited
-	resident bool   // it has its image and hasn't ended
+	attempt   protocol.Attempt
+	status    string
+	cause     string // of its exit
+	saved     bool   // it saved a checkpoint before it exited
+	onMachine bool   // it has its image and hasn't ended
 }
 
 // killAll ends and forgets all tasks at once; heartbeats don't report them any more.
@@ -43,8 +43,8 @@
 
 // markGone records that a task isn't on the machine any more.
 func (m *FakeWorker) markGone(t *task) {
-	if t.resident {
-		t.resident = false
+	if t.onMachine {
+		t.onMachine = false
 		m.d.taskEnded(t.taskKey, m)
 	}
 }
@@ -84,9 +84,9 @@
 			continue
 		}
 		m.tasks = append(m.tasks[:i:i], m.tasks[i+1:]...)
-		m.forgotten[taskRef{k, attempt}] = true
+		m.forgotten[attemptKey{k, attempt}] = true
 		if m.d.Store.assigned(k, attempt, m.name) {
-			m.d.World.Violate(forgottenEarly, "%s attempt %d: its end is not in the record",
+			m.d.World.ReportViolation(forgottenEarly, "%s attempt %d: its end is not in the record",
 				protocol.TaskName(k.job, k.task), attempt)
 		}
 		return
@@ -122,8 +122,9 @@
 // so that the worker has kept its result and doesn't run it again.
 func (m *FakeWorker) checkRestart(k taskKey, attempt protocol.Attempt) {
 	j := m.d.findJob(k.job)
-	if m.forgotten[taskRef{k, attempt}] && !j.completed[k.task] && !m.d.Store.assigned(k, attempt, m.name) {
-		m.d.World.Violate(forgottenRestarted, "%s/%d attempt %d after it was forgotten",
+	if m.forgotten[attemptKey{k, attempt}] && !j.completed[k.task] &&
+		!m.d.Store.assigned(k, attempt, m.name) {
+		m.d.World.ReportViolation(forgottenRestarted, "%s/%d attempt %d after it was forgotten",
 			k.job, k.task, attempt)
 	}
 }
@@ -135,7 +136,7 @@
 	case j == nil:
 		return protocol.CauseNoSuchTask
 	case !j.taskResources().FitsIn(m.free()):
-		return protocol.CauseNoRoom
+		return protocol.CauseNoCapacity
 	}
 	for _, other := range m.tasks {
 		if other.taskKey == k && other.attempt != attempt && other.status != protocol.TaskExited {
@@ -164,14 +165,14 @@
 // imageFetched continues with a task that has its image.
 func (m *FakeWorker) imageFetched(t *task) {
 	j := m.d.findJob(t.job)
-	t.resident = true
+	t.onMachine = true
 	m.d.taskStarted(t.taskKey, m)
 	switch {
 	case m.Faulty || j.failing:
 		m.exit(t, protocol.CauseError)
 	case j.completed[t.task]:
 		m.exit(t, protocol.CauseDone)
-	case j.spec.Gang():
+	case j.spec.IsGang():
 		m.waitForGang(t)
 		m.d.startGang(t.job, t.attempt)
 	default:
@@ -196,14 +197,14 @@
 func (m *FakeWorker) runTask(t *task, j *Job) {
 	t.status = protocol.TaskRunning
 	m.scheduleHeartbeat()
-	if j.spec.Service() && j.runTime == 0 {
+	if j.spec.IsService() && j.runTime == 0 {
 		return
 	}
 	m.d.World.After(m.d.World.Between(j.runTime/2, j.runTime*3/2), func() {
 		m.runOrDefer(func() {
 			switch {
-			case t.status != protocol.TaskRunning || !t.resident:
-			case j.spec.Gang():
+			case t.status != protocol.TaskRunning || !t.onMachine:
+			case j.spec.IsGang():
 				m.d.completeGang(t.job, t.attempt)
 			default:
 				m.exit(t, protocol.CauseDone)
@@ -215,8 +216,8 @@
 // exit ends a task with a cause and schedules a heartbeat about it.
 func (m *FakeWorker) exit(t *task, cause string) {
 	t.status, t.cause = protocol.TaskExited, cause
-	if j := m.d.findJob(t.job); cause == protocol.CauseDone && !j.spec.Service() {
-		j.complete(t.task, m.d.CancelAtEnd)
+	if j := m.d.findJob(t.job); cause == protocol.CauseDone && !j.spec.IsService() {
+		j.complete(t.task, m.d.CancelAtEndChance)
 	}
 	m.markGone(t)
 	m.scheduleHeartbeat()
--- a/internal/simulation/transfer_test.go
+++ b/internal/simulation/transfer_test.go
@@ -137,7 +137,7 @@
 	x.w.Run(x.w.Now() + 300*clock.Second)
 	wrong := x.w.Violations
 	if x.job.finalStatus == protocol.StatusDone {
-		wrong = append(wrong, x.history.Judge([]*Job{x.job})...)
+		wrong = append(wrong, x.history.Check([]*Job{x.job})...)
 	}
 	if x.job.finalStatus == "" {
 		wrong = append(wrong, fmt.Sprintf("%d of %d tasks are done", x.done(), x.job.spec.Tasks))
--- a/internal/simulation/userfaults.go
+++ b/internal/simulation/userfaults.go
@@ -18,7 +18,7 @@
 	w := d.World
 	hung := 0
 	for _, j := range d.Jobs() {
-		if n == 0 || !j.accepted() || j.cancelRequested || j.finalStatus != "" || !d.onMachines(j) {
+		if n == 0 || !j.accepted() || j.cancelRequested || j.finalStatus != "" || !d.hasTaskOnMachine(j) {
 			continue
 		}
 		n--
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -20,10 +20,10 @@
 	// Users poll the status of their jobs in intervals between minPollInterval and maxPollInterval.
 	minPollInterval = 3 * clock.Second
 	maxPollInterval = 6 * clock.Second
-	// pollAfterEnd is the chance that a user polls once more about a finished job.
-	pollAfterEnd = 0.3
-	// resubmission is the chance that a user repeats a submission after a status request.
-	resubmission = 0.03
+	// pollAfterEndChance is the chance that a user polls once more about a finished job.
+	pollAfterEndChance = 0.3
+	// resubmissionChance is the chance that a user repeats a submission after a status request.
+	resubmissionChance = 0.03
 )
 
 // ask sends a user's request to a random controller. Status 0 means no response within userTimeout.
@@ -79,7 +79,7 @@
 		case http.StatusCreated, http.StatusOK:
 			d.submitted(j, before, s)
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
-			d.World.Violate(lostJob, "%s answered %d", j.spec.ID, status)
+			d.World.ReportViolation(lostJob, "%s answered %d", j.spec.ID, status)
 		default:
 			d.World.After(retryInterval, func() { d.submit(j) })
 		}
@@ -102,7 +102,7 @@
 func (d *Deployment) SubmitInvalid(body []byte) {
 	d.ask(admission.Request{Kind: admission.Submit, Body: body}, func(status int, _ protocol.JobStatus) {
 		if status == http.StatusOK || status == http.StatusCreated {
-			d.World.Violate(acceptedInvalid, "answered %d: %x", status, body)
+			d.World.ReportViolation(acceptedInvalid, "answered %d: %x", status, body)
 		}
 	})
 }
@@ -114,16 +114,16 @@
 		d.ask(admission.Request{Kind: admission.GetStatus, ID: j.spec.ID},
 			func(status int, s protocol.JobStatus) {
 				if status == http.StatusNotFound {
-					d.World.Violate(lostJob, "%s answered 404", j.spec.ID)
+					d.World.ReportViolation(lostJob, "%s answered 404", j.spec.ID)
 				}
 				if status == http.StatusOK {
 					j.lastResponseAt = d.World.now
 					d.checkStatus(j, before, s)
 				}
-				if j.finalStatus == "" || d.World.chance(pollAfterEnd) {
+				if j.finalStatus == "" || d.World.chance(pollAfterEndChance) {
 					d.poll(j)
 				}
-				if d.World.chance(resubmission) {
+				if d.World.chance(resubmissionChance) {
 					d.submit(j)
 				}
 			})
@@ -153,7 +153,7 @@
 func (d *Deployment) Unfinished() []string {
 	var ids []string
 	for _, j := range d.order {
-		if !j.cancelRequested && j.finalStatus != protocol.StatusDone && !j.failing && !j.spec.Service() {
+		if !j.cancelRequested && j.finalStatus != protocol.StatusDone && !j.failing && !j.spec.IsService() {
 			ids = append(ids, fmt.Sprintf("%s (%d of %d)", j.spec.ID, len(j.completed), j.spec.Tasks))
 		}
 	}
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// neverBoots is the chance that a machine never comes up, unless the cloud is reliable.
-	neverBoots = 0.03
+	// bootFailureChance is the chance that a machine never comes up, unless the cloud is reliable.
+	bootFailureChance = 0.03
 	// All other machines take between minBootTime and maxBootTime to boot.
 	minBootTime = clock.Second
 	maxBootTime = 15 * clock.Second
@@ -26,7 +26,7 @@
 	typ, zone string
 	spot      bool
 	status    string
-	rentedAt  clock.Micros
+	createdAt clock.Micros
 	up, ended bool
 
 	// incarnation counts the agent's incarnations, counter its heartbeats; epoch is the highest epoch of a
@@ -62,7 +62,7 @@
 	// LateCopyChance is the chance that a copy of a heartbeat arrives long after the heartbeat.
 	LateCopyChance float64
 	// forgotten holds the attempts that this incarnation has forgotten and that must not start again.
-	forgotten map[taskRef]bool
+	forgotten map[attemptKey]bool
 	// Faulty is set while the machine fails every task.
 	Faulty bool
 }
@@ -71,12 +71,13 @@
 func (d *Deployment) boot(name protocol.MachineName, k scaling.CapacityPool) *FakeWorker {
 	m := &FakeWorker{
 		d: d, name: name, addr: d.address(name), typ: k.Type, zone: k.Zone, spot: k.Spot,
-		status: protocol.MachineStarting, rentedAt: d.World.now,
-		Link: Link{w: d.World, Loss: d.Loss}, Commands: Link{w: d.World, Loss: d.Loss},
-		LateCopyChance: 2 * d.Loss, forgotten: map[taskRef]bool{},
+		status: protocol.MachineStarting, createdAt: d.World.now,
+		Link:           Link{w: d.World, LossChance: d.LossChance},
+		Commands:       Link{w: d.World, LossChance: d.LossChance},
+		LateCopyChance: 2 * d.LossChance, forgotten: map[attemptKey]bool{},
 	}
 	d.byAddr[m.addr] = m
-	if d.World.chance(neverBoots) && !d.Cloud.Reliable {
+	if d.World.chance(bootFailureChance) && !d.Cloud.Reliable {
 		return m
 	}
 	d.World.After(d.World.Between(minBootTime, maxBootTime), func() {
@@ -102,8 +103,8 @@
 	m.killAll()
 }
 
-// Die makes the machine fail without notice. The cloud still lists it as running for a while.
-func (m *FakeWorker) Die() {
+// Fail makes the machine fail without notice. The cloud still lists it as running for a while.
+func (m *FakeWorker) Fail() {
 	m.end()
 	m.d.World.After(failureDelay, func() { m.status = protocol.MachineFailed })
 }
@@ -172,7 +173,7 @@
 		m.expiredJobs = map[protocol.JobID]clock.Micros{}
 	}
 	for _, t := range m.tasks {
-		if t.resident {
+		if t.onMachine {
 			m.expiredJobs[t.job] = m.d.World.now
 		}
 	}
--- a/internal/simulation/workerfaults.go
+++ b/internal/simulation/workerfaults.go
@@ -2,8 +2,8 @@
 
 import "postpoint/internal/clock"
 
-// holdShare is the chance that a cut link holds messages back instead of losing them.
-const holdShare = 0.7
+// holdChance is the chance that a cut link holds messages back instead of losing them.
+const holdChance = 0.7
 
 // hangWorker makes the worker do nothing until the fault ends.
 func (f *fault) hangWorker() {
@@ -13,14 +13,14 @@
 
 // partitionWorker cuts the worker off from the controllers, in both directions.
 func (f *fault) partitionWorker() {
-	f.cut(&f.worker.Link, f.w.chance(holdShare))
-	f.cut(&f.worker.Commands, f.w.chance(holdShare))
+	f.cut(&f.worker.Link, f.w.chance(holdChance))
+	f.cut(&f.worker.Commands, f.w.chance(holdChance))
 }
 
 // holdCommands delays direct commands to the worker until the fault ends.
 func (f *fault) holdCommands() { f.cut(&f.worker.Commands, true) }
 
-func (f *fault) killWorker() { f.worker.Die() }
+func (f *fault) killWorker() { f.worker.Fail() }
 
 // reclaimWorker makes the cloud take the machine back, after a short notice or none.
 func (f *fault) reclaimWorker() { f.d.Reclaim(f.worker, f.w.Between(0, 12*clock.Second)) }
--- a/internal/simulation/workload.go
+++ b/internal/simulation/workload.go
@@ -16,7 +16,7 @@
 			{Name: "limited", Cpus: 8, CpusMax: 24, Gpus: 2, GpusMax: 4},
 			{Name: "open"},
 		},
-		Workers: settings.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 20, GangPeerS: 4, CancelS: 30},
+		Workers: settings.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 20, GangPeerTimeoutS: 4, CancelS: 30},
 		KVStore: settings.KVStore{Rps: 100, WriteRps: 40, ValueKb: 8, TxnOps: 5},
 		Cloud:   settings.Cloud{Rps: 8, ListLagS: 4},
 		// With a tenth of a core the leader pauses between its steps.
--- a/internal/simulation/zonefixture_test.go
+++ b/internal/simulation/zonefixture_test.go
@@ -82,7 +82,7 @@
 		}
 	}
 	if len(wrong) == 0 {
-		wrong = h.Judge(jobs)
+		wrong = h.Check(jobs)
 	}
 	if len(wrong) > 0 {
 		t.Errorf("%s: want rules kept and each task completed once:\n%s", what, strings.Join(wrong, "\n"))
--- a/internal/simulation/zoneloss_test.go
+++ b/internal/simulation/zoneloss_test.go
@@ -45,13 +45,13 @@
 					j := d.Submit(gang("job-000001", 8, 25), 25*clock.Second, false)
 					other := d.Submit(array("job-000002", "open", 6, 2, 20), 20*clock.Second, false)
 					if step.name == "rebuilt" {
-						w.After(30*clock.Second, func() { w.After(40*clock.Second, d.CutZone("a", true)) })
+						w.After(30*clock.Second, func() { w.After(40*clock.Second, d.PartitionZone("a", true)) })
 					}
 					for w.Now() < 150*clock.Second &&
 						!(d.Store.wholeRecord(j.spec.ID) != nil && step.reached(d, j)) {
 						w.Run(w.Now() + 20*clock.Millisecond)
 					}
-					w.After(duration, d.CutZone(zone, k%2 == 0))
+					w.After(duration, d.PartitionZone(zone, k%2 == 0))
 					w.Run(w.Now() + 400*clock.Second)
 					checkJobs(t, fmt.Sprintf("zone %s, %.0f s", zone, duration.Seconds()), w, h, j, other)
 				}
@@ -81,8 +81,8 @@
 		"upgrade":      func(d *Deployment, _ *Job) { d.Upgrade(8*clock.Second, 2*clock.Second) },
 		"cancellation": func(d *Deployment, j *Job) { d.Cancel(j) },
 		"slow store": func(d *Deployment, _ *Job) {
-			d.Store.LateWrites = 0.3
-			d.World.After(60*clock.Second, func() { d.Store.LateWrites = 0 })
+			d.Store.LateWriteChance = 0.3
+			d.World.After(60*clock.Second, func() { d.Store.LateWriteChance = 0 })
 		},
 		"nothing else": func(*Deployment, *Job) {},
 	} {
@@ -95,7 +95,7 @@
 			jobs := []*Job{d.Submit(array("job-000001", "open", 24, 2, 50), 50*clock.Second, false),
 				d.Submit(gang("job-000002", 6, 40), 40*clock.Second, false)}
 			w.Run(60 * clock.Second)
-			w.After(50*clock.Second, d.CutZone([]string{"a", "b"}[i%2], i > 1))
+			w.After(50*clock.Second, d.PartitionZone([]string{"a", "b"}[i%2], i > 1))
 			w.Run(w.Now() + delay)
 			fault(d, jobs[0])
 			w.Run(600 * clock.Second)
@@ -118,7 +118,7 @@
 	if !x.runTo(steps[5].reached) {
 		t.Fatal("no task was completed by the host cell")
 	}
-	x.w.After(60*clock.Second, x.host.CutZone("a", false))
+	x.w.After(60*clock.Second, x.host.PartitionZone("a", false))
 	x.finish(t, "zone of the host")
 }
 
@@ -136,7 +136,7 @@
 					d.StartNode(n)
 				}
 				d.monitorGangs()
-				d.cutRandomZones()
+				d.partitionRandomZones()
 			})
 			mustKeepRules(t, d.World)
 			if left := d.Unfinished(); len(left) > 0 {
--- a/internal/simulation/zonerecovery_test.go
+++ b/internal/simulation/zonerecovery_test.go
@@ -25,7 +25,7 @@
 			w.Run(20 * clock.Second)
 			j := d.Submit(array("job-000001", "open", 24, 2, 60), 60*clock.Second, false)
 			w.Run(50 * clock.Second)
-			heal := d.CutZone(zone, false)
+			heal := d.PartitionZone(zone, false)
 			w.After(60*clock.Second, heal)
 			d.awaitPhase(t, zone, phase, 100*clock.Second)
 			d.crashLeader(3 * clock.Second)
@@ -47,15 +47,15 @@
 	}
 }
 
-// A zone flaps. Its losses, the rented machines and the elections must stay bounded: the leader moves no task
-// for partitions that end before it has diagnosed a loss, and the more often the zone flaps, the longer it
-// gets no tasks.
+// A zone flaps. Its losses, the number of started machines and the elections must stay bounded: the leader
+// moves no task for partitions that end before it has diagnosed a loss, and the more often the zone flaps,
+// the longer it gets no tasks.
 func TestFlappingZoneCostsLittle(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		cuts, every, duration clock.Micros // how many, how often, each for how long
 		losses                int64
-		rentals               int
+		startedMachines       int
 	}{
 		"twice within a minute":            {2, 40 * clock.Second, 15 * clock.Second, 2, 8},
 		"each few seconds for ten minutes": {75, 8 * clock.Second, 4 * clock.Second, 0, 3},
@@ -74,7 +74,7 @@
 		}
 		epoch := d.Store.entries["lead/controller"].version
 		for i := range c.cuts {
-			w.After(i*c.every, func() { w.After(c.duration, d.CutZone(zone, i%2 == 0)) })
+			w.After(i*c.every, func() { w.After(c.duration, d.PartitionZone(zone, i%2 == 0)) })
 		}
 		w.Run(w.Now() + c.cuts*c.every + 150*clock.Second)
 		z := d.zones()[zone]
@@ -82,14 +82,14 @@
 			t.Errorf("%s: %d losses, want %d at most; %s, want %s",
 				name, z.Losses, c.losses, z.Phase, zonerecovery.Healthy)
 		}
-		if n := len(d.Cloud.all) - machines; n > c.rentals {
-			t.Errorf("%s: %d machines rented, want %d at most", name, n, c.rentals)
+		if n := len(d.Cloud.all) - machines; n > c.startedMachines {
+			t.Errorf("%s: %d machines started, want %d at most", name, n, c.startedMachines)
 		}
 		if e := d.Store.entries["lead/controller"].version; e != epoch {
 			t.Errorf("%s: epoch %d, want %d: no other leader", name, e, epoch)
 		}
-		_, runs := h.Elsewhere()
-		t.Logf("%s: %d losses, %d machines rented, %d runs of %d tasks",
+		_, runs := h.RunsOutsideOrigin()
+		t.Logf("%s: %d losses, %d machines started, %d runs of %d tasks",
 			name, z.Losses, len(d.Cloud.all)-machines, runs, j.spec.Tasks)
 		mustKeepRules(t, w)
 	}
@@ -128,7 +128,7 @@
 		w.Run(w.Now() + 15*clock.Second)
 	}
 	d.Cloud.Capacity[scaling.CapacityPool{Type: "small", Zone: "b"}] = 12
-	w.After(300*clock.Second, d.CutZone("a", false))
+	w.After(300*clock.Second, d.PartitionZone("a", false))
 	turns, reason := d.watchWaiting("a", bound.ID)
 	order := []protocol.JobID{service.ID, due.ID, whole.ID, plain.ID}
 	for i := 1; i < len(order); i++ {
@@ -169,7 +169,7 @@
 	return turns, reason
 }
 
-// A zone is lost, with and without zone recovery. With it the leader must rent no machine in the lost zone,
+// A zone is lost, with and without zone recovery. With it the leader must start no machine in the lost zone,
 // boot machines for its jobs before its tasks are proven gone, and run all tasks again no later than without
 // it.
 func TestZoneRecoveryIsFasterThanNone(t *testing.T) {
@@ -193,14 +193,14 @@
 		zone := map[string]string{"a": "b", "b": "a"}[d.Leader().Zone]
 		before := len(d.Cloud.all)
 		cutAt := w.Now()
-		w.After(90*clock.Second, d.CutZone(zone, false))
+		w.After(90*clock.Second, d.PartitionZone(zone, false))
 		runUntil(w, cutAt+80*clock.Second, 100*clock.Millisecond, func() bool {
 			return j.tasksOutside(zone) >= j.spec.Tasks
 		})
 		took[on] += (w.Now() - cutAt) / 8
-		rentedThere := func(m *FakeWorker) bool { return m.zone == zone && m.rentedAt > cutAt+5*clock.Second }
-		if on && slices.ContainsFunc(d.Cloud.all[before:], rentedThere) {
-			t.Errorf("machines were rented in the lost zone %s, want none", zone)
+		startedThere := func(m *FakeWorker) bool { return m.zone == zone && m.createdAt > cutAt+5*clock.Second }
+		if on && slices.ContainsFunc(d.Cloud.all[before:], startedThere) {
+			t.Errorf("machines were started in the lost zone %s, want none", zone)
 		}
 		w.Run(900 * clock.Second)
 		checkJobs(t, fmt.Sprint(on), w, h, j)
--- a/internal/simulation/zones.go
+++ b/internal/simulation/zones.go
@@ -11,9 +11,9 @@
 	held []func()
 }
 
-// CutZone partitions a zone until the caller calls heal. Messages out of the zone or into it are lost or, if
-// hold is set, delivered after heal.
-func (d *Deployment) CutZone(zone string, hold bool) (heal func()) {
+// PartitionZone partitions a zone until the caller calls heal. Messages out of the zone or into it are lost
+// or, if hold is set, delivered after heal.
+func (d *Deployment) PartitionZone(zone string, hold bool) (heal func()) {
 	if d.partitions[zone] != nil {
 		return func() {}
 	}
--- a/internal/transport/outcome.go
+++ b/internal/transport/outcome.go
@@ -33,7 +33,7 @@
 type Error struct {
 	// Kind is what errors.Is matches.
 	Kind error
-	// Status is the HTTP status of the response, 0 without a response, and NotSent for ErrNotSent.
+	// Status is the HTTP status of the response, 0 without a response, and StatusNotSent for ErrNotSent.
 	Status int
 	// Reason is the explanation in the response, if there is one.
 	Reason string
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -29,9 +29,9 @@
 // ErrTooLarge means that the body of a response exceeds the limit of the request.
 var ErrTooLarge = errors.New("response too large")
 
-// NotSent is the status for ErrNotSent in test fakes and in records of the simulation, which use statuses
-// in place of errors.
-const NotSent = -1
+// StatusNotSent is the status for ErrNotSent in test fakes and in records of the simulation, which use
+// statuses in place of errors.
+const StatusNotSent = -1
 
 // Request is one HTTP request.
 type Request struct {
@@ -163,7 +163,7 @@
 }
 
 // notSent returns the error of a request whose deadline passed before it was sent.
-func notSent() error { return &Error{Kind: ErrNotSent, Status: NotSent} }
+func notSent() error { return &Error{Kind: ErrNotSent, Status: StatusNotSent} }
 
 // readResponse reads the complete response, or returns ErrTooLarge if the body exceeds the limit.
 func readResponse(resp *http.Response, limit int64) (Response, error) {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -83,7 +83,7 @@
 		status   int
 		requests int32
 	}{
-		{"passed", Deadline{&advancingClock{}, clock.Second}, NotSent, 0},
+		{"passed", Deadline{&advancingClock{}, clock.Second}, StatusNotSent, 0},
 		{"ahead", Deadline{&advancingClock{}, 2 * clock.Second}, http.StatusOK, 1},
 		{"none", Deadline{}, http.StatusOK, 2},
 	} {
@@ -122,7 +122,7 @@
 			statusOf(t, err))
 	}
 	late := NoResponse(notSent())
-	if !errors.Is(late, ErrNotSent) || errors.Is(late, ErrNoResponse) || statusOf(t, late) != NotSent {
+	if !errors.Is(late, ErrNotSent) || errors.Is(late, ErrNoResponse) || statusOf(t, late) != StatusNotSent {
 		t.Errorf("%v with status %d, expected it to stay ErrNotSent", late, statusOf(t, late))
 	}
 }
