--- a/internal/workerclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -35,7 +35,7 @@
 
 // command sends a command at second 10 of the clock and waits for the outcome.
 func (w *worker) command(until clock.Micros) Response {
-	mailbox := actortest.Instant{Now: 10 * clock.Second, Messages: make(chan func())}
+	mailbox := actortest.ChannelMailbox{Now: 10 * clock.Second, Messages: make(chan func())}
 	var got Response
 	New().For(mailbox).Commands(w.addr, protocol.CommandRequest{Epoch: 1, Incarnation: 1}, until,
 		func(r Response) { got = r })
--- a/internal/workerclient/golden_test.go
+++ b/internal/workerclient/golden_test.go
@@ -14,8 +14,9 @@
 
 // The client sends the recorded request and decodes the worker's status from the response.
 func TestGoldenRequest(t *testing.T) {
-	address, requests := goldentest.Serve(t, http.StatusConflict, "\x82\xa4Host\xa3m-1\xa5Shift\x03")
-	mailbox := actortest.Instant{Messages: make(chan func(), 1)}
+	address, requests := goldentest.ServeFixedResponse(t, http.StatusConflict,
+		"\x82\xa4Host\xa3m-1\xa5Shift\x03")
+	mailbox := actortest.ChannelMailbox{Messages: make(chan func(), 1)}
 	commands := protocol.CommandRequest{Epoch: 41, Incarnation: 3, Commands: []protocol.Command{
 		{Verb: protocol.VerbStop, Task: "job-1/0", Attempt: 2, GraceS: 4},
 	}}
--- a/internal/workerclient/workertest/service.go
+++ b/internal/workerclient/workertest/service.go
@@ -10,7 +10,7 @@
 )
 
 // Service is a fake of all workers for one client. Status 0 means that there was no response, and
-// transport.NotSent that the commands were not sent.
+// transport.StatusNotSent that the commands were not sent.
 type Service interface {
 	Commands(addr string, c protocol.CommandRequest, until clock.Micros,
 		done func(status int, r protocol.Heartbeat))
@@ -33,7 +33,7 @@
 // failure returns the error for a status of a Service, nil for success.
 func failure(status int, worker protocol.Heartbeat) error {
 	switch status {
-	case transport.NotSent:
+	case transport.StatusNotSent:
 		return &transport.Error{Kind: workerclient.ErrNotSent, Status: status}
 	case 0:
 		return &transport.Error{Kind: workerclient.ErrNoResponse}
--- a/internal/workerclient/workertest/service_test.go
+++ b/internal/workerclient/workertest/service_test.go
@@ -40,7 +40,7 @@
 
 // Guards against a fake whose status becomes the wrong error, for every status.
 func TestClientReturnsErrorOfEveryStatus(t *testing.T) {
-	for status := transport.NotSent; status < 1000; status++ {
+	for status := transport.StatusNotSent; status < 1000; status++ {
 		workers := Client(fixedWorker{status, protocol.Heartbeat{Machine: "m-1", Epoch: 8, Incarnation: 2}})
 		got := workerclient.Response{Err: errors.New("no outcome")}
 		workers.Commands("", protocol.CommandRequest{}, 0, func(r workerclient.Response) { got = r })
@@ -48,11 +48,11 @@
 			t.Errorf("status %d became %d from %q", status, statusOf(t, got.Err), got.Status.Machine)
 		}
 		unknown := status != http.StatusOK && status != http.StatusConflict &&
-			status != http.StatusBadRequest && status != transport.NotSent
+			status != http.StatusBadRequest && status != transport.StatusNotSent
 		if workerclient.OutcomeUnknown(got.Err) != unknown {
 			t.Errorf("status %d: %v, expected an unknown outcome %v", status, got.Err, unknown)
 		}
-		if notSent := status == transport.NotSent; errors.Is(got.Err, workerclient.ErrNotSent) != notSent {
+		if notSent := status == transport.StatusNotSent; errors.Is(got.Err, workerclient.ErrNotSent) != notSent {
 			t.Errorf("status %d: %v, expected not sent %v", status, got.Err, notSent)
 		}
 		if noResponse := status == 0; errors.Is(got.Err, workerclient.ErrNoResponse) != noResponse {
--- a/internal/zonerecovery/evidence.go
+++ b/internal/zonerecovery/evidence.go
@@ -2,18 +2,18 @@
 
 // Evidence is what the leader knows about a zone at one moment.
 type Evidence struct {
-	// Machines counts the zone's machines that should be sending heartbeats. Heard counts those whose
+	// Machines counts the zone's machines that should be sending heartbeats. OnTime counts those whose
 	// heartbeats reach this controller.
-	Machines, Heard int
+	Machines, OnTime int
 	// ProbesAnswered counts silent machines that have recently answered a probe.
 	ProbesAnswered int
-	// Gone counts machines that the cloud lists as failed or no longer lists.
-	Gone int
+	// FailedOrUnlisted counts machines that the cloud lists as failed or no longer lists.
+	FailedOrUnlisted int
 	// Controllers counts the controllers in the zone. ControllersReached counts those that respond to this
 	// controller.
 	Controllers, ControllersReached int
-	// HeardElsewhere counts machines whose heartbeats reach other controllers.
-	HeardElsewhere int
+	// OnTimeElsewhere counts machines whose heartbeats reach other controllers.
+	OnTimeElsewhere int
 }
 
 // silentShare returns the share of the zone's machines that are silent.
@@ -21,7 +21,7 @@
 	if e.Machines == 0 {
 		return 0
 	}
-	return float64(e.Machines-e.Heard) / float64(e.Machines)
+	return float64(e.Machines-e.OnTime) / float64(e.Machines)
 }
 
 // Diagnosis is the most likely cause of a zone's state. It is only shown to operators and influences no
@@ -53,19 +53,19 @@
 // Diagnose returns the diagnosis that fits the evidence. isolated tells that this controller receives no
 // heartbeats from the other zones either.
 func Diagnose(e Evidence, isolated bool) Diagnosis {
-	silent := e.Machines - e.Heard
+	silent := e.Machines - e.OnTime
 	switch {
 	case silent == 0:
 		return NoneSilent
 	case isolated:
 		return ControllerIsolated
-	case e.Heard > 0:
+	case e.OnTime > 0:
 		return PartlySilent
-	case e.HeardElsewhere > 0:
+	case e.OnTimeElsewhere > 0:
 		return HeartbeatsElsewhere
 	case e.ControllersReached > 0 || e.ProbesAnswered > 0:
 		return HeartbeatsMissing
-	case 2*e.Gone >= silent: // at least half of the silent machines
+	case 2*e.FailedOrUnlisted >= silent: // at least half of the silent machines
 		return PoweredOff
 	}
 	return PartitionedOrOff
--- a/internal/zonerecovery/evidence_test.go
+++ b/internal/zonerecovery/evidence_test.go
@@ -7,8 +7,8 @@
 		NoneSilent:          noneSilent,
 		PartlySilent:        mostSilent,
 		PartitionedOrOff:    allSilent,
-		PoweredOff:          {Machines: 10, Gone: 8},
-		HeartbeatsElsewhere: {Machines: 10, HeardElsewhere: 9},
+		PoweredOff:          {Machines: 10, FailedOrUnlisted: 8},
+		HeartbeatsElsewhere: {Machines: 10, OnTimeElsewhere: 9},
 		HeartbeatsMissing:   {Machines: 10, Controllers: 1, ControllersReached: 1},
 	} {
 		if got := Diagnose(e, false); got != want {
--- a/internal/zonerecovery/golden_test.go
+++ b/internal/zonerecovery/golden_test.go
@@ -61,8 +61,8 @@
 		{string(HeartbeatsMissing), "its machines are silent, not all of it is out of reach"},
 		{string(HeartbeatsElsewhere), "other controllers hear it"},
 		{string(Hold), "hold"},
-		{string(Hasten), "hasten"},
-		{string(End), "end"},
+		{string(DeclareLost), "hasten"},
+		{string(DeclareHealthy), "end"},
 		{string(Services), "services"},
 		{string(Deadlines), "deadlines"},
 		{string(Gangs), "gangs"},
@@ -102,7 +102,7 @@
 		LossDelayS:   5.5,
 		ReturnDelayS: 11.5,
 		TasksPerS:    150.5,
-		Order:        []Kind{PastObjective, Arrays, Gangs, Deadlines, Services},
+		Order:        []JobKind{PastObjective, Arrays, Gangs, Deadlines, Services},
 		Reserve:      ReserveSettings{Share: 0.125, Classes: []string{"portal", "extrase"}},
 		Zones:        []ZoneOverride{{Name: "somes", Action: Hold}},
 	}
@@ -135,7 +135,7 @@
 			LossDelayS:   6,
 			ReturnDelayS: 10,
 			TasksPerS:    200,
-			Order:        []Kind{Services, Deadlines, Gangs, Arrays, PastObjective},
+			Order:        []JobKind{Services, Deadlines, Gangs, Arrays, PastObjective},
 		}
 		got, err := Parse([]byte(text), goldenPlatform())
 		if d := cmp.Diff(&want, got); err != nil || d != "" {
--- a/internal/zonerecovery/load.go
+++ b/internal/zonerecovery/load.go
@@ -67,7 +67,7 @@
 	for i, override := range s.Zones {
 		field := fmt.Sprintf("zones[%d]", i)
 		switch override.Action {
-		case Hold, Hasten, End:
+		case Hold, DeclareLost, DeclareHealthy:
 		default:
 			return configfile.Invalid(field+".action", string(override.Action),
 				"is none of hold, hasten, end")
--- a/internal/zonerecovery/order.go
+++ b/internal/zonerecovery/order.go
@@ -10,7 +10,7 @@
 // DisplacedJob is a job with tasks that ran in a lost zone and have to start elsewhere.
 type DisplacedJob struct {
 	Job  protocol.JobID
-	Kind Kind
+	Kind JobKind
 	Rank int // 0 is the highest
 	// LostShare is the share of a service's replicas that the zone's loss took.
 	LostShare float64
@@ -24,12 +24,12 @@
 // SortDisplaced sorts displaced jobs into the order in which they start: by kind; then by rank; then services
 // by largest lost share, and jobs with deadlines by least slack; then by time of submission and job ID. The
 // order is total.
-func SortDisplaced(jobs []DisplacedJob, order []Kind) {
+func SortDisplaced(jobs []DisplacedJob, order []JobKind) {
 	slices.SortFunc(jobs, func(a, b DisplacedJob) int { return compare(&a, &b, order) })
 }
 
 // compare returns a negative number if a starts before b, and a positive one if a starts after b.
-func compare(a, b *DisplacedJob, order []Kind) int {
+func compare(a, b *DisplacedJob, order []JobKind) int {
 	return cmp.Or(
 		cmp.Compare(slices.Index(order, a.Kind), slices.Index(order, b.Kind)),
 		cmp.Compare(a.Rank, b.Rank),
--- a/internal/zonerecovery/order_test.go
+++ b/internal/zonerecovery/order_test.go
@@ -23,7 +23,7 @@
 })
 
 // startsBefore states the documented order directly, one criterion after the other.
-func startsBefore(a, b DisplacedJob, order []Kind) bool {
+func startsBefore(a, b DisplacedJob, order []JobKind) bool {
 	if a.Kind != b.Kind {
 		return slices.Index(order, a.Kind) < slices.Index(order, b.Kind)
 	}
@@ -43,7 +43,7 @@
 }
 
 // first returns the index of the job that starts before all others.
-func first(jobs []DisplacedJob, order []Kind) int {
+func first(jobs []DisplacedJob, order []JobKind) int {
 	return slices.IndexFunc(jobs, func(job DisplacedJob) bool {
 		return !slices.ContainsFunc(jobs, func(other DisplacedJob) bool {
 			return other.Job != job.Job && startsBefore(other, job, order)
--- a/internal/zonerecovery/settings.go
+++ b/internal/zonerecovery/settings.go
@@ -24,7 +24,7 @@
 	// TasksPerS is the rate at which displaced tasks may start elsewhere, in tasks per second.
 	TasksPerS float64 `toml:"tasks_per_s" validate:"gt=0"`
 	// Order lists the kinds of displaced jobs in the order in which they start.
-	Order   []Kind          `toml:"order"`
+	Order   []JobKind       `toml:"order"`
 	Reserve ReserveSettings `toml:"reserve"`
 	Zones   []ZoneOverride  `toml:"zones" validate:"dive"`
 }
@@ -50,27 +50,27 @@
 const (
 	// Hold keeps the zone's phase as it is and starts no more of its displaced tasks.
 	Hold Action = "hold"
-	// Hasten counts a silent zone as lost at once and starts all of its displaced tasks.
-	Hasten Action = "hasten"
-	// End counts the zone as healthy, regardless of the evidence.
-	End Action = "end"
+	// DeclareLost counts a silent zone as lost at once and starts all of its displaced tasks.
+	DeclareLost Action = "hasten"
+	// DeclareHealthy counts the zone as healthy, regardless of the evidence.
+	DeclareHealthy Action = "end"
 )
 
-// Kind is a kind of displaced job. Jobs of one kind start before those of the next.
-type Kind string
+// JobKind is a kind of displaced job. Jobs of one kind start before those of the next.
+type JobKind string
 
 // The kinds, in the default order.
 const (
-	Services      Kind = "services"
-	Deadlines     Kind = "deadlines" // jobs that can still meet their deadlines
-	Gangs         Kind = "gangs"
-	Arrays        Kind = "arrays"
-	PastObjective Kind = "rest" // jobs that have already missed their service-level objectives
+	Services      JobKind = "services"
+	Deadlines     JobKind = "deadlines" // jobs that can still meet their deadlines
+	Gangs         JobKind = "gangs"
+	Arrays        JobKind = "arrays"
+	PastObjective JobKind = "rest" // jobs that have already missed their service-level objectives
 )
 
 // DefaultOrder returns the order of kinds that applies unless the file sets another. The kinds whose loss
 // users notice first come first. Jobs that are too late in any case come last.
-func DefaultOrder() []Kind { return []Kind{Services, Deadlines, Gangs, Arrays, PastObjective} }
+func DefaultOrder() []JobKind { return []JobKind{Services, Deadlines, Gangs, Arrays, PastObjective} }
 
 // The settings of an empty file.
 const (
--- a/internal/zonerecovery/zone.go
+++ b/internal/zonerecovery/zone.go
@@ -63,9 +63,9 @@
 	// retryUnreachableDelay is the time after which the leader retries a lost zone that has neither machines
 	// nor a reachable controller, so that no sign of its return can arrive.
 	retryUnreachableDelay = 60 * clock.Second
-	// usualSilentShare is the share of a zone's machines that may be silent at any time without being a sign
+	// normalSilentShare is the share of a zone's machines that may be silent at any time without being a sign
 	// of a zone failure, because single machines fail and boot.
-	usualSilentShare = 0.25
+	normalSilentShare = 0.25
 	// minMachines is the number of machines that a zone needs for their silence to be a sign of a zone
 	// failure.
 	minMachines = 2
@@ -79,11 +79,11 @@
 	z.trackSilence(now, e)
 	before := z.Phase
 	switch action := s.Action(z.Name); {
-	case action == End:
+	case action == DeclareHealthy:
 		z.enter(Healthy, now)
 	case action == Hold: // the phase stays
 	default:
-		next := z.nextPhase(now, e, s, action == Hasten)
+		next := z.nextPhase(now, e, s, action == DeclareLost)
 		if isolated && next.worse(before) {
 			next = before
 		}
@@ -94,7 +94,7 @@
 
 // trackSilence records since when the zone has been responding, or silent.
 func (z *Zone) trackSilence(now clock.Micros, e Evidence) {
-	if e.silentShare() <= usualSilentShare {
+	if e.silentShare() <= normalSilentShare {
 		z.silentSince = 0
 		if z.respondingSince == 0 {
 			z.respondingSince = now
@@ -122,7 +122,7 @@
 func (z *Zone) nextFromServing(now clock.Micros, e Evidence, s *Settings, hasten bool) Phase {
 	silent := e.silentShare()
 	switch {
-	case !e.significant() || silent <= usualSilentShare:
+	case !e.significant() || silent <= normalSilentShare:
 		return Healthy
 	case z.Phase == Healthy && silent < s.SuspectShare:
 		return Healthy
@@ -136,7 +136,7 @@
 // left that could send one, it returns Returning after a delay, so that the leader retries the zone.
 func (z *Zone) nextFromLost(now clock.Micros, e Evidence) Phase {
 	switch {
-	case e.Heard > 0 && e.silentShare() < 1:
+	case e.OnTime > 0 && e.silentShare() < 1:
 		return Returning
 	case e.Machines == 0 && e.ControllersReached > 0 && now >= z.Since+retryReachableDelay:
 		return Returning
@@ -160,7 +160,7 @@
 
 // significant reports whether the silence in the zone may be a sign of more than the failure of a single
 // machine.
-func (e Evidence) significant() bool { return e.Machines >= minMachines && e.Heard < e.Machines }
+func (e Evidence) significant() bool { return e.Machines >= minMachines && e.OnTime < e.Machines }
 
 // silentForLossDelay reports whether the zone has been silent for at least the loss delay.
 func (z *Zone) silentForLossDelay(now clock.Micros, s *Settings) bool {
--- a/internal/zonerecovery/zone_test.go
+++ b/internal/zonerecovery/zone_test.go
@@ -14,9 +14,9 @@
 func TestMain(m *testing.M) { rapidtest.Main(m, 500) }
 
 var (
-	noneSilent = Evidence{Machines: 10, Heard: 10, Controllers: 1, ControllersReached: 1}
+	noneSilent = Evidence{Machines: 10, OnTime: 10, Controllers: 1, ControllersReached: 1}
 	allSilent  = Evidence{Machines: 10, Controllers: 1}
-	mostSilent = Evidence{Machines: 10, Heard: 4, Controllers: 1, ControllersReached: 1}
+	mostSilent = Evidence{Machines: 10, OnTime: 4, Controllers: 1, ControllersReached: 1}
 )
 
 // observedZone is a zone with the simulated time and the settings for its observations.
@@ -92,8 +92,8 @@
 			{30, controllerAnswers, false, Returning},
 		}},
 		"held":     {Hold, []step{{60, allSilent, false, Healthy}}},
-		"hastened": {Hasten, []step{{2, allSilent, false, Lost}}},
-		"ended":    {End, []step{{60, allSilent, false, Healthy}}},
+		"hastened": {DeclareLost, []step{{2, allSilent, false, Lost}}},
+		"ended":    {DeclareHealthy, []step{{60, allSilent, false, Healthy}}},
 		"second loss": {"", []step{
 			{8, allSilent, false, Lost},
 			{2, noneSilent, false, Returning},
