--- a/cmd/loadtool/cells.go
+++ b/cmd/loadtool/cells.go
@@ -66,7 +66,7 @@
 		v.name, quantiles(sum.starts), quantiles(sum.ends), quantiles(sum.otherStarts),
 		fmt.Sprintf("%.2f", float64(sum.runsOutsideOrigin)/float64(max(sum.runs, 1))),
 		fmt.Sprintf("%.2f", float64(sum.delegations)/float64(sum.jobs)),
-		fmt.Sprintf("%d of %d", sum.notOnceTasks, sum.jobs),
+		fmt.Sprintf("%d of %d", sum.tasksNotCompletedOnce, sum.jobs),
 		fmt.Sprint(sum.violations), fmt.Sprint(sum.unfinished),
 		strings.Join(returned, " "),
 		fmt.Sprintf("%.0f", float64(sum.storeChanges)/days),
--- a/cmd/loadtool/cellsday.go
+++ b/cmd/loadtool/cellsday.go
@@ -46,20 +46,20 @@
 
 // cellsDay is the result of one simulated day, or the sum of several.
 type cellsDay struct {
-	starts            []float64 // of the overloaded cell's jobs, in seconds from their submission
-	ends              []float64 // of the same jobs
-	otherStarts       []float64 // of the other cells' own jobs
-	runsOutsideOrigin int       // runs of tasks outside their origin cell
-	runs              int       // all runs of tasks
-	delegations       int       // by the overloaded cell
-	jobs              int       // of the overloaded cell
-	notOnceTasks      int       // tasks that didn't complete exactly once
-	unfinished        int
-	violations        int           // violations of the simulation's rules
-	storeChanges      int           // to the overloaded cell's store
-	returnedS         float64       // from the loss of a cell until it holds no tasks of the overloaded cell
-	elapsed           time.Duration // real time of the simulation
-	delegatedOverTime plotter.XYs   // the overloaded cell's tasks that other cells hold
+	starts                []float64 // of the overloaded cell's jobs, in seconds from their submission
+	ends                  []float64 // of the same jobs
+	otherStarts           []float64 // of the other cells' own jobs
+	runsOutsideOrigin     int       // runs of tasks outside their origin cell
+	runs                  int       // all runs of tasks
+	delegations           int       // by the overloaded cell
+	jobs                  int       // of the overloaded cell
+	tasksNotCompletedOnce int       // tasks that didn't complete exactly once
+	unfinished            int
+	violations            int           // violations of the simulation's rules
+	storeChanges          int           // to the overloaded cell's store
+	returnedS             float64       // from a cell's loss until it holds no tasks of the overloaded cell
+	elapsed               time.Duration // real time of the simulation
+	delegatedOverTime     plotter.XYs   // the overloaded cell's tasks that other cells hold
 }
 
 // add adds the results of a day.
@@ -71,7 +71,7 @@
 	c.runs += day.runs
 	c.delegations += day.delegations
 	c.jobs += day.jobs
-	c.notOnceTasks += day.notOnceTasks
+	c.tasksNotCompletedOnce += day.tasksNotCompletedOnce
 	c.unfinished += day.unfinished
 	c.violations += day.violations
 	c.storeChanges += day.storeChanges
@@ -205,5 +205,5 @@
 	day.runsOutsideOrigin, day.runs = s.history.RunsOutsideOrigin()
 	day.delegations, day.jobs, day.storeChanges =
 		s.alpha.DelegationCount(), len(s.jobs), s.alpha.Store.Changes
-	day.notOnceTasks, day.violations = len(s.history.Check(s.jobs)), len(s.world.Violations)
+	day.tasksNotCompletedOnce, day.violations = len(s.history.Check(s.jobs)), len(s.world.Violations)
 }
--- a/internal/cloudclient/client.go
+++ b/internal/cloudclient/client.go
@@ -70,7 +70,7 @@
 
 // changeDeadline returns the deadline of a change.
 func (client *actorClient) changeDeadline(until clock.Micros) transport.Deadline {
-	return transport.Deadline{Clock: client.mailbox, Instant: until}
+	return transport.Deadline{Clock: client.mailbox, Time: until}
 }
 
 // call sends one request in a goroutine of its own, decodes the body of the response into value unless
--- a/internal/cloudclient/client_test.go
+++ b/internal/cloudclient/client_test.go
@@ -85,7 +85,8 @@
 		err                         error
 		notExecuted, outcomeUnknown bool
 	}{
-		{200, protocol.Encode(protocol.ScaleOutResponse{Machines: []protocol.MachineName{"m-1"}}), nil, false, false},
+		{200, protocol.Encode(protocol.ScaleOutResponse{Machines: []protocol.MachineName{"m-1"}}),
+			nil, false, false},
 		{503, rejection(protocol.NoCapacity), ErrNoCapacity, true, false},
 		{503, rejection("trouble"), ErrUnavailable, true, false},
 		{503, nil, ErrUnavailable, true, false},
--- a/internal/htmlreport/plots.go
+++ b/internal/htmlreport/plots.go
@@ -30,7 +30,7 @@
 type Bar struct {
 	Name     string
 	From, To float64
-	// ColorIndex selects the colour: bars of the same kind have the same colour.
+	// ColorIndex selects the colour: bars with the same index have the same colour.
 	ColorIndex int
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -32,8 +32,7 @@
 	Mailboxes Mailboxes
 	// Store returns a client of the key-value store that posts its results to the given mailbox.
 	Store func(actor.Mailbox) kvstore.Store
-	// Cloud and Workers post their results to the mailbox of Leader. Forward posts to
-	// that of Admission.
+	// Cloud and Workers post their results to the mailbox of Leader. Forward posts to that of Admission.
 	Cloud   cloudclient.API
 	Workers workerclient.API
 	Forward admission.Forward
@@ -92,10 +91,12 @@
 }
 
 // attestations returns the function with which the leader requests attestations from all controllers: which
-// cancellations they have confirmed to users within the period `back`.
-func (n *Node) attestations(e Environment) func(back clock.Micros, done func([]admission.Attestation, bool)) {
-	return func(back clock.Micros, done func([]admission.Attestation, bool)) {
-		e.AskAllControllers(n.Admission, admission.NewAttestationRequest(back),
+// cancellations they have confirmed to users within the period `lookback`.
+func (n *Node) attestations(
+	e Environment,
+) func(lookback clock.Micros, done func([]admission.Attestation, bool)) {
+	return func(lookback clock.Micros, done func([]admission.Attestation, bool)) {
+		e.AskAllControllers(n.Admission, admission.NewAttestationRequest(lookback),
 			func(responses []admission.Response, ok bool) {
 				done(admission.DecodeAttestations(responses, ok))
 			})
--- a/internal/protocol/errors.go
+++ b/internal/protocol/errors.go
@@ -37,17 +37,17 @@
 type FieldError struct {
 	Field   string // name on the wire
 	Problem FieldProblem
-	// Want describes the valid values, or lists them.
-	Want string
+	// Expected describes the valid values, or lists them.
+	Expected string
 }
 
 // Error names the field and its valid values.
 func (e *FieldError) Error() string {
 	switch e.Problem {
 	case FieldUnacceptable:
-		return fmt.Sprintf("field %s is not %s", e.Field, e.Want)
+		return fmt.Sprintf("field %s is not %s", e.Field, e.Expected)
 	case FieldUnknownChoice:
-		return fmt.Sprintf("field %s is none of %s", e.Field, e.Want)
+		return fmt.Sprintf("field %s is none of %s", e.Field, e.Expected)
 	}
-	return fmt.Sprintf("%s is not %s", e.Field, e.Want)
+	return fmt.Sprintf("%s is not %s", e.Field, e.Expected)
 }
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -67,7 +67,7 @@
 	p := submissionParser{fields: fields}
 	id := JobID(p.text(fieldID))
 	if p.err == nil && !ValidJobID(id) {
-		return JobSpec{}, &FieldError{Field: fieldID, Problem: FieldUnacceptable, Want: wantJobID}
+		return JobSpec{}, &FieldError{Field: fieldID, Problem: FieldUnacceptable, Expected: wantJobID}
 	}
 	spec := p.parse()
 	spec.ID = id
@@ -148,9 +148,9 @@
 }
 
 // fail records a field error unless there is an earlier error.
-func (p *submissionParser) fail(field string, problem FieldProblem, want string) {
+func (p *submissionParser) fail(field string, problem FieldProblem, expected string) {
 	if p.err == nil {
-		p.err = &FieldError{Field: field, Problem: problem, Want: want}
+		p.err = &FieldError{Field: field, Problem: problem, Expected: expected}
 	}
 }
 
--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -13,7 +13,7 @@
 func TestPartitionedLeaderLetsCancelledTasksExpire(t *testing.T) {
 	w := NewWorld(3)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
-	spec := array("job-000001", "open", 4, 2, 500)
+	spec := arraySpec("job-000001", "open", 4, 2, 500)
 	j := d.Submit(spec, 500*clock.Second, false)
 	w.Run(40 * clock.Second)
 	if len(j.machines) != 4 {
@@ -115,12 +115,12 @@
 	for seed := uint64(51); seed < 55; seed++ {
 		w := NewWorld(seed)
 		d := NewDeployment(w, testSettings(), testTypes(), 0)
-		j := d.Submit(array("job-000001", "limited", 6, 4, 300), 300*clock.Second, false)
+		j := d.Submit(arraySpec("job-000001", "limited", 6, 4, 300), 300*clock.Second, false)
 		for w.Now() < 100*clock.Second && len(j.machines) < 6 {
 			w.Run(w.Now() + 100*clock.Millisecond)
 		}
-		d.Submit(array("job-000002", "limited", 6, 4, 20), 20*clock.Second, false)
-		d.Submit(array("job-000003", "open", 2, 4, 300), 300*clock.Second, false) // keeps machines up
+		d.Submit(arraySpec("job-000002", "limited", 6, 4, 20), 20*clock.Second, false)
+		d.Submit(arraySpec("job-000003", "open", 2, 4, 300), 300*clock.Second, false) // keeps machines up
 		for _, m := range sortedKeys(j.machines[0]) {
 			m.partition()
 		}
@@ -145,7 +145,7 @@
 	d.CancelAtEndChance = 1
 	var jobs []*Job
 	for i := range 40 {
-		spec := array(protocol.JobID(fmt.Sprintf("job-%06d", i)), "open", 1+i%3, 2, 10)
+		spec := arraySpec(protocol.JobID(fmt.Sprintf("job-%06d", i)), "open", 1+i%3, 2, 10)
 		jobs = append(jobs, d.Submit(spec, 10*clock.Second, false))
 	}
 	for w.Now() < 300*clock.Second {
--- a/internal/simulation/celloperations_test.go
+++ b/internal/simulation/celloperations_test.go
@@ -35,7 +35,7 @@
 		t.Errorf("the tasks are the origin's again after %.1f s, want 32 s at most", took.Seconds())
 	}
 	x.w.Run(x.w.Now() + 300*clock.Second)
-	mustJudge(t, x.w, x.history, []*Job{x.job})
+	mustCompleteOnce(t, x.w, x.history, []*Job{x.job})
 	if x.delegated() {
 		t.Error("the delegation is left, want it removed")
 	}
@@ -71,7 +71,7 @@
 	}
 	x.origin.crashAll(100 * clock.Millisecond)
 	x.w.Run(x.w.Now() + 300*clock.Second)
-	mustJudge(t, x.w, x.history, []*Job{x.job})
+	mustCompleteOnce(t, x.w, x.history, []*Job{x.job})
 	if x.delegated() || x.hosted() == nil || !x.hosted().Final() {
 		t.Error("the origin still has a delegation, want none; or the host has no final record, want one")
 	}
--- a/internal/simulation/cells.go
+++ b/internal/simulation/cells.go
@@ -28,7 +28,7 @@
 ) *Group {
 	g := &Group{}
 	for i, set := range sets {
-		d := prepare(w, set, types, loss)
+		d := prepareDeployment(w, set, types, loss)
 		d.group, d.name = g, cellNames[i]
 		g.Cells = append(g.Cells, d)
 		g.File += cellEntry(d, i, hostedLimits)
@@ -82,11 +82,11 @@
 // jobs returns the jobs of all cells, or those of own if it isn't in a group.
 func (g *Group) jobs(own *Deployment) []*Job {
 	if g == nil {
-		return own.order
+		return own.submittedJobs
 	}
 	var all []*Job
 	for _, d := range g.Cells {
-		all = append(all, d.order...)
+		all = append(all, d.submittedJobs...)
 	}
 	return all
 }
--- a/internal/simulation/cells_test.go
+++ b/internal/simulation/cells_test.go
@@ -16,7 +16,7 @@
 func flood(d *Deployment, n int) []*Job {
 	var jobs []*Job
 	for i := range n {
-		s := array(protocol.JobID(fmt.Sprintf("job-%06d", i)), "open", 20, 2, 30)
+		s := arraySpec(protocol.JobID(fmt.Sprintf("job-%06d", i)), "open", 20, 2, 30)
 		if i%4 == 3 {
 			s.Shape, s.Tasks = protocol.ShapeGang, 4
 		}
@@ -25,9 +25,9 @@
 	return jobs
 }
 
-// mustJudge fails the test if a rule was broken or the history shows a task that didn't run to completion
-// exactly once.
-func mustJudge(t *testing.T, w *World, h *History, jobs []*Job) {
+// mustCompleteOnce fails the test if a rule was broken or the history shows a task that didn't run to
+// completion exactly once.
+func mustCompleteOnce(t *testing.T, w *World, h *History, jobs []*Job) {
 	t.Helper()
 	mustKeepRules(t, w)
 	if wrong := h.Check(jobs); len(wrong) > 0 {
@@ -46,7 +46,7 @@
 	jobs := flood(g.Cells[0], 30)
 	jobs = append(jobs, flood(g.Cells[1], 3)...)
 	w.Run(600 * clock.Second)
-	mustJudge(t, w, h, jobs)
+	mustCompleteOnce(t, w, h, jobs)
 	elsewhere, all := h.RunsOutsideOrigin()
 	t.Logf("%d of %d runs in other cells", elsewhere, all)
 	if elsewhere < 100 {
@@ -78,7 +78,7 @@
 					t.Errorf("%s still has %v, want no delegations", d.name, left)
 				}
 			}
-			mustJudge(t, g.Cells[0].World, h, jobs)
+			mustCompleteOnce(t, g.Cells[0].World, h, jobs)
 			elsewhere, _ := h.RunsOutsideOrigin()
 			offloaded += elsewhere
 		})
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -41,7 +41,7 @@
 	lists         [][]protocol.ListedMachine // copies of the list, the newest last
 }
 
-func newCloud(d *Deployment, types []protocol.MachineType) *FakeCloud {
+func newFakeCloud(d *Deployment, types []protocol.MachineType) *FakeCloud {
 	c := &FakeCloud{
 		w: d.World, d: d, Types: types,
 		Capacity: map[scaling.CapacityPool]int{}, machinesByKey: map[string][]protocol.MachineName{},
--- a/internal/simulation/delegationfaults_test.go
+++ b/internal/simulation/delegationfaults_test.go
@@ -104,12 +104,12 @@
 		"leader crashes":  func(x *transfer) { x.host.crashLeader(5 * clock.Second) },
 		"leader paused":   func(x *transfer) { x.host.Leader().process.Pause(35 * clock.Second) },
 		"all controllers": func(x *transfer) { x.host.crashAll(200 * clock.Second) },
-		"machines hang":   func(x *transfer) { x.hang() },
+		"machines hang":   func(x *transfer) { x.hangWorkers() },
 		"hang, leader crashes": func(x *transfer) {
-			x.hang()
+			x.hangWorkers()
 			x.host.crashLeader(5 * clock.Second)
 		},
-		"commands are held":       func(x *transfer) { x.hold() },
+		"commands are held":       func(x *transfer) { x.holdCommands() },
 		"origin's leader crashes": func(x *transfer) { x.origin.crashLeader(5 * clock.Second) },
 		"origin's store outage": func(x *transfer) {
 			x.w.After(clock.Second, func() { x.origin.Store.SetOutage(true) })
@@ -142,8 +142,8 @@
 	}
 }
 
-// hang makes the workers that run the job's tasks hang.
-func (x *transfer) hang() {
+// hangWorkers makes the workers that run the job's tasks hang.
+func (x *transfer) hangWorkers() {
 	for _, workers := range x.job.machines {
 		for m := range workers {
 			m.Hung = true
@@ -151,8 +151,8 @@
 	}
 }
 
-// hold delays direct commands to the host's workers for a while.
-func (x *transfer) hold() {
+// holdCommands delays direct commands to the host's workers for a while.
+func (x *transfer) holdCommands() {
 	for _, m := range x.host.Workers() {
 		m.Commands.Cut, m.Commands.Hold = true, true
 		x.w.After(20*clock.Second, m.Commands.Heal)
--- a/internal/simulation/deployment.go
+++ b/internal/simulation/deployment.go
@@ -26,7 +26,7 @@
 	Nodes    []*Node
 	// LossChance is the chance that a message is lost.
 	LossChance float64
-	// CancelAtEndChance is the share of jobs that users cancel at the moment when the last task completes.
+	// CancelAtEndChance is the chance that a user cancels a job at the moment when its last task completes.
 	CancelAtEndChance float64
 	// disturbedAt is when a fault last affected a controller, or a service that it needs to release a
 	// machine. Only MonitorDisturbances updates it.
@@ -36,11 +36,11 @@
 	// partitions holds the zones that are partitioned, by name.
 	partitions map[string]*zonePartition
 	// History, if set, records when each task runs.
-	History *History
-	jobs    map[protocol.JobID]*Job
-	order   []*Job // in the order of their submission
-	byAddr  map[string]*FakeWorker
-	used    map[string]planner.Resources // by team, on machines
+	History       *History
+	jobs          map[protocol.JobID]*Job
+	submittedJobs []*Job // in the order of their submission
+	byAddr        map[string]*FakeWorker
+	usedByTeam    map[string]planner.Resources // by team, on machines
 	// Commands counts the requests with direct commands.
 	Commands int
 	// address returns the network address of a new worker.
@@ -65,7 +65,7 @@
 func newDeployment(
 	w *World, set *settings.Settings, types []protocol.MachineType, loss float64, old bool,
 ) *Deployment {
-	d := prepare(w, set, types, loss)
+	d := prepareDeployment(w, set, types, loss)
 	for _, n := range d.Nodes {
 		n.OldVersion = old
 	}
@@ -73,16 +73,18 @@
 	return d
 }
 
-// prepare returns a deployment whose controllers the caller has still to start.
-func prepare(w *World, set *settings.Settings, types []protocol.MachineType, loss float64) *Deployment {
+// prepareDeployment returns a deployment whose controllers the caller has still to start.
+func prepareDeployment(
+	w *World, set *settings.Settings, types []protocol.MachineType, loss float64,
+) *Deployment {
 	d := &Deployment{
 		World: w, Settings: set, Store: NewFakeStore(w), LossChance: loss,
 		partitions: map[string]*zonePartition{}, jobs: map[protocol.JobID]*Job{},
-		byAddr:  map[string]*FakeWorker{},
-		used:    map[string]planner.Resources{},
-		address: func(name protocol.MachineName) string { return string(name) + ":9000" },
+		byAddr:     map[string]*FakeWorker{},
+		usedByTeam: map[string]planner.Resources{},
+		address:    func(name protocol.MachineName) string { return string(name) + ":9000" },
 	}
-	d.Cloud = newCloud(d, types)
+	d.Cloud = newFakeCloud(d, types)
 	for i := range nodesPerDeployment {
 		n := &Node{Name: fmt.Sprintf("worker-%d", i), Zone: []string{"a", "b"}[i%2]}
 		for _, l := range n.links() {
--- a/internal/simulation/failover_test.go
+++ b/internal/simulation/failover_test.go
@@ -13,7 +13,7 @@
 // tasks, and tasks that end at different times must each end once.
 func TestRepeatedFailoversLoseNoTask(t *testing.T) {
 	w, d, _, other := twoJobs(t, 46, 200*clock.Second)
-	apart := d.Submit(array("job-000003", "open", 3, 2, 80), 80*clock.Second, false)
+	apart := d.Submit(arraySpec("job-000003", "open", 3, 2, 80), 80*clock.Second, false)
 	for i := range 10 {
 		w.Run(w.Now() + 12*clock.Second)
 		if i == 5 {
@@ -26,8 +26,8 @@
 			}
 		}
 	}
-	if expired(d) > 0 {
-		t.Fatalf("%d workers lost their tasks, want none", expired(d))
+	if workersWithExpiredLease(d) > 0 {
+		t.Fatalf("%d workers lost their tasks, want none", workersWithExpiredLease(d))
 	}
 	w.Run(w.Now() + 400*clock.Second)
 	mustBeDone(t, w, other)
@@ -44,7 +44,7 @@
 	set := testSettings()
 	set.Deployment.Workers.LeaseS, set.Deployment.Workers.CancelS = 16, 36
 	d := NewDeployment(w, set, testTypes(), 0)
-	spec := array("job-000001", "open", 12, 2, 60)
+	spec := arraySpec("job-000001", "open", 12, 2, 60)
 	j := d.Submit(spec, 60*clock.Second, false)
 	w.Run(40 * clock.Second)
 	unreachable := mustLead(t, d)
@@ -53,7 +53,7 @@
 	if mustLead(t, d) == unreachable {
 		t.Fatalf("%s still leads, want another controller", unreachable.Name)
 	}
-	if n := expired(d); n > 0 {
+	if n := workersWithExpiredLease(d); n > 0 {
 		t.Fatalf("%d workers lost their tasks, want none", n)
 	}
 	w.Run(w.Now() + 100*clock.Second)
@@ -119,7 +119,7 @@
 				pauseAt := func(n *Node, from int) {
 					n.process.PauseFor, n.process.PauseAfter = length, from
 				}
-				d.Submit(array("job-000002", "open", 6, 4, 10), 10*clock.Second, false)
+				d.Submit(arraySpec("job-000002", "open", 6, 4, 10), 10*clock.Second, false)
 				if electing {
 					for _, n := range d.Nodes {
 						if n != leader {
--- a/internal/simulation/gangs_test.go
+++ b/internal/simulation/gangs_test.go
@@ -17,7 +17,7 @@
 	set := testSettings()
 	set.Deployment.Workers.GangWaitS = 90
 	d := NewDeployment(w, set, testTypes(), 0)
-	spec := array("job-000001", "open", 3, 6, 20)
+	spec := arraySpec("job-000001", "open", 3, 6, 20)
 	spec.Shape = protocol.ShapeGang
 	j := d.Submit(spec, 20*clock.Second, false)
 	// Run until one task waits and another still fetches its image.
@@ -56,7 +56,7 @@
 	w := NewWorld(15)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
 	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 2}
-	spec := array("job-000001", "open", 2, 6, 20)
+	spec := arraySpec("job-000001", "open", 2, 6, 20)
 	first := d.Submit(spec, 20*clock.Second, false)
 	for !first.Done() && w.Now() < 100*clock.Second {
 		w.Run(w.Now() + 100*clock.Millisecond)
@@ -91,7 +91,7 @@
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
 	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 3,
 		{Type: "big", Zone: "a"}: 2}
-	spec := array("job-000001", "open", 3, 2, 600)
+	spec := arraySpec("job-000001", "open", 3, 2, 600)
 	spec.MemoryGB = 20
 	d.Submit(spec, 600*clock.Second, false) // keeps each small machine up with one task
 	w.Run(30 * clock.Second)
@@ -133,12 +133,12 @@
 	d.Cloud.Reliable = true
 	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 3,
 		{Type: "small", Zone: "b"}: 3}
-	gang := array("job-000001", "open", 5, 6, 20)
+	gang := arraySpec("job-000001", "open", 5, 6, 20)
 	gang.Shape, gang.Zone = protocol.ShapeGang, "a"
 	d.Submit(gang, 20*clock.Second, false)
 	for i := range 8 {
 		w.After(clock.Micros(100+i*20)*clock.Second, func() {
-			s := array(protocol.JobID(fmt.Sprintf("job-1%05d", i)), "open", 4, 4, 15)
+			s := arraySpec(protocol.JobID(fmt.Sprintf("job-1%05d", i)), "open", 4, 4, 15)
 			s.Zone = gang.Zone
 			d.Submit(s, 15*clock.Second, false)
 		})
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -13,8 +13,8 @@
 	t.Helper()
 	w = NewWorld(seed)
 	d = NewDeployment(w, testSettings(), testTypes(), 0)
-	cancelled = d.Submit(array("job-000001", "open", 6, 4, run.Seconds()), run, false)
-	other = d.Submit(array("job-000002", "open", 6, 4, run.Seconds()), run, false)
+	cancelled = d.Submit(arraySpec("job-000001", "open", 6, 4, run.Seconds()), run, false)
+	other = d.Submit(arraySpec("job-000002", "open", 6, 4, run.Seconds()), run, false)
 	runUntil(w, 100*clock.Second, 100*clock.Millisecond, func() bool {
 		return len(cancelled.machines) >= 6 && len(other.machines) >= 6
 	})
@@ -30,7 +30,7 @@
 	t.Helper()
 	w := NewWorld(seed)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
-	spec := array("job-000001", "open", 8, 4, run.Seconds())
+	spec := arraySpec("job-000001", "open", 8, 4, run.Seconds())
 	j := d.Submit(spec, run, false)
 	w.Run(40 * clock.Second)
 	if len(j.machines) != 8 {
@@ -121,8 +121,9 @@
 	return leader
 }
 
-// expired counts the workers whose lease has expired and that have therefore lost their tasks.
-func expired(d *Deployment) int {
+// workersWithExpiredLease counts the workers whose lease has expired and that have therefore lost
+// their tasks.
+func workersWithExpiredLease(d *Deployment) int {
 	n := 0
 	for _, m := range d.Workers() {
 		if m.incarnation > 1 {
--- a/internal/simulation/kinds.go
+++ b/internal/simulation/kinds.go
@@ -12,7 +12,7 @@
 type DayKind struct {
 	Name string
 	// simulate simulates a day and returns the deployments. Some kinds differ for odd seeds.
-	simulate func(w *World, odd bool) []*Deployment
+	simulate func(w *World, oddSeed bool) []*Deployment
 }
 
 // maxTaskRunTime is the longest run time of a task.
@@ -50,13 +50,13 @@
 	d := NewDeployment(w, set, testTypes(), 0.01)
 	d.Store.SetLimits(set.Deployment.KVStore, true)
 	d.scheduleRequests()
-	workload{spec: withDeadlines, maxRunTime: maxTaskRunTime}.simulateDay(d)
+	workload{spec: specWithDeadline, maxRunTime: maxTaskRunTime}.simulateDay(d)
 	return []*Deployment{d}
 }
 
-// withDeadlines draws a random job. Some jobs have a deadline, which not all of them can meet, and some have
-// a run time estimate that is far too long.
-func withDeadlines(w *World, n int) protocol.JobSpec {
+// specWithDeadline draws a random job. Some jobs have a deadline, which not all of them can meet, and some
+// have a run time estimate that is far too long.
+func specWithDeadline(w *World, n int) protocol.JobSpec {
 	s := randomSpec(w, n)
 	if w.chance(0.4) {
 		deadline := w.Between(10*clock.Second, 200*clock.Second).Seconds()
@@ -99,12 +99,12 @@
 	})
 	d.crashLeaders(6)
 	d.scheduleRequests()
-	workload{services: 0.05, spec: mostlyLarge, maxRunTime: maxTaskRunTime}.simulateDay(d)
+	workload{services: 0.05, spec: mostlyLargeSpec, maxRunTime: maxTaskRunTime}.simulateDay(d)
 	return []*Deployment{d}
 }
 
-// mostlyLarge draws a random job; half of the jobs are large arrays of small tasks.
-func mostlyLarge(w *World, n int) protocol.JobSpec {
+// mostlyLargeSpec draws a random job; half of the jobs are large arrays of small tasks.
+func mostlyLargeSpec(w *World, n int) protocol.JobSpec {
 	s := randomSpec(w, n)
 	if w.chance(0.5) {
 		makeLarge(&s, 60+w.Rand.IntN(300))
@@ -116,15 +116,15 @@
 const tightHostedLimits = "guests = { cpus = 24.0, gpus = 1.0 }\nreserve = { cpus = 6.0 }"
 
 // simulateCells simulates three cells that offload tasks to each other; with odd seeds they host only few.
-func simulateCells(w *World, odd bool) []*Deployment {
+func simulateCells(w *World, oddSeed bool) []*Deployment {
 	hostedLimits := defaultHostedLimits
-	if odd {
+	if oddSeed {
 		hostedLimits = tightHostedLimits
 	}
 	g := newThreeCells(w, hostedLimits, 0.01)
 	for _, d := range g.Cells {
 		d.scheduleRequests()
-		if odd {
+		if oddSeed {
 			d.delayWrites(w.Between(20*clock.Second, dayLength))
 		}
 	}
@@ -135,8 +135,8 @@
 // recoveryFile reserves some capacity for the loss of a zone and restarts displaced tasks slowly.
 const recoveryFile = "tasks_per_s = 4\n[reserve]\nshare = 0.3\n"
 
-// recoveryOn returns the default settings of zone recovery, or those of recoveryFile.
-func recoveryOn(set *settings.Settings, fromFile bool) *zonerecovery.Settings {
+// recoverySettings returns the default settings of zone recovery, or those of recoveryFile.
+func recoverySettings(set *settings.Settings, fromFile bool) *zonerecovery.Settings {
 	if !fromFile {
 		s := zonerecovery.Defaults()
 		return &s
@@ -150,16 +150,16 @@
 
 // simulateRecovery simulates zones that are lost and return, with zone recovery enabled, while leaders
 // crash.
-func simulateRecovery(w *World, odd bool) []*Deployment {
+func simulateRecovery(w *World, oddSeed bool) []*Deployment {
 	set := testSettings()
 	set.Deployment.Zones = []string{"a", "b"}
-	d := prepare(w, set, testTypes(), 0.01)
-	d.Recovery = recoveryOn(set, odd)
+	d := prepareDeployment(w, set, testTypes(), 0.01)
+	d.Recovery = recoverySettings(set, oddSeed)
 	d.startNodes()
 	d.scheduleRequests()
 	d.partitionRandomZones()
 	d.crashLeaders(4)
-	if odd {
+	if oddSeed {
 		d.delayWrites(w.Between(20*clock.Second, dayLength))
 	}
 	workload{services: 0.15, spec: randomSpec, maxRunTime: maxTaskRunTime, ownClasses: true}.simulateDay(d)
@@ -167,7 +167,7 @@
 }
 
 // simulateUpgrade simulates a rolling upgrade of the controllers, with some time between two of them.
-func simulateUpgrade(w *World, odd bool) []*Deployment {
+func simulateUpgrade(w *World, oddSeed bool) []*Deployment {
 	set := testSettings()
 	announceTighterLimits(set)
 	d := NewOldVersionDeployment(w, set, testTypes(), 0.01)
@@ -178,12 +178,12 @@
 		d.Upgrade(w.Between(5*clock.Second, 40*clock.Second), w.Between(50*clock.Millisecond, 6*clock.Second))
 	})
 	d.crashLeaders(4)
-	if odd {
+	if oddSeed {
 		d.delayWrites(upgrade)
 	}
 	w.After(w.Between(0, dayLength), func() { d.Store.SetLimits(set.Deployment.KVStore.Tightest(), true) })
 	d.scheduleRequests()
-	workload{services: 0.15, spec: mostlyLarge, maxRunTime: maxTaskRunTime}.simulateDay(d)
+	workload{services: 0.15, spec: mostlyLargeSpec, maxRunTime: maxTaskRunTime}.simulateDay(d)
 	return []*Deployment{d}
 }
 
--- a/internal/simulation/loopback.go
+++ b/internal/simulation/loopback.go
@@ -58,7 +58,7 @@
 	realTime *RealTime, g *Group, name string, set *settings.Settings, types []protocol.MachineType,
 	controllers []Controller, workerPort int,
 ) *Loopback {
-	d := prepare(realTime.World, set, types, 0)
+	d := prepareDeployment(realTime.World, set, types, 0)
 	d.group, d.name = g, name
 	g.Cells = append(g.Cells, d)
 	l := newLoopback(d, realTime, controllers, workerPort)
--- a/internal/simulation/monitors.go
+++ b/internal/simulation/monitors.go
@@ -25,7 +25,7 @@
 func (d *Deployment) MonitorResponses() {
 	began := d.World.now
 	d.World.Every(5*clock.Second, func() {
-		for _, j := range d.order {
+		for _, j := range d.submittedJobs {
 			waiting := j.accepted() && !j.cancelRequested && j.finalStatus == ""
 			if waiting && d.World.now > max(j.lastResponseAt, began)+maxResponseGap {
 				d.World.ReportViolation(noResponse, "%s since %.0f s", j.spec.ID, j.lastResponseAt.Seconds())
@@ -64,7 +64,7 @@
 func (d *Deployment) MonitorWaitingJobs() {
 	began := d.World.now
 	d.World.Every(2*clock.Second, func() {
-		for _, j := range d.order {
+		for _, j := range d.submittedJobs {
 			waiting := j.accepted() && !j.cancelRequested && j.finalStatus == "" && !j.failing
 			if !waiting || d.hasTaskOnMachine(j) || !d.hasCapacityFor(j) {
 				j.waitingSince = d.World.now
@@ -116,7 +116,7 @@
 // withinQuota reports whether a team's quota allows it to use more resources in addition.
 func (d *Deployment) withinQuota(name string, more planner.Resources) bool {
 	team, _ := d.Settings.Deployment.Team(name)
-	all := d.used[name].Plus(more)
+	all := d.usedByTeam[name].Plus(more)
 	return (team.CpusMax <= 0 || all.Cpus <= team.CpusMax) && (team.GpusMax <= 0 || all.Gpus <= team.GpusMax)
 }
 
@@ -125,7 +125,7 @@
 func (d *Deployment) MonitorReplicas() {
 	absentSince := map[taskKey]clock.Micros{}
 	d.World.Every(2*clock.Second, func() {
-		for _, j := range d.order {
+		for _, j := range d.submittedJobs {
 			for n := range j.spec.Tasks {
 				k := taskKey{j.spec.ID, n}
 				if !j.needsAllReplicas() || len(j.machines[n]) > 0 {
@@ -156,7 +156,7 @@
 		workers.RenewalWindow() + 10*clock.Second
 	since := map[protocol.JobID]clock.Micros{}
 	d.World.Every(clock.Second, func() {
-		for _, j := range d.order {
+		for _, j := range d.submittedJobs {
 			r := d.Store.wholeRecord(j.spec.ID)
 			whole := r == nil || r.Final() || len(r.Placements) == 0 || len(r.Placements) == j.spec.Tasks
 			if whole || !j.spec.IsGang() {
--- a/internal/simulation/nodes.go
+++ b/internal/simulation/nodes.go
@@ -22,9 +22,9 @@
 type Node struct {
 	Name string
 	Zone string
-	// process is its present or last process; runs counts its processes so far.
+	// process is its present or last process; starts counts its processes so far.
 	process *Process
-	runs    int
+	starts  int
 	// The links carry messages to and from the store, the cloud, the workers, the other controllers and the
 	// other cells.
 	StoreLink, CloudLink, WorkerLink, PeerLink, CellLink Link
@@ -112,7 +112,7 @@
 		return
 	}
 	n.process = d.World.newProcess()
-	n.runs++
+	n.starts++
 	environment := d.environment(n, n.process)
 	if d.World.Recorder != nil {
 		d.recordingOf(n).recordOutgoing(&environment)
@@ -141,7 +141,7 @@
 		Settings:   set,
 		Cells:      d.group.directory(d, n, set),
 		CellClient: &cellClient{d, n, p},
-		Election:   election.Config{Node: n.Name, Incarnation: fmt.Sprint(n.runs), TTL: leaseTTL},
+		Election:   election.Config{Node: n.Name, Incarnation: fmt.Sprint(n.starts), TTL: leaseTTL},
 		Mailboxes:  node.Mailboxes{Leader: p, Election: p, Admission: p, Rollout: p},
 		Store:      func(actor.Mailbox) kvstore.Store { return storetest.Client(services.store) },
 		Cloud:      cloudtest.Client(services.cloud),
--- a/internal/simulation/placement_test.go
+++ b/internal/simulation/placement_test.go
@@ -22,7 +22,7 @@
 		}
 		var jobs []*Job
 		for i := range 6 {
-			s := array(protocol.JobID(fmt.Sprintf("job-%06d", i)), "open", 4, 4, 30)
+			s := arraySpec(protocol.JobID(fmt.Sprintf("job-%06d", i)), "open", 4, 4, 30)
 			s.OneZone = true
 			if i%2 == 1 {
 				s.Shape = protocol.ShapeGang
@@ -61,7 +61,7 @@
 	d := NewDeployment(w, set, testTypes(), 0)
 	d.Cloud.Reliable = true // otherwise the number of completed tasks would depend on chance
 	w.Run(10 * clock.Second)
-	largest := array("job-000001", "open", 100_000, 1, 20)
+	largest := arraySpec("job-000001", "open", 100_000, 1, 20)
 	largest.Class = "huge"
 	huge := d.Submit(largest, 20*clock.Second, false)
 	w.Run(12 * clock.Second)
@@ -71,7 +71,7 @@
 	w.Run(60 * clock.Second)
 	var small []*Job
 	for i := range 5 {
-		spec := array(protocol.JobID(fmt.Sprintf("job-1%05d", i)), "open", 4, 1, 5)
+		spec := arraySpec(protocol.JobID(fmt.Sprintf("job-1%05d", i)), "open", 4, 1, 5)
 		spec.Class = "small"
 		small = append(small, d.Submit(spec, 5*clock.Second, false))
 	}
--- a/internal/simulation/record.go
+++ b/internal/simulation/record.go
@@ -55,7 +55,7 @@
 // recordOutgoing makes an environment record the controller's requests to other controllers and cells.
 func (r *recording) recordOutgoing(e *node.Environment) {
 	forward, askAll := e.Forward, e.AskAllControllers
-	e.CellClient = &recordedExchanger{r, e.CellClient}
+	e.CellClient = &recordedCellClient{r, e.CellClient}
 	e.Forward = func(request admission.Request, done func(admission.Response, bool)) {
 		r.record("forward", peer.RequestFrame(request))
 		forward(request, func(a admission.Response, ok bool) {
@@ -79,10 +79,10 @@
 // recordIncoming makes a controller's handlers record the requests of workers, users, other controllers and
 // other cells.
 func (r *recording) recordIncoming(n *Node) {
-	n.heartbeats = &recordedHeartbeats{r, n.heartbeats}
-	n.requests = &recordedRequests{r, n.requests, "user"}
-	n.peers = &recordedRequests{r, n.peers, "peer"}
-	n.exchanges = &recordedExchanges{r, n.exchanges}
+	n.heartbeats = &recordedHeartbeatHandler{r, n.heartbeats}
+	n.requests = &recordedRequestHandler{r, n.requests, "user"}
+	n.peers = &recordedRequestHandler{r, n.peers, "peer"}
+	n.exchanges = &recordedExchangeHandler{r, n.exchanges}
 }
 
 // recordedStore records the requests to the store and their responses.
@@ -202,14 +202,14 @@
 	})
 }
 
-// recordedExchanger records the heartbeats to other cells and their responses.
-type recordedExchanger struct {
+// recordedCellClient records the heartbeats to other cells and their responses.
+type recordedCellClient struct {
 	*recording
 	exchanger federation.Exchanger
 }
 
 // Exchange implements federation.Exchanger.
-func (x *recordedExchanger) Exchange(
+func (x *recordedCellClient) Exchange(
 	address string, heartbeat delegation.Heartbeat, done func(delegation.HeartbeatResponse, bool),
 ) {
 	x.record("exchange", address, heartbeat.Encode())
@@ -219,14 +219,14 @@
 	})
 }
 
-// recordedHeartbeats records workers' heartbeats and the controller's responses.
-type recordedHeartbeats struct {
+// recordedHeartbeatHandler records workers' heartbeats and the controller's responses.
+type recordedHeartbeatHandler struct {
 	*recording
 	heartbeats heartbeatHandler
 }
 
 // Heartbeat implements heartbeatHandler.
-func (x *recordedHeartbeats) Heartbeat(heartbeat protocol.Heartbeat, reply func(status int, body any)) {
+func (x *recordedHeartbeatHandler) Heartbeat(heartbeat protocol.Heartbeat, reply func(status int, body any)) {
 	x.record("heartbeat", heartbeat)
 	x.heartbeats.Heartbeat(heartbeat, func(status int, body any) {
 		x.record("heartbeat answer", status, body)
@@ -234,15 +234,16 @@
 	})
 }
 
-// recordedRequests records the requests of users or of other controllers, and the controller's responses.
-type recordedRequests struct {
+// recordedRequestHandler records the requests of users or of other controllers, and the controller's
+// responses.
+type recordedRequestHandler struct {
 	*recording
 	requests requestHandler
 	from     string
 }
 
 // Handle implements requestHandler.
-func (x *recordedRequests) Handle(request admission.Request, reply func(admission.Response)) {
+func (x *recordedRequestHandler) Handle(request admission.Request, reply func(admission.Response)) {
 	x.record(x.from+" request", peer.RequestFrame(request), request.Forwarded)
 	x.requests.Handle(request, func(a admission.Response) {
 		x.record(x.from+" answer", peer.ResponseFrame(a))
@@ -250,14 +251,14 @@
 	})
 }
 
-// recordedExchanges records other cells' heartbeats and the controller's responses.
-type recordedExchanges struct {
+// recordedExchangeHandler records other cells' heartbeats and the controller's responses.
+type recordedExchangeHandler struct {
 	*recording
 	exchanges exchangeHandler
 }
 
 // Exchange implements exchangeHandler.
-func (x *recordedExchanges) Exchange(heartbeat delegation.Heartbeat,
+func (x *recordedExchangeHandler) Exchange(heartbeat delegation.Heartbeat,
 	reply func(delegation.HeartbeatResponse, bool)) {
 	x.record("cell report", heartbeat.Encode())
 	x.exchanges.Exchange(heartbeat, func(a delegation.HeartbeatResponse, ok bool) {
--- a/internal/simulation/record_test.go
+++ b/internal/simulation/record_test.go
@@ -34,7 +34,7 @@
 	w.Recorder = h
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
 	d.scheduleRequests()
-	d.Submit(array("job-000001", "open", 8, 2, 20), 20*clock.Second, false)
+	d.Submit(arraySpec("job-000001", "open", 8, 2, 20), 20*clock.Second, false)
 	w.Run(60 * clock.Second)
 	if change != nil {
 		change(d.Store)
--- a/internal/simulation/requests_test.go
+++ b/internal/simulation/requests_test.go
@@ -15,7 +15,7 @@
 // lack a field. The controllers must accept none of these requests, and the store must not change.
 func TestInvalidAndRepeatedRequestsChangeNothing(t *testing.T) {
 	w, d, j := eightTasks(t, 72, 30*clock.Second)
-	done := d.Submit(array("job-000003", "open", 1, 1, 5), 5*clock.Second, false)
+	done := d.Submit(arraySpec("job-000003", "open", 1, 1, 5), 5*clock.Second, false)
 	for range 30 {
 		sendInvalidRequests(d)
 		d.ask(admission.Request{Kind: admission.GetStatus, ID: "job-999999"},
@@ -47,7 +47,7 @@
 		d.StartNode(n)
 	}
 	w.Run(w.Now() + 10*clock.Second)
-	j := d.Submit(array("job-000001", "open", 1, 2, 5), 5*clock.Second, false)
+	j := d.Submit(arraySpec("job-000001", "open", 1, 2, 5), 5*clock.Second, false)
 	w.Run(w.Now() + 2*clock.Second)
 	if !j.accepted() {
 		t.Fatal("the job isn't accepted, want it within 2 s")
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -79,7 +79,7 @@
 	}
 	j.machines[k.task][m] = true
 	d.History.runBegan(j, k.task, m)
-	d.used[j.spec.Team] = d.used[j.spec.Team].Plus(j.taskResources())
+	d.usedByTeam[j.spec.Team] = d.usedByTeam[j.spec.Team].Plus(j.taskResources())
 	if !j.completed[k.task] { // a completed task exits at once with its earlier result, and uses nothing
 		d.checkQuota(j.spec.Team)
 	}
@@ -91,7 +91,7 @@
 	d = j.origin
 	delete(j.machines[k.task], m)
 	d.History.runEnded(j, k.task, m)
-	d.used[j.spec.Team] = d.used[j.spec.Team].Minus(j.taskResources())
+	d.usedByTeam[j.spec.Team] = d.usedByTeam[j.spec.Team].Minus(j.taskResources())
 }
 
 // checkStart checks that a task isn't on another machine, that it doesn't start too long after a
@@ -130,7 +130,7 @@
 // checkQuota checks that a team is within its quota.
 func (d *Deployment) checkQuota(name string) {
 	team, _ := d.Settings.Deployment.Team(name)
-	used := d.used[name]
+	used := d.usedByTeam[name]
 	if team.CpusMax > 0 && used.Cpus > team.CpusMax+limitTolerance ||
 		team.GpusMax > 0 && used.Gpus > team.GpusMax+limitTolerance {
 		d.World.ReportViolation(overQuota, "%s uses %v", name, used)
--- a/internal/simulation/scale_test.go
+++ b/internal/simulation/scale_test.go
@@ -33,7 +33,7 @@
 	submit := func(at clock.Micros, shape string, n int, cpus float64, run clock.Micros) {
 		tasks += n
 		w.After(at, func() {
-			spec := array(d.nextID(), "open", n, cpus, run.Seconds())
+			spec := arraySpec(d.nextID(), "open", n, cpus, run.Seconds())
 			spec.Class, spec.Shape, spec.Spot, spec.CheckpointS, spec.SaveS = shape, shape, true, 10, 1
 			d.Submit(spec, run, false)
 		})
@@ -115,7 +115,7 @@
 
 // nextID returns an id that no job of the deployment has yet.
 func (d *Deployment) nextID() protocol.JobID {
-	return protocol.JobID(fmt.Sprintf("job-%06d", len(d.order)))
+	return protocol.JobID(fmt.Sprintf("job-%06d", len(d.submittedJobs)))
 }
 
 // mustFinish fails the test if a rule was broken or an accepted job isn't done.
@@ -144,7 +144,7 @@
 	for i := range clock.Micros(8) {
 		const n = 1000
 		w.After(i*2*clock.Second, func() {
-			d.Submit(array(d.nextID(), "open", n, 2, 150), 150*clock.Second, false)
+			d.Submit(arraySpec(d.nextID(), "open", n, 2, 150), 150*clock.Second, false)
 		})
 	}
 	excused := map[*FakeWorker]bool{}
--- a/internal/simulation/scalefailover_test.go
+++ b/internal/simulation/scalefailover_test.go
@@ -29,7 +29,7 @@
 		{Type: "small", Zone: "b"}: 200}
 	w.MessageCost = 2 * clock.Millisecond
 	submit := func(tasks int, run clock.Micros) {
-		d.Submit(array(d.nextID(), "open", tasks, 2, run.Seconds()), run, false)
+		d.Submit(arraySpec(d.nextID(), "open", tasks, 2, run.Seconds()), run, false)
 	}
 	for i := range clock.Micros(5) {
 		w.After(i*clock.Second, func() { submit(400, 120*clock.Second) })
@@ -61,12 +61,12 @@
 	w.Run(400 * clock.Second)
 	mustFinish(t, d)
 	mustKeepLeases(t, d, nil)
-	for _, j := range d.order {
+	for _, j := range d.submittedJobs {
 		if took := j.acceptedAt - j.submittedAt; took > 2*clock.Second {
 			t.Errorf("%s was accepted after %.1f s, want 2 s at most", j.spec.ID, took.Seconds())
 		}
 	}
-	if last := d.order[len(d.order)-1]; last.startedAt-last.submittedAt > 30*clock.Second {
+	if last := d.submittedJobs[len(d.submittedJobs)-1]; last.startedAt-last.submittedAt > 30*clock.Second {
 		t.Errorf("a job submitted to the next leader began after %.1f s, want 30 s at most",
 			(last.startedAt - last.submittedAt).Seconds())
 	}
@@ -88,7 +88,7 @@
 		{Type: "small", Zone: "b"}: 1000}
 	d.Store.SetLimits(set.Deployment.KVStore.Tightest(), false)
 	submit := func(shape, priority string, tasks int, cpus float64, run clock.Micros) *Job {
-		spec := array(d.nextID(), "open", tasks, cpus, run.Seconds())
+		spec := arraySpec(d.nextID(), "open", tasks, cpus, run.Seconds())
 		spec.Class, spec.Shape, spec.Priority, spec.Spread = shape, shape, priority,
 			shape == protocol.ShapeService
 		return d.Submit(spec, run, false)
--- a/internal/simulation/servicefaults.go
+++ b/internal/simulation/servicefaults.go
@@ -6,9 +6,9 @@
 	// nearTimeoutDelay delays requests to the store and responses so much that responses hardly ever arrive
 	// before the client's timeout.
 	nearTimeoutDelay = 700 * clock.Millisecond
-	// lateWriteChance is the share of transactions that the store executes late during the fault.
+	// lateWriteChance is the chance that the store executes a transaction late during the fault.
 	lateWriteChance = 0.3
-	// cancelAtEndChance is the share of jobs that users cancel at the moment of their end during the fault.
+	// cancelAtEndChance is the chance that a user cancels a job at the moment of its end during the fault.
 	cancelAtEndChance = 0.5
 	// maxCancelled is how many jobs users cancel at once, at most.
 	maxCancelled = 8
--- a/internal/simulation/services_test.go
+++ b/internal/simulation/services_test.go
@@ -13,7 +13,7 @@
 	t.Parallel()
 	w := NewWorld(260)
 	d := NewDeployment(w, tighteningSettings(), testTypes(), 0)
-	spec := array("job-000001", "open", 4, 1, 0)
+	spec := arraySpec("job-000001", "open", 4, 1, 0)
 	spec.Shape, spec.Priority, spec.Spread = protocol.ShapeService, "prod", true
 	j := d.Submit(spec, 40*clock.Second, false) // each replica ends after 20 to 60 s
 	served, samples := 0, 0
@@ -53,10 +53,10 @@
 	set.Deployment.Workers.LeaseS, set.Deployment.Workers.CancelS = 25, 45
 	d := NewDeployment(w, set, testTypes(), 0)
 	d.Cloud.Reliable = true
-	spec := array("job-000001", "open", 6, 4, 0)
+	spec := arraySpec("job-000001", "open", 6, 4, 0)
 	spec.Shape, spec.Priority, spec.Spread = protocol.ShapeService, "prod", true
 	j := d.Submit(spec, 0, false)
-	d.Submit(array("job-000002", "open", 8, 4, 600), 600*clock.Second, false)
+	d.Submit(arraySpec("job-000002", "open", 8, 4, 600), 600*clock.Second, false)
 	w.Run(80 * clock.Second)
 	var lost *FakeWorker
 	for _, on := range j.machines {
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -52,8 +52,8 @@
 	leaseSeq protocol.LeaseID
 	watchers []*watcher
 	outage   bool
-	// LateWriteChance is the share of transactions that the store executes seconds later, after newer ones,
-	// and to which it doesn't respond.
+	// LateWriteChance is the chance that the store executes a transaction seconds later, after newer ones,
+	// and doesn't respond to it.
 	LateWriteChance float64
 	// ValueBytes limits the size of a value in bytes of JSON, TxnOps the number of changes of a transaction,
 	// ChangesPerS the number of changes in each second. 0 means no limit.
--- a/internal/simulation/storeoutage_test.go
+++ b/internal/simulation/storeoutage_test.go
@@ -42,7 +42,7 @@
 			w.Run(w.Now() + 45*clock.Second)
 			mustKeepRules(t, w)
 			if unavailable != "nobody" {
-				if expired(d) == 0 {
+				if workersWithExpiredLease(d) == 0 {
 					t.Fatalf("%s is unavailable and no worker's lease expired within 45 s, want some", unavailable)
 				}
 				continue
@@ -50,8 +50,9 @@
 			if !hung.ended {
 				t.Fatalf("%s hangs with cancelled tasks and is kept, want it released", hung.name)
 			}
-			if expired(d) > 0 {
-				t.Fatalf("%d workers lost their tasks though all controllers attest, want none", expired(d))
+			if workersWithExpiredLease(d) > 0 {
+				t.Fatalf("%d workers lost their tasks though all controllers attest, want none",
+					workersWithExpiredLease(d))
 			}
 			d.Store.SetOutage(false)
 			leader.StoreLink.StoreRejects = false
@@ -115,14 +116,15 @@
 		w := NewWorld(seed)
 		d := NewDeployment(w, testSettings(), testTypes(), 0)
 		// This job keeps workers up that have free capacity.
-		keep := d.Submit(array("job-000001", "open", 6, 6, 300), 300*clock.Second, false)
+		keep := d.Submit(arraySpec("job-000001", "open", 6, 6, 300), 300*clock.Second, false)
 		w.Run(40 * clock.Second)
 		if len(keep.machines) == 0 {
 			t.Fatal("no task runs, want six")
 		}
 		d.Store.LateWriteChance = 0.5
 		for i := range 6 {
-			d.Submit(array(protocol.JobID(fmt.Sprintf("job-1%05d", i)), "limited", 4, 2, 15), 15*clock.Second, false)
+			d.Submit(arraySpec(protocol.JobID(fmt.Sprintf("job-1%05d", i)), "limited", 4, 2, 15),
+				15*clock.Second, false)
 			w.Run(w.Now() + 2*clock.Second)
 		}
 		w.Run(w.Now() + 30*clock.Second)
--- a/internal/simulation/transfer_test.go
+++ b/internal/simulation/transfer_test.go
@@ -37,15 +37,15 @@
 	}
 	x.host.Cloud.Capacity[scaling.CapacityPool{Type: "small", Zone: "a"}] = 2
 	w.Run(10 * clock.Second)
-	spec := array("job-000001", "open", 20, 4, 25)
+	spec := arraySpec("job-000001", "open", 20, 4, 25)
 	if gang {
 		spec.Shape, spec.Tasks, spec.CheckpointS, spec.SaveS = protocol.ShapeGang, 4, 5, 1
 	}
 	x.job = x.origin.Submit(spec, 25*clock.Second, false)
-	x.host.Submit(array("job-000001", "open", 1, 4, 20), 20*clock.Second, false) // the same id
+	x.host.Submit(arraySpec("job-000001", "open", 1, 4, 20), 20*clock.Second, false) // the same id
 	w.After(originGrowsAt, func() {
 		x.origin.Cloud.Capacity[scaling.CapacityPool{Type: "small", Zone: "b"}] = 4
-		x.origin.Submit(array("job-000002", "open", 8, 4, 3), 3*clock.Second, false)
+		x.origin.Submit(arraySpec("job-000002", "open", 8, 4, 3), 3*clock.Second, false)
 	})
 	return x
 }
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -29,7 +29,7 @@
 	d = NewOldVersionDeployment(w, tighteningSettings(), testTypes(), 0)
 	d.Store.SetLimits(d.Settings.Deployment.KVStore, false)
 	d.Store.CheckPut = d.checkFormat
-	j = d.Submit(array("job-000001", "open", 200, 1, run.Seconds()), run, false)
+	j = d.Submit(arraySpec("job-000001", "open", 200, 1, run.Seconds()), run, false)
 	w.Run(40 * clock.Second)
 	return w, d, j
 }
@@ -83,7 +83,7 @@
 func TestLimitsTightenWhileOneControllerIsOld(t *testing.T) {
 	t.Parallel()
 	w, d, j := oldDeployment(250, 30*clock.Second)
-	other := d.Submit(array("job-000002", "open", 200, 1, 300), 300*clock.Second, false)
+	other := d.Submit(arraySpec("job-000002", "open", 200, 1, 300), 300*clock.Second, false)
 	w.Run(70 * clock.Second)
 	behind := d.Nodes[2]
 	for _, n := range d.Nodes[:2] {
@@ -93,7 +93,7 @@
 		w.Run(w.Now() + 3*clock.Second)
 	}
 	d.Store.SetLimits(d.Settings.Deployment.KVStore.Tightest(), false)
-	replicas := array("job-000003", "open", 4, 1, 0)
+	replicas := arraySpec("job-000003", "open", 4, 1, 0)
 	replicas.Shape = protocol.ShapeService
 	service := d.Submit(replicas, 0, false)
 	confirmCancel(w, d, other)
@@ -157,7 +157,7 @@
 		t.Errorf("%d elections, want 3 at most; %.1f s without a leader, want 15 s at most",
 			elections-1, float64(leaderless)/10)
 	}
-	if n := expired(d); n > 0 {
+	if n := workersWithExpiredLease(d); n > 0 {
 		t.Errorf("%d workers lost their tasks, want none", n)
 	}
 	w.Run(w.Now() + 300*clock.Second)
--- a/internal/simulation/userfaults.go
+++ b/internal/simulation/userfaults.go
@@ -45,7 +45,7 @@
 			d.Cancel(j)
 		}
 	}
-	valid := array("job-900001", "limited", 2, 2, 5)
+	valid := arraySpec("job-900001", "limited", 2, 2, 5)
 	tooMuchMemory, gangBeyondQuota, unknownTeam := valid, valid, valid
 	tooMuchMemory.MemoryGB = 4096
 	gangBeyondQuota.Shape, gangBeyondQuota.Tasks, gangBeyondQuota.Gpus = protocol.ShapeGang, 5, 1
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -65,7 +65,7 @@
 func (d *Deployment) Submit(spec protocol.JobSpec, run clock.Micros, failing bool) *Job {
 	j := newJob(d, spec, run, failing)
 	d.jobs[spec.ID] = j
-	d.order = append(d.order, j)
+	d.submittedJobs = append(d.submittedJobs, j)
 	d.submit(j)
 	return j
 }
@@ -77,7 +77,7 @@
 	d.ask(request, func(status int, s protocol.JobStatus) {
 		switch status {
 		case http.StatusCreated, http.StatusOK:
-			d.submitted(j, before, s)
+			d.handleSubmitResponse(j, before, s)
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
 			d.World.ReportViolation(lostJob, "%s answered %d", j.spec.ID, status)
 		default:
@@ -86,8 +86,8 @@
 	})
 }
 
-// submitted handles the response to an accepted submission.
-func (d *Deployment) submitted(j *Job, before string, s protocol.JobStatus) {
+// handleSubmitResponse handles the response to an accepted submission.
+func (d *Deployment) handleSubmitResponse(j *Job, before string, s protocol.JobStatus) {
 	first := !j.accepted()
 	if first {
 		j.acceptedAt = d.World.now
@@ -147,12 +147,12 @@
 }
 
 // Jobs returns all jobs in the order of their submission.
-func (d *Deployment) Jobs() []*Job { return d.order }
+func (d *Deployment) Jobs() []*Job { return d.submittedJobs }
 
 // Unfinished lists the jobs that should be done by now but whose users haven't received that status.
 func (d *Deployment) Unfinished() []string {
 	var ids []string
-	for _, j := range d.order {
+	for _, j := range d.submittedJobs {
 		if !j.cancelRequested && j.finalStatus != protocol.StatusDone && !j.failing && !j.spec.IsService() {
 			ids = append(ids, fmt.Sprintf("%s (%d of %d)", j.spec.ID, len(j.completed), j.spec.Tasks))
 		}
--- a/internal/simulation/workerloss_test.go
+++ b/internal/simulation/workerloss_test.go
@@ -17,7 +17,7 @@
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
 	d.Cloud.Reliable = true
 	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 1} // the only machine
-	job := d.Submit(array("job-000001", "open", 1, 2, 90), 90*clock.Second, false)
+	job := d.Submit(arraySpec("job-000001", "open", 1, 2, 90), 90*clock.Second, false)
 	w.Run(40 * clock.Second)
 	if len(job.machines) != 1 {
 		t.Fatalf("%d tasks run, want 1", len(job.machines))
@@ -25,7 +25,7 @@
 	m := d.Workers()[0]
 	m.HeartbeatsLost = true
 	for i := range 20 {
-		d.Submit(array(protocol.JobID(fmt.Sprintf("job-1%05d", i)), "open", 1, 1, 4), 4*clock.Second, false)
+		d.Submit(arraySpec(protocol.JobID(fmt.Sprintf("job-1%05d", i)), "open", 1, 1, 4), 4*clock.Second, false)
 		for until := w.Now() + 3*clock.Second; w.Now() < until; {
 			w.Run(w.Now() + 100*clock.Millisecond)
 			if m.incarnation > 1 && len(m.tasks) > 0 {
@@ -45,7 +45,7 @@
 	w := NewWorld(7)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
 	d.Cloud.Capacity = map[scaling.CapacityPool]int{{Type: "small", Zone: "a"}: 4}
-	spec := array("job-000001", "open", 8, 4, 30)
+	spec := arraySpec("job-000001", "open", 8, 4, 30)
 	j := d.Submit(spec, 30*clock.Second, false)
 	w.Run(25 * clock.Second)
 	for _, m := range d.Workers() {
--- a/internal/simulation/workload.go
+++ b/internal/simulation/workload.go
@@ -38,8 +38,8 @@
 	return []protocol.MachineType{small, big}
 }
 
-// array returns the specification of a job array without placement constraints.
-func array(id protocol.JobID, team string, tasks int, cpus, seconds float64) protocol.JobSpec {
+// arraySpec returns the specification of a job array without placement constraints.
+func arraySpec(id protocol.JobID, team string, tasks int, cpus, seconds float64) protocol.JobSpec {
 	return protocol.JobSpec{ID: id, Class: "c", Team: team, Shape: protocol.ShapeArray, Priority: "normal",
 		Tasks: tasks, Cpus: cpus, MemoryGB: 1, Image: "i", EstimateS: seconds}
 }
--- a/internal/simulation/zonefixture_test.go
+++ b/internal/simulation/zonefixture_test.go
@@ -21,7 +21,7 @@
 	if change != nil {
 		change(set)
 	}
-	d := prepare(w, set, testTypes(), 0)
+	d := prepareDeployment(w, set, testTypes(), 0)
 	s := zonerecovery.Defaults()
 	d.Recovery = &s
 	d.Cloud.Reliable = true
@@ -65,7 +65,7 @@
 
 // gang returns the specification of a gang that saves checkpoints.
 func gang(id protocol.JobID, tasks int, seconds float64) protocol.JobSpec {
-	s := array(id, "open", tasks, 4, seconds)
+	s := arraySpec(id, "open", tasks, 4, seconds)
 	s.Shape, s.CheckpointS, s.SaveS = protocol.ShapeGang, 5, 1
 	return s
 }
@@ -117,7 +117,7 @@
 // displaced returns the unfinished jobs that are still marked as displaced although no task is pending.
 func (d *Deployment) displaced() []protocol.JobID {
 	var ids []protocol.JobID
-	for _, j := range d.order {
+	for _, j := range d.submittedJobs {
 		r := d.Store.wholeRecord(j.spec.ID)
 		if r != nil && !r.Final() && r.DisplacedFrom != "" && r.PendingCount() == 0 {
 			ids = append(ids, j.spec.ID)
--- a/internal/simulation/zoneloss_test.go
+++ b/internal/simulation/zoneloss_test.go
@@ -43,7 +43,7 @@
 					d.monitorGangs()
 					w.Run(20 * clock.Second)
 					j := d.Submit(gang("job-000001", 8, 25), 25*clock.Second, false)
-					other := d.Submit(array("job-000002", "open", 6, 2, 20), 20*clock.Second, false)
+					other := d.Submit(arraySpec("job-000002", "open", 6, 2, 20), 20*clock.Second, false)
 					if step.name == "rebuilt" {
 						w.After(30*clock.Second, func() { w.After(40*clock.Second, d.PartitionZone("a", true)) })
 					}
@@ -92,7 +92,7 @@
 			d.MonitorDisturbances()
 			d.monitorGangs()
 			w.Run(20 * clock.Second)
-			jobs := []*Job{d.Submit(array("job-000001", "open", 24, 2, 50), 50*clock.Second, false),
+			jobs := []*Job{d.Submit(arraySpec("job-000001", "open", 24, 2, 50), 50*clock.Second, false),
 				d.Submit(gang("job-000002", 6, 40), 40*clock.Second, false)}
 			w.Run(60 * clock.Second)
 			w.After(50*clock.Second, d.PartitionZone([]string{"a", "b"}[i%2], i > 1))
--- a/internal/simulation/zonerecovery_test.go
+++ b/internal/simulation/zonerecovery_test.go
@@ -23,7 +23,7 @@
 			w, d, h := twoZones(uint64(5200+k), nil)
 			d.capacity(4)
 			w.Run(20 * clock.Second)
-			j := d.Submit(array("job-000001", "open", 24, 2, 60), 60*clock.Second, false)
+			j := d.Submit(arraySpec("job-000001", "open", 24, 2, 60), 60*clock.Second, false)
 			w.Run(50 * clock.Second)
 			heal := d.PartitionZone(zone, false)
 			w.After(60*clock.Second, heal)
@@ -64,7 +64,7 @@
 		w, d, h := twoZones(5300, nil)
 		d.capacity(2)
 		w.Run(20 * clock.Second)
-		j := d.Submit(array("job-000001", "open", 16, 2, 2000), 1000*clock.Second, false)
+		j := d.Submit(arraySpec("job-000001", "open", 16, 2, 2000), 1000*clock.Second, false)
 		w.Run(50 * clock.Second)
 		d.capacity(8)
 		leader, machines := d.Leader(), len(d.Cloud.all)
@@ -106,17 +106,17 @@
 	d.Cloud.Capacity[scaling.CapacityPool{Type: "small", Zone: "b"}] = 1
 	w.Run(20 * clock.Second)
 	// Without this job zone b would have no machines, so that no controller would receive heartbeats.
-	stays := array("job-000006", "open", 1, 8, 600)
+	stays := arraySpec("job-000006", "open", 1, 8, 600)
 	stays.Zone = "b"
 	d.Submit(stays, 600*clock.Second, false)
 	deadline := 4000.0
-	service := array("job-000004", "open", 4, 4, 0)
+	service := arraySpec("job-000004", "open", 4, 4, 0)
 	service.Shape = protocol.ShapeService
-	due := array("job-000003", "open", 4, 4, 60)
+	due := arraySpec("job-000003", "open", 4, 4, 60)
 	due.DeadlineS = &deadline
 	whole := gang("job-000002", 4, 60)
-	plain := array("job-000001", "open", 8, 4, 60)
-	bound := array("job-000005", "open", 2, 4, 60)
+	plain := arraySpec("job-000001", "open", 8, 4, 60)
+	bound := arraySpec("job-000005", "open", 2, 4, 60)
 	bound.Zone = "a"
 	var jobs []*Job
 	for _, s := range []protocol.JobSpec{plain, whole, due, service, bound} {
@@ -187,7 +187,7 @@
 		}
 		d.capacity(4)
 		w.Run(20 * clock.Second)
-		j := d.Submit(array("job-000001", "open", 32, 2, 400), 400*clock.Second, false)
+		j := d.Submit(arraySpec("job-000001", "open", 32, 2, 400), 400*clock.Second, false)
 		w.Run(60 * clock.Second)
 		d.capacity(8)
 		zone := map[string]string{"a": "b", "b": "a"}[d.Leader().Zone]
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -53,12 +53,12 @@
 // waited behind other requests, or its process may have been suspended, and a new leader may have been
 // elected meanwhile. The zero value never passes.
 type Deadline struct {
-	Clock   clock.Clock
-	Instant clock.Micros
+	Clock clock.Clock
+	Time  clock.Micros
 }
 
 // passed reports whether the deadline has passed.
-func (d Deadline) passed() bool { return d.Clock != nil && d.Clock.Monotonic() >= d.Instant }
+func (d Deadline) passed() bool { return d.Clock != nil && d.Clock.Monotonic() >= d.Time }
 
 // Client is a pool of persistent connections to one kind of external system.
 type Client struct{ http *http.Client }
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -66,7 +66,7 @@
 
 // exchange sends one request and decodes the response.
 func (client *actorClient) exchange(request transport.Request, until clock.Micros) Response {
-	deadline := transport.Deadline{Clock: client.mailbox, Instant: until}
+	deadline := transport.Deadline{Clock: client.mailbox, Time: until}
 	response, err := transport.DoOnce(deadline, request)
 	if err != nil {
 		return Response{Err: transport.NoResponse(err)}
--- a/internal/zonerecovery/evidence.go
+++ b/internal/zonerecovery/evidence.go
@@ -5,8 +5,8 @@
 	// Machines counts the zone's machines that should be sending heartbeats. OnTime counts those whose
 	// heartbeats reach this controller.
 	Machines, OnTime int
-	// ProbesAnswered counts silent machines that have recently answered a probe.
-	ProbesAnswered int
+	// ProbeResponses counts silent machines that have recently responded to a probe.
+	ProbeResponses int
 	// FailedOrUnlisted counts machines that the cloud lists as failed or no longer lists.
 	FailedOrUnlisted int
 	// Controllers counts the controllers in the zone. ControllersReached counts those that respond to this
@@ -63,7 +63,7 @@
 		return PartlySilent
 	case e.OnTimeElsewhere > 0:
 		return HeartbeatsElsewhere
-	case e.ControllersReached > 0 || e.ProbesAnswered > 0:
+	case e.ControllersReached > 0 || e.ProbeResponses > 0:
 		return HeartbeatsMissing
 	case 2*e.FailedOrUnlisted >= silent: // at least half of the silent machines
 		return PoweredOff
--- a/internal/zonerecovery/zone.go
+++ b/internal/zonerecovery/zone.go
@@ -108,25 +108,25 @@
 }
 
 // nextPhase returns the phase that follows from the evidence.
-func (z *Zone) nextPhase(now clock.Micros, e Evidence, s *Settings, hasten bool) Phase {
+func (z *Zone) nextPhase(now clock.Micros, e Evidence, s *Settings, declareLost bool) Phase {
 	switch z.Phase {
 	case Healthy, Suspect:
-		return z.nextFromServing(now, e, s, hasten)
+		return z.nextFromServing(now, e, s, declareLost)
 	case Lost:
 		return z.nextFromLost(now, e)
 	}
 	return z.nextFromReturning(now, e, s)
 }
 
-// nextFromServing returns the next phase of a healthy or suspect zone. hasten skips the loss delay.
-func (z *Zone) nextFromServing(now clock.Micros, e Evidence, s *Settings, hasten bool) Phase {
+// nextFromServing returns the next phase of a healthy or suspect zone. declareLost skips the loss delay.
+func (z *Zone) nextFromServing(now clock.Micros, e Evidence, s *Settings, declareLost bool) Phase {
 	silent := e.silentShare()
 	switch {
 	case !e.significant() || silent <= normalSilentShare:
 		return Healthy
 	case z.Phase == Healthy && silent < s.SuspectShare:
 		return Healthy
-	case silent >= s.LostShare && (hasten || z.silentForLossDelay(now, s)):
+	case silent >= s.LostShare && (declareLost || z.silentForLossDelay(now, s)):
 		return Lost
 	}
 	return Suspect
