--- a/internal/leader/cells_delegating_test.go
+++ b/internal/leader/cells_delegating_test.go
@@ -59,7 +59,7 @@
 
 // createDelegation returns a leader of alpha that has sent the creation of delegation 7 and has no
 // response yet.
-func createDelegation(t *testing.T) (*Leader, *fakeStore, *actortest.Still) {
+func createDelegation(t *testing.T) (*Leader, *fakeStore, *actortest.SynchronousMailbox) {
 	t.Helper()
 	l, j, store, mailbox := delegatingLeader(t)
 	j.StoredValue.StoredCount, j.StoredValue.Version = j.ChangeCount, 6
--- a/internal/leader/cells_helpers_test.go
+++ b/internal/leader/cells_helpers_test.go
@@ -38,7 +38,7 @@
 
 // cellLeader returns a leader of cell alpha, which hosts jobs of beta and may delegate its own jobs to
 // beta.
-func cellLeader(tb testing.TB) (*Leader, *fakeStore, *actortest.Still) {
+func cellLeader(tb testing.TB) (*Leader, *fakeStore, *actortest.SynchronousMailbox) {
 	tb.Helper()
 	l, mailbox := newLeader()
 	l.state.Settings.Node = "worker-0"
@@ -57,7 +57,7 @@
 
 // hostingLeader returns a leader of alpha with a hosted job of one task. The task's placement on m-1 is
 // committed, and the job's permission expires in ten seconds.
-func hostingLeader(t *testing.T) (*Leader, *jobtable.Job, *machinetable.Machine, *actortest.Still) {
+func hostingLeader(t *testing.T) (*Leader, *jobtable.Job, *machinetable.Machine, *actortest.SynchronousMailbox) {
 	t.Helper()
 	l, _, mailbox := cellLeader(t)
 	id := jobrecord.HostedJobID("beta", "job-1", 7)
@@ -86,7 +86,7 @@
 
 // sendHeartbeat sends a heartbeat of m-1 to a leader with a valid lease and current records. It returns
 // the status and the commands of the response.
-func sendHeartbeat(l *Leader, mailbox *actortest.Still, counter int64,
+func sendHeartbeat(l *Leader, mailbox *actortest.SynchronousMailbox, counter int64,
 	tasks ...protocol.TaskStatus) (status int, commands []protocol.Command) {
 	l.state.Term.RenewedAt, l.state.Term.ValidUntil = mailbox.Now, mailbox.Now+4*clock.Second
 	l.state.RecordsKnownUntil = mailbox.Now
@@ -100,7 +100,7 @@
 }
 
 // delegatingLeader returns a leader of alpha that has delegated both tasks of a job to beta.
-func delegatingLeader(t *testing.T) (*Leader, *jobtable.Job, *fakeStore, *actortest.Still) {
+func delegatingLeader(t *testing.T) (*Leader, *jobtable.Job, *fakeStore, *actortest.SynchronousMailbox) {
 	t.Helper()
 	l, store, mailbox := cellLeader(t)
 	content := jobrecord.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 2, Cpus: 1}, 1)
@@ -114,11 +114,11 @@
 // heartbeatFromBeta returns a heartbeat that beta, as a host, sends to alpha.
 func heartbeatFromBeta(statuses ...delegation.Status) delegation.Heartbeat {
 	return delegation.Heartbeat{
-		Host:      "beta",
-		Origin:    "alpha",
-		Epoch:     3,
-		ClearTime: cells.ClearTime(12 * clock.Second),
-		Statuses:  statuses,
+		Host:               "beta",
+		Origin:             "alpha",
+		Epoch:              3,
+		MaxTerminationTime: cells.MaxTerminationTime(12 * clock.Second),
+		Statuses:           statuses,
 	}
 }
 
--- a/internal/leader/cells_permissions_test.go
+++ b/internal/leader/cells_permissions_test.go
@@ -29,7 +29,7 @@
 	mailbox.Now += 2 * clock.Second // since the leader last read its records and renewed its lease
 	l.state.Term.ValidUntil = mailbox.Now + clock.Second
 	workers := l.state.Settings.Deployment.Workers
-	length := cells.MaxPermission(workers, cells.ClearTime(12*clock.Second)) - 2*clock.Second
+	length := cells.MaxPermission(workers, cells.MaxTerminationTime(12*clock.Second)) - 2*clock.Second
 	want := delegation.Directive{Number: 7, Action: delegation.Continue, PermissionFor: length}
 	if got := onlyDirective(t, sendDelegationStatus(l, delegation.Status{})); got != want {
 		t.Fatalf("got %+v, want %+v", got, want)
--- a/internal/leader/commands_test.go
+++ b/internal/leader/commands_test.go
@@ -108,7 +108,7 @@
 		{"a batch", reconciler.ForgetBatch, false, 0, reconciler.ForgetBatch},
 	} {
 		l, j, r := leaderWithEightTasks()
-		mailbox := l.state.Mailbox.(*actortest.Still)
+		mailbox := l.state.Mailbox.(*actortest.SynchronousMailbox)
 		heartbeat := func() (forgotten int) {
 			r.Counter++
 			r.Tasks = slices.Clone(r.Tasks)
--- a/internal/leader/golden_test.go
+++ b/internal/leader/golden_test.go
@@ -339,8 +339,8 @@
 			Since:     90 * clock.Second,
 			Diagnosis: zonerecovery.PoweredOff,
 		},
-		Evidence: zonerecovery.Evidence{Machines: 4, Heard: 1, Controllers: 1, ControllersReached: 1,
-			HeardElsewhere: 2},
+		Evidence: zonerecovery.Evidence{Machines: 4, OnTime: 1, Controllers: 1, ControllersReached: 1,
+			OnTimeElsewhere: 2},
 	}}
 	var got []byte
 	l.Overview(func(o any) {
@@ -393,7 +393,7 @@
 	requests []protocol.ScaleOutRequest
 }
 
-func (r *scaleOutRecorder) Rent(x protocol.ScaleOutRequest, _ clock.Micros,
+func (r *scaleOutRecorder) ScaleOut(x protocol.ScaleOutRequest, _ clock.Micros,
 	_ func(int, protocol.ScaleOutResponse)) {
 	r.requests = append(r.requests, x)
 }
@@ -461,7 +461,7 @@
 	l.state.Settings.Deployment.Objectives = []settings.Objective{
 		{Kind: "wait", Class: "c", WithinS: 5},
 		{Kind: "finished", Class: "c", WithinS: 300},
-		{Kind: "deadline", Class: "c", Times: 1.5},
+		{Kind: "deadline", Class: "c", DeadlineFactor: 1.5},
 	}
 	if s := l.objectives.StartObjectiveS("c"); s != 5 {
 		t.Errorf("got a start objective of %v s, want 5", s)
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -37,7 +37,7 @@
 
 // queuedMailbox is a mailbox that holds messages until the test runs them.
 type queuedMailbox struct {
-	actortest.Still
+	actortest.SynchronousMailbox
 	waiting []func()
 }
 
@@ -49,7 +49,7 @@
 // received.
 func TestHeartbeatsThatWaitedTooLongAreRefused(t *testing.T) {
 	l, mailbox := newLeader()
-	q := &queuedMailbox{Still: *mailbox}
+	q := &queuedMailbox{SynchronousMailbox: *mailbox}
 	l.state.Mailbox = q
 	heartbeat := func(counter int64, wait clock.Micros) int {
 		got := 0
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -16,10 +16,10 @@
 
 // newLeader returns a leader in epoch 7 that has loaded its records, and its mailbox, whose clock the
 // test sets.
-func newLeader() (*Leader, *actortest.Still) {
-	mailbox := &actortest.Still{Now: 100 * clock.Second}
+func newLeader() (*Leader, *actortest.SynchronousMailbox) {
+	mailbox := &actortest.SynchronousMailbox{Now: 100 * clock.Second}
 	set := &settings.Settings{}
-	set.Deployment.Workers = settings.Workers{HeartbeatS: 2, LeaseS: 12, GangPeerS: 4, CancelS: 30}
+	set.Deployment.Workers = settings.Workers{HeartbeatS: 2, LeaseS: 12, GangPeerTimeoutS: 4, CancelS: 30}
 	set.Deployment.KVStore = settings.KVStore{Rps: 100, WriteRps: 40, ValueKb: 8, TxnOps: 5}
 	l := New(Dependencies{Mailbox: mailbox, Settings: set, Deposed: func(protocol.Epoch) {}, Resign: func() {}})
 	l.state.Term.Epoch, l.state.BegunAt = 7, mailbox.Now
@@ -47,7 +47,7 @@
 
 // leaderWithOneTask returns a leader with a committed placement of one task on incarnation 1 of machine
 // m-1, together with the job, the machine and the mailbox.
-func leaderWithOneTask(t *testing.T) (*Leader, *jobtable.Job, *machinetable.Machine, *actortest.Still) {
+func leaderWithOneTask(t *testing.T) (*Leader, *jobtable.Job, *machinetable.Machine, *actortest.SynchronousMailbox) {
 	t.Helper()
 	l, mailbox := newLeader()
 	content := jobrecord.New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 1}, 1)
--- a/internal/leader/scaleout_test.go
+++ b/internal/leader/scaleout_test.go
@@ -24,12 +24,12 @@
 	releaseSets     [][]protocol.MachineName
 }
 
-func (s *fakeCloud) Rent(r protocol.ScaleOutRequest, _ clock.Micros,
+func (s *fakeCloud) ScaleOut(r protocol.ScaleOutRequest, _ clock.Micros,
 	done func(int, protocol.ScaleOutResponse)) {
 	s.scaleOuts, s.respondScaleOut = append(s.scaleOuts, r), append(s.respondScaleOut, done)
 }
 
-func (s *fakeCloud) Release(machines []protocol.MachineName, _ clock.Micros, done func(int)) {
+func (s *fakeCloud) ScaleIn(machines []protocol.MachineName, _ clock.Micros, done func(int)) {
 	s.releaseSets, s.respondScaleIn = append(s.releaseSets, machines), append(s.respondScaleIn, done)
 }
 
@@ -39,7 +39,7 @@
 
 // delayedMailbox is a mailbox that holds delayed messages until the test runs them.
 type delayedMailbox struct {
-	*actortest.Still
+	*actortest.SynchronousMailbox
 	delayed []func()
 }
 
@@ -50,7 +50,7 @@
 // scalingLeader returns a leader whose cloud has one machine type, in one zone.
 func scalingLeader() (*Leader, *fakeCloud, *delayedMailbox) {
 	l, still := newLeader()
-	mailbox := &delayedMailbox{Still: still}
+	mailbox := &delayedMailbox{SynchronousMailbox: still}
 	l.state.Mailbox = mailbox
 	cloud := &fakeCloud{}
 	l.autoscaler.Cloud = cloudtest.Client(cloud)
--- a/internal/leader/snapshot_test.go
+++ b/internal/leader/snapshot_test.go
@@ -31,7 +31,7 @@
 	} {
 		l, _, _ := leaderWithEightTasks()
 		c.change(l)
-		l.state.Mailbox.(*actortest.Still).Now += 20 * clock.Second
+		l.state.Mailbox.(*actortest.SynchronousMailbox).Now += 20 * clock.Second
 		for _, j := range l.snapshots.Snapshot().Jobs {
 			for _, r := range j.Running {
 				if r.OverheadS != c.want {
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -15,7 +15,7 @@
 )
 
 // saveLostZone returns a leader that has sent the write of a lost zone's record and has no response yet.
-func saveLostZone(t *testing.T) (*Leader, *zonetracker.Zone, *fakeStore, *actortest.Still) {
+func saveLostZone(t *testing.T) (*Leader, *zonetracker.Zone, *fakeStore, *actortest.SynchronousMailbox) {
 	t.Helper()
 	l, mailbox := newLeader()
 	store := &fakeStore{}
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -67,12 +67,12 @@
 	p := submissionParser{fields: fields}
 	id := JobID(p.text(fieldID))
 	if p.err == nil && !ValidJobID(id) {
-		return JobSpec{}, &FieldError{Field: fieldID, Problem: FieldUnacceptable, Want: wantJobID}
+		return JobSpec{}, &FieldError{Field: fieldID, Problem: FieldUnacceptable, Expected: wantJobID}
 	}
 	spec := p.parse()
 	spec.ID = id
 	p.checkChoices(&spec)
-	if spec.Service() {
+	if spec.IsService() {
 		// Replicas neither complete nor save checkpoints, so these fields have no meaning for them.
 		spec.EstimateS, spec.CheckpointS, spec.SaveS, spec.DeadlineS = 0, 0, 0, nil
 	}
@@ -148,9 +148,9 @@
 }
 
 // fail records a field error unless there is an earlier error.
-func (p *submissionParser) fail(field string, problem FieldProblem, want string) {
+func (p *submissionParser) fail(field string, problem FieldProblem, expected string) {
 	if p.err == nil {
-		p.err = &FieldError{Field: field, Problem: problem, Want: want}
+		p.err = &FieldError{Field: field, Problem: problem, Expected: expected}
 	}
 }
 
--- a/internal/simulation/delegationfaults_test.go
+++ b/internal/simulation/delegationfaults_test.go
@@ -28,7 +28,9 @@
 		x.host.Store.SetOutage(true)
 		x.w.After(duration, func() { x.host.Store.SetOutage(false) })
 	},
-	"cells are partitioned": func(x *transfer, duration clock.Micros) { x.w.After(duration, x.host.CutOff(true)) },
+	"cells are partitioned": func(x *transfer, duration clock.Micros) {
+		x.w.After(duration, x.host.PartitionCell(true))
+	},
 	"host's responses are lost": func(x *transfer, duration clock.Micros) {
 		for _, n := range x.host.Nodes {
 			n.CellResponsesLost = true
@@ -47,7 +49,7 @@
 	},
 	"the job is cancelled": func(x *transfer, _ clock.Micros) { x.origin.Cancel(x.job) },
 	"partitioned and cancelled": func(x *transfer, duration clock.Micros) {
-		x.w.After(duration, x.host.CutOff(false))
+		x.w.After(duration, x.host.PartitionCell(false))
 		x.origin.Cancel(x.job)
 	},
 }
@@ -102,12 +104,12 @@
 		"leader crashes":  func(x *transfer) { x.host.crashLeader(5 * clock.Second) },
 		"leader paused":   func(x *transfer) { x.host.Leader().process.Pause(35 * clock.Second) },
 		"all controllers": func(x *transfer) { x.host.crashAll(200 * clock.Second) },
-		"machines hang":   func(x *transfer) { x.hang() },
+		"machines hang":   func(x *transfer) { x.hangWorkers() },
 		"hang, leader crashes": func(x *transfer) {
-			x.hang()
+			x.hangWorkers()
 			x.host.crashLeader(5 * clock.Second)
 		},
-		"commands are held":       func(x *transfer) { x.hold() },
+		"commands are held":       func(x *transfer) { x.holdCommands() },
 		"origin's leader crashes": func(x *transfer) { x.origin.crashLeader(5 * clock.Second) },
 		"origin's store outage": func(x *transfer) {
 			x.w.After(clock.Second, func() { x.origin.Store.SetOutage(true) })
@@ -121,14 +123,14 @@
 				t.Fatal("no task runs in the host cell")
 			}
 			x.w.Run(x.w.Now() + 2*clock.Second)
-			heal := x.host.CutOff(false)
+			heal := x.host.PartitionCell(false)
 			fault(x)
 			x.w.Run(x.w.Now() + delay*700*clock.Millisecond)
 			confirmCancel(x.w, x.origin, x.job)
 			x.w.Run(x.w.Now() + 31*clock.Second)
 			for _, m := range x.host.Cloud.all {
 				for _, task := range m.tasks {
-					if task.resident && !m.Hung && x.host.findJob(task.job) == x.job {
+					if task.onMachine && !m.Hung && x.host.findJob(task.job) == x.job {
 						t.Errorf("%s: %s still runs %s, want it ended", name, m.name, task.job)
 					}
 				}
@@ -140,8 +142,8 @@
 	}
 }
 
-// hang makes the workers that run the job's tasks hang.
-func (x *transfer) hang() {
+// hangWorkers makes the workers that run the job's tasks hang.
+func (x *transfer) hangWorkers() {
 	for _, workers := range x.job.machines {
 		for m := range workers {
 			m.Hung = true
@@ -149,8 +151,8 @@
 	}
 }
 
-// hold delays direct commands to the host's workers for a while.
-func (x *transfer) hold() {
+// holdCommands delays direct commands to the host's workers for a while.
+func (x *transfer) holdCommands() {
 	for _, m := range x.host.Workers() {
 		m.Commands.Cut, m.Commands.Hold = true, true
 		x.w.After(20*clock.Second, m.Commands.Heal)
--- a/internal/simulation/kinds.go
+++ b/internal/simulation/kinds.go
@@ -8,18 +8,18 @@
 	"postpoint/internal/zonerecovery"
 )
 
-// Kind is a kind of simulated day, with random load and random faults.
-type Kind struct {
+// DayKind is a kind of simulated day, with random load and random faults.
+type DayKind struct {
 	Name string
 	// simulate simulates a day and returns the deployments. Some kinds differ for odd seeds.
-	simulate func(w *World, odd bool) []*Deployment
+	simulate func(w *World, oddSeed bool) []*Deployment
 }
 
 // maxTaskRunTime is the longest run time of a task.
 const maxTaskRunTime = 300 * clock.Second
 
-// Kinds lists all kinds of simulated days.
-var Kinds = []Kind{
+// DayKinds lists all kinds of simulated days.
+var DayKinds = []DayKind{
 	{"plain", simulatePlain},
 	{"services", simulateServices},
 	{"divided", simulateSharded},
@@ -28,8 +28,9 @@
 	{"upgrade", simulateUpgrade},
 }
 
-// Play runs the simulation with a seed. It records all messages and, at the end, all values of the stores.
-func (k Kind) Play(seed uint64, r Recorder) *World {
+// Simulate runs the simulation with a seed. It records all messages and, at the end, all values of the
+// stores.
+func (k DayKind) Simulate(seed uint64, r Recorder) *World {
 	w := NewWorld(seed)
 	w.Recorder = r
 	for _, d := range k.simulate(w, seed%2 == 1) {
@@ -44,18 +45,18 @@
 	set.Deployment.Objectives = []settings.Objective{
 		{Kind: "finished", Class: "c", WithinS: 60, Share: 0.9},
 		{Kind: "wait", Class: "c", WithinS: 20, Share: 0.5},
-		{Kind: "deadline", Class: "c", Times: 2, Share: 0.9},
+		{Kind: "deadline", Class: "c", DeadlineFactor: 2, Share: 0.9},
 	}
 	d := NewDeployment(w, set, testTypes(), 0.01)
 	d.Store.SetLimits(set.Deployment.KVStore, true)
-	d.inspect()
-	workload{spec: withDeadlines, maxRunTime: maxTaskRunTime}.simulateDay(d)
+	d.scheduleRequests()
+	workload{spec: specWithDeadline, maxRunTime: maxTaskRunTime}.simulateDay(d)
 	return []*Deployment{d}
 }
 
-// withDeadlines draws a random job. Some jobs have a deadline, which not all of them can meet, and some have
-// a run time estimate that is far too long.
-func withDeadlines(w *World, n int) protocol.JobSpec {
+// specWithDeadline draws a random job. Some jobs have a deadline, which not all of them can meet, and some
+// have a run time estimate that is far too long.
+func specWithDeadline(w *World, n int) protocol.JobSpec {
 	s := randomSpec(w, n)
 	if w.chance(0.4) {
 		deadline := w.Between(10*clock.Second, 200*clock.Second).Seconds()
@@ -71,7 +72,7 @@
 func simulateServices(w *World, _ bool) []*Deployment {
 	d := NewDeployment(w, testSettings(), testTypes(), 0.01)
 	d.Store.SetLimits(d.Settings.Deployment.KVStore, false)
-	d.inspect()
+	d.scheduleRequests()
 	for range 8 {
 		w.After(w.Between(30*clock.Second, dayLength), func() {
 			if up := d.Workers(); len(up) > 0 {
@@ -97,13 +98,13 @@
 		w.After(w.Between(0, 60*clock.Second), func() { d.Store.ValueBytes, d.Store.TxnOps = 1500, 3 })
 	})
 	d.crashLeaders(6)
-	d.inspect()
-	workload{services: 0.05, spec: mostlyLarge, maxRunTime: maxTaskRunTime}.simulateDay(d)
+	d.scheduleRequests()
+	workload{services: 0.05, spec: mostlyLargeSpec, maxRunTime: maxTaskRunTime}.simulateDay(d)
 	return []*Deployment{d}
 }
 
-// mostlyLarge draws a random job; half of the jobs are large arrays of small tasks.
-func mostlyLarge(w *World, n int) protocol.JobSpec {
+// mostlyLargeSpec draws a random job; half of the jobs are large arrays of small tasks.
+func mostlyLargeSpec(w *World, n int) protocol.JobSpec {
 	s := randomSpec(w, n)
 	if w.chance(0.5) {
 		makeLarge(&s, 60+w.Rand.IntN(300))
@@ -115,15 +116,15 @@
 const tightHostedLimits = "guests = { cpus = 24.0, gpus = 1.0 }\nreserve = { cpus = 6.0 }"
 
 // simulateCells simulates three cells that offload tasks to each other; with odd seeds they host only few.
-func simulateCells(w *World, odd bool) []*Deployment {
+func simulateCells(w *World, oddSeed bool) []*Deployment {
 	hostedLimits := defaultHostedLimits
-	if odd {
+	if oddSeed {
 		hostedLimits = tightHostedLimits
 	}
 	g := newThreeCells(w, hostedLimits, 0.01)
 	for _, d := range g.Cells {
-		d.inspect()
-		if odd {
+		d.scheduleRequests()
+		if oddSeed {
 			d.delayWrites(w.Between(20*clock.Second, dayLength))
 		}
 	}
@@ -134,8 +135,8 @@
 // recoveryFile reserves some capacity for the loss of a zone and restarts displaced tasks slowly.
 const recoveryFile = "tasks_per_s = 4\n[reserve]\nshare = 0.3\n"
 
-// recoveryOn returns the default settings of zone recovery, or those of recoveryFile.
-func recoveryOn(set *settings.Settings, fromFile bool) *zonerecovery.Settings {
+// recoverySettings returns the default settings of zone recovery, or those of recoveryFile.
+func recoverySettings(set *settings.Settings, fromFile bool) *zonerecovery.Settings {
 	if !fromFile {
 		s := zonerecovery.Defaults()
 		return &s
@@ -149,16 +150,16 @@
 
 // simulateRecovery simulates zones that are lost and return, with zone recovery enabled, while leaders
 // crash.
-func simulateRecovery(w *World, odd bool) []*Deployment {
+func simulateRecovery(w *World, oddSeed bool) []*Deployment {
 	set := testSettings()
 	set.Deployment.Zones = []string{"a", "b"}
-	d := prepare(w, set, testTypes(), 0.01)
-	d.Recovery = recoveryOn(set, odd)
+	d := prepareDeployment(w, set, testTypes(), 0.01)
+	d.Recovery = recoverySettings(set, oddSeed)
 	d.startNodes()
-	d.inspect()
-	d.cutRandomZones()
+	d.scheduleRequests()
+	d.partitionRandomZones()
 	d.crashLeaders(4)
-	if odd {
+	if oddSeed {
 		d.delayWrites(w.Between(20*clock.Second, dayLength))
 	}
 	workload{services: 0.15, spec: randomSpec, maxRunTime: maxTaskRunTime, ownClasses: true}.simulateDay(d)
@@ -166,7 +167,7 @@
 }
 
 // simulateUpgrade simulates a rolling upgrade of the controllers, with some time between two of them.
-func simulateUpgrade(w *World, odd bool) []*Deployment {
+func simulateUpgrade(w *World, oddSeed bool) []*Deployment {
 	set := testSettings()
 	announceTighterLimits(set)
 	d := NewOldVersionDeployment(w, set, testTypes(), 0.01)
@@ -177,22 +178,22 @@
 		d.Upgrade(w.Between(5*clock.Second, 40*clock.Second), w.Between(50*clock.Millisecond, 6*clock.Second))
 	})
 	d.crashLeaders(4)
-	if odd {
+	if oddSeed {
 		d.delayWrites(upgrade)
 	}
 	w.After(w.Between(0, dayLength), func() { d.Store.SetLimits(set.Deployment.KVStore.Tightest(), true) })
-	d.inspect()
-	workload{services: 0.15, spec: mostlyLarge, maxRunTime: maxTaskRunTime}.simulateDay(d)
+	d.scheduleRequests()
+	workload{services: 0.15, spec: mostlyLargeSpec, maxRunTime: maxTaskRunTime}.simulateDay(d)
 	return []*Deployment{d}
 }
 
-// cutRandomZones partitions a random zone at three random times.
-func (d *Deployment) cutRandomZones() {
+// partitionRandomZones partitions a random zone at three random times.
+func (d *Deployment) partitionRandomZones() {
 	w := d.World
 	for range 3 {
 		w.After(w.Between(30*clock.Second, dayLength), func() {
 			duration := w.Between(2*clock.Second, 60*clock.Second)
-			w.After(duration, d.CutZone([]string{"a", "b"}[w.Rand.IntN(2)], w.chance(0.5)))
+			w.After(duration, d.PartitionZone([]string{"a", "b"}[w.Rand.IntN(2)], w.chance(0.5)))
 		})
 	}
 }
@@ -209,19 +210,19 @@
 
 // delayWrites makes the store execute many transactions late, for 90 s from the given time on.
 func (d *Deployment) delayWrites(from clock.Micros) {
-	d.World.After(from, func() { d.Store.LateWrites = 0.2 })
-	d.World.After(from+90*clock.Second, func() { d.Store.LateWrites = 0 })
+	d.World.After(from, func() { d.Store.LateWriteChance = 0.2 })
+	d.World.After(from+90*clock.Second, func() { d.Store.LateWriteChance = 0 })
 }
 
-// inspect regularly sends every controller the requests of operators, load balancers and users.
-func (d *Deployment) inspect() {
+// scheduleRequests regularly sends every controller the requests of operators, load balancers and users.
+func (d *Deployment) scheduleRequests() {
 	const period = 10 * clock.Second
 	asked := 0
 	d.World.After(period, func() {
 		d.World.Every(period, func() {
 			for _, n := range d.Nodes {
 				if n.Up() {
-					d.inspectNode(n, asked)
+					d.sendRequests(n, asked)
 					asked++
 				}
 			}
@@ -229,9 +230,9 @@
 	})
 }
 
-// inspectNode sends these requests to one controller. The user's request is for the status of the next job
+// sendRequests sends these requests to one controller. The user's request is for the status of the next job
 // or, each fifth time, of a job that doesn't exist.
-func (d *Deployment) inspectNode(n *Node, asked int) {
+func (d *Deployment) sendRequests(n *Node, asked int) {
 	if d.World.Recorder != nil {
 		recording := d.recordingOf(n)
 		n.Leader.Overview(recording.recordOverview)
--- a/internal/simulation/nodes.go
+++ b/internal/simulation/nodes.go
@@ -22,9 +22,9 @@
 type Node struct {
 	Name string
 	Zone string
-	// process is its present or last process; runs counts its processes so far.
+	// process is its present or last process; starts counts its processes so far.
 	process *Process
-	runs    int
+	starts  int
 	// The links carry messages to and from the store, the cloud, the workers, the other controllers and the
 	// other cells.
 	StoreLink, CloudLink, WorkerLink, PeerLink, CellLink Link
@@ -112,7 +112,7 @@
 		return
 	}
 	n.process = d.World.newProcess()
-	n.runs++
+	n.starts++
 	environment := d.environment(n, n.process)
 	if d.World.Recorder != nil {
 		d.recordingOf(n).recordOutgoing(&environment)
@@ -124,7 +124,7 @@
 		d.recordingOf(n).recordIncoming(n)
 	}
 	if n.OldVersion {
-		actors.StartUnpublished()
+		actors.StartWithoutFormat()
 	} else {
 		actors.Start()
 	}
@@ -138,34 +138,36 @@
 	}
 	services := d.servicesOf(n, p)
 	return node.Environment{
-		Settings:  set,
-		Cells:     d.group.directory(d, n, set),
-		Exchange:  &cellClient{d, n, p},
-		Election:  election.Config{Node: n.Name, Incarnation: fmt.Sprint(n.runs), TTL: leaseTTL},
-		Mailboxes: node.Mailboxes{Leader: p, Election: p, Admission: p, Rollout: p},
-		Store:     func(actor.Mailbox) kvstore.Store { return storetest.Client(services.store) },
-		Cloud:     cloudtest.Client(services.cloud),
-		Agent:     workertest.Client(services.agent),
-		Forward:   func(r admission.Request, done func(admission.Response, bool)) { d.forward(n, r, done) },
-		Recovery:  d.Recovery,
-		Everyone:  askAll,
+		Settings:   set,
+		Cells:      d.group.directory(d, n, set),
+		CellClient: &cellClient{d, n, p},
+		Election:   election.Config{Node: n.Name, Incarnation: fmt.Sprint(n.starts), TTL: leaseTTL},
+		Mailboxes:  node.Mailboxes{Leader: p, Election: p, Admission: p, Rollout: p},
+		Store:      func(actor.Mailbox) kvstore.Store { return storetest.Client(services.store) },
+		Cloud:      cloudtest.Client(services.cloud),
+		Workers:    workertest.Client(services.workers),
+		Forward: func(r admission.Request, done func(admission.Response, bool)) {
+			d.forward(n, r, done)
+		},
+		Recovery:          d.Recovery,
+		AskAllControllers: askAll,
 	}
 }
 
 // services holds the clients with which one process of a controller reaches the outside systems.
 type services struct {
-	store storetest.Service
-	cloud cloudtest.Service
-	agent workertest.Service
+	store   storetest.Service
+	cloud   cloudtest.Service
+	workers workertest.Service
 }
 
 // servicesOf returns the clients of a process for the fakes. If the world has a Recorder, the clients record
 // all messages.
 func (d *Deployment) servicesOf(n *Node, p *Process) services {
 	s := services{
-		store: d.Store.ClientFor(p, &n.StoreLink),
-		cloud: d.Cloud.ClientFor(p, &n.CloudLink),
-		agent: &agentClient{d, p, n},
+		store:   d.Store.ClientFor(p, &n.StoreLink),
+		cloud:   d.Cloud.ClientFor(p, &n.CloudLink),
+		workers: &workerClient{d, p, n},
 	}
 	if d.World.Recorder != nil {
 		s = d.recordingOf(n).services(s)
--- a/internal/simulation/zonerecovery_test.go
+++ b/internal/simulation/zonerecovery_test.go
@@ -23,9 +23,9 @@
 			w, d, h := twoZones(uint64(5200+k), nil)
 			d.capacity(4)
 			w.Run(20 * clock.Second)
-			j := d.Submit(array("job-000001", "open", 24, 2, 60), 60*clock.Second, false)
+			j := d.Submit(arraySpec("job-000001", "open", 24, 2, 60), 60*clock.Second, false)
 			w.Run(50 * clock.Second)
-			heal := d.CutZone(zone, false)
+			heal := d.PartitionZone(zone, false)
 			w.After(60*clock.Second, heal)
 			d.awaitPhase(t, zone, phase, 100*clock.Second)
 			d.crashLeader(3 * clock.Second)
@@ -47,15 +47,15 @@
 	}
 }
 
-// A zone flaps. Its losses, the rented machines and the elections must stay bounded: the leader moves no task
-// for partitions that end before it has diagnosed a loss, and the more often the zone flaps, the longer it
-// gets no tasks.
+// A zone flaps. Its losses, the number of started machines and the elections must stay bounded: the leader
+// moves no task for partitions that end before it has diagnosed a loss, and the more often the zone flaps,
+// the longer it gets no tasks.
 func TestFlappingZoneCostsLittle(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		cuts, every, duration clock.Micros // how many, how often, each for how long
 		losses                int64
-		rentals               int
+		startedMachines       int
 	}{
 		"twice within a minute":            {2, 40 * clock.Second, 15 * clock.Second, 2, 8},
 		"each few seconds for ten minutes": {75, 8 * clock.Second, 4 * clock.Second, 0, 3},
@@ -64,7 +64,7 @@
 		w, d, h := twoZones(5300, nil)
 		d.capacity(2)
 		w.Run(20 * clock.Second)
-		j := d.Submit(array("job-000001", "open", 16, 2, 2000), 1000*clock.Second, false)
+		j := d.Submit(arraySpec("job-000001", "open", 16, 2, 2000), 1000*clock.Second, false)
 		w.Run(50 * clock.Second)
 		d.capacity(8)
 		leader, machines := d.Leader(), len(d.Cloud.all)
@@ -74,7 +74,7 @@
 		}
 		epoch := d.Store.entries["lead/controller"].version
 		for i := range c.cuts {
-			w.After(i*c.every, func() { w.After(c.duration, d.CutZone(zone, i%2 == 0)) })
+			w.After(i*c.every, func() { w.After(c.duration, d.PartitionZone(zone, i%2 == 0)) })
 		}
 		w.Run(w.Now() + c.cuts*c.every + 150*clock.Second)
 		z := d.zones()[zone]
@@ -82,14 +82,14 @@
 			t.Errorf("%s: %d losses, want %d at most; %s, want %s",
 				name, z.Losses, c.losses, z.Phase, zonerecovery.Healthy)
 		}
-		if n := len(d.Cloud.all) - machines; n > c.rentals {
-			t.Errorf("%s: %d machines rented, want %d at most", name, n, c.rentals)
+		if n := len(d.Cloud.all) - machines; n > c.startedMachines {
+			t.Errorf("%s: %d machines started, want %d at most", name, n, c.startedMachines)
 		}
 		if e := d.Store.entries["lead/controller"].version; e != epoch {
 			t.Errorf("%s: epoch %d, want %d: no other leader", name, e, epoch)
 		}
-		_, runs := h.Elsewhere()
-		t.Logf("%s: %d losses, %d machines rented, %d runs of %d tasks",
+		_, runs := h.RunsOutsideOrigin()
+		t.Logf("%s: %d losses, %d machines started, %d runs of %d tasks",
 			name, z.Losses, len(d.Cloud.all)-machines, runs, j.spec.Tasks)
 		mustKeepRules(t, w)
 	}
@@ -106,17 +106,17 @@
 	d.Cloud.Capacity[scaling.CapacityPool{Type: "small", Zone: "b"}] = 1
 	w.Run(20 * clock.Second)
 	// Without this job zone b would have no machines, so that no controller would receive heartbeats.
-	stays := array("job-000006", "open", 1, 8, 600)
+	stays := arraySpec("job-000006", "open", 1, 8, 600)
 	stays.Zone = "b"
 	d.Submit(stays, 600*clock.Second, false)
 	deadline := 4000.0
-	service := array("job-000004", "open", 4, 4, 0)
+	service := arraySpec("job-000004", "open", 4, 4, 0)
 	service.Shape = protocol.ShapeService
-	due := array("job-000003", "open", 4, 4, 60)
+	due := arraySpec("job-000003", "open", 4, 4, 60)
 	due.DeadlineS = &deadline
 	whole := gang("job-000002", 4, 60)
-	plain := array("job-000001", "open", 8, 4, 60)
-	bound := array("job-000005", "open", 2, 4, 60)
+	plain := arraySpec("job-000001", "open", 8, 4, 60)
+	bound := arraySpec("job-000005", "open", 2, 4, 60)
 	bound.Zone = "a"
 	var jobs []*Job
 	for _, s := range []protocol.JobSpec{plain, whole, due, service, bound} {
@@ -128,7 +128,7 @@
 		w.Run(w.Now() + 15*clock.Second)
 	}
 	d.Cloud.Capacity[scaling.CapacityPool{Type: "small", Zone: "b"}] = 12
-	w.After(300*clock.Second, d.CutZone("a", false))
+	w.After(300*clock.Second, d.PartitionZone("a", false))
 	turns, reason := d.watchWaiting("a", bound.ID)
 	order := []protocol.JobID{service.ID, due.ID, whole.ID, plain.ID}
 	for i := 1; i < len(order); i++ {
@@ -169,7 +169,7 @@
 	return turns, reason
 }
 
-// A zone is lost, with and without zone recovery. With it the leader must rent no machine in the lost zone,
+// A zone is lost, with and without zone recovery. With it the leader must start no machine in the lost zone,
 // boot machines for its jobs before its tasks are proven gone, and run all tasks again no later than without
 // it.
 func TestZoneRecoveryIsFasterThanNone(t *testing.T) {
@@ -187,20 +187,20 @@
 		}
 		d.capacity(4)
 		w.Run(20 * clock.Second)
-		j := d.Submit(array("job-000001", "open", 32, 2, 400), 400*clock.Second, false)
+		j := d.Submit(arraySpec("job-000001", "open", 32, 2, 400), 400*clock.Second, false)
 		w.Run(60 * clock.Second)
 		d.capacity(8)
 		zone := map[string]string{"a": "b", "b": "a"}[d.Leader().Zone]
 		before := len(d.Cloud.all)
 		cutAt := w.Now()
-		w.After(90*clock.Second, d.CutZone(zone, false))
+		w.After(90*clock.Second, d.PartitionZone(zone, false))
 		runUntil(w, cutAt+80*clock.Second, 100*clock.Millisecond, func() bool {
 			return j.tasksOutside(zone) >= j.spec.Tasks
 		})
 		took[on] += (w.Now() - cutAt) / 8
-		rentedThere := func(m *FakeWorker) bool { return m.zone == zone && m.rentedAt > cutAt+5*clock.Second }
-		if on && slices.ContainsFunc(d.Cloud.all[before:], rentedThere) {
-			t.Errorf("machines were rented in the lost zone %s, want none", zone)
+		startedThere := func(m *FakeWorker) bool { return m.zone == zone && m.createdAt > cutAt+5*clock.Second }
+		if on && slices.ContainsFunc(d.Cloud.all[before:], startedThere) {
+			t.Errorf("machines were started in the lost zone %s, want none", zone)
 		}
 		w.Run(900 * clock.Second)
 		checkJobs(t, fmt.Sprint(on), w, h, j)
