--- a/internal/leader/jobtable/job.go
+++ b/internal/leader/jobtable/job.go
@@ -24,8 +24,8 @@
 	// ProposedAt holds, for each placement, the ChangeCount of its value when the leader proposed
 	// it: the placement is in the record once StoredCount has reached that number.
 	ProposedAt map[int]int
-	// RunningView and RunningSince are part of the planner's input, cached until a placement
-	// changes.
+	// RunningView and RunningSince are part of the planner's input, cached until a change of a
+	// placement or its task sets RunningStale.
 	RunningView  []planner.RunningTask
 	RunningSince []clock.Micros
 	RunningStale bool
@@ -33,9 +33,11 @@
 	DelegatedTasks int
 	// BrokenAttempt is the latest attempt of a gang that can no longer be completed.
 	BrokenAttempt protocol.Attempt
+	// StartFailures counts the failed starts that delayed the job since one of its tasks last ran.
 	StartFailures int
 	// NotBefore delays the next start of a job that failed to start.
-	NotBefore     clock.Micros
+	NotBefore clock.Micros
+	// AvoidMachines holds the machines on which the job failed.
 	AvoidMachines map[protocol.MachineName]bool
 	// Restarts are the restart delays of a service's replicas, by task.
 	Restarts map[int]Restart
@@ -53,7 +55,7 @@
 	// scaled in.
 	MovedOffSurplus bool
 	// UnmetAt is the time of the last plan that had unmet demand of the job, UnmetSince the time
-	// since which all plans had, and UnmetTasks the number of tasks.
+	// since which all plans have had it, and UnmetTasks the number of tasks.
 	UnmetSince, UnmetAt clock.Micros
 	UnmetTasks          int
 	// Permission is what the origin cell permits for a hosted job, nil for this cell's own jobs.
@@ -99,7 +101,8 @@
 
 // StartPermitted reports whether the leader may send a start of the job's task. It always may for
 // this cell's own jobs; for a hosted job it may while the origin cell permits it. A task with a
-// stop request may start while the job may keep its tasks, since it adds no new work.
+// stop request may start as long as the job may keep its tasks: the stop follows the start, so the
+// start adds no new work.
 func (j *Job) StartPermitted(stop *StopRequest, now clock.Micros) bool {
 	return j.Permission == nil || j.Permission.MayStart(now) || stop != nil && j.Permission.MayKeep(now)
 }
--- a/internal/leader/jobtable/jobtable.go
+++ b/internal/leader/jobtable/jobtable.go
@@ -1,7 +1,8 @@
-// Package jobtable owns the jobs of a term that aren't final: the contents of their records, how
-// much of them is stored, and their placements. It releases a placement only on proof that the task
-// no longer runs (docs/rules.md). Package recordstore reads and writes the key-value store, and
-// package scheduler chooses the placements.
+// Package jobtable owns the jobs of a term: the contents of their records, how much of them is
+// stored, and their placements. It drops a job once the job is final, has no placements, and is
+// stored in this state. It releases a placement only on proof that the task no longer runs
+// (docs/rules.md). Package recordstore reads and writes the key-value store, and package scheduler
+// chooses the placements.
 package jobtable
 
 import (
@@ -18,7 +19,8 @@
 	"postpoint/internal/protocol"
 )
 
-// Table owns the jobs that aren't final, with their records' contents and placements.
+// Table owns the jobs that aren't final, and the final ones until ForgetIfFinal drops them, with
+// their records' contents and placements.
 type Table struct {
 	*term.State
 	machines *machinetable.Table
@@ -84,8 +86,8 @@
 	j.StoredValue.NoteChange(t.Now())
 }
 
-// AddPlacement adds a placement. It takes capacity immediately; the leader acts on it once it is
-// committed.
+// AddPlacement adds a placement. The placement takes capacity immediately; the leader acts on it once
+// it is committed.
 func (t *Table) AddPlacement(j *Job, p jobrecord.Placement) {
 	j.Placements[p.Task] = p
 	t.machines.AddPlacement(j.Spec.ID, p)
--- a/internal/leader/jobtable/recordstate.go
+++ b/internal/leader/jobtable/recordstate.go
@@ -7,8 +7,8 @@
 	"postpoint/internal/protocol"
 )
 
-// RecordState tells whether a job in memory agrees with its record in the store, and what has to
-// happen if it may not. It consists of three parts that change independently:
+// RecordState tells whether a job in memory agrees with its record in the store, and what the leader
+// has to do if the two may differ. It consists of three parts that change independently:
 //
 //   - the phase, which follows the table below;
 //   - whether a read of the record or its shards is in progress. A read overlaps most phases: a reload
@@ -42,7 +42,7 @@
 	PhaseReloadDue
 	// PhaseFenceDue means that the leader has to rewrite the head before it reads the record.
 	// Writes of shards that had no response depend on the head's version: after the rewrite the
-	// store can't execute them any more, whereas a read before it might miss them.
+	// store can't execute them any more, whereas a read before the rewrite might miss them.
 	PhaseFenceDue
 	// PhaseShardingReloadDue is PhaseReloadDue for a record that was being sharded. Until it is
 	// read, the leader doesn't know whether the undivided record is still valid, and assumes in
@@ -116,8 +116,8 @@
 // String returns the event's name.
 func (e RecordEvent) String() string { return eventNames[e] }
 
-// phaseStep is a phase and an event that may occur in it.
-type phaseStep struct {
+// phaseEvent is a phase and an event that may occur in it.
+type phaseEvent struct {
 	phase RecordPhase
 	event RecordEvent
 }
@@ -126,7 +126,7 @@
 // listed can't occur. Unread shards, for example, exclude all events except their loading, because
 // the leader writes nothing and sends no other read before that. EventReadStarted, EventReadEnded
 // and EventStrayShardsListed don't change the phase and are not listed.
-var phaseTransitions = map[phaseStep]RecordPhase{
+var phaseTransitions = map[phaseEvent]RecordPhase{
 	{PhaseCurrent, EventRecordLoaded}:    PhaseCurrent,
 	{PhaseCurrent, EventHeadLoaded}:      PhaseShardsUnread,
 	{PhaseCurrent, EventShardingStarted}: PhaseSharding,
@@ -172,8 +172,8 @@
 	{PhaseShardingReloadDue, EventHeadStored}:     PhaseReloadDue,
 }
 
-// next returns the state after an event. If the event can't occur in the present state, it returns
-// this state and an error.
+// next returns the state after an event. If the event can't occur in the present state, next returns
+// the unchanged state and an error.
 func (s RecordState) next(event RecordEvent) (RecordState, error) {
 	switch event {
 	case EventReadStarted:
@@ -186,7 +186,7 @@
 		s.strayShards = false
 		return s, nil
 	}
-	phase, listed := phaseTransitions[phaseStep{s.phase, event}]
+	phase, listed := phaseTransitions[phaseEvent{s.phase, event}]
 	if !listed {
 		return s, fmt.Errorf("record event %q can't occur in phase %q", event, s.phase)
 	}
--- a/internal/leader/jobtable/storedvalue.go
+++ b/internal/leader/jobtable/storedvalue.go
@@ -8,8 +8,8 @@
 	"postpoint/internal/protocol"
 )
 
-// StoredValue compares the content in memory with one value of the key-value store: a record, or
-// the head or a shard of a sharded record.
+// StoredValue tracks one value of the key-value store, and whether that value holds the content in
+// memory. The value is a record, or the head or a shard of a sharded record.
 type StoredValue struct {
 	// Version is the last known version of the key, 0 if it doesn't exist.
 	Version protocol.Revision
@@ -89,7 +89,8 @@
 // ShardValue returns the shard that holds a task's state.
 func (j *Job) ShardValue(task int) *StoredValue { return j.Shards[j.ShardOf(task)] }
 
-// MakeShards prepares the shards in memory of a record that has none in the store yet.
+// MakeShards creates the StoredValue of each shard, in the state of a shard that doesn't exist in the
+// store yet.
 func (j *Job) MakeShards() {
 	j.Shards = make([]*StoredValue, j.ShardCount())
 	for i := range j.Shards {
@@ -116,8 +117,8 @@
 	j.NoteRecordEvent(EventHeadStored)
 }
 
-// allStored reports whether everything of the job in memory is stored. All shards of a final job
-// must be removed.
+// allStored reports whether the store holds the job as it is in memory. The store then holds no shard
+// of a final job any more.
 func (j *Job) allStored() bool {
 	if !j.ContentKnown() || !j.IsStored() {
 		return false
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,10 +1,10 @@
-// Package leader contains the actor that owns jobs and machines while this node is the leader. The
-// actor makes every placement decision, commits it to the job's record, and only then acts on it.
+// Package leader contains the actor that owns jobs and machines while this controller is the leader.
+// The actor makes every placement decision, commits it to the job's record, and only then acts on it.
 //
 // The Leader decides the order of operations. Each part of the state belongs to one component, and
 // only that component's methods change it:
 //
-//	term           the term, how long this node may send commands, and when it plans next
+//	term           the term, how long this controller may send commands, and when it plans next
 //	machinetable   machines with their workers' incarnations and leases, machine types
 //	jobtable       jobs that aren't final, with their records and placements
 //	recordstore    loading, following and writing the records: the write path
@@ -13,7 +13,7 @@
 //	snapshots      the input of the planner
 //	scheduler      plans and the placements, preemptions and scale-outs that follow from them
 //	autoscaler     scale out and scale in
-//	federation     this cell's tasks that other cells run, and their jobs that run here
+//	federation     tasks that other cells run for this cell, and jobs that this cell hosts for them
 //	zonetracker    loss and return of zones
 //	overview       the operators' overview
 //
@@ -46,9 +46,9 @@
 	"postpoint/internal/zonerecovery"
 )
 
-// Leader is the actor. Only its mailbox accesses its state, and it rebuilds what it knows as a
-// leader at each election. It decides the order of operations; each component owns the state that
-// its type documents.
+// Leader is the actor. Only functions that run in its mailbox access its state. At the beginning of
+// each term it rebuilds the state that it needs as the leader. It decides the order of operations;
+// each component owns the state that its type documents.
 type Leader struct {
 	state         *term.State
 	steps         *term.StepTimer
@@ -82,15 +82,15 @@
 type Dependencies struct {
 	Mailbox  actor.Mailbox
 	Settings *settings.Settings
-	// Store, Cloud and Workers call back in the Mailbox.
+	// Store, Cloud and Workers run their callbacks in the Mailbox.
 	Store   kvstore.Store
 	Cloud   cloudclient.API
 	Workers workerclient.API
-	// Deposed is called with each fencing token that is higher than this node's own.
+	// Deposed is called with each fencing token that is higher than this controller's own.
 	Deposed func(epoch protocol.Epoch)
 	// Resign asks the election to give up leadership.
 	Resign func()
-	// Attest asks all nodes which cancellations they have confirmed to users.
+	// Attest asks all controllers which cancellations they have confirmed to users.
 	Attest reconciler.Attester
 	// CatalogueChanged is called with each new list of machine types.
 	CatalogueChanged func([]protocol.MachineType)
--- a/internal/leader/lifecycle.go
+++ b/internal/leader/lifecycle.go
@@ -10,22 +10,23 @@
 )
 
 // resignInterval is the minimum time between two resignations. It leaves a leader enough time to
-// prove silent machines empty: if the workers themselves are gone, no other node receives
+// prove silent machines empty: if the workers themselves are gone, no other controller receives
 // heartbeats either.
 const resignInterval = 60 * clock.Second
 
-// SetLeader sets the node to which workers should send their heartbeats, "" if none is known.
-func (l *Leader) SetLeader(node string) {
-	l.state.Mailbox.Post(func() { l.state.KnownLeader = node })
+// SetLeader sets the controller to which workers should send their heartbeats, "" if none is known.
+func (l *Leader) SetLeader(controller string) {
+	l.state.Mailbox.Post(func() { l.state.KnownLeader = controller })
 }
 
-// SetTerm reports each election, lease renewal and loss of leadership of this node.
+// SetTerm passes the term to the actor after each election, lease renewal and loss of leadership of
+// this controller.
 func (l *Leader) SetTerm(t election.Term) {
 	l.state.Mailbox.Post(func() {
-		before := l.state.Term.Epoch
+		previous := l.state.Term.Epoch
 		l.state.Term = t
 		switch {
-		case t.Epoch == before:
+		case t.Epoch == previous:
 		case t.Epoch == 0:
 			l.endTerm()
 		default:
@@ -34,7 +35,7 @@
 	})
 }
 
-// SetFormat reports the progress of the controllers' upgrade.
+// SetFormat passes the progress of the controllers' upgrade to the actor.
 func (l *Leader) SetFormat(s rollout.Status) {
 	l.state.Mailbox.Post(func() {
 		l.state.Format = s
@@ -42,8 +43,8 @@
 	})
 }
 
-// beginTerm resets all components and loads the records. The state of each machine then comes from
-// its worker's heartbeats.
+// beginTerm resets the components' state of earlier terms and loads the records. The state of each
+// machine then comes from its worker's heartbeats.
 func (l *Leader) beginTerm() {
 	slog.Info("taking over", "epoch", l.state.Term.Epoch)
 	l.jobs.Begin()
@@ -84,8 +85,8 @@
 	l.steps.Wake()
 }
 
-// tickInTerm runs the periodic work that continues while this node has briefly lost the lease or
-// the key-value store.
+// tickInTerm runs the periodic work that continues even while this controller has briefly lost its
+// lease or can't reach the key-value store.
 func (l *Leader) tickInTerm() {
 	l.host.CheckHostedJobs()
 	l.cancellations.EndCancelledTasks()
@@ -110,8 +111,8 @@
 	l.resignIfIsolated()
 }
 
-// resignIfIsolated gives up leadership if this node receives no worker's heartbeats and other nodes
-// may receive them.
+// resignIfIsolated gives up leadership if this controller receives no worker's heartbeats and other
+// controllers may receive them.
 func (l *Leader) resignIfIsolated() {
 	if !l.machines.IsolatedFromWorkers() || l.zones.NoControllerReceivesHeartbeats() {
 		return
--- a/internal/leader/machinetable/catalogue.go
+++ b/internal/leader/machinetable/catalogue.go
@@ -16,7 +16,7 @@
 	"postpoint/internal/scaling"
 )
 
-// Catalogue holds the cloud's machine types and prices, on every node and across terms.
+// Catalogue holds the cloud's machine types and prices, on every controller and across terms.
 type Catalogue struct {
 	*term.State
 	cloud cloudclient.API
@@ -30,17 +30,16 @@
 	ByName map[string]protocol.MachineType
 	// FromCloud reports that the list came from the cloud, rather than from the key-value store.
 	FromCloud bool
-	// sharedThisTerm reports that the list was stored for other nodes in this term, or is being
-	// stored.
+	// sharedThisTerm reports that Share has already run in this term and hasn't failed.
 	sharedThisTerm bool
 }
 
 // NewCatalogue returns an empty catalogue. It calls publish with each new list of types.
-func NewCatalogue(term *term.State, cl cloudclient.API, store kvstore.Store,
+func NewCatalogue(term *term.State, api cloudclient.API, store kvstore.Store,
 	publish func([]protocol.MachineType)) *Catalogue {
 	return &Catalogue{
 		State:   term,
-		cloud:   cl,
+		cloud:   api,
 		Store:   store,
 		Publish: publish,
 		ByName:  map[string]protocol.MachineType{},
@@ -50,9 +49,9 @@
 // Begin makes the catalogue due for storing again in a new term.
 func (mc *Catalogue) Begin() { mc.sharedThisTerm = false }
 
-// catalogueKey is the key at which the leader stores the catalogue for nodes that start while the
-// cloud doesn't respond: without the machine types they could neither check submissions nor place
-// anything.
+// catalogueKey is the key at which the leader stores the catalogue for controllers that start while
+// the cloud doesn't respond: without the machine types they could neither check submissions nor place
+// tasks.
 const catalogueKey = "catalogue"
 
 const (
@@ -62,7 +61,8 @@
 	firstReadRetryDelay = clock.Second
 )
 
-// Read reads the catalogue from the cloud now and then periodically, on every node.
+// Read reads the catalogue from the cloud immediately, and periodically from then on. Every controller
+// does so.
 func (mc *Catalogue) Read() {
 	mc.cloud.Catalogue(func(c protocol.Catalogue, err error) {
 		mc.Mailbox.After(mc.noteRead(c.MachineTypes, err), mc.Read)
@@ -130,8 +130,8 @@
 	})
 }
 
-// Share stores the catalogue for other nodes, once per term and only if more than prices differs
-// from the stored one.
+// Share stores the catalogue for other controllers, once per term, unless it differs from the stored
+// one in prices only.
 func (mc *Catalogue) Share() {
 	if mc.sharedThisTerm || !mc.FromCloud {
 		return
@@ -190,9 +190,9 @@
 // suitable type's price.
 const replicaPriceFactor = 2.5
 
-// ReplicaTypes returns the machine types on which replicas of a job may stay. A replica occupies
-// its whole machine for a long time, so only types that cost little more than the cheapest one
-// count.
+// ReplicaTypes returns the machine types on which replicas of a job may stay. A replica prevents the
+// scale-in of its whole machine for a long time, so only types that cost little more than the cheapest
+// one count.
 func (mc *Catalogue) ReplicaTypes(s *protocol.JobSpec) []string {
 	cheapest := math.MaxFloat64
 	for _, t := range mc.Types {
--- a/internal/leader/machinetable/delivery.go
+++ b/internal/leader/machinetable/delivery.go
@@ -20,7 +20,7 @@
 }
 
 // StartDelivery tracks a start command on its way to the worker. While a start may still arrive,
-// the leader must not tell the worker to forget the attempt: the start would run it again.
+// the leader must not let the worker forget the attempt: the start would run it again.
 type StartDelivery struct {
 	// InCommand reports that a direct command with the start has no response yet.
 	InCommand bool
--- a/internal/leader/machinetable/machine.go
+++ b/internal/leader/machinetable/machine.go
@@ -62,7 +62,7 @@
 type WorkerStatus struct {
 	// HeartbeatAt is when the last heartbeat was received.
 	HeartbeatAt clock.Micros
-	// RecallAt is when the cloud reclaims the machine, 0 if it hasn't announced that.
+	// RecallAt is when the cloud recalls the machine, 0 if it hasn't announced that.
 	RecallAt clock.Micros
 	// Tasks holds the listed tasks by attempt.
 	Tasks map[AttemptRef]protocol.TaskStatus
@@ -75,8 +75,8 @@
 	PlacedTasksListed bool
 	// HeartbeatReceived reports that a heartbeat was received in this term.
 	HeartbeatReceived bool
-	// ExitedTasks counts the tasks that the worker only has to be told to forget, as of the last
-	// heartbeat that changed anything. ForgetAt is the latest time for this command.
+	// ExitedTasks counts the exited tasks for which the worker only needs a command to forget them, as
+	// of the last heartbeat that changed anything. ForgetAt is the latest time for this command.
 	ExitedTasks int
 	ForgetAt    clock.Micros
 }
@@ -131,7 +131,8 @@
 	return true
 }
 
-// HeartbeatNumber orders the heartbeats of a machine by their sending, even if they arrive late.
+// HeartbeatNumber orders the heartbeats of a machine in the order in which the worker sent them, even
+// if they arrive late.
 type HeartbeatNumber struct {
 	// Incarnation rises each time the worker begins a new lease after it lost one.
 	Incarnation protocol.Incarnation
@@ -230,8 +231,11 @@
 	Listed bool
 	// FirstSeen is when the leader first knew of the machine, or earlier if the cloud reports a
 	// higher age.
-	FirstSeen   clock.Micros
-	ListedAt    clock.Micros
+	FirstSeen clock.Micros
+	// ListedAt is when the cloud first listed the machine in this term.
+	ListedAt clock.Micros
+	// CloudStatus is the last status that the cloud reported, "" if it has reported none. A machine
+	// that was just scaled out counts as starting.
 	CloudStatus string
 }
 
@@ -257,8 +261,9 @@
 	ViewStale bool
 	// Unrecognized reports that the machine runs a task of unknown size.
 	Unrecognized bool
-	Images       []image
-	// PullGB is the amount of images that remained to be fetched at pulledAt.
+	// Images is the estimated image cache, the most recently used image first.
+	Images []image
+	// PullGB is the amount of images that the machine still had to fetch at pulledAt.
 	PullGB   float64
 	pulledAt clock.Micros
 }
@@ -289,7 +294,7 @@
 	v.ViewStale = true
 }
 
-// AdvancePulls subtracts the amount that was fetched since the last call from PullGB.
+// AdvancePulls subtracts from PullGB the amount that the machine has fetched since the last call.
 func (v *PlannerView) AdvancePulls(now clock.Micros, t protocol.MachineType) {
 	if len(v.View.PullingImages) == 0 {
 		v.PullGB = 0
@@ -315,8 +320,8 @@
 )
 
 // Slowness returns the fraction by which tasks take longer than on other machines, 0 if it isn't
-// established. The planner uses slow machines last; the autoscaler doesn't scale them in for it,
-// since most recover.
+// established. The planner uses slow machines last; the autoscaler doesn't scale machines in because
+// they are slow, since most recover.
 func (p *Performance) Slowness() float64 {
 	if p.RunTimeSamples < minRunTimeSamples || p.RelativeRunTime < slowRelativeRunTime {
 		return 0
@@ -348,8 +353,8 @@
 	return true
 }
 
-// ScaleInState is how far the machine's scale-in is. The autoscaler cordons it; the component that
-// establishes that the machine has to go schedules its release.
+// ScaleInState is the progress of the machine's scale-in. The autoscaler cordons the machine; the
+// component that establishes that the machine must be released schedules its release.
 type ScaleInState struct {
 	// Cordoned reports that no new tasks are placed on the machine, so that it empties: see
 	// scaling.SurplusMachines.
--- a/internal/leader/machinetable/machinetable.go
+++ b/internal/leader/machinetable/machinetable.go
@@ -26,9 +26,9 @@
 	// in place, so that machines may be added or removed while it is iterated over.
 	Ordered []*Machine
 	// Released holds the machines that were scaled in, and when: later messages about them are
-	// outdated. They are kept for ReleasedRetention.
+	// outdated. The table keeps an entry for ReleasedRetention.
 	Released map[protocol.MachineName]clock.Micros
-	// addresses are kept across terms, and also on nodes that don't lead.
+	// addresses holds the workers' addresses, across terms and also on controllers that don't lead.
 	addresses map[protocol.MachineName]string
 }
 
@@ -55,10 +55,10 @@
 	if m == nil {
 		m = newMachine(name, mt.addresses[name], mt.Now())
 		mt.ByName[name] = m
-		at, _ := slices.BinarySearchFunc(mt.Ordered, name, func(m *Machine, name protocol.MachineName) int {
+		i, _ := slices.BinarySearchFunc(mt.Ordered, name, func(m *Machine, name protocol.MachineName) int {
 			return cmp.Compare(m.Name, name)
 		})
-		mt.Ordered = slices.Insert(slices.Clone(mt.Ordered), at, m)
+		mt.Ordered = slices.Insert(slices.Clone(mt.Ordered), i, m)
 	}
 	return m
 }
@@ -130,7 +130,7 @@
 	mt.ScheduleRelease(m, reason)
 }
 
-// NoteAddress keeps the address of a machine for a later term in which this node may lead. The
+// NoteAddress keeps the address of a machine for a later term in which this controller may lead. The
 // number of addresses of replaced machines is bounded.
 func (mt *Table) NoteAddress(machine protocol.MachineName, address string) {
 	if len(mt.addresses) > 2*len(mt.Ordered)+MaxAddresses {
@@ -236,20 +236,21 @@
 	return mt.Now() < at+2*mt.Settings.Deployment.Workers.HeartbeatInterval()+2*clock.Second
 }
 
-// IsolatedFromWorkers reports whether this node has received no heartbeat at all for a while though
-// several machines have placements. This node may then be partitioned from workers that other nodes
-// can reach, and the workers' leases expire because they can't reach their leader. A worker spends
-// four seconds on a node that doesn't respond, so two missing heartbeats have to be enough.
+// IsolatedFromWorkers reports whether this controller has received no heartbeat at all for a while
+// though several machines have placements. It may then be partitioned from workers that other
+// controllers can reach, and the workers' leases expire because the workers can't reach their leader.
+// A worker spends four seconds on a controller that doesn't respond, so two missing heartbeats have to
+// be enough.
 func (mt *Table) IsolatedFromWorkers() bool {
 	since := mt.BegunAt
-	known := 0
+	occupied := 0
 	for _, m := range mt.Ordered {
 		if len(m.Placements) > 0 {
-			known++
+			occupied++
 		}
 		since = max(since, m.HeartbeatAt)
 	}
-	return known > 1 && mt.Now() > since+2*mt.Settings.Deployment.Workers.HeartbeatInterval()+clock.Second
+	return occupied > 1 && mt.Now() > since+2*mt.Settings.Deployment.Workers.HeartbeatInterval()+clock.Second
 }
 
 // BootTime returns the usual boot time of a machine's type.
@@ -264,11 +265,11 @@
 
 // MostReplicas returns the highest number of replicas on one machine, at most MaxLossReserve.
 func (mt *Table) MostReplicas() int {
-	most := 0
+	highest := 0
 	for _, m := range mt.Ordered {
-		most = max(most, m.View.Replicas)
+		highest = max(highest, m.View.Replicas)
 	}
-	return min(most, MaxLossReserve)
+	return min(highest, MaxLossReserve)
 }
 
 // RanFor returns for how long an attempt has been seen running on a machine.
@@ -298,8 +299,8 @@
 // docs/rules.md.
 func (mt *Table) ProvenEmptyAt(m *Machine) clock.Micros {
 	w := mt.Settings.Deployment.Workers
-	last := max(m.RespondedAt, m.IncarnationSeenAt, mt.BegunAt+w.RenewalWindow())
-	return last + w.Lease() + w.Lease()/1000 + leaseMargin
+	lastRenewal := max(m.RespondedAt, m.IncarnationSeenAt, mt.BegunAt+w.RenewalWindow())
+	return lastRenewal + w.Lease() + w.Lease()/1000 + leaseMargin
 }
 
 const (
@@ -313,7 +314,7 @@
 	// overdueBootFactor is the number of usual boot times after which a machine without any
 	// heartbeat counts as silent.
 	overdueBootFactor = 2
-	// MaxAddresses is more than the machines of any deployment plus their replacements of a day.
+	// MaxAddresses is more than the machines of any deployment plus their replacements in a day.
 	MaxAddresses = 32 << 10
 	// MaxLossReserve bounds the reserve for the loss of a machine, in replicas.
 	MaxLossReserve = 8
--- a/internal/leader/objectives/history.go
+++ b/internal/leader/objectives/history.go
@@ -11,9 +11,9 @@
 const (
 	// ArrivalWindow is the period over which the arrivals of a class are counted.
 	ArrivalWindow = 60 * clock.Second
-	// The averages of run times are exponential. The weight of one run is classRunWeight in the
-	// average of its class, which has many runs, and machineRunWeight in the average of its
-	// machine, which has few and may change.
+	// The averages of run times are exponential moving averages. The weight of one run is
+	// classRunWeight in the average of its class, which has many runs, and machineRunWeight in the
+	// average of its machine, which has few runs and may change.
 	classRunWeight   = 0.1
 	machineRunWeight = 0.3
 )
@@ -50,12 +50,12 @@
 
 // NoteRun learns from a completed run how fast a machine is compared with others. The owners'
 // estimates only make runs comparable: the average of the class contains their common error.
-func (t *Tracker) NoteRun(m *machinetable.Machine, spec *protocol.JobSpec, ran clock.Micros) {
+func (t *Tracker) NoteRun(m *machinetable.Machine, spec *protocol.JobSpec, runTime clock.Micros) {
 	history, known := t.Classes[spec.Class]
-	if !known || spec.EstimateS <= 0 || ran <= 0 {
+	if !known || spec.EstimateS <= 0 || runTime <= 0 {
 		return
 	}
-	classRatio := history.noteRun(ran.Seconds() / spec.EstimateS)
+	classRatio := history.noteRun(runTime.Seconds() / spec.EstimateS)
 	t.Classes[spec.Class] = history
 	noteMachineRun(m, classRatio)
 }
--- a/internal/leader/objectives/objectives.go
+++ b/internal/leader/objectives/objectives.go
@@ -58,23 +58,23 @@
 	return shortest
 }
 
-// StartSlackS returns how many seconds are left until the next objective for a job's start. The
-// last of these is startWithinS minus the fetch of the job's image, which takes a third of
-// startWithinS for an image of 20 GB. For classes that can't wait for a boot it is the only one: a
-// job that has missed an objective of a few seconds gains nothing from a lower priority, and would
-// miss startWithinS too.
+// StartSlackS returns how many seconds are left until the next objective for a job's start. The last
+// objective of every job is startWithinS, which includes the fetch of the job's image: for an image of
+// 20 GB the fetch takes a third of that time. For classes that can't wait for a boot, startWithinS is
+// the only objective that counts: if the planner deferred a job because it has missed an objective of
+// a few seconds, the job would only miss startWithinS too.
 func (t *Tracker) StartSlackS(j *jobtable.Job) float64 {
 	age := t.ageS(j)
-	left := startWithinS - age - t.imageFetchS(j)
+	slackS := startWithinS - age - t.imageFetchS(j)
 	if t.StartsBeforeBoot(j.Spec.Class) {
-		return left
+		return slackS
 	}
 	for _, objective := range t.Settings.Deployment.Objectives {
 		if isFor(objective, kindStart, j.Spec.Class) && objective.WithinS > age {
-			left = min(left, objective.WithinS-age)
+			slackS = min(slackS, objective.WithinS-age)
 		}
 	}
-	return left
+	return slackS
 }
 
 // StartsBeforeBoot reports whether jobs of a class should start sooner than a machine boots, which
--- a/internal/leader/objectives/urgency.go
+++ b/internal/leader/objectives/urgency.go
@@ -52,7 +52,8 @@
 	return planner.TierTooLate
 }
 
-// hasEndObjective reports whether the sorted due times contain an objective for a job's end.
+// hasEndObjective reports whether the sorted due times contain an objective for a job's end. A due
+// time of 0 counts as none.
 func hasEndObjective(due []float64) bool { return len(due) > 0 && due[len(due)-1] != 0 }
 
 // tierWithoutEndObjective raises the tier of a job that has no objective for its end. Such a job is
--- a/internal/leader/reconciler/cancellations.go
+++ b/internal/leader/reconciler/cancellations.go
@@ -14,11 +14,12 @@
 
 // The arithmetic of cancellations
 //
-// A cancelled task must be gone within cancel_s of the moment in which a user was told of the
-// cancellation, whichever controllers, machines and outside systems fail meanwhile. docs/rules.md
-// proves it under the same title; these are its quantities in the code:
+// A cancelled task must be gone within cancel_s of the time at which a controller confirmed the
+// cancellation to a user, whichever controllers, machines and outside systems fail in between.
+// docs/rules.md proves that it is, under the same title; these are the quantities of the proof in the
+// code:
 //
-//	T  State.CancellationsKnownUntil  every cancellation that any user was told of before T is known
+//	T  State.CancellationsKnownUntil  the leader knows every cancellation confirmed before T
 //	S  State.SoleLeaderUntil          no other leader was elected before S
 //	K  Workers.RenewalWindow          cancel_s - lease_s - 1 s
 //	C  Job.CancelConfirmedAt          when the cancellation of a job was confirmed, or somewhat earlier
@@ -26,20 +27,20 @@
 // A worker stops all of its tasks lease_s after it sent the last heartbeat that a leader responded to.
 // These rules for the leader follow:
 //
-//   - It responds to heartbeats until min(T, S) + K (State.RespondsUntil). The tasks of a cancellation
-//     that it doesn't know, which came after T, are gone by T + K + lease_s = T + cancel_s - 1 s.
+//   - It responds to heartbeats until min(T, S) + K (State.RespondsUntil). A cancellation that it doesn't
+//     know was confirmed after T, and its tasks are gone by T + K + lease_s = T + cancel_s - 1 s.
 //   - After C + K, it responds to a heartbeat only if the response stops every task of the job that may
 //     be on the machine (CommandSender.mayRenewLease). Either that response arrives, or the worker's
 //     lease isn't renewed.
 //   - Without its own lease, it sends nothing but stops of cancelled tasks (commandSet.addCancellations)
-//     and releases of machines that hold them (Autoscaler.SendReleases): no later leader could want
-//     anything else for them.
+//     and releases of machines that hold them (Autoscaler.SendReleases): no later leader could decide
+//     otherwise.
 //   - It releases a machine whose worker hangs, and so doesn't stop its tasks, at C + lease_s + 3 s, but
 //     no later than C + cancel_s - MaxReleaseTime (Cancellations.ReleaseAt). When the lease of a silent
 //     machine that holds cancelled tasks expires, it releases the machine at once
 //     (HealthMonitor.expireLease).
 //   - It treats silence as proof that a machine is empty only from Table.ProvenEmptyAt on: an earlier
-//     leader has responded until its own min(T, S) + K, which lies before the beginning of this term + K.
+//     leader has responded until its own min(T, S) + K, which is before this term's BegunAt + K.
 //
 // While the key-value store doesn't serve this controller, attestations advance T and S: every
 // controller states which cancellations it has confirmed to users (Cancellations.RequestAttestations,
@@ -111,7 +112,7 @@
 	cn.Releases.SendReleases()
 }
 
-// endPlacements stops the remaining tasks of a job that is over.
+// endPlacements stops the remaining tasks of a job that must not run.
 func (cn *Cancellations) endPlacements(j *jobtable.Job, now clock.Micros) {
 	for _, p := range ordered.ByKey(j.Placements) {
 		if p.HostCell() != "" {
@@ -146,14 +147,14 @@
 // must end. A leader that never had a permission doesn't know when the last one expired: if the record
 // is closed, that may have been long ago; otherwise it was hardly before the leader's term.
 func (cn *Cancellations) releaseHostedAt(j *jobtable.Job) clock.Micros {
-	silence := cells.LeaseExpiryTime(cn.Settings.Deployment.Workers.Lease())
+	leaseExpiry := cells.LeaseExpiryTime(cn.Settings.Deployment.Workers.Lease())
 	switch {
 	case j.Permission.ExpiresAt() > 0:
-		return j.Permission.ExpiresAt() + silence
+		return j.Permission.ExpiresAt() + leaseExpiry
 	case j.Hosted.Closed && j.ClosedAtChange == 0:
 		return cn.BegunAt + jobtable.FirstHeartbeatWait
 	}
-	return cn.BegunAt + silence - machinetable.TakeoverTime
+	return cn.BegunAt + leaseExpiry - machinetable.TakeoverTime
 }
 
 // RequestAttestations asks the controllers for attestations when the key-value store doesn't serve this
--- a/internal/leader/reconciler/commands.go
+++ b/internal/leader/reconciler/commands.go
@@ -76,8 +76,9 @@
 	return result
 }
 
-// Send sends direct commands, one request at a time to a machine. If the worker responds, Send passes
-// the result to done and the heartbeat to the reconciler before the next request leaves.
+// Send sends direct commands, one request at a time to a machine. It passes the result to done, and the
+// heartbeat in the response, if there is one, to the reconciler. Only then does it send the next
+// request.
 func (cs *CommandSender) Send(m *machinetable.Machine, incarnation protocol.Incarnation,
 	commands []protocol.Command, done func(CommandResult)) {
 	m.BeginCommand()
@@ -183,7 +184,7 @@
 }
 
 // Completable reports whether a gang that lost tasks hasn't started, so that replacements with the same
-// attempt number complete it. The leader doesn't know the last state of a lost task, but if the gang
+// attempt number can complete it. The leader doesn't know the last state of a lost task, but if the gang
 // had started, the remaining tasks would be running, or would have exited because a peer was missing,
 // by the time the loss is proven.
 func (cs *CommandSender) Completable(j *jobtable.Job) bool {
@@ -210,8 +211,8 @@
 	if m == nil || !cs.machines.EpochAcknowledged(m) || !cs.machines.LeaseRenewed(m) || m.RecallAt != 0 {
 		return false
 	}
-	t, reported := m.Tasks[j.AttemptOf(p)]
-	return !reported || t.Status == protocol.TaskFetching || t.Status == protocol.TaskWaiting
+	t, isListed := m.Tasks[j.AttemptOf(p)]
+	return !isListed || t.Status == protocol.TaskFetching || t.Status == protocol.TaskWaiting
 }
 
 // Stop stops a running task, which saves a checkpoint if it can. A gang can only save a checkpoint as a
--- a/internal/leader/reconciler/commandset.go
+++ b/internal/leader/reconciler/commandset.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	// ForgetBatch is the number of exited tasks that the leader lets a worker forget at a time, unless
-	// ForgetDelay has passed.
+	// ForgetBatch is the minimum number of exited tasks that the leader lets a worker forget at a time,
+	// unless the worker gets other commands too or ForgetDelay has passed.
 	ForgetBatch = 4
 	// ForgetDelay is the maximum time for which an exited task waits for others to be forgotten in the
 	// same batch.
@@ -31,7 +31,8 @@
 )
 
 // CommandsFor returns the commands that the worker needs now, given its last heartbeat. Commands may be
-// repeated. Responses to heartbeats carry all of them, direct commands only those that are due. Without
+// repeated, those for placed tasks after CommandRepeatDelay. Every response to a heartbeat carries the
+// stops of jobs that must not run, and only these responses let the worker forget exited tasks. Without
 // the leader's lease the only commands are stops of cancelled tasks.
 func (cs *CommandSender) CommandsFor(m *machinetable.Machine, via Channel) []protocol.Command {
 	if cs.upToDate(m) {
@@ -45,8 +46,9 @@
 	for id, tasks := range ordered.ByKey(m.Placements) {
 		j := cs.jobs.ByID[id]
 		if j == nil || j.MustNotRun() || j.MustReload() {
-			// A task of a job that is over is never started, not even to stop it at once: while a start
-			// may still arrive, its placement stays until the worker's incarnation ends.
+			// The leader sends no start for a job that must not run, not even one that a stop follows at
+			// once: while an earlier start may still arrive, the placement stays until the worker's
+			// incarnation ends.
 			continue
 		}
 		for _, p := range ordered.ByKey(tasks) {
@@ -85,20 +87,20 @@
 		return
 	}
 	ref := j.AttemptOf(p)
-	t, reported := m.Tasks[ref]
-	if reported && t.Status == protocol.TaskExited {
+	t, isListed := m.Tasks[ref]
+	if isListed && t.Status == protocol.TaskExited {
 		return
 	}
 	stop := set.sender.stopRequest(j, p)
 	d := m.Delivery(ref)
 	// If the task is to be stopped, a start that may still arrive is sent again before the stop: a late
 	// copy then has no effect.
-	startNeeded := !reported && (stop == nil || d.MayArrive())
+	startNeeded := !isListed && (stop == nil || d.MayArrive())
 	if startNeeded && set.repeatDue(d.StartSentAt) && j.StartPermitted(stop, set.now) {
 		set.add(protocol.VerbStart, ref)
 		d.NoteStart(set.via == ViaHeartbeat, j.Spec.IsService(), set.now)
 	}
-	if stop != nil && (reported || d.MayArrive()) && set.repeatDue(d.StopSentAt) {
+	if stop != nil && (isListed || d.MayArrive()) && set.repeatDue(d.StopSentAt) {
 		command := commandFor(protocol.VerbStop, ref)
 		command.GraceS = stop.GraceS
 		set.commands = append(set.commands, command)
@@ -106,12 +108,12 @@
 	}
 }
 
-// addCancellations adds stops for the remaining tasks of jobs that are over. Confirmed cancellations
-// are final, so their stops are the only commands that need neither the leader's lease nor fresh
-// records. The response to a heartbeat always carries these stops, since it renews the lease, which
-// keeps alive every task that it doesn't stop.
+// addCancellations adds stops for the remaining tasks of jobs that must not run. Confirmed
+// cancellations are final, so their stops are the only commands that need neither the leader's lease
+// nor up-to-date records. The response to a heartbeat always carries these stops: it renews the
+// worker's lease, so every task that it doesn't stop keeps running.
 func (set *commandSet) addCancellations() {
-	for _, ref := range set.sender.tasksOfEndedJobs(set.m) {
+	for _, ref := range set.sender.tasksThatMustNotRun(set.m) {
 		d := set.m.Delivery(ref)
 		if set.via == ViaHeartbeat || set.repeatDue(d.StopSentAt) {
 			set.add(protocol.VerbStop, ref)
@@ -120,19 +122,20 @@
 	}
 }
 
-// tasksOfEndedJobs returns the tasks on a machine whose jobs are over, in a fixed order. Without the
-// leader's lease it returns only the tasks that must end within a time limit.
-func (cs *CommandSender) tasksOfEndedJobs(m *machinetable.Machine) []machinetable.AttemptRef {
+// tasksThatMustNotRun returns the tasks on a machine that haven't exited and that belong to jobs that
+// must not run, in a fixed order. Without the leader's lease it returns only the tasks that must end
+// within a time limit.
+func (cs *CommandSender) tasksThatMustNotRun(m *machinetable.Machine) []machinetable.AttemptRef {
 	leads := cs.Leads()
-	var ended []machinetable.AttemptRef
+	var remaining []machinetable.AttemptRef
 	for ref, t := range m.Tasks {
 		j := cs.jobs.ByID[ref.Job]
 		if j != nil && t.Status != protocol.TaskExited && (j.MustEnd() || leads && j.Final()) {
-			ended = append(ended, ref)
+			remaining = append(remaining, ref)
 		}
 	}
-	slices.SortFunc(ended, machinetable.CompareAttempts)
-	return ended
+	slices.SortFunc(remaining, machinetable.CompareAttempts)
+	return remaining
 }
 
 // commandFor returns a command without a grace period.
@@ -140,10 +143,10 @@
 	return protocol.Command{Verb: verb, Task: protocol.TaskName(ref.Job, ref.Task), Attempt: ref.Attempt}
 }
 
-// addForUnassigned adds commands that stop and forget the tasks that a machine reports but no record
-// contains. When a worker forgets a task it reports this change at once, and such reports are most of
-// what a leader under load receives. So the leader forgets exited tasks in batches, along with other
-// commands, or after ForgetDelay.
+// addForUnassigned adds commands that stop and forget the tasks that a worker lists but no record
+// places on its machine. When a worker forgets a task, it sends a heartbeat with this change at once,
+// and such heartbeats are most of those that a leader under load receives. So the leader lets workers
+// forget exited tasks in batches, along with other commands, or after ForgetDelay.
 func (set *commandSet) addForUnassigned() {
 	m := set.m
 	var forgets []protocol.Command
@@ -151,7 +154,7 @@
 	for _, ref := range set.sender.unassignedTasks(m) {
 		t := m.Tasks[ref]
 		if t.Status != protocol.TaskExited {
-			// No record contains the task, so nobody needs it.
+			// No record places the task on this machine, so no job needs it.
 			set.add(protocol.VerbStop, ref)
 			continue
 		}
@@ -173,8 +176,8 @@
 }
 
 // unassignedTasks returns the tasks on a machine that aren't placed there, in a fixed order. It skips
-// the tasks of jobs that are over, which addCancellations stops, and those of jobs whose records are
-// malformed, of which the leader knows nothing.
+// the running tasks of jobs that must not run, which addCancellations stops, and all tasks of jobs
+// whose records are malformed, since the leader doesn't know the placements of these jobs.
 func (cs *CommandSender) unassignedTasks(m *machinetable.Machine) []machinetable.AttemptRef {
 	var unassigned []machinetable.AttemptRef
 	for ref, t := range m.Tasks {
@@ -214,8 +217,8 @@
 		}
 		placed += len(tasks)
 	}
-	// The machine has reported every placed task. If it reports no more tasks than that, apart
-	// from exited ones that are to be forgotten later, these are all.
+	// The heartbeat lists every placed task. If it lists no other tasks, apart from exited ones that
+	// the worker may forget later, the machine needs no commands.
 	return placed+m.ExitedTasks == len(m.Tasks) &&
 		(m.ExitedTasks == 0 || m.ExitedTasks < ForgetBatch && cs.Now() < m.ForgetAt)
 }
--- a/internal/leader/reconciler/exits.go
+++ b/internal/leader/reconciler/exits.go
@@ -18,10 +18,11 @@
 	breaksAttempt bool
 	// refused reports that the worker never started the task.
 	refused bool
-	// failedStart reports that the job is held back for startPause, and longer if it fails repeatedly.
-	// With a startPause of 0 the job isn't held back, and users only see the cause.
+	// failedStart reports that the leader delays the job's next start by startDelay, and longer if the
+	// job fails repeatedly. With a startDelay of 0 it doesn't delay the start, and users only see the
+	// cause.
 	failedStart bool
-	startPause  clock.Micros
+	startDelay  clock.Micros
 	// fullFor is how long the machine counts as full.
 	fullFor clock.Micros
 	// suspectsMachine reports that either the job or the machine is faulty: the job avoids the machine,
@@ -35,15 +36,15 @@
 	protocol.CauseStopped:        {breaksAttempt: true},
 	protocol.CauseGangBroken:     {breaksAttempt: true},
 	protocol.CauseGangIncomplete: {breaksAttempt: true, failedStart: true},
-	protocol.CauseError:          {failedStart: true, startPause: clock.Second, suspectsMachine: true},
+	protocol.CauseError:          {failedStart: true, startDelay: clock.Second, suspectsMachine: true},
 	protocol.CauseNoCapacity:     {refused: true, failedStart: true, fullFor: 5 * clock.Second},
 	protocol.CauseOtherAttempt: {
-		refused: true, failedStart: true, startPause: clock.Second, fullFor: 2 * clock.Second,
+		refused: true, failedStart: true, startDelay: clock.Second, fullFor: 2 * clock.Second,
 	},
 }
 
 // otherExitEffect is the effect of all other causes.
-var otherExitEffect = exitEffect{failedStart: true, startPause: 2 * clock.Second}
+var otherExitEffect = exitEffect{failedStart: true, startDelay: 2 * clock.Second}
 
 // effectOf returns the effect of a cause.
 func effectOf(cause string) exitEffect {
@@ -94,7 +95,7 @@
 		m.FullUntil = rc.Now() + effect.fullFor
 	}
 	if effect.failedStart {
-		rc.noteFailedStart(m, j, p, cause, effect.startPause)
+		rc.noteFailedStart(m, j, p, cause, effect.startDelay)
 	}
 	if effect.suspectsMachine {
 		quarantineIfFaulty(m)
@@ -102,33 +103,33 @@
 }
 
 const (
-	// undelayedStartFailures is how many starts may fail before the pauses grow.
+	// undelayedStartFailures is how many starts may fail before the delays grow.
 	undelayedStartFailures = 3
-	// maxStartPauseDoublings is how often a pause is doubled at most.
-	maxStartPauseDoublings = 6
-	// maxStartPause bounds the pause of a job whose starts fail repeatedly.
-	maxStartPause = 60 * clock.Second
+	// maxStartDelayDoublings is the maximum number of times that a delay doubles.
+	maxStartDelayDoublings = 6
+	// maxStartDelay bounds the delay of a job whose starts fail repeatedly.
+	maxStartDelay = 60 * clock.Second
 )
 
-// noteFailedStart records the cause for the user and the operator, and holds a job back whose starts
-// fail repeatedly, for longer each time. A failure without a pause doesn't count.
+// noteFailedStart records the cause for the user and the operator, and delays the job's next start,
+// for longer each time if starts fail repeatedly. A failure without a delay doesn't count.
 func (rc *Reconciler) noteFailedStart(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement,
-	cause string, pause clock.Micros) {
+	cause string, delay clock.Micros) {
 	if j.StartFailures == 0 || j.Cause == "" {
 		slog.Info("start failed", "job", j.Spec.ID, "task", p.Task, "machine", m.Name, "cause", cause)
 	}
 	j.Cause = onMachine(cause, m.Name)
-	if pause == 0 {
+	if delay == 0 {
 		return
 	}
 	j.StartFailures++
 	if j.StartFailures > undelayedStartFailures {
-		pause *= clock.Micros(1) << min(j.StartFailures-undelayedStartFailures, maxStartPauseDoublings)
+		delay *= clock.Micros(1) << min(j.StartFailures-undelayedStartFailures, maxStartDelayDoublings)
 	}
-	j.NotBefore = max(j.NotBefore, rc.Now()+min(pause, maxStartPause))
+	j.NotBefore = max(j.NotBefore, rc.Now()+min(delay, maxStartDelay))
 }
 
-// quarantineIfFaulty quarantines a machine on which several jobs failed that run on other machines.
+// quarantineIfFaulty quarantines a machine on which several jobs failed, and logs that.
 func quarantineIfFaulty(m *machinetable.Machine) {
 	if m.QuarantineIfFaulty() {
 		slog.Info("machine quarantined, several jobs failed on it", "machine", m.Name, "type", m.Type,
@@ -146,8 +147,7 @@
 // reports whether it did. It leaves a refused start to the caller: a refusal says nothing about the
 // replica, only about the machine.
 func (rc *Reconciler) HandleReplicaExit(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement,
-	cause string,
-	runTime clock.Micros) bool {
+	cause string, runTime clock.Micros) bool {
 	if effectOf(cause).refused {
 		return false
 	}
@@ -159,7 +159,7 @@
 		r.ShortRuns = 0
 	}
 	r.ShortRuns++
-	r.NotBefore = rc.Now() + rc.restartPause(r.ShortRuns)
+	r.NotBefore = rc.Now() + rc.restartDelay(r.ShortRuns)
 	j.Restarts[p.Task] = r
 	slog.Info("replica exited, restarting it", "job", j.Spec.ID, "task", p.Task, "machine", m.Name,
 		"cause", cause, "ran_s", runTime.Seconds(), "failures", r.ShortRuns)
@@ -170,20 +170,20 @@
 	return true
 }
 
-// restartPause returns how long a replica waits before a restart after the given number of short runs.
-func (rc *Reconciler) restartPause(shortRuns int) clock.Micros {
+// restartDelay returns how long a replica waits before a restart after the given number of short runs.
+func (rc *Reconciler) restartDelay(shortRuns int) clock.Micros {
 	if shortRuns <= 1 {
 		return 0
 	}
 	doublings := min(shortRuns-2, jobtable.MaxRestartDoublings)
-	pause := min(jobtable.FirstRestartPause<<doublings, jobtable.MaxRestartPause)
+	delay := min(jobtable.FirstRestartDelay<<doublings, jobtable.MaxRestartDelay)
 	jitter := 1 - jobtable.RestartJitter + 2*jobtable.RestartJitter*rc.Random.Float64()
-	return clock.Micros(float64(pause) * jitter)
+	return clock.Micros(float64(delay) * jitter)
 }
 
-// maxReportedTasks bounds the number of tasks that a worker keeps only in case of late starts, so that
+// maxListedTasks bounds the number of tasks that a worker keeps only in case of late starts, so that
 // heartbeats stay well within their size limit.
-const maxReportedTasks = 400
+const maxListedTasks = 400
 
 // LateStartHarmful reports whether a late copy of an executed start could do harm: the task is to run
 // again, and a worker that has forgotten this attempt would start it although the leader doesn't expect
@@ -192,7 +192,7 @@
 // machine with a very large number of such attempts.
 func LateStartHarmful(m *machinetable.Machine, ref machinetable.AttemptRef, t protocol.TaskStatus) bool {
 	d := m.Deliveries[ref]
-	if d == nil || len(m.Tasks) >= maxReportedTasks {
+	if d == nil || len(m.Tasks) >= maxListedTasks {
 		return false
 	}
 	return t.Cause != protocol.CauseDone || d.Replica // a replica runs again after any exit
--- a/internal/leader/reconciler/exits_test.go
+++ b/internal/leader/reconciler/exits_test.go
@@ -17,12 +17,12 @@
 		protocol.CauseStopped:        {breaksAttempt: true},
 		protocol.CauseGangBroken:     {breaksAttempt: true},
 		protocol.CauseGangIncomplete: {breaksAttempt: true, failedStart: true},
-		protocol.CauseError:          {failedStart: true, startPause: second, suspectsMachine: true},
+		protocol.CauseError:          {failedStart: true, startDelay: second, suspectsMachine: true},
 		protocol.CauseNoCapacity:     {refused: true, failedStart: true, fullFor: 5 * second},
-		protocol.CauseOtherAttempt: {refused: true, failedStart: true, startPause: second,
+		protocol.CauseOtherAttempt: {refused: true, failedStart: true, startDelay: second,
 			fullFor: 2 * second},
-		protocol.CauseNoSuchTask:     {failedStart: true, startPause: 2 * second},
-		"a cause of a later version": {failedStart: true, startPause: 2 * second},
+		protocol.CauseNoSuchTask:     {failedStart: true, startDelay: 2 * second},
+		"a cause of a later version": {failedStart: true, startDelay: 2 * second},
 	} {
 		if got := effectOf(cause); got != want {
 			t.Errorf("%s: effect %+v, want %+v", cause, got, want)
--- a/internal/leader/reconciler/health.go
+++ b/internal/leader/reconciler/health.go
@@ -57,17 +57,18 @@
 
 // ReleaseSilentWithReplicas releases machines with replicas that have missed a heartbeat and don't respond
 // to a probe. The cloud's confirmation of a release proves that the machine is empty, long before the
-// machine's lease expires. If half of all machines are silent, it is more likely that this controller
-// receives nothing, and ReleaseSilentWithReplicas releases no machine. It also keeps a machine whose
-// replicas could run nowhere else: if a whole zone is unreachable, the replicas may still serve inside it.
+// machine's lease expires. If more than half of all machines are silent, it is more likely that this
+// controller receives nothing, and ReleaseSilentWithReplicas releases no machine. It also keeps a machine
+// whose replicas could run nowhere else: if a whole zone is unreachable, the replicas may still serve
+// users inside it.
 func (hm *HealthMonitor) ReleaseSilentWithReplicas() {
 	zones := hm.machines.HeartbeatsByZone()
-	var all machinetable.HeartbeatCount
+	var total machinetable.HeartbeatCount
 	for _, z := range zones {
-		all.OnTime += z.OnTime
-		all.Expected += z.Expected
+		total.OnTime += z.OnTime
+		total.Expected += z.Expected
 	}
-	if !all.MostOnTime() {
+	if !total.MostOnTime() {
 		return
 	}
 	now := hm.Now()
@@ -111,8 +112,8 @@
 // challenge asks a machine for its present state if only old heartbeats arrive from it: either they are
 // late copies, or the worker has started over and numbers its heartbeats from one again. The response
 // to a command is never older than the command. The leader releases a machine that has started over:
-// late copies of the heartbeats from before would look newer than all later ones, and which tasks the
-// machine still holds is certain only once it is gone.
+// late copies of heartbeats from before the restart would look newer than all heartbeats since then,
+// and the leader can be certain which tasks the machine holds only once the machine is gone.
 func (hm *HealthMonitor) challenge(m *machinetable.Machine) {
 	if !hm.Leads() || m.CommandInFlight || m.Releasing || m.Address == "" ||
 		hm.machines.HeartbeatRecent(m) || hm.Now() < m.ChallengedAt+challengeInterval {
@@ -187,8 +188,9 @@
 	return ""
 }
 
-// DrainRecalled stops tasks on machines that the cloud is about to recall: tasks save a checkpoint
-// first, and replicas move to other machines.
+// DrainRecalled stops tasks on machines that the cloud is about to recall: replicas, so that they move
+// to other machines, and tasks with checkpoints, once there is just enough time left to save one. Other
+// tasks keep running.
 func (hm *HealthMonitor) DrainRecalled() {
 	for _, m := range hm.machines.Ordered {
 		if m.RecallAt == 0 {
@@ -226,7 +228,7 @@
 // heartbeat, epochAnnounceBatch machines at a time.
 func (hm *HealthMonitor) AnnounceEpoch() {
 	now := hm.Now()
-	due := now - hm.Settings.Deployment.Workers.HeartbeatInterval()*3/2 - clock.Second
+	overdueBefore := now - hm.Settings.Deployment.Workers.HeartbeatInterval()*3/2 - clock.Second
 	remaining := epochAnnounceBatch
 	for _, m := range hm.machines.Ordered {
 		if remaining == 0 {
@@ -236,7 +238,7 @@
 			m.CloudStatus == protocol.MachineStarting {
 			continue
 		}
-		if max(m.HeartbeatAt, hm.BegunAt) < due && now >= m.EpochAnnouncedAt+epochAnnounceInterval {
+		if max(m.HeartbeatAt, hm.BegunAt) < overdueBefore && now >= m.EpochAnnouncedAt+epochAnnounceInterval {
 			remaining--
 			hm.commands.Push(m)
 		}
--- a/internal/leader/reconciler/heartbeats.go
+++ b/internal/leader/reconciler/heartbeats.go
@@ -90,7 +90,7 @@
 	retryLater
 )
 
-// status returns the HTTP status of the response. Only this function in the package knows the statuses
+// status returns the HTTP status of the response. No other code in the package contains the statuses
 // that a worker expects.
 func (o heartbeatOutcome) status() int {
 	switch o {
@@ -152,8 +152,9 @@
 }
 
 // isCurrent reports whether the leader may respond to a heartbeat that it has observed. It may not
-// respond to a late copy. A heartbeat that is only older than the response to a direct command is still
-// the worker's current one.
+// respond to a heartbeat that isn't later than the last one to which it responded; isCurrent challenges
+// the machine in this case. A heartbeat that is only older than the one in the response to a direct
+// command is still the worker's current one.
 func (hb *HeartbeatHandler) isCurrent(m *machinetable.Machine, r *protocol.Heartbeat) bool {
 	if !machinetable.NumberOf(r).After(m.RespondedTo) {
 		hb.health.challenge(m)
--- a/internal/leader/reconciler/reconciler.go
+++ b/internal/leader/reconciler/reconciler.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// outdated reports whether a heartbeat proves nothing any more, however late it arrives: the worker
-// sent it before the last one, or before the machine's lease expired.
+// outdated reports whether a heartbeat has arrived so late that it proves nothing any more: the worker
+// sent it no later than the last one, or before the machine's lease expired.
 func outdated(m *machinetable.Machine, r *protocol.Heartbeat) bool {
 	return m.HeartbeatReceived && !machinetable.NumberOf(r).After(m.HeartbeatNumber) ||
 		m.LeaseExpired && r.Incarnation <= m.Incarnation
@@ -87,10 +87,10 @@
 }
 
 // noteLostIncarnation handles a machine whose lease expired although its heartbeats arrive. If the
-// latest response had reached the worker, the lease would not have expired yet: a machine whose
-// heartbeats arrive while responses and commands don't reach it looks alive, and loses its tasks with
-// each lease. It gets no tasks until an incarnation outlasts its first lease, and the leader releases
-// it the second time.
+// leader's latest response had reached the worker, the lease would not have expired yet. A machine
+// whose heartbeats arrive while responses and commands don't reach it looks healthy, but loses its
+// tasks with each lease. It gets no tasks until an incarnation outlasts its first lease. The leader
+// releases it if it loses another lease in this way before that.
 func (rc *Reconciler) noteLostIncarnation(m *machinetable.Machine, next protocol.Incarnation) {
 	lease := rc.Settings.Deployment.Workers.Lease()
 	if m.RespondedAt == 0 || rc.Now() >= m.RespondedAt+lease {
@@ -143,11 +143,11 @@
 	// lostWithLease means that the task belongs to an earlier incarnation, whose lease expired and
 	// ended it.
 	lostWithLease
-	// neverStarted means that the task is to be stopped and never started, and that no start of it can
-	// arrive any more.
+	// neverStarted means that the leader has to stop the task, that the worker doesn't hold it, and that
+	// no start of it can arrive any more.
 	neverStarted
-	// incarnationReset means that the task was placed in a later incarnation than the worker's present one:
-	// the worker has lost its count of incarnations and numbers them from one again.
+	// incarnationReset means that the task was placed in a later incarnation than the worker's current
+	// one: the worker has lost its count of incarnations and numbers them from one again.
 	incarnationReset
 )
 
@@ -215,7 +215,7 @@
 	}
 	m.RunningSince[ref] = rc.Now()
 	j.RunningStale = true
-	j.BrokenAttempt = max(j.BrokenAttempt, ref.Attempt) // a gang that runs can't be completed
+	j.BrokenAttempt = max(j.BrokenAttempt, ref.Attempt) // replacements can't complete a running gang
 	j.StartFailures = 0
 	if term.DebugEnabled() {
 		slog.Debug("task running", "job", ref.Job, "class", j.Spec.Class, "task", ref.Task, "machine", m.Name,
--- a/internal/leader/reconciler/renewal.go
+++ b/internal/leader/reconciler/renewal.go
@@ -6,9 +6,10 @@
 )
 
 // mayRenewLease reports whether a response may renew the machine's lease. A cancelled task must be gone
-// within cancel_s of the confirmation. From lease_s before that on, a response must stop the task, and
-// it does so for every task that the worker reports. It can't stop a task that may be on the machine
-// without being reported. See "The arithmetic of cancellations" in cancellations.go.
+// within cancel_s of the confirmation. From lease_s before that time on, a response may renew the lease
+// only if it stops the task. A response stops every such task that the worker's heartbeat lists, but it
+// can't stop a task that may be on the machine without being listed. See "The arithmetic of
+// cancellations" in cancellations.go.
 func (cs *CommandSender) mayRenewLease(m *machinetable.Machine) bool {
 	for id, tasks := range m.Placements {
 		j := cs.jobs.ByID[id]
@@ -19,7 +20,7 @@
 			return false // a hosted job that is briefly neither permitted nor ending
 		}
 		for _, p := range tasks {
-			if _, reported := m.Tasks[j.AttemptOf(p)]; !reported && p.WorkerIncarnation() >= m.Incarnation {
+			if _, isListed := m.Tasks[j.AttemptOf(p)]; !isListed && p.WorkerIncarnation() >= m.Incarnation {
 				return false
 			}
 		}
--- a/internal/leader/requests.go
+++ b/internal/leader/requests.go
@@ -28,12 +28,13 @@
 
 // Exchange responds to a heartbeat of another cell. ok is false if this cell doesn't know the
 // sender or the response would be too late.
-func (l *Leader) Exchange(r delegation.Heartbeat, reply func(a delegation.HeartbeatResponse, ok bool)) {
+func (l *Leader) Exchange(r delegation.Heartbeat,
+	reply func(response delegation.HeartbeatResponse, ok bool)) {
 	arrived := l.state.Now()
 	l.state.Mailbox.Post(func() {
 		switch {
 		case !l.isFromKnownCell(&r) || l.state.Now() > arrived+federation.ExchangeTimeout:
-			// The process was suspended: the other cell no longer waits for the response.
+			// If the process was suspended, the other cell no longer waits for the response.
 			reply(delegation.HeartbeatResponse{}, false)
 		case !l.state.Leads() && !l.state.MayRespond():
 			leader := l.cells.Directory.Own.Address(l.state.KnownLeader)
@@ -54,8 +55,8 @@
 	return r.Origin == directory.Own.Name && directory.Cell(r.Host) != nil && r.Host != r.Origin
 }
 
-// Leads reports whether this node may act as leader now. Call it from the actor's mailbox, or while
-// no actor runs.
+// Leads reports whether this controller may act as leader now. Call it from the actor's mailbox, or
+// while no actor runs.
 func (l *Leader) Leads() bool { return l.state.Leads() }
 
 // HasMachine reports whether a machine is in the leader's table. Call it under the same conditions
--- a/internal/leader/scheduler/actions.go
+++ b/internal/leader/scheduler/actions.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// applyPreemptions stops the preempted tasks. The preemptor records their jobs as lenders, which
-// get the capacity back when it ends.
+// applyPreemptions stops the preempted tasks. It adds their jobs to the preemptor's record as lenders,
+// which get the capacity back first when the preemptor is done.
 func (s *Scheduler) applyPreemptions(preemptions []planner.Preemption) {
 	for _, p := range preemptions {
 		slog.Info("preempting task", "job", p.Job, "task", p.Task, "preemptor", p.Preemptor)
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -70,9 +70,9 @@
 	for i := range 12 {
 		pause := end(clock.Second)
 		total += pause
-		if pause < jobtable.FirstRestartPause*3/4 || pause > jobtable.MaxRestartPause*5/4 {
+		if pause < jobtable.FirstRestartDelay*3/4 || pause > jobtable.MaxRestartDelay*5/4 {
 			t.Fatalf("restart %d waits %v s, want %v to %v s with a quarter of jitter", i+2, pause.Seconds(),
-				jobtable.FirstRestartPause.Seconds(), jobtable.MaxRestartPause.Seconds())
+				jobtable.FirstRestartDelay.Seconds(), jobtable.MaxRestartDelay.Seconds())
 		}
 	}
 	if total < 3*60*clock.Second {
--- a/internal/leader/term/steps.go
+++ b/internal/leader/term/steps.go
@@ -17,7 +17,8 @@
 	Pending bool
 	// notBefore is the earliest time of the next step, which keeps steps within stepShare.
 	notBefore clock.Micros
-	TickedAt  clock.Micros
+	// TickedAt is when the last periodic tick ran, 0 before the first one.
+	TickedAt clock.Micros
 	// lag is a moving average of how late recent ticks were.
 	lag clock.Micros
 }
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -1,7 +1,7 @@
-// Package term owns the state of the term in which this node leads: the fencing token, how long the
-// node may send commands and respond to heartbeats, how recent its knowledge of the records is, and
-// when the next planning step is due. Package election elects the leader, and package recordstore
-// reads the records. Every component of the leader embeds State to read it.
+// Package term owns the state of the term in which this controller leads: the fencing token, how long
+// the controller may send commands and respond to heartbeats, how recent its knowledge of the records
+// is, and when the next planning step is due. Package election elects the leader, and package
+// recordstore reads the records. Every component of the leader embeds State to read it.
 package term
 
 import (
@@ -18,45 +18,46 @@
 	"postpoint/internal/settings"
 )
 
-// State is the term in which this node leads and the limits that apply to its actions: until when
-// it may send commands, until when it may respond to heartbeats, and how recent its knowledge is.
-// Every component embeds it to read it. Only its own methods, the Leader, the reader of the records
-// (Loaded, RecordsKnownUntil) and attestations (AttestedAt) change it.
+// State is the term in which this controller leads and the limits that apply to its actions: until
+// when it may send commands, until when it may respond to heartbeats, and how recent its knowledge
+// is. Every component embeds State to read it. Only its own methods, the Leader, the reader of the
+// records (Loaded, RecordsKnownUntil) and attestations (AttestedAt) change it.
 type State struct {
 	Mailbox  actor.Mailbox
 	Settings *settings.Settings
-	// Deposed is called with each fencing token that is higher than this node's own.
+	// Deposed is called with each fencing token that is higher than this controller's own.
 	Deposed func(epoch protocol.Epoch)
 
 	Term election.Term
-	// KnownLeader is the node to which workers are redirected, "" if none is known.
+	// KnownLeader is the controller to which workers are redirected, "" if none is known.
 	KnownLeader string
 	// Format is the progress of the controllers' upgrade, which decides what may be written.
 	Format rollout.Status
 	// Loaded reports that the records were read in this term.
 	Loaded bool
-	// BegunAt is when the term began on this node.
+	// BegunAt is when the term began on this controller.
 	BegunAt clock.Micros
-	// RecordsKnownUntil is the time up to which this node knows all changes of the records.
+	// RecordsKnownUntil is the time up to which this controller knows all changes of the records.
 	RecordsKnownUntil clock.Micros
-	// AttestedAt is the time up to which this node knows all cancellations that any node has
-	// confirmed to users, because it has asked every node.
+	// AttestedAt is the time up to which this controller knows all cancellations that any controller
+	// has confirmed to users, because it has asked every one of them.
 	AttestedAt clock.Micros
 	// Random is seeded with the epoch, so that the same events draw the same numbers.
 	Random *rand.Rand
 }
 
 const (
-	// StaleAfter is the maximum time since RecordsKnownUntil at which a leader may still act.
+	// StaleAfter is the time after RecordsKnownUntil up to which a leader may still act.
 	StaleAfter = 6 * clock.Second
-	// RetryDelay is the delay before a retry after the key-value store has rejected a request.
+	// RetryDelay is the delay before a retry after a request to the key-value store has failed.
 	RetryDelay = 300 * clock.Millisecond
 	// WatchTimeout is the time after which a watch of the records responds even if nothing has
 	// changed.
 	WatchTimeout = 2 * clock.Second
 )
 
-// New returns the state of a node that doesn't lead. It calls deposed with higher fencing tokens.
+// New returns the state of a controller that doesn't lead. The state calls deposed with each fencing
+// token that is higher than this controller's own.
 func New(mailbox actor.Mailbox, settings *settings.Settings, deposed func(epoch protocol.Epoch)) *State {
 	return &State{Mailbox: mailbox, Settings: settings, Deposed: deposed}
 }
@@ -69,8 +70,8 @@
 	s.Random = NewRandom(s.Term.Epoch)
 }
 
-// Depose stops this node from acting as leader at once. The Deposed callback then makes it look for
-// the elected node.
+// Depose stops this controller from acting as leader at once. The Deposed callback then makes it look
+// for the elected one.
 func (s *State) Depose(elected protocol.Epoch) {
 	s.Term.ValidUntil = 0
 	s.Deposed(elected)
@@ -79,8 +80,8 @@
 // Now returns the time on the monotonic clock.
 func (s *State) Now() clock.Micros { return s.Mailbox.Monotonic() }
 
-// Leads reports whether this node may act: its lease is valid, and it knows the changes that users
-// have made through other nodes.
+// Leads reports whether this controller may act: its lease is valid, and it knows the changes that
+// users have made through other controllers.
 func (s *State) Leads() bool {
 	now := s.Now()
 	return s.Term.Epoch != 0 && now < s.Term.ValidUntil && s.Loaded && now < s.RecordsKnownUntil+StaleAfter
@@ -96,18 +97,18 @@
 	})
 }
 
-// CancellationsKnownUntil returns the time up to which this node knows every cancellation that was
-// confirmed to a user, from the records or from the attestations of all nodes.
+// CancellationsKnownUntil returns the time up to which this controller knows every cancellation that
+// was confirmed to a user, from the records or from the attestations of all controllers.
 func (s *State) CancellationsKnownUntil() clock.Micros { return max(s.RecordsKnownUntil, s.AttestedAt) }
 
-// SoleLeaderUntil returns the time up to which no other node can have been elected: this node's
-// lease was valid, or every node attested that it hadn't been elected.
+// SoleLeaderUntil returns the time up to which no other controller can have been elected: this
+// controller's lease was valid, or every controller attested that it hadn't been elected.
 func (s *State) SoleLeaderUntil() clock.Micros { return max(s.Term.RenewedAt, s.AttestedAt) }
 
-// RespondsUntil returns the time until which this node may respond to heartbeats. A cancellation
-// that it doesn't know was confirmed after CancellationsKnownUntil, and a leader that it doesn't know was
-// elected after SoleLeaderUntil. Before it has read the records it knows nothing about earlier
-// leaders, and responds to no heartbeat.
+// RespondsUntil returns the time until which this controller may respond to heartbeats. A
+// cancellation that it doesn't know was confirmed after CancellationsKnownUntil, and a leader that it
+// doesn't know was elected after SoleLeaderUntil. Before it has read the records it knows nothing
+// about earlier leaders, and responds to no heartbeat.
 func (s *State) RespondsUntil() clock.Micros {
 	if s.Term.Epoch == 0 || !s.Loaded {
 		return 0
@@ -116,13 +117,14 @@
 		s.Settings.Deployment.Workers.RenewalWindow()
 }
 
-// MayRespond reports whether this node may still respond to heartbeats. Without the lease, its
+// MayRespond reports whether this controller may still respond to heartbeats. Without the lease, its
 // responses may only contain the commands that end cancelled tasks.
 func (s *State) MayRespond() bool { return s.Now() < s.RespondsUntil() }
 
-// CancellationConfirmedAt returns the time at which a record's cancellation was confirmed, on this node's
-// monotonic clock, or an earlier time. The wall clocks of the record's writer and of this node each
-// differ from the true time by a bounded error, which is subtracted twice.
+// CancellationConfirmedAt returns the time at which a record's cancellation was confirmed, on this
+// controller's monotonic clock, or an earlier time. The wall clocks of the record's writer and of this
+// controller each differ from the true time by a bounded error, so the function subtracts this error
+// twice. For a record without the time it returns the present time.
 func (s *State) CancellationConfirmedAt(r *jobrecord.Record) clock.Micros {
 	if r.CancelledAt == 0 {
 		return s.Now() // earlier versions didn't record the time
@@ -132,8 +134,8 @@
 	return s.Now() - age - 2*clockError
 }
 
-// ActsUntil returns the time until which this node may send commands and scale-in requests. Without
-// the lease it may only send those that end cancelled tasks.
+// ActsUntil returns the time until which this controller may send commands and scale-in requests.
+// Without the lease it may only send those that end cancelled tasks.
 func (s *State) ActsUntil() clock.Micros {
 	if s.Leads() {
 		return s.Term.ValidUntil
