--- a/internal/leader/autoscaler/autoscaler.go
+++ b/internal/leader/autoscaler/autoscaler.go
@@ -28,7 +28,7 @@
 	zones      *zonetracker.Tracker
 	steps      *term.StepTimer
 
-	// BackoffUntil is the end of the pause in requests that follows a request that the cloud refused.
+	// BackoffUntil is the end of the pause in requests that follows a failed request.
 	BackoffUntil clock.Micros
 	scaleOut     scaleOutState
 	list         listState
@@ -37,8 +37,9 @@
 	cordons         cordonState
 }
 
-// refusalBackoff is the pause after the cloud refuses a request. It is long enough for a limit on requests
-// per second to recover, and short compared with the time that a machine takes to boot.
+// refusalBackoff is the pause after the cloud refuses a request, or a request fails in another way. It is
+// long enough for a limit on requests per second to recover, and short compared with the time that a machine
+// takes to boot.
 const refusalBackoff = 2 * clock.Second
 
 // New returns an autoscaler that requests and releases machines through the given cloud client.
--- a/internal/leader/autoscaler/cordon.go
+++ b/internal/leader/autoscaler/cordon.go
@@ -18,10 +18,11 @@
 	// cordonInterval is the time between two searches for surplus machines, and the time that a machine has
 	// to be cordoned before it is drained.
 	cordonInterval = 3 * clock.Second
-	// minCordonEvaluations is the least number of evaluations that a search may make. Each evaluation makes
-	// a plan without one or more machines.
+	// minCordonEvaluations is the number of evaluations that a search may make regardless of their cost.
+	// Each evaluation makes a plan without one or more machines.
 	minCordonEvaluations = 4
-	// machinesPerEvaluation bounds the number of evaluations in a small deployment.
+	// machinesPerEvaluation bounds the evaluations of a search in a small deployment to one per this many
+	// machines.
 	machinesPerEvaluation = 8
 	// maxCordonTime bounds the total cost of the evaluations of one search, as estimated by
 	// Builder.PlanningCost.
@@ -120,8 +121,8 @@
 			continue
 		}
 		search.evaluationsLeft--
-		if rest, ok := scaling.FitsWithout(search.snapshot, m.Name); ok {
-			search.snapshot = rest
+		if remaining, fits := scaling.FitsWithout(search.snapshot, m.Name); fits {
+			search.snapshot = remaining
 			a.moveTasksOff(m)
 		}
 	}
@@ -161,7 +162,7 @@
 // worthMoving reports whether all tasks of a machine can be moved, and at least one of them has more time
 // left to run than the move takes.
 func (a *Autoscaler) worthMoving(m *machinetable.Machine) bool {
-	worth := false
+	anyWorthMoving := false
 	for id, tasks := range m.Placements {
 		j := a.jobs.ByID[id]
 		if !a.jobMovable(j) {
@@ -171,11 +172,11 @@
 			if !a.taskMovable(m, j, placement) {
 				return false
 			}
-			leftS := j.Spec.EstimateS - a.ranFor(m, j, placement).Seconds()
-			worth = worth || leftS > j.Spec.SaveS+moveCostS
+			remainingS := j.Spec.EstimateS - a.ranFor(m, j, placement).Seconds()
+			anyWorthMoving = anyWorthMoving || remainingS > j.Spec.SaveS+moveCostS
 		}
 	}
-	return worth
+	return anyWorthMoving
 }
 
 // jobMovable reports whether the tasks of a job can be stopped without losing their progress. A gang moves as
--- a/internal/leader/autoscaler/machinelist.go
+++ b/internal/leader/autoscaler/machinelist.go
@@ -13,8 +13,8 @@
 const (
 	// listInterval is the time between two reads of the cloud's list of machines.
 	listInterval = 4 * clock.Second
-	// unregisteredTimeout is how long after the start of a term a machine with placements from earlier terms
-	// may be neither in the cloud's list nor have sent a heartbeat.
+	// unregisteredTimeout is how long a machine with placements from earlier terms may remain unregistered
+	// after the start of a term: the cloud doesn't list the machine and it has sent no heartbeat.
 	unregisteredTimeout = 9 * clock.Second
 	// The autoscaler ignores that a machine is missing from a listing unless the listing began more than
 	// listLagFactor times the list's lag plus listLagMargin after the machine was first listed. An earlier
--- a/internal/leader/federation/heartbeats.go
+++ b/internal/leader/federation/heartbeats.go
@@ -268,11 +268,11 @@
 
 // beyondReserve returns the free resources less a reserve. No amount is negative.
 func beyondReserve(free, reserve planner.Resources) planner.Resources {
-	left := free.Minus(reserve)
+	remaining := free.Minus(reserve)
 	return planner.Resources{
-		Cpus:     max(0, left.Cpus),
-		Gpus:     max(0, left.Gpus),
-		MemoryGB: max(0, left.MemoryGB),
+		Cpus:     max(0, remaining.Cpus),
+		Gpus:     max(0, remaining.Gpus),
+		MemoryGB: max(0, remaining.MemoryGB),
 	}
 }
 
--- a/internal/leader/federation/host.go
+++ b/internal/leader/federation/host.go
@@ -21,7 +21,7 @@
 
 // Host runs jobs that other cells have delegated to this one. A hosted job has its own id and its own record.
 // The scheduler treats it like any other job, but ranks it after all of this cell's own jobs. The origin
-// cell's permission decides whether its tasks may start and stay; the host renews it like a lease.
+// cell's permission decides whether its tasks may start and keep running; the host renews it like a lease.
 type Host struct {
 	*term.State
 	Store      kvstore.Store
--- a/internal/leader/federation/offload.go
+++ b/internal/leader/federation/offload.go
@@ -174,22 +174,22 @@
 func (o *Origin) expectedWaits() map[protocol.JobID]float64 {
 	capacity := o.capacity()
 	queue := slices.SortedFunc(maps.Values(o.jobs.ByID), compareQueued)
-	running := 0.0
+	runningS := 0.0
 	for _, j := range queue {
-		running += clusterSeconds(j, len(j.Placements), capacity)
+		runningS += clusterSeconds(j, len(j.Placements), capacity)
 	}
 	waits := make(map[protocol.JobID]float64, len(queue))
-	ahead := running / 2
+	aheadS := runningS / 2
 	for _, j := range queue {
 		if j.MustNotRun() {
 			continue
 		}
-		own := clusterSeconds(j, j.PendingCount(), capacity)
-		waits[j.Spec.ID] = ahead + own/2
+		pendingS := clusterSeconds(j, j.PendingCount(), capacity)
+		waits[j.Spec.ID] = aheadS + pendingS/2
 		if !o.fitsAnyMachine(j) {
 			waits[j.Spec.ID] = unschedulableWaitS
 		}
-		ahead += own
+		aheadS += pendingS
 	}
 	return waits
 }
@@ -233,8 +233,8 @@
 		}
 		perDelegation = assignment.Tasks
 	}
-	for left := tasks; left > 0 && o.mayDelegateTo(assignment.Host); left -= perDelegation {
-		o.Delegate(j, assignment.Host, j.LastPending(min(perDelegation, left)))
+	for remaining := tasks; remaining > 0 && o.mayDelegateTo(assignment.Host); remaining -= perDelegation {
+		o.Delegate(j, assignment.Host, j.LastPending(min(perDelegation, remaining)))
 	}
 }
 
--- a/internal/leader/federation/origin.go
+++ b/internal/leader/federation/origin.go
@@ -66,8 +66,8 @@
 	o.saving = false
 }
 
-// hostSilenceTimeout is how long a host may send no status of a delegation, once no permission is left,
-// before the origin ends the delegation.
+// hostSilenceTimeout is how long the last status of a delegation must be ago before the host counts as
+// silent. The origin then ends the delegation once no permission for it is left.
 const hostSilenceTimeout = 8 * clock.Second
 
 // ReleaseOrphanedPlacements calls ReleaseOrphanedPlacementsOf for all jobs.
@@ -150,12 +150,12 @@
 	returned := del.Expire()
 	slog.Info("delegation expired", "job", del.Job, "cell", del.Host, "delegation", del.Number,
 		"tasks", len(returned.Unfinished), "silent_s", (o.Now() - del.LastStatusAt).Seconds())
-	o.releaseFreed(del, returned)
+	o.releaseReturned(del, returned)
 }
 
-// mayExpire reports whether the origin may end a delegation without a final status from its host. The
-// delegation has to be recalled or its host silent, and no task of it can still run or start under any
-// permission.
+// mayExpire reports whether the origin may end a delegation without a final status from its host. This
+// requires that the delegation is recalled or its host silent, that no permission is left under which a task
+// could still run or start, and that no read of the job's record is pending.
 func (o *Origin) mayExpire(j *jobtable.Job, del *trackedDelegation) bool {
 	now := o.Now()
 	silent := now > max(del.LastStatusAt, o.BegunAt)+hostSilenceTimeout
@@ -174,9 +174,9 @@
 	return !j.ReadPending() && !j.InFlight && !del.holdsAll(j)
 }
 
-// releaseFreed releases the placements of tasks that no longer belong to a delegation, and marks completed
+// releaseReturned releases the placements of tasks that no longer belong to a delegation, and marks completed
 // tasks as done.
-func (o *Origin) releaseFreed(del *trackedDelegation, returned delegation.ReturnedTasks) {
+func (o *Origin) releaseReturned(del *trackedDelegation, returned delegation.ReturnedTasks) {
 	j := o.jobs.ByID[del.Job]
 	if j == nil {
 		return
--- a/internal/leader/federation/responses.go
+++ b/internal/leader/federation/responses.go
@@ -48,7 +48,7 @@
 	}
 	j := o.jobs.ByID[del.Job]
 	if leads && (j == nil || !j.ReadPending()) {
-		o.releaseFreed(del, del.ApplyStatus(status, o.Now()))
+		o.releaseReturned(del, del.ApplyStatus(status, o.Now()))
 	}
 	switch {
 	case o.jobs.Malformed[del.Job]:
--- a/internal/leader/federation/trackeddelegation.go
+++ b/internal/leader/federation/trackeddelegation.go
@@ -76,7 +76,8 @@
 	return true
 }
 
-// holdsAllAsStored reports whether all of these placements are also in the stored record of its job.
+// holdsAllAsStored reports whether all outstanding tasks have placements that belong to this delegation and
+// that the stored record of its job contains.
 func (d *trackedDelegation) holdsAllAsStored(j *jobtable.Job) bool {
 	for task := range d.Outstanding.All() {
 		if p, held := d.placement(j, task); !held || !j.Committed(p) {
--- a/internal/leader/overview/overview.go
+++ b/internal/leader/overview/overview.go
@@ -213,7 +213,7 @@
 
 // cellsOverview describes the other cells. It is empty on controllers that aren't the leader.
 func (r *Reader) cellsOverview() []federation.CellOverview {
-	var all []federation.CellOverview
+	var overviews []federation.CellOverview
 	for name, link := range ordered.ByKey(r.cells.ByCell) {
 		cell := federation.CellOverview{
 			Cell:        name,
@@ -222,9 +222,9 @@
 			OwnWaitS:    link.OwnWait().Seconds(),
 		}
 		r.countDelegations(&cell)
-		all = append(all, cell)
+		overviews = append(overviews, cell)
 	}
-	return all
+	return overviews
 }
 
 // countDelegations adds the counts of this cell's delegations to another cell's overview.
--- a/internal/leader/overview/zoneoverview.go
+++ b/internal/leader/overview/zoneoverview.go
@@ -48,11 +48,11 @@
 	if r.zones.Options == nil {
 		return nil
 	}
-	var all []ZoneOverview
+	var overviews []ZoneOverview
 	for name, z := range ordered.ByKey(r.zones.Zones) {
-		all = append(all, r.zoneOverview(name, z))
+		overviews = append(overviews, r.zoneOverview(name, z))
 	}
-	return all
+	return overviews
 }
 
 // zoneOverview describes one zone.
@@ -180,7 +180,6 @@
 		tasksByReason[job.Reason] += job.Tasks
 	}
 	slog.Info("zone recovery state", "zone", zone.Zone, "phase", zone.Phase, "losses", zone.Losses,
-		"diagnosis", zone.Diagnosis, "machines", zone.Machines, "heard", zone.OnTime, "held_tasks",
-		zone.HeldTasks,
-		"displaced_tasks", zone.DisplacedTasks, "waiting_for", tasksByReason)
+		"diagnosis", zone.Diagnosis, "machines", zone.Machines, "heard", zone.OnTime,
+		"held_tasks", zone.HeldTasks, "displaced_tasks", zone.DisplacedTasks, "waiting_for", tasksByReason)
 }
--- a/internal/leader/recordstore/apply.go
+++ b/internal/leader/recordstore/apply.go
@@ -12,7 +12,7 @@
 )
 
 // Apply applies a record that the reader has read or received from a watch, unless this leader already
-// knows that version.
+// knows that version or a newer one.
 func (r *Reader) Apply(key string, raw []byte, version protocol.Revision) {
 	id := protocol.JobID(key[len(jobrecord.Prefix):])
 	j := r.jobs.ByID[id]
@@ -21,12 +21,11 @@
 	}
 	content, err := jobrecord.Decode(raw)
 	if j != nil && (j.InFlight || j.Loading()) {
-		// Whether this event is the leader's own change becomes clear only when the response to the
-		// leader's own write, or the read of the shards, arrives. A cancellation is final in either
-		// case.
+		// Only the response to the write or read in progress shows whether this event is the leader's
+		// own change. A cancellation is final in either case.
 		j.DeferredEvent = &protocol.Event{Put: key, Value: raw, Version: version}
 		if err == nil {
-			r.noteCancelled(j, content)
+			r.recordCancellation(j, content)
 		}
 		return
 	}
@@ -66,16 +65,17 @@
 	r.Apply(e.Put, e.Value, e.Version)
 }
 
-// noteCancelled notes the cancellation of one of this cell's own jobs if its record says so. The record
-// of a hosted job has that status once this cell has closed the job itself, and no user was told of
-// that.
-func (r *Reader) noteCancelled(j *jobtable.Job, content *jobrecord.Record) {
+// recordCancellation records the cancellation of one of this cell's own jobs if its record says so. It
+// ignores hosted jobs: their records have that status once this cell itself has closed the job, and no
+// controller confirms that to a user.
+func (r *Reader) recordCancellation(j *jobtable.Job, content *jobrecord.Record) {
 	if content.Status == protocol.StatusCancelled && content.Hosted == nil {
 		r.jobs.NoteCancelled(j, r.CancellationConfirmedAt(content))
 	}
 }
 
-// addJob adds a job that isn't known yet from its record.
+// addJob adds a job that isn't known yet from its record. It skips a job of this cell that is final and
+// has no tasks left that may still run.
 func (r *Reader) addJob(id protocol.JobID, content *jobrecord.Record, version protocol.Revision) {
 	// Only the shards of a sharded record show whether any task may still run.
 	shardsUnread := content.ShardSize > 0 && r.Loading
@@ -124,7 +124,7 @@
 		return
 	}
 	j.NoteRecordEvent(jobtable.EventNewerHead)
-	r.noteCancelled(j, content)
+	r.recordCancellation(j, content)
 }
 
 // cancelSharded applies the cancellation of a sharded record. The controller that accepts a
@@ -167,11 +167,11 @@
 	if content.ShardSize > 0 && len(j.Shards) != j.ShardCount() {
 		j.MakeShards()
 	}
-	r.noteCancelled(j, content)
+	r.recordCancellation(j, content)
 }
 
-// noteShardsLoaded completes the load of a sharded record whose shards have all been applied.
-func (r *Reader) noteShardsLoaded(j *jobtable.Job) {
+// completeShardLoad completes the load of a sharded record whose shards have all been applied.
+func (r *Reader) completeShardLoad(j *jobtable.Job) {
 	j.NoteRecordEvent(jobtable.EventShardsLoaded)
 	if j.Spec.IsGang() && j.Done.Len() > 0 {
 		j.RecordDone(0)
@@ -182,8 +182,9 @@
 }
 
 // matchPlacements applies the placements of a record that was just loaded: it adds them to the
-// machines, matches them with the delegations, and reconciles them with the last heartbeats of the
-// machines.
+// machines, releases those that belong to no delegation, and reconciles the others with the last
+// heartbeats of the machines. It sends commands at once to machines that hold placements of a final
+// job.
 func (r *Reader) matchPlacements(j *jobtable.Job) {
 	machines := r.addToMachines(j)
 	r.Delegations.ReleaseOrphanedPlacementsOf(j)
--- a/internal/leader/recordstore/outcome.go
+++ b/internal/leader/recordstore/outcome.go
@@ -65,27 +65,27 @@
 // HandleResult handles the response to a transaction.
 func (w *Writer) HandleResult(writes []Write, r kvstore.Result[protocol.Revision]) {
 	for i := range writes {
-		writes[i].noteResponse(decided(r.Err))
+		writes[i].recordResponse(decided(r.Err))
 	}
 	switch outcomeOf(r.Err) {
 	case outcomeCommitted:
 		w.markStored(writes, r.Value)
 	case outcomeDeposed:
-		w.noteDeposed()
+		w.stepDown()
 		return
 	case outcomeConflict:
-		noteConflicts(w.jobs, writes, kvstore.ConflictKeys(r.Err))
+		handleConflicts(w.jobs, writes, kvstore.ConflictKeys(r.Err))
 	case outcomeRejected:
 		w.learnLimits(writes, kvstore.Reason(r.Err))
 	case outcomeNotExecuted:
 		w.Pause() // Commit retries the same changes later
 	case outcomeUnknown:
 		slog.Info("commit outcome unknown, retrying", "error", r.Err, "values", len(writes))
-		w.noteUnknown(writes)
+		w.scheduleRetry(writes)
 	case outcomeUnexpected:
 		slog.Error("unexpected response to a commit, reloading the records", "error", r.Err,
 			"values", len(writes))
-		w.noteUnexpected(writes)
+		w.scheduleReload(writes)
 	}
 	for _, write := range writes {
 		w.reader.applyDeferred(write.Job)
@@ -93,29 +93,28 @@
 	}
 }
 
-// noteDeposed stops this controller from acting as leader and makes it look for the new leader.
-func (w *Writer) noteDeposed() {
+// stepDown stops this controller from acting as leader and makes it look for the new leader.
+func (w *Writer) stepDown() {
 	slog.Info("deposed: another controller changed the leader key", "epoch", w.Term.Epoch)
 	w.Depose(w.Term.Epoch + 1)
 }
 
-// noteUnknown schedules a retry of writes whose outcome is unknown: the store may have executed them,
+// scheduleRetry schedules a retry of writes whose outcome is unknown: the store may have executed them,
 // or may do so seconds later. A retry writes the content that is current by then. Until another write
 // at these versions commits, the leader must not forget any of the written placements: a later read may
-// not show a placement yet, the leader would give its capacity away, and then the late write would
-// create it nevertheless. At most one of the first write and its retry can commit, since both require
-// the same version. If the first one did, the store refuses the retry and the leader reloads the
+// not show a placement yet, the leader would use its capacity for other tasks, and then the late write
+// would create it nevertheless. At most one of the first write and its retry can commit, since both
+// require the same version. If the first one did, the retry conflicts and the leader reloads the
 // records.
-func (w *Writer) noteUnknown(writes []Write) {
+func (w *Writer) scheduleRetry(writes []Write) {
 	w.Pause()
 	for _, write := range writes {
 		write.Value.OutcomeUnknown = true
 	}
 }
 
-// noteUnexpected schedules a reload of the records whose changes the store refused for an unknown
-// reason.
-func (w *Writer) noteUnexpected(writes []Write) {
+// scheduleReload schedules a reload of the records whose changes got an unexpected response.
+func (w *Writer) scheduleReload(writes []Write) {
 	w.Pause()
 	for _, write := range writes {
 		event := jobtable.EventShardConflict
@@ -126,30 +125,30 @@
 	}
 }
 
-// noteConflicts schedules a reload of the records that another request has changed: only the stored
+// handleConflicts schedules a reload of the records that another request has changed: only the stored
 // records show what it changed.
-func noteConflicts(jobs *jobtable.Table, writes []Write, failed []string) {
+func handleConflicts(jobs *jobtable.Table, writes []Write, conflictKeys []string) {
 	for i := range writes {
 		write := &writes[i]
-		if slices.Contains(failed, jobrecord.Key(write.Job.Spec.ID)) {
-			noteHeadConflict(write)
-		} else if slices.Contains(failed, write.key()) {
-			noteShardConflict(jobs, write)
+		if slices.Contains(conflictKeys, jobrecord.Key(write.Job.Spec.ID)) {
+			handleHeadConflict(write)
+		} else if slices.Contains(conflictKeys, write.key()) {
+			handleShardConflict(jobs, write)
 		}
 	}
 }
 
-// noteHeadConflict handles a write that failed because its record or head has changed.
-func noteHeadConflict(write *Write) {
+// handleHeadConflict handles a write that failed because its record or head has changed.
+func handleHeadConflict(write *Write) {
 	// If the leader knows the head's new version by now, it only retries the shard.
 	if write.Shard == HeadIndex || write.headVersion == write.Job.Version {
 		write.Job.NoteRecordEvent(jobtable.EventRecordConflict)
 	}
 }
 
-// noteShardConflict handles a write of a shard that failed because the shard has changed although its
+// handleShardConflict handles a write of a shard that failed because the shard has changed although its
 // head hasn't.
-func noteShardConflict(jobs *jobtable.Table, write *Write) {
+func handleShardConflict(jobs *jobtable.Table, write *Write) {
 	switch j := write.Job; {
 	case j.Final():
 		write.Value.OutcomeUnknown = true // findUnknownShards then lists the shard for removal
--- a/internal/leader/recordstore/reader.go
+++ b/internal/leader/recordstore/reader.go
@@ -162,14 +162,14 @@
 func (r *Reader) finishLoad(pass *loadPass) {
 	for _, j := range ordered.ByKey(r.jobs.ByID) {
 		if j.ShardsUnread() {
-			r.noteShardsLoaded(j)
+			r.completeShardLoad(j)
 		}
 	}
-	first := !r.Loaded
+	firstLoad := !r.Loaded
 	r.Loaded, r.Loading = true, false
 	r.Delegations.ReleaseOrphanedPlacements()
 	r.RecordsKnownUntil = pass.startedAt
-	if first {
+	if firstLoad {
 		r.heartbeats.HandleDeferred()
 		slog.Info("job records loaded", "epoch", r.Term.Epoch, "open_jobs", len(r.jobs.ByID),
 			"took_ms", (r.Now()-pass.startedAt)/clock.Millisecond)
@@ -179,7 +179,8 @@
 }
 
 // watch watches for the jobs that other controllers accept or cancel after a revision. The store
-// responds at least every WatchTimeout, and each response shows how fresh the records are.
+// responds at least every WatchTimeout, and each response proves that this leader knows all changes up to
+// the time at which it sent the request.
 func (r *Reader) watch(from protocol.Revision) {
 	sentAt := r.Now()
 	handle := func(reply kvstore.Result[protocol.WatchResponse]) { r.handleWatched(from, sentAt, reply) }
@@ -203,7 +204,7 @@
 }
 
 // applyChanges applies the changes that a watch returned. It ignores deletions, since only this leader
-// deletes records.
+// deletes records. It also drops the final versions that the watch has caught up with.
 func (r *Reader) applyChanges(changes protocol.WatchResponse) {
 	for _, e := range changes.Events {
 		if e.Put != "" {
--- a/internal/leader/recordstore/reload.go
+++ b/internal/leader/recordstore/reload.go
@@ -41,7 +41,7 @@
 	}
 	r.endRead(j)
 	if r.jobs.ByID[j.Spec.ID] != j {
-		return // the leader has dropped the job meanwhile
+		return // the leader has dropped the job during the read
 	}
 	switch {
 	case reply.Err == nil:
@@ -55,8 +55,8 @@
 }
 
 // listShards reads the stored shards of one record and passes them to found. The job counts as loading
-// until then. listShards doesn't call found if the read fails or the leader has dropped the job
-// meanwhile.
+// until then. listShards doesn't call found if the read fails or the leader drops the job during the
+// read.
 func (r *Reader) listShards(j *jobtable.Job, found func(shards []protocol.Item)) {
 	sameTerm := r.SameTerm()
 	var shards []protocol.Item
@@ -86,7 +86,7 @@
 	r.endRead(j)
 }
 
-// endRead ends a read of a record or its shards, and applies the event that arrived meanwhile.
+// endRead ends a read of a record or its shards, and applies the event that arrived during the read.
 func (r *Reader) endRead(j *jobtable.Job) {
 	j.NoteRecordEvent(jobtable.EventReadEnded)
 	if r.jobs.ByID[j.Spec.ID] == j {
@@ -107,12 +107,12 @@
 	}
 	j.Shards = nil
 	r.replaceHead(j, record.head, record.version)
-	// The versions must be set first: noteShardsLoaded applies the heartbeats that arrived meanwhile,
-	// which changes the shards.
+	// The versions must be set first: completeShardLoad applies the heartbeats that arrived during the
+	// read, which changes the shards.
 	for shard, version := range versions {
 		j.Shards[shard].Replace(version)
 	}
-	r.noteShardsLoaded(j)
+	r.completeShardLoad(j)
 }
 
 // applyShards adds the content of the shards to the head, and returns the shards' versions by number.
@@ -139,11 +139,11 @@
 		return
 	}
 	j.NoteRecordEvent(jobtable.EventReadStarted)
-	r.listShards(j, func(shards []protocol.Item) { noteStoredShards(j, shards) })
+	r.listShards(j, func(shards []protocol.Item) { recordStoredShards(j, shards) })
 }
 
-// noteStoredShards notes which shards of a job exist, from a list of all of its stored shards.
-func noteStoredShards(j *jobtable.Job, shards []protocol.Item) {
+// recordStoredShards records which shards of a job exist, from a list of all of its stored shards.
+func recordStoredShards(j *jobtable.Job, shards []protocol.Item) {
 	for _, v := range j.Shards {
 		v.Version, v.OutcomeUnknown = 0, false
 	}
@@ -162,11 +162,11 @@
 		return
 	}
 	j.NoteRecordEvent(jobtable.EventReadStarted)
-	r.listShards(j, func(shards []protocol.Item) { r.noteStrayShards(j, shards) })
+	r.listShards(j, func(shards []protocol.Item) { r.registerStrayShards(j, shards) })
 }
 
-// noteStrayShards registers the listed shards for removal.
-func (r *Reader) noteStrayShards(j *jobtable.Job, shards []protocol.Item) {
+// registerStrayShards registers the listed shards for removal.
+func (r *Reader) registerStrayShards(j *jobtable.Job, shards []protocol.Item) {
 	for _, item := range shards {
 		r.jobs.StrayShards[item.Key] = item.Version
 	}
--- a/internal/leader/recordstore/sharding.go
+++ b/internal/leader/recordstore/sharding.go
@@ -42,7 +42,7 @@
 // Shard starts to split a record into shards. The undivided record stays valid until all shards are
 // stored and the head, which the leader writes last, marks the record as sharded. A new leader that
 // takes over before that reads the undivided record and removes the shards. While a record is being
-// sharded the leader places no task of the job, and notes the ends of tasks in the shards.
+// sharded the leader places no task of the job, and records the exits of tasks in the shards.
 func (w *Writer) Shard(j *jobtable.Job) {
 	if !w.mayShard(j) {
 		return
@@ -54,7 +54,7 @@
 	j.ShardSize, j.FormatMarked = size, true
 	j.NoteRecordEvent(jobtable.EventShardingStarted)
 	j.MakeShards()
-	w.noteShardContents(j)
+	w.markShardsChanged(j)
 	w.jobs.NoteHeadChange(j)
 }
 
@@ -70,8 +70,8 @@
 	return j.ShardSize == 0 && j.Hosted == nil
 }
 
-// noteShardContents marks every shard that has any content as changed, so that the writer stores it.
-func (w *Writer) noteShardContents(j *jobtable.Job) {
+// markShardsChanged marks every shard that has any content as changed, so that the writer stores it.
+func (w *Writer) markShardsChanged(j *jobtable.Job) {
 	for task := range j.Placements {
 		j.ShardValue(task).NoteChange(w.Now())
 	}
--- a/internal/leader/recordstore/units.go
+++ b/internal/leader/recordstore/units.go
@@ -54,16 +54,17 @@
 	return protocol.Change{Put: w.key(), Value: w.Job.EncodeShard(w.Shard)}
 }
 
-// noteResponse notes that the write isn't in flight any more. If its outcome is decided and no earlier
-// write of the value can still be executed, the releases of placements in the value are confirmed.
-func (w *Write) noteResponse(decided bool) {
+// recordResponse records that the write isn't in flight any more. If its outcome is decided and the store
+// can't execute any earlier write of the value either, recordResponse confirms the releases of placements
+// in the value.
+func (w *Write) recordResponse(decided bool) {
 	w.Value.InFlight = false
 	if decided && !w.Value.OutcomeUnknown {
 		w.Value.UnconfirmedReleases = nil
 	}
 }
 
-// markStored notes that the store committed the write at a revision.
+// markStored records that the store committed the write at a revision.
 func (w *Write) markStored(revision protocol.Revision) {
 	w.Value.Version, w.Value.StoredCount, w.Value.RejectedBytes = revision, w.ChangeCount, 0
 	w.Value.ResolveOutcome()
@@ -179,8 +180,9 @@
 	return units
 }
 
-// removalUnits returns the removals of those shards of a final job that hold no placement, so that none
-// of their tasks may still run.
+// removalUnits returns the removals of the stored shards of a final job. It omits the shards that hold
+// placements, because tasks in them may still run, and those that have a write in flight or with an
+// unknown outcome.
 func removalUnits(j *jobtable.Job) []WriteUnit {
 	if !j.IsStored() {
 		return nil // the shards are needed until the final record is stored
--- a/internal/leader/recordstore/writer.go
+++ b/internal/leader/recordstore/writer.go
@@ -138,12 +138,12 @@
 // sharded, tooLarge starts to shard it. Until that is done the stored version stays in effect for its
 // job, and changes of other jobs are committed.
 func (w *Writer) tooLarge(write *Write, value []byte, limit int) bool {
-	refusedBytes := write.Value.RejectedBytes
-	if len(value) < limit/2 && refusedBytes == 0 {
+	rejectedBytes := write.Value.RejectedBytes
+	if len(value) < limit/2 && rejectedBytes == 0 {
 		return false
 	}
 	size := protocol.JSONSize(value)
-	if size <= jobrecord.UsableBytes(limit) && (refusedBytes == 0 || size < refusedBytes) {
+	if size <= jobrecord.UsableBytes(limit) && (rejectedBytes == 0 || size < rejectedBytes) {
 		return false
 	}
 	if write.Shard == HeadIndex && write.Job.ShardSize == 0 && w.Format.Services {
--- a/internal/leader/snapshots/jobs.go
+++ b/internal/leader/snapshots/jobs.go
@@ -88,7 +88,7 @@
 	return planned
 }
 
-// setUrgency sets by when a job should start and end.
+// setUrgency sets a job's tier and how much time is left until it should start and end.
 func (b *Builder) setUrgency(j *jobtable.Job, planned *planner.Job) {
 	urgency := b.objectives.Urgency(j)
 	planned.Tier, planned.SlackS = urgency.Tier, urgency.SlackS
--- a/internal/leader/snapshots/quota.go
+++ b/internal/leader/snapshots/quota.go
@@ -12,8 +12,9 @@
 const (
 	// resourceTolerance absorbs the rounding errors of decimal amounts, as in the planner.
 	resourceTolerance = 1e-6
-	// quotaLimitedFactor is how many times as long as the work of all teams a team's backlog must take
-	// before its limit determines when all jobs are done. Estimates are often wrong by half.
+	// quotaLimitedFactor decides when a team counts as limited by its quota: its backlog takes longer
+	// within the team's limit than this factor times the work of all teams on all machines. The factor
+	// allows for estimates, which are often wrong by half.
 	quotaLimitedFactor = 1.5
 )
 
@@ -42,8 +43,8 @@
 	teams[j.Spec.Team] = team
 }
 
-// promoteQuotaLimited raises the tier of late jobs whose teams are held back by their limits for longer
-// than the work of all jobs takes: these jobs determine when all jobs are done.
+// promoteQuotaLimited raises the tier of late jobs of teams that are limited by their quotas: the
+// backlogs of these teams determine when all jobs are done.
 func promoteQuotaLimited(s *planner.Snapshot) {
 	remainingS := remainingWorkS(s)
 	for i := range s.Jobs {
@@ -72,19 +73,19 @@
 // markWithinGuarantees marks the jobs that fit into their teams' guarantees together with the teams'
 // earlier jobs.
 func (b *Builder) markWithinGuarantees(s *planner.Snapshot) {
-	left := guaranteesOf(s.Teams)
-	if len(left) == 0 {
+	remainingByTeam := guaranteesOf(s.Teams)
+	if len(remainingByTeam) == 0 {
 		return
 	}
 	for _, j := range slices.Backward(newestFirst(s)) {
-		remaining, guaranteed := left[j.Spec.Team]
+		remaining, guaranteed := remainingByTeam[j.Spec.Team]
 		if !guaranteed {
 			continue
 		}
 		unfinished := j.Spec.Tasks - b.jobs.ByID[j.ID].Done.Len()
 		needs := planner.TaskResources(j.Spec).Times(float64(unfinished))
 		j.WithinGuarantee = fitsGuarantee(needs, remaining, s.Teams[j.Spec.Team].Guarantee)
-		left[j.Spec.Team] = remaining.Minus(needs)
+		remainingByTeam[j.Spec.Team] = remaining.Minus(needs)
 	}
 }
 
@@ -101,9 +102,9 @@
 
 // fitsGuarantee reports whether resources fit into the remaining part of a guarantee. It compares only
 // the resources that the guarantee covers.
-func fitsGuarantee(needs, left, guarantee planner.Resources) bool {
-	return (guarantee.Cpus == 0 || needs.Cpus <= left.Cpus+resourceTolerance) &&
-		(guarantee.Gpus == 0 || needs.Gpus <= left.Gpus+resourceTolerance)
+func fitsGuarantee(needs, remaining, guarantee planner.Resources) bool {
+	return (guarantee.Cpus == 0 || needs.Cpus <= remaining.Cpus+resourceTolerance) &&
+		(guarantee.Gpus == 0 || needs.Gpus <= remaining.Gpus+resourceTolerance)
 }
 
 // MarkOverQuota marks the running tasks by which teams exceed their guarantees, those of the newest
@@ -118,8 +119,8 @@
 	}
 	for _, j := range newestFirst(s) {
 		if preemptibleForGuarantee(j) {
-			left := markJobOverQuota(j, excess[j.Spec.Team], s.Teams[j.Spec.Team].Guarantee)
-			excess[j.Spec.Team] = left
+			remainingExcess := markJobOverQuota(j, excess[j.Spec.Team], s.Teams[j.Spec.Team].Guarantee)
+			excess[j.Spec.Team] = remainingExcess
 		}
 	}
 }
--- a/internal/leader/snapshots/reserve.go
+++ b/internal/leader/snapshots/reserve.go
@@ -18,9 +18,9 @@
 	reservePrefix = "spare/"
 	// zoneReservePrefix marks reserves for the loss of a zone.
 	zoneReservePrefix = reservePrefix + "zone/"
-	// displacedReservePrefix marks reserves for tasks in a lost zone that aren't proven to have ended
+	// heldTaskReservePrefix marks reserves for tasks in a lost zone that aren't proven to have ended
 	// yet: machines for them boot in the meantime.
-	displacedReservePrefix = reservePrefix + "lost/"
+	heldTaskReservePrefix = reservePrefix + "lost/"
 )
 
 const (
@@ -91,18 +91,18 @@
 // larger of the replicas of one more job and those that users submit while a machine boots, plus the
 // replicas on the machine with most of them, since that machine may be lost.
 func (b *Builder) ReplicaReserve(history objectives.ClassHistory) int {
-	recent, largest := 0, 0
+	recentReplicas, largestArrival := 0, 0
 	for _, arrival := range history.Arrivals {
-		recent += arrival.Tasks
-		largest = max(largest, arrival.Tasks)
+		recentReplicas += arrival.Tasks
+		largestArrival = max(largestArrival, arrival.Tasks)
 	}
 	slowestBoot := 0.0
 	for _, name := range b.catalogue.ReplicaTypes(&history.Spec) {
 		slowestBoot = max(slowestBoot, b.catalogue.ByName[name].BootS)
 	}
-	whileBooting := math.Ceil(float64(recent) * slowestBoot * objectives.BootTimeFactor /
+	whileBooting := math.Ceil(float64(recentReplicas) * slowestBoot * objectives.BootTimeFactor /
 		objectives.ArrivalWindow.Seconds())
-	return max(int(whileBooting), largest) + b.machines.MostReplicas()
+	return max(int(whileBooting), largestArrival) + b.machines.MostReplicas()
 }
 
 // zoneReserves returns reserves, in the other zones, for a share of the tasks that each zone runs, if
@@ -168,55 +168,56 @@
 	return jobs
 }
 
-// displacedReserves returns reserves for the tasks of lost zones, which will have to start in other
-// zones.
-func (b *Builder) displacedReserves() []planner.Job {
+// heldTaskReserves returns reserves for the tasks on silent machines of lost zones: these tasks will have
+// to start in other zones.
+func (b *Builder) heldTaskReserves() []planner.Job {
 	if b.zones.Options == nil || !b.zones.AnyLost() {
 		return nil
 	}
 	var jobs []planner.Job
-	for id, tasks := range ordered.ByKey(b.displacedTasks()) {
+	for id, tasks := range ordered.ByKey(b.heldTasks()) {
 		j := b.jobs.ByID[id]
 		if j == nil || j.MustNotRun() || j.Spec.Zone != "" && b.zones.IsCordoned(j.Spec.Zone) {
 			continue
 		}
-		jobs = append(jobs, b.displacedReserve(j, tasks))
+		jobs = append(jobs, b.heldTaskReserve(j, tasks))
 	}
 	return jobs
 }
 
-// displacedTasks counts, by job, the tasks on silent machines of lost zones.
-func (b *Builder) displacedTasks() map[protocol.JobID]int {
-	displaced := map[protocol.JobID]int{}
+// heldTasks counts, by job, the tasks on silent machines of lost zones, which aren't proven to have
+// ended.
+func (b *Builder) heldTasks() map[protocol.JobID]int {
+	held := map[protocol.JobID]int{}
 	for _, m := range b.machines.Ordered {
 		if !b.zones.IsLost(m.Zone) || !b.machines.HeartbeatMissed(m) {
 			continue
 		}
 		for id, tasks := range m.Placements {
-			displaced[id] += len(tasks)
+			held[id] += len(tasks)
 		}
 	}
-	return displaced
+	return held
 }
 
-// displacedReserve returns the reserve for displaced tasks of a job, which is as urgent as the job
-// itself.
-func (b *Builder) displacedReserve(j *jobtable.Job, tasks int) planner.Job {
+// heldTaskReserve returns the reserve for held tasks of a job, which is as urgent as the job itself.
+func (b *Builder) heldTaskReserve(j *jobtable.Job, tasks int) planner.Job {
 	spec := j.Spec
 	urgency := b.objectives.Urgency(j)
-	reserve := newReserve(displacedReservePrefix+j.Spec.ID, &spec, tasks, j.Rank(), urgency.Tier)
+	reserve := newReserve(heldTaskReservePrefix+j.Spec.ID, &spec, tasks, j.Rank(), urgency.Tier)
 	reserve.SubmittedAt = j.SubmittedAt
 	reserve.SlackS, reserve.StartSlackS = urgency.SlackS, b.objectives.StartSlackS(j)
 	reserve.AvoidedMachines = j.AvoidMachines
 	if spec.OneZone || spec.Spread {
 		spec.OneZone, spec.Tasks = false, j.Spec.Tasks
-		reserve.OtherTasksByZone = b.tasksByHealthyZone(j)
+		reserve.OtherTasksByZone = b.tasksOutsideLostZones(j)
 	}
 	return reserve
 }
 
-// tasksByHealthyZone counts a job's tasks by zone, except for those in lost zones, which won't stay.
-func (b *Builder) tasksByHealthyZone(j *jobtable.Job) map[string]int {
+// tasksOutsideLostZones counts a job's tasks by zone. It omits the tasks in lost zones, which will have
+// to start in other zones.
+func (b *Builder) tasksOutsideLostZones(j *jobtable.Job) map[string]int {
 	zones := map[string]int{}
 	for _, placement := range j.Placements {
 		if m := b.machines.ByName[placement.Machine]; m != nil && !b.zones.IsLost(m.Zone) {
--- a/internal/leader/snapshots/snapshot.go
+++ b/internal/leader/snapshots/snapshot.go
@@ -1,5 +1,7 @@
-// Package snapshots builds the planner's view of jobs, machines and teams. It changes only cached
-// views. The scheduler plans from a snapshot, and the autoscaler searches one for surplus machines.
+// Package snapshots builds the planner's view of jobs, machines and teams. The scheduler plans from a
+// snapshot, and the autoscaler searches one for surplus machines. Besides cached views and
+// the estimates of image pulls, the package changes only one thing: it ends the reclaiming of jobs that have
+// no pending tasks.
 package snapshots
 
 import (
@@ -28,12 +30,12 @@
 	writer     *recordstore.Writer
 	commands   *reconciler.CommandSender
 	zones      *zonetracker.Tracker
-	// Directory lists the cells, nil if cells are disabled.
+	// Directory lists the cells, nil if federation is disabled.
 	Directory *cells.Directory
 
 	// LastMachines are the machines of the last snapshot.
 	LastMachines []planner.Machine
-	// free is the free capacity of these machines, known only if cells are enabled.
+	// free is the free capacity of these machines, known only if federation is enabled.
 	free planner.Resources
 }
 
@@ -69,7 +71,7 @@
 	b.markWithinGuarantees(&s)
 	promoteQuotaLimited(&s)
 	s.Jobs = append(s.Jobs, b.expectedArrivals()...)
-	s.Jobs = append(s.Jobs, b.displacedReserves()...)
+	s.Jobs = append(s.Jobs, b.heldTaskReserves()...)
 	s.Jobs = append(s.Jobs, b.zoneReserves()...)
 	MarkOverQuota(&s)
 	return s
--- a/internal/leader/zonetracker/displaced.go
+++ b/internal/leader/zonetracker/displaced.go
@@ -27,8 +27,8 @@
 	t.jobs.NoteHeadChange(j)
 }
 
-// EndDisplacement ends a job's displacement. All tasks that had lost their placements have new ones or are
-// done.
+// EndDisplacement ends a job's displacement, once all tasks that had lost their placements have new ones or
+// are done.
 func (t *Tracker) EndDisplacement(j *jobtable.Job) {
 	j.DisplacedFrom = ""
 	t.jobs.NoteHeadChange(j)
--- a/internal/leader/zonetracker/evidence.go
+++ b/internal/leader/zonetracker/evidence.go
@@ -18,14 +18,16 @@
 const (
 	// misdirectedLifetime is how long a heartbeat to a controller that isn't the leader counts as evidence.
 	misdirectedLifetime = 8 * clock.Second
-	// queryInterval is the time between two queries to the other controllers while a zone isn't healthy.
+	// queryInterval is the time between two queries to the other controllers while a zone isn't healthy or
+	// most of its machines are silent.
 	queryInterval = 2 * clock.Second
 	// probeInterval is the time between two probes of silent machines while a zone isn't healthy.
 	probeInterval = 2 * clock.Second
 	// probesPerZone is how many machines of a zone the tracker probes at once.
 	probesPerZone = 2
-	// unlistedTimeout is how long a machine must be missing from the cloud's list, beyond the list's delay,
-	// to count as gone.
+	// unlistedTimeout is how long after its first listing a machine without a status from the cloud counts
+	// as gone. It is meant as the time beyond the list's delay for which a machine must be missing from the
+	// list.
 	unlistedTimeout = 60 * clock.Second
 )
 
@@ -100,7 +102,8 @@
 	return m.HeartbeatReceived || len(m.Placements) > 0 || t.machines.BootOverdue(m)
 }
 
-// goneFromCloud reports whether the cloud lists a machine as failed or no longer lists it.
+// goneFromCloud reports whether the cloud lists a machine as failed, or has reported no status for it
+// although it first listed the machine more than unlistedTimeout ago.
 func (t *Tracker) goneFromCloud(m *machinetable.Machine) bool {
 	missing := m.Listed && m.CloudStatus == "" && t.Now() > m.ListedAt+unlistedTimeout
 	return m.CloudStatus == protocol.MachineFailed || missing
@@ -176,15 +179,15 @@
 		return
 	}
 	t.probedAt = t.Now()
-	left := map[string]int{}
+	probesLeft := map[string]int{}
 	for name, z := range t.Zones {
 		if z.IsCordoned() {
-			left[name] = probesPerZone
+			probesLeft[name] = probesPerZone
 		}
 	}
 	for _, m := range t.machines.Ordered {
-		if left[m.Zone] > 0 && t.mayProbe(m) {
-			left[m.Zone]--
+		if probesLeft[m.Zone] > 0 && t.mayProbe(m) {
+			probesLeft[m.Zone]--
 			m.ProbedAt = t.Now()
 			t.commands.Probe(m)
 		}
--- a/internal/leader/zonetracker/tracker.go
+++ b/internal/leader/zonetracker/tracker.go
@@ -126,19 +126,19 @@
 // have no machines. In that case this controller may be the one that is cut off, and a missing heartbeat is
 // no evidence against the zone.
 func mostSilentElsewhere(total machinetable.HeartbeatCount, z *Zone) bool {
-	rest := machinetable.HeartbeatCount{
+	otherZones := machinetable.HeartbeatCount{
 		OnTime:   total.OnTime - z.Evidence.OnTime,
 		Expected: total.Expected - z.Evidence.Machines,
 	}
-	return rest.Expected == 0 || !rest.MostOnTime()
+	return otherZones.Expected == 0 || !otherZones.MostOnTime()
 }
 
 // logPhase logs a change of a zone's phase with the evidence for it.
 func logPhase(name string, z *Zone) {
-	slog.Info("zone phase changed", "zone", name, "phase", z.Phase, "losses", z.Losses, "diagnosis",
-		z.Diagnosis,
-		"machines", z.Evidence.Machines, "heard", z.Evidence.OnTime, "controllers", z.Evidence.Controllers,
-		"controllers_reached", z.Evidence.ControllersReached, "flaps", z.Flaps)
+	slog.Info("zone phase changed", "zone", name, "phase", z.Phase, "losses", z.Losses,
+		"diagnosis", z.Diagnosis, "machines", z.Evidence.Machines, "heard", z.Evidence.OnTime,
+		"controllers", z.Evidence.Controllers, "controllers_reached", z.Evidence.ControllersReached,
+		"flaps", z.Flaps)
 }
 
 // replan makes the next plan take the zones' new phases into account, and schedules a step.
