--- a/internal/leader/recordstore/apply.go
+++ b/internal/leader/recordstore/apply.go
@@ -182,8 +182,8 @@
 }
 
 // matchPlacements applies the placements of a record that was just loaded: it adds them to the
-// machines, releases those that belong to no delegation, and reconciles the others with the last
-// heartbeats of the machines. It sends commands at once to machines that hold placements of a final
+// machines, releases those with other cells that belong to no delegation, and reconciles the others with
+// the last heartbeats of the machines. It sends commands at once to machines that hold placements of a final
 // job.
 func (r *Reader) matchPlacements(j *jobtable.Job) {
 	machines := r.addToMachines(j)
