--- a/internal/leader/zonetracker/zonestore.go
+++ b/internal/leader/zonetracker/zonestore.go
@@ -131,8 +131,9 @@
 	t.Store.Get(zonerecovery.Key(name), term.Guarded(t.State, handle))
 }
 
-// handleRead updates the version of a zone's record. Whatever phase the record contains, the leader then
-// writes the zone's present phase at that version. After a failed read, the next SaveZones retries it.
+// handleRead updates the version of a zone's record. It ignores the phase in the record: the leader then
+// writes the zone's present phase at that version if the phase is lost or returning, but doesn't write the
+// healthy phase. After a failed read, the next SaveZones retries it.
 func (t *Tracker) handleRead(z *Zone, r kvstore.Result[protocol.Item]) {
 	t.saving = false
 	if r.Err == nil || errors.Is(r.Err, kvstore.ErrNotFound) {
