--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -14,7 +14,7 @@
 // maxFinalStates bounds the memory of the cached final states.
 const maxFinalStates = 20_000
 
-// Admission is the actor that handles the requests of users and nodes.
+// Admission is the actor that handles the requests of users and controllers.
 type Admission struct {
 	mailbox actor.Mailbox
 	store   kvstore.Store
@@ -31,13 +31,14 @@
 	// startedAt is when this process started, epoch the highest epoch of its elections.
 	startedAt clock.Micros
 	epoch     protocol.Epoch
-	// cancellations are the cancellations that this node has reported to users.
+	// cancellations are the cancellations that this controller has reported to users.
 	cancellations cancellationLog
-	// zoneReports asks the part of this node that receives heartbeats for its zone reports.
+	// zoneReports asks the part of this controller that receives heartbeats for its zone reports.
 	zoneReports func(reply func(ZoneReports))
 }
 
-// New returns the actor. While the store is unavailable, it passes requests to other nodes with forward.
+// New returns the actor. While the store is unavailable, it passes requests to other controllers with
+// forward.
 func New(m actor.Mailbox, s kvstore.Store, set *settings.Settings, forward Forward) *Admission {
 	return &Admission{
 		mailbox:       m,
@@ -72,7 +73,7 @@
 	adm.mailbox.Post(func() { adm.formatOpen = s.Services })
 }
 
-// RecordElection records an election of this node. The caller calls it before the new leader does
+// RecordElection records an election of this controller. The caller calls it before the new leader does
 // anything.
 func (adm *Admission) RecordElection(epoch protocol.Epoch) {
 	adm.mailbox.Post(func() { adm.epoch = max(adm.epoch, epoch) })
@@ -86,8 +87,8 @@
 	})
 }
 
-// cacheFinalStatus caches the final status of a job. If the job is cancelled, it also logs that for
-// attestations; it must therefore run before the status is sent to a user.
+// cacheFinalStatus caches the final status of a job. If the job is cancelled, it also logs the cancellation
+// for attestations; the caller must therefore call it before it sends the status to a user.
 func (adm *Admission) cacheFinalStatus(s protocol.JobStatus) {
 	if s.Status == protocol.StatusCancelled {
 		adm.cancellations.add(s.ID, adm.mailbox.Monotonic())
--- a/internal/admission/attestation.go
+++ b/internal/admission/attestation.go
@@ -8,17 +8,17 @@
 	"postpoint/internal/protocol"
 )
 
-// Attestation is what a node states to a leader that can't reach the store. It lists all cancellations
-// that the node recently reported to users and gives the highest epoch of the node's own elections, so
-// that the leader can tell whether the node has been elected after it. It doesn't cover the time before
-// the node's process started.
+// Attestation is what a controller states to a leader that can't reach the store. It lists all
+// cancellations that the controller recently reported to users. It also gives the highest epoch of the
+// controller's own elections, which is higher than the leader's epoch if the controller was elected after
+// the leader. It doesn't cover the time before the controller's process started.
 type Attestation struct {
 	Age       clock.Micros   // time since the process started
 	Epoch     protocol.Epoch // highest epoch of its elections, 0 if it was never elected
 	Cancelled []CancelledJob
 }
 
-// CancelledJob is a job whose cancellation a node first reported to a user the given time ago.
+// CancelledJob is a job whose cancellation a controller first reported to a user the given time ago.
 type CancelledJob struct {
 	Job protocol.JobID
 	Age clock.Micros
@@ -84,23 +84,23 @@
 	return c, rest[microsBytes:], c.Age >= 0
 }
 
-// DecodeAttestations decodes the responses of nodes. The parameter ok reports whether all nodes
+// DecodeAttestations decodes the responses of controllers. The parameter ok reports whether all controllers
 // responded; the result reports whether all of them gave an attestation.
 func DecodeAttestations(responses []Response, ok bool) ([]Attestation, bool) {
-	var all []Attestation
+	var attestations []Attestation
 	for _, response := range responses {
 		a, err := DecodeAttestation(response.Body)
 		if !response.OK() || err != nil {
 			ok = false
 			continue
 		}
-		all = append(all, a)
+		attestations = append(attestations, a)
 	}
-	return all, ok
+	return attestations, ok
 }
 
 // attest responds immediately from memory. The attestation covers the cancellations and elections whose
-// messages came before this one in the mailbox, and none that come later.
+// messages came before this request in the mailbox, and none that come later.
 func (c *call) attest() {
 	if len(c.request.Body) != microsBytes {
 		c.fail(outcomeTryLater, reasonNotRequest)
--- a/internal/admission/availability.go
+++ b/internal/admission/availability.go
@@ -7,50 +7,51 @@
 )
 
 const (
-	// failureBackoff is how long the store or the other nodes are considered unavailable after a failed
-	// request, so that the requests that follow don't wait for a timeout each. It is well below the
+	// failureBackoff is how long the store or the other controllers are considered unavailable after a
+	// failed request, so that the requests that follow don't wait for a timeout each. It is well below the
 	// time that users wait.
 	failureBackoff = 1500 * clock.Millisecond
-	// probeInterval is the age of the store's last response from which a health check probes the
-	// store.
+	// probeInterval is the longest time since the store's last response for which a health check doesn't
+	// probe the store.
 	probeInterval = 2 * clock.Second
-	// isolationTimeout is the time without a response of the store or another node after which this node
-	// is unhealthy. It is longer than a slow response of either.
+	// isolationTimeout is the time without a response of the store or another controller after which this
+	// controller is unhealthy. It is longer than a slow response of either.
 	isolationTimeout = 6 * clock.Second
-	// catalogueTimeout is how long a starting node waits for the machine types before it becomes ready
-	// for the requests that don't need them.
+	// catalogueTimeout is how long a starting controller waits for the machine types before it becomes
+	// ready for the requests that don't need them.
 	catalogueTimeout = 10 * clock.Second
 	// probeKey is neither a job ID nor a key in the store.
 	probeKey = "probe"
 )
 
-// availability records whether the store and the other nodes respond to this node.
+// availability records whether the store and the other controllers respond to this controller.
 type availability struct {
 	storeRespondedAt, peerRespondedAt clock.Micros
-	// storeDownUntil and peersDownUntil are until when they are considered unavailable.
+	// storeDownUntil and peersDownUntil are the times until which the store and the other controllers are
+	// considered unavailable.
 	storeDownUntil, peersDownUntil clock.Micros
-	probing                        bool // a probe of the store or of another node is in progress
+	probing                        bool // a probe of the store or of another controller is in progress
 }
 
-// Ready reports whether this node can handle requests: it knows the machine types or has waited long
-// enough for them, and the store or another node responds to it. A node without the store still forwards
-// requests to its peers, and in an outage of the store no node is better off. A node that can reach
-// neither only makes its users wait.
+// Ready reports whether this controller can handle requests: it knows the machine types or has waited long
+// enough for them, and the store or another controller responds to it. A controller that can't reach the
+// store still forwards requests to its peers, and in an outage of the store no other controller could serve
+// its users better. A controller that can reach neither only makes its users wait.
 func (adm *Admission) Ready(reply func(bool)) {
 	adm.mailbox.Post(func() {
 		now, a := adm.mailbox.Monotonic(), &adm.availability
 		if now > a.storeRespondedAt+probeInterval || now < a.storeDownUntil {
 			adm.probe()
 		}
-		// The monotonic clock starts with the process: a node has until catalogueTimeout for its first
-		// response.
+		// The monotonic clock starts with the process: a controller has until catalogueTimeout for its
+		// first response.
 		started := len(adm.types) > 0 || now > catalogueTimeout
 		lastResponseAt := max(a.storeRespondedAt, a.peerRespondedAt, catalogueTimeout)
 		reply(started && now < lastResponseAt+isolationTimeout)
 	})
 }
 
-// probe sends a request to the store, and to another node if the store doesn't respond.
+// probe sends a request to the store, and to another controller if the store doesn't respond.
 func (adm *Admission) probe() {
 	if adm.availability.probing {
 		return
@@ -69,16 +70,18 @@
 	})
 }
 
-// recordStoreResult records a result of the store and reports whether the store is available to this node.
+// recordStoreResult records a result of the store and reports whether it shows that the store is available to
+// this controller.
 func (adm *Admission) recordStoreResult(r storeResult) bool {
-	if !r.served() {
+	if !r.showsAvailable() {
 		return false
 	}
 	adm.availability.storeRespondedAt = adm.mailbox.Monotonic()
 	return true
 }
 
-// recordPeerResult records whether another node responded.
+// recordPeerResult records whether another controller responded. If none did, this controller forwards
+// nothing for failureBackoff.
 func (adm *Admission) recordPeerResult(responded bool) {
 	now := adm.mailbox.Monotonic()
 	if responded {
--- a/internal/admission/call.go
+++ b/internal/admission/call.go
@@ -18,7 +18,7 @@
 	retryDelay = 150 * clock.Millisecond
 )
 
-// Reasons in the responses to users and nodes.
+// Reasons in the responses to users and controllers.
 const (
 	reasonNoSuchJob    = "no such job"
 	reasonStoreDown    = "the state service does not answer"
@@ -41,7 +41,7 @@
 	reply     func(Response)
 	retries   int
 	spec      protocol.JobSpec // decoded submission
-	forwarded bool             // this node has forwarded the request
+	forwarded bool             // this controller has forwarded the request
 }
 
 // finish responds to the request.
@@ -53,7 +53,8 @@
 // fail responds that the request was not carried out.
 func (c *call) fail(kind outcomeKind, reason string) { c.finish(failure(kind, reason)) }
 
-// handle starts the request, or forwards it to another node while the store is considered unavailable.
+// handle starts the request, or forwards it to another controller while the store is considered
+// unavailable.
 func (c *call) handle() {
 	switch {
 	case c.request.Kind == GetAttestation:
@@ -87,8 +88,8 @@
 	return c.retries <= maxRetries
 }
 
-// handleStoreFailure handles the results of the store that carry no information about the job. It retries
-// a throttled request and forwards the request to another node after any other result.
+// handleStoreFailure handles the results of the store that carry no information about the job. It retries a
+// throttled request and forwards the request to another controller after any other result.
 func (c *call) handleStoreFailure(r storeResult) {
 	if r != storeBusy {
 		c.admission.availability.storeDownUntil = c.admission.mailbox.Monotonic() + failureBackoff
--- a/internal/admission/cancellation.go
+++ b/internal/admission/cancellation.go
@@ -18,7 +18,7 @@
 	})
 }
 
-// storeCancelled replaces the version that was read by the cancelled record.
+// storeCancelled commits the cancelled record, provided that the stored record still has the given version.
 func (c *call) storeCancelled(record *jobrecord.Record, version protocol.Revision) {
 	key := jobrecord.Key(c.request.ID)
 	txn := protocol.Txn{
@@ -34,8 +34,8 @@
 		case result == storeConflict || result == storeUnconfirmed:
 			c.retryCancel()
 		case result == storeRejected && !record.Truncated && record.ShardSize == 0:
-			// The store had higher limits when the record was written. The final record fits
-			// without its placements, which the leader and the workers' heartbeats still know.
+			// The store had higher limits when the record was written. The final record fits if it omits
+			// the placements. The leader still knows them, and the workers' heartbeats contain them.
 			record.Truncated = true
 			c.storeCancelled(record, version)
 		default:
--- a/internal/admission/cancellationlog.go
+++ b/internal/admission/cancellationlog.go
@@ -13,7 +13,7 @@
 // for an attestation of a longer time, so this also bounds how long a leader may work without the store.
 const cancellationRetention = 15 * 60 * clock.Second
 
-// cancellationLog records when this node first reported to a user that a job is cancelled.
+// cancellationLog records when this controller first reported to a user that a job is cancelled.
 type cancellationLog struct {
 	reportedAt map[protocol.JobID]clock.Micros // time of the first report, by job
 	prunedAt   clock.Micros                    // when expired entries were last deleted
@@ -24,7 +24,7 @@
 	return cancellationLog{reportedAt: map[protocol.JobID]clock.Micros{}}
 }
 
-// add records that this node is about to report a cancellation to a user.
+// add records that this controller is about to report a cancellation to a user.
 func (l *cancellationLog) add(job protocol.JobID, now clock.Micros) {
 	if _, known := l.reportedAt[job]; known {
 		return
--- a/internal/admission/connection.go
+++ b/internal/admission/connection.go
@@ -10,14 +10,14 @@
 )
 
 // connection is a connection that a limitedListener has accepted. The listener's mutex guards idle,
-// worker and closed. Only the handler of the current request uses the other fields; requests on a
+// keptByWorker and closed. Only the handler of the current request uses the other fields; requests on a
 // connection come one after another.
 type connection struct {
 	net.Conn
-	listener *limitedListener
-	idle     *list.Element // element of the listener's idle list, nil unless it may be evicted
-	worker   bool          // counts as a connection that a worker keeps open
-	closed   bool
+	listener     *limitedListener
+	idle         *list.Element // element of the listener's idle list, nil unless it may be evicted
+	keptByWorker bool          // counts as a connection that a worker keeps open
+	closed       bool
 	// hijacked reports that a workerConnection has taken it over from http.Server.
 	hijacked bool
 	decoder  protocol.HeartbeatDecoder
--- a/internal/admission/forwarding.go
+++ b/internal/admission/forwarding.go
@@ -2,9 +2,9 @@
 
 import "postpoint/internal/protocol"
 
-// forwardToPeer forwards the request to another node because the store is unavailable to this one. This
-// node can't distinguish that from an outage of the whole store. If the final status of the job is cached,
-// this node responds itself.
+// forwardToPeer forwards the request to another controller because the store is unavailable to this one.
+// This controller can't distinguish that from an outage of the whole store. If it has cached the final
+// status of the job, it responds itself.
 func (c *call) forwardToPeer() {
 	if final, ok := c.admission.finalStates[c.request.ID]; ok && c.request.Kind != Submit {
 		c.finish(knownJob(final))
@@ -31,8 +31,8 @@
 	return !c.request.Forwarded && !c.forwarded && !peersDown && !c.unknownToPeers()
 }
 
-// unknownToPeers reports whether another node may run a version that misinterprets the request: versions
-// without services classify a service as an array.
+// unknownToPeers reports whether another controller may run a version that misinterprets the request:
+// versions without services classify a service as an array.
 func (c *call) unknownToPeers() bool {
 	if c.request.Kind != Submit || c.admission.formatOpen {
 		return false
--- a/internal/admission/handler.go
+++ b/internal/admission/handler.go
@@ -20,11 +20,11 @@
 // LeaderHandler handles the heartbeats of workers, to which it replies with an HTTP status and a body,
 // and returns the overview of the cell for operators.
 type LeaderHandler interface {
-	Heartbeat(r protocol.Heartbeat, reply func(status int, body any))
+	Heartbeat(heartbeat protocol.Heartbeat, reply func(status int, body any))
 	Overview(reply func(any))
 }
 
-// Handler returns the handler of all HTTP requests to a node.
+// Handler returns the handler of all HTTP requests to a controller.
 func Handler(admission *Admission, leader LeaderHandler) http.Handler {
 	h := &handler{admission: admission, leader: leader, mux: http.NewServeMux()}
 	h.mux.HandleFunc(protocol.PathSubmit, h.submit)
@@ -83,7 +83,7 @@
 	write(w, status, nil)
 }
 
-// overview writes the state of the cell as this node knows it, as JSON for operators.
+// overview writes the state of the cell as this controller knows it, as JSON for operators.
 func (h *handler) overview(w http.ResponseWriter, _ *http.Request) {
 	replies := make(chan any, 1)
 	h.leader.Overview(func(o any) { replies <- o })
@@ -127,10 +127,10 @@
 
 // validHeartbeat reports whether a heartbeat has the fields that all later steps rely on. Machine names
 // must not contain spaces, because records separate names by spaces.
-func validHeartbeat(r *protocol.Heartbeat) bool {
-	validName := r.Machine != "" && len(r.Machine) <= protocol.MaxTextBytes &&
-		!strings.ContainsFunc(string(r.Machine), unicode.IsSpace)
-	return validName && r.Address != "" && r.Incarnation > 0
+func validHeartbeat(heartbeat *protocol.Heartbeat) bool {
+	validName := heartbeat.Machine != "" && len(heartbeat.Machine) <= protocol.MaxTextBytes &&
+		!strings.ContainsFunc(string(heartbeat.Machine), unicode.IsSpace)
+	return validName && heartbeat.Address != "" && heartbeat.Incarnation > 0
 }
 
 // readBody reads the body of a request. If the body is incomplete or over the limit, it stops reading and
--- a/internal/admission/listener.go
+++ b/internal/admission/listener.go
@@ -27,7 +27,7 @@
 // idle for longest.
 type limitedListener struct {
 	net.Listener
-	limit, workerLimit int // maximum of open and of workersKept
+	limit, workerLimit int // limits of open and of workersKept
 
 	mu            sync.Mutex // guards the fields below
 	slotAvailable *sync.Cond // signalled when a slot or an evictable connection becomes available
@@ -45,7 +45,7 @@
 	return limited
 }
 
-// Accept waits until a connection is free before it accepts one. Connections that can't be served yet
+// Accept waits until a slot is free before it accepts a connection. Connections that can't be served yet
 // wait in the backlog, where a load balancer notices them.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	l.reserve()
@@ -95,7 +95,7 @@
 	l.open--
 	if c != nil {
 		l.removeIdle(c)
-		if c.worker {
+		if c.keptByWorker {
 			l.workersKept--
 		}
 	}
@@ -149,12 +149,12 @@
 	switch {
 	case c.closed:
 		return false
-	case c.worker:
+	case c.keptByWorker:
 		return true
 	case l.workersKept >= l.workerLimit:
 		return false
 	}
-	c.worker = true
+	c.keptByWorker = true
 	l.workersKept++
 	return true
 }
--- a/internal/admission/outcome.go
+++ b/internal/admission/outcome.go
@@ -13,8 +13,8 @@
 	outcomeNotRunnable                          // the request is valid, but the job can never run
 	outcomeTryLater                             // not carried out; a retry may succeed
 	outcomeUnconfirmed                          // outcome unknown; a retry finds out
-	outcomeForController                        // carried out for another node, which gets the body
-	outcomeFromPeer                             // another node responded to the forwarded request
+	outcomeForController                        // carried out for another controller, which gets the body
+	outcomeFromPeer                             // another controller responded to the forwarded request
 )
 
 // outcome is the result of a request.
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -10,14 +10,14 @@
 	Submit RequestKind = iota + 1
 	GetStatus
 	Cancel
-	// GetAttestation asks for an Attestation. Only nodes send it.
+	// GetAttestation asks for an Attestation. Only controllers send it.
 	GetAttestation
 	// GetZoneReports asks for ZoneReports. Only the leader sends it.
 	GetZoneReports
 )
 
-// Request is a request of a user or a node. A forwarded request comes from another node, which can't
-// reach the key-value store; the receiver never forwards it again.
+// Request is a request of a user or a controller. A forwarded request comes from another controller, which
+// can't reach the key-value store; the receiver never forwards it again.
 type Request struct {
 	Kind      RequestKind
 	ID        protocol.JobID // ID of the job, empty for a submission
@@ -25,5 +25,5 @@
 	Forwarded bool
 }
 
-// Forward passes a request to other nodes; ok reports whether one of them responded.
+// Forward passes a request to other controllers; ok reports whether one of them responded.
 type Forward func(r Request, done func(response Response, ok bool))
--- a/internal/admission/response.go
+++ b/internal/admission/response.go
@@ -9,8 +9,8 @@
 // retryAfterS is the delay in seconds after which users should retry, as short as their own retry delay.
 const retryAfterS = 1
 
-// Response is the response to a user or a node: an HTTP status, the delay before a retry (0 for none) and
-// the body.
+// Response is the response to a user or a controller: an HTTP status, the delay before a retry (0 for none)
+// and the body.
 type Response struct {
 	Status      int
 	RetryAfterS int
@@ -20,7 +20,7 @@
 // OK reports whether the request was carried out and the body contains its result.
 func (r Response) OK() bool { return r.Status == http.StatusOK }
 
-// ShouldRetryLater reports whether the same request may succeed later, or at another node.
+// ShouldRetryLater reports whether the same request may succeed later, or at another controller.
 func (r Response) ShouldRetryLater() bool { return r.Status == http.StatusServiceUnavailable }
 
 // toResponse returns the HTTP response for an outcome. No other code maps outcomes to HTTP.
--- a/internal/admission/runnable.go
+++ b/internal/admission/runnable.go
@@ -19,8 +19,10 @@
 )
 
 // checkRunnable returns the reason why a job can never run, or nil if it can run.
-func checkRunnable(spec *protocol.JobSpec, dep *settings.Deployment, types []protocol.MachineType) error {
-	team, ok := dep.Team(spec.Team)
+func checkRunnable(
+	spec *protocol.JobSpec, deployment *settings.Deployment, types []protocol.MachineType,
+) error {
+	team, ok := deployment.Team(spec.Team)
 	if !ok {
 		return errUnknownTeam
 	}
@@ -34,7 +36,7 @@
 		return errSpreadInZone
 	}
 	// The store may lower its limits at any time.
-	limits := dep.KVStore.Tightest()
+	limits := deployment.KVStore.Tightest()
 	if !jobrecord.FitsStore(spec, limits.ValueBytes(), limits.TxnOps) {
 		return errRecordTooLarge
 	}
@@ -46,10 +48,10 @@
 
 // overLimit reports whether the tasks that must run at the same time exceed the team's limit.
 func overLimit(spec *protocol.JobSpec, team settings.Team) bool {
-	atOnce := 1.0
+	concurrentTasks := 1.0
 	if needsAllTasksAtOnce(spec) {
-		atOnce = float64(spec.Tasks)
+		concurrentTasks = float64(spec.Tasks)
 	}
-	return team.CpusMax > 0 && atOnce*spec.Cpus > team.CpusMax ||
-		team.GpusMax > 0 && atOnce*spec.Gpus > team.GpusMax
+	return team.CpusMax > 0 && concurrentTasks*spec.Cpus > team.CpusMax ||
+		team.GpusMax > 0 && concurrentTasks*spec.Gpus > team.GpusMax
 }
--- a/internal/admission/storeresult.go
+++ b/internal/admission/storeresult.go
@@ -14,8 +14,8 @@
 	storeNotFound                       // there is no such key
 	storeConflict                       // a condition of the transaction doesn't hold
 	storeRejected                       // the store rejects the request, and would reject any retry
-	storeBusy                           // throttled by the store or by this node's own rate limit
-	storeUnavailable                    // not carried out: the store is unavailable to this node
+	storeBusy                           // throttled by the store or by this controller's own rate limit
+	storeUnavailable                    // not carried out: the store is unavailable to this controller
 	storeUnconfirmed                    // outcome unknown: it may have been carried out, or may still be
 	storeUnexpected                     // a response that has no meaning in the protocol
 )
@@ -42,9 +42,9 @@
 	return storeUnexpected
 }
 
-// served reports whether the result shows that the store is available to this node. A throttled request
-// shows nothing, because the limit may be this node's own.
-func (r storeResult) served() bool {
+// showsAvailable reports whether the result shows that the store is available to this controller. A throttled
+// request shows nothing, because the limit may be this controller's own.
+func (r storeResult) showsAvailable() bool {
 	switch r {
 	case storeUnconfirmed, storeUnavailable, storeBusy:
 		return false
--- a/internal/admission/workerconnection.go
+++ b/internal/admission/workerconnection.go
@@ -80,8 +80,8 @@
 	go newWorkerConnection(conn, alreadyRead, handler, idleTimeout).serve()
 }
 
-// newWorkerConnection returns a workerConnection; alreadyRead are the bytes that http.Server has read from
-// it.
+// newWorkerConnection returns a workerConnection for a hijacked connection. alreadyRead are the bytes that
+// http.Server has read from the connection.
 func newWorkerConnection(
 	conn *connection, alreadyRead []byte, handler http.Handler, idleTimeout time.Duration,
 ) *workerConnection {
@@ -127,7 +127,8 @@
 	return c.write(request) && c.response.header.Get("Connection") == ""
 }
 
-// awaitRequest waits for the first byte of the next request. The listener may evict the connection meanwhile.
+// awaitRequest waits for the first byte of the next request. While it waits, the listener may evict the
+// connection.
 func (c *workerConnection) awaitRequest() bool {
 	c.conn.listener.markIdle(c.conn)
 	c.limited.N = maxRequestBytes
--- a/internal/admission/zonereports.go
+++ b/internal/admission/zonereports.go
@@ -7,8 +7,8 @@
 	"postpoint/internal/ordered"
 )
 
-// ZoneReports tells the leader from which zones a node receives heartbeats. Machines that can't reach
-// the leader try the other nodes one after another.
+// ZoneReports tells the leader from which zones a controller receives heartbeats. Machines that can't reach
+// the leader try the other controllers one after another.
 type ZoneReports struct {
 	Node string
 	// Machines counts the machines that sent a heartbeat in the last few seconds, by zone.
@@ -23,7 +23,7 @@
 
 // Encode returns the binary form. Numbers are big endian; sizes of fields are in bytes:
 //
-//	length of the node's name (1), name, and for each zone: length (1), name, machines (4)
+//	length of the controller's name (1), name, and for each zone: length (1), name, machines (4)
 func (z ZoneReports) Encode() []byte {
 	b := appendName(nil, z.Node)
 	for zone, machines := range ordered.ByKey(z.Machines) {
@@ -66,13 +66,13 @@
 	return string(b[1:end]), b[end:], true
 }
 
-// DecodeAllZoneReports decodes the responses of nodes and skips failures and malformed responses.
+// DecodeAllZoneReports decodes the responses of controllers and skips failures and malformed responses.
 func DecodeAllZoneReports(responses []Response) []ZoneReports {
-	var all []ZoneReports
+	var reports []ZoneReports
 	for _, response := range responses {
 		if z, err := DecodeZoneReports(response.Body); err == nil && response.OK() {
-			all = append(all, z)
+			reports = append(reports, z)
 		}
 	}
-	return all
+	return reports
 }
--- a/internal/cells/directory.go
+++ b/internal/cells/directory.go
@@ -24,7 +24,7 @@
 	// HostedQuota limits the resources that hosted jobs may use at once. Reserve is the capacity of ready
 	// machines that hosted jobs must leave free.
 	HostedQuota, Reserve planner.Resources
-	// Draining tells that the cell returns the jobs that it hosts, recalls the tasks that it offloaded, and
+	// Draining means that the cell returns the jobs that it hosts, recalls the tasks that it offloaded, and
 	// neither offloads nor hosts anything new.
 	Draining bool
 }
--- a/internal/cloudclient/client.go
+++ b/internal/cloudclient/client.go
@@ -65,7 +65,7 @@
 	mailbox actor.Mailbox
 }
 
-// noDeadline is the deadline of requests that change nothing.
+// noDeadline never passes. Requests that change nothing use it.
 var noDeadline transport.Deadline
 
 // changeDeadline returns the deadline of a change.
@@ -96,8 +96,8 @@
 
 // reason returns the cloud's explanation of a failure, "" if the message has none.
 func reason(value any) string {
-	if a, ok := value.(*protocol.ScaleOutResponse); ok {
-		return a.Error
+	if response, ok := value.(*protocol.ScaleOutResponse); ok {
+		return response.Error
 	}
 	return ""
 }
@@ -112,9 +112,9 @@
 func (client *actorClient) ScaleOut(
 	r protocol.ScaleOutRequest, until clock.Micros, done func([]protocol.MachineName, error),
 ) {
-	var a protocol.ScaleOutResponse
-	client.call(client.changeDeadline(until), http.MethodPost, "/hosts", protocol.Encode(r), &a,
-		func(err error) { done(a.Machines, err) })
+	var response protocol.ScaleOutResponse
+	client.call(client.changeDeadline(until), http.MethodPost, "/hosts", protocol.Encode(r), &response,
+		func(err error) { done(response.Machines, err) })
 }
 
 // ScaleIn implements API.
--- a/internal/cloudclient/cloudtest/service.go
+++ b/internal/cloudclient/cloudtest/service.go
@@ -14,7 +14,8 @@
 type Service interface {
 	Catalogue(done func(status int, c protocol.Catalogue))
 	ScaleOut(
-		r protocol.ScaleOutRequest, until clock.Micros, done func(status int, a protocol.ScaleOutResponse),
+		r protocol.ScaleOutRequest, until clock.Micros,
+		done func(status int, response protocol.ScaleOutResponse),
 	)
 	ScaleIn(machines []protocol.MachineName, until clock.Micros, done func(status int))
 	List(from protocol.MachineName, done func(status int, l protocol.MachineList))
@@ -35,8 +36,8 @@
 func (c client) ScaleOut(
 	r protocol.ScaleOutRequest, until clock.Micros, done func([]protocol.MachineName, error),
 ) {
-	c.service.ScaleOut(r, until, func(status int, a protocol.ScaleOutResponse) {
-		done(a.Machines, failure(status, a.Error))
+	c.service.ScaleOut(r, until, func(status int, response protocol.ScaleOutResponse) {
+		done(response.Machines, failure(status, response.Error))
 	})
 }
 
--- a/internal/delegation/message.go
+++ b/internal/delegation/message.go
@@ -7,10 +7,10 @@
 	"postpoint/internal/protocol"
 )
 
-// Cells have one kind of exchange, which is like the one between a worker and its leader. The leader of the
-// host cell sends a heartbeat with the statuses of the origin cell's delegations. The response tells the host
-// which delegations it may continue and offers it further ones. The host drops a response that arrives too
-// late.
+// Cells use a single kind of exchange, which resembles the heartbeats between a worker and its leader. The
+// leader of the host cell sends a heartbeat with the statuses of the origin cell's delegations. The
+// response tells the host which delegations it may continue and offers it further ones. The host drops a
+// response that arrives too late.
 
 // Heartbeat is a host's message to an origin cell. It contains the status of each delegation that it hosts
 // for that cell.
@@ -27,8 +27,8 @@
 	Statuses           []Status
 }
 
-// Status is the state of one delegation at its host. The set of completed tasks, and the statement that a
-// closed delegation doesn't hold a task, are in the host's records and never become false.
+// Status is the state of one delegation at its host. Two of its statements are in the host's records and
+// never become false: that a task is completed, and that a closed delegation doesn't hold a task.
 type Status struct {
 	Number int64
 	Job    protocol.JobID
@@ -41,7 +41,7 @@
 	Held jobrecord.TaskSet
 	// Running counts the tasks that run. Pending counts the tasks that wait for a machine.
 	Running, Pending int
-	// Reason tells why the host refused or returned the delegation.
+	// Reason explains why the host refused or returned the delegation.
 	Reason string
 }
 
@@ -62,7 +62,7 @@
 	Type protocol.MachineType // without prices
 	// Free is the free capacity of ready machines, without the reserve.
 	Free planner.Resources
-	// SoldOut tells that the host's cloud has no more machines of the type, as far as the host knows.
+	// SoldOut means that the host's cloud has no more machines of the type, as far as the host knows.
 	SoldOut bool
 }
 
@@ -86,8 +86,8 @@
 )
 
 // String returns the text of the action.
-func (v Action) String() string {
-	switch v {
+func (a Action) String() string {
+	switch a {
 	case Continue:
 		return "continue"
 	case Close:
@@ -103,7 +103,7 @@
 }
 
 // valid reports whether this version knows the action.
-func (v Action) valid() bool { return v >= Continue && v <= Forget }
+func (a Action) valid() bool { return a >= Continue && a <= Forget }
 
 // Directive tells a host what to do with one delegation.
 type Directive struct {
@@ -122,7 +122,7 @@
 	JobAge clock.Micros
 }
 
-// Result tells whether an origin cell's controller processed a heartbeat.
+// Result shows whether an origin cell's controller processed a heartbeat.
 type Result byte
 
 // The results.
@@ -151,7 +151,7 @@
 // HeartbeatResponse is an origin cell's response to a heartbeat.
 type HeartbeatResponse struct {
 	Result     Result
-	Leader     string // the leader's address, if another node is the leader
+	Leader     string // the leader's address, if another controller is the leader
 	Directives []Directive
 	Offers     []Offer
 }
--- a/internal/delegation/origin.go
+++ b/internal/delegation/origin.go
@@ -10,12 +10,13 @@
 // Delegation is the state of a delegation at the origin cell's leader. Times are on that leader's clock.
 type Delegation struct {
 	Record
-	// Offerable tells that the record and the placements of the tasks with the host are stored.
+	// Offerable means that the store contains the record and the placements that assign the tasks to the
+	// host.
 	Offerable bool
 	// Outstanding is the set of tasks that still belong to the host, as far as the origin's leader knows.
 	Outstanding jobrecord.TaskSet
-	// expiresAt is when no task runs or can start any more, unless the leader grants another permission. It
-	// is 0 if no leader ever granted one.
+	// expiresAt is the time from which no task runs or can start any more, unless the leader grants another
+	// permission. It is 0 if no leader ever granted one.
 	expiresAt clock.Micros
 	// LastStatus is the last status from the host. LastStatusAt is when it arrived.
 	LastStatus   Status
@@ -31,10 +32,10 @@
 	return &Delegation{Record: r, Outstanding: r.Tasks, Offerable: true, expiresAt: termBegan + expiryTime}
 }
 
-// RecordPermission records that the leader granted a permission. known is the time up to which the leader
-// knew all cancellations.
-func (d *Delegation) RecordPermission(known, expiryTime clock.Micros) {
-	d.expiresAt = max(d.expiresAt, known+expiryTime)
+// RecordPermission records that the leader granted a permission. knownUntil is the time up to which the
+// leader knew all cancellations.
+func (d *Delegation) RecordPermission(knownUntil, expiryTime clock.Micros) {
+	d.expiresAt = max(d.expiresAt, knownUntil+expiryTime)
 }
 
 // IsExpired reports whether none of the tasks runs or can start any more, whatever the host does: there was
@@ -48,8 +49,9 @@
 	Unfinished []int
 }
 
-// ApplyStatus updates the delegation from a status of the host and returns the tasks that the status frees.
-// Statuses may arrive in any order, because everything that the function uses stays true once it is true.
+// ApplyStatus updates the delegation from a status of the host and returns the tasks that no longer belong
+// to the delegation. Statuses may arrive in any order, because every statement on which the update depends
+// stays true once it is true.
 func (d *Delegation) ApplyStatus(s Status, now clock.Micros) ReturnedTasks {
 	d.LastStatus, d.LastStatusAt = s, now
 	returned := d.returnTasks(&s)
@@ -57,11 +59,11 @@
 	return returned
 }
 
-// returnTasks removes the tasks that a status of the host returns from the outstanding tasks, and returns
-// them.
+// returnTasks removes the tasks that the host has completed, or that it no longer holds after it closed the
+// delegation, from the outstanding tasks. It returns the removed tasks.
 func (d *Delegation) returnTasks(s *Status) ReturnedTasks {
 	var returned ReturnedTasks
-	var left jobrecord.TaskSet
+	var outstanding jobrecord.TaskSet
 	for task := range d.Outstanding.All() {
 		switch {
 		case s.Done.Contains(task):
@@ -69,10 +71,10 @@
 		case s.Closed && !s.Held.Contains(task):
 			returned.Unfinished = append(returned.Unfinished, task)
 		default:
-			left.Add(task)
+			outstanding.Add(task)
 		}
 	}
-	d.Outstanding = left
+	d.Outstanding = outstanding
 	return returned
 }
 
@@ -106,8 +108,8 @@
 	}
 }
 
-// NextAction returns the action for the host, unless the job is cancelled. stop tells whether a recall also
-// stops running tasks.
+// NextAction returns the action to send to the host if the job isn't cancelled. stop means that a recall
+// also stops running tasks.
 func (d *Delegation) NextAction(stop bool) Action {
 	switch {
 	case d.State != Recalled:
--- a/internal/delegation/reader.go
+++ b/internal/delegation/reader.go
@@ -62,7 +62,7 @@
 // flag reads a boolean.
 func (r *reader) flag() bool { return r.byte() == 1 }
 
-// version reads the version and fails if it isn't this one.
+// version reads the version of the message and fails if it isn't Version.
 func (r *reader) version() {
 	if v := r.byte(); r.err == nil && v != Version {
 		r.failWith(VersionError(v))
@@ -79,7 +79,8 @@
 	return n
 }
 
-// cappedInt reads an integer and caps it at the largest int of all platforms.
+// cappedInt reads an integer and caps it at the largest 32-bit integer, which fits an int on every
+// platform.
 func (r *reader) cappedInt() int { return int(min(r.number(), math.MaxInt32)) }
 
 // amount reads a floating-point number and fails if it is out of bounds.
--- a/internal/delegation/record.go
+++ b/internal/delegation/record.go
@@ -20,8 +20,8 @@
 // State is the state of a delegation, as the origin cell knows it.
 type State string
 
-// The states of a delegation. In none of them may the origin cell start a task of the delegation. It may
-// start a task only after the task no longer belongs to the delegation.
+// The states of a delegation. The origin cell may start a task only after the task no longer belongs to the
+// delegation, whatever the state is.
 const (
 	// Offered means that the delegation is in the origin's records. The host may or may not have received the
 	// offer.
--- a/internal/peer/cellserver.go
+++ b/internal/peer/cellserver.go
@@ -15,14 +15,14 @@
 	"postpoint/internal/delegation"
 )
 
-// Leaders of different cells exchange messages on a separate address, so that another cell can't use up
-// the connections for the nodes of this cell.
+// Leaders of different cells exchange messages on a separate address, so that another cell can't use up the
+// connections for the controllers of this cell.
 
 // MaxCellConnections bounds the connections to and from other cells.
 const MaxCellConnections = maxIncomingExchanges + maxOutgoingExchanges
 
 const (
-	// maxIncomingExchanges bounds the concurrent exchanges that other cells start with this node.
+	// maxIncomingExchanges bounds the concurrent exchanges that other cells start with this controller.
 	maxIncomingExchanges = 16
 	// cellServeTimeout bounds how long a slow or dead cell holds a connection.
 	cellServeTimeout = 2 * time.Second
@@ -39,7 +39,7 @@
 // CellHandler handles the heartbeats of leaders of other cells; ok is false if the sender is not a known
 // cell.
 type CellHandler interface {
-	Exchange(r delegation.Heartbeat, reply func(response delegation.HeartbeatResponse, ok bool))
+	Exchange(heartbeat delegation.Heartbeat, reply func(response delegation.HeartbeatResponse, ok bool))
 }
 
 // ErrUnknownCell means that a message comes from an unknown cell or is for another cell.
--- a/internal/peer/forwarder.go
+++ b/internal/peer/forwarder.go
@@ -9,35 +9,39 @@
 	"postpoint/internal/admission"
 )
 
-// MaxConnections bounds the connections to other nodes of the cell, and separately those from them.
+// MaxConnections bounds the connections to other controllers of the cell, and separately the connections
+// from them.
 const MaxConnections = 64
 
 const (
-	// dialTimeout and callTimeout bound how much of the time that users wait one node can take.
+	// While a user waits, dialTimeout bounds the time to connect to one controller, and callTimeout the
+	// time for the exchange after that.
 	dialTimeout = 300 * time.Millisecond
 	callTimeout = 900 * time.Millisecond
 )
 
-// Forwarder sends requests of this node to the other nodes of the cell.
+// Forwarder sends requests of this controller to the other controllers of the cell.
 type Forwarder struct {
 	addresses []string
 	mailbox   actor.Mailbox
 	slots     chan struct{} // holds one element for each request that is being forwarded
 }
 
-// NewForwarder returns a client of the nodes at the addresses that posts responses to the given mailbox.
+// NewForwarder returns a client of the controllers at the addresses that posts responses to the given
+// mailbox.
 func NewForwarder(addresses []string, m actor.Mailbox) *Forwarder {
 	return &Forwarder{addresses, m, make(chan struct{}, MaxConnections)}
 }
 
-// result is the response of a node, if there is one.
+// result is the response of a controller, if there is one.
 type result struct {
 	response  admission.Response
 	responded bool
 }
 
-// Forward sends a request to the nodes one after another, within the time that users wait, until one
-// responds with something else than "retry later". It passes to done whether any node responded.
+// Forward sends a request to the controllers one after another, within the time that users wait, until one
+// responds with something other than "retry later". It passes to done whether any controller responded. If
+// MaxConnections requests are already in progress, it fails at once.
 func (f *Forwarder) Forward(r admission.Request, done func(response admission.Response, responded bool)) {
 	select {
 	case f.slots <- struct{}{}:
@@ -68,29 +72,29 @@
 	return last
 }
 
-// AskAll sends a request to all nodes concurrently, including this one. It passes to done whether all of
-// them responded.
+// AskAll sends a request to all controllers concurrently, including this one, whose Admission is local. It
+// passes to done whether all of them responded.
 func (f *Forwarder) AskAll(
-	own *admission.Admission, r admission.Request, done func(responses []admission.Response, all bool),
+	local *admission.Admission, r admission.Request, done func(responses []admission.Response, complete bool),
 ) {
-	nodes := len(f.addresses) + 1
-	results := make(chan result, nodes)
-	own.Handle(r, func(response admission.Response) { results <- result{response, true} })
+	controllers := len(f.addresses) + 1
+	results := make(chan result, controllers)
+	local.Handle(r, func(response admission.Response) { results <- result{response, true} })
 	for _, address := range f.addresses {
 		go func() { results <- ask(address, r) }()
 	}
 	go func() {
 		var responses []admission.Response
-		for range nodes {
+		for range controllers {
 			if next := <-results; next.responded {
 				responses = append(responses, next.response)
 			}
 		}
-		f.mailbox.Post(func() { done(responses, len(responses) == nodes) })
+		f.mailbox.Post(func() { done(responses, len(responses) == controllers) })
 	}()
 }
 
-// ask sends a request to one node.
+// ask sends a request to one controller.
 func ask(address string, r admission.Request) result {
 	response, err := askOnce(address, r)
 	if err != nil {
@@ -99,7 +103,7 @@
 	return result{response, err == nil}
 }
 
-// askOnce sends a request to one node and decodes the response.
+// askOnce sends a request to one controller and decodes the response.
 func askOnce(address string, r admission.Request) (admission.Response, error) {
 	payload, err := call(address, RequestFrame(r))
 	if err != nil {
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -19,7 +19,7 @@
 	idLengthOffset      = 1
 	responseHeaderBytes = 4
 	retryAfterOffset    = 2
-	// kindExchange is well apart from the values of admission.Kind, so that a server can't confuse the
+	// kindExchange is well apart from the values of admission.RequestKind, so that a server can't confuse the
 	// two.
 	kindExchange = 16
 )
@@ -30,7 +30,7 @@
 	maxStatus = 599
 )
 
-// RequestFrame returns the frame that carries a request to another node.
+// RequestFrame returns the frame that carries a request to another controller.
 func RequestFrame(r admission.Request) []byte { return frame(encodeRequest(r)) }
 
 // ResponseFrame returns the frame that carries a response back.
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// serveTimeout bounds how long a slow or dead node holds a connection.
+	// serveTimeout bounds how long a slow or dead controller holds a connection.
 	serveTimeout = 5 * time.Second
 	// acceptRetryDelay prevents a busy loop while accept fails, for example without free file
 	// descriptors.
 	acceptRetryDelay = 100 * time.Millisecond
 )
 
-// Serve serves the other nodes of the cell. A malformed frame ends only its own connection.
+// Serve serves the other controllers of the cell. A malformed frame ends only its own connection.
 func Serve(address string, adm *admission.Admission) error {
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
--- a/internal/transport/outcome.go
+++ b/internal/transport/outcome.go
@@ -22,8 +22,8 @@
 	ErrUnavailable = errors.New("service unavailable")
 	// ErrInvalid means that the service rejected the request as malformed or too large.
 	ErrInvalid = errors.New("request refused as malformed or too large")
-	// ErrServerFailure means a response with a status of 500 or above that doesn't tell whether the
-	// request was carried out.
+	// ErrServerFailure means a response with a status of 500 or above that doesn't show whether the request
+	// was carried out.
 	ErrServerFailure = errors.New("server failure")
 	// ErrUnexpectedStatus means that the status of the response has no meaning in the protocol.
 	ErrUnexpectedStatus = errors.New("unexpected status")
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -29,8 +29,8 @@
 // ErrTooLarge means that the body of a response exceeds the limit of the request.
 var ErrTooLarge = errors.New("response too large")
 
-// StatusNotSent is the status for ErrNotSent in test fakes and in records of the simulation, which use
-// statuses in place of errors.
+// StatusNotSent is the Status of an ErrNotSent. Test fakes and records of the simulation, which use
+// statuses in place of errors, use it too.
 const StatusNotSent = -1
 
 // Request is one HTTP request.
@@ -49,9 +49,9 @@
 	Body   []byte
 }
 
-// Deadline is the instant from which a request must not be sent any more. A leader's request may have
-// waited behind other requests, or its process may have been suspended, and a new leader may have been
-// elected meanwhile. The zero value never passes.
+// Deadline is the instant from which a request must not be sent any more. By then, a new leader may have
+// been elected while a leader's request waited behind other requests, or while its process was suspended.
+// The zero value never passes.
 type Deadline struct {
 	Clock clock.Clock
 	Time  clock.Micros
@@ -124,7 +124,7 @@
 		return Response{}, err
 	}
 	defer conn.Close()
-	// Dialing takes time, and the process may have been suspended meanwhile.
+	// Dialing takes time, and the process may have been suspended while it dialed.
 	if deadline.passed() {
 		return Response{}, notSent()
 	}
--- a/internal/workerclient/errors.go
+++ b/internal/workerclient/errors.go
@@ -37,7 +37,8 @@
 // hasStatus reports whether a response with this HTTP status has the worker's status as its body.
 func hasStatus(status int) bool { return status == http.StatusOK || status == http.StatusConflict }
 
-// RejectedError is the error of commands that the worker rejected, with its own epoch and incarnation.
+// RejectedError is the error of commands that the worker rejected. It contains the worker's epoch and
+// incarnation.
 type RejectedError struct {
 	// Epoch is the highest epoch (fencing token) that the worker has seen.
 	Epoch protocol.Epoch
@@ -64,13 +65,13 @@
 func OutcomeUnknown(err error) bool { return err != nil && !NotExecuted(err) }
 
 // Failure returns the error for the status of a response, nil for success.
-func Failure(status int, worker protocol.Heartbeat) error {
+func Failure(status int, heartbeat protocol.Heartbeat) error {
 	err := statusKinds.Failure(status)
 	switch {
 	case err == nil:
 		return nil
 	case err.Kind == ErrRejected:
-		return &RejectedError{Epoch: worker.Epoch, Incarnation: worker.Incarnation}
+		return &RejectedError{Epoch: heartbeat.Epoch, Incarnation: heartbeat.Incarnation}
 	}
 	return err
 }
--- a/internal/workerclient/workertest/service.go
+++ b/internal/workerclient/workertest/service.go
@@ -13,7 +13,7 @@
 // transport.StatusNotSent that the commands were not sent.
 type Service interface {
 	Commands(addr string, c protocol.CommandRequest, until clock.Micros,
-		done func(status int, r protocol.Heartbeat))
+		done func(status int, heartbeat protocol.Heartbeat))
 }
 
 // Client returns an API whose results are the responses of the service.
@@ -25,18 +25,18 @@
 // Commands implements workerclient.API.
 func (c client) Commands(addr string, commands protocol.CommandRequest, until clock.Micros,
 	done func(workerclient.Response)) {
-	c.service.Commands(addr, commands, until, func(status int, r protocol.Heartbeat) {
-		done(workerclient.Response{Status: r, Err: failure(status, r)})
+	c.service.Commands(addr, commands, until, func(status int, heartbeat protocol.Heartbeat) {
+		done(workerclient.Response{Status: heartbeat, Err: failure(status, heartbeat)})
 	})
 }
 
 // failure returns the error for a status of a Service, nil for success.
-func failure(status int, worker protocol.Heartbeat) error {
+func failure(status int, heartbeat protocol.Heartbeat) error {
 	switch status {
 	case transport.StatusNotSent:
 		return &transport.Error{Kind: workerclient.ErrNotSent, Status: status}
 	case 0:
 		return &transport.Error{Kind: workerclient.ErrNoResponse}
 	}
-	return workerclient.Failure(status, worker)
+	return workerclient.Failure(status, heartbeat)
 }
--- a/internal/zonerecovery/evidence.go
+++ b/internal/zonerecovery/evidence.go
@@ -7,7 +7,7 @@
 	Machines, OnTime int
 	// ProbeResponses counts silent machines that have recently responded to a probe.
 	ProbeResponses int
-	// FailedOrUnlisted counts machines that the cloud lists as failed or no longer lists.
+	// FailedOrUnlisted counts silent machines that the cloud lists as failed or no longer lists.
 	FailedOrUnlisted int
 	// Controllers counts the controllers in the zone. ControllersReached counts those that respond to this
 	// controller.
@@ -25,15 +25,15 @@
 }
 
 // Diagnosis is the most likely cause of a zone's state. It is only shown to operators and influences no
-// decision: a task may start elsewhere only after proof that it has ended.
+// decision: a task may start in another zone only after proof that it has ended.
 type Diagnosis string
 
 // The diagnoses. The overview shows their texts.
 const (
 	// NoneSilent means that heartbeats arrive from all machines of the zone.
 	NoneSilent Diagnosis = "well"
-	// ControllerIsolated means that this controller receives no heartbeats from any zone, so it can't judge
-	// this one.
+	// ControllerIsolated means that this controller can't judge the zone, because most machines of the
+	// other zones are silent too.
 	ControllerIsolated Diagnosis = "this controller hears nothing"
 	// PartlySilent means that heartbeats arrive from some of the machines, but not from all.
 	PartlySilent Diagnosis = "a part of it is silent"
@@ -50,8 +50,8 @@
 	HeartbeatsElsewhere Diagnosis = "other controllers hear it"
 )
 
-// Diagnose returns the diagnosis that fits the evidence. isolated tells that this controller receives no
-// heartbeats from the other zones either.
+// Diagnose returns the diagnosis that fits the evidence. isolated means that most machines of the other
+// zones are silent too, so that this controller may be the one that is cut off.
 func Diagnose(e Evidence, isolated bool) Diagnosis {
 	silent := e.Machines - e.OnTime
 	switch {
--- a/internal/zonerecovery/order.go
+++ b/internal/zonerecovery/order.go
@@ -7,7 +7,7 @@
 	"postpoint/internal/protocol"
 )
 
-// DisplacedJob is a job with tasks that ran in a lost zone and have to start elsewhere.
+// DisplacedJob is a job with tasks that ran in a lost zone and have to start in other zones.
 type DisplacedJob struct {
 	Job  protocol.JobID
 	Kind JobKind
--- a/internal/zonerecovery/settings.go
+++ b/internal/zonerecovery/settings.go
@@ -1,9 +1,9 @@
 // Package zonerecovery decides how the leader handles the loss of a zone: when a zone counts as lost or as
-// returned, in which order its displaced jobs start elsewhere, and at which rate. It owns the phases of a
-// zone, their record, the order of displaced jobs, the token bucket that limits their rate, and the recovery
-// file that operators write. It doesn't own the evidence, the key-value store or the placement of tasks: the
-// leader (internal/leader) gathers the evidence, writes the store and carries out the decisions. The package
-// is pure: it reads no clock and sends nothing.
+// returned, in which order its displaced jobs start in other zones, and at which rate. It owns the phases
+// of a zone, their record, the order of displaced jobs, the token bucket that limits their rate, and the
+// recovery file that operators write. It doesn't own the evidence, the key-value store or the placement of
+// tasks: the leader (internal/leader) gathers the evidence, writes the store and carries out the decisions.
+// The package is pure: it reads no clock and sends nothing.
 //
 // docs/recovery-operations.md describes zone recovery for operators.
 package zonerecovery
@@ -21,7 +21,7 @@
 	// ReturnDelayS is the time in seconds for which nearly all machines of a returning zone must send
 	// heartbeats before it counts as healthy again.
 	ReturnDelayS float64 `toml:"settle_s" validate:"gte=0"`
-	// TasksPerS is the rate at which displaced tasks may start elsewhere, in tasks per second.
+	// TasksPerS is the rate at which displaced tasks may start in other zones, in tasks per second.
 	TasksPerS float64 `toml:"tasks_per_s" validate:"gt=0"`
 	// Order lists the kinds of displaced jobs in the order in which they start.
 	Order   []JobKind       `toml:"order"`
--- a/internal/zonerecovery/zone.go
+++ b/internal/zonerecovery/zone.go
@@ -16,7 +16,8 @@
 	// Suspect means that many machines of the zone are silent. The zone gets no new machines, and the leader
 	// takes no other measure.
 	Suspect Phase = "suspect"
-	// Lost means that the zone's tasks have to start elsewhere, each one after proof that it has ended.
+	// Lost means that the zone's tasks have to start in other zones, each one after proof that it has
+	// ended.
 	Lost Phase = "lost"
 	// Returning means that heartbeats arrive again from a lost zone, or that the leader retries it. The
 	// zone gets nothing new until its heartbeats have lasted for the return delay.
@@ -40,11 +41,14 @@
 	Losses    int64
 	Since     clock.Micros // when the phase began
 	Diagnosis Diagnosis
-	// Flaps counts losses after the first. Each flap doubles the return delay.
+	// Flaps counts losses after the first, until a loss resets the count (see flapResetTime). Each flap
+	// doubles the return delay.
 	Flaps int
-	// respondingSince is when heartbeats began to arrive from nearly all machines, 0 if they don't arrive.
+	// respondingSince is when the share of silent machines fell to normalSilentShare or below. It is 0
+	// while the share is higher.
 	respondingSince clock.Micros
-	// silentSince is when more than the usual share of machines became silent, 0 if no more than that are.
+	// silentSince is when the share of silent machines rose above normalSilentShare. It is 0 while the
+	// share isn't higher.
 	silentSince clock.Micros
 }
 
@@ -72,8 +76,8 @@
 )
 
 // Observe updates the zone from the evidence of one moment and reports whether the phase changed. isolated
-// tells that this controller receives no heartbeats from the other zones either. In that case, silence proves
-// nothing about this zone and can't make its phase worse.
+// means that most machines of the other zones are silent too, so that this controller may be the one that
+// is cut off. In that case, silence proves nothing about this zone and can't make its phase worse.
 func (z *Zone) Observe(now clock.Micros, e Evidence, isolated bool, s *Settings) (changed bool) {
 	z.Diagnosis = Diagnose(e, isolated)
 	z.trackSilence(now, e)
@@ -146,8 +150,8 @@
 	return Lost
 }
 
-// nextFromReturning returns Healthy after the return has lasted for the return delay, and Lost if the zone
-// has been silent again for the loss delay.
+// nextFromReturning returns Healthy after the share of silent machines has stayed at normalSilentShare or
+// below for the return delay, and Lost if the zone has been silent again for the loss delay.
 func (z *Zone) nextFromReturning(now clock.Micros, e Evidence, s *Settings) Phase {
 	switch {
 	case e.significant() && e.silentShare() >= s.LostShare && z.silentForLossDelay(now, s):
@@ -167,8 +171,7 @@
 	return z.silentSince != 0 && now >= z.silentSince+s.lossDelay()
 }
 
-// currentReturnDelay returns how long the current return must last. Each flap doubles the delay, up to a
-// limit.
+// currentReturnDelay returns the zone's return delay. Each flap doubles the delay, up to a limit.
 func (z *Zone) currentReturnDelay(s *Settings) clock.Micros {
 	return min(s.returnDelay()<<min(z.Flaps, maxDoublings), maxReturnDelay)
 }
