--- a/cmd/loadtool/cells.go
+++ b/cmd/loadtool/cells.go
@@ -94,7 +94,7 @@
 	return r.Write(c.Report)
 }
 
-// quantiles returns the median and the ninth decile.
+// quantiles returns the median and the ninth decile, "-" without values.
 func quantiles(sorted []float64) string {
 	if len(sorted) == 0 {
 		return "-"
--- a/cmd/loadtool/cellsday.go
+++ b/cmd/loadtool/cellsday.go
@@ -53,7 +53,7 @@
 	runs                  int       // all runs of tasks
 	delegations           int       // by the overloaded cell
 	jobs                  int       // of the overloaded cell
-	tasksNotCompletedOnce int       // tasks that didn't complete exactly once
+	tasksNotCompletedOnce int       // tasks that didn't complete exactly once, and overlapping runs
 	unfinished            int
 	violations            int           // violations of the simulation's rules
 	storeChanges          int           // to the overloaded cell's store
@@ -124,11 +124,11 @@
 // newCellsSimulation returns a day that has not started.
 func newCellsSimulation(v cellsVariant, seed uint64) *cellsSimulation {
 	world := simulation.NewWorld(seed)
-	var sets []*settings.Settings
+	var configs []*settings.Settings
 	for range numberOfCells {
-		sets = append(sets, cellSettings())
+		configs = append(configs, cellSettings())
 	}
-	group := simulation.NewGroup(world, sets, cellTypes, hostedCapacity, v.rules, 0)
+	group := simulation.NewGroup(world, configs, cellTypes, hostedCapacity, v.rules, 0)
 	if !v.cellsEnabled {
 		group.DisableCells()
 	}
--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -24,7 +24,7 @@
 	clock.Clock
 	mu     sync.Mutex
 	queue  []func()
-	signal chan struct{} // holds one element while the queue may not be empty
+	signal chan struct{} // has capacity 1; an element means that run must check the queue
 }
 
 // New starts an actor with a goroutine of its own and returns its mailbox. The queue is unbounded, because
@@ -43,7 +43,7 @@
 	m.mu.Unlock()
 	select {
 	case m.signal <- struct{}{}:
-	default: // the actor has a signal already
+	default: // run will check the queue already
 	}
 }
 
--- a/internal/actor/actortest/actortest.go
+++ b/internal/actor/actortest/actortest.go
@@ -27,13 +27,13 @@
 }
 
 // Monotonic returns the fixed time.
-func (i ChannelMailbox) Monotonic() clock.Micros { return i.Now }
+func (c ChannelMailbox) Monotonic() clock.Micros { return c.Now }
 
 // TimeOfDay returns the fixed time, too.
-func (i ChannelMailbox) TimeOfDay() clock.Micros { return i.Now }
+func (c ChannelMailbox) TimeOfDay() clock.Micros { return c.Now }
 
 // Post sends the message to the channel.
-func (i ChannelMailbox) Post(message func()) { i.Messages <- message }
+func (c ChannelMailbox) Post(message func()) { c.Messages <- message }
 
 // After drops the message.
-func (i ChannelMailbox) After(_ clock.Micros, _ func()) {}
+func (c ChannelMailbox) After(_ clock.Micros, _ func()) {}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -90,8 +90,8 @@
 	})
 }
 
-// attestations returns the function with which the leader requests attestations from all controllers: which
-// cancellations they have confirmed to users within the period `lookback`.
+// attestations returns the function with which the leader requests attestations from all controllers, which
+// list the cancellations that they have confirmed to users within the period `lookback`.
 func (n *Node) attestations(
 	e Environment,
 ) func(lookback clock.Micros, done func([]admission.Attestation, bool)) {
--- a/internal/protocol/heartbeatdecoder.go
+++ b/internal/protocol/heartbeatdecoder.go
@@ -56,7 +56,8 @@
 	if !ok || !bytes.Equal(rest, last.raw[end:]) {
 		return Heartbeat{}, false
 	}
-	// The variable escapes to the heap. Declaring it here spares heartbeats with changes the allocation.
+	// The variable escapes to the heap. It is declared only here, so that heartbeats with changes don't need
+	// the allocation.
 	heartbeat := d.heartbeat
 	err := msgpack.Unmarshal(raw[start:len(raw)-len(rest)], &heartbeat.Counter)
 	return heartbeat, err == nil
--- a/internal/protocol/heartbeatlayout.go
+++ b/internal/protocol/heartbeatlayout.go
@@ -102,7 +102,7 @@
 
 // readHeader reads the number of elements of a map or an array. isShort recognises the codes that contain
 // the count, under shortMask; code16 is the code that a 16-bit count follows. It rejects 32-bit counts:
-// no request body has room for so many elements.
+// no request body can hold so many elements.
 func readHeader(
 	raw []byte, isShort func(byte) bool, shortMask, code16 byte,
 ) (count uint64, rest []byte, ok bool) {
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -48,12 +48,12 @@
 
 // Descriptions of valid values in error messages.
 const (
-	wantTypes       = "null or a short list of texts"
-	wantJobID       = "a job id"
-	wantFlag        = "true or false"
-	wantWholeNumber = "a whole number"
-	wantNumber      = "a number"
-	wantNonnegative = "a number from 0 up"
+	expectedTypes       = "null or a short list of texts"
+	expectedJobID       = "a job id"
+	expectedFlag        = "true or false"
+	expectedWholeNumber = "a whole number"
+	expectedNumber      = "a number"
+	expectedNonnegative = "a number from 0 up"
 )
 
 // DecodeSubmission decodes a submission and validates it field by field. Its error is ErrMalformed,
@@ -67,7 +67,7 @@
 	p := submissionParser{fields: fields}
 	id := JobID(p.text(fieldID))
 	if p.err == nil && !ValidJobID(id) {
-		return JobSpec{}, &FieldError{Field: fieldID, Problem: FieldUnacceptable, Expected: wantJobID}
+		return JobSpec{}, &FieldError{Field: fieldID, Problem: FieldUnacceptable, Expected: expectedJobID}
 	}
 	spec := p.parse()
 	spec.ID = id
@@ -182,14 +182,14 @@
 	}
 	list, ok := value.([]any)
 	if !ok || len(list) > maxTypes {
-		p.fail(field, FieldInvalid, wantTypes)
+		p.fail(field, FieldInvalid, expectedTypes)
 		return nil
 	}
 	texts := make([]string, 0, len(list))
 	for _, element := range list {
 		s, ok := element.(string)
 		if !ok || !validText(s) {
-			p.fail(field, FieldInvalid, wantTypes)
+			p.fail(field, FieldInvalid, expectedTypes)
 		}
 		texts = append(texts, s)
 	}
@@ -200,7 +200,7 @@
 func (p *submissionParser) flag(field string) bool {
 	b, ok := p.fields[field].(bool)
 	if !ok {
-		p.fail(field, FieldInvalid, wantFlag)
+		p.fail(field, FieldInvalid, expectedFlag)
 	}
 	return b
 }
@@ -213,7 +213,7 @@
 	case uint64:
 		return int(min(n, math.MaxInt32))
 	}
-	p.fail(field, FieldInvalid, wantWholeNumber)
+	p.fail(field, FieldInvalid, expectedWholeNumber)
 	return 0
 }
 
@@ -230,11 +230,11 @@
 	case uint64:
 		f = float64(n)
 	default:
-		p.fail(field, FieldInvalid, wantNumber)
+		p.fail(field, FieldInvalid, expectedNumber)
 		return 0
 	}
 	if !(f >= 0 && f <= maxAmount) { // NaN fails both comparisons
-		p.fail(field, FieldInvalid, wantNonnegative)
+		p.fail(field, FieldInvalid, expectedNonnegative)
 		return 0
 	}
 	return f
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -8,7 +8,8 @@
 	"postpoint/internal/clock"
 )
 
-// Settings are the contents of the file. Fields whose names end in S are in seconds.
+// Settings are the contents of the file. Fields whose names end in S are in seconds. A Domain is the zone of
+// a controller.
 type Settings struct {
 	Node         string     `json:"node" validate:"required,max=100"`
 	Domain       string     `json:"domain" validate:"required,max=100"`
@@ -32,7 +33,8 @@
 	KVStore string `json:"state" validate:"required,ipv4port"`
 }
 
-// Deployment has the settings that all controllers of a deployment share.
+// Deployment has the settings that all controllers of a deployment share. ClockErrorMs is the largest error
+// of a controller's time of day.
 type Deployment struct {
 	InitialSize   int           `json:"initial_size" validate:"gte=1"`
 	Zones         []string      `json:"zones"`
@@ -54,7 +56,8 @@
 	GpusMax float64 `json:"gpus_max" validate:"gte=0"`
 }
 
-// Objective is a service-level objective for a class of jobs.
+// Objective is a service-level objective for a class of jobs. Package leader/objectives defines the
+// kinds.
 type Objective struct {
 	Kind    string  `json:"kind" validate:"required"`
 	Class   string  `json:"class"`
@@ -64,7 +67,8 @@
 	DeadlineFactor float64 `json:"times" validate:"gte=0"`
 }
 
-// Workers has the intervals and timeouts of workers and their tasks.
+// Workers has the intervals and timeouts of workers and their tasks. CancelS is the time after the
+// confirmation of a cancellation within which all tasks of the job end.
 type Workers struct {
 	HeartbeatS       float64 `json:"report_s" validate:"gt=0"`
 	LeaseS           float64 `json:"lease_s" validate:"gt=0"`
