--- a/internal/simulation/celldays.go
+++ b/internal/simulation/celldays.go
@@ -24,11 +24,11 @@
 
 // newThreeCells starts three cells that may all offload tasks to each other.
 func newThreeCells(w *World, hostedLimits string, loss float64) *Group {
-	var sets []*settings.Settings
+	var configs []*settings.Settings
 	for range 3 {
-		sets = append(sets, testSettings())
+		configs = append(configs, testSettings())
 	}
-	return NewGroup(w, sets, testTypes(), hostedLimits, offloadRules, loss)
+	return NewGroup(w, configs, testTypes(), hostedLimits, offloadRules, loss)
 }
 
 const (
@@ -36,8 +36,8 @@
 	cellJobsPerDay = 60
 	// cellFaultsPerDay is how many times faults begin.
 	cellFaultsPerDay = 12
-	// jobIDCount is the number of different job ids. It is less than cellJobsPerDay, so that jobs of
-	// different cells have the same ids.
+	// jobIDCount is the number of different job ids. It is less than cellJobsPerDay, so that some jobs of
+	// different cells have the same id.
 	jobIDCount = 40
 )
 
--- a/internal/simulation/cells.go
+++ b/internal/simulation/cells.go
@@ -21,14 +21,14 @@
 var cellNames = []string{"alpha", "beta", "gamma", "delta"}
 
 // NewGroup starts one cell for each of the given settings. rules contains the offload rules of the cells
-// file, hostedLimits the limits of hosted jobs in each cell.
+// file, hostedLimits the limits of hosted jobs in each cell. loss is the chance that a message is lost.
 func NewGroup(
-	w *World, sets []*settings.Settings, types []protocol.MachineType,
+	w *World, configs []*settings.Settings, types []protocol.MachineType,
 	hostedLimits, rules string, loss float64,
 ) *Group {
 	g := &Group{}
-	for i, set := range sets {
-		d := prepareDeployment(w, set, types, loss)
+	for i, config := range configs {
+		d := prepareDeployment(w, config, types, loss)
 		d.group, d.name = g, cellNames[i]
 		g.Cells = append(g.Cells, d)
 		g.File += cellEntry(d, i, hostedLimits)
@@ -68,18 +68,18 @@
 }
 
 // directory returns the cells file as parsed by a controller, nil if the controller has none.
-func (g *Group) directory(d *Deployment, n *Node, set *settings.Settings) *cells.Directory {
+func (g *Group) directory(d *Deployment, n *Node, config *settings.Settings) *cells.Directory {
 	if g == nil || n.OldVersion || n.WithoutCells {
 		return nil
 	}
-	c, err := cells.Parse([]byte(fmt.Sprintf("cell = %q\n", d.name)+g.File), set)
+	c, err := cells.Parse([]byte(fmt.Sprintf("cell = %q\n", d.name)+g.File), config)
 	if err != nil {
 		panic(err)
 	}
 	return c
 }
 
-// jobs returns the jobs of all cells, or those of own if it isn't in a group.
+// jobs returns the jobs of all cells, or those of own if own isn't in a group: g is nil then.
 func (g *Group) jobs(own *Deployment) []*Job {
 	if g == nil {
 		return own.submittedJobs
@@ -91,7 +91,7 @@
 	return all
 }
 
-// machines returns the machines of all cells, or those of own if it isn't in a group.
+// machines returns the machines of all cells, or those of own if own isn't in a group: g is nil then.
 func (g *Group) machines(own *Deployment) []*FakeWorker {
 	if g == nil {
 		return own.Cloud.all
@@ -140,7 +140,7 @@
 	}
 }
 
-// Destroy destroys a cell for good: its controllers, its machines and its connections to other cells.
+// Destroy permanently destroys a cell: its controllers, its machines and its connections to other cells.
 func (d *Deployment) Destroy() {
 	d.PartitionCell(false)
 	for _, n := range d.Nodes {
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -37,10 +37,11 @@
 	// machinesByKey holds the machines that each scale-out request started, by its idempotency key.
 	machinesByKey map[string][]protocol.MachineName
 	machines      map[protocol.MachineName]*FakeWorker // the current machines
-	all           []*FakeWorker
-	lists         [][]protocol.ListedMachine // copies of the list, the newest last
+	all           []*FakeWorker                        // all machines so far, the newest last
+	lists         [][]protocol.ListedMachine           // copies of the list, the newest last
 }
 
+// newFakeCloud returns a cloud without machines and with the default capacities.
 func newFakeCloud(d *Deployment, types []protocol.MachineType) *FakeCloud {
 	c := &FakeCloud{
 		w: d.World, d: d, Types: types,
@@ -89,12 +90,12 @@
 
 // bootMachines boots count machines of a capacity pool and returns their names. The caller checks the
 // capacity.
-func (c *FakeCloud) bootMachines(k scaling.CapacityPool, count int) []protocol.MachineName {
+func (c *FakeCloud) bootMachines(pool scaling.CapacityPool, count int) []protocol.MachineName {
 	var names []protocol.MachineName
-	c.Capacity[k] -= count
+	c.Capacity[pool] -= count
 	for range count {
 		name := protocol.MachineName(fmt.Sprintf("m-%06d", len(c.all)))
-		m := c.d.boot(name, k)
+		m := c.d.boot(name, pool)
 		names = append(names, name)
 		c.all = append(c.all, m)
 		c.machines[name] = m
@@ -102,7 +103,7 @@
 	return names
 }
 
-// Remove ends a machine at once, because a controller releases it or the cloud takes it back.
+// Remove ends a machine at once, because a controller releases it or the cloud reclaims it.
 func (c *FakeCloud) Remove(name protocol.MachineName) {
 	if m := c.machines[name]; m != nil {
 		m.end()
--- a/internal/simulation/cloudclient.go
+++ b/internal/simulation/cloudclient.go
@@ -62,13 +62,13 @@
 			response.Machines = names
 			return http.StatusOK
 		}
-		k := scaling.CapacityPool{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
-		count := min(r.Count, x.cloud.Capacity[k])
+		pool := scaling.CapacityPool{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
+		count := min(r.Count, x.cloud.Capacity[pool])
 		if count == 0 {
 			response.Error = protocol.NoCapacity
 			return http.StatusServiceUnavailable
 		}
-		response.Machines = append(response.Machines, x.cloud.bootMachines(k, count)...)
+		response.Machines = append(response.Machines, x.cloud.bootMachines(pool, count)...)
 		x.cloud.machinesByKey[r.IdempotencyKey] = response.Machines
 		return http.StatusOK
 	})
--- a/internal/simulation/commands.go
+++ b/internal/simulation/commands.go
@@ -33,32 +33,32 @@
 
 // Commands sends commands to the worker at an address, unless the deadline has passed when they leave the
 // process.
-func (a *workerClient) Commands(
+func (x *workerClient) Commands(
 	addr string, c protocol.CommandRequest, until clock.Micros, done func(int, protocol.Heartbeat),
 ) {
-	a.d.Commands++
-	a.p.sendUntil(until, func() {
-		a.d.checkCommands(a.n, c.Epoch, c.Commands)
-		a.send(a.d.byAddr[addr], c, done)
+	x.d.Commands++
+	x.p.sendUntil(until, func() {
+		x.d.checkCommands(x.n, c.Epoch, c.Commands)
+		x.send(x.d.byAddr[addr], c, done)
 	}, func() { done(transport.StatusNotSent, protocol.Heartbeat{}) })
 }
 
 // send carries commands to a worker and its response back.
-func (a *workerClient) send(m *FakeWorker, c protocol.CommandRequest, done func(int, protocol.Heartbeat)) {
+func (x *workerClient) send(m *FakeWorker, c protocol.CommandRequest, done func(int, protocol.Heartbeat)) {
 	timedOut := func() { done(0, protocol.Heartbeat{}) }
-	if m == nil || m.ResponsesLost || a.n.WorkerLink.Cut {
-		a.p.After(commandTimeout, timedOut)
+	if m == nil || m.ResponsesLost || x.n.WorkerLink.Cut {
+		x.p.After(commandTimeout, timedOut)
 		return
 	}
-	m.Commands.call(a.p, commandTimeout, func(respond func(func())) {
+	m.Commands.call(x.p, commandTimeout, func(respond func(func())) {
 		if !m.up {
 			return
 		}
 		// A hung machine executes the commands when it resumes, however late.
-		a.d.deliver(a.n.Zone, m.zone, func() {
+		x.d.deliver(x.n.Zone, m.zone, func() {
 			m.runOrDefer(func() {
 				status, r := m.command(c)
-				if _, blocked := a.d.partitioned(a.n.Zone, m.zone); !blocked {
+				if _, blocked := x.d.partitioned(x.n.Zone, m.zone); !blocked {
 					respond(func() { done(status, r) })
 				}
 			})
--- a/internal/simulation/days.go
+++ b/internal/simulation/days.go
@@ -7,9 +7,9 @@
 )
 
 // announceTighterLimits changes the settings to announce lower future limits of the key-value store.
-func announceTighterLimits(set *settings.Settings) {
+func announceTighterLimits(config *settings.Settings) {
 	valueKb, txnOps, writeRps := 2.0, 4, 28.0
-	set.Deployment.KVStore.Next = &settings.NextKVStore{ValueKb: &valueKb, TxnOps: &txnOps,
+	config.Deployment.KVStore.Next = &settings.NextKVStore{ValueKb: &valueKb, TxnOps: &txnOps,
 		WriteRps: &writeRps}
 }
 
--- a/internal/simulation/deployment.go
+++ b/internal/simulation/deployment.go
@@ -38,9 +38,9 @@
 	// History, if set, records when each task runs.
 	History       *History
 	jobs          map[protocol.JobID]*Job
-	submittedJobs []*Job // in the order of their submission
-	byAddr        map[string]*FakeWorker
-	usedByTeam    map[string]planner.Resources // by team, on machines
+	submittedJobs []*Job                       // in the order of their submission
+	byAddr        map[string]*FakeWorker       // the workers by address
+	usedByTeam    map[string]planner.Resources // of tasks on machines
 	// Commands counts the requests with direct commands.
 	Commands int
 	// address returns the network address of a new worker.
@@ -51,34 +51,37 @@
 const nodesPerDeployment = 3
 
 // NewDeployment starts a deployment; loss is the chance that a message is lost.
-func NewDeployment(w *World, set *settings.Settings, types []protocol.MachineType, loss float64) *Deployment {
-	return newDeployment(w, set, types, loss, false)
+func NewDeployment(
+	w *World, config *settings.Settings, types []protocol.MachineType, loss float64,
+) *Deployment {
+	return newDeployment(w, config, types, loss, false)
 }
 
 // NewOldVersionDeployment starts a deployment whose controllers run the previous version.
 func NewOldVersionDeployment(
-	w *World, set *settings.Settings, types []protocol.MachineType, loss float64,
+	w *World, config *settings.Settings, types []protocol.MachineType, loss float64,
 ) *Deployment {
-	return newDeployment(w, set, types, loss, true)
+	return newDeployment(w, config, types, loss, true)
 }
 
+// newDeployment starts a deployment whose controllers run the current or the previous version.
 func newDeployment(
-	w *World, set *settings.Settings, types []protocol.MachineType, loss float64, old bool,
+	w *World, config *settings.Settings, types []protocol.MachineType, loss float64, oldVersion bool,
 ) *Deployment {
-	d := prepareDeployment(w, set, types, loss)
+	d := prepareDeployment(w, config, types, loss)
 	for _, n := range d.Nodes {
-		n.OldVersion = old
+		n.OldVersion = oldVersion
 	}
 	d.startNodes()
 	return d
 }
 
-// prepareDeployment returns a deployment whose controllers the caller has still to start.
+// prepareDeployment returns a deployment. The caller must start its controllers.
 func prepareDeployment(
-	w *World, set *settings.Settings, types []protocol.MachineType, loss float64,
+	w *World, config *settings.Settings, types []protocol.MachineType, loss float64,
 ) *Deployment {
 	d := &Deployment{
-		World: w, Settings: set, Store: NewFakeStore(w), LossChance: loss,
+		World: w, Settings: config, Store: NewFakeStore(w), LossChance: loss,
 		partitions: map[string]*zonePartition{}, jobs: map[protocol.JobID]*Job{},
 		byAddr:     map[string]*FakeWorker{},
 		usedByTeam: map[string]planner.Resources{},
@@ -119,7 +122,8 @@
 	})
 }
 
-// Upgrade restarts the controllers with the new version, one in each period; each is down for a while.
+// Upgrade restarts the controllers with the new version, one in each period `every`. Each controller is down
+// for the time `down`.
 func (d *Deployment) Upgrade(every, down clock.Micros) {
 	for i, n := range d.Nodes {
 		d.World.After(clock.Micros(i)*every, func() {
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -103,8 +103,10 @@
 // restart crashes a controller and starts it again after a random time.
 func (f *fault) restart(n *Node) { f.d.crashFor(n, f.w.Between(minDownTime, maxDownTime)) }
 
+// crash crashes and restarts the controller.
 func (f *fault) crash() { f.restart(f.node) }
 
+// crashAll crashes and restarts all controllers, each after a random time of its own.
 func (f *fault) crashAll() {
 	for _, n := range f.d.Nodes {
 		f.restart(n)
--- a/internal/simulation/gangs.go
+++ b/internal/simulation/gangs.go
@@ -8,8 +8,8 @@
 	t *task
 }
 
-// gangMembers lists the tasks of one attempt of a gang that are on machines with their images. id is the id
-// under which the workers run the job.
+// gangMembers lists the tasks of one attempt of a gang that have fetched their images and haven't exited. id
+// is the id under which the workers run the job.
 func (d *Deployment) gangMembers(id protocol.JobID, attempt protocol.Attempt) []member {
 	j := d.findJob(id)
 	var members []member
@@ -38,8 +38,8 @@
 	}
 }
 
-// completeGang completes all tasks of a gang together, unless one is gone. In that case
-// endIncompleteGangs ends the others later.
+// completeGang completes all tasks of a gang together, unless one is gone, isn't running or is on a machine
+// that hangs. If one is gone, endIncompleteGangs ends the others later.
 func (d *Deployment) completeGang(id protocol.JobID, attempt protocol.Attempt) {
 	members := d.gangMembers(id, attempt)
 	if len(members) != d.findJob(id).spec.Tasks {
--- a/internal/simulation/heartbeats.go
+++ b/internal/simulation/heartbeats.go
@@ -34,12 +34,12 @@
 
 // scheduleHeartbeat schedules a heartbeat about a change, unless one is scheduled already.
 func (m *FakeWorker) scheduleHeartbeat() {
-	if m.changed || m.ended {
+	if m.heartbeatScheduled || m.ended {
 		return
 	}
-	m.changed = true
+	m.heartbeatScheduled = true
 	m.d.World.After(minChangeInterval, func() {
-		m.changed = false
+		m.heartbeatScheduled = false
 		m.runOrDefer(m.sendHeartbeat)
 	})
 }
@@ -52,8 +52,8 @@
 		Incarnation: m.incarnation, Counter: m.counter, Epoch: m.epoch,
 	}
 	if m.reclaimAt != 0 {
-		left := (m.reclaimAt - m.d.World.now).Seconds()
-		r.PreemptionNoticeS = &left
+		remaining := (m.reclaimAt - m.d.World.now).Seconds()
+		r.PreemptionNoticeS = &remaining
 	}
 	for _, t := range m.tasks {
 		r.Tasks = append(r.Tasks, protocol.TaskStatus{
@@ -150,12 +150,12 @@
 	return e.n.Up() && !e.n.WorkerLink.Cut && !e.m.HeartbeatsLost
 }
 
-// arrive hands the heartbeat to the controller and carries its response back.
+// arrive passes the heartbeat to the controller and carries its response back.
 func (e *heartbeatCall) arrive(r protocol.Heartbeat) {
 	if !e.reachable() {
 		return
 	}
-	m, proc := e.m, e.n.process
+	m, process := e.m, e.n.process
 	e.n.heartbeats.Heartbeat(r, func(status int, body any) {
 		if a, ok := body.(protocol.HeartbeatResponse); ok {
 			m.d.checkCommands(e.n, a.Epoch, a.Commands)
@@ -163,7 +163,7 @@
 		if m.Link.Cut || m.ResponsesLost || e.n.WorkerLink.Cut || m.d.World.chance(m.Link.LossChance) {
 			return
 		}
-		m.receive(proc, func() {
+		m.receive(process, func() {
 			m.d.deliver(e.n.Zone, m.zone, func() { m.runOrDefer(func() { e.handleResponse(status, body) }) })
 		})
 	})
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -100,14 +100,14 @@
 }
 
 // RunsOutsideOrigin returns the number of runs outside the jobs' origin cells and the number of all runs.
-func (h *History) RunsOutsideOrigin() (elsewhere, all int) {
+func (h *History) RunsOutsideOrigin() (outside, all int) {
 	for k, runs := range h.runs {
 		for _, r := range runs {
 			all++
 			if r.worker.d != k.job.origin {
-				elsewhere++
+				outside++
 			}
 		}
 	}
-	return elsewhere, all
+	return outside, all
 }
--- a/internal/simulation/jobs.go
+++ b/internal/simulation/jobs.go
@@ -18,7 +18,7 @@
 	acceptedAt     clock.Micros
 	startedAt      clock.Micros // when a worker had first fetched the image for one of its tasks
 	lastResponseAt clock.Micros // when its user last got a response
-	waitingSince   clock.Micros // despite free capacity: see MonitorWaitingJobs
+	waitingSince   clock.Micros // since when it waits despite free capacity: see MonitorWaitingJobs
 
 	// cancelRequested is set once its user has cancelled it; cancelledAt is when a controller confirmed
 	// the cancellation.
@@ -34,6 +34,7 @@
 	machines  map[int]map[*FakeWorker]bool
 }
 
+// newJob returns a job that its user submits now.
 func newJob(d *Deployment, spec protocol.JobSpec, run clock.Micros, failing bool) *Job {
 	return &Job{
 		origin: d, spec: spec, runTime: run, failing: failing, submittedAt: d.World.now,
@@ -51,14 +52,14 @@
 func (j *Job) Done() bool { return len(j.completed) == j.spec.Tasks && !j.spec.IsService() }
 
 // complete records that a task has completed. If that completes the job, its user cancels it at that moment
-// with probability cancelShare.
-func (j *Job) complete(task int, cancelShare float64) {
+// with probability cancelChance.
+func (j *Job) complete(task int, cancelChance float64) {
 	d, wasDone := j.origin, j.Done()
 	if !j.completed[task] {
 		d.History.taskCompleted(j, task)
 	}
 	j.completed[task] = true
-	if !wasDone && j.Done() && d.World.chance(cancelShare) {
+	if !wasDone && j.Done() && d.World.chance(cancelChance) {
 		d.Cancel(j)
 	}
 }
--- a/internal/simulation/kinds.go
+++ b/internal/simulation/kinds.go
@@ -41,14 +41,14 @@
 
 // simulatePlain simulates arrays and gangs, with deadlines and service-level objectives.
 func simulatePlain(w *World, _ bool) []*Deployment {
-	set := testSettings()
-	set.Deployment.Objectives = []settings.Objective{
+	config := testSettings()
+	config.Deployment.Objectives = []settings.Objective{
 		{Kind: "finished", Class: "c", WithinS: 60, Share: 0.9},
 		{Kind: "wait", Class: "c", WithinS: 20, Share: 0.5},
 		{Kind: "deadline", Class: "c", DeadlineFactor: 2, Share: 0.9},
 	}
-	d := NewDeployment(w, set, testTypes(), 0.01)
-	d.Store.SetLimits(set.Deployment.KVStore, true)
+	d := NewDeployment(w, config, testTypes(), 0.01)
+	d.Store.SetLimits(config.Deployment.KVStore, true)
 	d.scheduleRequests()
 	workload{spec: specWithDeadline, maxRunTime: maxTaskRunTime}.simulateDay(d)
 	return []*Deployment{d}
@@ -88,13 +88,13 @@
 // records. Later the store's limits tighten, first as announced and then beyond that, and leaders crash
 // while they shard records.
 func simulateSharded(w *World, _ bool) []*Deployment {
-	set := testSettings()
-	set.Deployment.KVStore.ValueKb = 4
-	announceTighterLimits(set)
-	d := NewDeployment(w, set, testTypes(), 0.01)
-	d.Store.SetLimits(set.Deployment.KVStore, false)
+	config := testSettings()
+	config.Deployment.KVStore.ValueKb = 4
+	announceTighterLimits(config)
+	d := NewDeployment(w, config, testTypes(), 0.01)
+	d.Store.SetLimits(config.Deployment.KVStore, false)
 	w.After(w.Between(0, dayLength), func() {
-		d.Store.SetLimits(set.Deployment.KVStore.Tightest(), true)
+		d.Store.SetLimits(config.Deployment.KVStore.Tightest(), true)
 		w.After(w.Between(0, 60*clock.Second), func() { d.Store.ValueBytes, d.Store.TxnOps = 1500, 3 })
 	})
 	d.crashLeaders(6)
@@ -115,7 +115,7 @@
 // tightHostedLimits lets cells host few tasks and makes them reserve some capacity for their own.
 const tightHostedLimits = "guests = { cpus = 24.0, gpus = 1.0 }\nreserve = { cpus = 6.0 }"
 
-// simulateCells simulates three cells that offload tasks to each other; with odd seeds they host only few.
+// simulateCells simulates three cells that offload tasks to each other; with odd seeds they host only a few.
 func simulateCells(w *World, oddSeed bool) []*Deployment {
 	hostedLimits := defaultHostedLimits
 	if oddSeed {
@@ -136,12 +136,12 @@
 const recoveryFile = "tasks_per_s = 4\n[reserve]\nshare = 0.3\n"
 
 // recoverySettings returns the default settings of zone recovery, or those of recoveryFile.
-func recoverySettings(set *settings.Settings, fromFile bool) *zonerecovery.Settings {
+func recoverySettings(config *settings.Settings, fromFile bool) *zonerecovery.Settings {
 	if !fromFile {
 		s := zonerecovery.Defaults()
 		return &s
 	}
-	parsed, err := zonerecovery.Parse([]byte(recoveryFile), set)
+	parsed, err := zonerecovery.Parse([]byte(recoveryFile), config)
 	if err != nil {
 		panic(err)
 	}
@@ -151,10 +151,10 @@
 // simulateRecovery simulates zones that are lost and return, with zone recovery enabled, while leaders
 // crash.
 func simulateRecovery(w *World, oddSeed bool) []*Deployment {
-	set := testSettings()
-	set.Deployment.Zones = []string{"a", "b"}
-	d := prepareDeployment(w, set, testTypes(), 0.01)
-	d.Recovery = recoverySettings(set, oddSeed)
+	config := testSettings()
+	config.Deployment.Zones = []string{"a", "b"}
+	d := prepareDeployment(w, config, testTypes(), 0.01)
+	d.Recovery = recoverySettings(config, oddSeed)
 	d.startNodes()
 	d.scheduleRequests()
 	d.partitionRandomZones()
@@ -168,10 +168,10 @@
 
 // simulateUpgrade simulates a rolling upgrade of the controllers, with some time between two of them.
 func simulateUpgrade(w *World, oddSeed bool) []*Deployment {
-	set := testSettings()
-	announceTighterLimits(set)
-	d := NewOldVersionDeployment(w, set, testTypes(), 0.01)
-	d.Store.SetLimits(set.Deployment.KVStore, false)
+	config := testSettings()
+	announceTighterLimits(config)
+	d := NewOldVersionDeployment(w, config, testTypes(), 0.01)
+	d.Store.SetLimits(config.Deployment.KVStore, false)
 	d.Store.CheckPut = d.checkFormat
 	upgrade := w.Between(10*clock.Second, dayLength/2)
 	w.After(upgrade, func() {
@@ -181,7 +181,7 @@
 	if oddSeed {
 		d.delayWrites(upgrade)
 	}
-	w.After(w.Between(0, dayLength), func() { d.Store.SetLimits(set.Deployment.KVStore.Tightest(), true) })
+	w.After(w.Between(0, dayLength), func() { d.Store.SetLimits(config.Deployment.KVStore.Tightest(), true) })
 	d.scheduleRequests()
 	workload{services: 0.15, spec: mostlyLargeSpec, maxRunTime: maxTaskRunTime}.simulateDay(d)
 	return []*Deployment{d}
@@ -230,8 +230,8 @@
 	})
 }
 
-// sendRequests sends these requests to one controller. The user's request is for the status of the next job
-// or, each fifth time, of a job that doesn't exist.
+// sendRequests sends the requests of scheduleRequests to one controller. The user's request is for the status
+// of the next job or, each fifth time, of a job that doesn't exist.
 func (d *Deployment) sendRequests(n *Node, asked int) {
 	if d.World.Recorder != nil {
 		recording := d.recordingOf(n)
--- a/internal/simulation/loopback.go
+++ b/internal/simulation/loopback.go
@@ -46,19 +46,19 @@
 // NewLoopback returns the fakes for controllers at the given addresses. Each worker gets its own address in
 // 127.1.0.0/16; all use the same port.
 func NewLoopback(
-	set *settings.Settings, types []protocol.MachineType, controllers []Controller, workerPort int,
+	config *settings.Settings, types []protocol.MachineType, controllers []Controller, workerPort int,
 ) *Loopback {
 	w := NewWorld(1)
-	return newLoopback(NewDeployment(w, set, types, 0), &RealTime{World: w}, controllers, workerPort)
+	return newLoopback(NewDeployment(w, config, types, 0), &RealTime{World: w}, controllers, workerPort)
 }
 
 // NewLoopbackCell adds a cell to a group and returns its fakes. Its controllers, if any, run only in separate
 // processes.
 func NewLoopbackCell(
-	realTime *RealTime, g *Group, name string, set *settings.Settings, types []protocol.MachineType,
+	realTime *RealTime, g *Group, name string, config *settings.Settings, types []protocol.MachineType,
 	controllers []Controller, workerPort int,
 ) *Loopback {
-	d := prepareDeployment(realTime.World, set, types, 0)
+	d := prepareDeployment(realTime.World, config, types, 0)
 	d.group, d.name = g, name
 	g.Cells = append(g.Cells, d)
 	l := newLoopback(d, realTime, controllers, workerPort)
@@ -66,6 +66,7 @@
 	return l
 }
 
+// newLoopback returns the fakes of a deployment for controllers at the given addresses.
 func newLoopback(d *Deployment, realTime *RealTime, controllers []Controller, workerPort int) *Loopback {
 	d.Store.KeptRevisions, d.Store.PageSize = loopbackKeptRevisions, loopbackPageSize
 	d.Cloud.Reliable = true
--- a/internal/simulation/monitors.go
+++ b/internal/simulation/monitors.go
@@ -89,35 +89,35 @@
 }
 
 // hasCapacityFor reports whether one task of an array, or all tasks of a gang, fit on the machines that are
-// up.
+// up and that the cloud doesn't reclaim.
 func (d *Deployment) hasCapacityFor(j *Job) bool {
 	s := &j.spec
-	missing := 1
+	unplaced := 1
 	if s.IsGang() {
-		missing = s.Tasks
+		unplaced = s.Tasks
 	}
 	if s.OneZone || s.Spread {
 		return false
 	}
-	if !d.withinQuota(s.Team, j.taskResources().Times(float64(missing))) {
+	if !d.withinQuota(s.Team, j.taskResources().Times(float64(unplaced))) {
 		return false
 	}
 	for _, m := range d.Workers() {
 		if m.reclaimAt != 0 || !planner.MachineAllowed(s, m.typ, m.zone, m.spot) {
 			continue
 		}
-		for free := m.free(); missing > 0 && j.taskResources().FitsIn(free); missing-- {
+		for free := m.free(); unplaced > 0 && j.taskResources().FitsIn(free); unplaced-- {
 			free = free.Minus(j.taskResources())
 		}
 	}
-	return missing == 0
+	return unplaced == 0
 }
 
 // withinQuota reports whether a team's quota allows it to use more resources in addition.
 func (d *Deployment) withinQuota(name string, more planner.Resources) bool {
 	team, _ := d.Settings.Deployment.Team(name)
-	all := d.usedByTeam[name].Plus(more)
-	return (team.CpusMax <= 0 || all.Cpus <= team.CpusMax) && (team.GpusMax <= 0 || all.Gpus <= team.GpusMax)
+	sum := d.usedByTeam[name].Plus(more)
+	return (team.CpusMax <= 0 || sum.Cpus <= team.CpusMax) && (team.GpusMax <= 0 || sum.Gpus <= team.GpusMax)
 }
 
 // MonitorReplicas checks from now on that no replica is absent for long. It skips services whose replicas
@@ -148,8 +148,8 @@
 }
 
 // monitorGangs checks from now on that no record has only some tasks of a gang placed for too long: for
-// longer than a gang waits for its tasks, plus a lease, plus the time to notice lost tasks. While faults
-// affect the controllers, the record may lag.
+// longer than a gang waits for its tasks, plus a lease and its renewal window, plus the time to notice lost
+// tasks, plus a margin. While faults affect the controllers, the record may lag.
 func (d *Deployment) monitorGangs() {
 	workers := d.Settings.Deployment.Workers
 	longest := clock.FromSeconds(workers.GangWaitS+workers.LeaseS+workers.GangPeerTimeoutS) +
@@ -158,8 +158,8 @@
 	d.World.Every(clock.Second, func() {
 		for _, j := range d.submittedJobs {
 			r := d.Store.wholeRecord(j.spec.ID)
-			whole := r == nil || r.Final() || len(r.Placements) == 0 || len(r.Placements) == j.spec.Tasks
-			if whole || !j.spec.IsGang() {
+			complete := r == nil || r.Final() || len(r.Placements) == 0 || len(r.Placements) == j.spec.Tasks
+			if complete || !j.spec.IsGang() {
 				delete(since, j.spec.ID)
 			} else if since[j.spec.ID] == 0 {
 				since[j.spec.ID] = d.World.now
--- a/internal/simulation/nodes.go
+++ b/internal/simulation/nodes.go
@@ -132,14 +132,14 @@
 
 // environment returns the configuration of a controller's process and its connections to the fakes.
 func (d *Deployment) environment(n *Node, p *Process) node.Environment {
-	set := d.settingsOf(n)
+	config := d.settingsOf(n)
 	askAll := func(_ *admission.Admission, r admission.Request, done func([]admission.Response, bool)) {
 		d.askAll(n, r, done)
 	}
 	services := d.servicesOf(n, p)
 	return node.Environment{
-		Settings:   set,
-		Cells:      d.group.directory(d, n, set),
+		Settings:   config,
+		Cells:      d.group.directory(d, n, config),
 		CellClient: &cellClient{d, n, p},
 		Election:   election.Config{Node: n.Name, Incarnation: fmt.Sprint(n.starts), TTL: leaseTTL},
 		Mailboxes:  node.Mailboxes{Leader: p, Election: p, Admission: p, Rollout: p},
@@ -177,12 +177,12 @@
 
 // settingsOf returns the deployment's settings for one controller.
 func (d *Deployment) settingsOf(n *Node) *settings.Settings {
-	set := *d.Settings
-	set.Node, set.Domain, set.Peers = n.Name, n.Zone, nil
+	config := *d.Settings
+	config.Node, config.Domain, config.Peers = n.Name, n.Zone, nil
 	for _, o := range d.Nodes {
 		if o != n {
-			set.Peers = append(set.Peers, settings.Peer{Node: o.Name, Domain: o.Zone})
+			config.Peers = append(config.Peers, settings.Peer{Node: o.Name, Domain: o.Zone})
 		}
 	}
-	return &set
+	return &config
 }
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -14,7 +14,8 @@
 	drift float64
 	// busyUntil is when the process has handled all messages so far: see World.MessageCost.
 	busyUntil clock.Micros
-	// While the process is paused, its clocks continue, and waiting holds what it would have done.
+	// While the process is paused, its clocks continue, and waiting holds the functions that it runs after
+	// the pause.
 	paused  bool
 	waiting []func()
 	// PauseAfter, if not 0, makes the process pause for PauseFor before it sends its PauseAfter-th message
--- a/internal/simulation/record.go
+++ b/internal/simulation/record.go
@@ -115,10 +115,10 @@
 
 // Commit implements storetest.Service.
 func (s *recordedStore) Commit(
-	use kvstore.Priority, t protocol.Txn, done func(storetest.Reply[protocol.TxnResponse]),
+	priority kvstore.Priority, t protocol.Txn, done func(storetest.Reply[protocol.TxnResponse]),
 ) {
-	s.record("commit", int(use), t)
-	s.store.Commit(use, t, recordStoreResponse(s.recording, "commit", done))
+	s.record("commit", int(priority), t)
+	s.store.Commit(priority, t, recordStoreResponse(s.recording, "commit", done))
 }
 
 // Watch implements storetest.Service.
@@ -192,12 +192,12 @@
 }
 
 // Commands implements workertest.Service.
-func (a *recordedWorkers) Commands(
+func (x *recordedWorkers) Commands(
 	addr string, c protocol.CommandRequest, until clock.Micros, done func(int, protocol.Heartbeat),
 ) {
-	a.record("commands", addr, c, int64(until))
-	a.workers.Commands(addr, c, until, func(status int, r protocol.Heartbeat) {
-		a.record("commands answered", status, r)
+	x.record("commands", addr, c, int64(until))
+	x.workers.Commands(addr, c, until, func(status int, r protocol.Heartbeat) {
+		x.record("commands answered", status, r)
 		done(status, r)
 	})
 }
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -21,7 +21,7 @@
 	lostJob             rule = "forgotten"     // a controller doesn't know a job or rejects a valid one
 	unsubmittedJob      rule = "invented"      // a controller knows a job that nobody submitted
 	doneTooEarly        rule = "not_done"      // a job is reported as done before its tasks have completed
-	statusReverted      rule = "went_back"     // a final status changes, or is cancelled unrequested
+	statusReverted      rule = "went_back"     // a final status changes, or a job is cancelled unrequested
 )
 
 // The repository's own rules, which detect a fault earlier than the protocol's rules. Each comment says what
@@ -113,7 +113,7 @@
 	}
 }
 
-// zones counts the machines with tasks of the job by zone, without the task except.
+// zones counts the machines with tasks of the job by zone. It leaves out the task `except`.
 func (j *Job) zones(except int) map[string]int {
 	zones := map[string]int{}
 	for task, machines := range j.machines {
--- a/internal/simulation/servicefaults.go
+++ b/internal/simulation/servicefaults.go
@@ -20,8 +20,10 @@
 	f.w.After(duration, func() { f.d.Store.SetOutage(false) })
 }
 
+// storeOutage makes the store reject all requests until the fault ends.
 func (f *fault) storeOutage() { f.outage(f.duration) }
 
+// cloudOutage makes the cloud reject all requests until the fault ends.
 func (f *fault) cloudOutage() {
 	f.d.Cloud.Outage = true
 	f.w.After(f.duration, func() { f.d.Cloud.Outage = false })
--- a/internal/simulation/storeclient.go
+++ b/internal/simulation/storeclient.go
@@ -76,11 +76,12 @@
 	})
 }
 
-// Commit executes a transaction. With the chance LateWriteChance it executes much later, without a response.
+// Commit executes a transaction. With the chance LateWriteChance the store executes it much later and doesn't
+// respond.
 func (c *storeClient) Commit(
-	use kvstore.Priority, t protocol.Txn, done func(storetest.Reply[protocol.TxnResponse]),
+	priority kvstore.Priority, t protocol.Txn, done func(storetest.Reply[protocol.TxnResponse]),
 ) {
-	c.checkGuards(use, t)
+	c.checkConditions(priority, t)
 	if c.store.w.chance(c.store.LateWriteChance) {
 		c.commitLate(t)
 		c.p.After(storeTimeout, func() { done(storetest.Reply[protocol.TxnResponse]{}) })
@@ -100,25 +101,25 @@
 	})
 }
 
-// checkGuards checks that a transaction has a condition for each key that it changes, and for the leader's
-// key if a leader sends it.
-func (c *storeClient) checkGuards(use kvstore.Priority, t protocol.Txn) {
-	guarded := map[string]bool{}
-	for _, g := range t.Conditions {
-		guarded[g.Key] = true
+// checkConditions checks that a transaction has a condition for each key that it changes, and for the
+// leader's key if a leader sends it.
+func (c *storeClient) checkConditions(priority kvstore.Priority, t protocol.Txn) {
+	hasCondition := map[string]bool{}
+	for _, condition := range t.Conditions {
+		hasCondition[condition.Key] = true
 	}
 	for _, x := range t.Changes {
-		if !guarded[x.Put+x.Delete] {
+		if !hasCondition[x.Put+x.Delete] {
 			c.store.w.ReportViolation(unguarded, "a change of %s", x.Put+x.Delete)
 		}
 	}
-	if use == kvstore.PriorityLeader && !guarded[election.LeaderKey] {
+	if priority == kvstore.PriorityLeader && !hasCondition[election.LeaderKey] {
 		c.store.w.ReportViolation(unguarded, "a leader's change without the leader's key")
 	}
 }
 
-// Watch waits for changes of keys with a prefix. It responds once there are changes after a revision, or
-// without changes when the time is over.
+// Watch waits for changes of keys with a prefix. The store responds once there are changes after a revision,
+// or without changes after the time `block`.
 func (c *storeClient) Watch(
 	prefix string, from protocol.Revision, block clock.Micros,
 	done func(storetest.Reply[protocol.WatchResponse]),
@@ -143,7 +144,7 @@
 	}, func() { done(storetest.Reply[protocol.WatchResponse]{}) })
 }
 
-// watch registers a watcher and calls reply once there are changes or the time is over.
+// watch registers a watcher and calls reply once there are changes or the time `block` is over.
 func (c *storeClient) watch(prefix string, from protocol.Revision, block clock.Micros, reply func()) {
 	x := &watcher{prefix: prefix, from: from, link: c.link, reply: reply}
 	c.store.watchers = append(c.store.watchers, x)
--- a/internal/simulation/storetxn.go
+++ b/internal/simulation/storetxn.go
@@ -11,8 +11,8 @@
 	"postpoint/internal/settings"
 )
 
-// guardsPerChange is the limit of conditions in a transaction, as a multiple of the limit of changes.
-const guardsPerChange = 4
+// conditionsPerChange is the limit of conditions in a transaction, as a multiple of the limit of changes.
+const conditionsPerChange = 4
 
 // SetLimits sets the limits of the settings; it sets the limit on the rate of changes only if rate is set.
 func (s *FakeStore) SetLimits(l settings.KVStore, rate bool) {
@@ -25,7 +25,7 @@
 // limitExceeded returns the status with which the store rejects a transaction that exceeds a limit, 0 if
 // the limits allow it.
 func (s *FakeStore) limitExceeded(t protocol.Txn) int {
-	if s.TxnOps > 0 && (len(t.Changes) > s.TxnOps || len(t.Conditions) > guardsPerChange*s.TxnOps) {
+	if s.TxnOps > 0 && (len(t.Changes) > s.TxnOps || len(t.Conditions) > conditionsPerChange*s.TxnOps) {
 		return http.StatusBadRequest
 	}
 	for _, c := range t.Changes {
@@ -43,12 +43,12 @@
 	return 0
 }
 
-// failedGuards lists the keys that don't have the versions that a transaction requires.
-func (s *FakeStore) failedGuards(t protocol.Txn) []string {
+// failedConditions lists the keys that don't have the versions that a transaction requires.
+func (s *FakeStore) failedConditions(t protocol.Txn) []string {
 	var failed []string
-	for _, g := range t.Conditions {
-		if s.entries[g.Key].version != g.Version {
-			failed = append(failed, g.Key)
+	for _, condition := range t.Conditions {
+		if s.entries[condition.Key].version != condition.Version {
+			failed = append(failed, condition.Key)
 		}
 	}
 	return failed
@@ -75,7 +75,7 @@
 	if !s.leasesExist(t) {
 		return respond(http.StatusBadRequest, protocol.TxnResponse{Error: "no such lease"})
 	}
-	if failed := s.failedGuards(t); len(failed) > 0 {
+	if failed := s.failedConditions(t); len(failed) > 0 {
 		return respond(http.StatusConflict, protocol.TxnResponse{Revision: s.revision, Failed: failed})
 	}
 	s.apply(t.Changes)
--- a/internal/simulation/tasks.go
+++ b/internal/simulation/tasks.go
@@ -149,14 +149,14 @@
 // free returns the capacity that the tasks on the machine don't use.
 func (m *FakeWorker) free() planner.Resources {
 	var free planner.Resources
-	for _, ty := range m.d.Cloud.Types {
-		if ty.Name == m.typ {
-			free = scaling.Capacity(ty)
+	for _, machineType := range m.d.Cloud.Types {
+		if machineType.Name == m.typ {
+			free = scaling.Capacity(machineType)
 		}
 	}
 	for _, t := range m.tasks {
-		if o := m.d.findJob(t.job); o != nil && t.status != protocol.TaskExited {
-			free = free.Minus(o.taskResources())
+		if j := m.d.findJob(t.job); j != nil && t.status != protocol.TaskExited {
+			free = free.Minus(j.taskResources())
 		}
 	}
 	return free
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -49,19 +49,19 @@
 	if !n.Up() || d.partitions[n.Zone] != nil {
 		return
 	}
-	proc := n.process
+	process := n.process
 	d.World.After(userLatency, func() {
-		if !proc.alive {
+		if !process.alive {
 			return
 		}
 		n.requests.Handle(r, func(a admission.Response) {
-			proc.send(func() { d.World.After(userLatency, func() { finish(a.Status, a.Body) }) })
+			process.send(func() { d.World.After(userLatency, func() { finish(a.Status, a.Body) }) })
 		})
 	})
 }
 
 // Submit makes a user submit a job, poll its status until it is final, and sometimes repeat the submission.
-// The tasks of failing jobs fail.
+// run is about how long a task runs. The tasks of failing jobs fail.
 func (d *Deployment) Submit(spec protocol.JobSpec, run clock.Micros, failing bool) *Job {
 	j := newJob(d, spec, run, failing)
 	d.jobs[spec.ID] = j
@@ -79,7 +79,7 @@
 		case http.StatusCreated, http.StatusOK:
 			d.handleSubmitResponse(j, before, s)
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
-			d.World.ReportViolation(lostJob, "%s answered %d", j.spec.ID, status)
+			d.World.ReportViolation(lostJob, "%s: response with status %d", j.spec.ID, status)
 		default:
 			d.World.After(retryInterval, func() { d.submit(j) })
 		}
@@ -102,7 +102,7 @@
 func (d *Deployment) SubmitInvalid(body []byte) {
 	d.ask(admission.Request{Kind: admission.Submit, Body: body}, func(status int, _ protocol.JobStatus) {
 		if status == http.StatusOK || status == http.StatusCreated {
-			d.World.ReportViolation(acceptedInvalid, "answered %d: %x", status, body)
+			d.World.ReportViolation(acceptedInvalid, "response with status %d to %x", status, body)
 		}
 	})
 }
@@ -114,7 +114,7 @@
 		d.ask(admission.Request{Kind: admission.GetStatus, ID: j.spec.ID},
 			func(status int, s protocol.JobStatus) {
 				if status == http.StatusNotFound {
-					d.World.ReportViolation(lostJob, "%s answered 404", j.spec.ID)
+					d.World.ReportViolation(lostJob, "%s: response with status 404", j.spec.ID)
 				}
 				if status == http.StatusOK {
 					j.lastResponseAt = d.World.now
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -39,14 +39,14 @@
 	node int
 	// leaseStart is when the worker sent the last heartbeat that got a response; the lease runs from then.
 	leaseStart clock.Micros
-	inFlight   bool
-	// changed is set while a heartbeat about a change is scheduled.
-	changed bool
-	// reclaimAt is when the cloud takes the machine back, 0 if it has announced nothing.
+	inFlight   bool // a sent heartbeat has neither got a response nor timed out
+	// heartbeatScheduled is set while a heartbeat about a change is scheduled.
+	heartbeatScheduled bool
+	// reclaimAt is when the cloud reclaims the machine, 0 if it has announced nothing.
 	reclaimAt clock.Micros
 	// Hung is set while the machine hangs: it does nothing until it resumes, but its lease expires.
 	Hung bool
-	// deferred holds what a hung machine has still to do.
+	// deferred holds the functions that a hung machine runs when it resumes.
 	deferred []func()
 	// expiredJobs holds the jobs that had tasks on the machine when its lease expired while it hung, with
 	// the time of the expiry. These tasks stay on the machine until it resumes.
@@ -68,9 +68,9 @@
 }
 
 // boot adds a machine that comes up some time later, or never.
-func (d *Deployment) boot(name protocol.MachineName, k scaling.CapacityPool) *FakeWorker {
+func (d *Deployment) boot(name protocol.MachineName, pool scaling.CapacityPool) *FakeWorker {
 	m := &FakeWorker{
-		d: d, name: name, addr: d.address(name), typ: k.Type, zone: k.Zone, spot: k.Spot,
+		d: d, name: name, addr: d.address(name), typ: pool.Type, zone: pool.Zone, spot: pool.Spot,
 		status: protocol.MachineStarting, createdAt: d.World.now,
 		Link:           Link{w: d.World, LossChance: d.LossChance},
 		Commands:       Link{w: d.World, LossChance: d.LossChance},
@@ -192,7 +192,7 @@
 	return up
 }
 
-// Reclaim makes the cloud announce that it takes a machine back, and remove it after the notice period.
+// Reclaim makes the cloud announce that it reclaims a machine, and remove it after the notice period.
 func (d *Deployment) Reclaim(m *FakeWorker, notice clock.Micros) {
 	if notice > 0 {
 		m.reclaimAt = d.World.now + notice
--- a/internal/simulation/workerfaults.go
+++ b/internal/simulation/workerfaults.go
@@ -20,9 +20,10 @@
 // holdCommands delays direct commands to the worker until the fault ends.
 func (f *fault) holdCommands() { f.cut(&f.worker.Commands, true) }
 
+// killWorker makes the machine fail without notice.
 func (f *fault) killWorker() { f.worker.Fail() }
 
-// reclaimWorker makes the cloud take the machine back, after a short notice or none.
+// reclaimWorker makes the cloud reclaim the machine, after a short notice or none.
 func (f *fault) reclaimWorker() { f.d.Reclaim(f.worker, f.w.Between(0, 12*clock.Second)) }
 
 // failTasks makes the worker fail every task that it starts.
--- a/internal/simulation/zones.go
+++ b/internal/simulation/zones.go
@@ -5,7 +5,8 @@
 // maxHealDelay is the longest time from the end of a partition until a held message arrives.
 const maxHealDelay = 500 * clock.Millisecond
 
-// zonePartition partitions a zone from everything outside. Inside, workers and controllers reach each other.
+// zonePartition is a partition of a zone from everything outside. Workers and controllers within the zone
+// reach each other.
 type zonePartition struct {
 	hold bool
 	held []func()
@@ -17,8 +18,8 @@
 	if d.partitions[zone] != nil {
 		return func() {}
 	}
-	c := &zonePartition{hold: hold}
-	d.partitions[zone] = c
+	p := &zonePartition{hold: hold}
+	d.partitions[zone] = p
 	for _, l := range d.outsideLinks(zone) {
 		l.Cut, l.Hold = true, hold
 	}
@@ -27,7 +28,7 @@
 		for _, l := range d.outsideLinks(zone) {
 			l.Heal()
 		}
-		for _, arrive := range c.held {
+		for _, arrive := range p.held {
 			d.World.After(d.World.Between(0, maxHealDelay), arrive)
 		}
 	}
@@ -44,14 +45,14 @@
 	return links
 }
 
-// partitioned reports whether a partition separates two zones, and which one.
-func (d *Deployment) partitioned(a, b string) (by *zonePartition, yes bool) {
+// partitioned returns a partition that separates two zones, and reports whether there is one.
+func (d *Deployment) partitioned(a, b string) (by *zonePartition, found bool) {
 	if a == b {
 		return nil, false
 	}
 	for _, zone := range []string{a, b} {
-		if c := d.partitions[zone]; c != nil {
-			return c, true
+		if p := d.partitions[zone]; p != nil {
+			return p, true
 		}
 	}
 	return nil, false
