--- a/internal/simulation/tasks.go
+++ b/internal/simulation/tasks.go
@@ -118,8 +118,8 @@
 }
 
 // checkRestart checks that a forgotten attempt doesn't start again. Two cases are allowed: the record assigns
-// this attempt to the machine again, as it does when it replaces a task of a gang; or the task is completed,
-// so that the worker has kept its result and doesn't run it again.
+// this attempt to the machine again, as it does when it replaces a task of a gang; or the task is completed:
+// it keeps its result, and the worker doesn't run it again.
 func (m *FakeWorker) checkRestart(k taskKey, attempt protocol.Attempt) {
 	j := m.d.findJob(k.job)
 	if m.forgotten[attemptKey{k, attempt}] && !j.completed[k.task] &&
