--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,15 +1,15 @@
-// Package election elects the leader among the controllers. A node leads while it holds a key of the
-// key-value store under a lease that it renews. The key's version at the election is the epoch, a
+// Package election elects the leader among the controllers. A controller leads while it holds a key of
+// the key-value store under a lease that it renews. The key's version at the election is the epoch, a
 // fencing token: the leader sends it to workers, and every write of the leader requires that version.
 //
 // The package owns the leader's key and its lease. It neither places tasks nor writes any other key.
-// It publishes this node's term, on which the leader's actor acts, and the name of the present
-// leader, to which other nodes redirect requests. It also provides the transaction that only a leader
-// can commit.
+// It publishes this controller's term, on which the leader's actor acts, and the name of the present
+// leader, to which the followers redirect requests. It also provides the transaction that only a
+// leader can commit.
 //
 // A Candidate is in one of these states:
 //
-//	observing   reads the leader's key. Absent: campaigning. Held by another node: following.
+//	observing   reads the leader's key. Absent: campaigning. Held by another controller: following.
 //	following   waits for the key to change. Deleted: campaigning.
 //	campaigning requests a lease, then claims the key under it. Claimed: leading. Otherwise: observing.
 //	leading     renews the lease. Expired, or a higher epoch observed: observing.
@@ -31,11 +31,11 @@
 // LeaderKey is the leader's key. Every transaction of the leader requires that it is unchanged.
 const LeaderKey = "lead/controller"
 
-// Term is a period in which this node leads, as of the last successful renewal.
+// Term is a period in which this controller leads, as of the last successful renewal.
 type Term struct {
 	Epoch protocol.Epoch
-	// RenewedAt is when this node sent the last successful renewal, at first the request for the lease.
-	// The store received it later, so the lease lasts at least TTL from RenewedAt.
+	// RenewedAt is when this controller sent the last successful renewal or, before the first one, the
+	// request for the lease. The store received it later, so the lease lasts at least TTL from RenewedAt.
 	RenewedAt clock.Micros
 	// ValidUntil is the earliest time at which the lease can expire, less a safety margin.
 	ValidUntil clock.Micros
@@ -43,8 +43,9 @@
 
 // Config identifies a candidate and sets the lease's time to live.
 type Config struct {
+	// Node is the name of this controller.
 	Node string
-	// Incarnation distinguishes this process from earlier ones of the same node.
+	// Incarnation distinguishes this process from earlier ones of the same controller.
 	Incarnation string
 	// TTL is the lease's time to live after its last renewal.
 	TTL clock.Micros
@@ -58,7 +59,7 @@
 	// leaderStaleAfter is the time since the last successful read of the key after which the candidate
 	// no longer announces its holder.
 	leaderStaleAfter = followTimeout + 2*clock.Second
-	// resignPause is how long a node doesn't campaign after it has resigned.
+	// resignPause is how long a controller doesn't campaign after it has resigned.
 	resignPause = 12 * clock.Second
 	// resignedPollInterval is the longest pause between reads of the key during resignPause.
 	resignedPollInterval = clock.Second
@@ -67,7 +68,7 @@
 	// maxCheckToEffect is the part of the margin for the time between a check of the term and the effect
 	// of the checked action.
 	maxCheckToEffect = 200 * clock.Millisecond
-	// clockDriftDivisor is the inverse of the assumed drift of monotonic clocks, at most a thousandth.
+	// clockDriftDivisor is the inverse of the highest assumed drift of monotonic clocks, a thousandth.
 	clockDriftDivisor = 1000
 )
 
@@ -75,21 +76,21 @@
 type holder struct {
 	Node        string `msgpack:"node"`
 	Incarnation string `msgpack:"incarnation"`
-	// Lease is the lease to which the key is attached. It tells a node that the store applied a claim
-	// of its own late, under a lease that the node no longer renews.
+	// Lease is the lease to which the key is attached. By it a controller detects that the store
+	// applied one of its claims late, under a lease that the controller no longer renews.
 	Lease protocol.LeaseID `msgpack:"lease"`
 }
 
-// Candidate is the actor that campaigns for a node and, once elected, renews the node's lease. Only
+// Candidate is the actor that campaigns for this controller and, once elected, renews the lease. Only
 // messages of its mailbox access its state.
 type Candidate struct {
 	mailbox        actor.Mailbox
 	store          kvstore.Store
 	cfg            Config
 	publishTerm    func(Term)
-	announceLeader func(node string)
+	announceLeader func(leader string)
 
-	// term is the current term, zero unless this node leads.
+	// term is the current term, zero unless this controller leads.
 	term Term
 	// lease is the lease of the term or of the last campaign, 0 for none.
 	lease protocol.LeaseID
@@ -107,7 +108,7 @@
 // every change of the term, and announceLeader with the name of the known leader ("" for none) when
 // that may have changed.
 func New(m actor.Mailbox, s kvstore.Store, cfg Config, publishTerm func(Term),
-	announceLeader func(node string)) *Candidate {
+	announceLeader func(leader string)) *Candidate {
 	return &Candidate{mailbox: m, store: s, cfg: cfg, publishTerm: publishTerm,
 		announceLeader: announceLeader}
 }
@@ -128,8 +129,8 @@
 	})
 }
 
-// Resign ends the term because no worker reaches this node, so that a node that workers can reach may
-// lead. This node doesn't campaign for resignPause.
+// Resign ends the term because no worker reaches this controller, so that a controller that workers
+// can reach may lead. This controller doesn't campaign for resignPause.
 func (c *Candidate) Resign() { c.mailbox.Post(c.resign) }
 
 // resign steps down, delays the next campaign and deletes the leader's key.
@@ -137,7 +138,7 @@
 	if !c.isLeader() {
 		return
 	}
-	slog.Info("resigning: no worker reaches this node", "epoch", c.term.Epoch)
+	slog.Info("resigning: no worker reaches this controller", "epoch", c.term.Epoch)
 	c.campaignNotBefore = c.mailbox.Monotonic() + resignPause
 	release := protocol.Txn{
 		Conditions: []protocol.Condition{{Key: LeaderKey, Version: protocol.Revision(c.term.Epoch)}},
@@ -236,9 +237,9 @@
 		// The store applied this campaign's claim, but the response was lost.
 		c.becomeLeader(protocol.Epoch(version))
 	case h.Node == c.cfg.Node:
-		// An earlier process of this node holds the key, or an earlier campaign of this process whose
-		// claim the store applied late. Nobody renews its lease, so this node can replace the key at
-		// once. Transactions still in flight fail, because they require the key's old version.
+		// An earlier process of this controller holds the key, or an earlier campaign of this process
+		// whose claim the store applied late. Nobody renews that lease, so this controller can replace
+		// the key at once. Transactions still in flight fail, because they require the key's old version.
 		c.campaign(version)
 	default:
 		c.announceLeader(h.Node)
@@ -305,7 +306,7 @@
 	c.renew()
 }
 
-// extendTerm computes the term's end from the time at which the node sent a successful request.
+// extendTerm computes the term's end from the time at which the controller sent a successful request.
 func (c *Candidate) extendTerm(sent clock.Micros) {
 	c.term.RenewedAt = sent
 	c.term.ValidUntil = sent + c.cfg.TTL - c.expiryMargin()
@@ -354,7 +355,7 @@
 	c.store.Watch(LeaderKey, from, followTimeout, resultInRound(c, c.handleChanges))
 }
 
-// handleChanges handles the last change of the key, or follows on if there is none.
+// handleChanges handles the last change of the key, or follows again if there is none.
 func (c *Candidate) handleChanges(r kvstore.Result[protocol.WatchResponse]) {
 	if r.Err != nil {
 		c.handleObservationFailure()
--- a/internal/election/transaction.go
+++ b/internal/election/transaction.go
@@ -9,8 +9,8 @@
 	"postpoint/internal/protocol"
 )
 
-// ErrNotLeader means that a transaction failed because the leader's key has changed: the node is no
-// longer the leader. Transaction.Commit returns it as a *NotLeaderError.
+// ErrNotLeader means that a transaction failed because the leader's key has changed: this controller
+// is no longer the leader. Transaction.Commit returns it as a *NotLeaderError.
 var ErrNotLeader = errors.New("not the leader any more")
 
 // NotLeaderError is the conflict of a transaction whose leader was deposed.
--- a/internal/jobrecord/capacity.go
+++ b/internal/jobrecord/capacity.go
@@ -7,7 +7,7 @@
 )
 
 // The store limits the size of a value, measured as JSON. The leader starts only as many tasks as the
-// record can hold however they end. All constants below that name bytes count bytes of that JSON.
+// record can hold, however they end. All constants below that name bytes count bytes of that JSON.
 const (
 	// usablePercent is the part of a value's limit that records use. The rest is a margin, because the
 	// store may format the same JSON with more digits or spaces than this package does.
@@ -53,7 +53,7 @@
 }
 
 // FitsStore reports whether values of limit bytes and transactions of txnOps changes can hold a job's
-// record. A gang starts in one transaction, which must have room for all of its shards.
+// record. A gang starts in one transaction, which must be able to change all of its shards.
 func FitsStore(spec *protocol.JobSpec, limit, txnOps int) bool {
 	record := New(*spec, 0)
 	record.ShardSize = ShardSizeFor(spec, limit)
--- a/internal/jobrecord/delegation.go
+++ b/internal/jobrecord/delegation.go
@@ -24,10 +24,10 @@
 }
 
 // splitMachine returns the machine, or the DelegatedTo value, of a stored placement that has been split
-// into words. A machine takes one word and a cell two, the marker and its name. rest begins with the
-// machine's or the cell's name, so that the words after it have the same index either way. A placement
-// on a machine has an even number of words, and so one with a cell has an odd number.
-func splitMachine(words []string) (machine protocol.MachineName, rest []string) {
+// into words. A machine takes one word and a cell two, the marker and its name. fields begins with the
+// machine's or the cell's name, so that the words after it have the same index either way. A stored
+// placement on a machine has an even number of words, and so one with a cell has an odd number.
+func splitMachine(words []string) (machine protocol.MachineName, fields []string) {
 	switch {
 	case len(words) == 0:
 		return "", nil
@@ -76,8 +76,8 @@
 
 // ParseHostedJobID splits an id that HostedJobID returned; ok reports whether the id is one.
 func ParseHostedJobID(id protocol.JobID) (cell string, job protocol.JobID, delegation int64, ok bool) {
-	cell, rest, hasCell := strings.Cut(string(id), ".")
-	originID, number, hasNumber := strings.Cut(rest, ".")
+	cell, idAndNumber, hasCell := strings.Cut(string(id), ".")
+	originID, number, hasNumber := strings.Cut(idAndNumber, ".")
 	delegation, err := strconv.ParseInt(number, 10, 64)
 	return cell, protocol.JobID(originID), delegation, hasCell && hasNumber && err == nil
 }
--- a/internal/jobrecord/format.go
+++ b/internal/jobrecord/format.go
@@ -81,7 +81,7 @@
 	return markers
 }
 
-// applyMarker sets the fields that a marker stands for; ok reports whether the text is a valid marker.
+// applyMarker sets the fields that a marker encodes; ok reports whether the text is a valid marker.
 func (r *Record) applyMarker(text string) (ok bool) {
 	if text == serviceMarker {
 		r.FormatMarked = true
--- a/internal/jobrecord/keys.go
+++ b/internal/jobrecord/keys.go
@@ -27,8 +27,8 @@
 
 // ParseShardKey splits the key of a shard; ok reports whether the key is that of a shard.
 func ParseShardKey(key string) (job protocol.JobID, shard int, ok bool) {
-	rest, hasPrefix := strings.CutPrefix(key, ShardsPrefix)
-	id, number, found := strings.Cut(rest, "/")
+	idAndShard, hasPrefix := strings.CutPrefix(key, ShardsPrefix)
+	id, number, found := strings.Cut(idAndShard, "/")
 	shard, err := strconv.Atoi(number)
 	return protocol.JobID(id), shard, hasPrefix && found && err == nil && shard >= 0
 }
--- a/internal/jobrecord/placement.go
+++ b/internal/jobrecord/placement.go
@@ -43,8 +43,10 @@
 	attempt     protocol.Attempt
 }
 
+// attemptID returns the attempt that the placement is for.
 func (p Placement) attemptID() attemptID { return attemptID{p.Incarnation, p.Attempt} }
 
+// group returns the group in whose text the record stores the placement.
 func (p Placement) group() placementGroup { return placementGroup{p.Machine, p.attemptID()} }
 
 // appendTo appends the stored form, " incarnation attempt".
--- a/internal/jobrecord/record.go
+++ b/internal/jobrecord/record.go
@@ -10,8 +10,8 @@
 type Record struct {
 	Spec        protocol.JobSpec
 	Status      string  // empty, StatusDone or StatusCancelled; the latter two are final
-	SubmittedAt int64   // time of day in microseconds, by the clock of the accepting node
-	CancelledAt int64   // likewise, by the cancelling node's clock before it responds to the user
+	SubmittedAt int64   // time of day in microseconds, by the clock of the accepting controller
+	CancelledAt int64   // likewise, by the cancelling controller's clock before it responds to the user
 	Done        TaskSet // completed tasks
 	NextAttempt protocol.Attempt
 	Placements  map[int]Placement // by task
@@ -32,7 +32,7 @@
 	// ReturnCount counts how often other cells have returned tasks of the job unfinished.
 	ReturnCount int
 	// DisplacedFrom is the lost zone from which tasks of the job were displaced, empty once all of them
-	// have started elsewhere.
+	// have started again.
 	DisplacedFrom string
 }
 
--- a/internal/jobrecord/taskset.go
+++ b/internal/jobrecord/taskset.go
@@ -21,7 +21,7 @@
 // span is the range from lo to hi, both included.
 type span struct{ lo, hi int }
 
-// find returns the index of the first span whose end is at least n.
+// find returns the index of the first span that ends at or after n, or the number of spans if none does.
 func (set *TaskSet) find(n int) int {
 	return sort.Search(len(set.spans), func(i int) bool { return set.spans[i].hi >= n })
 }
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -119,15 +119,15 @@
 		return Result[T]{Err: transport.NoResponse(err)}
 	}
 	var message W
-	var malformed error
+	var decodeErr error
 	if len(response.Body) > 0 {
-		malformed = protocol.Decode(response.Body, &message)
+		decodeErr = protocol.Decode(response.Body, &message)
 	}
 	r := Result[T]{Value: result(message)}
-	if malformed != nil && response.Status < http.StatusMultipleChoices {
+	if decodeErr != nil && response.Status < http.StatusMultipleChoices {
 		// The status means success, but a response that can't be decoded doesn't prove that the store
 		// executed the request.
-		r.Err = transport.NoResponse(malformed)
+		r.Err = transport.NoResponse(decodeErr)
 		return r
 	}
 	details, _ := any(message).(protocol.TxnResponse)
@@ -148,7 +148,7 @@
 	}
 }
 
-// admit waits until the limiter allows n units. It fails at once if that takes longer than
+// admit waits until the limiter allows n units. It fails at once if the wait would be longer than
 // maxWait.
 func (c *Client) admit(l *rate.Limiter, n int, maxWait time.Duration) error {
 	now := time.Now()
--- a/internal/kvstore/errors.go
+++ b/internal/kvstore/errors.go
@@ -31,9 +31,10 @@
 	ErrUnavailable = transport.ErrUnavailable
 	// ErrNoResponse means that a request got no response, or a successful one that can't be decoded.
 	ErrNoResponse = transport.ErrNoResponse
-	// ErrServerFailure is a status of 500 and above other than the one for ErrUnavailable.
+	// ErrServerFailure means that the response has a status of 500 or above, other than that of
+	// ErrUnavailable.
 	ErrServerFailure = transport.ErrServerFailure
-	// ErrUnexpectedStatus is a status that the protocol doesn't define for the operation.
+	// ErrUnexpectedStatus means that the protocol doesn't define the response's status for the operation.
 	ErrUnexpectedStatus = transport.ErrUnexpectedStatus
 )
 
@@ -62,16 +63,16 @@
 }
 
 // withCommonErrors adds the statuses that mean the same for all operations.
-func withCommonErrors(own transport.StatusKinds) transport.StatusKinds {
-	all := transport.StatusKinds{
+func withCommonErrors(specific transport.StatusKinds) transport.StatusKinds {
+	statuses := transport.StatusKinds{
 		http.StatusBadRequest:         ErrInvalid,
 		http.StatusTooManyRequests:    ErrThrottled,
 		http.StatusServiceUnavailable: ErrUnavailable,
 	}
-	for status, kind := range own {
-		all[status] = kind
+	for status, kind := range specific {
+		statuses[status] = kind
 	}
-	return all
+	return statuses
 }
 
 // ConflictError reports a transaction whose conditions didn't all hold.
@@ -120,8 +121,8 @@
 	return errors.Is(err, ErrNoResponse) || errors.Is(err, ErrServerFailure)
 }
 
-// NotServed reports whether the store didn't serve the request, rather than answer it with a result or
-// a rejection. It includes requests that this process's rate limit refused.
+// NotServed reports whether the store failed to serve the request, instead of responding with a result
+// or a rejection. It includes requests that this process's rate limit refused.
 func NotServed(err error) bool { return NotExecuted(err) || OutcomeUnknown(err) }
 
 // noSuchLease is the store's explanation when it rejects a transaction that attaches a key to an
--- a/internal/kvstore/storetest/service.go
+++ b/internal/kvstore/storetest/service.go
@@ -76,7 +76,7 @@
 	c.service.Renew(lease, func(r Reply[protocol.LeaseResponse]) { done(errorOf(kvstore.OpRenew, r)) })
 }
 
-// result returns the result of a reply whose value the store returns as it is.
+// result returns the result of a reply whose value is also the value of the result.
 func result[T any](op kvstore.Operation, r Reply[T]) kvstore.Result[T] {
 	return kvstore.Result[T]{Value: r.Value, Err: errorOf(op, r)}
 }
--- a/internal/offload/greedy.go
+++ b/internal/offload/greedy.go
@@ -44,8 +44,8 @@
 	r.tasks[o.candidate] -= n
 }
 
-// fits returns how many more tasks option i can take.
-func (p *problem) fits(r *remainder, i int) int {
+// fittingTasks returns how many more tasks option i can take.
+func (p *problem) fittingTasks(r *remainder, i int) int {
 	o := p.options[i]
 	c := &p.candidates[o.candidate]
 	request := planner.TaskResources(c.Spec)
@@ -63,7 +63,7 @@
 func (p *problem) addGreedily(a allocation) allocation {
 	r := p.remainderAfter(a)
 	for _, i := range p.optionsByGain() {
-		if n := p.fits(&r, i); n > 0 {
+		if n := p.fittingTasks(&r, i); n > 0 {
 			p.allocate(&r, i, n)
 			a[i] += n
 		}
--- a/internal/offload/plan.go
+++ b/internal/offload/plan.go
@@ -52,7 +52,7 @@
 )
 
 // Plan decides which tasks to offload. The candidates are in the order of their importance. The
-// decision covers only the first maxCandidates jobs that gain by going anywhere, and the first
+// decision covers only the first maxCandidates jobs that gain in at least one pool, and the first
 // maxHosts hosts; the other jobs wait for the next decision.
 func Plan(candidates []Candidate, hosts []Host) []Assignment {
 	p := newProblem(candidates, hosts[:min(len(hosts), maxHosts)])
@@ -70,23 +70,25 @@
 
 // assignments returns the assignments of an allocation, summed over the pools of each host cell.
 func (p *problem) assignments(a allocation) []Assignment {
-	var all []Assignment
+	var assignments []Assignment
 	for i, n := range a {
 		if n == 0 {
 			continue
 		}
 		o := p.options[i]
-		c := Assignment{
+		assignment := Assignment{
 			Job:   p.candidates[o.candidate].Job,
 			Host:  p.hosts[p.pools[o.pool].host].Name,
 			Tasks: n,
 		}
-		at := slices.IndexFunc(all, func(x Assignment) bool { return x.Job == c.Job && x.Host == c.Host })
-		if at < 0 {
-			all = append(all, c)
+		index := slices.IndexFunc(assignments, func(x Assignment) bool {
+			return x.Job == assignment.Job && x.Host == assignment.Host
+		})
+		if index < 0 {
+			assignments = append(assignments, assignment)
 			continue
 		}
-		all[at].Tasks += n
+		assignments[index].Tasks += n
 	}
-	return all
+	return assignments
 }
--- a/internal/offload/plan_test.go
+++ b/internal/offload/plan_test.go
@@ -44,7 +44,7 @@
 	}
 	most := 0.0
 	r := p.remainderAfter(a)
-	for n := p.fits(&r, i); n >= 0; n-- {
+	for n := p.fittingTasks(&r, i); n >= 0; n-- {
 		if c := &p.candidates[p.options[i].candidate]; c.AllOrNothing && n != 0 && n != c.Tasks {
 			continue
 		}
--- a/internal/offload/problem.go
+++ b/internal/offload/problem.go
@@ -11,7 +11,7 @@
 
 const (
 	// transferS is the longest that offloading a job takes, in seconds: the host cell's next
-	// heartbeat, a record there, and the heartbeat that grants the permission to start.
+	// heartbeat, the write of a record there, and the heartbeat that grants the permission to start.
 	transferS = 3
 	// returnS is the longest that the return of a job takes, in seconds.
 	returnS = 3
@@ -27,7 +27,7 @@
 
 // problem is the assignment problem of one decision.
 type problem struct {
-	candidates []Candidate // jobs that gain by going anywhere
+	candidates []Candidate // jobs that gain in at least one pool
 	hosts      []Host
 	pools      []pool
 	options    []option
@@ -52,6 +52,7 @@
 // allocation is the number of tasks for each option.
 type allocation []int
 
+// emptyAllocation returns the allocation of no tasks to any option.
 func (p *problem) emptyAllocation() allocation { return make(allocation, len(p.options)) }
 
 // newProblem returns the problem for the first maxCandidates jobs that gain in at least one pool.
@@ -100,20 +101,20 @@
 	return options
 }
 
-// gainIn returns what each task of a job gains in a pool, in seconds. ok is false if the job may
-// not go there or gains too little.
-func (p *problem) gainIn(c *Candidate, in *pool) (gainS float64, ok bool) {
-	host := &p.hosts[in.host]
+// gainIn returns what each task of a job gains in a pool, in seconds. ok is false if the host cell
+// may not host the job, if jobs of its own are waiting, or if the job gains too little.
+func (p *problem) gainIn(c *Candidate, target *pool) (gainS float64, ok bool) {
+	host := &p.hosts[target.host]
 	if !slices.Contains(c.Hosts, host.Name) || host.Load.OwnWait > 0 {
 		return 0, false
 	}
 	startS := math.Inf(1)
 	for i := range host.Load.Types {
-		if s, ok := startDelayS(c.Spec, &host.Load.Types[i], in.ready); ok {
+		if s, ok := startDelayS(c.Spec, &host.Load.Types[i], target.ready); ok {
 			startS = min(startS, s)
 		}
 	}
-	gainS = c.OriginWaitS - startS - in.penaltyS - transferS - returnS - gainMarginS
+	gainS = c.OriginWaitS - startS - target.penaltyS - transferS - returnS - gainMarginS
 	return gainS, gainS > 0
 }
 
--- a/internal/offload/relax.go
+++ b/internal/offload/relax.go
@@ -10,9 +10,11 @@
 )
 
 const (
-	// solverTolerance is far below the difference between whole numbers of tasks.
+	// solverTolerance is the solver's numerical tolerance. It is far below the difference between
+	// whole numbers of tasks.
 	solverTolerance = 1e-9
-	// roundTolerance makes a number of tasks that the solver just missed count as whole.
+	// roundTolerance is how far below a whole number of tasks the solver's result may be and still
+	// count as that number.
 	roundTolerance = 1e-6
 )
 
@@ -67,7 +69,7 @@
 	return p.appendHostConstraints(rows)
 }
 
-// dimension selects one of the resources that tasks request.
+// dimension selects one of the resources that tasks request: cpus, gpus or memoryGB.
 type dimension func(planner.Resources) float64
 
 func cpus(a planner.Resources) float64     { return a.Cpus }
@@ -143,7 +145,7 @@
 		if c := &p.candidates[p.options[i].candidate]; c.AllOrNothing && n < c.Tasks {
 			continue
 		}
-		n = min(n, p.fits(&r, i))
+		n = min(n, p.fittingTasks(&r, i))
 		p.allocate(&r, i, n)
 		a[i] = n
 	}
--- a/internal/planner/assign.go
+++ b/internal/planner/assign.go
@@ -12,7 +12,7 @@
 }
 
 // assignWhereCached assigns pending tasks to machines that have the job's image cached, and removes
-// them from the pending tasks.
+// the assigned tasks from Pending.
 func (p *planning) assignWhereCached(job *Job) {
 	candidates := slices.DeleteFunc(p.candidates(job, readyNow), func(machine *Machine) bool {
 		return machine.ImageWaitS(job.Spec) > 0
@@ -41,8 +41,8 @@
 		}
 		machine := machines.cheapest(zones)
 		if machine == nil {
-			// The remaining tasks are alike: neither the quota nor the free capacity changes for
-			// them.
+			// The remaining tasks are alike, and neither the quota nor the free capacity changes for
+			// them: no machine fits them, and each is within the quota.
 			return len(tasks), i
 		}
 		zones[machine.Zone]++
--- a/internal/planner/cost.go
+++ b/internal/planner/cost.go
@@ -5,8 +5,8 @@
 	// expected to lose on a spot machine, because the cloud may reclaim the machine.
 	spotLossFraction = 0.1
 
-	// bootMarginS is added to the time that a machine is still expected to boot, in seconds,
-	// because some machines take longer than expected.
+	// bootMarginS is added to the time that a machine is still expected to take to boot, in
+	// seconds, because some machines take longer than expected.
 	bootMarginS = 10
 
 	// firstReplicaPriceWeight converts a machine's hourly price to seconds of cost for the first
@@ -21,8 +21,9 @@
 	// that a task takes.
 	priceWeight = 10
 
-	// fragmentationS is the cost, in seconds, of leaving a whole machine unused next to the task.
-	// Full machines leave others idle, and the autoscaler can release idle machines.
+	// fragmentationS is the cost, in seconds, that a task would have if the whole machine stayed
+	// free beside it. The cost of a smaller free fraction is proportional. Full machines leave
+	// others idle, and the autoscaler can release idle machines.
 	fragmentationS = 5
 )
 
@@ -47,8 +48,9 @@
 	return cost
 }
 
-// replicaCost returns what a service replica adds to the cost of a machine. The first replica keeps
-// the autoscaler from releasing the machine; a failure of the machine stops the others at once.
+// replicaCost returns what one more service replica adds to the cost of a machine. The first
+// replica keeps the autoscaler from releasing the machine. Each further one is costly because a
+// failure of the machine stops all its replicas at once.
 func replicaCost(machine *Machine) float64 {
 	if machine.Replicas == 0 {
 		return firstReplicaPriceWeight * machine.HourlyPrice
--- a/internal/planner/gang.go
+++ b/internal/planner/gang.go
@@ -67,13 +67,13 @@
 	return machines, cost
 }
 
-// reserveForGang reserves the free capacity for the first gang in the queue that should start now
-// (TierStartInTime) and doesn't fit, and returns for how many of its n tasks it did. Without the
-// reservation, smaller jobs behind the gang would take each resource as it becomes free, and a
-// large gang would never find enough at once.
+// reserveForGang reserves free capacity for the first gang in the queue that should start now
+// (TierStartInTime) and doesn't fit. It returns for how many of the gang's n tasks it reserved
+// capacity. Without the reservation, smaller jobs behind the gang would take each resource as it
+// becomes free, and a large gang would never find enough at once.
 //
-// It reserves nothing for a gang that the present machines can't hold and for which none have come:
-// such a reservation would never end.
+// It reserves nothing for a gang whose scale-out is overdue and that wouldn't fit on the present
+// machines even if they were empty: such a reservation would never end.
 func (p *planning) reserveForGang(job *Job, n int) int {
 	if p.gangReserved || !job.Spec.IsGang() || job.Tier != TierStartInTime {
 		return 0
--- a/internal/planner/job.go
+++ b/internal/planner/job.go
@@ -11,7 +11,8 @@
 	Task    int
 	Machine protocol.MachineName
 	Zone    string
-	// Stopping reports whether the task was told to stop. It holds its resources until it ends.
+	// Stopping reports whether the leader is stopping the task, which holds its resources until it
+	// ends.
 	Stopping bool
 	// OverheadS is the paper's preemption overhead: how many seconds of work are lost if the task
 	// stops now.
@@ -53,23 +54,24 @@
 	HasStartObjective bool
 	// StartSlackS is how many seconds are left to start the job within its objective.
 	StartSlackS float64
-	// Tier tells which of the job's objectives the job can still meet.
+	// Tier classifies the job by the objectives that it can still meet.
 	Tier Tier
 	// SlackS is how many seconds the job can wait before its tasks must run for it to end within
 	// its objective.
 	SlackS float64
-	// AvoidedMachines are the machines on which the job failed.
+	// AvoidedMachines are machines to which the planner assigns no task of the job, such as those
+	// on which it failed.
 	AvoidedMachines map[protocol.MachineName]bool
-	// ScaleOutOverdue reports whether the job has had unmet demand for a long time and no machines
-	// have come for it.
+	// ScaleOutOverdue reports whether the job has needed additional machines for a long time and
+	// still needs them.
 	ScaleOutOverdue bool
 	// unlistedPlacements counts the tasks that the plan places without adding them to Running,
 	// because their machines make no difference to the rest of the plan.
 	unlistedPlacements int
 }
 
-// Tier tells which of its service-level objectives a job can still meet. The queue orders jobs of
-// one rank by tier.
+// Tier classifies jobs by the service-level objectives that they can still meet. The queue orders
+// jobs of one rank by tier.
 type Tier int
 
 const (
--- a/internal/planner/planning.go
+++ b/internal/planner/planning.go
@@ -22,7 +22,7 @@
 	lowestRank   int
 	anyOverQuota bool
 
-	// stopping are the tasks that were told to stop before this plan.
+	// stopping are the tasks that the leader was already stopping before this plan.
 	stopping []victim
 	// preempting reports whether victims are stopping for some job. The planner preempts no more
 	// until they have stopped: otherwise it would preempt again and again for one shortage.
@@ -80,8 +80,8 @@
 	return p
 }
 
-// collectRunning goes once through all running tasks. It collects those that are stopping, and
-// records what lets the planner skip the search for victims.
+// collectRunning visits all running tasks once. It collects those that are stopping, and sets
+// lowestRank and anyOverQuota, which let the planner skip the search for victims.
 func (p *planning) collectRunning(jobs []Job) {
 	for i := range jobs {
 		job := &jobs[i]
@@ -98,33 +98,33 @@
 	}
 }
 
-// planRank plans for the jobs of one rank. Jobs that can wait for their image first take only
-// machines that have it, and leave the machines without it to jobs whose image is there. Their
-// remaining tasks come after all other jobs of the rank.
-func (p *planning) planRank(sameRank, all []Job) {
+// planRank plans for the jobs of one rank. A job that can wait for its image first takes only
+// machines that have the image, and leaves the others to jobs whose image they have. The planner
+// plans the remaining tasks of such jobs after all other jobs of the rank.
+func (p *planning) planRank(sameRank, jobs []Job) {
 	for job := range startable(sameRank) {
 		if job.canWaitForImage() {
 			p.assignWhereCached(job)
 		} else {
-			p.planJob(job, all)
+			p.planJob(job, jobs)
 		}
 	}
 	for job := range startable(sameRank) {
 		if job.canWaitForImage() {
-			p.planJob(job, all)
+			p.planJob(job, jobs)
 		}
 	}
 }
 
 // planJob assigns those tasks of a job that fit. For the others, it preempts if the job may, or
 // else records unmet demand, less the tasks for which it reserves capacity.
-func (p *planning) planJob(job *Job, all []Job) {
+func (p *planning) planJob(job *Job, jobs []Job) {
 	demand, assigned := p.assignPending(job)
 	unmet := demand - assigned
 	if unmet == 0 {
 		return
 	}
-	if job.MayPreempt && p.preemptOrReserve(job, all, unmet) {
+	if job.MayPreempt && p.preemptOrReserve(job, jobs, unmet) {
 		return
 	}
 	reserved := p.reserveForGang(job, demand)
@@ -134,9 +134,9 @@
 // preemptOrReserve preempts for n tasks of the job. If victims are stopping already, it preempts
 // none, and only reserves for the job the capacity that they will leave. It reports whether the job
 // will have enough capacity.
-func (p *planning) preemptOrReserve(job *Job, all []Job, n int) bool {
+func (p *planning) preemptOrReserve(job *Job, jobs []Job, n int) bool {
 	if !p.preempting {
-		p.preempting = p.preempt(job, all, n)
+		p.preempting = p.preempt(job, jobs, n)
 		return p.preempting
 	}
 	return p.reserveCapacity(job, n, p.stopping)
--- a/internal/planner/preempt.go
+++ b/internal/planner/preempt.go
@@ -17,8 +17,8 @@
 // enough capacity.
 //
 // The paper sums up the resources that preemption would free. That isn't enough here, where tasks
-// share machines: freed pieces on several machines can add up without holding a single task.
-// preempt therefore places the tasks on the machines as a plan would.
+// share machines: the capacity freed on several machines can add up to the demand although none of
+// them can hold a single task. preempt therefore fits the tasks to the machines as for a placement.
 func (p *planning) preempt(job *Job, jobs []Job, n int) bool {
 	if !p.mayHaveVictims(job) {
 		return false
@@ -112,8 +112,8 @@
 	for i := range jobs {
 		owner := &jobs[i]
 		c := newPreemptableJob(owner, preemptor)
-		// Preempting only a part of a gang breaks the whole gang: it loses more than the preemptor
-		// gains.
+		// Preempting only a part of a gang breaks the whole gang, which loses more than the
+		// preemptor gains.
 		brokenGang := owner.Spec.IsGang() && len(c.tasks) < len(owner.Running)
 		if len(c.tasks) > 0 && !brokenGang {
 			candidates = append(candidates, c)
--- a/internal/planner/queue.go
+++ b/internal/planner/queue.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// canWaitForImage reports whether the job loses nothing by waiting for machines that
-// have its image.
+// canWaitForImage reports whether the job loses nothing by waiting for machines that have its
+// image.
 func (j *Job) canWaitForImage() bool {
 	if j.Spec.IsGang() || j.WithinGuarantee || j.Lender || j.Tier == TierStartInTime {
 		return false
--- a/internal/planner/resources.go
+++ b/internal/planner/resources.go
@@ -21,11 +21,11 @@
 // TaskResources returns the resources that one task of a job requests.
 func TaskResources(s *protocol.JobSpec) Resources { return Resources{s.Cpus, s.Gpus, s.MemoryGB} }
 
-// FitsIn reports whether a fits into the free capacity in.
-func (a Resources) FitsIn(in Resources) bool {
-	return a.Cpus <= in.Cpus+roundingTolerance &&
-		a.Gpus <= in.Gpus+roundingTolerance &&
-		a.MemoryGB <= in.MemoryGB+roundingTolerance
+// FitsIn reports whether a fits into the given free capacity.
+func (a Resources) FitsIn(free Resources) bool {
+	return a.Cpus <= free.Cpus+roundingTolerance &&
+		a.Gpus <= free.Gpus+roundingTolerance &&
+		a.MemoryGB <= free.MemoryGB+roundingTolerance
 }
 
 // Plus returns the sum of a and b.
@@ -43,8 +43,8 @@
 	return Resources{k * a.Cpus, k * a.Gpus, k * a.MemoryGB}
 }
 
-// DominantShare returns the dominant share of a: the largest fraction of the whole that it takes of
-// any single resource.
+// DominantShare returns the dominant share of a: the largest of the fractions that a takes of the
+// whole amounts of the resources.
 func (a Resources) DominantShare(whole Resources) float64 {
 	return max(0,
 		fraction(a.Cpus, whole.Cpus),
@@ -52,7 +52,7 @@
 		fraction(a.MemoryGB, whole.MemoryGB))
 }
 
-// fraction returns part divided by whole, or 0 if there is no whole.
+// fraction returns part divided by whole, or 0 if whole is 0.
 func fraction(part, whole float64) float64 {
 	if whole > 0 {
 		return part / whole
--- a/internal/planner/shrink.go
+++ b/internal/planner/shrink.go
@@ -24,9 +24,10 @@
 	surplus int
 }
 
-// shrinkArrays chooses victims among the tasks of arrays, as evenly as possible and the youngest of
-// each array first, as in the paper's SPAA: gangs are the paper's rigid jobs, arrays its malleable
-// ones. It returns nil if preempting all of them doesn't suffice.
+// shrinkArrays chooses victims among the tasks of arrays, as in the paper's SPAA: as evenly as
+// possible, and from each array the tasks with the least overhead first (without checkpoints, these
+// are the youngest). Gangs are the paper's rigid jobs, arrays its malleable ones. It returns nil if
+// preempting all tasks that the arrays can give up doesn't suffice.
 func (p *planning) shrinkArrays(job *Job, jobs []Job, n int) []victim {
 	victims := interleave(shrinkableArrays(job, jobs))
 	groups := make([][]victim, len(victims))
@@ -58,7 +59,8 @@
 	return arrays
 }
 
-// newShrinkableArray returns which tasks the owner can give up for the preemptor.
+// newShrinkableArray returns the tasks of the owner that can be preempted for the preemptor, and
+// how many of them the owner can give up.
 func newShrinkableArray(owner, preemptor *Job) shrinkableArray {
 	a := shrinkableArray{job: owner}
 	for _, r := range owner.Running {
@@ -75,7 +77,7 @@
 	return a
 }
 
-// minArraySize returns how many tasks of an array shrinking leaves at least.
+// minArraySize returns the number of tasks below which the planner doesn't shrink an array.
 func minArraySize(job *Job) int { return int(float64(job.Spec.Tasks)*minArrayFraction + roundUpOffset) }
 
 // interleave returns the surplus tasks of the arrays, one task of each array in turn.
--- a/internal/planner/team.go
+++ b/internal/planner/team.go
@@ -1,8 +1,9 @@
 package planner
 
-// Team is the quota of a team and what it uses of it.
+// Team is the quota and the usage of a team.
 type Team struct {
-	// Limit is the highest usage that the team may reach. A resource whose limit is 0 is unlimited.
+	// Limit is the highest usage that the team may reach. A limit of 0 means unlimited, and memory
+	// is always unlimited.
 	Limit Resources
 	// Guarantee is the team's fair share: the team gets this much before teams that are beyond
 	// their guarantees.
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -7,7 +7,7 @@
 // or a later one from the gate.
 //
 // The package owns only these keys. The actors that receive its status decide what to write in which
-// format. This node takes part in elections only once it has published its format.
+// format. A controller takes part in elections only once it has published its format.
 package rollout
 
 import (
@@ -36,9 +36,9 @@
 )
 
 const (
-	prefix     = "rollout/"
-	gateKey    = prefix + "gate"
-	nodePrefix = prefix + "node/"
+	prefix           = "rollout/"
+	gateKey          = prefix + "gate"
+	controllerPrefix = prefix + "node/"
 
 	pollInterval = clock.Second
 	retryDelay   = 400 * clock.Millisecond
@@ -62,19 +62,19 @@
 	return s.Services == o.Services && s.Cells == o.Cells && slices.Equal(s.Missing, o.Missing)
 }
 
-// publishedFormat is the value of a node's key and of the gate.
+// publishedFormat is the value of a controller's key and of the gate.
 type publishedFormat struct {
 	Format Format `msgpack:"format"`
 }
 
-// Rollout is the actor that publishes this node's format and raises the gate.
+// Rollout is the actor that publishes this controller's format and raises the gate.
 type Rollout struct {
-	mailbox actor.Mailbox
-	store   kvstore.Store
-	node    string
-	nodes   []string
-	format  Format
-	// onPublished runs once, when this node has published its format.
+	mailbox     actor.Mailbox
+	store       kvstore.Store
+	controller  string
+	controllers []string
+	format      Format
+	// onPublished runs once, when this controller has published its format.
 	onPublished func()
 	// onStatus runs on every change of the status.
 	onStatus func(Status)
@@ -84,20 +84,20 @@
 	missingLoggedAt clock.Micros
 }
 
-// New returns the actor of the given node, one of nodes, which reads the given format. From its mailbox
-// the actor calls onPublished once, when it has published that format, and onStatus on every change of the
-// status.
-func New(m actor.Mailbox, s kvstore.Store, node string, nodes []string, format Format,
+// New returns the actor of the given controller, one of controllers, which reads the given format. From
+// its mailbox the actor calls onPublished once, when it has published that format, and onStatus on every
+// change of the status.
+func New(m actor.Mailbox, s kvstore.Store, controller string, controllers []string, format Format,
 	onPublished func(), onStatus func(Status)) *Rollout {
-	return &Rollout{mailbox: m, store: s, node: node, nodes: nodes, format: format,
+	return &Rollout{mailbox: m, store: s, controller: controller, controllers: controllers, format: format,
 		onPublished: onPublished, onStatus: onStatus}
 }
 
-// Start begins to publish this node's format and to poll those of the others.
+// Start begins to publish this controller's format and to poll those of the others.
 func (r *Rollout) Start() { r.mailbox.Post(r.poll) }
 
-// poll reads all keys and takes the next step. Polling ends when the gate has reached this node's
-// format.
+// poll reads all keys and takes the next step. Polling ends when the gate has reached this
+// controller's format.
 func (r *Rollout) poll() {
 	r.store.List(prefix, "", func(result kvstore.Result[protocol.ItemList]) {
 		if result.Err != nil {
@@ -134,34 +134,35 @@
 // gate returns the format of the gate, which all controllers read.
 func (v view) gate() Format { return v.formats[gateKey] }
 
-// commonFormat returns the latest format that all nodes have published, at most this node's.
+// commonFormat returns the latest format that all controllers have published, at most this controller's.
 func (r *Rollout) commonFormat(v view) Format {
 	common := r.format
-	for _, node := range r.nodes {
-		common = min(common, v.formats[nodePrefix+node])
+	for _, controller := range r.controllers {
+		common = min(common, v.formats[controllerPrefix+controller])
 	}
 	return common
 }
 
-// missing returns the nodes that haven't published this node's format, none once the gate has reached it.
+// missing returns the controllers that haven't published this controller's format, none once the gate
+// has reached it.
 func (r *Rollout) missing(v view) []string {
 	if v.gate() >= r.format {
 		return nil
 	}
 	var missing []string
-	for _, node := range r.nodes {
-		if v.formats[nodePrefix+node] < r.format {
-			missing = append(missing, node)
+	for _, controller := range r.controllers {
+		if v.formats[controllerPrefix+controller] < r.format {
+			missing = append(missing, controller)
 		}
 	}
 	return missing
 }
 
-// advance takes the next step: publish this node's format, raise the gate, or wait.
+// advance takes the next step: publish this controller's format, raise the gate, or wait.
 func (r *Rollout) advance(v view) {
 	r.updateStatus(Status{Services: v.gate() >= FormatServices, Cells: v.gate() >= FormatCells,
 		Missing: r.missing(v)})
-	ownKey := nodePrefix + r.node
+	ownKey := controllerPrefix + r.controller
 	common := r.commonFormat(v)
 	switch {
 	case v.gate() >= r.format:
--- a/internal/scaling/cloudview.go
+++ b/internal/scaling/cloudview.go
@@ -23,7 +23,7 @@
 type CloudView struct {
 	// Types are the machine types by name.
 	Types map[string]protocol.MachineType
-	// OutOfCapacity are the pools that reported no capacity a short while ago.
+	// OutOfCapacity are the pools for which the cloud reported no capacity a short while ago.
 	OutOfCapacity map[CapacityPool]bool
 	// ZonesAtRisk are the zones that were lost and may be lost again. ScaleOut adds machines there
 	// only for tasks that may have no other zone.
--- a/internal/scaling/cordon.go
+++ b/internal/scaling/cordon.go
@@ -9,24 +9,26 @@
 )
 
 const (
-	// minFreeFraction is the fraction of a machine that must be free for SurplusMachines to consider it.
-	// Fuller machines are used well enough, and each evaluation costs a plan.
+	// minFreeFraction is the fraction of a machine that must be free for SurplusMachines to
+	// consider it. Fuller machines are used well enough, and each evaluation costs a plan.
 	minFreeFraction = 0.4
 
-	// uncordonFillScale scales the fill that urgent demand needs to add a machine down to the fill
-	// that it needs to keep a cordoned one: that machine is ready at once, without a boot.
+	// uncordonFillScale is the part of the fill required for adding a machine that suffices for
+	// uncordoning one: a cordoned machine is ready at once, without a boot.
 	uncordonFillScale = 0.5
 )
 
-// SurplusMachines returns the names of surplus machines, those with the most expensive free part first.
-// Machines are surplus if all running and pending tasks, including the tasks on these machines,
-// would fit without them. Cordoned machines take no new tasks, so that they empty and the caller
-// can release them. The caller uncordons those that it needs after all.
+// SurplusMachines returns the names of surplus machines, those with the most expensive free part
+// first. Machines are surplus if all running and pending tasks, including the tasks on these
+// machines, would fit without them. The caller cordons the surplus machines: cordoned machines take
+// no new tasks, so that they empty and the caller can release them. The caller uncordons those
+// that it needs after all.
 //
 // Each evaluation makes one plan, for a batch of machines at once. The batch doubles after an
 // evaluation that finds all of its machines surplus, and halves after one that doesn't: at the end
-// of a day hundreds of machines are surplus, in the middle of it hardly any. SurplusMachines makes at most
-// the given number of evaluations, and returns the batch with which the next call should begin.
+// of a day hundreds of machines are surplus, in the middle of it hardly any. SurplusMachines makes
+// at most the given number of evaluations, and returns the batch size with which the next call
+// should begin.
 func SurplusMachines(
 	snapshot planner.Snapshot, evaluations, batch int,
 ) (names []protocol.MachineName, nextBatch int) {
@@ -122,8 +124,8 @@
 }
 
 // NeedsUncordon reports whether unmet demand needs the cordoned machines of a pool after all: if
-// scale-out would add a machine of the pool for it, or if the demand fills half of what scale-out
-// requires, since cordoned machines are ready already.
+// scale-out pays the pool's price for one of the jobs. Urgent demand needs to fill only half of
+// what scale-out requires for a premium, since cordoned machines are ready already.
 func (view *CloudView) NeedsUncordon(pool CapacityPool, unmet []planner.UnmetDemand) bool {
 	urgent := view.newUrgentDemand(unmet)
 	return slices.ContainsFunc(unmet, func(demand planner.UnmetDemand) bool {
--- a/internal/scaling/doc.go
+++ b/internal/scaling/doc.go
@@ -4,13 +4,13 @@
 // The package is pure: its decisions depend only on their arguments, and it does no I/O and reads
 // no clock. The same arguments always yield the same decisions.
 //
-// It defines prices and what the cluster pays for which job: which capacity pools have a fair price
-// for a job, and when a job's service-level objective justifies a premium. Package planner places
-// the tasks. The leader sends the requests to the cloud, limits their rate, retries them and
-// remembers which pools are out of capacity.
+// It compares prices and decides what the cluster pays for which job: which capacity pools have a
+// fair price for a job, and when a job's service-level objective justifies a premium. Package
+// planner places the tasks. The leader sends the requests to the cloud, limits their rate, retries
+// them and remembers which pools are out of capacity.
 //
 // The leader calls the package after each plan with the unmet demand, and every few seconds to find
-// machines to cordon. Admission asks it whether a job fits any machine type at all. The paper that
-// the planner follows assumes a fixed set of nodes, so that nothing here comes from it; see the
-// section on machines in docs/design.md.
+// machines to cordon. Admission uses it to check whether a job fits any machine type at all. The
+// paper that the planner follows assumes a fixed set of machines, so that nothing here is based on
+// it; see the section on machines in docs/design.md.
 package scaling
--- a/internal/scaling/idle.go
+++ b/internal/scaling/idle.go
@@ -21,9 +21,9 @@
 // IdleTimeout returns how long to keep an idle machine. For a machine that may be needed, that is
 // the boot time of its type: replacing it costs a boot, during which the cluster pays for the new
 // machine and the work waits.
-func (view *CloudView) IdleTimeout(i IdleMachine) clock.Micros {
-	if !i.Needed || i.Cordoned {
+func (view *CloudView) IdleTimeout(machine IdleMachine) clock.Micros {
+	if !machine.Needed || machine.Cordoned {
 		return unneededIdleTimeout
 	}
-	return clock.FromSeconds(view.Types[i.Pool.Type].BootS)
+	return clock.FromSeconds(view.Types[machine.Pool.Type].BootS)
 }
--- a/internal/scaling/price.go
+++ b/internal/scaling/price.go
@@ -38,7 +38,7 @@
 	lateJobWaitS = 60
 
 	// anyPriceLatenessS is how many seconds late a job is when scale-out starts to pay any price
-	// for it. It is far longer than the wait for a cheaper machine that may still come.
+	// for it. It is far longer than the wait for a cheaper machine that may become available.
 	anyPriceLatenessS = 300
 )
 
@@ -56,7 +56,8 @@
 }
 
 // FairlyPriced reports whether a task of the job costs not much more in the pool than in the
-// cheapest pool. Scale-out uses pools with other prices only for jobs that can't wait.
+// cheapest pool, or the price of the pool's machines is negligible. Scale-out uses pools with other
+// prices only for jobs that can't wait.
 func (view *CloudView) FairlyPriced(pool CapacityPool, job *planner.Job) bool {
 	return view.priceMultiple(pool, job) <= fairMultiple ||
 		view.HourlyPrice(pool) <= negligiblePriceFraction*view.highestPrice()
@@ -81,8 +82,8 @@
 // lowestTaskPrice returns the lowest price for a task on a machine that such tasks fill, whether or
 // not that machine's pool has capacity at present.
 func (view *CloudView) lowestTaskPrice(spec *protocol.JobSpec) float64 {
-	if known, ok := view.lowestPrices[spec]; ok {
-		return known
+	if cached, ok := view.lowestPrices[spec]; ok {
+		return cached
 	}
 	lowest := 0.0
 	for pool, tasks := range view.usablePools(spec) {
--- a/internal/scaling/scaleout.go
+++ b/internal/scaling/scaleout.go
@@ -17,9 +17,8 @@
 	Count int
 }
 
-// ScaleOut chooses machines for unmet demand. For each job it chooses the pool with the lowest
-// price per task that a machine would hold of the job. The order of the demand is that of the
-// queue.
+// ScaleOut chooses machines for unmet demand, which is in the order of the queue. For each job it
+// chooses the pool with the lowest price for each of the job's tasks that a machine would hold.
 func (view *CloudView) ScaleOut(unmet []planner.UnmetDemand) []ScaleOutDecision {
 	s := view.newScaleOut(unmet)
 	for i := range s.unmet {
@@ -45,6 +44,8 @@
 	free planner.Resources
 }
 
+// newScaleOut returns the initial state of a ScaleOut call. It copies the unmet demand, which the
+// call modifies.
 func (view *CloudView) newScaleOut(unmet []planner.UnmetDemand) *scaleOut {
 	unmet = slices.Clone(unmet)
 	return &scaleOut{cloud: view, unmet: unmet, urgent: view.newUrgentDemand(unmet)}
@@ -55,7 +56,8 @@
 func (s *scaleOut) addMachinesFor(demand *planner.UnmetDemand) {
 	request := planner.TaskResources(demand.Job.Spec)
 	zones := demand.Job.TasksByZone()
-	// Machines before this index have no free capacity for a task of this job, and gain none.
+	// No machine before this index can take another task of this job: free capacity never grows,
+	// and an excluded zone stays excluded.
 	at := 0
 	for demand.Tasks > 0 {
 		for at < len(s.machines) && !s.machines[at].takes(demand.Job, request, zones) {
--- a/internal/scaling/urgentdemand.go
+++ b/internal/scaling/urgentdemand.go
@@ -11,11 +11,12 @@
 	unmet []planner.UnmetDemand
 	// filled caches the results of machinesFilled.
 	filled map[CapacityPool]float64
-	// placed counts the tasks of the job being placed that filled doesn't reflect yet: see
+	// placed counts the placed tasks of the current job that filled doesn't reflect yet: see
 	// subtractPlaced.
 	placed int
 }
 
+// newUrgentDemand returns the urgent part of the unmet demand, which it doesn't copy.
 func (view *CloudView) newUrgentDemand(unmet []planner.UnmetDemand) *urgentDemand {
 	return &urgentDemand{cloud: view, unmet: unmet, filled: map[CapacityPool]float64{}}
 }
@@ -43,7 +44,7 @@
 	return planner.TaskResources(job.Spec).DominantShare(Capacity(view.Types[pool.Type]))
 }
 
-// taskPlaced records that one more task of the job being placed is no longer unmet.
+// taskPlaced records that one more task of the current job is no longer unmet.
 func (d *urgentDemand) taskPlaced() { d.placed++ }
 
 // subtractPlaced subtracts the tasks of a job that were placed since the last call.
