--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -37,7 +37,7 @@
 	leases  protocol.LeaseID
 	get     func(kvstore.Result[protocol.Item])
 	commit  func(kvstore.Result[protocol.Revision])
-	follow  func(kvstore.Result[protocol.WatchResponse])
+	watch   func(kvstore.Result[protocol.WatchResponse])
 	renew   func(error)
 	txns    []protocol.Txn
 	renewed []protocol.LeaseID
@@ -57,7 +57,7 @@
 }
 func (s *pendingStore) Watch(_ string, _ protocol.Revision, _ clock.Micros,
 	done func(kvstore.Result[protocol.WatchResponse])) {
-	s.follow = done
+	s.watch = done
 }
 
 // keyIs responds to the read of the leader's key.
@@ -146,6 +146,9 @@
 	}
 }
 
+// The term must end before the store can expire the lease, or two controllers could lead at once. It
+// is valid for the TTL of 4 s from the request for the lease, less a margin of 204 ms. The elected
+// controller announces itself as the leader.
 func TestElectedNodePublishesTermAndItself(t *testing.T) {
 	x := newLeader()
 	want := Term{Epoch: 5, RenewedAt: clock.Second, ValidUntil: 5*clock.Second - 204*clock.Millisecond}
@@ -157,6 +160,8 @@
 	}
 }
 
+// The store may extend the lease as soon as the leader has sent the renewal. If the term counted from
+// the response, it could outlast the lease.
 func TestRenewalExtendsTermFromWhenItWasSent(t *testing.T) {
 	x := newLeader()
 	x.mailbox.advance(800 * clock.Millisecond)
@@ -168,6 +173,9 @@
 	}
 }
 
+// A renewal that fails doesn't end the term, because the next one may succeed in time. Only if the
+// store reports that the lease no longer exists, the leader steps down and announces that there is no
+// leader.
 func TestFailedRenewalKeepsTermUntilLeaseExpires(t *testing.T) {
 	x := newLeader()
 	for _, err := range []error{kvstore.ErrNoResponse, kvstore.ErrUnavailable, kvstore.ErrThrottled,
@@ -182,6 +190,8 @@
 	}
 }
 
+// A higher epoch from a worker proves that another controller was elected, so the leader steps down.
+// Its own epoch proves nothing.
 func TestOnlyHigherEpochDeposes(t *testing.T) {
 	x := newLeader()
 	x.ObserveEpoch(5)
@@ -190,6 +200,9 @@
 	x.expectEpoch(t, 0)
 }
 
+// A controller that resigns deletes the leader's key at the version of its term. It claims the key
+// again only after 12 s, even if nobody holds it. Otherwise it could be elected again before a
+// controller that workers can reach.
 func TestNodeThatResignedDoesNotStandForAWhile(t *testing.T) {
 	x := newLeader()
 	x.Resign()
@@ -214,6 +227,9 @@
 	}
 }
 
+// A follower campaigns as soon as the watch reports the deletion of the leader's key, and not on a
+// response without changes. Otherwise it would campaign against a valid leader, or the cluster would
+// have no leader for longer.
 func TestFollowerCampaignsOnceKeyIsGone(t *testing.T) {
 	x := newCandidate()
 	other := protocol.Encode(holder{Node: "m", Incarnation: "other", Lease: 1})
@@ -221,21 +237,23 @@
 	if !slices.Equal(x.leader, []string{"m"}) {
 		t.Fatalf("announced %q, expected m", x.leader)
 	}
-	x.store.follow(kvstore.Result[protocol.WatchResponse]{Value: protocol.WatchResponse{Revision: 4}})
+	x.store.watch(kvstore.Result[protocol.WatchResponse]{Value: protocol.WatchResponse{Revision: 4}})
 	if len(x.store.txns) > 0 {
 		t.Fatal("campaigns against a leader whose key hasn't changed")
 	}
 	gone := protocol.WatchResponse{Revision: 5, Events: []protocol.Event{{Delete: LeaderKey, Version: 5}}}
-	x.store.follow(kvstore.Result[protocol.WatchResponse]{Value: gone})
+	x.store.watch(kvstore.Result[protocol.WatchResponse]{Value: gone})
 	if len(x.store.txns) != 1 || x.store.txns[0].Conditions[0].Version != 0 {
 		t.Fatalf("%+v, expected one claim of an absent key", x.store.txns)
 	}
 }
 
+// A follower that can't read the leader's key no longer announces the leader once its last successful
+// read is more than 7 s old: workers redirected to that leader could find that it no longer leads.
 func TestLeaderUnseenForAWhileIsNotNamed(t *testing.T) {
 	x := newCandidate()
 	x.store.keyIs(protocol.Encode(holder{Node: "m", Incarnation: "other", Lease: 1}), 3)
-	x.store.follow(kvstore.Result[protocol.WatchResponse]{Err: kvstore.ErrUnavailable})
+	x.store.watch(kvstore.Result[protocol.WatchResponse]{Err: kvstore.ErrUnavailable})
 	x.mailbox.advance(7 * clock.Second)
 	x.store.get(kvstore.Result[protocol.Item]{Err: kvstore.ErrNoResponse})
 	if !slices.Equal(x.leader, []string{"m"}) {
@@ -248,6 +266,8 @@
 	}
 }
 
+// A result of an earlier round, here that the leader's key is absent, may arrive late. The candidate
+// drops it. Otherwise a leader would campaign again.
 func TestResponsesOfEarlierRoundsAreDropped(t *testing.T) {
 	x := newCandidate()
 	early := x.store.get
--- a/internal/election/golden_test.go
+++ b/internal/election/golden_test.go
@@ -41,7 +41,7 @@
 			"ete\xaflead/controller")
 }
 
-// A candidate announces the node that the recorded value names as the leader.
+// A candidate announces the controller that the recorded value names as the leader.
 func TestGoldenHolderIsNamed(t *testing.T) {
 	mailbox, store := &manualMailbox{now: clock.Second}, &pendingStore{}
 	announced := ""
--- a/internal/election/transaction_test.go
+++ b/internal/election/transaction_test.go
@@ -10,6 +10,9 @@
 	"postpoint/internal/protocol"
 )
 
+// Every transaction requires the leader's key at the version of the epoch, so that a deposed leader
+// changes nothing. That condition comes first; the others and the changes follow in the order of the
+// calls. RequireOnce skips only a condition that the transaction has already.
 func TestTransactionIsGuardedByLeadersKeyFirst(t *testing.T) {
 	store := &pendingStore{}
 	txn := NewTransaction(7)
@@ -35,6 +38,9 @@
 	}
 }
 
+// Only a conflict on the leader's key means lost leadership. If another error counted as such, a valid
+// leader would step down; if the conflict didn't count, a deposed leader would continue. The error also
+// matches a conflict and keeps the failed keys, and any other error stays unchanged.
 func TestTransactionTellsLostLeadershipFromOtherConflicts(t *testing.T) {
 	conflict := func(keys ...string) error { return &kvstore.ConflictError{Keys: keys, Revision: 9} }
 	for _, c := range []struct {
--- a/internal/jobrecord/capacity_test.go
+++ b/internal/jobrecord/capacity_test.go
@@ -6,9 +6,10 @@
 	"postpoint/internal/protocol"
 )
 
-// The store rejects a value that exceeds its limit, so that the leader could no longer write the record.
-// StartCapacity must stop a very large job in time, even if every other task is done and every running
-// one has a machine of its own.
+// The store rejects a value that exceeds its limit, so that the leader could no longer write the
+// record. However a very large job proceeds, StartCapacity must stop its starts in time for the
+// smallest value limit, even if every other task is done and every running one has a machine of its
+// own.
 func TestRecordStaysWithinLimit(t *testing.T) {
 	const limit = 8 << 10
 	record := New(protocol.JobSpec{ID: "job-000001", Class: "c", Team: "t", Shape: protocol.ShapeArray,
--- a/internal/jobrecord/codec_test.go
+++ b/internal/jobrecord/codec_test.go
@@ -69,6 +69,7 @@
 	}
 }
 
+// BenchmarkEncodeWide measures the encoding of a record with 2,000 running tasks.
 func BenchmarkEncodeWide(b *testing.B) {
 	record := wideArray()
 	for b.Loop() {
@@ -76,6 +77,7 @@
 	}
 }
 
+// BenchmarkDecodeWide measures the decoding of a record with 2,000 running tasks.
 func BenchmarkDecodeWide(b *testing.B) {
 	value := wideArray().Encode()
 	for b.Loop() {
@@ -85,6 +87,7 @@
 	}
 }
 
+// BenchmarkEncode measures the encoding and decoding of a record with 248 running tasks.
 func BenchmarkEncode(b *testing.B) {
 	record := New(protocol.JobSpec{ID: "job-000001", Tasks: 248}, 1)
 	for task := range 248 {
--- a/internal/jobrecord/golden_test.go
+++ b/internal/jobrecord/golden_test.go
@@ -377,8 +377,9 @@
 	}
 }
 
-// This version decodes values that it doesn't write itself: records without the optional fields, and
-// placements in any order. It rejects malformed placements and markers.
+// This version decodes values that earlier versions wrote and that it doesn't write itself: records
+// without the fields that were added later, and placements in any order. It rejects malformed
+// placements and markers.
 func TestGoldenRecordsOfOtherForms(t *testing.T) {
 	type stored struct {
 		Spec   map[string]any `msgpack:"spec"`
--- a/internal/jobrecord/shards_test.go
+++ b/internal/jobrecord/shards_test.go
@@ -114,6 +114,8 @@
 	}
 }
 
+// A malformed shard must add no task to the record, and a shard must place no task of another shard.
+// Otherwise a corrupt value would make tasks count as done or placed that aren't.
 func FuzzApplyShard(f *testing.F) {
 	sharded := func() *Record {
 		record := New(protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 200}, 1)
--- a/internal/jobrecord/taskset_test.go
+++ b/internal/jobrecord/taskset_test.go
@@ -43,6 +43,9 @@
 	}
 }
 
+// Whatever text ParseTaskSet accepts, the encoded set must parse to a set of the same size. Otherwise
+// done tasks could be lost or added when a record is written again. No text may make ParseTaskSet
+// panic.
 func FuzzParseRanges(f *testing.F) {
 	for _, s := range []string{"", "0", "0-5,7", "7,3", "1-", "0-99999999999", "3-3,4"} {
 		f.Add(s)
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -39,7 +39,7 @@
 	"commit": func(s Store, done func(error)) {
 		s.Commit(PriorityUser, protocol.Txn{}, errOnly[protocol.Revision](done))
 	},
-	"follow": func(s Store, done func(error)) {
+	"watch": func(s Store, done func(error)) {
 		s.Watch("a/", 1, 0, errOnly[protocol.WatchResponse](done))
 	},
 	"grant": func(s Store, done func(error)) { s.Grant(clock.Second, errOnly[protocol.LeaseID](done)) },
@@ -63,6 +63,9 @@
 	return -1 // an error that isn't one of this package
 }
 
+// Callers decide by the error how to proceed after a failed request. What a status means depends on the
+// operation: 404 is a missing key for a read and a missing lease for a renewal, for example. The error
+// also keeps the status of the response.
 func TestStatusMapsToErrorByOperation(t *testing.T) {
 	// By status and operation. Operations that aren't listed get the error of "".
 	want := map[int]map[string]error{
@@ -72,7 +75,7 @@
 		400: {"": ErrInvalid},
 		404: {"": ErrUnexpectedStatus, "get": ErrNotFound, "renew": ErrLeaseNotFound},
 		409: {"": ErrUnexpectedStatus, "commit": ErrConflict},
-		410: {"": ErrUnexpectedStatus, "follow": ErrCompacted},
+		410: {"": ErrUnexpectedStatus, "watch": ErrCompacted},
 		429: {"": ErrThrottled},
 		500: {"": ErrServerFailure},
 		503: {"": ErrUnavailable},
@@ -99,6 +102,8 @@
 	}
 }
 
+// A response of status 200 whose body is malformed counts as no response, because the client can't
+// tell what the store did. As a success, it would give the caller an empty result.
 func TestGarbageAfterSuccessLeavesOutcomeUnknown(t *testing.T) {
 	client, mailbox := newServedStore(t, ampleLimits, http.StatusOK, []byte{0xc1})
 	for operation, request := range requests {
@@ -112,6 +117,8 @@
 	}
 }
 
+// A malformed body doesn't change what the status of a failed response means. The conflict then has no
+// keys.
 func TestGarbageAfterFailureKeepsStatus(t *testing.T) {
 	client, mailbox := newServedStore(t, ampleLimits, http.StatusConflict, []byte("<html>"))
 	var got error
@@ -123,6 +130,8 @@
 	}
 }
 
+// A request for which there is no connection has an unknown outcome, like one without a response. The
+// caller must not count it as not executed.
 func TestNoConnectionLeavesOutcomeUnknown(t *testing.T) {
 	mailbox := actortest.ChannelMailbox{Now: clock.Second, Messages: make(chan func())}
 	server := httptest.NewServer(nil)
@@ -136,6 +145,9 @@
 	}
 }
 
+// A commit returns what the caller needs to proceed: the revision, the failed keys of a conflict, and
+// the store's reason. The store rejects a transaction with a missing lease as invalid, so only the
+// reason distinguishes it from other invalid requests.
 func TestCommitReportsRevisionConflictAndReason(t *testing.T) {
 	commit := func(status int, body protocol.TxnResponse) Result[protocol.Revision] {
 		client, mailbox := newServedStore(t, ampleLimits, status, protocol.Encode(body))
@@ -188,6 +200,9 @@
 	}
 }
 
+// A request beyond the client's own rate limit fails as throttled and not executed. The error has the
+// time after which to retry: without it, the caller couldn't tell when the limit allows another
+// request.
 func TestOwnLimitThrottlesWithTimeToRetry(t *testing.T) {
 	client, mailbox := newServedStore(t, settings.KVStore{Rps: 0.2, WriteRps: 0.2}, http.StatusOK, nil)
 	store := client.For(mailbox)
--- a/internal/kvstore/golden_test.go
+++ b/internal/kvstore/golden_test.go
@@ -44,7 +44,7 @@
 	requireRequest(t, "next page", listBytes, list,
 		"GET /kv?From=jobs%2Fjob-1&Limit=500&Prefix=jobs%2F\nUser-Agent: Go-http-client/1.1\n\n",
 		func(s Store, done func(Result[protocol.ItemList])) { s.List("jobs/", "jobs/job-1", done) })
-	requireRequest(t, "follow", "\x82\xa6Ledger\xcd\x01\x2c\xa3Log\x91\x81\xa6Delete\xa1a",
+	requireRequest(t, "watch", "\x82\xa6Ledger\xcd\x01\x2c\xa3Log\x91\x81\xa6Delete\xa1a",
 		protocol.WatchResponse{Revision: 300, Events: []protocol.Event{{Delete: "a"}}},
 		"GET /follow?BlockMs=2500&From=299&Prefix=jobs%2F\nUser-Agent: Go-http-client/1.1\n\n",
 		func(s Store, done func(Result[protocol.WatchResponse])) {
--- a/internal/kvstore/storetest/service_test.go
+++ b/internal/kvstore/storetest/service_test.go
@@ -105,6 +105,9 @@
 	return failure.Status
 }
 
+// Tests of other packages rely on this client instead of the real one. For every operation and status,
+// it must return the error that kvstore.ResponseError returns, or kvstore.ErrNoResponse for status 0,
+// and the value that the fake service responds with.
 func TestClientReturnsErrorOfEveryStatus(t *testing.T) {
 	for op, request := range requests {
 		for status := range 1000 {
@@ -132,6 +135,8 @@
 	}
 }
 
+// The error of a failed transaction has the store's reason, and the error of a conflict has the failed
+// keys. Without them, tests couldn't check how callers handle conflicts.
 func TestClientReturnsReasonAndFailedKeysOfTransactions(t *testing.T) {
 	for status := range 1000 {
 		var got outcome
--- a/internal/leader/cancellations_test.go
+++ b/internal/leader/cancellations_test.go
@@ -54,10 +54,10 @@
 	}
 }
 
-// The deadline of a cancellation counts from the time in the job's record, whichever node leads, even if
-// the leader's process is younger than the cancellation. The clocks of the two nodes may be off in
-// either direction, so the leader subtracts both clock errors. If a new leader counted from its own
-// start, cancelled tasks would run for too long.
+// The deadline of a cancellation counts from the time in the job's record, whichever controller leads,
+// even if the leader's process is younger than the cancellation. The clocks of the two controllers may
+// be off in either direction, so the leader subtracts both clock errors. If a new leader counted from
+// its own start, cancelled tasks would run for too long.
 func TestCancellationsCountFromTheirRecords(t *testing.T) {
 	l, j, _, mailbox := leaderWithOneTask(t)
 	l.state.Settings.Deployment.ClockErrorMs = 250
--- a/internal/leader/cells_delegating_test.go
+++ b/internal/leader/cells_delegating_test.go
@@ -16,9 +16,9 @@
 	"postpoint/internal/protocol"
 )
 
-// The leader doesn't know the zones of tasks that it has delegated to another cell. While it has
-// delegated some, it plans no other task of a job whose tasks' zones depend on each other: it might
-// choose a wrong zone.
+// The leader doesn't know the zones of tasks that it has delegated to another cell. If the zones of a
+// job's tasks depend on each other, as those of a job that must stay in one zone, it plans no other
+// task of the job while some are delegated: it might choose a wrong zone.
 func TestDelegatedTasksHaveUnknownZones(t *testing.T) {
 	for _, oneZone := range []bool{false, true} {
 		l, j, _, mailbox := delegatingLeader(t)
@@ -121,8 +121,8 @@
 	}
 }
 
-// A transaction that conflicts on the leader's key shows that another node leads. The leader must step
-// down, and not handle this as a conflict on the delegation's record.
+// A transaction that conflicts on the leader's key shows that another controller leads. The leader must
+// step down, and not handle this as a conflict on the delegation's record.
 func TestDelegationConflictDeposesLeader(t *testing.T) {
 	l, store, _ := createDelegation(t)
 	deposedBy := protocol.Epoch(0)
--- a/internal/leader/cells_hosting_test.go
+++ b/internal/leader/cells_hosting_test.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// A worker that hangs keeps its hosted tasks until its machine is released. Whichever node leads, the
-// host must release the machine within the time that its heartbeats announce to the origin cell, because
-// the origin cell may start the tasks again after that time.
+// A worker that hangs keeps its hosted tasks until its machine is released. Whichever controller
+// leads, the host must release the machine within the time that its heartbeats announce to the origin
+// cell, because the origin cell may start the tasks again after that time.
 func TestHungMachinesWithHostedTasksAreReleasedInTime(t *testing.T) {
 	l, j, _, _ := hostingLeader(t)
 	terminationTime := cells.MaxTerminationTime(l.state.Settings.Deployment.Workers.Lease()) -
@@ -86,7 +86,8 @@
 }
 
 // The leader sends no start command for a hosted task after the job's permission has expired, even if
-// the command was waiting to be sent. It may send stop commands as long as its lease is valid.
+// the command was waiting to be sent. Otherwise the task could start here after the origin cell has
+// started it again. The leader may send stop commands as long as its lease is valid.
 func TestStartCommandsExpireWithPermission(t *testing.T) {
 	l, j, m, mailbox := hostingLeader(t)
 	worker := &deadlineRecorder{}
@@ -104,7 +105,7 @@
 	}
 }
 
-// deadlineRecorder records until when the client may send the last commands.
+// deadlineRecorder records the time until which the client may send the last commands.
 type deadlineRecorder struct{ until clock.Micros }
 
 func (c *deadlineRecorder) Commands(_ string, _ protocol.CommandRequest, until clock.Micros,
--- a/internal/leader/cells_permissions_test.go
+++ b/internal/leader/cells_permissions_test.go
@@ -22,8 +22,8 @@
 }
 
 // A permission counts from the time up to which the leader knows all cancellations, not from now.
-// Otherwise a host could keep a task running for too long whose cancellation the leader has not received
-// yet. A cancelled job gets no permission.
+// Otherwise, if the leader hasn't received a cancellation yet, the host could keep the cancelled task
+// running for too long. A cancelled job gets no permission.
 func TestPermissionsCountFromWhatIsKnown(t *testing.T) {
 	l, j, _, mailbox := delegatingLeader(t)
 	mailbox.Now += 2 * clock.Second // since the leader last read its records and renewed its lease
@@ -42,8 +42,8 @@
 }
 
 // Only a leader that has read all records knows that a delegation doesn't exist, so only it tells the
-// host to forget one. A node without the lease, or a leader with a malformed delegation record, would
-// make the host drop a valid delegation.
+// host to forget one. A controller without the lease, or a leader with a malformed delegation record,
+// would make the host drop a valid delegation.
 func TestOnlyLeadersWithAllRecordsForgetDelegations(t *testing.T) {
 	l, j, _, mailbox := delegatingLeader(t)
 	mailbox.Now += 2 * clock.Second
@@ -58,7 +58,7 @@
 	l.state.Term.ValidUntil = mailbox.Now
 	if a := sendDelegationStatus(l, delegation.Status{}); a.Result != delegation.Processed ||
 		len(a.Directives) != 0 {
-		t.Fatalf("got %+v from a node without the lease, want a response without directives", a)
+		t.Fatalf("got %+v from a controller without the lease, want a response without directives", a)
 	}
 	l.state.Term.ValidUntil = mailbox.Now + clock.Second
 	l.origin.HasMalformed = true
--- a/internal/leader/commitoutcome_test.go
+++ b/internal/leader/commitoutcome_test.go
@@ -34,7 +34,7 @@
 	if len(store.txns) != 2 || fmt.Sprint(store.txns[0]) != fmt.Sprint(store.txns[1]) {
 		t.Fatalf("got transactions %v, want the same one twice", store.txns)
 	}
-	// The store has applied the first transaction meanwhile, so the retry conflicts.
+	// The store has since applied the first transaction, so the retry conflicts.
 	store.respond(conflictOn(jobrecord.Key("job-1")))
 	if !j.MustReload() {
 		t.Fatal("no reload of the record is due after a conflict on it")
--- a/internal/leader/golden_test.go
+++ b/internal/leader/golden_test.go
@@ -441,9 +441,9 @@
 	other, _, _, _ := leaderWithOneTask(t)
 	other.state.Term.Epoch, other.state.KnownLeader = 0, "worker-1"
 	status, body = respondTo(other, workerHeartbeat(1, 1))
-	goldentest.Equal(t, "another node leads", body, "\x81\xaaDispatcher\xa8worker-1")
+	goldentest.Equal(t, "another controller leads", body, "\x81\xaaDispatcher\xa8worker-1")
 	if status != 421 {
-		t.Errorf("another node leads: got status %d, want 421", status)
+		t.Errorf("another controller leads: got status %d, want 421", status)
 	}
 	released, _, _, mailbox := leaderWithOneTask(t)
 	released.machines.Released["m-1"] = mailbox.Now
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -111,7 +111,7 @@
 
 // Heartbeats that arrive while a new leader reads its records get a response once it has read them, or a
 // refusal if that takes too long. If the leader refused them at once, all workers would try the other
-// nodes and return a second later with new connections.
+// controllers and return a second later with new connections.
 func TestEarlyHeartbeatsWaitForRecords(t *testing.T) {
 	for _, read := range []bool{true, false} {
 		l, _ := newLeader()
--- a/internal/leader/jobtable/recordstate_test.go
+++ b/internal/leader/jobtable/recordstate_test.go
@@ -51,6 +51,9 @@
 	PhaseShardingReloadDue: {EventRecordLoaded, EventShardsLoaded, EventShardingStarted},
 }
 
+// After a wrong transition, the leader could write a record that it must reload first, or read shards
+// without a fence. Each transition must lead to a phase with the conditions that conditions.after
+// computes. An impossible event must return an error and leave the state unchanged.
 func TestPhaseTransitionsKeepTheConditions(t *testing.T) {
 	for phase := range phaseNames {
 		excluded := map[RecordEvent]bool{}
@@ -75,6 +78,8 @@
 	}
 }
 
+// The queries must return the listed conditions for each phase, and the list must contain every phase.
+// In the list, no two phases have the same conditions.
 func TestPhasesStandForDifferentConditions(t *testing.T) {
 	want := map[RecordPhase]conditions{
 		PhaseCurrent:           {},
@@ -94,6 +99,8 @@
 	}
 }
 
+// The leader could never again write the record of a job in a phase that no event leaves, and a phase
+// that no event reaches would be dead code.
 func TestEveryPhaseCanBeReachedAndLeft(t *testing.T) {
 	reached := map[RecordPhase]bool{PhaseCurrent: true}
 	for range phaseNames {
@@ -114,7 +121,7 @@
 	}
 }
 
-// Reads and stray shards overlap every phase and don't change it.
+// Reads and stray shards overlap every phase, so their events must not change it.
 func TestReadsAndStrayShardsAreIndependentOfThePhase(t *testing.T) {
 	for phase := range phaseNames {
 		s := RecordState{phase: phase, strayShards: true}
@@ -136,6 +143,8 @@
 	}
 }
 
+// An event of the phase must neither end a read in progress nor forget stray shards that are stored.
+// Only EventShardsDropped changes one of the two: it leaves stray shards behind.
 func TestPhaseEventsKeepReadsAndStrayShards(t *testing.T) {
 	for step := range phaseTransitions {
 		for _, loading := range []bool{false, true} {
@@ -151,6 +160,8 @@
 	}
 }
 
+// A read is pending if a reload is due or a read is in progress. The content is known unless a reload
+// is due or the shards are unread. Otherwise the leader could act on an outdated record.
 func TestQueriesCombineTheConditions(t *testing.T) {
 	for phase := range phaseNames {
 		for _, loading := range []bool{false, true} {
@@ -165,6 +176,7 @@
 	}
 }
 
+// NoteRecordEvent must leave the state unchanged if the event can't occur in the present phase.
 func TestUnexpectedRecordEventsLeaveTheStateAlone(t *testing.T) {
 	j := NewJob()
 	j.NoteRecordEvent(EventShardsLoaded) // a new job has no record
--- a/internal/leader/machines_test.go
+++ b/internal/leader/machines_test.go
@@ -10,7 +10,7 @@
 	"postpoint/internal/leader/machinetable"
 )
 
-// After a few runs the leader detects a machine on which tasks take twice as long as elsewhere, even if
+// After a few runs the leader detects a machine on which tasks take twice as long as on others, even if
 // all estimates are wrong, and it notices when the machine has recovered. A comparison with the
 // estimates alone would count every machine as slow.
 func TestSlowMachinesAreDetected(t *testing.T) {
--- a/internal/leader/machinetable/machine_test.go
+++ b/internal/leader/machinetable/machine_test.go
@@ -8,7 +8,7 @@
 )
 
 // The incarnation decides the order of heartbeats first: counters of different incarnations don't
-// compare.
+// compare. By the counter alone, heartbeats of a new incarnation could count as outdated.
 func TestHeartbeatNumbersAreOrdered(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -27,8 +27,10 @@
 	}
 }
 
-// Neither a new incarnation nor an expired lease keeps tasks of the earlier incarnation. Only the
-// expired lease covers incarnations that have placements but sent no heartbeat.
+// Neither a new incarnation nor an expired lease keeps the running tasks of the earlier incarnation:
+// none of them runs any more. Only the expired lease also covers later incarnations that have
+// placements but sent no heartbeat. A new incarnation drops the commands to the earlier one, whereas
+// an expired lease keeps starts that may still arrive.
 func TestNothingOutlivesItsLease(t *testing.T) {
 	ref := AttemptRef{Job: "job-1", Task: 0, Attempt: 1}
 	used := func() *Machine {
--- a/internal/leader/objectives_test.go
+++ b/internal/leader/objectives_test.go
@@ -8,10 +8,10 @@
 	"postpoint/internal/settings"
 )
 
-// The slack of a job that hasn't started is the time left to its next start objective, the last of which
-// is the four minutes within which every job must start. A class that must start sooner than a machine
-// boots has only this last one: otherwise its jobs would lose priority after a few seconds and miss the
-// four minutes too.
+// The slack of a job that hasn't started is the time left to its next start objective. The last
+// objective is the four minutes within which every job must start. For a class that must start sooner
+// than a machine boots, only this last one counts: otherwise the planner would defer the class's jobs
+// once they have missed an objective of a few seconds, and they would miss the four minutes too.
 func TestNextStartObjectiveSetsSlack(t *testing.T) {
 	l, j, _, mailbox := leaderWithOneTask(t)
 	mailbox.Now = 1000 * clock.Second
--- a/internal/leader/reconciler/exits_test.go
+++ b/internal/leader/reconciler/exits_test.go
@@ -7,9 +7,10 @@
 	"postpoint/internal/protocol"
 )
 
-// Each cause has the effect that it proves: a fault of the job or the machine holds the job back, a
-// refusal by the worker marks the machine as full, and a run breaks the attempt of its gang. A wrong
-// effect would restart a failing job without a pause, or complete a gang whose other tasks have ended.
+// Each cause of an exit has only the effects that it proves: a fault of the job or the machine delays
+// the job's next start, a refusal by the worker marks the machine as full, and an exit after which a
+// gang can't be completed with the same attempt number breaks that attempt. A wrong effect would
+// restart a failing job without a pause, or complete a gang whose other tasks have ended.
 func TestEffectsOfExits(t *testing.T) {
 	second := clock.Second
 	for cause, want := range map[string]exitEffect{
--- a/internal/leader/recordapply_test.go
+++ b/internal/leader/recordapply_test.go
@@ -84,9 +84,9 @@
 	}
 }
 
-// A cancellation by another node changes only the head, so the store rejects a shard that is in flight.
-// The leader must not count anything in that shard as committed, and keeps its placements until it has
-// proof that the tasks have ended.
+// A cancellation by another controller changes only the head, so the store rejects a shard that is in
+// flight. The leader must not count anything in that shard as committed, and keeps its placements
+// until it has proof that the tasks have ended.
 func TestCancellationWinsOverShardsInFlight(t *testing.T) {
 	l, store, j := shardedArray(t)
 	cancelled := *j.Record
--- a/internal/leader/recordstore/outcome_test.go
+++ b/internal/leader/recordstore/outcome_test.go
@@ -32,8 +32,9 @@
 	return err
 }
 
-// A wrong classification would make the leader drop a change that the store may still execute, or retry
-// one that it never accepts.
+// The store's response decides what the leader does with the changes of a transaction. A wrong
+// classification would make the leader drop a change that the store may still apply, or retry a change
+// that the store never accepts.
 func TestOutcomesOfTransactions(t *testing.T) {
 	for name, c := range map[string]struct {
 		status  int
--- a/internal/leader/reserve_test.go
+++ b/internal/leader/reserve_test.go
@@ -52,7 +52,7 @@
 		jobs, onOneMachine, n int
 	}{
 		{"one job", 1, 3, 4 + 3},
-		{"six jobs in a minute, which is the slowest boot", 6, 3, 24 + 3},
+		{"six jobs in the 60 s that the slowest boot may take", 6, 3, 24 + 3},
 		{"a machine with many replicas", 1, 100, 4 + machinetable.MaxLossReserve},
 	} {
 		m.View.Replicas = c.onOneMachine
--- a/internal/leader/scaleout_test.go
+++ b/internal/leader/scaleout_test.go
@@ -49,8 +49,8 @@
 
 // scalingLeader returns a leader whose cloud has one machine type, in one zone.
 func scalingLeader() (*Leader, *fakeCloud, *delayedMailbox) {
-	l, still := newLeader()
-	mailbox := &delayedMailbox{SynchronousMailbox: still}
+	l, synchronous := newLeader()
+	mailbox := &delayedMailbox{SynchronousMailbox: synchronous}
 	l.state.Mailbox = mailbox
 	cloud := &fakeCloud{}
 	l.autoscaler.Cloud = cloudtest.Client(cloud)
@@ -77,7 +77,8 @@
 
 // A scale-out request without a response may have started machines. The leader retries it up to three
 // times with the same idempotency key, so that the cloud doesn't start them twice, and sends no other
-// request meanwhile. After that it pauses before the next request, which has a key of its own.
+// scale-out request until then. After the last retry it pauses before the next request, which has a
+// key of its own.
 func TestScaleOutWithoutResponseIsRetriedWithItsIdempotencyKey(t *testing.T) {
 	l, cloud, mailbox := scalingLeader()
 	l.autoscaler.ScaleOut(unmetDemand(1))
@@ -171,8 +172,8 @@
 	}
 }
 
-// If the cloud throttles a scale-out, the leader pauses all requests to the cloud. It doesn't treat the
-// pool as out of capacity, which would turn it to other pools without need.
+// If the cloud throttles a scale-out, the leader pauses all requests to the cloud. It doesn't treat
+// the pool as out of capacity, because it would then use other pools without need.
 func TestRefusedScaleOutPausesRequests(t *testing.T) {
 	l, cloud, mailbox := scalingLeader()
 	l.autoscaler.ScaleOut(unmetDemand(1))
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -27,7 +27,7 @@
 
 // A replica starts again with a new attempt whatever the cause of its exit, even if it exited as done.
 // The exit neither completes the service nor quarantines the machine; otherwise the service would lose
-// replicas for good, and the cluster would lose machines without a fault.
+// replicas permanently, and the cluster would lose machines without a fault.
 func TestReplicasRunAgainWhateverTheirEnd(t *testing.T) {
 	causes := []string{
 		protocol.CauseDone, protocol.CauseError, protocol.CauseGangBroken, protocol.CauseStopped,
@@ -59,16 +59,16 @@
 func TestReplicaThatEndsAtOnceBacksOff(t *testing.T) {
 	l, j, m := leaderWithService(t)
 	p := jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1}
-	end := func(ran clock.Micros) clock.Micros {
+	exitAfter := func(ran clock.Micros) clock.Micros {
 		l.reconciler.HandleReplicaExit(m, j, p, protocol.CauseError, ran)
 		return j.Restarts[0].NotBefore - l.state.Now()
 	}
-	if first := end(clock.Second); first != 0 {
+	if first := exitAfter(clock.Second); first != 0 {
 		t.Fatalf("got a wait of %v s before the first restart, want 0", first.Seconds())
 	}
 	total := clock.Micros(0)
 	for i := range 12 {
-		pause := end(clock.Second)
+		pause := exitAfter(clock.Second)
 		total += pause
 		if pause < jobtable.FirstRestartDelay*3/4 || pause > jobtable.MaxRestartDelay*5/4 {
 			t.Fatalf("restart %d waits %v s, want %v to %v s with a quarter of jitter", i+2, pause.Seconds(),
@@ -89,7 +89,7 @@
 	if n := j.WaitingRestarts(l.state.Now()); n != 1 {
 		t.Errorf("got %d waiting replicas once the first is no longer placed, want 1", n)
 	}
-	if again := end(jobtable.RestartDelayResetTime); again != 0 {
+	if again := exitAfter(jobtable.RestartDelayResetTime); again != 0 {
 		t.Errorf("got a wait of %v s after a long run, want 0", again.Seconds())
 	}
 }
@@ -185,9 +185,9 @@
 	}
 }
 
-// If a whole zone is silent, the leader keeps its machines if their replicas could run nowhere else, as
-// those of a spread service whose other half fills the remaining zone. The replicas may still serve
-// inside the silent zone, and a release would end them for nothing.
+// If a whole zone is silent, the leader keeps its machines if their replicas could run nowhere else.
+// That is so for a spread service whose other half fills the remaining zone. The replicas may still
+// serve inside the silent zone, and a release would end them for nothing.
 func TestMachinesStayIfReplicasCanRunNowhereElse(t *testing.T) {
 	for _, spread := range []bool{false, true} {
 		l, mailbox := newLeader()
--- a/internal/leader/sharding_test.go
+++ b/internal/leader/sharding_test.go
@@ -11,10 +11,10 @@
 	"postpoint/internal/rollout"
 )
 
-// The leader shards a record that is too large for the announced limits when the record changes next. It
-// writes the shards first and the head last, each on the condition of the undivided record's version,
-// and within the limits. Otherwise the store would reject the record once the limits apply, or a record
-// that is only partly sharded would count.
+// The leader shards a record that is too large for the announced limits when the record changes next.
+// It writes the shards first and the head last, each on the condition of the undivided record's
+// version, and within the limits. Otherwise the store would reject the record once the limits apply,
+// or a partly sharded record would become the valid one.
 func TestLargeRecordsAreSharded(t *testing.T) {
 	l, store := leaderWithTightLimits(true)
 	l.reader.Apply(jobrecord.Key("job-1"), wideArray().Encode(), 5)
--- a/internal/leader/snapshot_test.go
+++ b/internal/leader/snapshot_test.go
@@ -11,9 +11,9 @@
 	"postpoint/internal/settings"
 )
 
-// The snapshot has the work that the preemption of a task would lose as soon as some job could preempt
-// another, by its rank or because a team has a guarantee. Without it, the planner would choose victims
-// that lose more work than others.
+// The snapshot contains the work that the preemption of a task would lose, as soon as some job could
+// preempt another, by its rank or because a team has a guarantee. Without it, the planner would choose
+// victims that lose more work than others.
 func TestPreemptionOverheadsAreKnownIfJobsCanBePreempted(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/leader/term/guarded_test.go
+++ b/internal/leader/term/guarded_test.go
@@ -6,6 +6,8 @@
 	"postpoint/internal/protocol"
 )
 
+// A renewal extends the term and doesn't begin another. If the guard dropped results after a renewal,
+// the leader would miss the outcomes of its requests.
 func TestGuardedCallsBackWithinItsTerm(t *testing.T) {
 	state := &State{}
 	state.Term.Epoch = 7
@@ -19,6 +21,8 @@
 	}
 }
 
+// A response may arrive after its term has ended. If the guard passed its result on, the leader would
+// apply the result to the state of another term, or act without leading.
 func TestGuardedDropsResultsOfAnEarlierTerm(t *testing.T) {
 	for name, epoch := range map[string]protocol.Epoch{"lost": 0, "elected again": 9} {
 		state := &State{}
@@ -35,6 +39,7 @@
 	}
 }
 
+// Guarded2 passes both results on within its term.
 func TestGuarded2PassesBothResults(t *testing.T) {
 	state := &State{}
 	state.Term.Epoch = 7
--- a/internal/leader/term/transaction_test.go
+++ b/internal/leader/term/transaction_test.go
@@ -13,16 +13,19 @@
 // recordingStore is a fake store that keeps the last transaction and its priority.
 type recordingStore struct {
 	storetest.Service
-	use kvstore.Priority
-	txn protocol.Txn
+	priority kvstore.Priority
+	txn      protocol.Txn
 }
 
-func (s *recordingStore) Commit(use kvstore.Priority, t protocol.Txn,
+func (s *recordingStore) Commit(priority kvstore.Priority, t protocol.Txn,
 	done func(storetest.Reply[protocol.TxnResponse])) {
-	s.use, s.txn = use, t
+	s.priority, s.txn = priority, t
 	done(storetest.Reply[protocol.TxnResponse]{Status: 200})
 }
 
+// A leader's transaction must have exactly the conditions and changes that the caller adds, after the
+// condition on the leader's key, with the leader's priority. RequireOnce adds no second copy of a
+// condition. Without one of the conditions, the store could apply a change to a newer version.
 func TestTransactionEncodesLikeOneMadeByHand(t *testing.T) {
 	state := &State{}
 	state.Term.Epoch = 7
@@ -54,13 +57,14 @@
 	if !bytes.Equal(protocol.Encode(store.txn), protocol.Encode(want)) {
 		t.Errorf("committed %+v, want %+v", store.txn, want)
 	}
-	if store.use != kvstore.PriorityLeader || committed != 1 || txn.Len() != 2 || len(txn.Changes()) != 2 {
-		t.Errorf("use %v, %d responses, %d changes, want use %v, 1 response and 2 changes", store.use,
-			committed,
-			txn.Len(), kvstore.PriorityLeader)
+	if store.priority != kvstore.PriorityLeader || committed != 1 || txn.Len() != 2 || len(txn.Changes()) != 2 {
+		t.Errorf("priority %v, %d responses, %d changes, want priority %v, 1 response and 2 changes",
+			store.priority, committed, txn.Len(), kvstore.PriorityLeader)
 	}
 }
 
+// Conditions on two versions of a key contradict each other, so the store rejects the transaction. If
+// RequireOnce dropped the second one, the store could apply changes that depend on it.
 func TestRequireOnceKeepsOtherVersionsOfAKey(t *testing.T) {
 	state := &State{}
 	txn := state.NewTransaction()
@@ -68,7 +72,8 @@
 	txn.RequireOnce("jobs/job-1", 6) // a contradiction that the store must reject; the client must not drop it
 	store := &recordingStore{}
 	txn.Commit(storetest.Client(store), func(kvstore.Result[protocol.Revision]) {})
-	if guards := store.txn.Conditions; len(guards) != 3 || guards[1].Version != 5 || guards[2].Version != 6 {
-		t.Errorf("guards %+v, want the leader's key and both versions", guards)
+	if conditions := store.txn.Conditions; len(conditions) != 3 || conditions[1].Version != 5 ||
+		conditions[2].Version != 6 {
+		t.Errorf("conditions %+v, want the leader's key and both versions", conditions)
 	}
 }
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// A transaction that conflicts on the leader's key shows that another node leads. The leader must step
-// down, and not handle this as a conflict on the zone's record.
+// A transaction that conflicts on the leader's key shows that another controller leads. The leader must
+// step down, and not handle this as a conflict on the zone's record.
 func TestZoneConflictDeposesLeader(t *testing.T) {
 	l, _, store, _ := saveLostZone(t)
 	deposedBy := protocol.Epoch(0)
--- a/internal/offload/plan_test.go
+++ b/internal/offload/plan_test.go
@@ -42,21 +42,21 @@
 	if i == len(p.options) {
 		return p.gain(a)
 	}
-	most := 0.0
+	highest := 0.0
 	r := p.remainderAfter(a)
 	for n := p.fittingTasks(&r, i); n >= 0; n-- {
 		if c := &p.candidates[p.options[i].candidate]; c.AllOrNothing && n != 0 && n != c.Tasks {
 			continue
 		}
 		a[i] = n
-		most = max(most, p.bestGain(i+1, a))
+		highest = max(highest, p.bestGain(i+1, a))
 	}
 	a[i] = 0
-	return most
+	return highest
 }
 
-func drawAmount(t *rapid.T, label string, most int) float64 {
-	return float64(rapid.IntRange(0, most).Draw(t, label))
+func drawAmount(t *rapid.T, label string, maximum int) float64 {
+	return float64(rapid.IntRange(0, maximum).Draw(t, label))
 }
 
 var drawProblem = rapid.Custom(func(t *rapid.T) *problem {
@@ -122,6 +122,8 @@
 	}
 }
 
+// requireWithinBounds fails the test if an allocation splits a job that must stay whole, or exceeds the
+// resources of a pool, the quota of a host or the pending tasks of a job.
 func (p *problem) requireWithinBounds(t *rapid.T, a allocation) {
 	for i, n := range a {
 		if c := &p.candidates[p.options[i].candidate]; n < 0 || c.AllOrNothing && n != 0 && n != c.Tasks {
@@ -130,19 +132,19 @@
 		}
 	}
 	r := p.remainderAfter(a)
-	for _, left := range append(r.pools, r.hosts...) {
-		if left.Cpus < -1e-6 || left.Gpus < -1e-6 || left.MemoryGB < -1e-6 {
-			t.Fatalf("allocation %v leaves %+v of a pool or host, want no negative amounts", a, left)
+	for _, remaining := range append(r.pools, r.hosts...) {
+		if remaining.Cpus < -1e-6 || remaining.Gpus < -1e-6 || remaining.MemoryGB < -1e-6 {
+			t.Fatalf("allocation %v leaves %+v of a pool or host, want no negative amounts", a, remaining)
 		}
 	}
-	for index, left := range r.tasks {
-		if left < 0 {
-			t.Fatalf("%d tasks of %s more than are pending", -left, p.candidates[index].Job)
+	for index, remaining := range r.tasks {
+		if remaining < 0 {
+			t.Fatalf("%d tasks of %s more than are pending", -remaining, p.candidates[index].Job)
 		}
 	}
 }
 
-// A job stays in its origin cell if it gains nothing elsewhere, or if the only cell to which it may
+// A job stays in its origin cell if it gains nothing in another cell, or if the only cell to which it may
 // go has pending work of its own, has no machine type for it, or isn't one of its hosts.
 func TestPlanLeavesWorkThatGainsNothing(t *testing.T) {
 	plenty := planner.Resources{Cpus: 100, Gpus: 10}
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -7,6 +7,7 @@
 	"postpoint/internal/protocol"
 )
 
+// BenchmarkMake measures a plan that places 100 arrays of 20 tasks on 48 machines.
 func BenchmarkMake(b *testing.B) {
 	s := Snapshot{Machines: machinesWith(48, 16, 16)}
 	for i := range 100 {
@@ -37,6 +38,7 @@
 	return s
 }
 
+// BenchmarkMakeGrown measures a plan for a large deployment.
 func BenchmarkMakeGrown(b *testing.B) {
 	s := largeSnapshot()
 	for b.Loop() {
--- a/internal/planner/gang_test.go
+++ b/internal/planner/gang_test.go
@@ -18,7 +18,7 @@
 			plan.UnmetDemand)
 	}
 
-	// No machine has come for the gang, and the present machines can't hold it.
+	// Scale-out is overdue: no machine was added for the gang, and the present machines can't hold it.
 	gang.ScaleOutOverdue = true
 	plan = MakePlan(Snapshot{Jobs: []Job{gang, small}, Machines: machinesWith(3, 4, 4)})
 	if len(plan.Placements) != 3 {
--- a/internal/planner/model_test.go
+++ b/internal/planner/model_test.go
@@ -29,8 +29,8 @@
 			total += n
 			continue
 		}
-		elsewhere := len(j.Running) - runningByZone[zone]
-		if elsewhere == 0 {
+		inOtherZones := len(j.Running) - runningByZone[zone]
+		if inOtherZones == 0 {
 			total = max(total, n)
 		}
 	}
--- a/internal/planner/preempt_test.go
+++ b/internal/planner/preempt_test.go
@@ -16,6 +16,7 @@
 }
 
 // The planner shrinks arrays before it preempts whole jobs: evenly, and the youngest tasks first.
+// Otherwise one array would lose all its tasks, or older tasks would lose more work.
 func TestArraysShrinkEvenlyYoungestFirst(t *testing.T) {
 	urgent := arrayJob("job-u", 1, 1, 4)
 	a := arrayJob("job-a", 2, 4, 1, runningOn("m0", 40, 30, 20, 10)...)
@@ -37,8 +38,8 @@
 	}
 }
 
-// Freed capacity can be enough in total and still hold no task, if it is scattered over machines.
-// The planner then preempts nothing.
+// Freed capacity can be enough in total and still hold no task, if it is scattered over machines. The
+// planner then preempts nothing: the victims would lose their work in vain.
 func TestScatteredCapacityPreemptsNothing(t *testing.T) {
 	urgent := arrayJob("job-u", 1, 1, 6)
 	lower := arrayJob("job-l", 2, 4, 2,
--- a/internal/planner/quota_test.go
+++ b/internal/planner/quota_test.go
@@ -17,13 +17,13 @@
 		{"own rank", 2, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			owed := arrayJob("job-o", 2, 1, 4)
-			owed.Spec.Team, owed.WithinGuarantee = "owed", true
+			guaranteed := arrayJob("job-o", 2, 1, 4)
+			guaranteed.Spec.Team, guaranteed.WithinGuarantee = "guaranteed", true
 			overQuota := arrayJob("job-b", test.rank, 2, 4,
 				RunningTask{Task: 0, Machine: "m0", OverQuota: true},
 				RunningTask{Task: 1, Machine: "m0", OverQuota: true})
 			overQuota.Spec.Team = "other"
-			plan := MakePlan(Snapshot{Jobs: []Job{owed, overQuota}, Machines: machinesWith(1, 8, 0)})
+			plan := MakePlan(Snapshot{Jobs: []Job{guaranteed, overQuota}, Machines: machinesWith(1, 8, 0)})
 			if len(plan.Preemptions) != test.preemptions {
 				t.Errorf("preempted %v, want %d tasks", plan.Preemptions, test.preemptions)
 			}
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -46,7 +46,7 @@
 // A controller decodes the formats that others published from the recorded bytes.
 func TestGoldenFormatsAreRead(t *testing.T) {
 	if FormatServices != 2 || FormatCells != 3 {
-		t.Errorf("formats %d and %d", FormatServices, FormatCells)
+		t.Errorf("formats %d and %d, want 2 and 3", FormatServices, FormatCells)
 	}
 	goldentest.RequireTags(t, "msgpack", publishedFormat{})
 	for value, want := range map[string]Format{"\x81\xa6format\x02": 2, "\x81\xa6format\x03": 3} {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -67,8 +67,9 @@
 func (c *controller) poll() { c.rollout.poll() }
 
 // If the gate opened too early, a controller of an earlier version would read records that it doesn't
-// know. The gate opens only once every node in the settings has published its format, and it stays open
-// whichever nodes are down by then. A node publishes its own format before it writes any other key.
+// know. The gate opens only once every controller in the settings has published its format, and it
+// stays open whichever controllers are down by then. A controller publishes its own format before it
+// writes any other key.
 func TestGateOpensOnceAllHavePublished(t *testing.T) {
 	all := []string{"a", "b", "c"}
 	store := &memoryStore{values: map[string][]byte{}}
@@ -82,7 +83,7 @@
 	if store.puts[0] != "rollout/node/a" {
 		t.Fatalf("first put %s, expected a's own key", store.puts[0])
 	}
-	// Node a is down from now on, and the gate stays open.
+	// Controller a is down from now on, and the gate stays open.
 	c := newController(store, "c", all...)
 	c.poll()
 	b.poll()
@@ -92,11 +93,11 @@
 	late := newController(store, "a", all...)
 	late.poll()
 	if !late.status.Services || !late.published {
-		t.Fatalf("published %v, status %+v; expected an open gate for a node that starts late",
+		t.Fatalf("published %v, status %+v; expected an open gate for a controller that starts late",
 			late.published, late.status)
 	}
 	if n := len(store.puts); n != 4 {
-		t.Fatalf("%d puts: %v; expected one by each node and one of the gate", n, store.puts)
+		t.Fatalf("%d puts: %v; expected one by each controller and one of the gate", n, store.puts)
 	}
 }
 
--- a/internal/scaling/cordon_test.go
+++ b/internal/scaling/cordon_test.go
@@ -76,7 +76,8 @@
 	}
 }
 
-// With few evaluations, SurplusMachines finds fewer machines, but only machines that are surplus together.
+// With few evaluations, SurplusMachines finds fewer machines, but only machines that are surplus
+// together. Otherwise the remaining machines couldn't hold all tasks.
 func TestCordonInFewEvaluationsIsSurplusTogether(t *testing.T) {
 	for seed := range uint64(50) {
 		s := cordonSnapshot(rand.New(rand.NewPCG(seed, 1)))
--- a/internal/scaling/idle_test.go
+++ b/internal/scaling/idle_test.go
@@ -7,8 +7,9 @@
 	"postpoint/internal/protocol"
 )
 
-// An idle machine that may be needed is kept for the boot time of its type, any other for a short
-// time.
+// The cluster keeps an idle machine that may be needed for the boot time of its type: replacing it
+// would cost a boot. It keeps any other machine, or one that is cordoned, for a short time, since it
+// would pay for the machine in vain.
 func TestIdleMachinesAreKeptForABootIfNeeded(t *testing.T) {
 	const bootS = 40
 	view := &CloudView{Types: map[string]protocol.MachineType{"t": {Name: "t", BootS: bootS}}}
--- a/internal/scaling/scaleout_test.go
+++ b/internal/scaling/scaleout_test.go
@@ -111,7 +111,8 @@
 	}
 }
 
-// A large deployment in which many pools are out of capacity and 150 jobs have unmet demand.
+// BenchmarkRent measures a decision for a large deployment in which many pools are out of capacity and
+// 150 jobs have unmet demand.
 func BenchmarkRent(b *testing.B) {
 	r := rand.New(rand.NewPCG(1, 3))
 	view, unmet := drawCloudView(r), drawUnmetDemand(r, 150, 150)
