--- a/internal/admission/attestation_test.go
+++ b/internal/admission/attestation_test.go
@@ -32,8 +32,8 @@
 	mailbox := &actortest.SynchronousMailbox{Now: 5 * clock.Second}
 	adm := New(mailbox, cancelledJobs("job-000001", "job-000002"), &settings.Settings{}, nil)
 	getStatus := func(id protocol.JobID) { responseOf(t, adm, Request{Kind: GetStatus, ID: id}) }
-	attest := func(back clock.Micros) (Attestation, bool) {
-		all, ok := DecodeAttestations([]Response{responseOf(t, adm, NewAttestationRequest(back))}, true)
+	attest := func(period clock.Micros) (Attestation, bool) {
+		all, ok := DecodeAttestations([]Response{responseOf(t, adm, NewAttestationRequest(period))}, true)
 		if !ok {
 			return Attestation{}, false
 		}
--- a/internal/admission/golden_test.go
+++ b/internal/admission/golden_test.go
@@ -81,8 +81,8 @@
 // goldenLeader responds as a leader does, or redirects the worker.
 type goldenLeader struct{ leads bool }
 
-func (b goldenLeader) Heartbeat(r protocol.Heartbeat, reply func(int, any)) {
-	if !b.leads {
+func (l goldenLeader) Heartbeat(r protocol.Heartbeat, reply func(int, any)) {
+	if !l.leads {
 		reply(http.StatusMisdirectedRequest, protocol.Redirect{Node: "worker-1"})
 		return
 	}
@@ -91,7 +91,7 @@
 	}})
 }
 
-func (b goldenLeader) Overview(reply func(any)) { reply(map[string]bool{"leads": b.leads}) }
+func (l goldenLeader) Overview(reply func(any)) { reply(map[string]bool{"leads": l.leads}) }
 
 // Every path responds with the recorded status, headers and body.
 func TestGoldenResponses(t *testing.T) {
@@ -184,7 +184,7 @@
 				"\n\x82\xa5Epoch)\xa6Orders\x91\x84\xa4Verb\xa5start\xa3Leg\xa7job-1/0\xa3Try\x01\xa6" +
 				"LeaveS\xcb\x00\x00\x00\x00\x00\x00\x00\x00"},
 		{"heartbeat to another node", "POST", "/agent/beat", heartbeat,
-			func(_ *Admission, _ *goldenStore, b *goldenLeader) { b.leads = false },
+			func(_ *Admission, _ *goldenStore, l *goldenLeader) { l.leads = false },
 			"421 Misdirected Request\nContent-Length: 21\nContent-Type: application/msgpack\n" +
 				"\n\x81\xaaDispatcher\xa8worker-1"},
 		{"no heartbeat", "POST", "/agent/beat", []byte{0xc0}, nil,
@@ -198,12 +198,12 @@
 				"X-Content-Type-Options: nosniff\n\nMethod Not Allowed\n"},
 	} {
 		adm, store := goldenAdmission()
-		heartbeats := goldenLeader{leads: true}
+		leader := goldenLeader{leads: true}
 		if c.change != nil {
-			c.change(adm, store, &heartbeats)
+			c.change(adm, store, &leader)
 		}
 		w := httptest.NewRecorder()
-		Handler(adm, heartbeats).ServeHTTP(w, httptest.NewRequest(c.method, c.path, bytes.NewReader(c.body)))
+		Handler(adm, leader).ServeHTTP(w, httptest.NewRequest(c.method, c.path, bytes.NewReader(c.body)))
 		var got bytes.Buffer
 		response := w.Result()
 		got.WriteString(response.Status + "\n")
@@ -216,8 +216,8 @@
 
 // A response on a hijacked connection has exactly the recorded bytes.
 func TestGoldenResponseOnHijackedConnection(t *testing.T) {
-	_, c := heartbeatServer(t, 6)
-	conn, err := net.Dial("tcp4", c.Addr().String())
+	_, l := heartbeatServer(t, 6)
+	conn, err := net.Dial("tcp4", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -243,7 +243,7 @@
 	adm.Handle(Request{Kind: Submit, Body: protocol.Encode(submission())}, func(Response) {})
 	adm.Handle(Request{Kind: Cancel, ID: "job-1"}, func(Response) {})
 	if len(store.txns) != 2 {
-		t.Fatalf("%d transactions", len(store.txns))
+		t.Fatalf("%d transactions, want 2", len(store.txns))
 	}
 	goldentest.Equal(t, "submission", protocol.Encode(store.txns[0]),
 		"\x82\xa6Guards\x91\x82\xa4Path\xafjobs/job-000412\xa5Stamp\x00\xa6Writes\x91\x82\xa5Write"+
@@ -287,7 +287,7 @@
 		adm.SetFormatStatus(rollout.Status{Services: c.open})
 		adm.Handle(Request{Kind: Submit, Body: protocol.Encode(c.spec)}, func(Response) {})
 		if len(store.txns) != 1 {
-			t.Fatalf("%s: %d transactions", c.name, len(store.txns))
+			t.Fatalf("%s: %d transactions, want 1", c.name, len(store.txns))
 		}
 		var stored struct {
 			Placed []string `msgpack:"placed"`
@@ -337,7 +337,7 @@
 	request := NewAttestationRequest(900 * clock.Second)
 	goldentest.Equal(t, "request", request.Body, "\x00\x00\x00\x005\xa4\xe9\x00")
 	if request.Kind != GetAttestation || binary.BigEndian.Uint64(request.Body) != 900_000_000 {
-		t.Errorf("%+v", request)
+		t.Errorf("attestation request %+v, want one for 900 s", request)
 	}
 	attestation := Attestation{
 		Age:       35 * clock.Second,
@@ -357,6 +357,6 @@
 	var zoneResponse Response
 	adm.Handle(Request{Kind: GetZoneReports}, func(a Response) { zoneResponse = a })
 	if zoneResponse.Status != http.StatusOK || string(zoneResponse.Body) != "\x00" {
-		t.Errorf("%d %q", zoneResponse.Status, zoneResponse.Body)
+		t.Errorf("zone reports: status %d, body %q, want 200 and no zones", zoneResponse.Status, zoneResponse.Body)
 	}
 }
--- a/internal/admission/handler_test.go
+++ b/internal/admission/handler_test.go
@@ -12,8 +12,9 @@
 	"postpoint/internal/settings"
 )
 
-// Guards against malformed or too large requests that reach an actor: the server rejects them at once.
-// While the store is unavailable, responses to users have a Retry-After header.
+// Guards against malformed or too large requests that do harm: the server rejects them at once, and the
+// leader receives no malformed heartbeat. While the store is unavailable, the 503 responses to users have a
+// Retry-After header.
 func TestServerRejectsMalformedAndTooLargeRequests(t *testing.T) {
 	set := &settings.Settings{}
 	set.Deployment.Teams = []settings.Team{{Name: "vision"}}
--- a/internal/admission/submission_test.go
+++ b/internal/admission/submission_test.go
@@ -13,28 +13,28 @@
 )
 
 // Guards against a controller of an older version that classifies a service as an array. Until all
-// controllers support services, the submission of one gets a retryable response with Retry-After at
-// once, and this node neither records it nor forwards it to a peer.
+// controllers support services, a controller responds to the submission of a service at once with status 503
+// and Retry-After, so that the user retries. It neither records the submission nor forwards it to a peer.
 func TestServicesWaitForTheUpgrade(t *testing.T) {
 	set := &settings.Settings{Deployment: visionDeployment()}
 	spec := submission()
 	spec.Shape = protocol.ShapeService
 	submit := Request{Kind: Submit, Body: protocol.Encode(spec)}
 	forward := func(Request, func(Response, bool)) { t.Error("forwarded to a peer, want it handled here") }
-	for _, served := range []bool{true, false} {
+	for _, storeAvailable := range []bool{true, false} {
 		mailbox := &actortest.SynchronousMailbox{Now: clock.Second}
 		store := &fakeStore{maxValue: 2 << 10}
 		adm := New(mailbox, store, set, forward)
 		adm.SetMachineTypes(gpuTypes("a", "b"))
-		if !served {
+		if !storeAvailable {
 			adm.availability.storeDownUntil = mailbox.Now + clock.Second
 		}
 		got := responseOf(t, adm, submit)
 		if got.Status != http.StatusServiceUnavailable || got.RetryAfterS < 1 || len(store.puts) != 0 {
-			t.Errorf("served %v: status %d, retry after %d s, %d puts, want %d, a delay and no puts",
-				served, got.Status, got.RetryAfterS, len(store.puts), http.StatusServiceUnavailable)
+			t.Errorf("store available %v: status %d, retry after %d s, %d puts, want %d, a delay and no puts",
+				storeAvailable, got.Status, got.RetryAfterS, len(store.puts), http.StatusServiceUnavailable)
 		}
-		if !served {
+		if !storeAvailable {
 			continue
 		}
 		adm.SetFormatStatus(rollout.Status{Services: true})
--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -31,6 +31,8 @@
 	return d
 }
 
+// The example file under deploy/ must describe cell alpha with its addresses, and one other cell, whose jobs
+// alpha accepts.
 func TestExampleFileListsCells(t *testing.T) {
 	d := exampleDirectory(t)
 	if d.Own.Name != "alpha" {
@@ -47,6 +49,7 @@
 	}
 }
 
+// A rule of the example file must apply to a class that it lists, and not to a class that it doesn't list.
 func TestExampleFileLimitsOffloadingByClass(t *testing.T) {
 	d := exampleDirectory(t)
 	if _, ok := d.OffloadRule("extrase", "evaluare"); !ok {
@@ -57,6 +60,7 @@
 	}
 }
 
+// The longest permission must be about 11 s for the lease of the host cell in the example file.
 func TestLongestPermissionOfExampleFile(t *testing.T) {
 	d := exampleDirectory(t)
 	p := MaxPermission(ownSettings().Deployment.Workers, MaxTerminationTime(d.Cell("beta").Lease))
--- a/internal/cloudclient/golden_test.go
+++ b/internal/cloudclient/golden_test.go
@@ -16,7 +16,7 @@
 // The client sends the recorded requests and decodes the responses.
 func TestGoldenRequests(t *testing.T) {
 	var catalogue protocol.Catalogue
-	var rentedMachines []protocol.MachineName
+	var startedMachines []protocol.MachineName
 	var list protocol.MachineList
 	var got error
 	var api API
@@ -32,7 +32,7 @@
 			r := protocol.ScaleOutRequest{IdempotencyKey: "e41-2", Type: "g8", Zone: "a", Spot: true,
 				Count: 5}
 			api.ScaleOut(r, clock.Second, func(machines []protocol.MachineName, err error) {
-				rentedMachines, got = machines, err
+				startedMachines, got = machines, err
 			})
 		},
 			"POST /hosts\nContent-Length: 49\nContent-Type: application/msgpack\n" +
@@ -64,7 +64,7 @@
 		catalogue); d != "" {
 		t.Error(d)
 	}
-	if d := cmp.Diff([]protocol.MachineName{"m-1"}, rentedMachines); d != "" {
+	if d := cmp.Diff([]protocol.MachineName{"m-1"}, startedMachines); d != "" {
 		t.Error(d)
 	}
 	want := protocol.MachineList{Machines: []protocol.ListedMachine{{Name: "m-1"}}, More: true}
@@ -72,6 +72,6 @@
 		t.Error(d)
 	}
 	if PageSize != 500 || MaxScaleIn != 100 || MaxScaleOut != 50 {
-		t.Errorf("bounds %d, %d, %d", PageSize, MaxScaleIn, MaxScaleOut)
+		t.Errorf("bounds %d, %d, %d, want 500, 100, 50", PageSize, MaxScaleIn, MaxScaleOut)
 	}
 }
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -143,7 +143,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	t.Errorf("nobody leads %s", c.name)
+	t.Errorf("no controller of %s leads", c.name)
 }
 
 // delegatedTasks returns the number of the cell's tasks that other cells hold, or -1 without a leader that
@@ -162,10 +162,10 @@
 }
 
 // Three cells, with controllers in processes of their own, run on the loopback interface. One cell is
-// overloaded and offloads jobs, and each cell loses its leader meanwhile. Every job must complete, with each
-// task completed exactly once. The test ignores violations of the rule no_lease, which say that a lease
-// expired between the sending and the arrival of a response: in real time on a busy machine they don't show
-// the order of events in the controller.
+// overloaded and offloads jobs, and each cell loses its leader while the jobs run. Every job must complete,
+// with each task completed exactly once. The test ignores violations of the rule no_lease. Such a violation
+// reports that a lease expired between the sending and the arrival of a response; in real time on a busy
+// machine this doesn't show the order of events in the controller.
 func TestThreeCellsOfRealProcesses(t *testing.T) {
 	realTime := &simulation.RealTime{World: simulation.NewWorld(1)}
 	g := &simulation.Group{}
@@ -208,20 +208,20 @@
 		}
 	})
 	began := time.Now()
-	finished := func() (done, elsewhere int) {
+	finished := func() (done, outside int) {
 		realTime.Do(func() {
 			for _, j := range jobs {
 				if j.FinalStatus() == protocol.StatusDone {
 					done++
 				}
 			}
-			elsewhere, _ = history.RunsOutsideOrigin()
+			outside, _ = history.RunsOutsideOrigin()
 		})
-		return done, elsewhere
+		return done, outside
 	}
-	wait := func(most time.Duration, until func() bool) bool {
-		for time.Since(began) < most {
-			if until() {
+	wait := func(timeout time.Duration, condition func() bool) bool {
+		for time.Since(began) < timeout {
+			if condition() {
 				return true
 			}
 			time.Sleep(200 * time.Millisecond)
@@ -229,7 +229,7 @@
 		return false
 	}
 	if !wait(60*time.Second, func() bool { _, n := finished(); return n >= 6 }) {
-		t.Error("hardly anything ran in other cells within a minute")
+		t.Error("fewer than 6 runs in other cells within a minute")
 	}
 	for _, c := range group {
 		c.killLeader(t)
@@ -240,7 +240,7 @@
 		t.Errorf("%d of %d jobs are done after %.0f s", n, len(jobs), time.Since(began).Seconds())
 	}
 	if !wait(180*time.Second, func() bool { return group[0].delegatedTasks() == 0 }) {
-		t.Error("tasks are still offloaded")
+		t.Error("the origin cell still has delegated tasks, or no leader that responds")
 	}
 	realTime.Do(func() {
 		wrong := history.Check(jobs)
@@ -252,8 +252,8 @@
 		if len(wrong) > 0 {
 			t.Error(strings.Join(wrong, "\n"))
 		}
-		elsewhere, all := history.RunsOutsideOrigin()
-		t.Logf("%d of %d runs in other cells, all done after %.0f s", elsewhere, all,
+		outside, all := history.RunsOutsideOrigin()
+		t.Logf("%d of %d runs in other cells, all done after %.0f s", outside, all,
 			time.Since(began).Seconds())
 	})
 }
--- a/internal/controller/loopback_test.go
+++ b/internal/controller/loopback_test.go
@@ -37,7 +37,7 @@
 var (
 	seconds  = flag.Int("seconds", 20, "length of the measured phase in seconds")
 	load     = flag.String("load", "often", "deployment and load of the fakes: 'often' or 'many', see loads")
-	profiles = flag.String("profiles", "", "directory for a CPU and a heap profile of the phase")
+	profiles = flag.String("profiles", "", "directory for a CPU and a heap profile of the measured phase")
 )
 
 // fakesVariable is the environment variable with fakesOptions in JSON. If it is present, the test program
--- a/internal/delegation/codec_test.go
+++ b/internal/delegation/codec_test.go
@@ -123,21 +123,23 @@
 		cmp.Comparer(func(x, y jobrecord.TaskSet) bool { return x.String() == y.String() }))
 }
 
+// Decoding a message must give the values that were encoded.
 func TestMessagesAreDecodedAsTheyWereEncoded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		heartbeat := drawHeartbeat.Draw(t, "heartbeat")
 		if got, err := DecodeHeartbeat(heartbeat.Encode()); err != nil || !equal(heartbeat, got) {
-			t.Fatalf("heartbeat: error %v, decoded minus encoded: %s", err,
+			t.Fatalf("heartbeat: error %v, decoded value differs (-want +got):\n%s", err,
 				cmp.Diff(heartbeat, got, unexported))
 		}
 		response := drawResponse.Draw(t, "response")
 		if got, err := DecodeHeartbeatResponse(response.Encode()); err != nil || !equal(response, got) {
-			t.Fatalf("response: error %v, decoded minus encoded: %s", err,
+			t.Fatalf("response: error %v, decoded value differs (-want +got):\n%s", err,
 				cmp.Diff(response, got, unexported))
 		}
 	})
 }
 
+// DecodeHeartbeat must reject truncated heartbeats and heartbeats with an extra byte.
 func TestHeartbeatsOfAnotherLengthAreRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		heartbeat := drawHeartbeat.Draw(t, "heartbeat")
@@ -165,6 +167,7 @@
 	})
 }
 
+// DecodeHeartbeat must reject a heartbeat of another version with an error that names the version.
 func TestHeartbeatsOfAnotherVersionAreRefused(t *testing.T) {
 	_, err := DecodeHeartbeat([]byte{Version + 1})
 	if want := VersionError(Version + 1); err != want {
@@ -192,6 +195,7 @@
 	}
 }
 
+// DecodeRecord must reject a record in an unknown state with an error that names its key.
 func TestRecordOfUnknownStateIsRefused(t *testing.T) {
 	record := Record{Number: 7, State: "lost"}
 	var invalid *RecordError
--- a/internal/delegation/transfer_test.go
+++ b/internal/delegation/transfer_test.go
@@ -42,10 +42,10 @@
 }
 
 const (
-	modelTasks         = 3
-	modelCancelTime    = 30 * clock.Second
-	modelClearTime     = 20 * clock.Second // E of docs/cells.md
-	modelMaxPermission = modelCancelTime - modelClearTime - clock.Second
+	modelTasks              = 3
+	modelCancelTime         = 30 * clock.Second
+	modelMaxTerminationTime = 20 * clock.Second // E of docs/cells.md
+	modelMaxPermission      = modelCancelTime - modelMaxTerminationTime - clock.Second
 	// modelFirstResponseTime is how long a host's leader waits for the origin's first response.
 	modelFirstResponseTime = 4 * clock.Second
 )
@@ -62,13 +62,14 @@
 	return m
 }
 
-// pass advances the time. It removes the tasks from the host's machines once they can't be there any more.
-func (m *transferModel) pass(d clock.Micros) {
+// advance moves the clock forward. It removes the tasks from the host's machines once they can't be there any
+// more.
+func (m *transferModel) advance(d clock.Micros) {
 	m.now += d
 	if m.permission != nil {
 		m.permission.CheckExpiry(m.now)
 	}
-	if m.now >= m.lastUntil+modelClearTime {
+	if m.now >= m.lastUntil+modelMaxTerminationTime {
 		clear(m.onHost)
 	}
 }
@@ -146,7 +147,7 @@
 func (m *transferModel) timePasses(t *rapid.T) {
 	bounds := []clock.Micros{clock.Second, 4 * clock.Second, 40 * clock.Second}
 	longest := rapid.SampledFrom(bounds).Draw(t, "longest")
-	m.pass(clock.Micros(rapid.Int64Range(0, int64(longest)).Draw(t, "time")))
+	m.advance(clock.Micros(rapid.Int64Range(0, int64(longest)).Draw(t, "time")))
 }
 
 func (m *transferModel) hostAccepts() {
@@ -211,9 +212,9 @@
 		m.permission = NewPermission(m.now + modelFirstResponseTime)
 		return
 	}
-	left := m.origin.Outstanding
+	outstanding := m.origin.Outstanding
 	m.origin = Restore(m.origin.Record, m.now, modelCancelTime)
-	m.origin.Outstanding = left
+	m.origin.Outstanding = outstanding
 }
 
 func (m *transferModel) originActs(t *rapid.T) {
@@ -246,7 +247,7 @@
 
 // A task must not be on the host's machines after the origin may start it again, nor longer than cancel_s
 // after the user got the confirmation of its cancellation. Lost, late and duplicated messages and new leaders
-// could each cause this.
+// could cause either failure.
 func TestTasksNeverRunTwiceNorAfterCancellation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newTransferModel()
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -43,7 +43,7 @@
 			t.Fatal(err)
 		}
 		if r, err := decodeRequest(payload); err == nil {
-			t.Errorf("a request of kind %d", r.Kind)
+			t.Errorf("a request of the unknown kind %d is decoded, want an error", r.Kind)
 		}
 	}
 }
@@ -87,7 +87,7 @@
 		{int(admission.GetZoneReports), 5},
 	} {
 		if c.constant != c.want {
-			t.Errorf("%#x, not %#x", c.constant, c.want)
+			t.Errorf("constant is %#x, want %#x", c.constant, c.want)
 		}
 	}
 }
@@ -155,6 +155,6 @@
 		Directives: []delegation.Directive{{Number: 9, Action: delegation.Close}},
 	}
 	if d := cmp.Diff(want, got); !responded || d != "" {
-		t.Errorf("responded %v: %s", responded, d)
+		t.Errorf("responded %v, want true; response differs (-want +got):\n%s", responded, d)
 	}
 }
--- a/internal/protocol/check_test.go
+++ b/internal/protocol/check_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// Guards against crashes and huge allocations on malformed bodies: the check rejects headers that announce
-// more than the body contains, and decoding a body that passes the check never panics.
+// Guards against crashes and huge allocations on malformed bodies: Decode rejects every body that
+// CheckWellFormed rejects, such as one whose headers announce more than it contains, and no body makes a
+// decoder panic.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff})
 	f.Add([]byte{0xdd, 0xff, 0xff, 0xff, 0xff, 0x01})
--- a/internal/protocol/heartbeatdecoder_test.go
+++ b/internal/protocol/heartbeatdecoder_test.go
@@ -36,8 +36,8 @@
 			case 1:
 				last.Epoch = Epoch(r.Int64N(300))
 			case 2:
-				left := r.Float64()
-				last.PreemptionNoticeS = []*float64{nil, &left}[r.IntN(2)]
+				notice := r.Float64()
+				last.PreemptionNoticeS = []*float64{nil, &notice}[r.IntN(2)]
 			}
 			last.Counter = r.Int64N([]int64{4, 200, 70_000, 1 << 40}[r.IntN(4)])
 			raw := Encode(last)
--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -93,7 +93,7 @@
 }
 
 // A user cancels a job, and all controllers are down for longer than the workers' lease before any of them
-// stops the job's tasks.
+// stops the job's tasks. The cancelled tasks must end in time, and the other job must complete.
 func TestCancellationSurvivesLossOfAllControllers(t *testing.T) {
 	w, d, j, other := twoJobs(t, 47, 100*clock.Second)
 	d.Cancel(j)
@@ -138,7 +138,7 @@
 }
 
 // Cancellations, status requests and repeated submissions race with the completion of the last task. The
-// first final status that a user gets must stay, and the job must end once.
+// first final status that a user gets must stay and agree with the record, and the job must end once.
 func TestCancellationRacesWithCompletion(t *testing.T) {
 	w := NewWorld(71)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
--- a/internal/simulation/celloperations_test.go
+++ b/internal/simulation/celloperations_test.go
@@ -12,8 +12,8 @@
 	"postpoint/internal/settings"
 )
 
-// The host cell is lost for good while it runs tasks. The origin cell must run the tasks itself as soon as no
-// task can still run in the host cell.
+// The host cell fails permanently while it runs tasks. The origin cell must run the tasks itself as soon as
+// no task can still run in the host cell.
 func TestTasksReturnFromALostHostCell(t *testing.T) {
 	t.Parallel()
 	x := newTransfer(4400, false)
@@ -134,14 +134,14 @@
 	}
 	for name, sum := range starts {
 		if sum > starts["alone"]*11/10+4*clock.Second {
-			t.Errorf("%s: starts after %.1f s in all, want at most a tenth and 4 s more than alone (%.1f s)",
+			t.Errorf("%s: jobs waited %.1f s in total, want at most a tenth and 4 s more than alone (%.1f s)",
 				name, sum.Seconds(), starts["alone"].Seconds())
 		}
 	}
 }
 
-// Operators drain a cell while it hosts another cell's tasks. All of them must return after a graceful stop,
-// and the origin cell must offer it no more.
+// Operators drain a cell while it hosts another cell's tasks. All tasks must return to the origin cell after
+// a graceful stop, and the origin cell must offer no more tasks to the drained cell.
 func TestDrainedCellReturnsHostedJobs(t *testing.T) {
 	t.Parallel()
 	x := newTransfer(4700, true)
@@ -158,12 +158,12 @@
 	}
 	x.w.Run(x.w.Now() + 60*clock.Second)
 	if x.offloadedTasks() > 0 || x.delegated() || x.hosted() != nil {
-		t.Errorf("a minute later %d tasks are with the host, delegated %v, hosted job %v, want none of it",
+		t.Errorf("a minute later %d tasks are in the host cell, delegated %v, hosted job %v, want none of these",
 			x.offloadedTasks(), x.delegated(), x.hosted())
 	}
 	x.finish(t, "drained")
-	if elsewhere, _ := x.history.RunsOutsideOrigin(); elsewhere != x.job.spec.Tasks {
-		t.Errorf("%d runs in the host cell, want %d", elsewhere, x.job.spec.Tasks)
+	if outside, _ := x.history.RunsOutsideOrigin(); outside != x.job.spec.Tasks {
+		t.Errorf("%d runs in the host cell, want %d", outside, x.job.spec.Tasks)
 	}
 }
 
--- a/internal/simulation/cells_test.go
+++ b/internal/simulation/cells_test.go
@@ -47,10 +47,10 @@
 	jobs = append(jobs, flood(g.Cells[1], 3)...)
 	w.Run(600 * clock.Second)
 	mustCompleteOnce(t, w, h, jobs)
-	elsewhere, all := h.RunsOutsideOrigin()
-	t.Logf("%d of %d runs in other cells", elsewhere, all)
-	if elsewhere < 100 {
-		t.Errorf("%d of %d runs in other cells, want at least 100", elsewhere, all)
+	outside, all := h.RunsOutsideOrigin()
+	t.Logf("%d of %d runs in other cells", outside, all)
+	if outside < 100 {
+		t.Errorf("%d of %d runs in other cells, want at least 100 of them", outside, all)
 	}
 }
 
@@ -66,21 +66,21 @@
 			g.simulateDay()
 			var jobs []*Job
 			for _, d := range g.Cells {
-				if left := d.Unfinished(); len(left) > 0 {
-					t.Errorf("%s: accepted but not done: %v", d.name, left)
+				if unfinished := d.Unfinished(); len(unfinished) > 0 {
+					t.Errorf("%s: accepted but not done: %v, want none", d.name, unfinished)
 				}
 				for _, j := range d.Jobs() {
 					if j.finalStatus == protocol.StatusDone {
 						jobs = append(jobs, j)
 					}
 				}
-				if left := d.Store.delegations(); len(left) > 0 {
-					t.Errorf("%s still has %v, want no delegations", d.name, left)
+				if remaining := d.Store.delegations(); len(remaining) > 0 {
+					t.Errorf("%s still has %v, want no delegations", d.name, remaining)
 				}
 			}
 			mustCompleteOnce(t, g.Cells[0].World, h, jobs)
-			elsewhere, _ := h.RunsOutsideOrigin()
-			offloaded += elsewhere
+			outside, _ := h.RunsOutsideOrigin()
+			offloaded += outside
 		})
 	}
 	t.Cleanup(func() { t.Logf("%d runs in other cells", offloaded) })
--- a/internal/simulation/delegationfaults_test.go
+++ b/internal/simulation/delegationfaults_test.go
@@ -76,7 +76,7 @@
 }
 
 // The leader of the origin or of the host cell crashes after any one of the requests that it sends during a
-// delegation.
+// delegation. No task may run twice, the job must end, and no record of the delegation may be left.
 func TestLeaderCrashAfterAnyRequestOfADelegation(t *testing.T) {
 	for i, name := range []string{"origin", "host"} {
 		t.Run(name, func(t *testing.T) {
@@ -94,8 +94,9 @@
 	}
 }
 
-// A user cancels a job that the host cell's workers run. At that moment, or shortly before, a component fails
-// that could stop the job there. The job must end in time nevertheless.
+// A user cancels a job that the host cell's workers run. At that moment, or shortly before, the cells are
+// partitioned, and another component that could stop the tasks fails too. The tasks must end in time
+// nevertheless.
 func TestCancelledTasksEndInHostCells(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]func(x *transfer){
--- a/internal/simulation/docschecks_test.go
+++ b/internal/simulation/docschecks_test.go
@@ -92,7 +92,7 @@
 
 func linkProblem(_ *sourceIndex, page, name string) string {
 	if _, err := os.Stat(filepath.Join(filepath.Dir(page), name)); err != nil {
-		return "the link leads nowhere"
+		return "the target of the link doesn't exist"
 	}
 	return ""
 }
--- a/internal/simulation/failover_test.go
+++ b/internal/simulation/failover_test.go
@@ -9,8 +9,8 @@
 	"postpoint/internal/protocol"
 )
 
-// The leader crashes ten times in two minutes, and the store has an outage meanwhile. No worker may lose its
-// tasks, and tasks that end at different times must each end once.
+// The leader crashes ten times in two minutes, and the store has an outage during this time. No worker may
+// lose its tasks, and tasks that end at different times must each end once.
 func TestRepeatedFailoversLoseNoTask(t *testing.T) {
 	w, d, _, other := twoJobs(t, 46, 200*clock.Second)
 	apart := d.Submit(arraySpec("job-000003", "open", 3, 2, 80), 80*clock.Second, false)
@@ -92,14 +92,14 @@
 			func(a admission.Response) { response = a })
 		w.Run(w.Now() + 20*clock.Millisecond)
 		if up {
-			t.Fatalf("led %v: it passes its health check, want it failed", leads)
+			t.Fatalf("led %v: the isolated controller passes its health check, want it failed", leads)
 		}
 		if status != http.StatusMisdirectedRequest || redirect != "" {
-			t.Fatalf("led %v: a heartbeat gets %d and is sent to %q, want %d and nobody",
+			t.Fatalf("led %v: a heartbeat gets status %d and leader %q, want status %d and no leader",
 				leads, status, redirect, http.StatusMisdirectedRequest)
 		}
 		if response.Status != http.StatusServiceUnavailable || response.RetryAfterS == 0 {
-			t.Fatalf("led %v: a user gets %+v, want %d and a retry time", leads, response,
+			t.Fatalf("led %v: a user gets %+v, want status %d and a retry time", leads, response,
 				http.StatusServiceUnavailable)
 		}
 		w.Run(w.Now() + 150*clock.Second)
@@ -132,9 +132,9 @@
 				}
 				w.After(20*clock.Second, func() { d.Cancel(j) })
 				w.Run(w.Now() + 200*clock.Second)
-				if left := d.Unfinished(); len(w.Violations) > 0 || len(left) > 0 {
+				if unfinished := d.Unfinished(); len(w.Violations) > 0 || len(unfinished) > 0 {
 					t.Fatalf("electing %v, step %d, %.1f s: broken rules %v, unfinished jobs %v, want none",
-						electing, step, length.Seconds(), w.Violations, left)
+						electing, step, length.Seconds(), w.Violations, unfinished)
 				}
 			}
 		}
--- a/internal/simulation/gangs_test.go
+++ b/internal/simulation/gangs_test.go
@@ -147,7 +147,7 @@
 	d.MonitorWaitingJobs()
 	w.Run(500 * clock.Second)
 	mustKeepRules(t, w)
-	if left := d.Unfinished(); len(left) != 1 {
-		t.Fatalf("accepted but not done: %v, want only the gang", left)
+	if unfinished := d.Unfinished(); len(unfinished) != 1 {
+		t.Fatalf("accepted but not done: %v, want only the gang", unfinished)
 	}
 }
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -75,8 +75,8 @@
 // mustHaveUnfinished fails the test if more accepted jobs than allowed are not done.
 func mustHaveUnfinished(t *testing.T, d *Deployment, atMost int) {
 	t.Helper()
-	if left := d.Unfinished(); len(left) > atMost {
-		t.Fatalf("accepted but not done: %v, want at most %d", left, atMost)
+	if unfinished := d.Unfinished(); len(unfinished) > atMost {
+		t.Fatalf("accepted but not done: %v, want at most %d", unfinished, atMost)
 	}
 }
 
--- a/internal/simulation/requests_test.go
+++ b/internal/simulation/requests_test.go
@@ -12,7 +12,8 @@
 )
 
 // Users repeat submissions, cancel finished jobs, ask for unknown jobs, and submit jobs that can't run or
-// lack a field. The controllers must accept none of these requests, and the store must not change.
+// lack a field. None of these requests may create a job or disturb the valid jobs: these must complete, a
+// status request for an unknown job must get status 404, and the store must hold no key of any other job.
 func TestInvalidAndRepeatedRequestsChangeNothing(t *testing.T) {
 	w, d, j := eightTasks(t, 72, 30*clock.Second)
 	done := d.Submit(arraySpec("job-000003", "open", 1, 1, 5), 5*clock.Second, false)
--- a/internal/simulation/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -45,8 +45,8 @@
 			if len(d.World.Violations) > 0 {
 				t.Fatalf("broken rules, want none:\n%s", strings.Join(d.World.Violations, "\n"))
 			}
-			if left := d.Unfinished(); len(left) > 0 {
-				t.Fatalf("accepted but not done: %v, want none", left)
+			if unfinished := d.Unfinished(); len(unfinished) > 0 {
+				t.Fatalf("accepted but not done: %v, want none", unfinished)
 			}
 			for _, j := range d.Jobs() {
 				if j.cancelRequested && j.accepted() && j.finalStatus == "" {
--- a/internal/simulation/scale_test.go
+++ b/internal/simulation/scale_test.go
@@ -12,8 +12,8 @@
 )
 
 // A deployment has several hundred workers and thousands of tasks. A quarter of the workers is partitioned
-// for a while, and all controllers restart. All jobs must complete, the largest must start within four
-// minutes, no job may be lost, and the requests of all controllers to the store, the cloud and the workers
+// for a while, and all controllers restart. Every job, even the largest, must start within four minutes and
+// complete, no job may be lost, and the requests of all controllers to the store, the cloud and the workers
 // must stay within the settings' limits and in proportion to the tasks.
 func TestLargeDeploymentStaysWithinRequestBudgets(t *testing.T) {
 	t.Parallel()
@@ -61,8 +61,8 @@
 	if len(w.Violations) > 0 {
 		t.Fatalf("broken rules, want none: %v", w.Violations[:min(len(w.Violations), 5)])
 	}
-	if left := d.Unfinished(); len(left) > 0 {
-		t.Fatalf("accepted but not done: %v, want none", left)
+	if unfinished := d.Unfinished(); len(unfinished) > 0 {
+		t.Fatalf("accepted but not done: %v, want none", unfinished)
 	}
 	for _, j := range d.Jobs() {
 		if j.startedAt-j.submittedAt > 240*clock.Second {
@@ -70,8 +70,8 @@
 				j.spec.ID, j.spec.Tasks, (j.startedAt - j.submittedAt).Seconds())
 		}
 	}
-	if up := len(d.Cloud.all); up < 250 {
-		t.Errorf("%d machines were started, want at least 250", up)
+	if started := len(d.Cloud.all); started < 250 {
+		t.Errorf("%d machines were started, want at least 250", started)
 	}
 	// The settings allow 12,000 changes, 30,000 requests and 2,400 calls. This day needs far less. The bounds
 	// are tight enough to detect a change of the code that needs a third more.
@@ -83,24 +83,24 @@
 type used struct{ changes, requests, calls, plans, commands int }
 
 // mustHaveUsed fails the test if the deployment needed more than the bounds.
-func (d *Deployment) mustHaveUsed(t *testing.T, most used) {
+func (d *Deployment) mustHaveUsed(t *testing.T, bounds used) {
 	t.Helper()
 	plans := 0
 	mustLead(t, d).Leader.Overview(func(o any) { plans = o.(overview.Overview).Plans })
 	d.World.Run(d.World.Now() + clock.Millisecond)
 	for _, x := range []struct {
-		what    string
-		n, most int
+		what     string
+		n, limit int
 	}{
-		{"changes of records", d.Store.Changes, most.changes},
-		{"requests to the key-value store", d.Store.Requests, most.requests},
-		{"calls to the cloud", d.Cloud.Calls, most.calls},
-		{"plans of the last leader", plans, most.plans},
-		{"direct commands", d.Commands, most.commands},
+		{"changes of records", d.Store.Changes, bounds.changes},
+		{"requests to the key-value store", d.Store.Requests, bounds.requests},
+		{"calls to the cloud", d.Cloud.Calls, bounds.calls},
+		{"plans of the last leader", plans, bounds.plans},
+		{"direct commands", d.Commands, bounds.commands},
 	} {
-		t.Logf("%s: %d of %d", x.what, x.n, x.most)
-		if x.n > x.most {
-			t.Errorf("%s: %d, want %d at most", x.what, x.n, x.most)
+		t.Logf("%s: %d of %d", x.what, x.n, x.limit)
+		if x.n > x.limit {
+			t.Errorf("%s: %d, want %d at most", x.what, x.n, x.limit)
 		}
 	}
 }
@@ -122,8 +122,8 @@
 func mustFinish(t *testing.T, d *Deployment) {
 	t.Helper()
 	broken := d.World.Violations
-	if left := d.Unfinished(); len(broken) > 0 || len(left) > 0 {
-		t.Fatalf("broken rules %v, accepted but not done %v, want none", broken[:min(len(broken), 5)], left)
+	if unfinished := d.Unfinished(); len(broken) > 0 || len(unfinished) > 0 {
+		t.Fatalf("broken rules %v, accepted but not done %v, want none", broken[:min(len(broken), 5)], unfinished)
 	}
 }
 
--- a/internal/simulation/scalefailover_test.go
+++ b/internal/simulation/scalefailover_test.go
@@ -11,9 +11,9 @@
 
 // Six hundred workers depend on controllers that are short of processor time: each message takes 2 ms, and
 // heartbeats alone need half of the processor time. Users submit many jobs at once, and the leader crashes
-// while all of them run. No reachable worker's lease may expire, controllers must accept submissions within
-// two seconds, and within 15 s of the crash the next leader must have responded to every worker and start
-// jobs.
+// while all of them run. No worker's lease may expire, controllers must accept submissions within two
+// seconds, the next leader must have responded to every worker within 15 s of the crash, and a job submitted
+// then must start within 30 s.
 func TestSmallControllersKeepLeases(t *testing.T) {
 	t.Parallel()
 	w := NewWorld(19)
@@ -73,9 +73,9 @@
 }
 
 // Four thousand workers run jobs, services among them. The leader crashes, and before its successor has
-// received heartbeats of all workers, a zone of a thousand workers is lost for good. Each replica that ran
-// there must run elsewhere, once; all jobs must complete, and the requests to the outside systems must stay
-// in proportion.
+// received heartbeats of all workers, a zone of a thousand workers fails permanently. Each service must soon
+// run as many replicas as its spread constraint allows in the other zone, no replica may run twice, all other
+// jobs must complete, and the requests to the outside systems must stay in proportion.
 func TestFourThousandWorkersLoseAZone(t *testing.T) {
 	t.Parallel()
 	w := NewWorld(20)
--- a/internal/simulation/services_test.go
+++ b/internal/simulation/services_test.go
@@ -32,7 +32,7 @@
 		t.Fatalf("the user got %q, want no final status", j.finalStatus)
 	}
 	if served*100 < samples*85 {
-		t.Errorf("%d of %d replica seconds were served, want 85 in 100", served, samples)
+		t.Errorf("replicas ran in %d of %d samples, want at least 85 in 100", served, samples)
 	}
 	confirmCancel(w, d, j)
 	w.Run(w.Now() + 60*clock.Second)
@@ -44,8 +44,8 @@
 	}
 }
 
-// A worker with replicas hangs. Each replica must run elsewhere, once, well before the worker's lease
-// expires.
+// A worker with replicas hangs. Each of its replicas must run on another worker, once, within 20 s, well
+// before the worker's lease of 25 s expires.
 func TestReplicasOfSilentWorkersAreReplacedSoon(t *testing.T) {
 	t.Parallel()
 	w := NewWorld(261)
@@ -58,29 +58,29 @@
 	j := d.Submit(spec, 0, false)
 	d.Submit(arraySpec("job-000002", "open", 8, 4, 600), 600*clock.Second, false)
 	w.Run(80 * clock.Second)
-	var lost *FakeWorker
+	var hung *FakeWorker
 	for _, on := range j.machines {
 		for m := range on {
-			lost = m
+			hung = m
 		}
 	}
-	lost.Hung = true
-	at := w.Now()
-	away := func() bool {
+	hung.Hung = true
+	hungAt := w.Now()
+	replicaMissing := func() bool {
 		for n := range spec.Tasks {
-			if len(j.machines[n]) == 0 || j.machines[n][lost] {
+			if len(j.machines[n]) == 0 || j.machines[n][hung] {
 				return true
 			}
 		}
 		return false
 	}
-	for away() && w.Now() < at+60*clock.Second {
+	for replicaMissing() && w.Now() < hungAt+60*clock.Second {
 		w.Run(w.Now() + 100*clock.Millisecond)
 	}
-	if took := w.Now() - at; took > 20*clock.Second {
+	if took := w.Now() - hungAt; took > 20*clock.Second {
 		t.Errorf("all replicas run again after %.1f s, want 20 s at most", took.Seconds())
 	}
-	lost.Resume()
+	hung.Resume()
 	w.Run(w.Now() + 60*clock.Second)
 	mustKeepRules(t, w)
 }
--- a/internal/simulation/storeoutage_test.go
+++ b/internal/simulation/storeoutage_test.go
@@ -16,7 +16,7 @@
 // attest which cancellations they have confirmed. If the leader can't reach one of them, or one has restarted
 // since, there is no attestation, and the leader must let all leases expire in time.
 func TestCancelledTasksEndWhenLeaderIsRefusedBeforeStoreOutage(t *testing.T) {
-	for _, unavailable := range []string{"nobody", "a peer", "a restarted peer"} {
+	for _, unavailable := range []string{"no controller", "a peer", "a restarted peer"} {
 		for seed := uint64(31); seed < 36; seed++ {
 			w, d, j, other := twoJobs(t, seed, 300*clock.Second)
 			leader := mustLead(t, d)
@@ -38,17 +38,17 @@
 				break
 			}
 			hung := sortedKeys(j.machines[0])[0]
-			hung.Hung = unavailable == "nobody"
+			hung.Hung = unavailable == "no controller"
 			w.Run(w.Now() + 45*clock.Second)
 			mustKeepRules(t, w)
-			if unavailable != "nobody" {
+			if unavailable != "no controller" {
 				if workersWithExpiredLease(d) == 0 {
 					t.Fatalf("%s is unavailable and no worker's lease expired within 45 s, want some", unavailable)
 				}
 				continue
 			}
 			if !hung.ended {
-				t.Fatalf("%s hangs with cancelled tasks and is kept, want it released", hung.name)
+				t.Fatalf("%s hangs with cancelled tasks and isn't released, want it released", hung.name)
 			}
 			if workersWithExpiredLease(d) > 0 {
 				t.Fatalf("%d workers lost their tasks though all controllers attest, want none",
@@ -102,7 +102,7 @@
 		}
 	}
 	if took := w.Now() - rejectedAt; took > 8*clock.Second {
-		t.Fatalf("it accepts heartbeats for %.1f s, want 8 s at most", took.Seconds())
+		t.Fatalf("the old leader accepts heartbeats for %.1f s, want 8 s at most", took.Seconds())
 	}
 	d.Cancel(j)
 	w.Run(w.Now() + 60*clock.Second)
@@ -110,7 +110,7 @@
 }
 
 // Transactions with placements get no response, and the store executes them after newer ones. These
-// placements must count against the quota, so that the team's other jobs don't get their resources meanwhile.
+// placements must count against the quota, so that the team's other jobs don't get their resources too.
 func TestPlacementsOfLateTransactionsCount(t *testing.T) {
 	for seed := uint64(61); seed < 65; seed++ {
 		w := NewWorld(seed)
--- a/internal/simulation/transfer_test.go
+++ b/internal/simulation/transfer_test.go
@@ -143,8 +143,8 @@
 		wrong = append(wrong, fmt.Sprintf("%d of %d tasks are done", x.done(), x.job.spec.Tasks))
 	}
 	for _, d := range []*Deployment{x.origin, x.host} {
-		if left := d.Store.delegations(); len(left) > 0 {
-			wrong = append(wrong, fmt.Sprintf("%s still has %v", d.name, left))
+		if remaining := d.Store.delegations(); len(remaining) > 0 {
+			wrong = append(wrong, fmt.Sprintf("%s still has %v", d.name, remaining))
 		}
 	}
 	if len(wrong) > 0 {
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -67,19 +67,20 @@
 		w.Run(400 * clock.Second)
 		mustKeepRules(t, w)
 		mustBeDone(t, w, j)
-		if left := d.Store.shards(); len(left) > 0 {
-			t.Fatalf("step %d: shards are left: %v, want none", step, left)
+		if remaining := d.Store.shards(); len(remaining) > 0 {
+			t.Fatalf("step %d: shards are left: %v, want none", step, remaining)
 		}
 	}
 	if sharded < 5 {
-		t.Errorf("%d of the leaders had written shards, want at least 5", sharded)
+		t.Errorf("%d leaders had written shards before their crash, want at least 5", sharded)
 	}
 }
 
 // One controller still runs the previous version, the store's limits tighten nevertheless, and the leader
 // crashes. No accepted job may be lost, jobs must continue as far as their records allow, a cancellation must
-// take effect, and controllers must reject services with a retry time. After the upgrade of the last
-// controller all jobs must complete.
+// take effect, and controllers must accept no service, so that its user retries. The overview must name the
+// old controller. After the upgrade of the last controller, a controller must accept the service within 8 s,
+// and the array must complete.
 func TestLimitsTightenWhileOneControllerIsOld(t *testing.T) {
 	t.Parallel()
 	w, d, j := oldDeployment(250, 30*clock.Second)
@@ -117,21 +118,21 @@
 	behind.OldVersion = false
 	behind.Crash()
 	d.StartNode(behind)
-	opened := w.Now()
-	for w.Now() < opened+20*clock.Second && !service.accepted() {
+	restartedAt := w.Now()
+	for w.Now() < restartedAt+20*clock.Second && !service.accepted() {
 		w.Run(w.Now() + 500*clock.Millisecond)
 	}
-	if !service.accepted() || w.Now() > opened+8*clock.Second {
+	if !service.accepted() || w.Now() > restartedAt+8*clock.Second {
 		t.Errorf("the service is accepted: %v, %.1f s after the last controller's start; want it within 8 s",
-			service.accepted(), (w.Now() - opened).Seconds())
+			service.accepted(), (w.Now() - restartedAt).Seconds())
 	}
 	w.Run(w.Now() + 300*clock.Second)
 	mustKeepRules(t, w)
 	mustBeDone(t, w, j)
 }
 
-// All controllers are upgraded one after another while an array runs. There must be few elections, and they
-// must not cost any task.
+// All controllers are upgraded one after another while an array runs. There must be few elections and little
+// time without a leader, no worker may lose its tasks, and the stored values must fit the tighter limits.
 func TestRollingUpgradeLosesNoTask(t *testing.T) {
 	t.Parallel()
 	w, d, j := oldDeployment(262, 100*clock.Second)
--- a/internal/simulation/workerloss_test.go
+++ b/internal/simulation/workerloss_test.go
@@ -40,7 +40,7 @@
 }
 
 // All workers are silent. Leaders must not resign one after another for ever: one must lead long enough to
-// prove the workers gone, so that their tasks run elsewhere.
+// prove the workers gone, so that their tasks run on other workers.
 func TestSilentWorkersAreReplacedWhenAllAreSilent(t *testing.T) {
 	w := NewWorld(7)
 	d := NewDeployment(w, testSettings(), testTypes(), 0)
@@ -56,14 +56,15 @@
 }
 
 // A worker's heartbeats arrive, but neither responses nor commands reach it, so that it loses its tasks with
-// each lease. It must get no more tasks, its tasks must run elsewhere, and the leader must release it.
+// each lease. Instead of placing more tasks on it, the leader must release it, and the tasks must complete on
+// other workers.
 func TestWorkerThatReceivesNoResponsesIsReplaced(t *testing.T) {
 	w, d, j := eightTasks(t, 11, 60*clock.Second)
 	m := d.Workers()[0]
 	m.ResponsesLost = true
 	w.Run(w.Now() + 60*clock.Second)
 	if !m.ended {
-		t.Fatalf("%s is kept in incarnation %d, want it released", m.name, m.incarnation)
+		t.Fatalf("%s isn't released and is in incarnation %d, want it released", m.name, m.incarnation)
 	}
 	w.Run(w.Now() + 120*clock.Second)
 	mustBeDone(t, w, j)
@@ -107,7 +108,7 @@
 		m.RestartCounters(next)
 		w.Run(w.Now() + 60*clock.Second)
 		if !m.ended {
-			t.Fatalf("%s is kept (next leader: %v), want it released", m.name, next)
+			t.Fatalf("%s isn't released (next leader: %v), want it released", m.name, next)
 		}
 		w.Run(w.Now() + 300*clock.Second)
 		mustBeDone(t, w, j)
--- a/internal/simulation/zoneloss_test.go
+++ b/internal/simulation/zoneloss_test.go
@@ -61,7 +61,8 @@
 }
 
 // While a zone is lost, the cloud or the store has an outage, the leader crashes repeatedly, controllers are
-// upgraded, or a user cancels a job with tasks in the lost zone.
+// upgraded, or a user cancels a job with tasks in the lost zone. Each job that isn't cancelled must complete
+// with each task completed once, no rule may be broken, and no job may stay marked as displaced.
 func TestFaultsDuringZoneLoss(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]func(d *Deployment, j *Job){
@@ -84,7 +85,7 @@
 			d.Store.LateWriteChance = 0.3
 			d.World.After(60*clock.Second, func() { d.Store.LateWriteChance = 0 })
 		},
-		"nothing else": func(*Deployment, *Job) {},
+		"no other fault": func(*Deployment, *Job) {},
 	} {
 		for i, delay := range []clock.Micros{0, 4 * clock.Second, 12 * clock.Second, 26 * clock.Second} {
 			w, d, h := twoZones(uint64(5600+i), nil)
@@ -100,8 +101,8 @@
 			fault(d, jobs[0])
 			w.Run(600 * clock.Second)
 			checkUncancelledJobs(t, fmt.Sprintf("%s after %.0f s", name, delay.Seconds()), w, h, jobs)
-			if left := d.displaced(); len(left) > 0 {
-				t.Errorf("%s: %v are still marked as displaced, want none", name, left)
+			if marked := d.displaced(); len(marked) > 0 {
+				t.Errorf("%s: %v are still marked as displaced, want none", name, marked)
 			}
 		}
 	}
@@ -119,7 +120,7 @@
 		t.Fatal("no task was completed by the host cell")
 	}
 	x.w.After(60*clock.Second, x.host.PartitionZone("a", false))
-	x.finish(t, "zone of the host")
+	x.finish(t, "loss of a zone of the host")
 }
 
 // Random faults, partitions of zones among them, occur with zone recovery enabled. Every rule must hold, no
@@ -139,11 +140,11 @@
 				d.partitionRandomZones()
 			})
 			mustKeepRules(t, d.World)
-			if left := d.Unfinished(); len(left) > 0 {
-				t.Fatalf("accepted but not done: %v, want none", left)
+			if unfinished := d.Unfinished(); len(unfinished) > 0 {
+				t.Fatalf("accepted but not done: %v, want none", unfinished)
 			}
-			if left := d.displaced(); len(left) > 0 {
-				t.Errorf("%v are still marked as displaced, want none", left)
+			if marked := d.displaced(); len(marked) > 0 {
+				t.Errorf("%v are still marked as displaced, want none", marked)
 			}
 		})
 	}
--- a/internal/simulation/zonerecovery_test.go
+++ b/internal/simulation/zonerecovery_test.go
@@ -12,14 +12,14 @@
 	"postpoint/internal/zonerecovery"
 )
 
-// Either of two zones is lost, and the leader crashes in each phase of the loss. The leader must distinguish
-// the loss of the zone from its own isolation, the loss must keep its number through failovers, and the zone
-// must become healthy again after it has been back for long enough.
+// One of two zones is partitioned, and the leader crashes in each phase of the loss. Leaders must distinguish
+// the loss of the zone from their own isolation, the loss must keep its number through failovers, and the
+// zone must become healthy again after it has been back for long enough.
 func TestZoneRecoverySurvivesFailover(t *testing.T) {
 	t.Parallel()
 	for _, phase := range []zonerecovery.Phase{zonerecovery.Suspect, zonerecovery.Lost,
 		zonerecovery.Returning} {
-		for zone, k := range map[string]int{"a": 0, "b": 1} { // with the leader inside, or most controllers
+		for zone, k := range map[string]int{"a": 0, "b": 1} { // the leader or most controllers may be in the zone
 			w, d, h := twoZones(uint64(5200+k), nil)
 			d.capacity(4)
 			w.Run(20 * clock.Second)
@@ -34,7 +34,7 @@
 				w.Run(w.Now() + 100*clock.Millisecond)
 			}
 			if z := d.zones()[zone]; phase == zonerecovery.Lost && z.Phase != zonerecovery.Lost {
-				t.Errorf("zone %s, %s: the next leader has it %+v, want %s", zone, phase, z, phase)
+				t.Errorf("zone %s, %s: the overview of the next leader has %+v, want %s", zone, phase, z, phase)
 			}
 			w.Run(200 * clock.Second)
 			if z := d.zones()[zone]; z.Phase != zonerecovery.Healthy || z.Losses != 1 {
@@ -47,9 +47,9 @@
 	}
 }
 
-// A zone flaps. Its losses, the number of started machines and the elections must stay bounded: the leader
-// moves no task for partitions that end before it has diagnosed a loss, and the more often the zone flaps,
-// the longer it gets no tasks.
+// A zone flaps. Its losses and the number of started machines must stay bounded, and it must cause no
+// election: the leader moves no task for partitions that end before it has diagnosed a loss, and the more
+// often the zone flaps, the longer it gets no tasks.
 func TestFlappingZoneCostsLittle(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -169,9 +169,9 @@
 	return turns, reason
 }
 
-// A zone is lost, with and without zone recovery. With it the leader must start no machine in the lost zone,
-// boot machines for its jobs before its tasks are proven gone, and run all tasks again no later than without
-// it.
+// A zone is lost, with and without zone recovery. With zone recovery the leader must start no machine in the
+// lost zone, and all tasks must run again no later than without it, because the leader boots machines for the
+// displaced jobs before their tasks are proven gone.
 func TestZoneRecoveryIsFasterThanNone(t *testing.T) {
 	t.Parallel()
 	took := map[bool]clock.Micros{}
--- a/internal/zonerecovery/evidence_test.go
+++ b/internal/zonerecovery/evidence_test.go
@@ -2,6 +2,8 @@
 
 import "testing"
 
+// Diagnose must name the most likely cause of typical evidence, and for an isolated controller its isolation
+// instead of the loss of a zone.
 func TestDiagnoseNamesMostLikelyCause(t *testing.T) {
 	for want, e := range map[Diagnosis]Evidence{
 		NoneSilent:          noneSilent,
--- a/internal/zonerecovery/golden_test.go
+++ b/internal/zonerecovery/golden_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-func goldenPlatform() *settings.Settings {
+func goldenDeploymentSettings() *settings.Settings {
 	set := &settings.Settings{}
 	set.Deployment.Workers.LeaseS = 16
 	return set
@@ -114,7 +114,7 @@
 	want := goldenSettings()
 	goldentest.RequireFieldsSet(t, "settings", want)
 	goldentest.RequireTags(t, "toml", want)
-	got, err := Parse([]byte(goldenFile), goldenPlatform())
+	got, err := Parse([]byte(goldenFile), goldenDeploymentSettings())
 	if d := cmp.Diff(&want, got); err != nil || d != "" {
 		t.Errorf("%v: %s", err, d)
 	}
@@ -137,7 +137,7 @@
 			TasksPerS:    200,
 			Order:        []JobKind{Services, Deadlines, Gangs, Arrays, PastObjective},
 		}
-		got, err := Parse([]byte(text), goldenPlatform())
+		got, err := Parse([]byte(text), goldenDeploymentSettings())
 		if d := cmp.Diff(&want, got); err != nil || d != "" {
 			t.Errorf("%s: %v: %s", name, err, d)
 		}
@@ -161,7 +161,7 @@
 			"zones[0].action: \"stop\" is none of hold, hasten, end"},
 		{"[[zones]]\naction = 'hold'", "zones[0].name: fails the check required  (is \"\")"},
 	} {
-		_, err := Parse([]byte(c.text), goldenPlatform())
+		_, err := Parse([]byte(c.text), goldenDeploymentSettings())
 		if err == nil {
 			t.Errorf("%q is accepted, want an error", c.text)
 			continue
--- a/internal/zonerecovery/load_test.go
+++ b/internal/zonerecovery/load_test.go
@@ -16,6 +16,7 @@
 	return s
 }
 
+// The example file under deploy/ must be valid and show the default order.
 func TestExampleFileHasDefaultOrder(t *testing.T) {
 	s, err := Parse([]byte(configtest.ReadExample(t, "recovery.toml")), deploymentSettings())
 	if err != nil {
@@ -26,6 +27,7 @@
 	}
 }
 
+// Parse must use the default loss delay for an empty file.
 func TestEmptyFileHasDefaults(t *testing.T) {
 	s, err := Parse(nil, deploymentSettings())
 	if err != nil {
--- a/internal/zonerecovery/order_test.go
+++ b/internal/zonerecovery/order_test.go
@@ -75,9 +75,9 @@
 				remaining = slices.Delete(remaining, i, i+1)
 			}
 			elapsed := (now - start).Seconds()
-			if most := tasksPerS*(elapsed+1) + float64(largest); float64(released) > most+1e-6 {
+			if limit := tasksPerS*(elapsed+1) + float64(largest); float64(released) > limit+1e-6 {
 				t.Fatalf("%d tasks released after %.1f s at %v a second, want at most %v",
-					released, elapsed, tasksPerS, most)
+					released, elapsed, tasksPerS, limit)
 			}
 			if now > 10_000*clock.Second {
 				t.Fatalf("%d jobs are still not released after 10000 s, want 0", len(remaining))
--- a/internal/zonerecovery/zone_test.go
+++ b/internal/zonerecovery/zone_test.go
@@ -54,7 +54,7 @@
 	}
 	noMachines := Evidence{Controllers: 1}
 	oneMachine := Evidence{Machines: 1}
-	controllerAnswers := Evidence{Controllers: 1, ControllersReached: 1}
+	controllerResponds := Evidence{Controllers: 1, ControllersReached: 1}
 	for name, c := range map[string]struct {
 		action Action
 		steps  []step
@@ -82,18 +82,18 @@
 			{2, noneSilent, true, Returning},
 		}},
 		"one machine": {"", []step{{60, oneMachine, false, Healthy}}},
-		"nothing left": {"", []step{
+		"no machines left": {"", []step{
 			{8, allSilent, false, Lost},
 			{40, noMachines, false, Lost},
 			{30, noMachines, false, Healthy},
 		}},
-		"controller answers": {"", []step{
+		"controller responds": {"", []step{
 			{8, allSilent, false, Lost},
-			{30, controllerAnswers, false, Returning},
+			{30, controllerResponds, false, Returning},
 		}},
-		"held":     {Hold, []step{{60, allSilent, false, Healthy}}},
-		"hastened": {DeclareLost, []step{{2, allSilent, false, Lost}}},
-		"ended":    {DeclareHealthy, []step{{60, allSilent, false, Healthy}}},
+		"on hold":          {Hold, []step{{60, allSilent, false, Healthy}}},
+		"declared lost":    {DeclareLost, []step{{2, allSilent, false, Lost}}},
+		"declared healthy": {DeclareHealthy, []step{{60, allSilent, false, Healthy}}},
 		"second loss": {"", []step{
 			{8, allSilent, false, Lost},
 			{2, noneSilent, false, Returning},
@@ -115,8 +115,9 @@
 	}
 }
 
-// A flapping zone must not be lost without bound: over ten minutes of any pattern of silence, the loss delay
-// and the growing return delay limit the number of losses.
+// A zone flaps in a random pattern for ten minutes. The loss delay and the return delay, which grows with
+// each flap, must bound the number of losses, and the zone must become healthy after the longest return
+// delay.
 func TestLossesOfFlappingZoneAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		z := newObservedZone()
@@ -154,6 +155,7 @@
 	}
 }
 
+// Decode must reject a phase that this version doesn't know, with an error that names the zone and the phase.
 func TestDecodeRefusesUnknownPhase(t *testing.T) {
 	_, err := Decode("a", []byte{0x81, 0xa5, 'p', 'h', 'a', 's', 'e', 0xa1, 'x'}, 0)
 	var unknown *UnknownPhaseError
