--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -16,11 +16,11 @@
 
 // Admission is the actor that handles the requests of users and controllers.
 type Admission struct {
-	mailbox actor.Mailbox
-	store   kvstore.Store
-	set     *settings.Settings
-	forward Forward
-	types   []protocol.MachineType // empty until the first catalogue arrives
+	mailbox  actor.Mailbox
+	store    kvstore.Store
+	settings *settings.Settings
+	forward  Forward
+	types    []protocol.MachineType // empty until the first catalogue arrives
 	// formatOpen reports that all controllers support services and sharded records.
 	formatOpen bool
 	// memoryFull reports that the process is too close to its memory limit to accept new jobs.
@@ -39,62 +39,62 @@
 
 // New returns the actor. While the store is unavailable, it passes requests to other controllers with
 // forward.
-func New(m actor.Mailbox, s kvstore.Store, set *settings.Settings, forward Forward) *Admission {
+func New(m actor.Mailbox, s kvstore.Store, config *settings.Settings, forward Forward) *Admission {
 	return &Admission{
 		mailbox:       m,
 		store:         s,
-		set:           set,
+		settings:      config,
 		forward:       forward,
 		memoryFull:    func() bool { return false },
 		finalStates:   map[protocol.JobID]protocol.JobStatus{},
 		startedAt:     m.Monotonic(),
 		cancellations: newCancellationLog(),
-		zoneReports:   func(reply func(ZoneReports)) { reply(ZoneReports{Node: set.Node}) },
+		zoneReports:   func(reply func(ZoneReports)) { reply(ZoneReports{Node: config.Node}) },
 	}
 }
 
 // RejectNewJobsWhen makes Admission reject new jobs as retryable while full returns true: a process that
 // exceeds its memory limit is killed with all of its work in progress. The caller calls RejectNewJobsWhen
 // before the first request; the actor calls full.
-func (adm *Admission) RejectNewJobsWhen(full func() bool) { adm.memoryFull = full }
+func (a *Admission) RejectNewJobsWhen(full func() bool) { a.memoryFull = full }
 
 // SetZoneReporter sets the function that responds to GetZoneReports. The caller calls it before the
 // first request.
-func (adm *Admission) SetZoneReporter(ask func(reply func(ZoneReports))) { adm.zoneReports = ask }
+func (a *Admission) SetZoneReporter(ask func(reply func(ZoneReports))) { a.zoneReports = ask }
 
 // SetMachineTypes replaces the machine types when a new catalogue arrives.
-func (adm *Admission) SetMachineTypes(types []protocol.MachineType) {
+func (a *Admission) SetMachineTypes(types []protocol.MachineType) {
 	types = slices.Clone(types)
-	adm.mailbox.Post(func() { adm.types = types })
+	a.mailbox.Post(func() { a.types = types })
 }
 
 // SetFormatStatus records the progress of the upgrade of the controllers.
-func (adm *Admission) SetFormatStatus(s rollout.Status) {
-	adm.mailbox.Post(func() { adm.formatOpen = s.Services })
+func (a *Admission) SetFormatStatus(s rollout.Status) {
+	a.mailbox.Post(func() { a.formatOpen = s.Services })
 }
 
 // RecordElection records an election of this controller. The caller calls it before the new leader does
 // anything.
-func (adm *Admission) RecordElection(epoch protocol.Epoch) {
-	adm.mailbox.Post(func() { adm.epoch = max(adm.epoch, epoch) })
+func (a *Admission) RecordElection(epoch protocol.Epoch) {
+	a.mailbox.Post(func() { a.epoch = max(a.epoch, epoch) })
 }
 
 // Handle handles a request. The actor calls reply exactly once.
-func (adm *Admission) Handle(r Request, reply func(Response)) {
-	adm.mailbox.Post(func() {
-		c := &call{admission: adm, request: r, reply: reply}
+func (a *Admission) Handle(r Request, reply func(Response)) {
+	a.mailbox.Post(func() {
+		c := &call{admission: a, request: r, reply: reply}
 		c.handle()
 	})
 }
 
 // cacheFinalStatus caches the final status of a job. If the job is cancelled, it also logs the cancellation
 // for attestations; the caller must therefore call it before it sends the status to a user.
-func (adm *Admission) cacheFinalStatus(s protocol.JobStatus) {
+func (a *Admission) cacheFinalStatus(s protocol.JobStatus) {
 	if s.Status == protocol.StatusCancelled {
-		adm.cancellations.add(s.ID, adm.mailbox.Monotonic())
+		a.cancellations.add(s.ID, a.mailbox.Monotonic())
 	}
-	if len(adm.finalStates) >= maxFinalStates {
-		clear(adm.finalStates) // rare, and costs only repeated reads
+	if len(a.finalStates) >= maxFinalStates {
+		clear(a.finalStates) // rare, and costs only repeated reads
 	}
-	adm.finalStates[s.ID] = s
+	a.finalStates[s.ID] = s
 }
--- a/internal/admission/availability.go
+++ b/internal/admission/availability.go
@@ -37,56 +37,56 @@
 // enough for them, and the store or another controller responds to it. A controller that can't reach the
 // store still forwards requests to its peers, and in an outage of the store no other controller could serve
 // its users better. A controller that can reach neither only makes its users wait.
-func (adm *Admission) Ready(reply func(bool)) {
-	adm.mailbox.Post(func() {
-		now, a := adm.mailbox.Monotonic(), &adm.availability
-		if now > a.storeRespondedAt+probeInterval || now < a.storeDownUntil {
-			adm.probe()
+func (a *Admission) Ready(reply func(bool)) {
+	a.mailbox.Post(func() {
+		now, availability := a.mailbox.Monotonic(), &a.availability
+		if now > availability.storeRespondedAt+probeInterval || now < availability.storeDownUntil {
+			a.probe()
 		}
 		// The monotonic clock starts with the process: a controller has until catalogueTimeout for its
 		// first response.
-		started := len(adm.types) > 0 || now > catalogueTimeout
-		lastResponseAt := max(a.storeRespondedAt, a.peerRespondedAt, catalogueTimeout)
+		started := len(a.types) > 0 || now > catalogueTimeout
+		lastResponseAt := max(availability.storeRespondedAt, availability.peerRespondedAt, catalogueTimeout)
 		reply(started && now < lastResponseAt+isolationTimeout)
 	})
 }
 
 // probe sends a request to the store, and to another controller if the store doesn't respond.
-func (adm *Admission) probe() {
-	if adm.availability.probing {
+func (a *Admission) probe() {
+	if a.availability.probing {
 		return
 	}
-	adm.availability.probing = true
-	adm.store.Get(probeKey, func(r kvstore.Result[protocol.Item]) {
-		if adm.recordStoreResult(storeResultOf(r.Err)) {
-			adm.availability.probing = false
+	a.availability.probing = true
+	a.store.Get(probeKey, func(r kvstore.Result[protocol.Item]) {
+		if a.recordStoreResult(storeResultOf(r.Err)) {
+			a.availability.probing = false
 			return
 		}
-		adm.availability.storeDownUntil = adm.mailbox.Monotonic() + probeInterval
-		adm.forward(Request{Kind: GetStatus, ID: probeKey}, func(_ Response, ok bool) {
-			adm.availability.probing = false
-			adm.recordPeerResult(ok)
+		a.availability.storeDownUntil = a.mailbox.Monotonic() + probeInterval
+		a.forward(Request{Kind: GetStatus, ID: probeKey}, func(_ Response, ok bool) {
+			a.availability.probing = false
+			a.recordPeerResult(ok)
 		})
 	})
 }
 
 // recordStoreResult records a result of the store and reports whether it shows that the store is available to
 // this controller.
-func (adm *Admission) recordStoreResult(r storeResult) bool {
+func (a *Admission) recordStoreResult(r storeResult) bool {
 	if !r.showsAvailable() {
 		return false
 	}
-	adm.availability.storeRespondedAt = adm.mailbox.Monotonic()
+	a.availability.storeRespondedAt = a.mailbox.Monotonic()
 	return true
 }
 
 // recordPeerResult records whether another controller responded. If none did, this controller forwards
 // nothing for failureBackoff.
-func (adm *Admission) recordPeerResult(responded bool) {
-	now := adm.mailbox.Monotonic()
+func (a *Admission) recordPeerResult(responded bool) {
+	now := a.mailbox.Monotonic()
 	if responded {
-		adm.availability.peerRespondedAt = now
+		a.availability.peerRespondedAt = now
 	} else {
-		adm.availability.peersDownUntil = now + failureBackoff
+		a.availability.peersDownUntil = now + failureBackoff
 	}
 }
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -2,7 +2,7 @@
 
 import "postpoint/internal/protocol"
 
-// RequestKind is the operation that a request asks for. Nodes send each other its number.
+// RequestKind is the operation that a request asks for. Controllers send each other its number.
 type RequestKind byte
 
 // Kinds of requests.
--- a/internal/admission/server.go
+++ b/internal/admission/server.go
@@ -47,7 +47,7 @@
 
 // idleTimeout returns how long a connection may be idle between requests. A worker sends several
 // heartbeats within it, and the server closes the connections of dead machines after it.
-func (adm *Admission) idleTimeout() time.Duration {
-	interval := adm.set.Deployment.Workers.HeartbeatInterval().Duration()
+func (a *Admission) idleTimeout() time.Duration {
+	interval := a.settings.Deployment.Workers.HeartbeatInterval().Duration()
 	return max(minIdleTimeout, heartbeatsPerIdleTimeout*interval)
 }
--- a/internal/admission/submission.go
+++ b/internal/admission/submission.go
@@ -34,19 +34,19 @@
 
 // rejection returns the outcome of a new job that can't be accepted; rejected is false if it can be.
 // invalid is the error from decoding the submission.
-func (adm *Admission) rejection(spec *protocol.JobSpec, invalid error) (o outcome, rejected bool) {
+func (a *Admission) rejection(spec *protocol.JobSpec, invalid error) (o outcome, rejected bool) {
 	switch {
 	case invalid != nil:
 		return failure(outcomeMalformed, invalid.Error()), true
-	case len(adm.types) == 0:
+	case len(a.types) == 0:
 		return failure(outcomeTryLater, reasonNoCatalogue), true
-	case adm.memoryFull():
+	case a.memoryFull():
 		return failure(outcomeTryLater, reasonMemoryFull), true
 	}
-	if err := checkRunnable(spec, &adm.set.Deployment, adm.types); err != nil {
+	if err := checkRunnable(spec, &a.settings.Deployment, a.types); err != nil {
 		return failure(outcomeNotRunnable, err.Error()), true
 	}
-	if spec.IsService() && !adm.formatOpen {
+	if spec.IsService() && !a.formatOpen {
 		return failure(outcomeTryLater, reasonFormatClosed), true
 	}
 	return outcome{}, false
@@ -56,7 +56,7 @@
 func (c *call) newRecord() *jobrecord.Record {
 	record := jobrecord.New(c.spec, int64(c.admission.mailbox.TimeOfDay()))
 	if c.admission.formatOpen {
-		limits := c.admission.set.Deployment.KVStore.Tightest()
+		limits := c.admission.settings.Deployment.KVStore.Tightest()
 		record.FormatMarked = c.spec.IsService()
 		record.ShardSize = jobrecord.ShardSizeFor(&c.spec, limits.ValueBytes())
 	}
--- a/internal/cells/check.go
+++ b/internal/cells/check.go
@@ -10,14 +10,14 @@
 )
 
 // check validates the fields against each other and against the controller's settings.
-func (f *file) check(set *settings.Settings) error {
+func (f *file) check(config *settings.Settings) error {
 	if err := f.checkCells(); err != nil {
 		return err
 	}
-	if err := f.checkOwnCell(set); err != nil {
+	if err := f.checkOwnCell(config); err != nil {
 		return err
 	}
-	return f.checkRules(set)
+	return f.checkRules(config)
 }
 
 // checkCells rejects invalid cell names, and names and addresses that are listed twice.
@@ -59,13 +59,13 @@
 }
 
 // checkOwnCell rejects an entry of the controller's own cell that doesn't match the controller's settings.
-func (f *file) checkOwnCell(set *settings.Settings) error {
+func (f *file) checkOwnCell(config *settings.Settings) error {
 	own := f.find(f.Cell)
 	if own == nil {
 		return unknownCell("cell", f.Cell)
 	}
 	field := "cells." + own.Name
-	if lease := set.Deployment.Workers.LeaseS; own.LeaseS != lease {
+	if lease := config.Deployment.Workers.LeaseS; own.LeaseS != lease {
 		return configfile.Invalid(field+".lease_s", own.LeaseS, "isn't the settings' %v", lease)
 	}
 	var listed []string
@@ -73,7 +73,7 @@
 		listed = append(listed, c.Node)
 	}
 	slices.Sort(listed)
-	nodes := set.Nodes()
+	nodes := config.Nodes()
 	slices.Sort(nodes)
 	if !slices.Equal(listed, nodes) {
 		return configfile.Invalid(field+".controllers", listed, "aren't the settings' %v", nodes)
@@ -97,9 +97,9 @@
 }
 
 // checkRules rejects rules that name unknown cells or teams, and rules that could never apply.
-func (f *file) checkRules(set *settings.Settings) error {
+func (f *file) checkRules(config *settings.Settings) error {
 	for i := range f.OffloadRules {
-		if err := f.checkRule(i, set); err != nil {
+		if err := f.checkRule(i, config); err != nil {
 			return err
 		}
 	}
@@ -107,7 +107,7 @@
 }
 
 // checkRule validates the rule at an index.
-func (f *file) checkRule(i int, set *settings.Settings) error {
+func (f *file) checkRule(i int, config *settings.Settings) error {
 	rule := &f.OffloadRules[i]
 	field := fmt.Sprintf("spill[%d]", i)
 	if f.find(rule.From) == nil {
@@ -119,7 +119,7 @@
 				"other among one cell's workers, and are stopped by one leader")
 	}
 	for k := range rule.To {
-		if err := f.checkDestination(field+".to", rule, k, set); err != nil {
+		if err := f.checkDestination(field+".to", rule, k, config); err != nil {
 			return err
 		}
 	}
@@ -129,11 +129,11 @@
 			return &configfile.FieldError{Field: field, Problem: problem}
 		}
 	}
-	return f.checkTeams(field+".teams", rule, set)
+	return f.checkTeams(field+".teams", rule, config)
 }
 
 // checkDestination validates the cell at an index of a rule's destinations.
-func (f *file) checkDestination(field string, rule *ruleEntry, index int, set *settings.Settings) error {
+func (f *file) checkDestination(field string, rule *ruleEntry, index int, config *settings.Settings) error {
 	name := rule.To[index]
 	host := f.find(name)
 	switch {
@@ -146,7 +146,7 @@
 	case host.HostedQuota == resourcesEntry{}:
 		return configfile.Invalid(field, name, "hosts no jobs: it has no guests amounts")
 	case rule.From == f.Cell:
-		return checkPermission(field, host, set.Deployment.Workers)
+		return checkPermission(field, host, config.Deployment.Workers)
 	}
 	return nil
 }
@@ -166,12 +166,12 @@
 }
 
 // checkTeams rejects unknown teams in the rules of the controller's own cell.
-func (f *file) checkTeams(field string, rule *ruleEntry, set *settings.Settings) error {
+func (f *file) checkTeams(field string, rule *ruleEntry, config *settings.Settings) error {
 	if rule.From != f.Cell {
 		return nil // other cells have their own teams
 	}
 	for _, team := range rule.Teams {
-		if _, known := set.Deployment.Team(team); !known {
+		if _, known := config.Deployment.Team(team); !known {
 			return configfile.Invalid(field, team, "is not among the settings' teams")
 		}
 	}
--- a/internal/cells/file.go
+++ b/internal/cells/file.go
@@ -55,18 +55,18 @@
 
 // Load reads and validates the cells file at path for a controller with the given settings. The error names
 // the invalid field.
-func Load(path string, set *settings.Settings) (*Directory, error) {
-	return configfile.Load(path, func(raw []byte) (*Directory, error) { return Parse(raw, set) })
+func Load(path string, config *settings.Settings) (*Directory, error) {
+	return configfile.Load(path, func(raw []byte) (*Directory, error) { return Parse(raw, config) })
 }
 
 // Parse decodes and validates the text of a cells file for a controller with the given settings. It rejects
 // unknown fields.
-func Parse(raw []byte, set *settings.Settings) (*Directory, error) {
+func Parse(raw []byte, config *settings.Settings) (*Directory, error) {
 	var f file
 	if err := configfile.DecodeTOML(raw, &f); err != nil {
 		return nil, err
 	}
-	if err := f.check(set); err != nil {
+	if err := f.check(config); err != nil {
 		return nil, err
 	}
 	return f.directory(), nil
--- a/internal/delegation/codec.go
+++ b/internal/delegation/codec.go
@@ -66,7 +66,7 @@
 		w.text(zone)
 	}
 	w.resources(t.Free)
-	w.flag(t.SoldOut)
+	w.flag(t.OutOfCapacity)
 }
 
 // DecodeHeartbeat decodes the binary form of a heartbeat. Errors are a *MalformedError or a VersionError.
@@ -127,7 +127,7 @@
 		t.Type.Zones = append(t.Type.Zones, r.text(protocol.MaxTextBytes))
 	}
 	t.Free = r.resources()
-	t.SoldOut = r.flag()
+	t.OutOfCapacity = r.flag()
 	return t
 }
 
--- a/internal/delegation/codec_test.go
+++ b/internal/delegation/codec_test.go
@@ -53,8 +53,8 @@
 			FetchGBPerS: 0.5,
 			Zones:       []string{drawText.Draw(t, "zone")},
 		},
-		Free:    drawResources.Draw(t, "free"),
-		SoldOut: rapid.Bool().Draw(t, "sold out"),
+		Free:          drawResources.Draw(t, "free"),
+		OutOfCapacity: rapid.Bool().Draw(t, "sold out"),
 	}
 })
 
--- a/internal/delegation/golden_test.go
+++ b/internal/delegation/golden_test.go
@@ -33,8 +33,8 @@
 					BootS:       90,
 					Zones:       []string{"a", "b"},
 				},
-				Free:    planner.Resources{Cpus: 12.5, Gpus: 2, MemoryGB: -3},
-				SoldOut: true,
+				Free:          planner.Resources{Cpus: 12.5, Gpus: 2, MemoryGB: -3},
+				OutOfCapacity: true,
 			}, {
 				Type: protocol.MachineType{Name: "c4", Cpus: 4, MemoryGB: 16, BootS: 30, FetchGBPerS: 0.25},
 			}},
--- a/internal/delegation/message.go
+++ b/internal/delegation/message.go
@@ -62,8 +62,8 @@
 	Type protocol.MachineType // without prices
 	// Free is the free capacity of ready machines, without the reserve.
 	Free planner.Resources
-	// SoldOut means that the host's cloud has no more machines of the type, as far as the host knows.
-	SoldOut bool
+	// OutOfCapacity means that the host's cloud has no more machines of the type, as far as the host knows.
+	OutOfCapacity bool
 }
 
 // Action is what an origin cell tells a host to do with a delegation.
--- a/internal/delegation/record.go
+++ b/internal/delegation/record.go
@@ -30,7 +30,7 @@
 	Accepted State = "accepted"
 	// Refused means that the host never starts any of the tasks.
 	Refused State = "refused"
-	// Recalled means that the origin wants the tasks back.
+	// Recalled means that the origin asks the host to return the tasks.
 	Recalled State = "recalled"
 	// Ended means that none of the tasks runs under the delegation any more or can start under it.
 	Ended State = "ended"
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -14,7 +14,7 @@
 //	campaigning requests a lease, then claims the key under it. Claimed: leading. Otherwise: observing.
 //	leading     renews the lease. Expired, or a higher epoch observed: observing.
 //
-// After a failure of the key-value store the candidate pauses and observes again. Each transition
+// After a failure of the key-value store the candidate observes again after retryDelay. Each transition
 // begins a new round, and the candidate drops results of earlier rounds.
 package election
 
@@ -52,7 +52,7 @@
 }
 
 const (
-	// retryDelay is the pause after a failure of the key-value store.
+	// retryDelay is the delay before a retry after a failure of the key-value store.
 	retryDelay = 400 * clock.Millisecond
 	// followTimeout is how long one request waits for the key to change.
 	followTimeout = 5 * clock.Second
@@ -211,7 +211,7 @@
 	})
 }
 
-// handleObservationFailure observes again after a pause. After leaderStaleAfter the candidate no longer
+// handleObservationFailure observes again after retryDelay. After leaderStaleAfter the candidate no longer
 // announces the last known leader: workers redirected to it could find that it no longer leads.
 func (c *Candidate) handleObservationFailure() {
 	if !c.isLeader() && c.mailbox.Monotonic() > c.observedAt+leaderStaleAfter {
--- a/internal/kvstore/errors.go
+++ b/internal/kvstore/errors.go
@@ -110,7 +110,7 @@
 }
 
 // NotExecuted reports whether the store or this process's rate limit refused the request before
-// executing it. The caller may retry the same request after a pause.
+// executing it. The caller may retry the same request after a delay.
 func NotExecuted(err error) bool {
 	return errors.Is(err, ErrThrottled) || errors.Is(err, ErrUnavailable)
 }
--- a/internal/leader/autoscaler/autoscaler.go
+++ b/internal/leader/autoscaler/autoscaler.go
@@ -28,7 +28,7 @@
 	zones      *zonetracker.Tracker
 	steps      *term.StepTimer
 
-	// BackoffUntil is the end of the pause in requests that follows a failed request.
+	// BackoffUntil is the end of the backoff after a failed request.
 	BackoffUntil clock.Micros
 	scaleOut     scaleOutState
 	list         listState
@@ -37,7 +37,7 @@
 	cordons         cordonState
 }
 
-// refusalBackoff is the pause after the cloud refuses a request, or a request fails in another way. It is
+// refusalBackoff is the backoff after the cloud refuses a request, or a request fails in another way. It is
 // long enough for a limit on requests per second to recover, and short compared with the time that a machine
 // takes to boot.
 const refusalBackoff = 2 * clock.Second
@@ -80,5 +80,5 @@
 	a.SendReleases()
 }
 
-// backOff starts a pause of refusalBackoff in which no regular request goes to the cloud.
+// backOff starts a backoff of refusalBackoff, during which no regular request goes to the cloud.
 func (a *Autoscaler) backOff() { a.BackoffUntil = a.Now() + refusalBackoff }
--- a/internal/leader/autoscaler/cloudview.go
+++ b/internal/leader/autoscaler/cloudview.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// initialCapacityPause is the pause before the autoscaler requests machines again from a capacity pool
-	// that has run out. The pause doubles with each consecutive refusal, up to maxCapacityPause, which
+	// initialCapacityBackoff is the backoff before the autoscaler requests machines again from a capacity
+	// pool that has run out. It doubles with each consecutive refusal, up to maxCapacityBackoff, which
 	// bounds how late the autoscaler detects new capacity.
-	initialCapacityPause = 8 * clock.Second
-	maxCapacityPause     = 32 * clock.Second
+	initialCapacityBackoff = 8 * clock.Second
+	maxCapacityBackoff     = 32 * clock.Second
 )
 
-// capacityPause is the pause in requests to a capacity pool that has run out of machines.
-type capacityPause struct {
+// capacityBackoff is the backoff of a capacity pool that has run out of machines.
+type capacityBackoff struct {
 	until  clock.Micros
 	length clock.Micros
 }
@@ -22,8 +22,8 @@
 // CloudView returns the machine types and the capacity pools that are believed to have capacity at present.
 func (a *Autoscaler) CloudView() *scaling.CloudView {
 	view := &scaling.CloudView{Types: a.catalogue.ByName, OutOfCapacity: map[scaling.CapacityPool]bool{}}
-	for pool, pause := range a.scaleOut.exhausted {
-		if a.Now() < pause.until {
+	for pool, backoff := range a.scaleOut.exhausted {
+		if a.Now() < backoff.until {
 			view.OutOfCapacity[pool] = true
 		}
 	}
@@ -51,13 +51,13 @@
 	}
 }
 
-// markExhausted pauses requests to a capacity pool that has run out of machines.
+// markExhausted starts the backoff of a capacity pool that has run out of machines.
 func (a *Autoscaler) markExhausted(pool scaling.CapacityPool) {
-	pause := a.scaleOut.exhausted[pool]
-	pause.length = min(max(initialCapacityPause, 2*pause.length), maxCapacityPause)
-	pause.until = a.Now() + pause.length
-	a.scaleOut.exhausted[pool] = pause
+	backoff := a.scaleOut.exhausted[pool]
+	backoff.length = min(max(initialCapacityBackoff, 2*backoff.length), maxCapacityBackoff)
+	backoff.until = a.Now() + backoff.length
+	a.scaleOut.exhausted[pool] = backoff
 }
 
-// markAvailable ends the pause in requests to a capacity pool that has capacity again.
+// markAvailable ends the backoff of a capacity pool that has capacity again.
 func (a *Autoscaler) markAvailable(pool scaling.CapacityPool) { delete(a.scaleOut.exhausted, pool) }
--- a/internal/leader/autoscaler/scalein.go
+++ b/internal/leader/autoscaler/scalein.go
@@ -38,7 +38,7 @@
 			Needed:   a.neededByRecentClass(m),
 			Cordoned: m.Cordoned,
 		}
-		if m.RecallAt == 0 && idle.IdleFor > view.IdleTimeout(idle) {
+		if m.ReclaimAt == 0 && idle.IdleFor > view.IdleTimeout(idle) {
 			a.machines.ScheduleRelease(m, releaseIdle)
 		}
 	}
--- a/internal/leader/autoscaler/scaleout.go
+++ b/internal/leader/autoscaler/scaleout.go
@@ -21,7 +21,7 @@
 	// scale-ins and listings.
 	scaleOutShare = 0.5
 	// maxScaleOutAttempts bounds how often the autoscaler sends a request that gets no response, and
-	// scaleOutRetryDelay is the pause between two attempts.
+	// scaleOutRetryDelay is the delay between two attempts.
 	maxScaleOutAttempts = 4
 	scaleOutRetryDelay  = clock.Second
 )
@@ -32,9 +32,9 @@
 	requests int
 	// inFlight counts the requests whose outcome isn't known yet.
 	inFlight int
-	// exhausted holds the capacity pools that have run out of machines, with the pause in requests to each.
-	// An entry stays after its pause has ended, so that the next refusal doubles the pause.
-	exhausted map[scaling.CapacityPool]capacityPause
+	// exhausted holds the capacity pools that have run out of machines, with the backoff of each. An entry
+	// stays after its backoff has ended, so that the next refusal doubles the backoff.
+	exhausted map[scaling.CapacityPool]capacityBackoff
 	limiter   *rate.Limiter
 }
 
@@ -42,7 +42,7 @@
 // requests.
 func newScaleOutState(requestsPerSecond float64) scaleOutState {
 	return scaleOutState{
-		exhausted: map[scaling.CapacityPool]capacityPause{},
+		exhausted: map[scaling.CapacityPool]capacityBackoff{},
 		limiter: rate.NewLimiter(rate.Limit(requestsPerSecond*scaleOutShare),
 			max(1, int(requestsPerSecond))),
 	}
--- a/internal/leader/cancellations_test.go
+++ b/internal/leader/cancellations_test.go
@@ -19,7 +19,7 @@
 	for _, leads := range []bool{true, false} {
 		l, j, m, mailbox := leaderWithOneTask(t)
 		renewalWindow := l.state.Settings.Deployment.Workers.RenewalWindow()
-		l.jobs.NoteCancelled(j, mailbox.Now)
+		l.jobs.MarkCancelled(j, mailbox.Now)
 		heartbeat := func(counter int64, tasks ...protocol.TaskStatus) (status int,
 			commands []protocol.Command) {
 			l.state.Term.RenewedAt, l.state.RecordsKnownUntil = mailbox.Now, mailbox.Now
--- a/internal/leader/cells_delegating_test.go
+++ b/internal/leader/cells_delegating_test.go
@@ -184,7 +184,7 @@
 			j.Spec.OneZone = true
 			l.jobs.AddPlacement(j, jobrecord.Placement{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1})
 		}, 0},
-		"cancelled": {func(l *Leader, j *jobtable.Job) { l.jobs.NoteCancelled(j, l.state.Now()) }, 0},
+		"cancelled": {func(l *Leader, j *jobtable.Job) { l.jobs.MarkCancelled(j, l.state.Now()) }, 0},
 	} {
 		l, _, mailbox := cellLeader(t)
 		spec := protocol.JobSpec{ID: "job-1", Shape: protocol.ShapeArray, Tasks: 4, Cpus: 1}
--- a/internal/leader/cells_hosting_test.go
+++ b/internal/leader/cells_hosting_test.go
@@ -117,7 +117,7 @@
 func TestOriginIsToldOnlyWhatIsStored(t *testing.T) {
 	l, j, m, _ := hostingLeader(t)
 	j.Hosted.Closed = true
-	l.jobs.NoteHeadChange(j)
+	l.jobs.MarkHeadChanged(j)
 	j.ClosedAtChange = j.ChangeCount
 	l.reconciler.Observe(m, workerHeartbeat(1, 1, hostedTask(j, protocol.TaskExited, protocol.CauseDone)))
 	if s, _ := l.host.StatusOf(j); s.Closed || s.Done.Len() > 0 || s.Held.Len() > 0 {
--- a/internal/leader/cells_permissions_test.go
+++ b/internal/leader/cells_permissions_test.go
@@ -34,7 +34,7 @@
 	if got := onlyDirective(t, sendDelegationStatus(l, delegation.Status{})); got != want {
 		t.Fatalf("got %+v, want %+v", got, want)
 	}
-	l.jobs.NoteCancelled(j, mailbox.Now)
+	l.jobs.MarkCancelled(j, mailbox.Now)
 	want = delegation.Directive{Number: 7, Action: delegation.Cancel}
 	if got := onlyDirective(t, sendDelegationStatus(l, delegation.Status{})); got != want {
 		t.Fatalf("got %+v for a cancelled job, want %+v", got, want)
@@ -48,7 +48,7 @@
 	l, j, _, mailbox := delegatingLeader(t)
 	mailbox.Now += 2 * clock.Second
 	// The host must forget an unknown delegation even if its job is cancelled.
-	l.jobs.NoteCancelled(j, mailbox.Now)
+	l.jobs.MarkCancelled(j, mailbox.Now)
 	delete(l.origin.Delegations, 7)
 	l.state.Term.ValidUntil = mailbox.Now + clock.Second
 	directive := onlyDirective(t, sendDelegationStatus(l, delegation.Status{}))
--- a/internal/leader/commands_test.go
+++ b/internal/leader/commands_test.go
@@ -58,7 +58,7 @@
 			j.Stops[3] = jobtable.StopRequest{Reason: "preempted"}
 		},
 		"the job is cancelled": func(l *Leader, j *jobtable.Job, _ *protocol.Heartbeat) {
-			l.jobs.NoteCancelled(j, l.state.Now())
+			l.jobs.MarkCancelled(j, l.state.Now())
 		},
 		"the heartbeat lacks a task": func(_ *Leader, _ *jobtable.Job, r *protocol.Heartbeat) {
 			r.Tasks = r.Tasks[1:]
--- a/internal/leader/federation/celllinks.go
+++ b/internal/leader/federation/celllinks.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// draining reports whether a host cell has to give back even running tasks, because this cell or the host is
+// draining reports whether a host cell has to return even running tasks, because this cell or the host is
 // being drained or the directory no longer lists the host.
 func (l *Links) draining(host string) bool {
 	c := l.Directory.Cell(host)
--- a/internal/leader/federation/heartbeats.go
+++ b/internal/leader/federation/heartbeats.go
@@ -258,9 +258,9 @@
 	var loads []delegation.TypeLoad
 	for _, t := range h.catalogue.Types {
 		loads = append(loads, delegation.TypeLoad{
-			Type:    t,
-			Free:    beyondReserve(free[t.Name], reserve),
-			SoldOut: outOfCapacity(t, refused),
+			Type:          t,
+			Free:          beyondReserve(free[t.Name], reserve),
+			OutOfCapacity: outOfCapacity(t, refused),
 		})
 	}
 	return loads
--- a/internal/leader/federation/host.go
+++ b/internal/leader/federation/host.go
@@ -141,7 +141,7 @@
 	}
 	if j.Hosted.Closed && len(j.Placements) == 0 {
 		j.Status = protocol.StatusCancelled
-		h.jobs.NoteHeadChange(j)
+		h.jobs.MarkHeadChanged(j)
 		h.steps.Wake()
 	}
 }
@@ -165,7 +165,7 @@
 	slog.Info("hosted job closed", "job", j.Spec.ID, "reason", reason)
 	j.Hosted.Closed = true
 	j.Cause = reason
-	h.jobs.NoteHeadChange(j)
+	h.jobs.MarkHeadChanged(j)
 	j.ClosedAtChange = j.ChangeCount
 }
 
@@ -237,6 +237,6 @@
 		h.jobs.Forget(j)
 	case errors.Is(r.Err, kvstore.ErrConflict): // includes the conflict that a deposed leader gets
 		// The store has executed an earlier attempt of the deletion, or a write whose outcome was unknown.
-		j.NoteRecordEvent(jobtable.EventRecordConflict)
+		j.ApplyRecordEvent(jobtable.EventRecordConflict)
 	}
 }
--- a/internal/leader/federation/origin.go
+++ b/internal/leader/federation/origin.go
@@ -207,6 +207,6 @@
 	if del.State != delegation.Refused && !del.returnCounted {
 		del.returnCounted = true
 		j.ReturnCount++
-		o.jobs.NoteHeadChange(j)
+		o.jobs.MarkHeadChanged(j)
 	}
 }
--- a/internal/leader/golden_test.go
+++ b/internal/leader/golden_test.go
@@ -206,7 +206,7 @@
 	useStore(l, store)
 	j.RecordDone(0)
 	l.jobs.ReleasePlacement(j, j.Placements[0])
-	l.jobs.NoteHeadChange(j)
+	l.jobs.MarkHeadChanged(j)
 	j.StoredValue.ChangedAt = 0
 	l.writer.Commit()
 	goldentest.Equal(t, "record", onlyTxn(t, store),
--- a/internal/leader/jobtable/jobtable.go
+++ b/internal/leader/jobtable/jobtable.go
@@ -70,20 +70,20 @@
 	delete(t.ByID, id)
 }
 
-// NoteTaskChange marks the stored value of a task's state as changed. While a record is being
+// MarkTaskChanged marks the stored value of a task's state as changed. While a record is being
 // sharded, its undivided value and its shard must both be written.
-func (t *Table) NoteTaskChange(j *Job, task int) {
-	j.valueOf(task).NoteChange(t.Now())
+func (t *Table) MarkTaskChanged(j *Job, task int) {
+	j.valueOf(task).MarkChanged(t.Now())
 	if j.Sharding() {
-		j.ShardValue(task).NoteChange(t.Now())
+		j.ShardValue(task).MarkChanged(t.Now())
 	}
 	j.RunningStale = true
 }
 
-// NoteHeadChange marks the head, which holds the job's own state rather than that of its tasks, as
+// MarkHeadChanged marks the head, which holds the job's own state rather than that of its tasks, as
 // changed.
-func (t *Table) NoteHeadChange(j *Job) {
-	j.StoredValue.NoteChange(t.Now())
+func (t *Table) MarkHeadChanged(j *Job) {
+	j.StoredValue.MarkChanged(t.Now())
 }
 
 // AddPlacement adds a placement. The placement takes capacity immediately; the leader acts on it once
@@ -91,7 +91,7 @@
 func (t *Table) AddPlacement(j *Job, p jobrecord.Placement) {
 	j.Placements[p.Task] = p
 	t.machines.AddPlacement(j.Spec.ID, p)
-	t.NoteTaskChange(j, p.Task)
+	t.MarkTaskChanged(j, p.Task)
 	v := j.valueOf(p.Task)
 	j.ProposedAt[p.Task] = v.ChangeCount
 	v.Uncommitted = append(v.Uncommitted, p.Task)
@@ -107,7 +107,7 @@
 		v.UnconfirmedReleases = append(v.UnconfirmedReleases, p)
 	}
 	t.machines.RemovePlacement(j.Spec.ID, p)
-	t.NoteTaskChange(j, p.Task)
+	t.MarkTaskChanged(j, p.Task)
 	if !j.Done.Contains(p.Task) {
 		t.Losses.PlacementLost(j, p.Machine)
 		// The task has to run again, with an attempt number that was never used before.
@@ -188,7 +188,7 @@
 func (t *Table) DropShards(j *Job) {
 	if len(j.Shards) > 0 {
 		j.Shards = nil
-		j.NoteRecordEvent(EventShardsDropped)
+		j.ApplyRecordEvent(EventShardsDropped)
 	}
 }
 
@@ -202,7 +202,7 @@
 	if j.Sharding() {
 		t.AbandonSharding(j) // the final record is small enough to stay undivided
 	}
-	t.NoteHeadChange(j)
+	t.MarkHeadChanged(j)
 	t.returnCapacity(j)
 }
 
@@ -240,10 +240,10 @@
 	return used
 }
 
-// NoteCancelled notes the time at which a cancellation was confirmed to a user, or an earlier time.
+// MarkCancelled marks a job as cancelled. at is when the cancellation was confirmed to a user, or earlier.
 // The time at which this leader learned of it doesn't count: each change of leader would then
 // postpone the end of the job's tasks.
-func (t *Table) NoteCancelled(j *Job, at clock.Micros) {
+func (t *Table) MarkCancelled(j *Job, at clock.Micros) {
 	if !j.Cancelled {
 		slog.Debug("job cancelled", "job", j.Spec.ID, "placed", len(j.Placements), "ago_s",
 			(t.Now() - at).Seconds())
--- a/internal/leader/jobtable/recordstate.go
+++ b/internal/leader/jobtable/recordstate.go
@@ -195,9 +195,9 @@
 	return s, nil
 }
 
-// NoteRecordEvent changes the state of the job's record. An event that can't occur is a bug in this
+// ApplyRecordEvent changes the state of the job's record. An event that can't occur is a bug in this
 // program: it is logged, and the state doesn't change.
-func (j *Job) NoteRecordEvent(event RecordEvent) {
+func (j *Job) ApplyRecordEvent(event RecordEvent) {
 	state, err := j.next(event)
 	if err != nil {
 		slog.Error("unexpected record event", "job", j.id(), "error", err)
--- a/internal/leader/jobtable/recordstate_test.go
+++ b/internal/leader/jobtable/recordstate_test.go
@@ -167,7 +167,7 @@
 
 func TestUnexpectedRecordEventsLeaveTheStateAlone(t *testing.T) {
 	j := NewJob()
-	j.NoteRecordEvent(EventShardsLoaded) // a new job has no record
+	j.ApplyRecordEvent(EventShardsLoaded) // a new job has no record
 	if j.RecordState != (RecordState{}) {
 		t.Fatalf("state %+v, want that of a new job", j.RecordState)
 	}
--- a/internal/leader/jobtable/storedvalue.go
+++ b/internal/leader/jobtable/storedvalue.go
@@ -34,8 +34,8 @@
 	RejectedBytes int
 }
 
-// NoteChange notes a change of the content.
-func (v *StoredValue) NoteChange(now clock.Micros) {
+// MarkChanged marks the content as changed.
+func (v *StoredValue) MarkChanged(now clock.Micros) {
 	if v.ChangeCount == v.StoredCount {
 		v.ChangedAt = now
 	}
@@ -45,7 +45,7 @@
 // IsStored reports whether the content in memory is stored.
 func (v *StoredValue) IsStored() bool { return !v.InFlight && v.ChangeCount == v.StoredCount }
 
-// Replace notes that a read at the given version replaced the content.
+// Replace records that a read at the given version replaced the content.
 func (v *StoredValue) Replace(version protocol.Revision) {
 	v.Version = version
 	v.ResolveOutcome()
@@ -108,13 +108,13 @@
 	return true
 }
 
-// NoteHeadStored notes that the record or head was written. If this write completed the sharding,
+// MarkHeadStored records that the record or head was written. If this write completed the sharding,
 // the shards are valid from now on, and they contain all placements.
-func (j *Job) NoteHeadStored() {
+func (j *Job) MarkHeadStored() {
 	if j.Sharding() {
 		clear(j.ProposedAt)
 	}
-	j.NoteRecordEvent(EventHeadStored)
+	j.ApplyRecordEvent(EventHeadStored)
 }
 
 // allStored reports whether the store holds the job as it is in memory. The store then holds no shard
--- a/internal/leader/lifecycle.go
+++ b/internal/leader/lifecycle.go
@@ -73,7 +73,7 @@
 
 // tick runs the periodic work and schedules the next tick.
 func (l *Leader) tick() {
-	l.steps.NoteTick()
+	l.steps.RecordTick()
 	l.state.Mailbox.After(term.TickInterval, l.tick)
 	if l.state.Term.Epoch == 0 {
 		return
@@ -97,7 +97,7 @@
 // tickAsLeader runs the periodic work that requires a valid lease and up-to-date records.
 func (l *Leader) tickAsLeader() {
 	l.health.ExpireLeases()
-	l.health.DrainRecalled()
+	l.health.DrainReclaimed()
 	l.health.ReleaseSilentWithReplicas()
 	l.health.AnnounceEpoch()
 	if l.zones.Advance() {
--- a/internal/leader/machines_test.go
+++ b/internal/leader/machines_test.go
@@ -16,10 +16,10 @@
 func TestSlowMachinesAreDetected(t *testing.T) {
 	l, j, slow, _ := leaderWithOneTask(t)
 	j.Spec.EstimateS, j.Spec.Class = 10, "c"
-	l.objectives.NoteArrival(&j.Spec)
+	l.objectives.RecordArrival(&j.Spec)
 	other := l.machines.GetOrAdd("m-2")
 	run := func(m *machinetable.Machine, s int) {
-		l.objectives.NoteRun(m, &j.Spec, clock.Micros(s)*clock.Second)
+		l.objectives.RecordRun(m, &j.Spec, clock.Micros(s)*clock.Second)
 	}
 	for range 10 {
 		run(other, 30) // three times the estimate, as on all other machines
@@ -51,7 +51,7 @@
 	l.machines.Released["m-1"] = mailbox.Now
 	delete(l.machines.ByName, "m-1")
 	l.machines.Ordered = nil
-	j.NoteRecordEvent(jobtable.EventRecordConflict)
+	j.ApplyRecordEvent(jobtable.EventRecordConflict)
 	l.reader.Apply(jobrecord.Key("job-1"), old, 6)
 	if len(j.Placements) != 0 || j.NextAttempt < 2 {
 		t.Fatalf("got placements %v, next attempt %d; want none and at least 2", j.Placements, j.NextAttempt)
--- a/internal/leader/machinetable/catalogue.go
+++ b/internal/leader/machinetable/catalogue.go
@@ -65,12 +65,12 @@
 // does so.
 func (mc *Catalogue) Read() {
 	mc.cloud.Catalogue(func(c protocol.Catalogue, err error) {
-		mc.Mailbox.After(mc.noteRead(c.MachineTypes, err), mc.Read)
+		mc.Mailbox.After(mc.handleRead(c.MachineTypes, err), mc.Read)
 	})
 }
 
-// noteRead handles the cloud's response and returns the delay of the next read.
-func (mc *Catalogue) noteRead(listed []protocol.MachineType, err error) clock.Micros {
+// handleRead handles the cloud's response and returns the delay of the next read.
+func (mc *Catalogue) handleRead(listed []protocol.MachineType, err error) clock.Micros {
 	count := len(listed)
 	types := slices.DeleteFunc(listed, unusable)
 	if len(types) < count {
--- a/internal/leader/machinetable/delivery.go
+++ b/internal/leader/machinetable/delivery.go
@@ -68,16 +68,16 @@
 	}
 }
 
-// NoteHeartbeatReceived notes that the worker has executed or dropped the response to its previous
-// heartbeat, since a worker has only one heartbeat in flight at a time.
-func (c *CommandState) NoteHeartbeatReceived() {
+// ClearInHeartbeat records that a heartbeat arrived. The worker has then executed or dropped the
+// response to its previous heartbeat, since it has only one heartbeat in flight at a time.
+func (c *CommandState) ClearInHeartbeat() {
 	for _, d := range c.Deliveries {
 		d.InHeartbeat = false
 	}
 }
 
-// NoteStart notes that a start is sent, in the response to a heartbeat or by a direct command.
-func (d *StartDelivery) NoteStart(inHeartbeat, replica bool, now clock.Micros) {
+// RecordStart records that the leader sends a start, in the response to a heartbeat or by a direct command.
+func (d *StartDelivery) RecordStart(inHeartbeat, replica bool, now clock.Micros) {
 	d.StartSentAt, d.Replica = now, replica
 	if inHeartbeat {
 		d.InHeartbeat = true
--- a/internal/leader/machinetable/machine.go
+++ b/internal/leader/machinetable/machine.go
@@ -62,8 +62,8 @@
 type WorkerStatus struct {
 	// HeartbeatAt is when the last heartbeat was received.
 	HeartbeatAt clock.Micros
-	// RecallAt is when the cloud recalls the machine, 0 if it hasn't announced that.
-	RecallAt clock.Micros
+	// ReclaimAt is when the cloud reclaims the machine, 0 if it hasn't announced that.
+	ReclaimAt clock.Micros
 	// Tasks holds the listed tasks by attempt.
 	Tasks map[AttemptRef]protocol.TaskStatus
 	// listedTasks is the list from which SetTasks made Tasks.
@@ -176,12 +176,12 @@
 	ResponsesLost bool
 }
 
-// NoteResponse notes that the leader responds to a heartbeat.
-func (l *LeaseState) NoteResponse(heartbeat HeartbeatNumber, now clock.Micros) {
+// RecordResponse records that the leader responds to a heartbeat.
+func (l *LeaseState) RecordResponse(heartbeat HeartbeatNumber, now clock.Micros) {
 	l.RespondedTo, l.RespondedAt = heartbeat, now
 }
 
-// BeginIncarnation notes that the worker has begun a later incarnation. The worker then holds no
+// BeginIncarnation records that the worker has begun a later incarnation. The worker then holds no
 // tasks of earlier incarnations, and commands that were sent to them have no effect.
 func (m *Machine) BeginIncarnation(incarnation protocol.Incarnation, now clock.Micros) {
 	clear(m.Deliveries)
@@ -191,7 +191,7 @@
 	m.Incarnation, m.IncarnationSeenAt = incarnation, now
 }
 
-// ExpireLease notes that the lease has certainly expired, both of the current incarnation and of
+// ExpireLease records that the lease has certainly expired, both of the current incarnation and of
 // any incarnation for which a placement was made: no task runs there any more.
 func (m *Machine) ExpireLease() {
 	m.LeaseExpired = true
@@ -222,7 +222,7 @@
 	ChallengedAt clock.Micros
 }
 
-// BeginCommand notes that a direct command is sent; later pushes wait for its response.
+// BeginCommand records that the leader sends a direct command; later pushes wait for its response.
 func (c *CommandState) BeginCommand() { c.CommandInFlight, c.PushPending = true, false }
 
 // CloudState is what the cloud reports about the machine. The autoscaler changes it.
@@ -279,9 +279,9 @@
 	return slices.ContainsFunc(v.Images, func(i image) bool { return i.Name == name })
 }
 
-// noteImage moves an image to the front of the estimated cache, which holds the most recently used
+// addCachedImage moves an image to the front of the estimated cache, which holds the most recently used
 // images up to the cache's size.
-func (v *PlannerView) noteImage(name string, sizeGB, cacheGB float64) {
+func (v *PlannerView) addCachedImage(name string, sizeGB, cacheGB float64) {
 	images := []image{{name, sizeGB}}
 	used := sizeGB
 	for _, i := range v.Images {
--- a/internal/leader/machinetable/machinetable.go
+++ b/internal/leader/machinetable/machinetable.go
@@ -130,9 +130,9 @@
 	mt.ScheduleRelease(m, reason)
 }
 
-// NoteAddress keeps the address of a machine for a later term in which this controller may lead. The
+// RecordAddress records the address of a machine for a later term in which this controller may lead. The
 // number of addresses of replaced machines is bounded.
-func (mt *Table) NoteAddress(machine protocol.MachineName, address string) {
+func (mt *Table) RecordAddress(machine protocol.MachineName, address string) {
 	if len(mt.addresses) > 2*len(mt.Ordered)+MaxAddresses {
 		clear(mt.addresses) // heartbeats restore the addresses of live machines
 	}
@@ -170,8 +170,8 @@
 	}
 }
 
-// NoteHeartbeat updates the machine's own state from a heartbeat.
-func (mt *Table) NoteHeartbeat(m *Machine, r *protocol.Heartbeat) {
+// ApplyHeartbeat updates the machine's own state from a heartbeat.
+func (mt *Table) ApplyHeartbeat(m *Machine, r *protocol.Heartbeat) {
 	m.HeartbeatReceived = true
 	m.Address, m.Type, m.Zone, m.Spot = r.Address, r.Type, r.Zone, r.Spot
 	m.HeartbeatNumber, m.AcknowledgedEpoch = NumberOf(r), r.Epoch
@@ -180,15 +180,15 @@
 		m.HeartbeatAt > m.IncarnationSeenAt+mt.Settings.Deployment.Workers.Lease()+leaseMargin {
 		m.ResponsesLost = false // this incarnation has outlasted its first lease: responses arrive again
 	}
-	m.RecallAt = 0
-	if r.PreemptionNoticeS != nil {
-		m.RecallAt = mt.Now() + clock.FromSeconds(*r.PreemptionNoticeS)
+	m.ReclaimAt = 0
+	if r.ReclaimNoticeS != nil {
+		m.ReclaimAt = mt.Now() + clock.FromSeconds(*r.ReclaimNoticeS)
 	}
 }
 
-// NoteImage adds an image to the estimate of the machine's image cache.
-func (mt *Table) NoteImage(m *Machine, name string, sizeGB float64) {
-	m.noteImage(name, sizeGB, mt.catalogue.ByName[m.Type].CacheGB)
+// AddCachedImage adds an image to the estimate of the machine's image cache.
+func (mt *Table) AddCachedImage(m *Machine, name string, sizeGB float64) {
+	m.addCachedImage(name, sizeGB, mt.catalogue.ByName[m.Type].CacheGB)
 }
 
 // HeartbeatCount counts the machines that should send heartbeats, and those that do so on time.
@@ -263,8 +263,9 @@
 	return !m.HeartbeatReceived && mt.Now() > m.FirstSeen+overdueBootFactor*mt.BootTime(m)
 }
 
-// MostReplicas returns the highest number of replicas on one machine, at most MaxLossReserve.
-func (mt *Table) MostReplicas() int {
+// MaxReplicasPerMachine returns the highest number of replicas that any machine has, at most
+// MaxLossReserve.
+func (mt *Table) MaxReplicasPerMachine() int {
 	highest := 0
 	for _, m := range mt.Ordered {
 		highest = max(highest, m.View.Replicas)
@@ -293,7 +294,7 @@
 }
 
 // ProvenEmptyAt returns when every lease that could keep a machine's tasks alive has expired: those
-// that this node renewed by its own responses, those that an earlier leader may have renewed until
+// that this controller renewed by its own responses, those that an earlier leader may have renewed until
 // the end of its renewal window, and the one with which an incarnation begins, without a response,
 // no later than its first heartbeat. See "Silence" in "The arithmetic of cancellations",
 // docs/rules.md.
--- a/internal/leader/objectives/history.go
+++ b/internal/leader/objectives/history.go
@@ -37,8 +37,8 @@
 	Tasks int
 }
 
-// NoteArrival records a submission, which predicts more jobs of its class.
-func (t *Tracker) NoteArrival(spec *protocol.JobSpec) {
+// RecordArrival records a submission, which predicts more jobs of its class.
+func (t *Tracker) RecordArrival(spec *protocol.JobSpec) {
 	history := t.Classes[spec.Class]
 	history.Spec, history.LastAt = *spec, t.Now()
 	history.Arrivals = slices.DeleteFunc(history.Arrivals, func(a Arrival) bool {
@@ -48,21 +48,21 @@
 	t.Classes[spec.Class] = history
 }
 
-// NoteRun learns from a completed run how fast a machine is compared with others. The owners'
+// RecordRun learns from a completed run how fast a machine is compared with others. The owners'
 // estimates only make runs comparable: the average of the class contains their common error.
-func (t *Tracker) NoteRun(m *machinetable.Machine, spec *protocol.JobSpec, runTime clock.Micros) {
+func (t *Tracker) RecordRun(m *machinetable.Machine, spec *protocol.JobSpec, runTime clock.Micros) {
 	history, known := t.Classes[spec.Class]
 	if !known || spec.EstimateS <= 0 || runTime <= 0 {
 		return
 	}
-	classRatio := history.noteRun(runTime.Seconds() / spec.EstimateS)
+	classRatio := history.addRun(runTime.Seconds() / spec.EstimateS)
 	t.Classes[spec.Class] = history
-	noteMachineRun(m, classRatio)
+	addMachineRun(m, classRatio)
 }
 
-// noteRun adds the ratio of a run time to its estimate to the class's average, and returns the
+// addRun adds the ratio of a run time to its estimate to the class's average, and returns the
 // ratio of this value to the previous average.
-func (h *ClassHistory) noteRun(estimateRatio float64) float64 {
+func (h *ClassHistory) addRun(estimateRatio float64) float64 {
 	if h.runTimeRatio == 0 {
 		h.runTimeRatio = estimateRatio
 	}
@@ -71,8 +71,8 @@
 	return classRatio
 }
 
-// noteMachineRun adds the ratio of a run to its class's average to the average of its machine.
-func noteMachineRun(m *machinetable.Machine, classRatio float64) {
+// addMachineRun adds the ratio of a run to its class's average to the average of its machine.
+func addMachineRun(m *machinetable.Machine, classRatio float64) {
 	if m.RunTimeSamples == 0 {
 		m.RelativeRunTime = 1
 	}
--- a/internal/leader/objectives/objectives.go
+++ b/internal/leader/objectives/objectives.go
@@ -116,7 +116,7 @@
 }
 
 // ageS returns the time since a job's submission, in seconds. The difference between the clocks of
-// two nodes is small compared with the times of objectives.
+// two controllers is small compared with the times of objectives.
 func (t *Tracker) ageS(j *jobtable.Job) float64 {
 	return (t.Mailbox.TimeOfDay() - clock.Micros(j.SubmittedAt)).Seconds()
 }
--- a/internal/leader/reconciler/cancellations.go
+++ b/internal/leader/reconciler/cancellations.go
@@ -171,13 +171,13 @@
 	window := askedAt - cn.CancellationsKnownUntil()
 	window += window/1000 + attestMargin // clocks drift
 	cn.attest(window, term.Guarded2(cn.State, func(attestations []admission.Attestation, ok bool) {
-		cn.noteAttestations(attestations, ok, askedAt, window)
+		cn.handleAttestations(attestations, ok, askedAt, window)
 	}))
 }
 
-// noteAttestations applies the attestations for the window before askedAt. complete reports that all
+// handleAttestations applies the attestations for the window before askedAt. complete reports that all
 // controllers have responded.
-func (cn *Cancellations) noteAttestations(attestations []admission.Attestation, complete bool,
+func (cn *Cancellations) handleAttestations(attestations []admission.Attestation, complete bool,
 	askedAt, window clock.Micros) {
 	cn.attesting = false
 	for _, a := range attestations {
@@ -189,7 +189,7 @@
 		complete = complete && a.Age >= window
 		for _, c := range a.Cancelled {
 			if j := cn.jobs.ByID[c.Job]; j != nil {
-				cn.jobs.NoteCancelled(j, askedAt-c.Age)
+				cn.jobs.MarkCancelled(j, askedAt-c.Age)
 			}
 		}
 	}
--- a/internal/leader/reconciler/commands.go
+++ b/internal/leader/reconciler/commands.go
@@ -144,7 +144,7 @@
 		m.EpochAnnouncedAt = cs.Now()
 	}
 	cs.Send(m, incarnation, commands, func(result CommandResult) {
-		noteStartOutcomes(m, commands, result.Outcome)
+		recordStartOutcomes(m, commands, result.Outcome)
 	})
 }
 
@@ -154,8 +154,8 @@
 		(m.EpochAnnouncedAt == 0 || cs.Now() >= m.EpochAnnouncedAt+epochAnnounceInterval)
 }
 
-// noteStartOutcomes notes the outcome of the starts among direct commands.
-func noteStartOutcomes(m *machinetable.Machine, commands []protocol.Command, outcome CommandOutcome) {
+// recordStartOutcomes records the outcome of the starts among direct commands.
+func recordStartOutcomes(m *machinetable.Machine, commands []protocol.Command, outcome CommandOutcome) {
 	for _, c := range commands {
 		if c.Verb != protocol.VerbStart {
 			continue
@@ -205,10 +205,10 @@
 }
 
 // mayWaitForPeers reports whether a task of a gang hasn't started yet and is on a machine that keeps
-// running: one that renews its lease and that the cloud isn't about to recall.
+// running: one that renews its lease and that the cloud isn't about to reclaim.
 func (cs *CommandSender) mayWaitForPeers(j *jobtable.Job, p jobrecord.Placement) bool {
 	m := cs.machines.ByName[p.Machine]
-	if m == nil || !cs.machines.EpochAcknowledged(m) || !cs.machines.LeaseRenewed(m) || m.RecallAt != 0 {
+	if m == nil || !cs.machines.EpochAcknowledged(m) || !cs.machines.LeaseRenewed(m) || m.ReclaimAt != 0 {
 		return false
 	}
 	t, isListed := m.Tasks[j.AttemptOf(p)]
--- a/internal/leader/reconciler/commandset.go
+++ b/internal/leader/reconciler/commandset.go
@@ -98,7 +98,7 @@
 	startNeeded := !isListed && (stop == nil || d.MayArrive())
 	if startNeeded && set.repeatDue(d.StartSentAt) && j.StartPermitted(stop, set.now) {
 		set.add(protocol.VerbStart, ref)
-		d.NoteStart(set.via == ViaHeartbeat, j.Spec.IsService(), set.now)
+		d.RecordStart(set.via == ViaHeartbeat, j.Spec.IsService(), set.now)
 	}
 	if stop != nil && (isListed || d.MayArrive()) && set.repeatDue(d.StopSentAt) {
 		command := commandFor(protocol.VerbStop, ref)
--- a/internal/leader/reconciler/exits.go
+++ b/internal/leader/reconciler/exits.go
@@ -54,8 +54,8 @@
 	return otherExitEffect
 }
 
-// noteExit handles the exit of a placed attempt.
-func (rc *Reconciler) noteExit(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement,
+// handleExit handles the exit of a placed attempt.
+func (rc *Reconciler) handleExit(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement,
 	cause string) {
 	runTime := rc.machines.RanFor(m, j.AttemptOf(p))
 	if term.DebugEnabled() {
@@ -84,7 +84,7 @@
 	}
 	if cause == protocol.CauseDone {
 		j.StartFailures, j.Cause = 0, ""
-		rc.objectives.NoteRun(m, &j.Spec, runTime)
+		rc.objectives.RecordRun(m, &j.Spec, runTime)
 		rc.jobs.CompleteIfDone(j)
 	}
 	if effect.suspectsMachine {
@@ -95,7 +95,7 @@
 		m.FullUntil = rc.Now() + effect.fullFor
 	}
 	if effect.failedStart {
-		rc.noteFailedStart(m, j, p, cause, effect.startDelay)
+		rc.recordFailedStart(m, j, p, cause, effect.startDelay)
 	}
 	if effect.suspectsMachine {
 		quarantineIfFaulty(m)
@@ -111,9 +111,9 @@
 	maxStartDelay = 60 * clock.Second
 )
 
-// noteFailedStart records the cause for the user and the operator, and delays the job's next start,
+// recordFailedStart records the cause for the user and the operator, and delays the job's next start,
 // for longer each time if starts fail repeatedly. A failure without a delay doesn't count.
-func (rc *Reconciler) noteFailedStart(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement,
+func (rc *Reconciler) recordFailedStart(m *machinetable.Machine, j *jobtable.Job, p jobrecord.Placement,
 	cause string, delay clock.Micros) {
 	if j.StartFailures == 0 || j.Cause == "" {
 		slog.Info("start failed", "job", j.Spec.ID, "task", p.Task, "machine", m.Name, "cause", cause)
--- a/internal/leader/reconciler/health.go
+++ b/internal/leader/reconciler/health.go
@@ -14,7 +14,7 @@
 )
 
 // HealthMonitor watches for machines that are silent, that have failed, or that the cloud is about to
-// recall.
+// reclaim.
 type HealthMonitor struct {
 	*term.State
 	jobs     *jobtable.Table
@@ -52,8 +52,8 @@
 	firstHeartbeatTimeout = 30 * clock.Second
 )
 
-// stopForRecall is the reason for stops on machines that the cloud recalls.
-const stopForRecall = "recall"
+// stopForReclaim is the reason for stops on machines that the cloud reclaims.
+const stopForReclaim = "recall"
 
 // ReleaseSilentWithReplicas releases machines with replicas that have missed a heartbeat and don't respond
 // to a probe. The cloud's confirmation of a release proves that the machine is empty, long before the
@@ -146,7 +146,7 @@
 	}
 }
 
-// expireLease notes that a machine's lease has expired, which proves that its tasks are gone. The proof
+// expireLease records that a machine's lease has expired, which proves that its tasks are gone. The proof
 // covers cancelled tasks too, but their worker may hang: its cancelled tasks count as present until the
 // worker resumes or the machine is gone.
 func (hm *HealthMonitor) expireLease(m *machinetable.Machine, now clock.Micros) {
@@ -188,15 +188,15 @@
 	return ""
 }
 
-// DrainRecalled stops tasks on machines that the cloud is about to recall: replicas, so that they move
+// DrainReclaimed stops tasks on machines that the cloud is about to reclaim: replicas, so that they move
 // to other machines, and tasks with checkpoints, once there is just enough time left to save one. Other
 // tasks keep running.
-func (hm *HealthMonitor) DrainRecalled() {
+func (hm *HealthMonitor) DrainReclaimed() {
 	for _, m := range hm.machines.Ordered {
-		if m.RecallAt == 0 {
+		if m.ReclaimAt == 0 {
 			continue
 		}
-		remaining := (m.RecallAt - hm.Now()).Seconds()
+		remaining := (m.ReclaimAt - hm.Now()).Seconds()
 		for id, tasks := range ordered.ByKey(m.Placements) {
 			j := hm.jobs.ByID[id]
 			switch {
@@ -205,21 +205,21 @@
 				hm.moveReplica(j, tasks)
 			case j.Spec.CheckpointS != 0 && remaining <= j.Spec.SaveS+saveMarginS:
 				for task := range ordered.ByKey(tasks) {
-					hm.commands.Stop(j, task, stopForRecall, "")
+					hm.commands.Stop(j, task, stopForReclaim, "")
 				}
 			}
 		}
 	}
 }
 
-// moveReplica stops a replica on a machine that the cloud recalls. It stops only one replica of a job
+// moveReplica stops a replica on a machine that the cloud reclaims. It stops only one replica of a job
 // at a time, so that the others serve until its replacement has been placed.
 func (hm *HealthMonitor) moveReplica(j *jobtable.Job, tasks map[int]jobrecord.Placement) {
 	if j.MustNotRun() || len(j.Stops) > 0 || j.PendingCount() > 0 {
 		return
 	}
 	for task := range ordered.ByKey(tasks) {
-		hm.commands.Stop(j, task, stopForRecall, "")
+		hm.commands.Stop(j, task, stopForReclaim, "")
 		return
 	}
 }
--- a/internal/leader/reconciler/heartbeats.go
+++ b/internal/leader/reconciler/heartbeats.go
@@ -41,7 +41,7 @@
 
 // HeartbeatWatcher observes heartbeats that reach a controller which doesn't lead.
 type HeartbeatWatcher interface {
-	NoteMisdirectedHeartbeat(machine protocol.MachineName, zone string)
+	RecordMisdirectedHeartbeat(machine protocol.MachineName, zone string)
 }
 
 const (
@@ -123,9 +123,9 @@
 	if hb.Now() > arrived+maxHeartbeatAge {
 		return retryLater, protocol.Redirect{}
 	}
-	hb.machines.NoteAddress(r.Machine, r.Address)
+	hb.machines.RecordAddress(r.Machine, r.Address)
 	if !hb.Leads() && !hb.MayRespond() || hb.machines.WasReleased(r.Machine) {
-		hb.Zones.NoteMisdirectedHeartbeat(r.Machine, r.Zone)
+		hb.Zones.RecordMisdirectedHeartbeat(r.Machine, r.Zone)
 		return misdirected, protocol.Redirect{Node: hb.otherLeader()}
 	}
 	m := hb.machines.GetOrAdd(r.Machine)
@@ -137,9 +137,9 @@
 	if !hb.commands.mayRenewLease(m) {
 		return retryLater, protocol.Redirect{}
 	}
-	m.NoteHeartbeatReceived()
+	m.ClearInHeartbeat()
 	commands := hb.commands.CommandsFor(m, ViaHeartbeat)
-	m.NoteResponse(machinetable.NumberOf(&r), hb.Now())
+	m.RecordResponse(machinetable.NumberOf(&r), hb.Now())
 	return accepted, protocol.HeartbeatResponse{Epoch: hb.Term.Epoch, Commands: commands}
 }
 
--- a/internal/leader/reconciler/reconciler.go
+++ b/internal/leader/reconciler/reconciler.go
@@ -55,10 +55,10 @@
 			"spot", r.Spot, "tasks", len(r.Tasks))
 		m.IdleSince = rc.Now()
 	}
-	rc.noteIncarnation(m, r.Incarnation)
+	rc.handleIncarnation(m, r.Incarnation)
 	unchanged := m.PlacedTasksListed && r.Incarnation == m.Incarnation && r.Epoch == m.AcknowledgedEpoch &&
 		m.SameTasks(r.Tasks)
-	rc.machines.NoteHeartbeat(m, &r)
+	rc.machines.ApplyHeartbeat(m, &r)
 	if !unchanged {
 		m.ViewStale = true
 		rc.replaceTasks(m, r.Tasks)
@@ -72,13 +72,13 @@
 		m.LeaseExpired && r.Incarnation <= m.Incarnation
 }
 
-// noteIncarnation notes which incarnation of the worker sent a heartbeat, before the rest of the
+// handleIncarnation records which incarnation of the worker sent a heartbeat, before the rest of the
 // heartbeat is applied: the state of an earlier incarnation doesn't count any more.
-func (rc *Reconciler) noteIncarnation(m *machinetable.Machine, incarnation protocol.Incarnation) {
+func (rc *Reconciler) handleIncarnation(m *machinetable.Machine, incarnation protocol.Incarnation) {
 	switch {
 	case incarnation > m.Incarnation:
 		if m.HeartbeatReceived {
-			rc.noteLostIncarnation(m, incarnation)
+			rc.handleLostIncarnation(m, incarnation)
 		}
 		m.BeginIncarnation(incarnation, rc.Now())
 	case !m.HeartbeatReceived:
@@ -86,12 +86,12 @@
 	}
 }
 
-// noteLostIncarnation handles a machine whose lease expired although its heartbeats arrive. If the
+// handleLostIncarnation handles a machine whose lease expired although its heartbeats arrive. If the
 // leader's latest response had reached the worker, the lease would not have expired yet. A machine
 // whose heartbeats arrive while responses and commands don't reach it looks healthy, but loses its
 // tasks with each lease. It gets no tasks until an incarnation outlasts its first lease. The leader
 // releases it if it loses another lease in this way before that.
-func (rc *Reconciler) noteLostIncarnation(m *machinetable.Machine, next protocol.Incarnation) {
+func (rc *Reconciler) handleLostIncarnation(m *machinetable.Machine, next protocol.Incarnation) {
 	lease := rc.Settings.Deployment.Workers.Lease()
 	if m.RespondedAt == 0 || rc.Now() >= m.RespondedAt+lease {
 		return
@@ -185,9 +185,9 @@
 	proof, t := rc.evidenceFor(m, j, p, ref)
 	switch proof {
 	case listed:
-		rc.noteListed(m, j, ref, t.Status)
+		rc.handleListedTask(m, j, ref, t.Status)
 	case exited:
-		rc.noteExit(m, j, p, t.Cause)
+		rc.handleExit(m, j, p, t.Cause)
 	case lostWithLease:
 		slog.Debug("placement lost with the worker's lease", "job", j.Spec.ID, "task", p.Task, "machine",
 			m.Name)
@@ -202,14 +202,14 @@
 	}
 }
 
-// noteListed handles a placed task that the worker holds. The machine has cached the task's image once
+// handleListedTask handles a placed task that the worker holds. The machine has cached the task's image once
 // the task isn't fetching any more, and the task may have begun to run.
-func (rc *Reconciler) noteListed(m *machinetable.Machine, j *jobtable.Job, ref machinetable.AttemptRef,
+func (rc *Reconciler) handleListedTask(m *machinetable.Machine, j *jobtable.Job, ref machinetable.AttemptRef,
 	status string) {
 	if status == protocol.TaskFetching || m.RunningSince[ref] != 0 {
 		return
 	}
-	rc.machines.NoteImage(m, j.Spec.Image, j.Spec.ImageGB)
+	rc.machines.AddCachedImage(m, j.Spec.Image, j.Spec.ImageGB)
 	if status != protocol.TaskRunning {
 		return
 	}
--- a/internal/leader/recordapply_test.go
+++ b/internal/leader/recordapply_test.go
@@ -19,7 +19,7 @@
 	old := j.Encode()
 	l.reconciler.Observe(m, exitedHeartbeat(protocol.CauseStopped))
 	l.reader.Apply(jobrecord.Key("job-1"), j.Encode(), 6)
-	j.NoteRecordEvent(jobtable.EventRecordConflict)
+	j.ApplyRecordEvent(jobtable.EventRecordConflict)
 	l.reader.Apply(jobrecord.Key("job-1"), old, 5)
 	if len(j.Placements) != 0 || j.Version != 6 {
 		t.Fatalf("got placements %v at version %d, want none at version 6", j.Placements, j.Version)
--- a/internal/leader/recordstore/apply.go
+++ b/internal/leader/recordstore/apply.go
@@ -70,7 +70,7 @@
 // controller confirms that to a user.
 func (r *Reader) recordCancellation(j *jobtable.Job, content *jobrecord.Record) {
 	if content.Status == protocol.StatusCancelled && content.Hosted == nil {
-		r.jobs.NoteCancelled(j, r.CancellationConfirmedAt(content))
+		r.jobs.MarkCancelled(j, r.CancellationConfirmedAt(content))
 	}
 }
 
@@ -83,7 +83,7 @@
 		return
 	}
 	if content.Hosted == nil {
-		r.objectives.NoteArrival(&content.Spec)
+		r.objectives.RecordArrival(&content.Spec)
 	}
 	if r.Format.Services && content.Spec.IsService() {
 		content.FormatMarked = true // an earlier version of the software wrote it as an array
@@ -123,7 +123,7 @@
 		r.cancelSharded(j, content, version)
 		return
 	}
-	j.NoteRecordEvent(jobtable.EventNewerHead)
+	j.ApplyRecordEvent(jobtable.EventNewerHead)
 	r.recordCancellation(j, content)
 }
 
@@ -132,7 +132,7 @@
 func (r *Reader) cancelSharded(j *jobtable.Job, content *jobrecord.Record, version protocol.Revision) {
 	j.Status, j.CancelledAt = content.Status, content.CancelledAt
 	j.StoredValue.Replace(version)
-	r.jobs.NoteCancelled(j, r.CancellationConfirmedAt(j.Record))
+	r.jobs.MarkCancelled(j, r.CancellationConfirmedAt(j.Record))
 	for _, p := range ordered.ByKey(j.Placements) {
 		if m := r.machines.ByName[p.Machine]; m != nil {
 			r.commands.Push(m)
@@ -153,13 +153,13 @@
 	r.setContent(j, content, version, jobtable.EventHeadLoaded)
 }
 
-// setContent replaces the record of a job, notes the given event and resets the state that the leader
+// setContent replaces the record of a job, applies the given event and resets the state that the leader
 // derives from the record.
 func (r *Reader) setContent(
 	j *jobtable.Job, content *jobrecord.Record, version protocol.Revision, event jobtable.RecordEvent,
 ) {
 	j.Record = content
-	j.NoteRecordEvent(event)
+	j.ApplyRecordEvent(event)
 	j.StoredValue.Replace(version)
 	j.RunningStale = true
 	j.ClosedAtChange, j.StoredDone = 0, content.Done.Clone()
@@ -172,7 +172,7 @@
 
 // completeShardLoad completes the load of a sharded record whose shards have all been applied.
 func (r *Reader) completeShardLoad(j *jobtable.Job) {
-	j.NoteRecordEvent(jobtable.EventShardsLoaded)
+	j.ApplyRecordEvent(jobtable.EventShardsLoaded)
 	if j.Spec.IsGang() && j.Done.Len() > 0 {
 		j.RecordDone(0)
 	}
--- a/internal/leader/recordstore/outcome.go
+++ b/internal/leader/recordstore/outcome.go
@@ -121,7 +121,7 @@
 		if write.Shard == HeadIndex {
 			event = jobtable.EventRecordConflict
 		}
-		write.Job.NoteRecordEvent(event)
+		write.Job.ApplyRecordEvent(event)
 	}
 }
 
@@ -142,7 +142,7 @@
 func handleHeadConflict(write *Write) {
 	// If the leader knows the head's new version by now, it only retries the shard.
 	if write.Shard == HeadIndex || write.headVersion == write.Job.Version {
-		write.Job.NoteRecordEvent(jobtable.EventRecordConflict)
+		write.Job.ApplyRecordEvent(jobtable.EventRecordConflict)
 	}
 }
 
@@ -155,7 +155,7 @@
 	case j.Sharding():
 		jobs.AbandonSharding(j)
 	default:
-		j.NoteRecordEvent(jobtable.EventShardConflict)
+		j.ApplyRecordEvent(jobtable.EventShardConflict)
 	}
 }
 
@@ -186,7 +186,7 @@
 		write := &writes[i]
 		write.markStored(revision)
 		if write.Shard == HeadIndex {
-			write.Job.NoteHeadStored()
+			write.Job.MarkHeadStored()
 			w.Hosted.HandleRecordStored(write.Job)
 		}
 		w.collectCommitted(write, affected)
--- a/internal/leader/recordstore/reload.go
+++ b/internal/leader/recordstore/reload.go
@@ -24,7 +24,7 @@
 	if j.Loading() {
 		return
 	}
-	j.NoteRecordEvent(jobtable.EventReadStarted)
+	j.ApplyRecordEvent(jobtable.EventReadStarted)
 	handle := func(reply kvstore.Result[protocol.Item]) { r.handleReload(j, reply) }
 	r.Store.Get(jobrecord.Key(j.Spec.ID), term.Guarded(r.State, handle))
 }
@@ -70,7 +70,7 @@
 				r.endListing(j, shards, found)
 			} else {
 				// PendingUnits starts the whole read again after the pause.
-				j.NoteRecordEvent(jobtable.EventReadEnded)
+				j.ApplyRecordEvent(jobtable.EventReadEnded)
 				r.writer.Pause()
 			}
 			r.steps.Wake()
@@ -88,7 +88,7 @@
 
 // endRead ends a read of a record or its shards, and applies the event that arrived during the read.
 func (r *Reader) endRead(j *jobtable.Job) {
-	j.NoteRecordEvent(jobtable.EventReadEnded)
+	j.ApplyRecordEvent(jobtable.EventReadEnded)
 	if r.jobs.ByID[j.Spec.ID] == j {
 		r.applyDeferred(j)
 	}
@@ -138,7 +138,7 @@
 	if j.Loading() || !j.IsStored() || !slices.ContainsFunc(j.Shards, unknown) {
 		return
 	}
-	j.NoteRecordEvent(jobtable.EventReadStarted)
+	j.ApplyRecordEvent(jobtable.EventReadStarted)
 	r.listShards(j, func(shards []protocol.Item) { recordStoredShards(j, shards) })
 }
 
@@ -161,7 +161,7 @@
 	if j.Loading() {
 		return
 	}
-	j.NoteRecordEvent(jobtable.EventReadStarted)
+	j.ApplyRecordEvent(jobtable.EventReadStarted)
 	r.listShards(j, func(shards []protocol.Item) { r.registerStrayShards(j, shards) })
 }
 
@@ -170,6 +170,6 @@
 	for _, item := range shards {
 		r.jobs.StrayShards[item.Key] = item.Version
 	}
-	j.NoteRecordEvent(jobtable.EventStrayShardsListed)
+	j.ApplyRecordEvent(jobtable.EventStrayShardsListed)
 	r.jobs.ForgetIfFinal(j)
 }
--- a/internal/leader/recordstore/sharding.go
+++ b/internal/leader/recordstore/sharding.go
@@ -52,10 +52,10 @@
 	slog.Info("sharding a record that is too large for one value", "job", j.Spec.ID, "tasks", j.Spec.Tasks,
 		"shard_tasks", size)
 	j.ShardSize, j.FormatMarked = size, true
-	j.NoteRecordEvent(jobtable.EventShardingStarted)
+	j.ApplyRecordEvent(jobtable.EventShardingStarted)
 	j.MakeShards()
 	w.markShardsChanged(j)
-	w.jobs.NoteHeadChange(j)
+	w.jobs.MarkHeadChanged(j)
 }
 
 // mayShard reports whether a record can be sharded without a conflict with writes or reads in progress.
@@ -73,9 +73,9 @@
 // markShardsChanged marks every shard that has any content as changed, so that the writer stores it.
 func (w *Writer) markShardsChanged(j *jobtable.Job) {
 	for task := range j.Placements {
-		j.ShardValue(task).NoteChange(w.Now())
+		j.ShardValue(task).MarkChanged(w.Now())
 	}
 	for task := j.Done.NextPresent(0); task < j.Spec.Tasks; task = j.Done.NextPresent(task + 1) {
-		j.ShardValue(task).NoteChange(w.Now())
+		j.ShardValue(task).MarkChanged(w.Now())
 	}
 }
--- a/internal/leader/recordstore/units.go
+++ b/internal/leader/recordstore/units.go
@@ -125,7 +125,7 @@
 	if j.InFlight {
 		return nil
 	}
-	w.jobs.NoteHeadChange(j)
+	w.jobs.MarkHeadChanged(j)
 	return []WriteUnit{{[]Write{headWrite(j)}, j.Rank(), urgencyWholeJob, j.ChangedAt}}
 }
 
--- a/internal/leader/scheduler/actions.go
+++ b/internal/leader/scheduler/actions.go
@@ -69,7 +69,7 @@
 		slog.Info("preempting task", "job", p.Job, "task", p.Task, "preemptor", p.Preemptor)
 		s.commands.Stop(s.jobs.ByID[p.Job], p.Task, stopReasonPreempted, p.Preemptor)
 		if preemptor := s.jobs.ByID[p.Preemptor]; preemptor.AddLender(p.Job) {
-			s.jobs.NoteHeadChange(preemptor)
+			s.jobs.MarkHeadChanged(preemptor)
 		}
 	}
 }
--- a/internal/leader/scheduler/demand.go
+++ b/internal/leader/scheduler/demand.go
@@ -8,8 +8,8 @@
 	"postpoint/internal/scaling"
 )
 
-// noteUnmetDemand records for each job how long it has had unmet demand.
-func (s *Scheduler) noteUnmetDemand(demand []planner.UnmetDemand) {
+// recordUnmetDemand records for each job how long it has had unmet demand.
+func (s *Scheduler) recordUnmetDemand(demand []planner.UnmetDemand) {
 	for _, unmet := range demand {
 		j := s.jobs.ByID[unmet.Job.ID]
 		if j == nil {
--- a/internal/leader/scheduler/scheduler.go
+++ b/internal/leader/scheduler/scheduler.go
@@ -62,7 +62,7 @@
 	result := s.planWithCordoned()
 	s.applyPlacements(result.plan.Placements)
 	s.applyPreemptions(result.plan.Preemptions)
-	s.noteUnmetDemand(result.plan.UnmetDemand)
+	s.recordUnmetDemand(result.plan.UnmetDemand)
 	demand := slices.Concat(result.plan.UnmetDemand, s.fairPriceDemand(&result),
 		s.hostedDemand(&result.snapshot))
 	s.autoscaler.ScaleOut(demand)
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -136,19 +136,19 @@
 		l.jobs.AddPlacement(j, jobrecord.Placement{Task: task, Attempt: 1, Machine: "m-1", Incarnation: 1})
 	}
 	m.Address = "" // the leader sends no commands to the machine
-	m.RecallAt = l.state.Now() + 20*clock.Second
-	l.health.DrainRecalled()
-	l.health.DrainRecalled()
+	m.ReclaimAt = l.state.Now() + 20*clock.Second
+	l.health.DrainReclaimed()
+	l.health.DrainReclaimed()
 	if len(j.Stops) != 1 {
 		t.Fatalf("got %d replicas stopped at once, want 1", len(j.Stops))
 	}
 	l.jobs.ReleasePlacement(j, j.Placements[0])
-	l.health.DrainRecalled()
+	l.health.DrainReclaimed()
 	if len(j.Stops) != 0 {
 		t.Fatalf("got %d replicas stopped before the first is placed again, want 0", len(j.Stops))
 	}
 	l.jobs.AddPlacement(j, jobrecord.Placement{Task: 0, Attempt: 2, Machine: "m-2", Incarnation: 1})
-	l.health.DrainRecalled()
+	l.health.DrainReclaimed()
 	if len(j.Stops) != 1 {
 		t.Fatalf("got %d replicas stopped once the first is placed again, want 1", len(j.Stops))
 	}
--- a/internal/leader/snapshots/machines.go
+++ b/internal/leader/snapshots/machines.go
@@ -44,7 +44,7 @@
 
 // acceptsTasks reports whether a machine may get tasks, regardless of the tasks that it runs.
 func (b *Builder) acceptsTasks(m *machinetable.Machine, now clock.Micros) bool {
-	if m.Releasing || m.Quarantined || m.RecallAt != 0 || now < m.FullUntil || b.zones.IsLost(m.Zone) {
+	if m.Releasing || m.Quarantined || m.ReclaimAt != 0 || now < m.FullUntil || b.zones.IsLost(m.Zone) {
 		return false
 	}
 	if !m.HeartbeatReceived {
--- a/internal/leader/snapshots/reserve.go
+++ b/internal/leader/snapshots/reserve.go
@@ -102,7 +102,7 @@
 	}
 	whileBooting := math.Ceil(float64(recentReplicas) * slowestBoot * objectives.BootTimeFactor /
 		objectives.ArrivalWindow.Seconds())
-	return max(int(whileBooting), largestArrival) + b.machines.MostReplicas()
+	return max(int(whileBooting), largestArrival) + b.machines.MaxReplicasPerMachine()
 }
 
 // zoneReserves returns reserves, in the other zones, for a share of the tasks that each zone runs, if
--- a/internal/leader/term/steps.go
+++ b/internal/leader/term/steps.go
@@ -42,16 +42,16 @@
 // Begin forgets a step that was scheduled in an earlier term.
 func (t *StepTimer) Begin() { t.Pending = false }
 
-// NoteTick measures how late a periodic tick is.
-func (t *StepTimer) NoteTick() {
+// RecordTick measures how late a periodic tick is.
+func (t *StepTimer) RecordTick() {
 	if t.TickedAt != 0 {
-		t.noteLateness(t.Now() - t.TickedAt - TickInterval)
+		t.recordLateness(t.Now() - t.TickedAt - TickInterval)
 	}
 	t.TickedAt = t.Now()
 }
 
-// noteLateness logs a very late tick and updates the lag.
-func (t *StepTimer) noteLateness(late clock.Micros) {
+// recordLateness logs a very late tick and updates the lag.
+func (t *StepTimer) recordLateness(late clock.Micros) {
 	if late > lateTickThreshold {
 		slog.Info("process was suspended or had no processor time", "for_s", late.Seconds(), "epoch",
 			t.Term.Epoch)
--- a/internal/leader/zonetracker/displaced.go
+++ b/internal/leader/zonetracker/displaced.go
@@ -24,14 +24,14 @@
 		return
 	}
 	j.DisplacedFrom, j.DisplacedAt, j.ClearedToStart = m.Zone, t.Now(), false
-	t.jobs.NoteHeadChange(j)
+	t.jobs.MarkHeadChanged(j)
 }
 
 // EndDisplacement ends a job's displacement, once all tasks that had lost their placements have new ones or
 // are done.
 func (t *Tracker) EndDisplacement(j *jobtable.Job) {
 	j.DisplacedFrom = ""
-	t.jobs.NoteHeadChange(j)
+	t.jobs.MarkHeadChanged(j)
 }
 
 // AwaitsClearance reports whether a job is displaced and its tasks aren't cleared to start yet.
--- a/internal/leader/zonetracker/evidence.go
+++ b/internal/leader/zonetracker/evidence.go
@@ -31,9 +31,9 @@
 	unlistedTimeout = 60 * clock.Second
 )
 
-// NoteMisdirectedHeartbeat records the zone of a machine whose heartbeat reached this controller while it
+// RecordMisdirectedHeartbeat records the zone of a machine whose heartbeat reached this controller while it
 // wasn't the leader.
-func (t *Tracker) NoteMisdirectedHeartbeat(machine protocol.MachineName, zone string) {
+func (t *Tracker) RecordMisdirectedHeartbeat(machine protocol.MachineName, zone string) {
 	if t.Options == nil {
 		return
 	}
@@ -181,7 +181,7 @@
 	t.probedAt = t.Now()
 	probesLeft := map[string]int{}
 	for name, z := range t.Zones {
-		if z.IsCordoned() {
+		if z.IsUnhealthy() {
 			probesLeft[name] = probesPerZone
 		}
 	}
--- a/internal/leader/zonetracker/tracker.go
+++ b/internal/leader/zonetracker/tracker.go
@@ -164,7 +164,7 @@
 		return false
 	}
 	z := t.Zones[name]
-	return z != nil && z.IsCordoned() && t.someHealthy
+	return z != nil && z.IsUnhealthy() && t.someHealthy
 }
 
 // IsLost reports whether a zone is lost, so that the scheduler must not place tasks on its machines.
@@ -195,7 +195,7 @@
 // AnyUnhealthy reports whether some zone isn't healthy.
 func (t *Tracker) AnyUnhealthy() bool {
 	for _, z := range t.Zones {
-		if z.IsCordoned() {
+		if z.IsUnhealthy() {
 			return true
 		}
 	}
--- a/internal/leader/zonetracker/zonestore.go
+++ b/internal/leader/zonetracker/zonestore.go
@@ -70,12 +70,12 @@
 	}
 	record := storedRecord{phase: recordSaved, zone: z.Phase}
 	t.Zones[name] = &Zone{Zone: z, RecordVersion: item.Version, record: record}
-	if z.IsCordoned() {
+	if z.IsUnhealthy() {
 		slog.Info("zone recovery resumed", "zone", name, "phase", z.Phase, "losses", z.Losses)
 	}
 }
 
-// timeOfDayOffset returns how far the time of day is ahead of this node's monotonic clock.
+// timeOfDayOffset returns how far the time of day is ahead of this controller's monotonic clock.
 func (t *Tracker) timeOfDayOffset() clock.Micros { return t.Mailbox.TimeOfDay() - t.Now() }
 
 // SaveZones stores the zones' phases for the next leader, one zone at a time.
--- a/internal/offload/plan_test.go
+++ b/internal/offload/plan_test.go
@@ -151,7 +151,7 @@
 	withPendingWork.Load.OwnWait = clock.Second
 	soldOut := ready
 	soldOut.Load.Types = []delegation.TypeLoad{ready.Load.Types[0]}
-	soldOut.Load.Types[0].SoldOut = true
+	soldOut.Load.Types[0].OutOfCapacity = true
 	ordinary := newCandidate("job-1", 2, 2, 0, 100, "beta")
 	inOtherZone := newCandidate("job-1", 2, 2, 0, 100, "beta")
 	inOtherZone.Spec.Zone = "somewhere"
--- a/internal/offload/problem.go
+++ b/internal/offload/problem.go
@@ -128,7 +128,7 @@
 	if !request.FitsIn(whole) || !slices.ContainsFunc(t.Type.Zones, allowedIn) {
 		return 0, false
 	}
-	if ready && !request.FitsIn(t.Free) || !ready && t.SoldOut {
+	if ready && !request.FitsIn(t.Free) || !ready && t.OutOfCapacity {
 		return 0, false
 	}
 	if !ready {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -21,7 +21,7 @@
 )
 
 // Serve serves the other controllers of the cell. A malformed frame ends only its own connection.
-func Serve(address string, adm *admission.Admission) error {
+func Serve(address string, handler *admission.Admission) error {
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
 		return err
@@ -37,20 +37,20 @@
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		go serveAndClose(c, adm)
+		go serveAndClose(c, handler)
 	}
 }
 
 // serveAndClose serves and closes a connection, and logs failures.
-func serveAndClose(c net.Conn, adm *admission.Admission) {
+func serveAndClose(c net.Conn, handler *admission.Admission) {
 	defer c.Close()
-	if err := serve(c, adm); err != nil && !errors.Is(err, io.EOF) {
+	if err := serve(c, handler); err != nil && !errors.Is(err, io.EOF) {
 		slog.Info("closing connection of peer node", "address", c.RemoteAddr(), "error", err)
 	}
 }
 
 // serve responds to the only request of a connection.
-func serve(c net.Conn, adm *admission.Admission) error {
+func serve(c net.Conn, handler *admission.Admission) error {
 	if err := c.SetDeadline(time.Now().Add(serveTimeout)); err != nil {
 		return err
 	}
@@ -63,7 +63,7 @@
 		return err
 	}
 	responses := make(chan admission.Response, 1)
-	adm.Handle(r, func(response admission.Response) { responses <- response })
+	handler.Handle(r, func(response admission.Response) { responses <- response })
 	_, err = c.Write(ResponseFrame(<-responses))
 	return err
 }
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -25,7 +25,7 @@
 //	           Loaners           the machine is a spot machine
 //	           Shift             incarnation of the worker, incremented at each lease expiry
 //	           Epoch             fencing token of the leader
-//	           RecallS           time until the cloud preempts a spot machine
+//	           RecallS           time until the cloud reclaims a spot machine
 //	           Legs, Leg, Try    tasks, a task, its attempt
 //	           Orders            commands; the verb "kill" stops a task
 //	           LeaveS            grace period of a stop, in which a task may save a checkpoint
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -56,16 +56,16 @@
 
 func goldenHeartbeat() Heartbeat {
 	return Heartbeat{
-		Machine:           "m-000231",
-		Address:           "10.1.0.232:9000",
-		Type:              "g8",
-		Zone:              "a",
-		Spot:              true,
-		Incarnation:       3,
-		Counter:           70_000,
-		Epoch:             1 << 40,
-		PreemptionNoticeS: pointerTo(12.5),
-		Tasks:             []TaskStatus{goldenTaskStatus()},
+		Machine:        "m-000231",
+		Address:        "10.1.0.232:9000",
+		Type:           "g8",
+		Zone:           "a",
+		Spot:           true,
+		Incarnation:    3,
+		Counter:        70_000,
+		Epoch:          1 << 40,
+		ReclaimNoticeS: pointerTo(12.5),
+		Tasks:          []TaskStatus{goldenTaskStatus()},
 	}
 }
 
--- a/internal/protocol/heartbeatdecoder_test.go
+++ b/internal/protocol/heartbeatdecoder_test.go
@@ -37,7 +37,7 @@
 				last.Epoch = Epoch(r.Int64N(300))
 			case 2:
 				left := r.Float64()
-				last.PreemptionNoticeS = []*float64{nil, &left}[r.IntN(2)]
+				last.ReclaimNoticeS = []*float64{nil, &left}[r.IntN(2)]
 			}
 			last.Counter = r.Int64N([]int64{4, 200, 70_000, 1 << 40}[r.IntN(4)])
 			raw := Encode(last)
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -43,9 +43,9 @@
 	Counter int64 `msgpack:"Counter"`
 	// Epoch is the highest fencing token that the worker has seen.
 	Epoch Epoch `msgpack:"Epoch"`
-	// PreemptionNoticeS is the time until the cloud preempts the spot machine, nil without a notice.
-	PreemptionNoticeS *float64     `msgpack:"RecallS"`
-	Tasks             []TaskStatus `msgpack:"Legs"`
+	// ReclaimNoticeS is the time until the cloud reclaims the spot machine, nil without a notice.
+	ReclaimNoticeS *float64     `msgpack:"RecallS"`
+	Tasks          []TaskStatus `msgpack:"Legs"`
 }
 
 // Verbs of commands to workers.
--- a/internal/simulation/heartbeats.go
+++ b/internal/simulation/heartbeats.go
@@ -53,7 +53,7 @@
 	}
 	if m.reclaimAt != 0 {
 		remaining := (m.reclaimAt - m.d.World.now).Seconds()
-		r.PreemptionNoticeS = &remaining
+		r.ReclaimNoticeS = &remaining
 	}
 	for _, t := range m.tasks {
 		r.Tasks = append(r.Tasks, protocol.TaskStatus{
@@ -72,8 +72,8 @@
 	w := m.d.World
 	m.inFlight = true
 	e := &heartbeatCall{
-		m: m, n: m.d.Nodes[m.node], sent: w.now, incarnation: m.incarnation,
-		fallback: (m.node + 1) % len(m.d.Nodes),
+		m: m, n: m.d.Nodes[m.controller], sent: w.now, incarnation: m.incarnation,
+		fallback: (m.controller + 1) % len(m.d.Nodes),
 	}
 	r := m.newHeartbeat()
 	w.After(heartbeatTimeout, func() { e.finish(e.fallback, retryDelay) })
@@ -117,19 +117,19 @@
 	finished    bool
 }
 
-// sameNode means that the next heartbeat goes to the same controller.
-const sameNode = -1
+// sameController means that the next heartbeat goes to the same controller.
+const sameController = -1
 
-// finish ends the call. Unless next is sameNode, the worker sends a heartbeat to the controller next after a
-// pause.
+// finish ends the call. Unless next is sameController, the worker sends a heartbeat to the controller next
+// after a pause.
 func (e *heartbeatCall) finish(next int, pause clock.Micros) {
 	if e.finished {
 		return
 	}
 	e.finished = true
 	e.m.inFlight = false
-	if next != sameNode {
-		e.m.node = next
+	if next != sameController {
+		e.m.controller = next
 		e.m.d.World.After(pause, func() { e.m.runOrDefer(e.m.sendHeartbeat) })
 	}
 }
@@ -179,7 +179,7 @@
 		e.finish(e.nextNode(body), retryDelay)
 		return
 	}
-	e.finish(sameNode, 0)
+	e.finish(sameController, 0)
 	a := body.(protocol.HeartbeatResponse)
 	if e.incarnation != m.incarnation || a.Epoch < m.epoch {
 		return
--- a/internal/simulation/loopback.go
+++ b/internal/simulation/loopback.go
@@ -87,7 +87,7 @@
 	return l
 }
 
-// remoteNode returns a node for a controller in another process.
+// remoteNode returns a Node for a controller in another process.
 func remoteNode(w *World, name string, controller *remoteController) *Node {
 	n := &Node{Name: name, process: w.newProcess(), heartbeats: controller, requests: controller}
 	for _, link := range n.links() {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -35,8 +35,8 @@
 	counter     int64
 	epoch       protocol.Epoch
 	tasks       []*task
-	// node is the index of the controller to which heartbeats go.
-	node int
+	// controller is the index of the controller to which heartbeats go.
+	controller int
 	// leaseStart is when the worker sent the last heartbeat that got a response; the lease runs from then.
 	leaseStart clock.Micros
 	inFlight   bool // a sent heartbeat has neither got a response nor timed out
@@ -92,7 +92,7 @@
 func (m *FakeWorker) startAgent() {
 	m.up, m.status, m.incarnation = true, protocol.MachineRunning, 1
 	m.leaseStart = m.d.World.now
-	m.node = m.d.World.Rand.IntN(len(m.d.Nodes))
+	m.controller = m.d.World.Rand.IntN(len(m.d.Nodes))
 	m.scheduleLeaseExpiry()
 	m.sendHeartbeats()
 }
--- a/internal/zonerecovery/load.go
+++ b/internal/zonerecovery/load.go
@@ -10,13 +10,13 @@
 
 // Load reads and validates the recovery file at path for a controller with the given settings. The error
 // names the invalid field.
-func Load(path string, set *settings.Settings) (*Settings, error) {
-	return configfile.Load(path, func(raw []byte) (*Settings, error) { return Parse(raw, set) })
+func Load(path string, config *settings.Settings) (*Settings, error) {
+	return configfile.Load(path, func(raw []byte) (*Settings, error) { return Parse(raw, config) })
 }
 
 // Parse decodes and validates the text of a recovery file. Fields that the file leaves out have the values of
 // Defaults. Parse rejects unknown fields.
-func Parse(raw []byte, set *settings.Settings) (*Settings, error) {
+func Parse(raw []byte, config *settings.Settings) (*Settings, error) {
 	s := Defaults()
 	if err := configfile.DecodeTOML(raw, &s); err != nil {
 		return nil, err
@@ -24,10 +24,10 @@
 	if err := s.checkOrder(); err != nil {
 		return nil, err
 	}
-	if err := s.checkLossDelay(set.Deployment.Workers.LeaseS); err != nil {
+	if err := s.checkLossDelay(config.Deployment.Workers.LeaseS); err != nil {
 		return nil, err
 	}
-	if err := s.checkZones(set.Deployment.Zones); err != nil {
+	if err := s.checkZones(config.Deployment.Zones); err != nil {
 		return nil, err
 	}
 	return &s, nil
--- a/internal/zonerecovery/record.go
+++ b/internal/zonerecovery/record.go
@@ -17,7 +17,7 @@
 type storedZone struct {
 	Number int64  `msgpack:"number"`
 	Phase  string `msgpack:"phase"`
-	// SinceTimeOfDay is a time of day in microseconds, because monotonic clocks differ between nodes.
+	// SinceTimeOfDay is a time of day in microseconds, because monotonic clocks differ between controllers.
 	SinceTimeOfDay int64 `msgpack:"since"`
 	Flaps          int   `msgpack:"flaps,omitempty"`
 }
--- a/internal/zonerecovery/zone.go
+++ b/internal/zonerecovery/zone.go
@@ -202,8 +202,9 @@
 	z.Losses++
 }
 
-// IsCordoned reports whether the zone must get no new machines or tasks.
-func (z *Zone) IsCordoned() bool { return z.Phase != Healthy }
+// IsUnhealthy reports whether the zone is in any phase but Healthy. While another zone is healthy, the
+// leader cordons an unhealthy zone.
+func (z *Zone) IsUnhealthy() bool { return z.Phase != Healthy }
 
 // ShouldPersist reports whether the phase must be stored for the leaders after this one.
 func (z *Zone) ShouldPersist() bool { return z.Phase == Lost || z.Phase == Returning }
