--- a/internal/admission/zonereports.go
+++ b/internal/admission/zonereports.go
@@ -36,11 +36,11 @@
 // DecodeZoneReports decodes the binary form. Its only error is ErrMalformedZoneReports.
 func DecodeZoneReports(b []byte) (ZoneReports, error) {
 	z := ZoneReports{Machines: map[string]int{}}
-	node, b, ok := cutName(b)
+	controller, b, ok := cutName(b)
 	if !ok {
 		return z, ErrMalformedZoneReports
 	}
-	z.Node = node
+	z.Node = controller
 	for len(b) > 0 {
 		zone, rest, ok := cutName(b)
 		if !ok || len(rest) < machinesBytes {
--- a/internal/cells/check.go
+++ b/internal/cells/check.go
@@ -73,10 +73,10 @@
 		listed = append(listed, c.Node)
 	}
 	slices.Sort(listed)
-	nodes := config.Nodes()
-	slices.Sort(nodes)
-	if !slices.Equal(listed, nodes) {
-		return configfile.Invalid(field+".controllers", listed, "aren't the settings' %v", nodes)
+	controllers := config.Nodes()
+	slices.Sort(controllers)
+	if !slices.Equal(listed, controllers) {
+		return configfile.Invalid(field+".controllers", listed, "aren't the settings' %v", controllers)
 	}
 	return nil
 }
--- a/internal/cells/directory.go
+++ b/internal/cells/directory.go
@@ -125,9 +125,9 @@
 }
 
 // Address returns the address of a controller for other cells, or "" if the cell has no such controller.
-func (c *Cell) Address(node string) string {
+func (c *Cell) Address(name string) string {
 	for _, controller := range c.Controllers {
-		if controller.Node == node {
+		if controller.Node == name {
 			return controller.Address
 		}
 	}
--- a/internal/leader/federation/celllinks.go
+++ b/internal/leader/federation/celllinks.go
@@ -5,7 +5,7 @@
 // The leader of a cell has both roles: it is the origin for its own users' jobs and the host for hosted jobs.
 // As host it sends heartbeats to the leaders of the origin cells, as workers send heartbeats to the leader of
 // their cell. As origin it responds to such heartbeats: see docs/cells.md. Package delegation defines the
-// permissions and messages, and package offload plans which work goes to which cell. Neither of these
+// permissions and messages, and package offload plans which tasks to offload to which cell. Neither of these
 // packages has side effects.
 package federation
 
--- a/internal/leader/federation/heartbeats.go
+++ b/internal/leader/federation/heartbeats.go
@@ -175,9 +175,9 @@
 	return min(clock.Micros(float64(pause)*jitter), maxBackoff)
 }
 
-// reportSoon schedules an early heartbeat that reports changes of hosted jobs to their origin cell. It does
-// nothing if the cell is unreachable.
-func (h *Host) reportSoon(origin string) {
+// scheduleEarlyHeartbeat schedules an early heartbeat that reports changes of hosted jobs to their origin
+// cell. It does nothing if the cell is unreachable.
+func (h *Host) scheduleEarlyHeartbeat(origin string) {
 	link := h.cells.ByCell[origin]
 	if link == nil || link.outgoing.circuitOpen() {
 		return
--- a/internal/leader/federation/host.go
+++ b/internal/leader/federation/host.go
@@ -84,7 +84,7 @@
 	if j.IsStored() {
 		j.StoredDone = j.Done.Clone()
 	}
-	h.reportSoon(j.Hosted.OriginCell)
+	h.scheduleEarlyHeartbeat(j.Hosted.OriginCell)
 }
 
 // applyDirectives applies the directives of an origin cell's response to the jobs that the cell had delegated
--- a/internal/leader/federation/offers.go
+++ b/internal/leader/federation/offers.go
@@ -67,7 +67,7 @@
 	txn.Commit(h.Store, term.Guarded(h.State, func(r kvstore.Result[protocol.Revision]) {
 		if r.Err == nil {
 			h.reader.Apply(key, value, r.Value)
-			h.reportSoon(origin)
+			h.scheduleEarlyHeartbeat(origin)
 		}
 	}))
 }
--- a/internal/leader/machinetable/machine.go
+++ b/internal/leader/machinetable/machine.go
@@ -141,8 +141,8 @@
 }
 
 // NumberOf returns the number of a heartbeat.
-func NumberOf(r *protocol.Heartbeat) HeartbeatNumber {
-	return HeartbeatNumber{Incarnation: r.Incarnation, Counter: r.Counter}
+func NumberOf(heartbeat *protocol.Heartbeat) HeartbeatNumber {
+	return HeartbeatNumber{Incarnation: heartbeat.Incarnation, Counter: heartbeat.Counter}
 }
 
 // After reports whether a heartbeat was sent later than another one.
--- a/internal/leader/machinetable/machinetable.go
+++ b/internal/leader/machinetable/machinetable.go
@@ -171,18 +171,18 @@
 }
 
 // ApplyHeartbeat updates the machine's own state from a heartbeat.
-func (mt *Table) ApplyHeartbeat(m *Machine, r *protocol.Heartbeat) {
+func (mt *Table) ApplyHeartbeat(m *Machine, heartbeat *protocol.Heartbeat) {
 	m.HeartbeatReceived = true
-	m.Address, m.Type, m.Zone, m.Spot = r.Address, r.Type, r.Zone, r.Spot
-	m.HeartbeatNumber, m.AcknowledgedEpoch = NumberOf(r), r.Epoch
+	m.Address, m.Type, m.Zone, m.Spot = heartbeat.Address, heartbeat.Type, heartbeat.Zone, heartbeat.Spot
+	m.HeartbeatNumber, m.AcknowledgedEpoch = NumberOf(heartbeat), heartbeat.Epoch
 	m.HeartbeatAt = mt.Now()
 	if m.ResponsesLost &&
 		m.HeartbeatAt > m.IncarnationSeenAt+mt.Settings.Deployment.Workers.Lease()+leaseMargin {
 		m.ResponsesLost = false // this incarnation has outlasted its first lease: responses arrive again
 	}
 	m.ReclaimAt = 0
-	if r.ReclaimNoticeS != nil {
-		m.ReclaimAt = mt.Now() + clock.FromSeconds(*r.ReclaimNoticeS)
+	if heartbeat.ReclaimNoticeS != nil {
+		m.ReclaimAt = mt.Now() + clock.FromSeconds(*heartbeat.ReclaimNoticeS)
 	}
 }
 
--- a/internal/leader/objectives/history.go
+++ b/internal/leader/objectives/history.go
@@ -26,7 +26,7 @@
 	LastAt clock.Micros
 	// Arrivals are the arrivals within the last ArrivalWindow.
 	Arrivals []Arrival
-	// runTimeRatio is the average ratio of run times to the owners' estimates, 0 before the first
+	// runTimeRatio is the average ratio of run times to the users' estimates, 0 before the first
 	// run.
 	runTimeRatio float64
 }
@@ -48,7 +48,7 @@
 	t.Classes[spec.Class] = history
 }
 
-// RecordRun learns from a completed run how fast a machine is compared with others. The owners'
+// RecordRun learns from a completed run how fast a machine is compared with others. The users'
 // estimates only make runs comparable: the average of the class contains their common error.
 func (t *Tracker) RecordRun(m *machinetable.Machine, spec *protocol.JobSpec, runTime clock.Micros) {
 	history, known := t.Classes[spec.Class]
--- a/internal/leader/reconciler/heartbeats.go
+++ b/internal/leader/reconciler/heartbeats.go
@@ -104,18 +104,20 @@
 }
 
 // Handle responds to a heartbeat that arrived at the given time.
-func (hb *HeartbeatHandler) Handle(r protocol.Heartbeat, arrived clock.Micros,
+func (hb *HeartbeatHandler) Handle(heartbeat protocol.Heartbeat, arrived clock.Micros,
 	reply func(status int, body any)) {
 	if hb.Deferring {
-		hb.deferHeartbeat(func() { hb.Handle(r, arrived, reply) })
+		hb.deferHeartbeat(func() { hb.Handle(heartbeat, arrived, reply) })
 		return
 	}
-	outcome, body := hb.respond(r, arrived)
+	outcome, body := hb.respond(heartbeat, arrived)
 	reply(outcome.status(), body)
 }
 
 // respond decides how to respond to a heartbeat, and returns the body of the response as well.
-func (hb *HeartbeatHandler) respond(r protocol.Heartbeat, arrived clock.Micros) (heartbeatOutcome, any) {
+func (hb *HeartbeatHandler) respond(
+	heartbeat protocol.Heartbeat, arrived clock.Micros,
+) (heartbeatOutcome, any) {
 	// If the process was suspended, or more heartbeats arrive than the processor can handle, a
 	// heartbeat that has waited this long is outdated, and its worker is about to give up. A refusal
 	// costs almost nothing and leaves time for the heartbeats whose responses will be in time. The
@@ -123,14 +125,14 @@
 	if hb.Now() > arrived+maxHeartbeatAge {
 		return retryLater, protocol.Redirect{}
 	}
-	hb.machines.RecordAddress(r.Machine, r.Address)
-	if !hb.Leads() && !hb.MayRespond() || hb.machines.WasReleased(r.Machine) {
-		hb.Zones.RecordMisdirectedHeartbeat(r.Machine, r.Zone)
+	hb.machines.RecordAddress(heartbeat.Machine, heartbeat.Address)
+	if !hb.Leads() && !hb.MayRespond() || hb.machines.WasReleased(heartbeat.Machine) {
+		hb.Zones.RecordMisdirectedHeartbeat(heartbeat.Machine, heartbeat.Zone)
 		return misdirected, protocol.Redirect{Node: hb.otherLeader()}
 	}
-	m := hb.machines.GetOrAdd(r.Machine)
-	hb.reconciler.Observe(m, r)
-	if !hb.isCurrent(m, &r) {
+	m := hb.machines.GetOrAdd(heartbeat.Machine)
+	hb.reconciler.Observe(m, heartbeat)
+	if !hb.isCurrent(m, &heartbeat) {
 		return misdirected, protocol.Redirect{}
 	}
 	hb.checkPermissions(m)
@@ -139,7 +141,7 @@
 	}
 	m.ClearInHeartbeat()
 	commands := hb.commands.CommandsFor(m, ViaHeartbeat)
-	m.RecordResponse(machinetable.NumberOf(&r), hb.Now())
+	m.RecordResponse(machinetable.NumberOf(&heartbeat), hb.Now())
 	return accepted, protocol.HeartbeatResponse{Epoch: hb.Term.Epoch, Commands: commands}
 }
 
@@ -155,12 +157,12 @@
 // respond to a heartbeat that isn't later than the last one to which it responded; isCurrent challenges
 // the machine in this case. A heartbeat that is only older than the one in the response to a direct
 // command is still the worker's current one.
-func (hb *HeartbeatHandler) isCurrent(m *machinetable.Machine, r *protocol.Heartbeat) bool {
-	if !machinetable.NumberOf(r).After(m.RespondedTo) {
+func (hb *HeartbeatHandler) isCurrent(m *machinetable.Machine, heartbeat *protocol.Heartbeat) bool {
+	if !machinetable.NumberOf(heartbeat).After(m.RespondedTo) {
 		hb.health.challenge(m)
 		return false
 	}
-	return r.Incarnation == m.Incarnation && !m.LeaseExpired && r.Epoch <= hb.Term.Epoch
+	return heartbeat.Incarnation == m.Incarnation && !m.LeaseExpired && heartbeat.Epoch <= hb.Term.Epoch
 }
 
 // checkPermissions checks the permissions of the hosted jobs on a machine for expiry before the leader
--- a/internal/leader/reconciler/reconciler.go
+++ b/internal/leader/reconciler/reconciler.go
@@ -43,33 +43,33 @@
 }
 
 // Observe applies a heartbeat if it is newer than the last one.
-func (rc *Reconciler) Observe(m *machinetable.Machine, r protocol.Heartbeat) {
-	if outdated(m, &r) {
+func (rc *Reconciler) Observe(m *machinetable.Machine, heartbeat protocol.Heartbeat) {
+	if outdated(m, &heartbeat) {
 		return
 	}
-	if r.Epoch > rc.Term.Epoch {
-		rc.Deposed(r.Epoch)
+	if heartbeat.Epoch > rc.Term.Epoch {
+		rc.Deposed(heartbeat.Epoch)
 	}
 	if !m.HeartbeatReceived {
-		slog.Info("first heartbeat from machine", "machine", m.Name, "type", r.Type, "zone", r.Zone,
-			"spot", r.Spot, "tasks", len(r.Tasks))
+		slog.Info("first heartbeat from machine", "machine", m.Name, "type", heartbeat.Type, "zone",
+			heartbeat.Zone, "spot", heartbeat.Spot, "tasks", len(heartbeat.Tasks))
 		m.IdleSince = rc.Now()
 	}
-	rc.handleIncarnation(m, r.Incarnation)
-	unchanged := m.PlacedTasksListed && r.Incarnation == m.Incarnation && r.Epoch == m.AcknowledgedEpoch &&
-		m.SameTasks(r.Tasks)
-	rc.machines.ApplyHeartbeat(m, &r)
+	rc.handleIncarnation(m, heartbeat.Incarnation)
+	unchanged := m.PlacedTasksListed && heartbeat.Incarnation == m.Incarnation &&
+		heartbeat.Epoch == m.AcknowledgedEpoch && m.SameTasks(heartbeat.Tasks)
+	rc.machines.ApplyHeartbeat(m, &heartbeat)
 	if !unchanged {
 		m.ViewStale = true
-		rc.replaceTasks(m, r.Tasks)
+		rc.replaceTasks(m, heartbeat.Tasks)
 	}
 }
 
 // outdated reports whether a heartbeat has arrived so late that it proves nothing any more: the worker
 // sent it no later than the last one, or before the machine's lease expired.
-func outdated(m *machinetable.Machine, r *protocol.Heartbeat) bool {
-	return m.HeartbeatReceived && !machinetable.NumberOf(r).After(m.HeartbeatNumber) ||
-		m.LeaseExpired && r.Incarnation <= m.Incarnation
+func outdated(m *machinetable.Machine, heartbeat *protocol.Heartbeat) bool {
+	return m.HeartbeatReceived && !machinetable.NumberOf(heartbeat).After(m.HeartbeatNumber) ||
+		m.LeaseExpired && heartbeat.Incarnation <= m.Incarnation
 }
 
 // handleIncarnation records which incarnation of the worker sent a heartbeat, before the rest of the
--- a/internal/leader/requests.go
+++ b/internal/leader/requests.go
@@ -8,9 +8,9 @@
 )
 
 // Heartbeat handles a worker's heartbeat. The actor calls reply from its mailbox.
-func (l *Leader) Heartbeat(r protocol.Heartbeat, reply func(status int, body any)) {
+func (l *Leader) Heartbeat(heartbeat protocol.Heartbeat, reply func(status int, body any)) {
 	arrived := l.state.Now()
-	l.state.Mailbox.Post(func() { l.heartbeats.Handle(r, arrived, reply) })
+	l.state.Mailbox.Post(func() { l.heartbeats.Handle(heartbeat, arrived, reply) })
 }
 
 // Overview passes the operators' overview to reply, from the actor's mailbox.
@@ -28,31 +28,32 @@
 
 // Exchange responds to a heartbeat of another cell. ok is false if this cell doesn't know the
 // sender or the response would be too late.
-func (l *Leader) Exchange(r delegation.Heartbeat,
+func (l *Leader) Exchange(heartbeat delegation.Heartbeat,
 	reply func(response delegation.HeartbeatResponse, ok bool)) {
 	arrived := l.state.Now()
 	l.state.Mailbox.Post(func() {
 		switch {
-		case !l.isFromKnownCell(&r) || l.state.Now() > arrived+federation.ExchangeTimeout:
+		case !l.isFromKnownCell(&heartbeat) || l.state.Now() > arrived+federation.ExchangeTimeout:
 			// If the process was suspended, the other cell no longer waits for the response.
 			reply(delegation.HeartbeatResponse{}, false)
 		case !l.state.Leads() && !l.state.MayRespond():
 			leader := l.cells.Directory.Own.Address(l.state.KnownLeader)
 			reply(delegation.HeartbeatResponse{Result: delegation.NotLeader, Leader: leader}, true)
 		default:
-			reply(l.origin.HandleHeartbeat(&r), true)
+			reply(l.origin.HandleHeartbeat(&heartbeat), true)
 		}
 	})
 }
 
 // isFromKnownCell reports whether a heartbeat comes from another cell in the cells file and is
 // addressed to this cell.
-func (l *Leader) isFromKnownCell(r *delegation.Heartbeat) bool {
+func (l *Leader) isFromKnownCell(heartbeat *delegation.Heartbeat) bool {
 	if !l.cells.Enabled() {
 		return false
 	}
 	directory := l.cells.Directory
-	return r.Origin == directory.Own.Name && directory.Cell(r.Host) != nil && r.Host != r.Origin
+	return heartbeat.Origin == directory.Own.Name && directory.Cell(heartbeat.Host) != nil &&
+		heartbeat.Host != heartbeat.Origin
 }
 
 // Leads reports whether this controller may act as leader now. Call it from the actor's mailbox, or
--- a/internal/leader/zonetracker/displaced.go
+++ b/internal/leader/zonetracker/displaced.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// displacedKind returns the kind of work by which a displaced job is ordered.
+// displacedKind returns the kind by which a displaced job is ordered.
 func displacedKind(j *jobtable.Job, tier planner.Tier, slackS float64) zonerecovery.JobKind {
 	switch {
 	case j.Spec.IsService():
--- a/internal/scaling/price.go
+++ b/internal/scaling/price.go
@@ -5,7 +5,7 @@
 	"postpoint/internal/protocol"
 )
 
-// All multiples refer to the lowest price in the catalog for a task of the job. docs/design.md
+// All multiples refer to the lowest price in the catalogue for a task of the job. docs/design.md
 // lists the values.
 const (
 	// fairMultiple is the highest multiple that scale-out pays for any job.
--- a/internal/simulation/heartbeats.go
+++ b/internal/simulation/heartbeats.go
@@ -47,21 +47,21 @@
 // newHeartbeat returns a heartbeat with the present state of the worker.
 func (m *FakeWorker) newHeartbeat() protocol.Heartbeat {
 	m.counter++
-	r := protocol.Heartbeat{
+	heartbeat := protocol.Heartbeat{
 		Machine: m.name, Address: m.addr, Type: m.typ, Zone: m.zone, Spot: m.spot,
 		Incarnation: m.incarnation, Counter: m.counter, Epoch: m.epoch,
 	}
 	if m.reclaimAt != 0 {
 		remaining := (m.reclaimAt - m.d.World.now).Seconds()
-		r.ReclaimNoticeS = &remaining
+		heartbeat.ReclaimNoticeS = &remaining
 	}
 	for _, t := range m.tasks {
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{
+		heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{
 			Task: protocol.TaskName(t.job, t.task), Attempt: t.attempt,
 			Status: t.status, Cause: t.cause, Saved: t.saved,
 		})
 	}
-	return r
+	return heartbeat
 }
 
 // sendHeartbeat sends a heartbeat unless one is in flight.
@@ -75,11 +75,11 @@
 		m: m, n: m.d.Nodes[m.controller], sent: w.now, incarnation: m.incarnation,
 		fallback: (m.controller + 1) % len(m.d.Nodes),
 	}
-	r := m.newHeartbeat()
+	heartbeat := m.newHeartbeat()
 	w.After(heartbeatTimeout, func() { e.finish(e.fallback, retryDelay) })
-	m.send(func() { m.d.deliver(m.zone, e.n.Zone, func() { e.arrive(r) }) })
+	m.send(func() { m.d.deliver(m.zone, e.n.Zone, func() { e.arrive(heartbeat) }) })
 	if w.chance(m.LateCopyChance) {
-		e.sendLateCopy(r)
+		e.sendLateCopy(heartbeat)
 	}
 }
 
@@ -135,12 +135,12 @@
 }
 
 // sendLateCopy delivers the heartbeat once more, much later. The worker never gets the response to the copy.
-func (e *heartbeatCall) sendLateCopy(r protocol.Heartbeat) {
+func (e *heartbeatCall) sendLateCopy(heartbeat protocol.Heartbeat) {
 	w := e.m.d.World
 	longest := maxCopyDelayLeases * e.m.d.Settings.Deployment.Workers.Lease()
 	w.After(w.Between(minCopyDelay, longest), func() {
 		if e.reachable() {
-			e.n.heartbeats.Heartbeat(r, func(int, any) {})
+			e.n.heartbeats.Heartbeat(heartbeat, func(int, any) {})
 		}
 	})
 }
@@ -151,12 +151,12 @@
 }
 
 // arrive passes the heartbeat to the controller and carries its response back.
-func (e *heartbeatCall) arrive(r protocol.Heartbeat) {
+func (e *heartbeatCall) arrive(heartbeat protocol.Heartbeat) {
 	if !e.reachable() {
 		return
 	}
 	m, process := e.m, e.n.process
-	e.n.heartbeats.Heartbeat(r, func(status int, body any) {
+	e.n.heartbeats.Heartbeat(heartbeat, func(status int, body any) {
 		if a, ok := body.(protocol.HeartbeatResponse); ok {
 			m.d.checkCommands(e.n, a.Epoch, a.Commands)
 		}
