--- a/internal/leader/reconciler/reconciler.go
+++ b/internal/leader/reconciler/reconciler.go
@@ -43,42 +43,42 @@
 }
 
 // Observe applies a heartbeat if it is newer than the last one.
-func (rc *Reconciler) Observe(m *machinetable.Machine, r protocol.Heartbeat) {
-	if outdated(m, &r) {
+func (rc *Reconciler) Observe(m *machinetable.Machine, heartbeat protocol.Heartbeat) {
+	if outdated(m, &heartbeat) {
 		return
 	}
-	if r.Epoch > rc.Term.Epoch {
-		rc.Deposed(r.Epoch)
+	if heartbeat.Epoch > rc.Term.Epoch {
+		rc.Deposed(heartbeat.Epoch)
 	}
 	if !m.HeartbeatReceived {
-		slog.Info("first heartbeat from machine", "machine", m.Name, "type", r.Type, "zone", r.Zone,
-			"spot", r.Spot, "tasks", len(r.Tasks))
+		slog.Info("first heartbeat from machine", "machine", m.Name, "type", heartbeat.Type, "zone",
+			heartbeat.Zone, "spot", heartbeat.Spot, "tasks", len(heartbeat.Tasks))
 		m.IdleSince = rc.Now()
 	}
-	rc.noteIncarnation(m, r.Incarnation)
-	unchanged := m.PlacedTasksListed && r.Incarnation == m.Incarnation && r.Epoch == m.AcknowledgedEpoch &&
-		m.SameTasks(r.Tasks)
-	rc.machines.NoteHeartbeat(m, &r)
+	rc.handleIncarnation(m, heartbeat.Incarnation)
+	unchanged := m.PlacedTasksListed && heartbeat.Incarnation == m.Incarnation &&
+		heartbeat.Epoch == m.AcknowledgedEpoch && m.SameTasks(heartbeat.Tasks)
+	rc.machines.ApplyHeartbeat(m, &heartbeat)
 	if !unchanged {
 		m.ViewStale = true
-		rc.replaceTasks(m, r.Tasks)
+		rc.replaceTasks(m, heartbeat.Tasks)
 	}
 }
 
 // outdated reports whether a heartbeat has arrived so late that it proves nothing any more: the worker
 // sent it no later than the last one, or before the machine's lease expired.
-func outdated(m *machinetable.Machine, r *protocol.Heartbeat) bool {
-	return m.HeartbeatReceived && !machinetable.NumberOf(r).After(m.HeartbeatNumber) ||
-		m.LeaseExpired && r.Incarnation <= m.Incarnation
+func outdated(m *machinetable.Machine, heartbeat *protocol.Heartbeat) bool {
+	return m.HeartbeatReceived && !machinetable.NumberOf(heartbeat).After(m.HeartbeatNumber) ||
+		m.LeaseExpired && heartbeat.Incarnation <= m.Incarnation
 }
 
-// noteIncarnation notes which incarnation of the worker sent a heartbeat, before the rest of the
+// handleIncarnation records which incarnation of the worker sent a heartbeat, before the rest of the
 // heartbeat is applied: the state of an earlier incarnation doesn't count any more.
-func (rc *Reconciler) noteIncarnation(m *machinetable.Machine, incarnation protocol.Incarnation) {
+func (rc *Reconciler) handleIncarnation(m *machinetable.Machine, incarnation protocol.Incarnation) {
 	switch {
 	case incarnation > m.Incarnation:
 		if m.HeartbeatReceived {
-			rc.noteLostIncarnation(m, incarnation)
+			rc.handleLostIncarnation(m, incarnation)
 		}
 		m.BeginIncarnation(incarnation, rc.Now())
 	case !m.HeartbeatReceived:
@@ -86,12 +86,12 @@
 	}
 }
 
-// noteLostIncarnation handles a machine whose lease expired although its heartbeats arrive. If the
+// handleLostIncarnation handles a machine whose lease expired although its heartbeats arrive. If the
 // leader's latest response had reached the worker, the lease would not have expired yet. A machine
 // whose heartbeats arrive while responses and commands don't reach it looks healthy, but loses its
 // tasks with each lease. It gets no tasks until an incarnation outlasts its first lease. The leader
 // releases it if it loses another lease in this way before that.
-func (rc *Reconciler) noteLostIncarnation(m *machinetable.Machine, next protocol.Incarnation) {
+func (rc *Reconciler) handleLostIncarnation(m *machinetable.Machine, next protocol.Incarnation) {
 	lease := rc.Settings.Deployment.Workers.Lease()
 	if m.RespondedAt == 0 || rc.Now() >= m.RespondedAt+lease {
 		return
@@ -185,9 +185,9 @@
 	proof, t := rc.evidenceFor(m, j, p, ref)
 	switch proof {
 	case listed:
-		rc.noteListed(m, j, ref, t.Status)
+		rc.handleListedTask(m, j, ref, t.Status)
 	case exited:
-		rc.noteExit(m, j, p, t.Cause)
+		rc.handleExit(m, j, p, t.Cause)
 	case lostWithLease:
 		slog.Debug("placement lost with the worker's lease", "job", j.Spec.ID, "task", p.Task, "machine",
 			m.Name)
@@ -202,14 +202,14 @@
 	}
 }
 
-// noteListed handles a placed task that the worker holds. The machine has cached the task's image once
+// handleListedTask handles a placed task that the worker holds. The machine has cached the task's image once
 // the task isn't fetching any more, and the task may have begun to run.
-func (rc *Reconciler) noteListed(m *machinetable.Machine, j *jobtable.Job, ref machinetable.AttemptRef,
+func (rc *Reconciler) handleListedTask(m *machinetable.Machine, j *jobtable.Job, ref machinetable.AttemptRef,
 	status string) {
 	if status == protocol.TaskFetching || m.RunningSince[ref] != 0 {
 		return
 	}
-	rc.machines.NoteImage(m, j.Spec.Image, j.Spec.ImageGB)
+	rc.machines.AddCachedImage(m, j.Spec.Image, j.Spec.ImageGB)
 	if status != protocol.TaskRunning {
 		return
 	}
--- a/internal/leader/zonetracker/displaced.go
+++ b/internal/leader/zonetracker/displaced.go
@@ -24,14 +24,14 @@
 		return
 	}
 	j.DisplacedFrom, j.DisplacedAt, j.ClearedToStart = m.Zone, t.Now(), false
-	t.jobs.NoteHeadChange(j)
+	t.jobs.MarkHeadChanged(j)
 }
 
 // EndDisplacement ends a job's displacement, once all tasks that had lost their placements have new ones or
 // are done.
 func (t *Tracker) EndDisplacement(j *jobtable.Job) {
 	j.DisplacedFrom = ""
-	t.jobs.NoteHeadChange(j)
+	t.jobs.MarkHeadChanged(j)
 }
 
 // AwaitsClearance reports whether a job is displaced and its tasks aren't cleared to start yet.
@@ -99,7 +99,7 @@
 	}
 }
 
-// displacedKind returns the kind of work by which a displaced job is ordered.
+// displacedKind returns the kind by which a displaced job is ordered.
 func displacedKind(j *jobtable.Job, tier planner.Tier, slackS float64) zonerecovery.JobKind {
 	switch {
 	case j.Spec.IsService():
