--- a/internal/leader/federation/origin.go
+++ b/internal/leader/federation/origin.go
@@ -66,8 +66,8 @@
 	o.saving = false
 }
 
-// hostSilenceTimeout is how long the last status of a delegation must be ago before the host counts as
-// silent. The origin then ends the delegation once no permission for it is left.
+// hostSilenceTimeout is the age of a delegation's last status beyond which its host counts as silent. The
+// origin then ends the delegation once no permission for it is left.
 const hostSilenceTimeout = 8 * clock.Second
 
 // ReleaseOrphanedPlacements calls ReleaseOrphanedPlacementsOf for all jobs.
--- a/internal/leader/federation/trackeddelegation.go
+++ b/internal/leader/federation/trackeddelegation.go
@@ -87,8 +87,8 @@
 	return true
 }
 
-// holdsNoneAsStored reports whether the stored record of its job holds no placement of any of the
-// delegation's tasks with another cell. This includes tasks that no longer belong to the delegation.
+// holdsNoneAsStored reports whether the stored record of its job holds no placement of this delegation. It
+// checks all of the delegation's tasks, including those that are no longer outstanding.
 func (d *trackedDelegation) holdsNoneAsStored(j *jobtable.Job) bool {
 	for task := range d.Tasks.All() {
 		p, placed := j.Placements[task]
--- a/internal/leader/jobtable/jobtable.go
+++ b/internal/leader/jobtable/jobtable.go
@@ -240,9 +240,9 @@
 	return used
 }
 
-// MarkCancelled marks a job as cancelled. at is when the cancellation was confirmed to a user, or earlier.
-// The time at which this leader learned of it doesn't count: each change of leader would then
-// postpone the end of the job's tasks.
+// MarkCancelled marks a job as cancelled. at is when the cancellation was confirmed to a user, or
+// earlier. The time at which this leader learned of it doesn't count: each change of leader would
+// then postpone the end of the job's tasks.
 func (t *Table) MarkCancelled(j *Job, at clock.Micros) {
 	if !j.Cancelled {
 		slog.Debug("job cancelled", "job", j.Spec.ID, "placed", len(j.Placements), "ago_s",
--- a/internal/leader/machinetable/catalogue.go
+++ b/internal/leader/machinetable/catalogue.go
@@ -154,7 +154,7 @@
 	value := protocol.Encode(protocol.Catalogue{MachineTypes: mc.Types})
 	limit := jobrecord.UsableBytes(mc.Settings.Deployment.KVStore.Tightest().ValueBytes())
 	if size := protocol.JSONSize(value); size > limit {
-		slog.Info("the catalogue is too large to be stored for other nodes", "bytes", size, "limit", limit)
+		slog.Info("catalogue too large to be stored for other controllers", "bytes", size, "limit", limit)
 		return
 	}
 	t := mc.NewTransaction()
--- a/internal/leader/machinetable/machinetable.go
+++ b/internal/leader/machinetable/machinetable.go
@@ -215,8 +215,8 @@
 	return zones
 }
 
-// HeartbeatMissed reports whether a heartbeat of a machine is late. A new leader first waits
-// TakeoverTime, so that workers can find it.
+// HeartbeatMissed reports whether a machine's heartbeat is late or none has arrived in this term. A new
+// leader first waits TakeoverTime, so that workers can find it.
 func (mt *Table) HeartbeatMissed(m *Machine) bool {
 	if mt.Now() <= mt.BegunAt+TakeoverTime {
 		return false
@@ -320,6 +320,6 @@
 	// MaxLossReserve bounds the reserve for the loss of a machine, in replicas.
 	MaxLossReserve = 8
 	// ReleasedRetention is far longer than any delay of a heartbeat or a list. An even older
-	// message would make a released machine look unexpected, and the leader would release it again.
+	// message would add a released machine to the table again, and the leader would release it again.
 	ReleasedRetention = 15 * 60 * clock.Second
 )
--- a/internal/leader/objectives/history.go
+++ b/internal/leader/objectives/history.go
@@ -49,7 +49,8 @@
 }
 
 // RecordRun learns from a completed run how fast a machine is compared with others. The users'
-// estimates only make runs comparable: the average of the class contains their common error.
+// estimates only make runs comparable: an error that all estimates of a class have in common is part
+// of the class's average too, and cancels out.
 func (t *Tracker) RecordRun(m *machinetable.Machine, spec *protocol.JobSpec, runTime clock.Micros) {
 	history, known := t.Classes[spec.Class]
 	if !known || spec.EstimateS <= 0 || runTime <= 0 {
--- a/internal/leader/objectives/objectives.go
+++ b/internal/leader/objectives/objectives.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	// startWithinS is the time from its submission within which users expect every job to start,
+	// startWithinS is the time from submission within which users expect every job to start,
 	// whatever the objectives of its class.
 	startWithinS = 240
 	// BootTimeFactor is the factor by which a boot may exceed its usual time.
--- a/internal/leader/reconciler/cancellations.go
+++ b/internal/leader/reconciler/cancellations.go
@@ -101,7 +101,8 @@
 func (cn *Cancellations) Begin() { cn.attesting = false }
 
 // EndCancelledTasks stops cancelled tasks by direct commands and releases the machines that don't execute
-// them, both with and without the leader's lease: neither can harm a later leader.
+// them. It does so even without the leader's lease: neither these stops nor these releases can harm a
+// later leader.
 func (cn *Cancellations) EndCancelledTasks() {
 	now := cn.Now()
 	for _, j := range ordered.ByKey(cn.jobs.ByID) {
@@ -145,7 +146,8 @@
 
 // releaseHostedAt returns when the leader releases a machine that holds tasks of a hosted job which
 // must end. A leader that never had a permission doesn't know when the last one expired: if the record
-// is closed, that may have been long ago; otherwise it was hardly before the leader's term.
+// is closed, that may have been long ago; otherwise the leader assumes that it was TakeoverTime before
+// its term began.
 func (cn *Cancellations) releaseHostedAt(j *jobtable.Job) clock.Micros {
 	leaseExpiry := cells.LeaseExpiryTime(cn.Settings.Deployment.Workers.Lease())
 	switch {
--- a/internal/leader/reconciler/commandset.go
+++ b/internal/leader/reconciler/commandset.go
@@ -144,9 +144,9 @@
 }
 
 // addForUnassigned adds commands that stop and forget the tasks that a worker lists but no record
-// places on its machine. When a worker forgets a task, it sends a heartbeat with this change at once,
-// and such heartbeats are most of those that a leader under load receives. So the leader lets workers
-// forget exited tasks in batches, along with other commands, or after ForgetDelay.
+// places on its machine. When a worker forgets a task, it sends a heartbeat with this change at once.
+// Under load, most heartbeats that a leader receives are of this sort. So the leader lets workers forget
+// exited tasks in batches, along with other commands, or after ForgetDelay.
 func (set *commandSet) addForUnassigned() {
 	m := set.m
 	var forgets []protocol.Command
--- a/internal/leader/reconciler/exits.go
+++ b/internal/leader/reconciler/exits.go
@@ -103,8 +103,8 @@
 }
 
 const (
-	// undelayedStartFailures is how many starts may fail before the delays grow.
-	undelayedStartFailures = 3
+	// constantDelayFailures is how many starts may fail before the delays begin to grow.
+	constantDelayFailures = 3
 	// maxStartDelayDoublings is the maximum number of times that a delay doubles.
 	maxStartDelayDoublings = 6
 	// maxStartDelay bounds the delay of a job whose starts fail repeatedly.
@@ -123,8 +123,8 @@
 		return
 	}
 	j.StartFailures++
-	if j.StartFailures > undelayedStartFailures {
-		delay *= clock.Micros(1) << min(j.StartFailures-undelayedStartFailures, maxStartDelayDoublings)
+	if j.StartFailures > constantDelayFailures {
+		delay *= clock.Micros(1) << min(j.StartFailures-constantDelayFailures, maxStartDelayDoublings)
 	}
 	j.NotBefore = max(j.NotBefore, rc.Now()+min(delay, maxStartDelay))
 }
--- a/internal/leader/reconciler/heartbeats.go
+++ b/internal/leader/reconciler/heartbeats.go
@@ -121,7 +121,7 @@
 	// If the process was suspended, or more heartbeats arrive than the processor can handle, a
 	// heartbeat that has waited this long is outdated, and its worker is about to give up. A refusal
 	// costs almost nothing and leaves time for the heartbeats whose responses will be in time. The
-	// leader doesn't count it as a response that the worker failed to receive.
+	// leader doesn't count the refusal as a response that the worker failed to receive.
 	if hb.Now() > arrived+maxHeartbeatAge {
 		return retryLater, protocol.Redirect{}
 	}
@@ -155,8 +155,8 @@
 
 // isCurrent reports whether the leader may respond to a heartbeat that it has observed. It may not
 // respond to a heartbeat that isn't later than the last one to which it responded; isCurrent challenges
-// the machine in this case. A heartbeat that is only older than the one in the response to a direct
-// command is still the worker's current one.
+// the machine in this case. A heartbeat is still current if the only later one is the heartbeat in the
+// response to a direct command.
 func (hb *HeartbeatHandler) isCurrent(m *machinetable.Machine, heartbeat *protocol.Heartbeat) bool {
 	if !machinetable.NumberOf(heartbeat).After(m.RespondedTo) {
 		hb.health.challenge(m)
--- a/internal/leader/recordstore/outcome.go
+++ b/internal/leader/recordstore/outcome.go
@@ -160,9 +160,9 @@
 }
 
 // learnLimits tightens the limits after the store rejected changes as invalid: its limits are lower
-// than assumed. The writer retries the changes within lower limits. It first applies the announced
-// limits, and after that halves the number of changes in a transaction until the store accepts it. A
-// single change that the store rejects isn't written again at that size.
+// than assumed. The writer retries the changes within lower limits. It first applies the lower limits that
+// the settings announce (KVStore.Tightest), and after that halves the number of changes in a transaction
+// until the store accepts it. A single change that the store rejects isn't written again at that size.
 func (w *Writer) learnLimits(writes []Write, reason string) {
 	slog.Error("key-value store rejected a commit as too large or malformed", "error", reason,
 		"values", len(writes), "limits_tightened", w.LimitsTightened)
--- a/internal/leader/recordstore/units.go
+++ b/internal/leader/recordstore/units.go
@@ -16,7 +16,7 @@
 	Job   *jobtable.Job
 	Value *jobtable.StoredValue
 	Shard int // the shard's number, or HeadIndex
-	// ChangeCount is the value's count of changes at the content that this write stores.
+	// ChangeCount is the value's ChangeCount for the content that this write stores.
 	ChangeCount int
 	// headVersion is the version of the head that the write of a shard requires.
 	headVersion protocol.Revision
@@ -155,7 +155,8 @@
 }
 
 // shardUnits returns the changes of a job's shards that are due. Each shard is a unit of its own,
-// except that the shards of a gang, which starts as a whole, form a single unit.
+// except that the shards of a gang, which starts as a whole, form a single unit if one transaction can
+// hold all of them. While a gang's record is being sharded, its shards are separate units too.
 func (w *Writer) shardUnits(j *jobtable.Job) []WriteUnit {
 	_, txnOps := w.Limits()
 	asOneUnit := j.Spec.IsGang() && !j.Sharding() && len(j.Shards) <= txnOps
--- a/internal/leader/recordstore/writer.go
+++ b/internal/leader/recordstore/writer.go
@@ -39,8 +39,8 @@
 	// LimitsTightened reports that the store has rejected a transaction within the limits that were
 	// assumed first.
 	LimitsTightened bool
-	// learnedTxnOps is how many changes a transaction may have according to what the store has
-	// rejected, 0 if it has rejected no transaction for its number of changes.
+	// learnedTxnOps is the limit on the changes in a transaction that the writer has learned from
+	// rejections, 0 if it has learned none.
 	learnedTxnOps int
 }
 
@@ -135,8 +135,8 @@
 }
 
 // tooLarge reports whether a value is too large to be stored. If its record is undivided and may be
-// sharded, tooLarge starts to shard it. Until that is done the stored version stays in effect for its
-// job, and changes of other jobs are committed.
+// sharded, tooLarge starts to shard it. Until the sharding is done, the stored version stays in effect
+// for its job; the writer still commits changes of other jobs.
 func (w *Writer) tooLarge(write *Write, value []byte, limit int) bool {
 	rejectedBytes := write.Value.RejectedBytes
 	if len(value) < limit/2 && rejectedBytes == 0 {
--- a/internal/leader/snapshots/jobs.go
+++ b/internal/leader/snapshots/jobs.go
@@ -129,9 +129,9 @@
 	planned.MaxStarts = len(planned.Pending)
 }
 
-// machinesWithExitedTasks returns the machines that a gang avoids, and also those that still report an
-// exited task of the attempt with which the gang may be completed: a start of the same task and attempt
-// has no effect there.
+// machinesWithExitedTasks returns the machines that a gang avoids. For a gang that may be completed, it
+// adds the machines that still report an exited task of the gang: if the exited task is of the attempt
+// that is being completed, a start of the same task and attempt has no effect there.
 func (b *Builder) machinesWithExitedTasks(j *jobtable.Job) map[protocol.MachineName]bool {
 	if len(j.Placements) == 0 {
 		return j.AvoidMachines
--- a/internal/leader/snapshots/snapshot.go
+++ b/internal/leader/snapshots/snapshot.go
@@ -1,7 +1,7 @@
 // Package snapshots builds the planner's view of jobs, machines and teams. The scheduler plans from a
-// snapshot, and the autoscaler searches one for surplus machines. Besides cached views and
-// the estimates of image pulls, the package changes only one thing: it ends the reclaiming of jobs that have
-// no pending tasks.
+// snapshot, and the autoscaler searches one for surplus machines. Besides cached views and the estimates
+// of image pulls, the package changes only one thing: it resets Job.Reclaiming of jobs that have no
+// pending tasks.
 package snapshots
 
 import (
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -71,7 +71,7 @@
 }
 
 // Depose stops this controller from acting as leader at once. The Deposed callback then makes it look
-// for the elected one.
+// for the elected leader.
 func (s *State) Depose(elected protocol.Epoch) {
 	s.Term.ValidUntil = 0
 	s.Deposed(elected)
--- a/internal/leader/zonetracker/displaced.go
+++ b/internal/leader/zonetracker/displaced.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// checkDisplaced ends a job's displacement once the job has no pending tasks, and clears the job to start if
-// it needn't wait any longer. waits reports whether the job still waits for clearance in the configured
-// order.
+// checkDisplaced ends a job's displacement once the job has no pending tasks or if its zone is unknown, and
+// clears the job to start if it needn't wait any longer. waits reports whether the job still waits for
+// clearance in the configured order.
 func (t *Tracker) checkDisplaced(j *jobtable.Job, now clock.Micros) (waits bool) {
 	if j.DisplacedFrom == "" || j.MustNotRun() {
 		return false
--- a/internal/leader/zonetracker/evidence.go
+++ b/internal/leader/zonetracker/evidence.go
@@ -25,9 +25,9 @@
 	probeInterval = 2 * clock.Second
 	// probesPerZone is how many machines of a zone the tracker probes at once.
 	probesPerZone = 2
-	// unlistedTimeout is how long after its first listing a machine without a status from the cloud counts
-	// as gone. It is meant as the time beyond the list's delay for which a machine must be missing from the
-	// list.
+	// unlistedTimeout is the time since a machine's first listing after which the machine counts as gone if
+	// the cloud has reported no status for it. The intended meaning is another one: the time, beyond the
+	// list's delay, for which a machine must be missing from the list.
 	unlistedTimeout = 60 * clock.Second
 )
 
