--- a/cmd/loadtool/cells.go
+++ b/cmd/loadtool/cells.go
@@ -34,7 +34,8 @@
 }
 
 // simulate simulates a variant's days. It returns the sum of their results with sorted delays, the times in
-// seconds after which the origin cell had the tasks of the lost cell back, and the result of the first day.
+// seconds after which the origin cell had got back its tasks from the lost cell, and the result of the first
+// day.
 func (c *cellsCommand) simulate(v cellsVariant) (sum cellsDay, returned []string, first cellsDay) {
 	for seed := range c.Seeds {
 		day := simulateCells(v, firstCellsSeed+seed)
--- a/cmd/loadtool/digest.go
+++ b/cmd/loadtool/digest.go
@@ -10,9 +10,9 @@
 	"postpoint/internal/simulation"
 )
 
-// digestCommand prints a hash for each of several simulated days with random load and faults. It covers all
-// messages and stored values of the controllers. A change of the code that keeps the controllers' behaviour
-// keeps the hashes.
+// digestCommand prints a hash for each of several simulated days with random load and faults. Each hash
+// covers all messages and stored values of the controllers. A change of the code that keeps the controllers'
+// behaviour keeps the hashes.
 type digestCommand struct {
 	Seeds     uint64 `name:"seeds" help:"How many days of each kind are played." default:"8"`
 	FirstSeed uint64 `name:"first-seed" help:"The first day's seed." default:"1"`
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -27,7 +27,7 @@
 
 // Clock is a pair of clocks: a monotonic one and one for the time of day.
 type Clock interface {
-	// Monotonic returns the monotonic time. It never jumps, and its zero has no meaning.
+	// Monotonic returns the monotonic time. It never jumps, and it counts from an arbitrary moment.
 	Monotonic() Micros
 	// TimeOfDay returns the microseconds since 1970. The settings limit its error (clock_error_ms).
 	TimeOfDay() Micros
--- a/internal/cloudclient/client.go
+++ b/internal/cloudclient/client.go
@@ -41,7 +41,7 @@
 		r protocol.ScaleOutRequest, until clock.Micros,
 		done func(machines []protocol.MachineName, err error),
 	)
-	// ScaleIn gives machines back. On success the machines are gone with everything on them.
+	// ScaleIn releases machines. On success the cloud has deleted them with everything on them.
 	ScaleIn(machines []protocol.MachineName, until clock.Micros, done func(error))
 	// List reads one page of the machines whose names sort after from.
 	List(from protocol.MachineName, done func(protocol.MachineList, error))
--- a/internal/jobrecord/capacity.go
+++ b/internal/jobrecord/capacity.go
@@ -31,7 +31,7 @@
 	// attemptIDBytes is the size of the incarnation and the attempt of a placement. A shard stores them only
 	// for placements that differ from the most common ones.
 	attemptIDBytes = 14
-	// tasksPerBitmapByte is the number of tasks in one hexadecimal digit of the bitmap.
+	// tasksPerBitmapByte is the number of tasks in one hexadecimal digit of the bitmap, which takes one byte.
 	tasksPerBitmapByte = 4
 )
 
--- a/internal/offload/plan.go
+++ b/internal/offload/plan.go
@@ -5,10 +5,10 @@
 //
 // The decision is an assignment problem. Each job's tasks may go to one of several pools of
 // capacity: a cell's free capacity on ready machines, or machines that the cell would add. The
-// second half of the latter counts as less certain, so that the work spreads over cells. The gain
-// of a task in a pool is the time that it would wait longer in its origin cell. The task takes its
-// resources from the pool and from the host cell's quota. A linear program maximizes the total
-// gain. Plan rounds its solution down to whole tasks and whole gangs, and fills the remaining
+// second half of the machines to add counts as less certain, so that the work spreads over cells.
+// The gain of a task in a pool is the time that it would wait longer in its origin cell. The task
+// takes its resources from the pool and from the host cell's quota. A linear program maximizes the
+// total gain. Plan rounds its solution down to whole tasks and whole gangs, and fills the remaining
 // capacity greedily. The greedy plan alone is the fallback.
 package offload
 
--- a/internal/planner/resources.go
+++ b/internal/planner/resources.go
@@ -43,8 +43,8 @@
 	return Resources{k * a.Cpus, k * a.Gpus, k * a.MemoryGB}
 }
 
-// DominantShare returns the dominant share of a: the largest of the fractions that a takes of the
-// whole amounts of the resources.
+// DominantShare returns the dominant share of a: the largest fraction that a takes of any resource
+// of the whole.
 func (a Resources) DominantShare(whole Resources) float64 {
 	return max(0,
 		fraction(a.Cpus, whole.Cpus),
--- a/internal/protocol/heartbeatdecoder.go
+++ b/internal/protocol/heartbeatdecoder.go
@@ -84,7 +84,7 @@
 		return nil, nil
 	}
 	tasks := make([]TaskStatus, len(encoded))
-	candidate := 0 // index of the last heartbeat's task to compare with next
+	candidate := 0 // index, in the last heartbeat, of the next task to compare
 	for i, entry := range encoded {
 		// Tasks keep their order: workers remove some and append others.
 		for candidate < len(d.last.tasks) && !bytes.Equal(entry, d.last.tasks[candidate]) {
--- a/internal/protocol/identifiers.go
+++ b/internal/protocol/identifiers.go
@@ -30,8 +30,8 @@
 // change, or 0 if the key doesn't exist.
 type Revision int64
 
-// LeaseID identifies a lease of the key-value store; 0 is none. The store deletes the keys of a lease when it
-// expires.
+// LeaseID identifies a lease of the key-value store; 0 is none. When a lease expires, the store deletes its
+// keys.
 type LeaseID int64
 
 // MachineName is the name of a machine in the cloud's list and in its worker's heartbeats. Names have no
--- a/internal/scaling/cordon.go
+++ b/internal/scaling/cordon.go
@@ -13,8 +13,9 @@
 	// consider it. Fuller machines are used well enough, and each evaluation costs a plan.
 	minFreeFraction = 0.4
 
-	// uncordonFillScale is the part of the fill required for adding a machine that suffices for
-	// uncordoning one: a cordoned machine is ready at once, without a boot.
+	// uncordonFillScale scales the part of a machine that urgent demand must fill for a premium.
+	// Uncordoning a machine requires less than adding one: a cordoned machine is ready at once,
+	// without a boot.
 	uncordonFillScale = 0.5
 )
 
@@ -124,8 +125,8 @@
 }
 
 // NeedsUncordon reports whether unmet demand needs the cordoned machines of a pool after all: if
-// scale-out pays the pool's price for one of the jobs. Urgent demand needs to fill only half of
-// what scale-out requires for a premium, since cordoned machines are ready already.
+// scale-out pays the pool's price for one of the jobs. For a premium, urgent demand needs to fill
+// only half as much of a machine as for scale-out, since cordoned machines are ready already.
 func (view *CloudView) NeedsUncordon(pool CapacityPool, unmet []planner.UnmetDemand) bool {
 	urgent := view.newUrgentDemand(unmet)
 	return slices.ContainsFunc(unmet, func(demand planner.UnmetDemand) bool {
--- a/internal/scaling/price.go
+++ b/internal/scaling/price.go
@@ -8,7 +8,7 @@
 // All multiples refer to the lowest price in the catalogue for a task of the job. docs/design.md
 // lists the values.
 const (
-	// fairMultiple is the highest multiple that scale-out pays for any job.
+	// fairMultiple is the highest multiple that scale-out pays for every job, urgent or not.
 	fairMultiple = 1.7
 
 	// negligiblePriceFraction is the fraction of the price of the most expensive machine up to
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -199,7 +199,8 @@
 		}
 	}
 	for _, m := range d.group.machines(d) {
-		// If the lease had expired before the cancellation, the expiry would have proven the tasks gone.
+		// Only expiries after the cancellation count: an earlier one proved to the leader that the tasks were
+		// gone.
 		for id, at := range m.expiredJobs {
 			undisturbed := d.World.now > max(d.disturbedAt, m.d.disturbedAt)+releaseTime
 			if m.d.findJob(id) == j && at > j.cancelledAt && undisturbed {
--- a/internal/zonerecovery/zone.go
+++ b/internal/zonerecovery/zone.go
@@ -36,8 +36,7 @@
 type Zone struct {
 	Name  string
 	Phase Phase
-	// Losses counts the zone's losses across all leaders. The records of displaced jobs contain the number of
-	// the loss.
+	// Losses counts the zone's losses across all leaders. The zone's record stores the count.
 	Losses    int64
 	Since     clock.Micros // when the phase began
 	Diagnosis Diagnosis
