--- a/internal/simulation/docsindex_test.go
+++ b/internal/simulation/docsindex_test.go
@@ -34,6 +34,8 @@
 	tags, flags map[string]bool
 	// literals holds the words of the sources' string literals, among them environment variables.
 	literals map[string]bool
+	// logLines holds the log lines of the program above debug level.
+	logLines []logLine
 }
 
 // indexSources parses all Go files of the repository.
@@ -53,11 +55,15 @@
 		if !strings.HasSuffix(file, ".go") {
 			return nil
 		}
-		parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
+		positions := token.NewFileSet()
+		parsed, err := parser.ParseFile(positions, file, nil, parser.SkipObjectResolution)
 		if err != nil {
 			return err
 		}
 		x.addFile(parsed)
+		if !strings.HasSuffix(file, "_test.go") {
+			x.logLines = append(x.logLines, logLinesOf(positions, parsed)...)
+		}
 		return nil
 	}
 	for _, folder := range []string{"cmd", "internal"} {
--- a/internal/simulation/docslogs_test.go
+++ b/internal/simulation/docslogs_test.go
@@ -2,9 +2,7 @@
 
 import (
 	"go/ast"
-	"go/parser"
 	"go/token"
-	"io/fs"
 	"path/filepath"
 	"strconv"
 	"strings"
@@ -14,8 +12,8 @@
 // operatorPages are the pages that explain log messages.
 var operatorPages = []string{"operations.md", "cells-operations.md", "recovery-operations.md"}
 
-// minLogMessages is a lower bound on the number of log messages above debug level in the sources.
-const minLogMessages = 50
+// minLogLines is a lower bound on the number of log lines above debug level in the sources.
+const minLogLines = 50
 
 // Operators search the logs for a message and look it up. Each message above debug level is therefore a
 // constant, and stands on one of their pages exactly as it is logged.
@@ -24,51 +22,38 @@
 	for _, page := range operatorPages {
 		text.WriteString(readPage(t, filepath.Join(repository, "docs", page)))
 	}
-	messages := logMessages(t)
-	for position, message := range messages {
-		if !strings.Contains(text.String(), "`"+message+"`") {
-			t.Errorf("%s: no page for operators lists the message %q", position, message)
+	lines := indexSources(t).logLines
+	for _, line := range lines {
+		switch {
+		case !line.constant:
+			t.Errorf("%s: the message of a log line is not a constant text", line.position)
+		case !strings.Contains(text.String(), "`"+line.message+"`"):
+			t.Errorf("%s: no page for operators lists the message %q", line.position, line.message)
 		}
 	}
-	if len(messages) < minLogMessages {
-		t.Errorf("found only %d log messages, want at least %d", len(messages), minLogMessages)
+	if len(lines) < minLogLines {
+		t.Errorf("found only %d log lines, want at least %d", len(lines), minLogLines)
 	}
 }
 
-// logMessages returns the messages that the program logs above debug level, by their positions.
-func logMessages(t *testing.T) map[string]string {
-	t.Helper()
-	messages := map[string]string{}
-	visit := func(file string, entry fs.DirEntry, err error) error {
-		if err != nil || entry.IsDir() || !strings.HasSuffix(file, ".go") || strings.HasSuffix(file, "_test.go") {
-			return err
-		}
-		set := token.NewFileSet()
-		parsed, err := parser.ParseFile(set, file, nil, parser.SkipObjectResolution)
-		if err != nil {
-			return err
-		}
-		ast.Inspect(parsed, func(n ast.Node) bool {
-			call, ok := n.(*ast.CallExpr)
-			if !ok || !logsForOperators(call) {
-				return true
-			}
-			position := set.Position(call.Pos()).String()
+// logLine is a place at which the program logs above debug level.
+type logLine struct {
+	position string
+	message  string
+	constant bool // the message is a string literal
+}
+
+// logLinesOf returns the log lines of a file above debug level.
+func logLinesOf(positions *token.FileSet, file *ast.File) []logLine {
+	var lines []logLine
+	ast.Inspect(file, func(n ast.Node) bool {
+		if call, ok := n.(*ast.CallExpr); ok && logsForOperators(call) {
 			message, constant := constantText(call.Args[0])
-			if !constant {
-				t.Errorf("%s: the message of a log line is not a constant text", position)
-			}
-			messages[position] = message
-			return true
-		})
-		return nil
-	}
-	for _, folder := range []string{"cmd", "internal"} {
-		if err := filepath.WalkDir(filepath.Join(repository, folder), visit); err != nil {
-			t.Fatal(err)
+			lines = append(lines, logLine{positions.Position(call.Pos()).String(), message, constant})
 		}
-	}
-	return messages
+		return true
+	})
+	return lines
 }
 
 // logsForOperators reports whether a call logs a message above debug level.
